--- a/crates/adapter/src/main.rs
+++ b/crates/adapter/src/main.rs
@@ -5,7 +5,7 @@
 mod wire;
 
 use slipreel::Router;
-use slipreel_profile::{self as settings, Column};
+use slipreel_platform_settings::{self as settings, Column};
 use std::any::Any;
 use std::collections::BTreeMap;
 use std::io::{self, BufReader, BufWriter, Read, Write};
--- a/crates/adapter/src/wire.rs
+++ b/crates/adapter/src/wire.rs
@@ -4,7 +4,7 @@
     Action, CellId, ClassId, Ended, Engine, EngineId, EngineState, Event, KindId, Listing, LoadReport,
     Outcome, Request, RequestId, TenantId, TimerId, ZoneId,
 };
-use slipreel_profile::Column;
+use slipreel_platform_settings::Column;
 use std::fmt;
 use std::io::{self, Read};
 use std::time::Duration;
--- a/crates/cli/src/demo.rs
+++ b/crates/cli/src/demo.rs
@@ -2,8 +2,8 @@
 
 use crate::signals::Signals;
 use crate::{lines, Failure, Outcome};
-use slipreel_day::{play_in_memory, play_live, read_day, Day, LiveFleet, Played};
-use slipreel_net::check_loopback;
+use slipreel_event_loop::check_loopback;
+use slipreel_scenario::{play_in_memory, play_live, read_day, Day, LiveFleet, Played};
 use std::io::{IsTerminal, Write};
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -154,7 +154,7 @@
         std::thread::sleep(Duration::from_millis(20));
     }
     let (tallies, leaks) = fleet.stop();
-    let sum = |f: fn(&slipreel_front::Tally) -> u64| tallies.iter().map(f).sum::<u64>();
+    let sum = |f: fn(&slipreel_gateway::Tally) -> u64| tallies.iter().map(f).sum::<u64>();
     eprintln!(
         "stopped: taken {}, served {}, refused {}, failed {}, left {}; still held {leaks}",
         sum(|t| t.taken),
--- a/crates/cli/src/engine.rs
+++ b/crates/cli/src/engine.rs
@@ -3,9 +3,9 @@
 use crate::signals::Signals;
 use crate::{Failure, Outcome};
 use clap::ValueEnum;
-use slipreel_net::{check_loopback, Clock, Command, Loop, NodeId};
-use slipreel_standin::engine::{Engine, EngineSpec, Role};
-use slipreel_standin::ledger::Ledger;
+use slipreel_event_loop::{check_loopback, Clock, Command, Loop, NodeId};
+use slipreel_test_servers::engine::{Engine, EngineSpec, Role};
+use slipreel_test_servers::ledger::Ledger;
 use std::net::SocketAddr;
 use std::time::{Duration, SystemTime};
 
--- a/crates/cli/src/ground.rs
+++ b/crates/cli/src/ground.rs
@@ -3,7 +3,9 @@
 use crate::signals::Signals;
 use crate::{lines, Failure, Outcome};
 use clap::Args as ClapArgs;
-use slipreel_ground::{play_in_memory, play_processes, read_script, Interrupt, Outcome as Played, Script};
+use slipreel_fault_injection::{
+    play_in_memory, play_processes, read_script, Interrupt, Outcome as Played, Script,
+};
 use std::collections::BTreeMap;
 use std::path::PathBuf;
 use std::sync::atomic::Ordering;
--- a/crates/cli/src/load.rs
+++ b/crates/cli/src/load.rs
@@ -6,10 +6,10 @@
 use rand::SeedableRng;
 use rand_xoshiro::rand_core::RngCore;
 use serde_json::json;
+use slipreel_event_loop::{check_loopback, Clock, Loop};
 use slipreel_invariants::{Effect, Ending};
-use slipreel_net::{check_loopback, Clock, Loop};
-use slipreel_standin::client::{Clients, Habit, Plan};
-use slipreel_standin::ledger::Ledger;
+use slipreel_test_servers::client::{Clients, Habit, Plan};
+use slipreel_test_servers::ledger::Ledger;
 use std::net::SocketAddr;
 use std::time::Duration;
 
--- a/crates/cli/src/model.rs
+++ b/crates/cli/src/model.rs
@@ -2,8 +2,8 @@
 
 use crate::{lines, Failure, Outcome};
 use clap::Args as ClapArgs;
-use slipreel_day::read_day;
-use slipreel_model::play;
+use slipreel_emulator::play;
+use slipreel_scenario::read_day;
 use std::path::PathBuf;
 use std::time::Instant;
 
--- a/crates/cli/src/node.rs
+++ b/crates/cli/src/node.rs
@@ -5,7 +5,7 @@
 use crate::{logs, Failure, Outcome};
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use signal_hook::iterator::Signals;
-use slipreel_net::{Clock, Command, Handle, Loop, NodeId};
+use slipreel_event_loop::{Clock, Command, Handle, Loop, NodeId};
 use slipreel_platform::{Config, Node};
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -4,9 +4,9 @@
 use crate::member::Member;
 use crate::signals::Signals;
 use crate::{logs, read_settings, Failure, Outcome};
-use slipreel_front::site::EngineSite;
-use slipreel_front::Front;
-use slipreel_net::{Clock, Command, Handle, Loop, NodeId};
+use slipreel_event_loop::{Clock, Command, Handle, Loop, NodeId};
+use slipreel_gateway::site::EngineSite;
+use slipreel_gateway::Front;
 use slipreel_settings::{engines_from_slices, Daemon};
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
@@ -112,7 +112,7 @@
     Ok(())
 }
 
-type Threads = (Vec<Handle<Front>>, Vec<JoinHandle<slipreel_front::Tally>>);
+type Threads = (Vec<Handle<Front>>, Vec<JoinHandle<slipreel_gateway::Tally>>);
 
 fn start(daemon: &Daemon, clock: Clock) -> Result<Threads, Failure> {
     let run = |e: std::io::Error| Failure::Run(e.to_string());
--- a/crates/cli/tests/common/mod.rs
+++ b/crates/cli/tests/common/mod.rs
@@ -1,6 +1,6 @@
 //! Runs of the ground with processes of the built program, side by side.
 
-use slipreel_ground::{play_processes, read_script, Interrupt, Outcome};
+use slipreel_fault_injection::{play_processes, read_script, Interrupt, Outcome};
 use std::path::Path;
 
 /// The program that was built with the tests.
--- a/crates/cli/tests/floods.rs
+++ b/crates/cli/tests/floods.rs
@@ -4,7 +4,7 @@
 use platform::cluster::{Cluster, ClusterPlan};
 use platform::ms;
 use slipreel_invariants::terms::Terms;
-use slipreel_standin::platform::Ending;
+use slipreel_test_servers::platform::Ending;
 use std::thread::sleep;
 
 /// Requests sent ahead by the hundred on connections that are read to the end, beside the usual clients.
--- a/crates/cli/tests/platform/cluster.rs
+++ b/crates/cli/tests/platform/cluster.rs
@@ -3,10 +3,12 @@
 use super::ports::ReservedPort;
 use super::process::{start_with, Process};
 use super::{config, entry, folder, is_ready, ms};
+use slipreel_event_loop::{Clock, Command, Handle, Loop, NodeId};
 use slipreel_invariants::terms::{judge, Break, Fact, Seen, Terms};
-use slipreel_machine::Machine;
-use slipreel_net::{Clock, Command, Handle, Loop, NodeId};
-use slipreel_standin::platform::{look, Clients, Discovery, Ending, Engine, Faults, Listing, Mood, Shared};
+use slipreel_state_machine::Machine;
+use slipreel_test_servers::platform::{
+    look, Clients, Discovery, Ending, Engine, Faults, Listing, Mood, Shared,
+};
 use std::any::Any;
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
--- a/crates/cli/tests/platform/mod.rs
+++ b/crates/cli/tests/platform/mod.rs
@@ -8,7 +8,7 @@
 
 use cluster::{Cluster, ClusterPlan};
 use slipreel_invariants::terms::{Break, ColdBudget, Terms};
-use slipreel_standin::platform::Ending;
+use slipreel_test_servers::platform::Ending;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::path::PathBuf;
--- a/crates/cli/tests/platform/surroundings.rs
+++ b/crates/cli/tests/platform/surroundings.rs
@@ -1,9 +1,9 @@
 //! Engines and two agents of discovery for one router process.
 
 use super::entry;
-use slipreel_machine::Machine;
-use slipreel_net::{Clock, Command, Handle, Loop};
-use slipreel_standin::platform::{Discovery, Engine, Faults, Listing, Shared};
+use slipreel_event_loop::{Clock, Command, Handle, Loop};
+use slipreel_state_machine::Machine;
+use slipreel_test_servers::platform::{Discovery, Engine, Faults, Listing, Shared};
 use std::net::SocketAddr;
 use std::thread::JoinHandle;
 
--- a/crates/cli/tests/ports.rs
+++ b/crates/cli/tests/ports.rs
@@ -3,8 +3,8 @@
 mod platform;
 
 use platform::ports::ReservedPort;
-use slipreel_machine::{Input, Machine, Output};
-use slipreel_net::{Clock, Loop};
+use slipreel_event_loop::{Clock, Loop};
+use slipreel_state_machine::{Input, Machine, Output};
 use std::collections::BTreeSet;
 use std::net::TcpListener;
 use std::time::Duration;
--- a/crates/cli/tests/repeats.rs
+++ b/crates/cli/tests/repeats.rs
@@ -6,10 +6,10 @@
 use platform::ports::ReservedPort;
 use platform::process::{start, Process};
 use platform::{folder, is_ready, ms};
+use slipreel_event_loop::{Clock, Command as Tell, Handle, Loop, NodeId};
 use slipreel_invariants::repeats::{judge, Break, Terms};
-use slipreel_machine::Machine;
-use slipreel_net::{Clock, Command as Tell, Handle, Loop, NodeId};
-use slipreel_standin::platform::{
+use slipreel_state_machine::Machine;
+use slipreel_test_servers::platform::{
     list_entry, open_ledger, place_of, ClientLayout, DaySettings, Discovery, EngineDies, EngineLayout,
     EngineRole, HostileEngine, Listing, Random, RepeatingClients, SharedLedger, EXCHANGE_FAULTS,
 };
--- a/crates/cli/tests/signals.rs
+++ b/crates/cli/tests/signals.rs
@@ -6,8 +6,8 @@
 use platform::process::start;
 use platform::surroundings::Surroundings;
 use platform::{config, folder, ms, wait_until_ready};
-use slipreel_net::Clock;
-use slipreel_standin::platform::Faults;
+use slipreel_event_loop::Clock;
+use slipreel_test_servers::platform::Faults;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 
--- a/crates/cli/tests/terms.rs
+++ b/crates/cli/tests/terms.rs
@@ -4,7 +4,7 @@
 use platform::cluster::{Cluster, ClusterPlan};
 use platform::{cold_starts, ms, terms_of_processes, COLD};
 use slipreel_invariants::terms::{Term, Terms};
-use slipreel_standin::platform::{Ending, Mood};
+use slipreel_test_servers::platform::{Ending, Mood};
 use std::thread::sleep;
 use std::time::Instant;
 
--- a/crates/links/src/client.rs
+++ b/crates/connections/src/client.rs
@@ -3,8 +3,8 @@
 //! States and their time-outs: `Idle` (`client_idle`), `Receiving` head and body (`receive` each), `Serving` (the
 //! request's own deadlines), `Closing`. Pipelined requests wait in the decoder until the one before is answered.
 
-use slipreel_machine::{ConnId, Door, Output};
 use slipreel_protocol::http::{self, Decoder, Framing, Head, Item, Limits, Malformed, Side, Start};
+use slipreel_state_machine::{ConnId, Door, Output};
 use std::collections::VecDeque;
 use std::time::Duration;
 
--- a/crates/links/src/due.rs
+++ b/crates/connections/src/due.rs
@@ -1,7 +1,7 @@
 //! One timer for each connection: when it has to have moved on.
 
 use crate::wheel::{TimerKey, Wheel};
-use slipreel_machine::ConnId;
+use slipreel_state_machine::ConnId;
 use std::collections::HashMap;
 use std::time::Duration;
 
--- a/crates/links/src/pool.rs
+++ b/crates/connections/src/pool.rs
@@ -4,7 +4,7 @@
 //! state, the last idle connection is kept back for its release (`releases`).
 
 use slipreel::EngineId;
-use slipreel_machine::ConnId;
+use slipreel_state_machine::ConnId;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
--- a/crates/links/tests/releases.rs
+++ b/crates/connections/tests/releases.rs
@@ -1,7 +1,7 @@
 //! The queue of releases, driven by hand.
 
 use slipreel::EngineId;
-use slipreel_links::{Release, ReleaseId, ReleaseQueue, ReleaseStep, ReleaseTiming, UnsureAttempt};
+use slipreel_connections::{Release, ReleaseId, ReleaseQueue, ReleaseStep, ReleaseTiming, UnsureAttempt};
 use std::net::SocketAddr;
 use std::time::Duration;
 
--- a/crates/consensus/src/consensus.rs
+++ b/crates/consensus/src/consensus.rs
@@ -11,7 +11,7 @@
 use crate::wire::{Ask, Bad, Body, Frame, Grant, OperatorRequest, Peer, LONGEST};
 use crate::{log::Damage, timing};
 use omnipaxos::messages::Message;
-use slipreel_machine::{ConnId, Door, Input, Machine, Output};
+use slipreel_state_machine::{ConnId, Door, Input, Machine, Output};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::sync::Arc;
--- a/crates/consensus/src/member.rs
+++ b/crates/consensus/src/member.rs
@@ -3,8 +3,8 @@
 use crate::consensus::{Consensus, Others};
 use crate::peer_connections::PeerConnections;
 use crate::wire::MAGIC;
-use slipreel_fleet::{Board as ViewBoard, Fleet};
-use slipreel_machine::{ConnId, Door, Input, Machine, Output};
+use slipreel_membership::{Board as ViewBoard, Fleet};
+use slipreel_state_machine::{ConnId, Door, Input, Machine, Output};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::sync::Arc;
--- a/crates/consensus/src/peer_connections.rs
+++ b/crates/consensus/src/peer_connections.rs
@@ -2,7 +2,7 @@
 //! acknowledgement for each frame. What is not acknowledged in time is given up with its connection, and whoever sent it is told.
 
 use crate::timing;
-use slipreel_machine::{ConnId, Output};
+use slipreel_state_machine::{ConnId, Output};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/crates/consensus/tests/common/mod.rs
+++ b/crates/consensus/tests/common/mod.rs
@@ -3,8 +3,8 @@
 #![allow(dead_code)]
 
 use slipreel_consensus::{storage, Consensus, Cut, Disk, Others, PolicyHandle, Settings, Start};
-use slipreel_machine::{Input, Machine, Output};
-use slipreel_standin::memory::{Delays, World};
+use slipreel_state_machine::{Input, Machine, Output};
+use slipreel_test_servers::memory::{Delays, World};
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
--- a/crates/consensus/tests/explore.rs
+++ b/crates/consensus/tests/explore.rs
@@ -9,7 +9,7 @@
 use slipreel_consensus::storage::{file_of, read, Terms, VoterIdentity};
 use slipreel_consensus::wire::OperatorRequest;
 use slipreel_consensus::{Consensus, Cut, Disk, Others, PolicyHandle, ProposalStatus, Settings, Start};
-use slipreel_machine::{ConnId, Door, Input, Loss, Machine, Output};
+use slipreel_state_machine::{ConnId, Door, Input, Loss, Machine, Output};
 use stateright::{Checker, Model, Property};
 use std::cell::RefCell;
 use std::collections::hash_map::DefaultHasher;
--- a/crates/consensus/tests/thin.rs
+++ b/crates/consensus/tests/thin.rs
@@ -120,7 +120,7 @@
 
 #[test]
 fn connections_that_never_end_keep_nobody_out() {
-    use slipreel_machine::{ConnId, Door, Input, Machine, Output};
+    use slipreel_state_machine::{ConnId, Door, Input, Machine, Output};
     let mut routers = Routers::new(1, 1, 7);
     let (now, mut out) = (routers.world.now(), Vec::new());
     let mut consensus = routers.build(0, "one");
--- a/crates/model/src/engine.rs
+++ b/crates/emulator/src/engine.rs
@@ -1,10 +1,10 @@
 //! An engine without bytes: the inside of the stand-in engine, and its record of the role that it has.
 
 use slipreel::{EngineId, LoadReport, Role};
-use slipreel_machine::ConnId;
 use slipreel_roles::RoleRecord;
-use slipreel_standin::engine::work::{Job, Kind, Transfer, Work};
-use slipreel_standin::engine::EngineSpec;
+use slipreel_state_machine::ConnId;
+use slipreel_test_servers::engine::work::{Job, Kind, Transfer, Work};
+use slipreel_test_servers::engine::EngineSpec;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/crates/model/src/play.rs
+++ b/crates/emulator/src/play.rs
@@ -7,10 +7,10 @@
     CellId, ClassId, EngineId, EngineState, Event as Told, KindId, Listing, LoadReport, Outcome, RequestId,
     Role, TenantId, TimerId, ZoneId,
 };
-use slipreel_day::Day;
-use slipreel_front::engine_id;
+use slipreel_gateway::engine_id;
 use slipreel_invariants::Effect;
-use slipreel_standin::client::Habit;
+use slipreel_scenario::Day;
+use slipreel_test_servers::client::Habit;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
 use std::time::Duration;
--- a/crates/model/src/roles.rs
+++ b/crates/emulator/src/roles.rs
@@ -3,11 +3,11 @@
 
 use crate::engine::Engine;
 use slipreel::{CellId, Role, ZoneId};
-use slipreel_day::Day;
 use slipreel_roles::{
     Costs, Demand, EngineView, Limits, Order, Phase, Planner, Policy, Speeds, View, KEPT_AT_FULL,
 };
-use slipreel_standin::engine::Role as SpecRole;
+use slipreel_scenario::Day;
+use slipreel_test_servers::engine::Role as SpecRole;
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
 use std::time::Duration;
--- a/crates/model/tests/change.rs
+++ b/crates/emulator/tests/change.rs
@@ -1,7 +1,7 @@
 //! 300 routers take new settings at one moment of a busy day: with heirs nothing is lost; routers that learn anew are the baseline.
 
-use slipreel_day::{read_day, Day};
-use slipreel_model::{play, play_change, Change, Figures};
+use slipreel_emulator::{play, play_change, Change, Figures};
+use slipreel_scenario::{read_day, Day};
 use std::time::Duration;
 
 const AT: u64 = 20;
--- a/crates/model/tests/fidelity.rs
+++ b/crates/emulator/tests/fidelity.rs
@@ -1,9 +1,9 @@
 //! The model against the same days in bytes, and that it is the same each time.
 
-use slipreel_day::{play_in_memory, read_day, Day};
+use slipreel_emulator::play;
 use slipreel_invariants::Ending;
-use slipreel_model::play;
 use slipreel_roles::Policy;
+use slipreel_scenario::{play_in_memory, read_day, Day};
 
 fn shift(roles: Option<Policy>) -> Day {
     let text = include_str!("../../../deploy/days/shift.ini");
--- a/crates/net/src/conn.rs
+++ b/crates/event-loop/src/conn.rs
@@ -4,7 +4,7 @@
 use rustix::fd::OwnedFd;
 use rustix::io::Errno;
 use rustix::net::{send, SendFlags};
-use slipreel_machine::ConnId;
+use slipreel_state_machine::ConnId;
 use std::collections::VecDeque;
 use std::time::Duration;
 
--- a/crates/net/src/driver.rs
+++ b/crates/event-loop/src/driver.rs
@@ -12,7 +12,7 @@
 use rustix::fd::OwnedFd;
 use rustix::io::Errno;
 use rustix::net::{self, sockopt, AddressFamily, SendFlags, SocketFlags, SocketType};
-use slipreel_machine::{ConnId, Door, Input, Loss, Machine, Output};
+use slipreel_state_machine::{ConnId, Door, Input, Loss, Machine, Output};
 use std::any::Any;
 use std::collections::{HashMap, VecDeque};
 use std::net::SocketAddr;
--- a/crates/net/src/driver/readiness.rs
+++ b/crates/event-loop/src/driver/readiness.rs
@@ -9,7 +9,7 @@
 use rustix::event::epoll::{self, EventFlags};
 use rustix::io::Errno;
 use rustix::net::{self, sockopt, RecvFlags, Shutdown, SocketFlags};
-use slipreel_machine::{ConnId, Input, Loss, Machine};
+use slipreel_state_machine::{ConnId, Input, Loss, Machine};
 use std::net::SocketAddr;
 
 /// Whether more connections may wait at a listener.
--- a/crates/net/src/driver/slots.rs
+++ b/crates/event-loop/src/driver/slots.rs
@@ -4,7 +4,7 @@
 use crate::conn::Conn;
 use rustix::event::epoll::{self, EventFlags};
 use rustix::fd::AsFd;
-use slipreel_machine::Machine;
+use slipreel_state_machine::Machine;
 
 impl<M: Machine> Loop<M> {
     pub(super) fn slot(&mut self) -> usize {
--- a/crates/net/tests/closes.rs
+++ b/crates/event-loop/tests/closes.rs
@@ -2,8 +2,8 @@
 //! say in the same moment, and without a loop that turns round and round.
 
 use rustix::time::{clock_gettime, ClockId};
-use slipreel_machine::{ConnId, Door, Input, Loss, Machine, Output};
-use slipreel_net::{Clock, Command, Loop};
+use slipreel_event_loop::{Clock, Command, Loop};
+use slipreel_state_machine::{ConnId, Door, Input, Loss, Machine, Output};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::{Arc, Mutex};
--- a/crates/net/tests/order.rs
+++ b/crates/event-loop/tests/order.rs
@@ -1,7 +1,7 @@
 //! What a machine asks for on hearing that one connection's bytes were sent comes before the next connection's bytes go.
 
-use slipreel_machine::{ConnId, Input, Machine, Output};
-use slipreel_net::{Clock, Loop};
+use slipreel_event_loop::{Clock, Loop};
+use slipreel_state_machine::{ConnId, Input, Machine, Output};
 use std::io::Read;
 use std::net::{SocketAddr, TcpListener};
 use std::time::Duration;
--- a/crates/net/tests/stop_listening.rs
+++ b/crates/event-loop/tests/stop_listening.rs
@@ -1,7 +1,7 @@
 //! A machine that stops listening is handed those who have connected before.
 
-use slipreel_machine::{Input, Machine, Output};
-use slipreel_net::{Clock, Loop};
+use slipreel_event_loop::{Clock, Loop};
+use slipreel_state_machine::{Input, Machine, Output};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
--- a/crates/net/tests/timers.rs
+++ b/crates/event-loop/tests/timers.rs
@@ -1,7 +1,7 @@
 //! The loop wakes machines in time: waits are not rounded up to whole milliseconds.
 
-use slipreel_machine::{Input, Machine, Output};
-use slipreel_net::{Clock, Loop};
+use slipreel_event_loop::{Clock, Loop};
+use slipreel_state_machine::{Input, Machine, Output};
 use std::time::Duration;
 
 const STEP: Duration = Duration::from_micros(200);
--- a/crates/net/tests/turns.rs
+++ b/crates/event-loop/tests/turns.rs
@@ -1,7 +1,7 @@
 //! How much of one connection is taken before the others have their turn.
 
-use slipreel_machine::{ConnId, Input, Machine, Output};
-use slipreel_net::{Clock, Loop};
+use slipreel_event_loop::{Clock, Loop};
+use slipreel_state_machine::{ConnId, Input, Machine, Output};
 use std::collections::BTreeMap;
 use std::io::{ErrorKind, Write};
 use std::net::{SocketAddr, TcpStream};
--- a/crates/ground/src/bend.rs
+++ b/crates/fault-injection/src/bend.rs
@@ -1,7 +1,7 @@
 //! Routers that are broken on purpose, to prove that the judge notices: what stands between a machine and the world.
 
 use slipreel_consensus::wire::{Body, Frame};
-use slipreel_machine::{Input, Output};
+use slipreel_state_machine::{Input, Output};
 
 /// In what way routers are broken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/ground/src/history.rs
+++ b/crates/fault-injection/src/history.rs
@@ -1,8 +1,8 @@
 //! What happened in a run, by one clock: what was done to whom, and what each router told of its view.
 
 use crate::script::Kind;
-use slipreel_fleet::{State, View};
 use slipreel_invariants::policy::Said;
+use slipreel_membership::{State, View};
 use std::collections::BTreeMap;
 use std::io::Write;
 use std::path::Path;
--- a/crates/ground/src/own.rs
+++ b/crates/fault-injection/src/own.rs
@@ -2,7 +2,7 @@
 
 use crate::script::{Propose, Script, Wish};
 use slipreel_settings::policy_of;
-use slipreel_standin::engine::Role;
+use slipreel_test_servers::engine::Role;
 use std::fmt::Write as _;
 use std::net::SocketAddr;
 use std::path::Path;
--- a/crates/ground/src/processes.rs
+++ b/crates/fault-injection/src/processes.rs
@@ -8,12 +8,12 @@
 use crate::script::{Propose, Script, Wish};
 use crate::wire::{Link, Links, Noise, Wire};
 use rustix::process::{kill_process, Pid, Signal};
+use slipreel_event_loop::{Clock, Command as Tell, Handle, Loop, NodeId};
 use slipreel_invariants::policy::Said;
-use slipreel_machine::Machine;
-use slipreel_net::{Clock, Command as Tell, Handle, Loop, NodeId};
-use slipreel_standin::client::Clients;
-use slipreel_standin::engine::Engine;
-use slipreel_standin::ledger::Ledger;
+use slipreel_state_machine::Machine;
+use slipreel_test_servers::client::Clients;
+use slipreel_test_servers::engine::Engine;
+use slipreel_test_servers::ledger::Ledger;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::path::{Path, PathBuf};
@@ -388,7 +388,7 @@
         let node = engines.add(Engine::warm(plan.spec.clone(), ledger.clone(), clock.now(), wall));
         let at = engines.listen(node, SocketAddr::from(([127, 0, 0, 1], 0))).map_err(|e| e.to_string())?;
         addrs.push(at);
-        let spec = slipreel_standin::engine::EngineSpec { addr: at, ..plan.spec.clone() };
+        let spec = slipreel_test_servers::engine::EngineSpec { addr: at, ..plan.spec.clone() };
         *engines.machine_mut(node) = Engine::warm(spec, ledger.clone(), clock.now(), wall);
     }
     let engines_handle = engines.handle();
@@ -397,7 +397,8 @@
     let wire_handle = wire.handle();
     let wire_thread = spawn(wire, "wire")?;
     let run = RUNS.fetch_add(1, Ordering::Relaxed);
-    let scratch = Scratch(std::env::temp_dir().join(format!("slipreel-ground-{}-{run}", std::process::id())));
+    let scratch =
+        Scratch(std::env::temp_dir().join(format!("slipreel-fault-injection-{}-{run}", std::process::id())));
     std::fs::create_dir_all(&scratch.0).map_err(text)?;
     let zero = clock.now();
     let mut clients_handle = None;
--- a/crates/ground/src/run.rs
+++ b/crates/fault-injection/src/run.rs
@@ -7,11 +7,11 @@
 use crate::wire::Link;
 use rand_xoshiro::rand_core::{RngCore, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
-use slipreel_day::figures_of;
 use slipreel_invariants::policy::Said;
 use slipreel_invariants::{Break, Record, Seen};
-use slipreel_standin::client::Result as TryResult;
-use slipreel_standin::ledger::Ledger;
+use slipreel_scenario::figures_of;
+use slipreel_test_servers::client::Result as TryResult;
+use slipreel_test_servers::ledger::Ledger;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
--- a/crates/ground/src/script.rs
+++ b/crates/fault-injection/src/script.rs
@@ -1,12 +1,12 @@
 //! What a run plays: how many routers, what traffic, and which faults when, written down or drawn from the seed.
 //!
-//! A script is INI: the sections of a day ([`slipreel_day`]) for site, engines and traffic, `[ground]`, and a `[fault NAME]` for each
+//! A script is INI: the sections of a day ([`slipreel_scenario`]) for site, engines and traffic, `[ground]`, and a `[fault NAME]` for each
 //! fault. `docs/operators/fleet.md` describes it.
 
 use rand_xoshiro::rand_core::{RngCore, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
 use slipreel_consensus::Cut;
-use slipreel_day::{read_day_parts, Day, DAY_SECTIONS};
+use slipreel_scenario::{read_day_parts, Day, DAY_SECTIONS};
 use slipreel_settings::{Doc, Fault as Wrong, Value};
 use std::time::Duration;
 
--- a/crates/ground/src/wire.rs
+++ b/crates/fault-injection/src/wire.rs
@@ -3,7 +3,7 @@
 
 use rand_xoshiro::rand_core::{RngCore, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
-use slipreel_machine::{ConnId, Door, Input, Machine, Output};
+use slipreel_state_machine::{ConnId, Door, Input, Machine, Output};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
 use std::net::SocketAddr;
--- a/crates/ground/tests/bent.rs
+++ b/crates/fault-injection/tests/bent.rs
@@ -1,6 +1,6 @@
 //! Routers that are broken on purpose, in ten ways: the judge names a broken promise for each, and none where nobody is broken.
 
-use slipreel_ground::{play_broken, play_in_memory, read_script, Bend, Outcome, Script, BENDS};
+use slipreel_fault_injection::{play_broken, play_in_memory, read_script, Bend, Outcome, Script, BENDS};
 use slipreel_invariants::policy::Promise;
 use std::path::Path;
 
--- a/crates/ground/tests/broken.rs
+++ b/crates/fault-injection/tests/broken.rs
@@ -1,6 +1,6 @@
 //! The judge catches members that are broken on purpose: true histories of runs in virtual time, changed in one way each.
 
-use slipreel_ground::{judge, play_in_memory, read_script, Event, History, Script, Sight};
+use slipreel_fault_injection::{judge, play_in_memory, read_script, Event, History, Script, Sight};
 use std::path::Path;
 use std::time::Duration;
 
--- a/crates/ground/tests/hard_cases.rs
+++ b/crates/fault-injection/tests/hard_cases.rs
@@ -1,6 +1,6 @@
 //! The hard cases of the view and faults drawn by seed, in virtual time. `crates/cli/tests/ground.rs` plays the same scripts with processes.
 
-use slipreel_ground::{play_in_memory, read_script, Outcome};
+use slipreel_fault_injection::{play_in_memory, read_script, Outcome};
 use std::path::{Path, PathBuf};
 
 fn grounds() -> PathBuf {
--- a/crates/ground/tests/policy.rs
+++ b/crates/fault-injection/tests/policy.rs
@@ -1,6 +1,6 @@
 //! Changes of policy through faults, in virtual time. `crates/cli/tests/policy.rs` plays the same scripts with processes.
 
-use slipreel_ground::{play_in_memory, read_script, Outcome, Script};
+use slipreel_fault_injection::{play_in_memory, read_script, Outcome, Script};
 use std::path::{Path, PathBuf};
 
 fn grounds() -> PathBuf {
--- a/crates/front/benches/front.rs
+++ b/crates/gateway/benches/front.rs
@@ -1,13 +1,13 @@
 //! What the front costs on one thread, fed by hand: requests, streamed events, memory of open streams, its timer wheel
 //! against a heap, and the module's part of it. No sockets: the system's part is not in these figures.
 
-use slipreel_front::site::{
+use slipreel_connections::Wheel;
+use slipreel_gateway::site::{
     starting_class, starting_settings, Bounds, ClassSite, EngineSite, ModelSite, KINDS,
 };
-use slipreel_front::{Front, Site};
-use slipreel_links::Wheel;
-use slipreel_machine::{ConnId, Door, Input, Machine, Output};
+use slipreel_gateway::{Front, Site};
 use slipreel_protocol::http::chunk;
+use slipreel_state_machine::{ConnId, Door, Input, Machine, Output};
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 use std::sync::Arc;
@@ -219,7 +219,7 @@
     let mut router = Router::new(site.settings.clone(), 5);
     let (mut now, mut out) = (Duration::from_secs(1 << 20), Vec::new());
     let entry = |e: &EngineSite| Engine {
-        id: slipreel_front::engine_id(e.addr),
+        id: slipreel_gateway::engine_id(e.addr),
         kind: KindId(KINDS.iter().position(|k| *k == e.role).unwrap_or(0)),
         ..Engine::default()
     };
--- a/crates/front/src/carry.rs
+++ b/crates/gateway/src/carry.rs
@@ -5,10 +5,10 @@
 use crate::limits;
 use crate::link::{Link, State, Use};
 use slipreel::{Action, Effect, EngineId, Event, LoadReport, Outcome, ReportSource, RequestId};
-use slipreel_links::{Errand, Release, ReleaseId, ReleaseStep, Slot};
-use slipreel_machine::{ConnId, Output};
+use slipreel_connections::{Errand, Release, ReleaseId, ReleaseStep, Slot};
 use slipreel_protocol::engine::{self, Load};
 use slipreel_protocol::http::{self, Framing};
+use slipreel_state_machine::{ConnId, Output};
 use std::net::SocketAddr;
 use std::time::Duration;
 
--- a/crates/front/src/engines.rs
+++ b/crates/gateway/src/engines.rs
@@ -7,9 +7,9 @@
 use crate::link::{Said, State, Use};
 use crate::translate::Writer;
 use slipreel::{Event, LoadReport, Outcome, RequestId};
-use slipreel_machine::{ConnId, Loss, Output};
 use slipreel_protocol::engine::Chunk;
 use slipreel_protocol::messages::{ErrorKind, Fault};
+use slipreel_state_machine::{ConnId, Loss, Output};
 use std::time::Duration;
 
 impl Front {
--- a/crates/front/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,11 +1,11 @@
 //! The front: all behaviour of a router between its clients and its engines, without I/O and without a clock.
 //!
-//! A [`Front`] is a [`Machine`](slipreel_machine::Machine). It holds `slipreel::Router`, tells it what happens and
+//! A [`Front`] is a [`Machine`](slipreel_state_machine::Machine). It holds `slipreel::Router`, tells it what happens and
 //! carries out what it decides. Two fronts in one process share nothing. A request's way through the files:
 //!
-//! 1. `Client` of `slipreel-links`: bytes become one whole request of HTTP;
+//! 1. `Client` of `slipreel-connections`: bytes become one whole request of HTTP;
 //! 2. `serve`: its path is looked up, and `classify` reads off it what the module is told;
-//! 3. `carry`: the module's actions become attempts (`call`) on connections (`Pool` of `slipreel-links`, `link`);
+//! 3. `carry`: the module's actions become attempts (`call`) on connections (`Pool` of `slipreel-connections`, `link`);
 //! 4. `engines`: what the engines say becomes events for the module and, by `translate`, the answer;
 //! 5. `serve`: the one final answer is written.
 //!
--- a/crates/front/src/limits.rs
+++ b/crates/gateway/src/limits.rs
@@ -5,7 +5,7 @@
 
 use crate::site::{Bounds, KINDS};
 use slipreel::{Limits, ReportSource, Settings, ZoneId};
-use slipreel_links::ReleaseTiming;
+use slipreel_connections::ReleaseTiming;
 use std::time::Duration;
 
 /// When to come back after one of these bounds turned a request away. Long enough for a few requests to end.
--- a/crates/front/src/link.rs
+++ b/crates/gateway/src/link.rs
@@ -8,11 +8,11 @@
 use crate::verdict::{self, Verdict};
 use serde_json::Value;
 use slipreel::EngineId;
-use slipreel_links::ReleaseId;
-use slipreel_machine::ConnId;
+use slipreel_connections::ReleaseId;
 use slipreel_protocol::engine::{self, Chunk, Load, Usage};
 use slipreel_protocol::http::{Decoder, Item, Limits, Side, Start};
 use slipreel_protocol::sse;
+use slipreel_state_machine::ConnId;
 use std::time::Duration;
 
 /// What a connection is used for.
--- a/crates/front/src/policy.rs
+++ b/crates/gateway/src/policy.rs
@@ -6,12 +6,12 @@
 use crate::site::Site;
 use serde_json::{json, Value};
 use slipreel::{Action, Places};
+use slipreel_connections::{Received, State};
 use slipreel_consensus::policy_state::Proposal;
 use slipreel_consensus::wire::OperatorRequest;
 use slipreel_consensus::{timing, PolicyHandle};
-use slipreel_links::{Received, State};
-use slipreel_machine::{ConnId, Output};
 use slipreel_protocol::messages::{ErrorKind, Fault};
+use slipreel_state_machine::{ConnId, Output};
 use std::sync::Arc;
 
 impl Front {
--- a/crates/front/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -7,10 +7,10 @@
 use crate::limits::{self, Turned};
 use serde_json::json;
 use slipreel::{Event, Outcome, RequestId};
-use slipreel_links::{Received, State};
-use slipreel_machine::{ConnId, Door, Output};
+use slipreel_connections::{Received, State};
 use slipreel_protocol::http::{self, Malformed};
 use slipreel_protocol::messages::{Ask, ErrorKind, Fault};
+use slipreel_state_machine::{ConnId, Door, Output};
 use std::time::Duration;
 
 /// The door of operators; clients come by the first.
--- a/crates/front/tests/connections.rs
+++ b/crates/gateway/tests/connections.rs
@@ -1,8 +1,8 @@
 //! The front fed by hand: what it does with connections when nothing else is there.
 
-use slipreel_front::site::*;
-use slipreel_front::{Front, Site};
-use slipreel_machine::{ConnId, Door, Input, Loss, Machine, Output};
+use slipreel_gateway::site::*;
+use slipreel_gateway::{Front, Site};
+use slipreel_state_machine::{ConnId, Door, Input, Loss, Machine, Output};
 use std::sync::Arc;
 use std::time::Duration;
 
--- a/crates/fleet/benches/size.rs
+++ b/crates/membership/benches/size.rs
@@ -1,13 +1,13 @@
 //! What a view costs and how soon it tells, by size of the fleet, in virtual time: the machine of this crate beside two plain ones, a SWIM as
 //! its paper has it (Das, Gupta and Motivala, 2002: probes, indirect probes, suspicion, news carried along) and heartbeats between all.
 //!
-//! `cargo bench -p slipreel-fleet --bench size [-- MEMBERS... view swim beats]`; all figures are simulated.
+//! `cargo bench -p slipreel-membership --bench size [-- MEMBERS... view swim beats]`; all figures are simulated.
 
 use rand_xoshiro::rand_core::{RngCore, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
-use slipreel_fleet::{pace, Board, Fleet, Kept, Peers, Settings, State};
-use slipreel_machine::{Door, Input, Machine, Output};
-use slipreel_standin::memory::{Delays, World};
+use slipreel_membership::{pace, Board, Fleet, Kept, Peers, Settings, State};
+use slipreel_state_machine::{Door, Input, Machine, Output};
+use slipreel_test_servers::memory::{Delays, World};
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
 use std::sync::Arc;
--- a/crates/fleet/src/sync.rs
+++ b/crates/membership/src/sync.rs
@@ -2,8 +2,8 @@
 //! peer that trickles or never answers costs a connection for two seconds and nothing else.
 
 use crate::pace;
-use slipreel_machine::{ConnId, Output};
 use slipreel_protocol::fleet::{unframe, Bad, Message, LONGEST};
+use slipreel_state_machine::{ConnId, Output};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/crates/fleet/tests/asleep.rs
+++ b/crates/membership/tests/asleep.rs
@@ -1,7 +1,7 @@
 //! A process that was challenged for its name and then did not run for a while does not take the name from the one that holds it.
 
-use slipreel_fleet::{Board, Fleet, Kept, Peers, Settings, Standing};
-use slipreel_machine::{Door, Input, Machine, Output};
+use slipreel_membership::{Board, Fleet, Kept, Peers, Settings, Standing};
+use slipreel_state_machine::{Door, Input, Machine, Output};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::sync::Arc;
--- a/crates/platform/src/ask.rs
+++ b/crates/platform/src/ask.rs
@@ -2,8 +2,8 @@
 
 use crate::room;
 use slipreel::{ClassId, Request, TenantId};
-use slipreel_links::Received;
-use slipreel_profile::{as_named, Profile};
+use slipreel_connections::Received;
+use slipreel_platform_settings::{as_named, Profile};
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64;
 
--- a/crates/platform/src/ask/tests.rs
+++ b/crates/platform/src/ask/tests.rs
@@ -1,10 +1,10 @@
 use super::*;
-use slipreel_links::{Client, State};
-use slipreel_machine::{ConnId, Door};
+use slipreel_connections::{Client, State};
 use slipreel_protocol::http::Limits;
+use slipreel_state_machine::{ConnId, Door};
 
 fn profile() -> Profile {
-    slipreel_profile::parse(
+    slipreel_platform_settings::parse(
         "classes.count=2\nclasses.0.name=chat\nclasses.0.target=800\nclasses.0.worth=1\nclasses.1.name=recap\n\
          classes.1.target=800\nclasses.1.worth=2\ncustomers.count=1\ncustomers.0.name=acme\n\
          extra.role_by_kind=read,write\n",
--- a/crates/platform/src/call.rs
+++ b/crates/platform/src/call.rs
@@ -2,9 +2,9 @@
 
 use crate::proof::AttemptEnd;
 use slipreel::{EngineId, Outcome};
-use slipreel_links::{Received, ReleaseId, UnsureAttempt};
-use slipreel_machine::ConnId;
+use slipreel_connections::{Received, ReleaseId, UnsureAttempt};
 use slipreel_protocol::http::{self, Framing};
+use slipreel_state_machine::ConnId;
 use std::net::SocketAddr;
 use std::time::Duration;
 
--- a/crates/platform/src/carry.rs
+++ b/crates/platform/src/carry.rs
@@ -5,9 +5,9 @@
 use crate::proof::{AttemptEnd, NeverRan};
 use crate::room;
 use slipreel::{Action, Ended, EngineId, Event, LoadReport, Outcome, ReportSource, RequestId, Role};
-use slipreel_links::{Errand, Slot};
-use slipreel_machine::{ConnId, Output};
+use slipreel_connections::{Errand, Slot};
 use slipreel_protocol::http::{self, Framing};
+use slipreel_state_machine::{ConnId, Output};
 use std::net::SocketAddr;
 use std::time::Duration;
 
--- a/crates/platform/src/clients.rs
+++ b/crates/platform/src/clients.rs
@@ -6,9 +6,9 @@
 use crate::proof::AttemptEnd;
 use crate::room;
 use slipreel::{Effect, Event, Outcome, RequestId};
-use slipreel_links::{Client, Received, State};
-use slipreel_machine::{ConnId, Output};
+use slipreel_connections::{Client, Received, State};
 use slipreel_protocol::http::{self, Limits};
+use slipreel_state_machine::{ConnId, Output};
 use std::time::Duration;
 
 /// Connections of clients that may be closed to make room, those that go first before the others.
@@ -33,7 +33,7 @@
             return out.push(Output::Abort(conn));
         }
         let limits = Limits { head: room::HEAD, body: room::BODY, ..Limits::default() };
-        let mut client = Client::new(conn, slipreel_machine::Door(0), self.now, limits, room::AHEAD);
+        let mut client = Client::new(conn, slipreel_state_machine::Door(0), self.now, limits, room::AHEAD);
         if self.stopping.is_some() {
             client.last_answer();
         }
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -3,7 +3,7 @@
 use crate::list::{self, List};
 use crate::room::Room;
 use serde_json::Value;
-use slipreel_profile::Profile;
+use slipreel_platform_settings::Profile;
 use std::fmt;
 use std::net::SocketAddr;
 
@@ -66,7 +66,7 @@
         let room = Room::of(limit("sockets")?, limit("memory_mb")?);
         let known = value.get("known").filter(|k| !k.is_null());
         let known = known.map(list::read).transpose().map_err(|why| Unreadable(format!("known.{why}")))?;
-        let profile = slipreel_profile::from_json(field("settings")?);
+        let profile = slipreel_platform_settings::from_json(field("settings")?);
         Ok(Config {
             name: text("name")?.to_owned(),
             listen: address("listen")?,
--- a/crates/platform/src/engines.rs
+++ b/crates/platform/src/engines.rs
@@ -5,7 +5,7 @@
 use crate::proof::{AttemptEnd, NeverRan};
 use crate::room;
 use slipreel::{Event, LoadReport, Outcome, RequestId};
-use slipreel_machine::{ConnId, Loss, Output};
+use slipreel_state_machine::{ConnId, Loss, Output};
 
 /// Idle connections that are kept to one engine.
 const MOST_IDLE: usize = 1;
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,6 +1,6 @@
 //! The platform's protocol as a machine without I/O and clock: clients on one side, engines and discovery on the other.
 //!
-//! A [`Node`] is a [`Machine`](slipreel_machine::Machine). It holds `slipreel::Router`, tells it what happens on the
+//! A [`Node`] is a [`Machine`](slipreel_state_machine::Machine). It holds `slipreel::Router`, tells it what happens on the
 //! sockets and carries out what it decides. A request's way through the files:
 //!
 //! 1. `clients`: bytes become one whole request, `ask` reads off its head what the module is told;
--- a/crates/platform/src/link.rs
+++ b/crates/platform/src/link.rs
@@ -7,9 +7,9 @@
 use crate::report::Layout;
 use crate::room;
 use slipreel::{EngineId, LoadReport, Outcome};
-use slipreel_links::ReleaseId;
-use slipreel_machine::ConnId;
+use slipreel_connections::ReleaseId;
 use slipreel_protocol::http::{Decoder, Head, Item, Limits, Side, Start};
+use slipreel_state_machine::ConnId;
 use std::net::SocketAddr;
 use std::time::Duration;
 
--- a/crates/platform/src/list.rs
+++ b/crates/platform/src/list.rs
@@ -69,8 +69,8 @@
     Ok(Listed {
         name,
         addr: Some(addr),
-        zone: slipreel_profile::as_named(text(value, "zone")?),
-        kind: slipreel_profile::as_named(text(value, "type")?),
+        zone: slipreel_platform_settings::as_named(text(value, "zone")?),
+        kind: slipreel_platform_settings::as_named(text(value, "type")?),
         cell: u32::try_from(cell).map_err(|_| format!("group: {cell}: too large"))?,
         state,
         since_ms: number(value, "since_ms")?,
--- a/crates/platform/src/members.rs
+++ b/crates/platform/src/members.rs
@@ -2,7 +2,7 @@
 
 use crate::list::{List, Listed};
 use slipreel::{CellId, Engine, EngineId, EngineState, Event, KindId, Listing, Role, ZoneId};
-use slipreel_profile::Profile;
+use slipreel_platform_settings::Profile;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/crates/platform/src/node.rs
+++ b/crates/platform/src/node.rs
@@ -11,11 +11,11 @@
 use crate::room::{self, Room};
 use crate::watch::{State as WatchState, Watch};
 use slipreel::{EngineId, Event, Outcome, RequestId, Router, TimerId};
-use slipreel_links::{
+use slipreel_connections::{
     Client, Due, Pool, ReleaseId, ReleaseQueue, State as ClientState, TimerKey, Trust, Wheel,
 };
-use slipreel_machine::{ConnId, Input, Loss, Machine, Output};
-use slipreel_profile::Profile;
+use slipreel_platform_settings::Profile;
+use slipreel_state_machine::{ConnId, Input, Loss, Machine, Output};
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::time::Duration;
 
--- a/crates/platform/src/release.rs
+++ b/crates/platform/src/release.rs
@@ -8,9 +8,9 @@
 use crate::node::{Alarm, Node};
 use crate::room;
 use slipreel::{EngineId, RequestId};
-use slipreel_links::{Release, ReleaseId, ReleaseStep};
-use slipreel_machine::{ConnId, Output};
+use slipreel_connections::{Release, ReleaseId, ReleaseStep};
 use slipreel_protocol::http::{self, Framing};
+use slipreel_state_machine::{ConnId, Output};
 use std::net::SocketAddr;
 use std::time::Duration;
 
--- a/crates/platform/src/report.rs
+++ b/crates/platform/src/report.rs
@@ -1,7 +1,7 @@
 //! A load report in text: `inflight=7,queue=2,util=0.61`, with the fields that the settings name.
 
 use slipreel::LoadReport;
-use slipreel_profile::{Column, Profile};
+use slipreel_platform_settings::{Column, Profile};
 
 /// Where the values of a report go, by name.
 #[derive(Clone, Debug)]
--- a/crates/platform/src/room.rs
+++ b/crates/platform/src/room.rs
@@ -4,7 +4,7 @@
 //! so much memory. What is turned away here was never told to the module.
 
 use slipreel::Settings;
-use slipreel_links::ReleaseTiming;
+use slipreel_connections::ReleaseTiming;
 use std::time::Duration;
 
 const fn ms(n: u64) -> Duration {
--- a/crates/platform/src/watch.rs
+++ b/crates/platform/src/watch.rs
@@ -6,8 +6,8 @@
 
 use crate::list::{self, List};
 use crate::room;
-use slipreel_machine::ConnId;
 use slipreel_protocol::http::{self, Decoder, Framing, Item, Limits, Side, Start};
+use slipreel_state_machine::ConnId;
 use std::net::SocketAddr;
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64;
--- a/crates/platform/tests/answers_owed.rs
+++ b/crates/platform/tests/answers_owed.rs
@@ -3,7 +3,7 @@
 
 mod common;
 use common::*;
-use slipreel_machine::{ConnId, Door, Input, Output};
+use slipreel_state_machine::{ConnId, Door, Input, Output};
 
 /// The time told to an engine in the first request among these, milliseconds.
 fn told(out: &[Output]) -> f64 {
--- a/crates/platform/tests/bad_clients.rs
+++ b/crates/platform/tests/bad_clients.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use slipreel_machine::{ConnId, Door, Input, Output};
+use slipreel_state_machine::{ConnId, Door, Input, Output};
 
 #[test]
 fn what_cant_be_read_or_meant_gets_an_error_and_no_engine_hears_of_it() {
--- a/crates/platform/tests/common/day.rs
+++ b/crates/platform/tests/common/day.rs
@@ -2,10 +2,10 @@
 
 use super::ms;
 use slipreel_invariants::repeats::{judge, Break, Terms};
-use slipreel_machine::{Input, Machine, Output};
 use slipreel_platform::{Config, Node};
-use slipreel_standin::memory::{Delays, World};
-use slipreel_standin::platform::{
+use slipreel_state_machine::{Input, Machine, Output};
+use slipreel_test_servers::memory::{Delays, World};
+use slipreel_test_servers::platform::{
     list_entry, open_ledger, place_of, ClientLayout, DaySettings, Discovery, EngineDies, EngineLayout,
     EngineRole, ExchangeFault, HostileEngine, Listing, Random, RepeatingClients, SharedLedger,
     EXCHANGE_FAULTS,
--- a/crates/platform/tests/common/mod.rs
+++ b/crates/platform/tests/common/mod.rs
@@ -4,8 +4,8 @@
 pub mod day;
 pub mod world;
 
-use slipreel_machine::{ConnId, Door, Input, Loss, Machine, Output};
 use slipreel_platform::{Config, Node};
+use slipreel_state_machine::{ConnId, Door, Input, Loss, Machine, Output};
 use std::time::Duration;
 
 pub fn ms(n: u64) -> Duration {
--- a/crates/platform/tests/common/world.rs
+++ b/crates/platform/tests/common/world.rs
@@ -2,10 +2,12 @@
 
 use super::{config, ms};
 use slipreel_invariants::terms::{judge, Break, Seen, Terms};
-use slipreel_machine::{ConnId, Input, Machine, Output};
 use slipreel_platform::{Config, Node};
-use slipreel_standin::memory::{Delays, World};
-use slipreel_standin::platform::{look, Clients, Discovery, Ending, Engine, Faults, Listing, Mood, Shared};
+use slipreel_state_machine::{ConnId, Input, Machine, Output};
+use slipreel_test_servers::memory::{Delays, World};
+use slipreel_test_servers::platform::{
+    look, Clients, Discovery, Ending, Engine, Faults, Listing, Mood, Shared,
+};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/crates/platform/tests/fleet.rs
+++ b/crates/platform/tests/fleet.rs
@@ -2,8 +2,8 @@
 //! stay, or go. Every request has one ending, nothing is sent twice or kept, and the node ends as small as it began.
 
 use slipreel_platform::{Config, Node};
-use slipreel_standin::memory::{Delays, World};
-use slipreel_standin::platform::{look, Clients, Discovery, Ending, Engine, Faults, Listing, Shared};
+use slipreel_test_servers::memory::{Delays, World};
+use slipreel_test_servers::platform::{look, Clients, Discovery, Ending, Engine, Faults, Listing, Shared};
 use std::net::SocketAddr;
 use std::time::Duration;
 
--- a/crates/platform/tests/gone.rs
+++ b/crates/platform/tests/gone.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use slipreel_machine::{ConnId, Input, Loss, Output};
+use slipreel_state_machine::{ConnId, Input, Loss, Output};
 
 /// How a client goes.
 const GOODBYES: [fn(ConnId) -> Input<'static>; 3] =
--- a/crates/platform/tests/never_ran.rs
+++ b/crates/platform/tests/never_ran.rs
@@ -3,7 +3,7 @@
 
 mod common;
 use common::*;
-use slipreel_machine::{ConnId, Input, Loss, Output};
+use slipreel_state_machine::{ConnId, Input, Loss, Output};
 
 /// Whole again for the writers: a stream with one event.
 fn whole_stream() -> String {
--- a/crates/platform/tests/peers.rs
+++ b/crates/platform/tests/peers.rs
@@ -2,13 +2,13 @@
 
 mod common;
 use common::*;
-use slipreel_machine::{Input, Loss, Machine, Output};
 use slipreel_platform::Config;
+use slipreel_state_machine::{Input, Loss, Machine, Output};
 
 const WATCH_HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
 /// A host whose watch is open.
-fn watching() -> (Host, slipreel_machine::ConnId) {
+fn watching() -> (Host, slipreel_state_machine::ConnId) {
     let mut host = Host::new();
     let (conn, port) = watch(&host.pass(ms(1))).unwrap();
     assert_eq!(port, 8500);
@@ -189,7 +189,7 @@
 
 const RELEASED: &str = "HTTP/1.1 204 No Content\r\n\r\n";
 
-fn releases(out: &[Output]) -> Vec<(slipreel_machine::ConnId, String)> {
+fn releases(out: &[Output]) -> Vec<(slipreel_state_machine::ConnId, String)> {
     let all = out.iter().filter_map(|o| match o {
         Output::Write(c, bytes) if bytes.starts_with(b"DELETE ") => {
             Some((*c, String::from_utf8_lossy(bytes).lines().next().unwrap().to_owned()))
--- a/crates/platform/tests/releases.rs
+++ b/crates/platform/tests/releases.rs
@@ -8,9 +8,9 @@
     Host, DISCOVERY, READ, READ_WITHOUT_REPORT, STREAM_HEAD,
 };
 use slipreel_invariants::terms::{Fact, Seen};
-use slipreel_machine::{ConnId, Input, Loss, Output};
 use slipreel_platform::Config;
-use slipreel_standin::platform::look;
+use slipreel_state_machine::{ConnId, Input, Loss, Output};
+use slipreel_test_servers::platform::look;
 use std::collections::BTreeSet;
 use std::time::Duration;
 
--- a/crates/platform/tests/requests.rs
+++ b/crates/platform/tests/requests.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use slipreel_machine::{ConnId, Input, Loss, Output};
+use slipreel_state_machine::{ConnId, Input, Loss, Output};
 
 #[test]
 fn a_request_goes_on_unchanged_and_its_stream_comes_back_unchanged() {
--- a/crates/platform/tests/terms.rs
+++ b/crates/platform/tests/terms.rs
@@ -6,7 +6,7 @@
 use common::world::{Flaw, Plan, Town};
 use slipreel_invariants::terms::shares::Floors;
 use slipreel_invariants::terms::{Term, Terms};
-use slipreel_standin::platform::{Ending, Faults, Mood};
+use slipreel_test_servers::platform::{Ending, Faults, Mood};
 use std::collections::BTreeSet;
 
 /// Discovery falls into a mood, has a drain meanwhile, and is well again. Gives the town a while later.
--- a/crates/day/benches/sockets.rs
+++ b/crates/scenario/benches/sockets.rs
@@ -2,15 +2,15 @@
 //! such an engine. Router, engines and clients each have a thread; machines are shared, so compare within one run.
 
 use hdrhistogram::Histogram;
-use slipreel_day::read_day;
-use slipreel_front::Front;
+use slipreel_event_loop::{Clock, Command, Loop};
+use slipreel_gateway::Front;
 use slipreel_invariants::{Effect, Ending};
-use slipreel_machine::{ConnId, Input, Machine, Output};
-use slipreel_net::{Clock, Command, Loop};
 use slipreel_protocol::http::{chunk, Decoder, Item, Limits, Side, Start};
-use slipreel_standin::client::{Clients, Habit, Plan};
-use slipreel_standin::ledger::Ledger;
-use slipreel_standin::mark;
+use slipreel_scenario::read_day;
+use slipreel_state_machine::{ConnId, Input, Machine, Output};
+use slipreel_test_servers::client::{Clients, Habit, Plan};
+use slipreel_test_servers::ledger::Ledger;
+use slipreel_test_servers::mark;
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::sync::Arc;
--- a/crates/day/src/actor.rs
+++ b/crates/scenario/src/actor.rs
@@ -1,12 +1,12 @@
 //! The machines of a day, as one type, so that one driver hosts them all.
 
-use slipreel_front::site::EngineSite;
-use slipreel_front::Front;
-use slipreel_machine::{Input, Machine, Output};
+use slipreel_gateway::site::EngineSite;
+use slipreel_gateway::Front;
 use slipreel_roles::Conductor;
-use slipreel_standin::client::Clients;
-use slipreel_standin::engine::Engine;
-use slipreel_standin::gate::Gate;
+use slipreel_state_machine::{Input, Machine, Output};
+use slipreel_test_servers::client::Clients;
+use slipreel_test_servers::engine::Engine;
+use slipreel_test_servers::gate::Gate;
 use std::time::Duration;
 
 /// A machine of a day.
--- a/crates/day/src/fleet.rs
+++ b/crates/scenario/src/fleet.rs
@@ -5,11 +5,11 @@
 use rand_xoshiro::rand_core::{RngCore, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
 use slipreel::EngineState;
-use slipreel_front::site::{EngineSite, Site};
+use slipreel_gateway::site::{EngineSite, Site};
 use slipreel_invariants::Effect;
 use slipreel_roles::Policy;
-use slipreel_standin::client::{Habit, Plan};
-use slipreel_standin::engine::EngineSpec;
+use slipreel_test_servers::client::{Habit, Plan};
+use slipreel_test_servers::engine::EngineSpec;
 use std::net::SocketAddr;
 use std::time::Duration;
 
--- a/crates/day/src/report.rs
+++ b/crates/scenario/src/report.rs
@@ -3,7 +3,7 @@
 use crate::fleet::Day;
 use crate::stage::Played;
 use slipreel_invariants::{Effect, Ending, Figures, RULES};
-use slipreel_standin::client::Result as TryResult;
+use slipreel_test_servers::client::Result as TryResult;
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 use std::time::Duration;
@@ -150,7 +150,7 @@
         let thirds = Thirds::of(results);
         let faults =
             played.results.iter().filter_map(|r| r.fault.as_ref().map(|f| format!("{:?}: {f}", r.what)));
-        let sum = |f: fn(&slipreel_front::Tally) -> u64| played.tallies.iter().map(f).sum::<u64>();
+        let sum = |f: fn(&slipreel_gateway::Tally) -> u64| played.tallies.iter().map(f).sum::<u64>();
         let rules = RULES.iter().map(|rule| {
             let broke: Vec<_> = played.breaks.iter().filter(|b| b.rule == *rule).collect();
             (rule.to_string(), broke.len(), broke.first().map(|b| format!("{:?}: {}", b.at, b.what)))
--- a/crates/day/src/script.rs
+++ b/crates/scenario/src/script.rs
@@ -6,7 +6,7 @@
 use slipreel::Role;
 use slipreel_roles::Policy;
 use slipreel_settings::{read_site, Daemon, Doc, Fault, Name, Value};
-use slipreel_standin::engine::{EngineSpec, Role as SpecRole};
+use slipreel_test_servers::engine::{EngineSpec, Role as SpecRole};
 use std::net::SocketAddr;
 use std::time::Duration;
 
--- a/crates/day/src/stage.rs
+++ b/crates/scenario/src/stage.rs
@@ -7,16 +7,16 @@
 use rand_xoshiro::rand_core::SeedableRng;
 use rand_xoshiro::Xoshiro256PlusPlus;
 use slipreel::{CellId, EngineState, ZoneId};
-use slipreel_front::site::EngineSite;
-use slipreel_front::{engine_id, Front, Tally};
+use slipreel_event_loop::{Clock, Command, Handle, Loop, NodeId};
+use slipreel_gateway::site::EngineSite;
+use slipreel_gateway::{engine_id, Front, Tally};
 use slipreel_invariants::{judge, Break, Record, Seen};
-use slipreel_net::{Clock, Command, Handle, Loop, NodeId};
 use slipreel_roles::{Conductor, Costs, Limits, Places, Speeds, Watched};
-use slipreel_standin::client::{Clients, Result as TryResult};
-use slipreel_standin::engine::{Engine, Role};
-use slipreel_standin::gate::{Cut, Gate};
-use slipreel_standin::ledger::Ledger;
-use slipreel_standin::memory::{Delays, World};
+use slipreel_test_servers::client::{Clients, Result as TryResult};
+use slipreel_test_servers::engine::{Engine, Role};
+use slipreel_test_servers::gate::{Cut, Gate};
+use slipreel_test_servers::ledger::Ledger;
+use slipreel_test_servers::memory::{Delays, World};
 use std::any::Any;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -189,7 +189,7 @@
         };
         let speeds = Speeds {
             read: reader.map_or(1.0, |s| s.read_per_s),
-            write: writer.map_or(1.0, slipreel_standin::engine::EngineSpec::write_per_s),
+            write: writer.map_or(1.0, slipreel_test_servers::engine::EngineSpec::write_per_s),
         };
         let conductor = Conductor::new(engines, limits, costs, policy, places, false, now);
         Some(conductor.with_routers(routers.to_vec(), speeds))
--- a/crates/day/src/trouble.rs
+++ b/crates/scenario/src/trouble.rs
@@ -2,7 +2,7 @@
 
 use crate::fleet::{chance, Day};
 use rand_xoshiro::Xoshiro256PlusPlus;
-use slipreel_standin::engine::{Fault, Garbage};
+use slipreel_test_servers::engine::{Fault, Garbage};
 use std::time::Duration;
 
 /// A kind of trouble. Bursts, long prompts and impatient clients are traffic; the rest is done to machines.
@@ -210,7 +210,7 @@
             // A state is served as slowly as its reader works; the stand-ins have no links of their own.
             Kind::OriginSlow => {
                 let readers: Vec<usize> = (0..day.engines.len())
-                    .filter(|&e| day.engines[e].spec.role == slipreel_standin::engine::Role::Read)
+                    .filter(|&e| day.engines[e].spec.role == slipreel_test_servers::engine::Role::Read)
                     .collect();
                 let some = draw(readers, self.part, rng);
                 spell(&mut acts, &some, Fault::Slow(self.size), Fault::Slow(1.0));
--- a/crates/day/tests/bad_day.rs
+++ b/crates/scenario/tests/bad_day.rs
@@ -4,8 +4,8 @@
 mod common;
 
 use common::*;
-use slipreel_day::{play_in_memory, read_day, Day, Sabotage};
 use slipreel_invariants::{Ending, Rule};
+use slipreel_scenario::{play_in_memory, read_day, Day, Sabotage};
 use std::time::Duration;
 
 fn bad_day(seed: u64) -> Day {
@@ -36,7 +36,7 @@
     rules
 }
 
-fn some(model: &str) -> Vec<slipreel_standin::client::Plan> {
+fn some(model: &str) -> Vec<slipreel_test_servers::client::Plan> {
     (1..40).map(|n| plan(n, model, n * 50)).collect()
 }
 
@@ -74,7 +74,8 @@
 
 #[test]
 fn a_router_that_never_lets_go_is_caught() {
-    let leaves = |n| with(plan(n, "plain", n * 50), slipreel_standin::client::Habit::LeavesAfter(ms(300)));
+    let leaves =
+        |n| with(plan(n, "plain", n * 50), slipreel_test_servers::client::Habit::LeavesAfter(ms(300)));
     let mut day = day(2, 1, &trouble("deaf", "w-0", 0, 9_000, 1.0), (1..10).map(leaves).collect());
     assert_eq!(broken_rules(&day), []);
     day.sabotage = Some(Sabotage::NeverLetsGo);
@@ -84,8 +85,8 @@
 #[test]
 fn a_router_that_floods_a_cold_engine_is_caught() {
     let crash = trouble("crash", "w-0,w-1", 100, 700, 1.0);
-    let plans =
-        (1..1200).map(|n| slipreel_standin::client::Plan { length: 40, ..plan(n, "plain", 200 + n * 3) });
+    let plans = (1..1200)
+        .map(|n| slipreel_test_servers::client::Plan { length: 40, ..plan(n, "plain", 200 + n * 3) });
     let mut day = day(4, 2, &crash, plans.collect());
     for engine in &mut day.engines {
         engine.spec.cold_time = Duration::from_secs(8);
--- a/crates/day/tests/common/mod.rs
+++ b/crates/scenario/tests/common/mod.rs
@@ -1,9 +1,9 @@
 //! Small days for tests: a site in INI, requests by hand.
 #![allow(dead_code)]
 
-use slipreel_day::{read_day, Day, Played};
 use slipreel_invariants::{Effect, Ending};
-use slipreel_standin::client::{Habit, Plan};
+use slipreel_scenario::{read_day, Day, Played};
+use slipreel_test_servers::client::{Habit, Plan};
 use std::time::Duration;
 
 pub fn ms(n: u64) -> Duration {
--- a/crates/day/tests/report.rs
+++ b/crates/scenario/tests/report.rs
@@ -1,8 +1,8 @@
 //! The report of a day: who was served, by group.
 
-use slipreel_day::Played;
 use slipreel_invariants::{Effect, Ending, Try};
-use slipreel_standin::client::Result as TryResult;
+use slipreel_scenario::Played;
+use slipreel_test_servers::client::Result as TryResult;
 use std::time::Duration;
 
 fn result(request: u64, due_ms: u64, router: usize, effect: Effect, ending: Option<Ending>) -> TryResult {
--- a/crates/day/tests/role_changes.rs
+++ b/crates/scenario/tests/role_changes.rs
@@ -4,9 +4,9 @@
 mod common;
 
 use common::*;
-use slipreel_day::{play_in_memory, play_live, Day};
 use slipreel_invariants::Ending::Served;
-use slipreel_standin::client::Plan;
+use slipreel_scenario::{play_in_memory, play_live, Day};
+use slipreel_test_servers::client::Plan;
 use std::time::Duration;
 
 fn under_load(extra: &str, rate: u64, seconds: u64) -> Day {
@@ -82,7 +82,7 @@
     let text = include_str!("../../../deploy/days/shift.ini")
         .replace("length = 120s", "length = 80s")
         .replace("60s", "40s");
-    let day = slipreel_day::read_day(&text, "shift.ini").unwrap_or_else(|faults| panic!("{faults:?}"));
+    let day = slipreel_scenario::read_day(&text, "shift.ini").unwrap_or_else(|faults| panic!("{faults:?}"));
     let played = play_in_memory(&day);
     assert_clean("shift", &played);
     let (taken, turned) = played.orders;
--- a/crates/day/tests/zones.rs
+++ b/crates/scenario/tests/zones.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use common::*;
-use slipreel_day::{play_in_memory, read_day, Day};
 use slipreel_invariants::Ending;
+use slipreel_scenario::{play_in_memory, read_day, Day};
 
 fn zones(seed: u64) -> Day {
     let text = include_str!("../../../deploy/days/zones.ini").replace("seed = 3", &format!("seed = {seed}"));
--- a/crates/settings/src/fleet.rs
+++ b/crates/settings/src/fleet.rs
@@ -3,7 +3,7 @@
 use crate::doc::{Doc, Fault};
 use crate::values::{Loopback, Name, Value};
 use slipreel_consensus::Cut;
-use slipreel_fleet::Peers;
+use slipreel_membership::Peers;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
--- a/crates/settings/src/site.rs
+++ b/crates/settings/src/site.rs
@@ -4,10 +4,10 @@
 use crate::fleet::{read_fleet, FleetSite};
 use crate::values::{Bytes, Loopback, Name, Value};
 use slipreel::{Class, Effect, EngineState, Group, Limits, ReportSource, Role, Settings, Tenant, ZoneId};
-use slipreel_front::site::{
+use slipreel_gateway::site::{
     starting_class, starting_settings, Bounds, ClassSite, EngineSite, ModelSite, Site,
 };
-use slipreel_front::site::{TenantSite, KINDS};
+use slipreel_gateway::site::{TenantSite, KINDS};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::time::Duration;
--- a/crates/settings/src/slices.rs
+++ b/crates/settings/src/slices.rs
@@ -3,7 +3,7 @@
 use crate::values::Value;
 use serde_json::json;
 use slipreel::{EngineState, Role};
-use slipreel_front::site::EngineSite;
+use slipreel_gateway::site::EngineSite;
 use slipreel_protocol::endpoints;
 use std::collections::BTreeMap;
 
--- a/crates/machine/src/lib.rs
+++ b/crates/state-machine/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! A [`Machine`] does no I/O and has no clock. A driver hands it the time and what happened to its
 //! connections, and carries out the [`Output`]s that it appends. The same machine therefore runs over
-//! loopback sockets (`slipreel-net`) and in memory in virtual time (`slipreel-standin`).
+//! loopback sockets (`slipreel-event-loop`) and in memory in virtual time (`slipreel-test-servers`).
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/crates/standin/src/engine/fetch.rs
+++ b/crates/test-servers/src/engine/fetch.rs
@@ -2,8 +2,8 @@
 //! the machine's ports up within a minute of heavy load.
 
 use super::work::Transfer;
-use slipreel_machine::{ConnId, Output};
 use slipreel_protocol::http::{self, Decoder, Framing, Item, Limits, Side, Start};
+use slipreel_state_machine::{ConnId, Output};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/crates/standin/src/gate.rs
+++ b/crates/test-servers/src/gate.rs
@@ -4,7 +4,7 @@
 use crate::ledger::Ledger;
 use crate::mark::Mark;
 use slipreel_invariants::{Seen, Try};
-use slipreel_machine::{ConnId, Input, Machine, Output};
+use slipreel_state_machine::{ConnId, Input, Machine, Output};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/crates/standin/src/memory.rs
+++ b/crates/test-servers/src/memory.rs
@@ -6,7 +6,7 @@
 
 use rand_xoshiro::rand_core::{RngCore, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
-use slipreel_machine::{ConnId, Door, Input, Loss, Machine, Output};
+use slipreel_state_machine::{ConnId, Door, Input, Loss, Machine, Output};
 use std::any::Any;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, HashMap, VecDeque};
--- a/crates/standin/src/platform/discovery.rs
+++ b/crates/test-servers/src/platform/discovery.rs
@@ -2,10 +2,10 @@
 //! own by [`Mood`]s.
 
 use super::{look, Shared};
+use slipreel_connections::Client;
 use slipreel_invariants::terms::Seen;
-use slipreel_links::Client;
-use slipreel_machine::{ConnId, Input, Machine, Output};
 use slipreel_protocol::http::{self, Framing, Limits};
+use slipreel_state_machine::{ConnId, Input, Machine, Output};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
--- a/crates/standin/src/platform/engine.rs
+++ b/crates/test-servers/src/platform/engine.rs
@@ -3,10 +3,10 @@
 use super::{look, Shared};
 use rand_xoshiro::rand_core::{RngCore, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
+use slipreel_connections::{Client, Received, State, Wheel};
 use slipreel_invariants::terms::Seen;
-use slipreel_links::{Client, Received, State, Wheel};
-use slipreel_machine::{ConnId, Input, Machine, Output};
 use slipreel_protocol::http::{self, Limits, LAST_CHUNK};
+use slipreel_state_machine::{ConnId, Input, Machine, Output};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
--- a/crates/standin/src/platform/hostile_engine.rs
+++ b/crates/test-servers/src/platform/hostile_engine.rs
@@ -1,10 +1,10 @@
 //! An engine that fails at each step of an exchange, and notes what it received for the judge of repeats.
 
 use super::Random;
+use slipreel_connections::{Client, Received, Wheel};
 use slipreel_invariants::repeats::{AttemptId, Fact, Place, Seen};
-use slipreel_links::{Client, Received, Wheel};
-use slipreel_machine::{ConnId, Input, Machine, Output};
 use slipreel_protocol::http::{self, Limits, LAST_CHUNK};
+use slipreel_state_machine::{ConnId, Input, Machine, Output};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -359,7 +359,7 @@
             }
         }
         let in_part =
-            self.connections.get(&conn).is_some_and(|c| c.state == slipreel_links::State::Receiving);
+            self.connections.get(&conn).is_some_and(|c| c.state == slipreel_connections::State::Receiving);
         let may_reset = self.layout.faults.contains(&ExchangeFault::ResetAtFirstByte);
         if in_part && may_reset && self.random.chance(self.layout.fault_share / 4.0) {
             out.push(Output::Abort(conn));
--- a/crates/standin/src/platform/repeating_client.rs
+++ b/crates/test-servers/src/platform/repeating_client.rs
@@ -3,8 +3,8 @@
 
 use super::{open_ledger, Random, SharedLedger};
 use slipreel_invariants::repeats::{Effect, Seen};
-use slipreel_machine::{ConnId, Input, Machine, Output};
 use slipreel_protocol::http::{Decoder, Item, Limits, Side, Start};
+use slipreel_state_machine::{ConnId, Input, Machine, Output};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 use std::time::Duration;
