--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -2,8 +2,8 @@
 //! the probes between them. Prints a hash over every action beside it: builds that decide alike print the same.
 
 use slipreel::{
-    Action, CellId, Class, ClassId, Effect, Ended, Engine, EngineId, Event, KindId, Limits, Listing,
-    LoadReport, Outcome, ReportSource, Request, RequestId, Role, Router, Settings, ZoneId,
+    Action, AttemptEnded, CellId, Class, ClassId, Engine, EngineId, Event, Idempotency, KindId, Limits,
+    Listing, LoadReport, Outcome, ReportSource, Request, RequestId, Role, Router, Settings, ZoneId,
 };
 use std::time::{Duration, Instant};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
@@ -13,36 +13,36 @@
 
 fn settings() -> Settings {
     let class = |worth, effect| Class {
-        aim: Duration::from_secs(1),
-        aim_per_1000: Duration::from_millis(40),
-        worth,
-        effect,
+        latency_objective: Duration::from_secs(1),
+        latency_objective_per_1000_tokens: Duration::from_millis(40),
+        priority_weight: worth,
+        idempotency: effect,
         streams: true,
     };
     Settings {
-        routers: 4,
+        router_count: 4,
         zone: ZoneId(0),
         tick: Duration::from_millis(5),
-        classes: vec![class(3.0, Effect::Unsafe), class(1.0, Effect::Safe)],
+        classes: vec![class(3.0, Idempotency::NotIdempotent), class(1.0, Idempotency::Idempotent)],
         tenants: vec![],
-        over_share_worth: 0.05,
-        kinds: vec![Role::Read, Role::Write, Role::Both],
+        over_quota_weight: 0.05,
+        kind_roles: vec![Role::Prefill, Role::Decode, Role::Mixed],
         memory_tokens: vec![],
-        writers_read: false,
-        ask_for_engines: false,
-        reports: ReportSource::Answers,
+        decode_engines_prefill: false,
+        polls_engine_list: false,
+        report_source: ReportSource::Answers,
         limits: Limits {
-            attempts: 6,
-            cancel: true,
+            max_attempts: 6,
+            cancellation: true,
             probes: true,
-            second_copies: false,
-            retry_after: None,
+            hedged_requests: false,
+            max_retry_after: None,
             connect_timeout: Duration::from_millis(250),
         },
-        cold_share: 0.3,
-        cold_time: Duration::from_secs(13),
-        cold_budget: Duration::ZERO,
-        let_go_within: Duration::from_millis(500),
+        warmup_initial_share: 0.3,
+        warmup_time: Duration::from_secs(13),
+        warmup_budget: Duration::ZERO,
+        held_state_limit: Duration::from_millis(500),
     }
 }
 
@@ -84,8 +84,9 @@
         self.router.handle(self.now, event, &mut out);
         self.spent += from.elapsed();
         self.events += 1;
-        let said = format!("{out:?}");
-        self.hash = xxh3_64_with_seed(said.as_bytes(), self.hash);
+        let actions: Vec<String> = out.iter().map(stable_text).collect();
+        let text = format!("[{}]", actions.join(", "));
+        self.hash = xxh3_64_with_seed(text.as_bytes(), self.hash);
         out
     }
 
@@ -95,9 +96,9 @@
         while let Some(event) = events.pop() {
             for action in self.tell(event) {
                 match action {
-                    Action::Probe(engine) => events.push(Event::Probed {
+                    Action::Probe(engine) => events.push(Event::ProbeEnded {
                         engine,
-                        outcome: Outcome::Ok,
+                        outcome: Outcome::Completed,
                         report: self.report(engine),
                     }),
                     Action::Send { request, engine, .. } => {
@@ -106,21 +107,21 @@
                         let ended = |outcome, report| {
                             let latency = Duration::from_millis(20);
                             let kept_tokens = 0.0;
-                            let finished = outcome == Outcome::Ok;
-                            Event::Ended(Ended {
+                            let finished = outcome == Outcome::Completed;
+                            Event::AttemptEnded(AttemptEnded {
                                 request,
                                 attempt,
                                 outcome,
                                 latency,
-                                finished,
-                                kept_tokens,
+                                request_finished: finished,
+                                cached_tokens: kept_tokens,
                                 report,
                             })
                         };
                         if reads {
-                            events.push(ended(Outcome::Read, self.report(engine)));
+                            events.push(ended(Outcome::Prefilled, self.report(engine)));
                         } else {
-                            events.push(ended(Outcome::Ok, self.report(engine)));
+                            events.push(ended(Outcome::Completed, self.report(engine)));
                             let latency = Duration::from_millis(10);
                             events.push(Event::FirstToken { request, attempt, latency });
                         }
@@ -132,6 +133,41 @@
     }
 }
 
+/// An action as text that does not change when types, variants or fields are renamed, so that hashes of builds before and
+/// after a renaming can be compared.
+fn stable_text(action: &Action) -> String {
+    match action {
+        Action::Send { request, engine, timeout } => {
+            format!(
+                "Send {{ request: RequestId({}), engine: EngineId({}), limit: {timeout:?} }}",
+                request.0, engine.0
+            )
+        }
+        Action::Cancel { request, attempt } => {
+            format!("Cancel {{ request: RequestId({}), attempt: {attempt} }}", request.0)
+        }
+        Action::Reject { request, retry_after, over_quota } => format!(
+            "Refuse {{ request: RequestId({}), retry_after: {retry_after:?}, over_share: {over_quota} }}",
+            request.0
+        ),
+        Action::Fail(request) => format!("Fail(RequestId({}))", request.0),
+        Action::Release(request) => format!("Release(RequestId({}))", request.0),
+        Action::Reserve { request, engine } => {
+            format!("Reserve {{ request: RequestId({}), engine: EngineId({}) }}", request.0, engine.0)
+        }
+        Action::MigrateStream(request) => format!("MoveStream(RequestId({}))", request.0),
+        Action::SetTimer { timer, after } => {
+            format!("SetTimer {{ timer: TimerId({}), after: {after:?} }}", timer.0)
+        }
+        Action::Probe(engine) => format!("Probe(EngineId({}))", engine.0),
+        Action::CloseIdleConnections(engine) => format!("CloseIdle(EngineId({}))", engine.0),
+        Action::WatchEngines(watch) => format!("WatchEngines({watch})"),
+        Action::FetchEngines => "FetchEngines".to_owned(),
+        Action::SendToPeer { to, body } => format!("TellPeer {{ to: {to:?}, body: {body:?} }}"),
+        Action::Log(line) => format!("Log({line:?})"),
+    }
+}
+
 /// Time and events a request, and the hash.
 fn run(n: u64, load: f64) -> (Duration, f64, u64) {
     let router = Router::new(settings(), 7);
@@ -141,7 +177,7 @@
     for id in 0..n {
         let engine = EngineId(id * 7919);
         let report = bench.report(engine);
-        bench.tell(Event::Probed { engine, outcome: Outcome::Ok, report });
+        bench.tell(Event::ProbeEnded { engine, outcome: Outcome::Completed, report });
     }
     (bench.spent, bench.events) = (Duration::ZERO, 0);
     for id in 0..REQUESTS {
@@ -153,7 +189,7 @@
             shared_prefix: (id % 4 == 0).then_some(id % 16),
             prompt_tokens: 200.0 + (id * 37 % 1900) as f64,
             max_output_tokens: 300.0,
-            time_left: Duration::from_secs(6),
+            client_timeout: Duration::from_secs(6),
             ..Request::default()
         }));
     }
--- a/crates/adapter/src/wire.rs
+++ b/crates/adapter/src/wire.rs
@@ -1,7 +1,7 @@
 //! The simulator's wire: frames of big-endian records turned into events, and actions into records.
 
 use slipreel::{
-    Action, CellId, ClassId, Ended, Engine, EngineId, EngineState, Event, KindId, Listing, LoadReport,
+    Action, AttemptEnded, CellId, ClassId, Engine, EngineId, EngineState, Event, KindId, Listing, LoadReport,
     Outcome, Request, RequestId, TenantId, TimerId, ZoneId,
 };
 use slipreel_platform_settings::Column;
@@ -204,8 +204,8 @@
         3 => Some(query(&mut f)?),
         4 => Some(first_token(&mut f)?),
         5 => ended(&mut f, columns(router))?,
-        6 => Some(Event::ClientGone(RequestId(f.u64()?))),
-        7 => Some(Event::Timer(TimerId(f.u64()?))),
+        6 => Some(Event::ClientDisconnected(RequestId(f.u64()?))),
+        7 => Some(Event::TimerFired(TimerId(f.u64()?))),
         8 => probed(&mut f, columns(router))?,
         9 => Some(peer_message(&mut f)?),
         _ => Some(place(&mut f)?),
@@ -248,8 +248,16 @@
     let note = f.u32()?;
     let report = f.report(columns)?;
     let Some(outcome) = outcome(status, note) else { return Ok(None) };
-    let kept_tokens = if outcome == Outcome::Read { f64::from(note) } else { 0.0 };
-    Ok(Some(Event::Ended(Ended { request, attempt, outcome, latency, finished, kept_tokens, report })))
+    let kept_tokens = if outcome == Outcome::Prefilled { f64::from(note) } else { 0.0 };
+    Ok(Some(Event::AttemptEnded(AttemptEnded {
+        request,
+        attempt,
+        outcome,
+        latency,
+        request_finished: finished,
+        cached_tokens: kept_tokens,
+        report,
+    })))
 }
 
 /// The answer to a probe; `None` where its status is unknown.
@@ -258,7 +266,7 @@
     let status = f.u16()?;
     f.millis()?; // round trip
     let report = f.report(columns)?;
-    Ok(outcome(status, 0).map(|outcome| Event::Probed { engine, outcome, report }))
+    Ok(outcome(status, 0).map(|outcome| Event::ProbeEnded { engine, outcome, report }))
 }
 
 fn peer_message(f: &mut Fields) -> Result<Event, Malformed> {
@@ -273,7 +281,7 @@
     let engine = f.engine()?;
     let held = f.u8()? == 1;
     f.f32()?;
-    Ok(Event::Place { request, engine, held })
+    Ok(Event::ReservationAnswered { request, engine, granted: held })
 }
 
 fn entry(f: &mut Fields) -> Result<Option<Engine>, Malformed> {
@@ -290,7 +298,7 @@
         2 => EngineState::Gone,
         _ => return Ok(None),
     };
-    Ok(Some(Engine { id, state, kind, zone, cell, started }))
+    Ok(Some(Engine { id, state, kind, zone, cell, started_at: started }))
 }
 
 fn query(f: &mut Fields) -> Result<Event, Malformed> {
@@ -315,24 +323,24 @@
         shared_prefix,
         prompt_tokens,
         max_output_tokens,
-        time_left,
-        whole: None,
-        repeat,
-        resumes,
+        client_timeout: time_left,
+        complete_answer_timeout: None,
+        is_retry: repeat,
+        is_resumption: resumes,
     }))
 }
 
 fn outcome(status: u16, note: u32) -> Option<Outcome> {
     Some(match status {
         0 => Outcome::Error,
-        1 => Outcome::Ok,
-        2 => Outcome::Full { no_state: note == 1 },
+        1 => Outcome::Completed,
+        2 => Outcome::Rejected { state_missing: note == 1 },
         3 => Outcome::TimedOut,
         4 => Outcome::ConnectFailed,
         5 => Outcome::Reset,
         6 => Outcome::Cancelled,
-        7 => Outcome::Moot,
-        202 => Outcome::Read,
+        7 => Outcome::NotSent,
+        202 => Outcome::Prefilled,
         _ => return None,
     })
 }
@@ -349,16 +357,16 @@
         let ms = |d: &Duration| (d.as_secs_f64() * 1e3).to_be_bytes();
         let (code, fields): (u8, Vec<u8>) = match action {
             Action::Fail(id) => (1, id.0.to_be_bytes().to_vec()),
-            Action::CloseIdle(engine) => (3, engine_bytes(*engine)),
-            Action::MoveStream(id) => (4, id.0.to_be_bytes().to_vec()),
+            Action::CloseIdleConnections(engine) => (3, engine_bytes(*engine)),
+            Action::MigrateStream(id) => (4, id.0.to_be_bytes().to_vec()),
             Action::WatchEngines(on) => (5, vec![u8::from(*on)]),
             Action::Log(line) => (6, counted(line.as_bytes())),
             Action::FetchEngines => (7, Vec::new()),
-            Action::Send { request, engine, limit } => {
+            Action::Send { request, engine, timeout: limit } => {
                 let limit = limit.map_or([0; 8], |d| ms(&d));
                 (8, [&request.0.to_be_bytes()[..], &engine_bytes(*engine), &limit].concat())
             }
-            Action::Refuse { request, retry_after, .. } => {
+            Action::Reject { request, retry_after, .. } => {
                 let wait = retry_after.map_or([0; 8], |d| ms(&d));
                 (9, [request.0.to_be_bytes(), wait].concat())
             }
@@ -366,7 +374,7 @@
                 (10, [&request.0.to_be_bytes()[..], &engine_bytes(*engine)].concat())
             }
             Action::Probe(engine) => (11, engine_bytes(*engine)),
-            Action::TellPeer { to, body } => {
+            Action::SendToPeer { to, body } => {
                 (12, [&to.unwrap_or(u16::MAX).to_be_bytes()[..], &counted(body)].concat())
             }
             Action::SetTimer { timer, after } => (13, [timer.0.to_be_bytes(), ms(after)].concat()),
--- a/crates/adapter/src/wire/tests.rs
+++ b/crates/adapter/src/wire/tests.rs
@@ -46,34 +46,40 @@
         03 00 0001 40b7d40000000000 3fc00000 0002 0a9011f2 2bec";
     let Event::Engines { listing, engines } = event(2, list) else { panic!() };
     assert_eq!((listing, engines.len()), (Listing::Cached, 2));
-    assert_eq!((engines[0].id, engines[0].started), (EngineId(ENGINE), None));
+    assert_eq!((engines[0].id, engines[0].started_at), (EngineId(ENGINE), None));
     assert_eq!((engines[1].state, engines[1].cell), (EngineState::Draining, CellId(2)));
-    assert_eq!(engines[1].started, Some(Duration::from_millis(6100)));
+    assert_eq!(engines[1].started_at, Some(Duration::from_millis(6100)));
     let query = "0003 000a5e3e5d3a91c4 2b8e6401d9f37c10 0000 44e10000 0000 01 44960000
         91f03b7c55d20a64 43800000 4028000000000000 406e000000000000";
     let Event::Request(request) = event(3, query) else { panic!() };
     assert_eq!(request.id, RequestId(0x000a_5e3e_5d3a_91c4));
     assert_eq!(request.shared_prefix, Some(0x2b8e_6401_d9f3_7c10));
     assert_eq!((request.prompt_tokens, request.max_output_tokens), (1800.0, 256.0));
-    assert_eq!(request.time_left, Duration::from_millis(240));
+    assert_eq!(request.client_timeout, Duration::from_millis(240));
     let first = event(4, &format!("{ID} 4032800000000000 0001 0a124a07 2bc3"));
     assert!(matches!(first, Event::FirstToken { attempt: 1, .. }));
     let verdict = format!("{ID} 0000 0a124a07 2bc3 00ca 4032800000000000 00 00000064 02 3ecccccd 3fa00000");
-    let Event::Ended(ended) = event(5, &verdict) else { panic!() };
-    assert_eq!((ended.outcome, ended.finished, ended.kept_tokens), (Outcome::Read, false, 100.0));
+    let Event::AttemptEnded(ended) = event(5, &verdict) else { panic!() };
+    assert_eq!(
+        (ended.outcome, ended.request_finished, ended.cached_tokens),
+        (Outcome::Prefilled, false, 100.0)
+    );
     assert_eq!(ended.report.waiting_tokens, Some(1250.0));
-    assert_eq!(event(6, ID), Event::ClientGone(RequestId(0x000a_5e3e_5d3a_91c4)));
-    assert_eq!(event(7, "0003 000000000000004d"), Event::Timer(TimerId(0x4d)));
+    assert_eq!(event(6, ID), Event::ClientDisconnected(RequestId(0x000a_5e3e_5d3a_91c4)));
+    assert_eq!(event(7, "0003 000000000000004d"), Event::TimerFired(TimerId(0x4d)));
     let probed = event(8, "0003 0a124a07 2bc3 0001 4032800000000000 00");
-    assert!(matches!(probed, Event::Probed { engine: EngineId(ENGINE), outcome: Outcome::Ok, .. }));
+    assert!(matches!(
+        probed,
+        Event::ProbeEnded { engine: EngineId(ENGINE), outcome: Outcome::Completed, .. }
+    ));
     assert_eq!(event(9, "0003 00000001 0002 6869"), Event::PeerMessage { from: 1, body: b"hi".to_vec() });
     let note = event(11, &format!("{ID} 0000 0a124a07 2bc3 01 00000000"));
-    assert!(matches!(note, Event::Place { held: true, .. }));
+    assert!(matches!(note, Event::ReservationAnswered { granted: true, .. }));
 }
 
 #[test]
 fn every_outcome_is_told_apart() {
-    let full = |no_state| Some(Outcome::Full { no_state });
+    let full = |no_state| Some(Outcome::Rejected { state_missing: no_state });
     assert_eq!((outcome(2, 0), outcome(2, 1)), (full(false), full(true)));
     for (status, proves) in
         [(0, false), (3, false), (4, true), (5, false), (6, false), (7, true), (202, true)]
@@ -90,22 +96,25 @@
     let wait = Duration::from_millis(80);
     let cases: Vec<(Action, String)> = vec![
         (Action::Fail(id), format!("01 0000000a {ID}")),
-        (Action::CloseIdle(engine), "03 00000008 0003 0a124a07 2bc3".into()),
-        (Action::MoveStream(id), format!("04 0000000a {ID}")),
+        (Action::CloseIdleConnections(engine), "03 00000008 0003 0a124a07 2bc3".into()),
+        (Action::MigrateStream(id), format!("04 0000000a {ID}")),
         (Action::WatchEngines(true), "05 00000003 0003 01".into()),
         (Action::Log("hi".into()), "06 00000006 0003 0002 6869".into()),
         (Action::FetchEngines, "07 00000002 0003".into()),
         (
-            Action::Send { request: id, engine, limit: Some(wait) },
+            Action::Send { request: id, engine, timeout: Some(wait) },
             format!("08 00000018 {ID} 0a124a07 2bc3 4054000000000000"),
         ),
         (
-            Action::Refuse { request: id, retry_after: None, over_share: false },
+            Action::Reject { request: id, retry_after: None, over_quota: false },
             format!("09 00000012 {ID} 0000000000000000"),
         ),
         (Action::Reserve { request: id, engine }, format!("0a 00000010 {ID} 0a124a07 2bc3")),
         (Action::Probe(engine), "0b 00000008 0003 0a124a07 2bc3".into()),
-        (Action::TellPeer { to: None, body: b"hi 7".to_vec() }, "0c 0000000a 0003 ffff 0004 68692037".into()),
+        (
+            Action::SendToPeer { to: None, body: b"hi 7".to_vec() },
+            "0c 0000000a 0003 ffff 0004 68692037".into(),
+        ),
         (
             Action::SetTimer { timer: TimerId(0x4d), after: wait },
             "0d 00000012 0003 000000000000004d 4054000000000000".into(),
@@ -132,9 +141,9 @@
         format!("{ID} 0000000000000000 0000 ffc00000 0000 00 bf800000 0000000000000001 7f800000 {nan} {nan}");
     let Event::Request(request) = event(3, &query) else { panic!() };
     assert_eq!((request.prompt_tokens, request.max_output_tokens), (0.0, 0.0));
-    assert_eq!((request.time_left, request.shared_prefix), (Duration::ZERO, None));
+    assert_eq!((request.client_timeout, request.shared_prefix), (Duration::ZERO, None));
     let minus = format!("{ID} 0000 0a124a07 2bc3 0001 bff0000000000000 01 00000000 02 7fc00000 bf800000");
-    let Event::Ended(ended) = event(5, &minus) else { panic!() };
+    let Event::AttemptEnded(ended) = event(5, &minus) else { panic!() };
     assert_eq!((ended.latency, ended.report), (Duration::ZERO, LoadReport::default()));
 }
 
--- a/crates/cli/src/member.rs
+++ b/crates/cli/src/member.rs
@@ -200,7 +200,7 @@
             name: daemon.site.name.clone(),
             address: site.listen,
             routers: daemon.threads as u32,
-            floor: daemon.site.settings.routers,
+            floor: daemon.site.settings.router_count,
             datagram: site.datagram,
         };
         let board = Arc::new(Board::default());
@@ -223,7 +223,7 @@
             peers,
             written: Instant::now(),
             failing: false,
-            routers: daemon.site.settings.routers,
+            routers: daemon.site.settings.router_count,
             board,
             handle,
             policy,
--- a/crates/cli/src/roles.rs
+++ b/crates/cli/src/roles.rs
@@ -214,9 +214,9 @@
 
 fn role_name(role: slipreel::Role) -> &'static str {
     match role {
-        slipreel::Role::Read => "read",
-        slipreel::Role::Write => "write",
-        slipreel::Role::Both => "both",
+        slipreel::Role::Prefill => "read",
+        slipreel::Role::Decode => "write",
+        slipreel::Role::Mixed => "both",
     }
 }
 
--- a/crates/cli/src/roles/tests.rs
+++ b/crates/cli/src/roles/tests.rs
@@ -4,7 +4,7 @@
     EngineSite {
         name: port.to_string(),
         addr: ([127, 0, 0, 1], port).into(),
-        role: slipreel::Role::Read,
+        role: slipreel::Role::Prefill,
         zone: "z".into(),
         cell: "c".into(),
         state: EngineState::Ready,
@@ -27,13 +27,14 @@
 
 #[test]
 fn the_list_follows_what_engines_tell_and_keeps_who_is_silent() {
-    use slipreel::Role::{Read, Write};
+    use slipreel::Role::{Decode, Prefill};
     let mut list = vec![engine(1), engine(2), engine(3)];
-    assert!(!follow_roles(&mut list, &[view(1, Read, Phase::Warming)]));
-    let told = [view(1, Read, Phase::Changing(Write)), view(2, Write, Phase::Serving)];
+    assert!(!follow_roles(&mut list, &[view(1, Prefill, Phase::Warming)]));
+    let told = [view(1, Prefill, Phase::Changing(Decode)), view(2, Decode, Phase::Serving)];
     assert!(follow_roles(&mut list, &told));
     let now: Vec<_> = list.iter().map(|e| (e.role, e.state)).collect();
-    let expected = [(Read, EngineState::Draining), (Write, EngineState::Ready), (Read, EngineState::Ready)];
+    let expected =
+        [(Prefill, EngineState::Draining), (Decode, EngineState::Ready), (Prefill, EngineState::Ready)];
     assert_eq!(now, expected);
     assert!(!follow_roles(&mut list, &told), "nothing new");
 }
--- a/crates/connections/src/client.rs
+++ b/crates/connections/src/client.rs
@@ -4,7 +4,7 @@
 //! request's own deadlines), `Closing`. Pipelined requests wait in the decoder until the one before is answered.
 
 use slipreel_protocol::http::{self, Decoder, Framing, Head, Item, Limits, Malformed, Side, Start};
-use slipreel_state_machine::{ConnId, Door, Output};
+use slipreel_state_machine::{ConnId, ListenerId, Output};
 use std::collections::VecDeque;
 use std::time::Duration;
 
@@ -65,7 +65,7 @@
     /// Its number.
     pub conn: ConnId,
     /// Where it came in.
-    pub door: Door,
+    pub door: ListenerId,
     /// Where it stands.
     pub state: State,
     decoder: Decoder,
@@ -92,7 +92,7 @@
 
 impl Client {
     /// A connection that has just been accepted. `most_ahead`: bytes of pipelined requests that may wait.
-    pub fn new(conn: ConnId, door: Door, now: Duration, limits: Limits, most_ahead: usize) -> Self {
+    pub fn new(conn: ConnId, door: ListenerId, now: Duration, limits: Limits, most_ahead: usize) -> Self {
         Client {
             conn,
             door,
@@ -215,7 +215,7 @@
     /// The answer is written: the next request may be read, or the connection ends. Whether it goes on.
     pub fn done(&mut self, now: Duration, out: &mut Vec<Output>) -> bool {
         if !self.keep || (self.eof && self.decoder.idle()) {
-            out.push(Output::Finish(self.conn));
+            out.push(Output::CloseWhenSent(self.conn));
             return false;
         }
         self.state = if self.decoder.idle() { State::Idle } else { State::Receiving };
--- a/crates/consensus/src/consensus.rs
+++ b/crates/consensus/src/consensus.rs
@@ -11,7 +11,7 @@
 use crate::wire::{Ask, Bad, Body, Frame, Grant, OperatorRequest, Peer, LONGEST};
 use crate::{log::Damage, timing};
 use omnipaxos::messages::Message;
-use slipreel_state_machine::{ConnId, Door, Input, Machine, Output};
+use slipreel_state_machine::{ConnId, Input, ListenerId, Machine, Output};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -78,7 +78,7 @@
 const INBOUND: usize = 64;
 /// Turns of [`Consensus::run`] for one input; each follows from the one before, and a few are enough.
 const TURNS: usize = 16;
-const DOOR: Door = Door(0);
+const DOOR: ListenerId = ListenerId(0);
 
 /// What was shown last, to see whether it has changed: configuration, epoch, last outcome, change under way, leader, troubles, outcomes.
 type Seen = (u32, u64, u64, Option<Under>, Option<String>, Vec<String>, usize);
@@ -743,7 +743,7 @@
             Input::Connected(conn) => self.connections.connected(conn, out),
             Input::Data(conn, bytes) if conn.is_opened() => self.connections.acked(conn, bytes.len()),
             Input::Data(conn, bytes) => self.inbound(now, conn, bytes, out),
-            Input::HungUp(_) | Input::Crowded(_) => {}
+            Input::PeerClosedWhilePaused(_) | Input::DescriptorsExhausted(_) => {}
             Input::Eof(conn) => {
                 if self.inbound.remove(&conn).is_some() || self.connections.has(conn) {
                     out.push(Output::Abort(conn));
@@ -768,7 +768,7 @@
                 }
                 self.stopped = true;
             }
-            Input::Sent(..) | Input::Wake | Input::News(_) => {}
+            Input::Sent(..) | Input::Wake | Input::OwnerMessage(_) => {}
         }
         if self.stopped {
             return;
--- a/crates/consensus/src/member.rs
+++ b/crates/consensus/src/member.rs
@@ -4,7 +4,7 @@
 use crate::peer_connections::PeerConnections;
 use crate::wire::MAGIC;
 use slipreel_membership::{Board as ViewBoard, Fleet};
-use slipreel_state_machine::{ConnId, Door, Input, Machine, Output};
+use slipreel_state_machine::{ConnId, Input, ListenerId, Machine, Output};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -18,7 +18,7 @@
 pub struct Member {
     fleet: Fleet,
     consensus: Option<Consensus>,
-    fresh: BTreeMap<ConnId, (Door, Duration, Vec<u8>)>,
+    fresh: BTreeMap<ConnId, (ListenerId, Duration, Vec<u8>)>,
     ours: BTreeSet<ConnId>,
 }
 
@@ -119,7 +119,7 @@
                 self.ours.remove(&conn);
                 self.pass_on(now, input, out);
             }
-            Input::Wake | Input::Stop | Input::News(_) => {
+            Input::Wake | Input::Stop | Input::OwnerMessage(_) => {
                 self.pass_on(now, input, out);
                 self.fleet.handle(now, input, out);
             }
@@ -127,7 +127,7 @@
         }
         // What either ends without hearing of it again is nobody's.
         for output in out.iter() {
-            if let Output::Abort(conn) | Output::Finish(conn) = output {
+            if let Output::Abort(conn) | Output::CloseWhenSent(conn) = output {
                 self.ours.remove(conn);
             }
         }
--- a/crates/consensus/tests/explore.rs
+++ b/crates/consensus/tests/explore.rs
@@ -9,7 +9,7 @@
 use slipreel_consensus::storage::{file_of, read, Terms, VoterIdentity};
 use slipreel_consensus::wire::OperatorRequest;
 use slipreel_consensus::{Consensus, Cut, Disk, Others, PolicyHandle, ProposalStatus, Settings, Start};
-use slipreel_state_machine::{ConnId, Door, Input, Loss, Machine, Output};
+use slipreel_state_machine::{ConnId, ConnectionLoss, Input, ListenerId, Machine, Output};
 use stateright::{Checker, Model, Property};
 use std::cell::RefCell;
 use std::collections::hash_map::DefaultHasher;
@@ -195,7 +195,7 @@
                         self.tell(opener, Input::Data(ConnId(number), &bytes));
                     }
                 }
-                Output::Abort(conn) | Output::Finish(conn) => {
+                Output::Abort(conn) | Output::CloseWhenSent(conn) => {
                     self.conns.remove(&(r, conn.0));
                 }
                 _ => {}
@@ -235,18 +235,18 @@
         match sent {
             Sent::Datagram(from, to, bytes) => {
                 self.note(to, &(from, &bytes));
-                self.tell(to, Input::Datagram(Door(0), addr(from), &bytes));
+                self.tell(to, Input::Datagram(ListenerId(0), addr(from), &bytes));
             }
             Sent::Open(from, to, number) => {
                 if self.machines[to].is_none() {
                     self.note(from, &("refused", number));
-                    return self.tell(from, Input::Lost(ConnId(number), Loss::NotConnected));
+                    return self.tell(from, Input::Lost(ConnId(number), ConnectionLoss::NotConnected));
                 }
                 self.accepted += 1;
                 let taken = self.accepted;
                 self.conns.insert((from, number), (to, taken));
                 self.note(to, &("accepted", taken));
-                self.tell(to, Input::Accepted(ConnId(taken), Door(0)));
+                self.tell(to, Input::Accepted(ConnId(taken), ListenerId(0)));
                 self.note(from, &("connected", number));
                 self.tell(from, Input::Connected(ConnId(number)));
             }
@@ -287,7 +287,7 @@
             self.conns.remove(&(opener, number));
             let (other, id) = if opener == r { (taker, taken) } else { (opener, number) };
             self.note(other, &("lost", id));
-            self.tell(other, Input::Lost(ConnId(id), Loss::Reset));
+            self.tell(other, Input::Lost(ConnId(id), ConnectionLoss::Reset));
         }
     }
 
--- a/crates/consensus/tests/thin.rs
+++ b/crates/consensus/tests/thin.rs
@@ -120,12 +120,12 @@
 
 #[test]
 fn connections_that_never_end_keep_nobody_out() {
-    use slipreel_state_machine::{ConnId, Door, Input, Machine, Output};
+    use slipreel_state_machine::{ConnId, Input, ListenerId, Machine, Output};
     let mut routers = Routers::new(1, 1, 7);
     let (now, mut out) = (routers.world.now(), Vec::new());
     let mut consensus = routers.build(0, "one");
     for n in 0..200 {
-        consensus.handle(now + ms(n), Input::Accepted(ConnId(1_000 + n), Door(0)), &mut out);
+        consensus.handle(now + ms(n), Input::Accepted(ConnId(1_000 + n), ListenerId(0)), &mut out);
     }
     let dropped = out.iter().filter(|o| matches!(o, Output::Abort(_))).count();
     assert_eq!(dropped, 136, "64 are kept");
--- a/crates/emulator/src/engine.rs
+++ b/crates/emulator/src/engine.rs
@@ -87,13 +87,13 @@
     /// Takes an attempt; says so at once if it is turned away.
     pub(crate) fn take(&mut self, now: Duration, ask: Ask) -> Option<Say> {
         let role = self.role.state().role;
-        let misfit = if ask.reads { role == Role::Write } else { role == Role::Read };
+        let misfit = if ask.reads { role == Role::Decode } else { role == Role::Prefill };
         let mut job = self.job(&ask);
         self.fallen |= self.work.falls(now, &self.spec, &job);
         if misfit || self.fallen || !self.role.takes_work() || self.work.is_full(&self.spec) {
             return Some(Say::Full);
         }
-        if !ask.reads && ask.state.is_none() && role == Role::Write {
+        if !ask.reads && ask.state.is_none() && role == Role::Decode {
             return Some(Say::NoState);
         }
         job.id = self.work.next_id();
--- a/crates/emulator/src/host.rs
+++ b/crates/emulator/src/host.rs
@@ -1,7 +1,7 @@
 //! A router: its module, and what the module has to be told and asked of. Decides nothing itself.
 
 use crate::engine::Try;
-use slipreel::{Action, Event, Places, Router, Settings, TimerId};
+use slipreel::{Action, Event, Router, Settings, SettingsMapping, TimerId};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -75,13 +75,13 @@
     pub(crate) fn change(
         &mut self, now: Duration, settings: Settings, how: Change, last: u64, seed: u64,
     ) -> Vec<Wish> {
-        let places = Places {
+        let places = SettingsMapping {
             classes: (0..settings.classes.len()).map(Some).collect(),
             tenants: (0..settings.tenants.len()).map(Some).collect(),
         };
         let mut out = Vec::new();
         let next = match how {
-            Change::Heir => self.router.heir(now, settings, &places, seed, &mut out),
+            Change::Heir => self.router.successor(now, settings, &places, seed, &mut out),
             Change::Anew => Router::new(settings, seed),
         };
         self.before = Some((std::mem::replace(&mut self.router, next), last));
@@ -93,8 +93,8 @@
         let mut out = Vec::new();
         let of = match &event {
             Event::Request(r) => Some(r.id),
-            Event::FirstToken { request, .. } | Event::ClientGone(request) => Some(*request),
-            Event::Ended(ended) => Some(ended.request),
+            Event::FirstToken { request, .. } | Event::ClientDisconnected(request) => Some(*request),
+            Event::AttemptEnded(ended) => Some(ended.request),
             _ => None,
         };
         let Some((before, last)) = &mut self.before else {
@@ -102,14 +102,14 @@
             return wishes(router, out, false);
         };
         let its = of.is_some_and(|id| id.0 <= *last);
-        let timer = matches!(event, Event::Timer(_));
+        let timer = matches!(event, Event::TimerFired(_));
         let mut told = Vec::new();
         if its || timer && old || of.is_none() && !timer {
             before.handle(now, event.clone(), &mut out);
             told = wishes(router, std::mem::take(&mut out), true);
         }
         // The heir hears of the ends of what it has inherited, and asks for nothing on that account.
-        let inherits = matches!(event, Event::Ended(_) | Event::FirstToken { .. });
+        let inherits = matches!(event, Event::AttemptEnded(_) | Event::FirstToken { .. });
         let for_the_first = its || timer && old;
         if !for_the_first || its && inherits {
             self.router.handle(now, event, &mut out);
@@ -135,7 +135,7 @@
             Action::Send { request, engine, .. } => Wish::Send(request.0, engine),
             Action::Cancel { request, attempt } => Wish::Cancel(Try { router, request: request.0, attempt }),
             Action::Release(request) => Wish::Release(request.0),
-            Action::Refuse { request, retry_after, .. } => Wish::Refuse(request.0, retry_after),
+            Action::Reject { request, retry_after, .. } => Wish::Refuse(request.0, retry_after),
             Action::Fail(request) => Wish::Fail(request.0),
             Action::SetTimer { timer, after } => Wish::Timer(timer, after, old),
             Action::Probe(engine) => Wish::Probe(engine),
--- a/crates/emulator/src/play.rs
+++ b/crates/emulator/src/play.rs
@@ -226,7 +226,7 @@
     fn take(&mut self, event: Event) {
         match event {
             Event::Come { plan, tries } => self.come(plan, tries),
-            Event::Timer { router, timer, old } => self.tell_one(router, Told::Timer(timer), old),
+            Event::Timer { router, timer, old } => self.tell_one(router, Told::TimerFired(timer), old),
             Event::Change(how) => self.change(how),
             Event::Arrive { engine, ask } => self.arrive(engine, ask),
             // One that an earlier wake has overtaken says nothing: each would plan another.
@@ -258,7 +258,7 @@
                 self.soon(Event::Answered { router, engine: id, report });
             }
             Event::Answered { router, engine, report } => {
-                self.tell(router, Told::Probed { engine, outcome: Outcome::Ok, report });
+                self.tell(router, Told::ProbeEnded { engine, outcome: Outcome::Completed, report });
             }
             Event::Leave { router, request, always } => self.leave(router, request, always),
             Event::List => self.list(),
@@ -295,10 +295,10 @@
             shared_prefix: (!p.system.is_empty()).then(|| xxh3_64(p.system.as_bytes())),
             prompt_tokens: ((p.system.len() + p.prompt.len()) as f64 / 4.0 + 50.0).ceil(),
             max_output_tokens: f64::from(p.max_tokens),
-            time_left,
-            whole: (!p.stream).then_some(time_left),
-            repeat: tries > 1,
-            resumes: false,
+            client_timeout: time_left,
+            complete_answer_timeout: (!p.stream).then_some(time_left),
+            is_retry: tries > 1,
+            is_resumption: false,
         };
         self.plan_at(self.now + time_left, Event::Leave { router, request: id, always: false });
         if let Habit::LeavesAfter(after) = p.habit {
@@ -320,7 +320,7 @@
             self.soon(Event::Drop { engine: a.engine, who: Try { router, request, attempt } });
         }
         self.reap.push((router, request));
-        self.tell(router, Told::ClientGone(RequestId(request)));
+        self.tell(router, Told::ClientDisconnected(RequestId(request)));
         for (attempt, _) in out.iter().enumerate().filter(|(_, a)| a.out) {
             self.ended(Try { router, request, attempt }, Outcome::Cancelled, 0.0, LoadReport::default());
         }
@@ -434,9 +434,9 @@
 
     fn send(&mut self, router: usize, request: u64, id: EngineId) {
         let Some(&engine) = self.by_id.get(&id) else { return };
-        let role = self.hosts[router].starts.get(&engine).map_or(Role::Both, |(role, _)| *role);
+        let role = self.hosts[router].starts.get(&engine).map_or(Role::Mixed, |(role, _)| *role);
         let Some(call) = self.hosts[router].calls.get_mut(&request) else { return };
-        let (reads, state) = (role == Role::Read, call.state());
+        let (reads, state) = (role == Role::Prefill, call.state());
         let attempt = call.attempts.len();
         call.attempts.push(Attempt { engine, sent: self.now, out: true, state: None });
         self.figures.attempts += 1;
@@ -472,7 +472,7 @@
                     let c = roles.counts.entry(name).or_default();
                     (c.reads, c.read_tokens) = (c.reads + 1, c.read_tokens + prompt.saturating_sub(kept));
                 }
-                self.ended(who, Outcome::Read, kept as f64, report);
+                self.ended(who, Outcome::Prefilled, kept as f64, report);
             }
             Say::First => {
                 let latency = now.saturating_sub(a.sent);
@@ -502,11 +502,15 @@
                     self.figures.seconds.entry(second).or_default().1 += 1;
                 }
                 self.over(router, request, |s| &mut s.served, None);
-                self.ended(who, Outcome::Ok, 0.0, report);
+                self.ended(who, Outcome::Completed, 0.0, report);
             }
             // What turns work away tells no load, as the stand-in's errors don't.
-            Say::Full => self.ended(who, Outcome::Full { no_state: false }, 0.0, LoadReport::default()),
-            Say::NoState => self.ended(who, Outcome::Full { no_state: true }, 0.0, LoadReport::default()),
+            Say::Full => {
+                self.ended(who, Outcome::Rejected { state_missing: false }, 0.0, LoadReport::default())
+            }
+            Say::NoState => {
+                self.ended(who, Outcome::Rejected { state_missing: true }, 0.0, LoadReport::default())
+            }
         }
     }
 
@@ -522,13 +526,13 @@
         let request = RequestId(request);
         self.tell(
             router,
-            Told::Ended(slipreel::Ended {
+            Told::AttemptEnded(slipreel::AttemptEnded {
                 request,
                 attempt,
                 outcome,
                 latency,
-                finished,
-                kept_tokens,
+                request_finished: finished,
+                cached_tokens: kept_tokens,
                 report,
             }),
         );
@@ -598,7 +602,7 @@
                     None => (!first).then_some(now),
                 };
                 self.hosts[router].starts.insert(n, (role, started));
-                let kind = self.day.site.settings.kinds.iter().position(|k| *k == role).unwrap_or(0);
+                let kind = self.day.site.settings.kind_roles.iter().position(|k| *k == role).unwrap_or(0);
                 let state = if e.role.takes_work() { EngineState::Ready } else { EngineState::Draining };
                 let (zone, cell) = self.places[n];
                 entries.push(slipreel::Engine {
@@ -607,7 +611,7 @@
                     kind: KindId(kind),
                     zone: ZoneId(zone),
                     cell: CellId(cell),
-                    started,
+                    started_at: started,
                 });
             }
             let listing = if first { Listing::Cached } else { Listing::Complete };
--- a/crates/emulator/src/roles.rs
+++ b/crates/emulator/src/roles.rs
@@ -97,7 +97,7 @@
         let view = |(e, &(zone, cell)): (&Engine, &(u32, u32))| {
             let (state, load) = (e.role.state(), e.work.load());
             let held = load.running.unwrap_or(0.0) + load.waiting.unwrap_or(0.0);
-            let other = if state.role == Role::Read { Role::Write } else { Role::Read };
+            let other = if state.role == Role::Prefill { Role::Decode } else { Role::Prefill };
             let phase = if !e.role.takes_work() {
                 Phase::Changing(other)
             } else if now < state.started + self.cold {
--- a/crates/event-loop/src/driver.rs
+++ b/crates/event-loop/src/driver.rs
@@ -12,7 +12,7 @@
 use rustix::fd::OwnedFd;
 use rustix::io::Errno;
 use rustix::net::{self, sockopt, AddressFamily, SendFlags, SocketFlags, SocketType};
-use slipreel_state_machine::{ConnId, Door, Input, Loss, Machine, Output};
+use slipreel_state_machine::{ConnId, ConnectionLoss, Input, ListenerId, Machine, Output};
 use std::any::Any;
 use std::collections::{HashMap, VecDeque};
 use std::net::SocketAddr;
@@ -114,7 +114,7 @@
 struct Listener {
     fd: OwnedFd,
     node: usize,
-    door: Door,
+    door: ListenerId,
     /// Out of descriptors: not asked until then.
     resting: Option<Duration>,
 }
@@ -123,7 +123,7 @@
 struct Mailbox {
     fd: OwnedFd,
     node: usize,
-    door: Door,
+    door: ListenerId,
 }
 
 enum Slot {
@@ -318,7 +318,7 @@
         let bound = SocketAddr::try_from(bound).map_err(system)?;
         let slot = self.slot();
         epoll::add(&self.epoll, &fd, token(slot, self.uses[slot]), EventFlags::IN).map_err(system)?;
-        let door = Door(self.nodes[node.0].listeners.len());
+        let door = ListenerId(self.nodes[node.0].listeners.len());
         self.slots[slot] = Slot::Listener(Listener { fd, node: node.0, door, resting: None });
         self.doors.push(slot);
         self.nodes[node.0].listeners.push(bound);
@@ -339,7 +339,7 @@
         let bound = SocketAddr::try_from(bound).map_err(system)?;
         let slot = self.slot();
         epoll::add(&self.epoll, &fd, token(slot, self.uses[slot]), EventFlags::IN).map_err(system)?;
-        let door = Door(self.nodes[node.0].datagrams.len());
+        let door = ListenerId(self.nodes[node.0].datagrams.len());
         self.slots[slot] = Slot::Mailbox(Mailbox { fd, node: node.0, door });
         self.doors.push(slot);
         self.nodes[node.0].datagrams.push((bound, slot));
@@ -449,7 +449,7 @@
 
     fn command(&mut self, command: Command<M>) {
         match command {
-            Command::News(node, news) => self.give(node.0, Input::News(&*news)),
+            Command::News(node, news) => self.give(node.0, Input::OwnerMessage(&*news)),
             Command::Stop(node) => self.give(node.0, Input::Stop),
             Command::Kill(node) => self.kill(node.0),
             Command::Revive(node, machine) => self.revive(node, machine),
@@ -548,11 +548,11 @@
                 conn.write(bytes);
                 true
             }),
-            Output::Shut(id) => self.with(node, id, |conn| {
+            Output::ShutdownWrite(id) => self.with(node, id, |conn| {
                 conn.shuts = true;
                 true
             }),
-            Output::Finish(id) => {
+            Output::CloseWhenSent(id) => {
                 let until = self.clock.now() + LINGER;
                 let Some(&slot) = self.nodes[node].by_id.get(&id) else { return };
                 if let Slot::Conn(conn) = &mut self.slots[slot] {
@@ -574,7 +574,7 @@
                     self.close(slot);
                 }
             }
-            Output::Datagram(Door(door), to, bytes) => {
+            Output::Datagram(ListenerId(door), to, bytes) => {
                 let slot = self.nodes[node].datagrams.get(door).map(|&(_, slot)| slot);
                 if let (Some(Slot::Mailbox(m)), Ok(())) = (slot.map(|s| &self.slots[s]), self.check(to)) {
                     // A full buffer or a peer that is not there loses it, as a network may.
@@ -619,7 +619,7 @@
         let lost = |why| Input::Lost(id, why);
         if self.check(addr).is_err() {
             (self.log)(NodeId(node), &format!("{addr} is not a loopback address; not connected"));
-            return self.give(node, lost(Loss::NotConnected));
+            return self.give(node, lost(ConnectionLoss::NotConnected));
         }
         let flags = SocketFlags::NONBLOCK | SocketFlags::CLOEXEC;
         let socket = || net::socket_with(family(addr), SocketType::STREAM, flags, None);
@@ -628,15 +628,15 @@
             made = socket();
         }
         let Ok(fd) = made else {
-            return self.give(node, lost(Loss::Exhausted));
+            return self.give(node, lost(ConnectionLoss::Exhausted));
         };
         let _ = sockopt::set_tcp_nodelay(&fd, true);
         match net::connect(&fd, &addr) {
             Ok(()) | Err(Errno::INPROGRESS) => {
                 self.insert(Conn::new(fd, node, id, Phase::Connecting));
             }
-            Err(Errno::ADDRNOTAVAIL | Errno::NOBUFS) => self.give(node, lost(Loss::Exhausted)),
-            Err(_) => self.give(node, lost(Loss::NotConnected)),
+            Err(Errno::ADDRNOTAVAIL | Errno::NOBUFS) => self.give(node, lost(ConnectionLoss::Exhausted)),
+            Err(_) => self.give(node, lost(ConnectionLoss::NotConnected)),
         }
     }
 }
--- a/crates/event-loop/src/driver/readiness.rs
+++ b/crates/event-loop/src/driver/readiness.rs
@@ -9,7 +9,7 @@
 use rustix::event::epoll::{self, EventFlags};
 use rustix::io::Errno;
 use rustix::net::{self, sockopt, RecvFlags, Shutdown, SocketFlags};
-use slipreel_state_machine::{ConnId, Input, Loss, Machine};
+use slipreel_state_machine::{ConnId, ConnectionLoss, Input, Machine};
 use std::net::SocketAddr;
 
 /// Whether more connections may wait at a listener.
@@ -66,7 +66,7 @@
         }
         if !std::mem::replace(&mut conn.hung_up, true) {
             self.set_interest(slot);
-            self.give(node, Input::HungUp(id));
+            self.give(node, Input::PeerClosedWhilePaused(id));
         }
     }
 
@@ -117,7 +117,7 @@
                         continue;
                     }
                     let free = self.free.len();
-                    self.give(node, Input::Crowded(door));
+                    self.give(node, Input::DescriptorsExhausted(door));
                     if self.close_lingering() || self.free.len() > free {
                         continue;
                     }
@@ -167,7 +167,7 @@
             self.give(node, Input::Connected(id));
         } else {
             self.close(slot);
-            self.give(node, Input::Lost(id, Loss::NotConnected));
+            self.give(node, Input::Lost(id, ConnectionLoss::NotConnected));
         }
     }
 
@@ -189,7 +189,7 @@
             Err(Errno::AGAIN | Errno::INTR) => {}
             Err(_) => {
                 self.close(slot);
-                self.give(node, Input::Lost(id, Loss::Reset));
+                self.give(node, Input::Lost(id, ConnectionLoss::Reset));
             }
         }
     }
@@ -233,7 +233,7 @@
             Flushed::Broken => {
                 self.close(slot);
                 if phase == Phase::Open {
-                    self.give(node, Input::Lost(id, Loss::Reset));
+                    self.give(node, Input::Lost(id, ConnectionLoss::Reset));
                 }
             }
         }
--- a/crates/event-loop/tests/closes.rs
+++ b/crates/event-loop/tests/closes.rs
@@ -3,7 +3,7 @@
 
 use rustix::time::{clock_gettime, ClockId};
 use slipreel_event_loop::{Clock, Command, Loop};
-use slipreel_state_machine::{ConnId, Door, Input, Loss, Machine, Output};
+use slipreel_state_machine::{ConnId, ConnectionLoss, Input, ListenerId, Machine, Output};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::{Arc, Mutex};
@@ -42,7 +42,7 @@
     fn handle(&mut self, now: Duration, input: Input<'_>, out: &mut Vec<Output>) {
         let note = |what: &str| self.seen.lock().expect("whole").push(what.to_owned());
         match input {
-            Input::Accepted(conn, Door(_)) => {
+            Input::Accepted(conn, ListenerId(_)) => {
                 note("accepted");
                 self.client = Some(conn);
                 if let Some(peer) = self.peer {
@@ -57,15 +57,15 @@
                     out.push(Output::Pause(conn));
                 }
             }
-            Input::HungUp(_) => {
+            Input::PeerClosedWhilePaused(_) => {
                 note("hung up");
                 self.resumes = Some(now + ms(100));
             }
             Input::Eof(conn) => {
                 note(if conn.is_opened() { "engine's end" } else { "end" });
-                out.push(Output::Finish(conn));
+                out.push(Output::CloseWhenSent(conn));
             }
-            Input::Lost(_, Loss::Reset) => note("reset"),
+            Input::Lost(_, ConnectionLoss::Reset) => note("reset"),
             Input::Wake if self.resumes.is_some_and(|at| at <= now) => {
                 self.resumes = None;
                 self.pauses = false;
--- a/crates/event-loop/tests/order.rs
+++ b/crates/event-loop/tests/order.rs
@@ -31,7 +31,7 @@
             }
             Input::Sent(conn, _) if conn == ConnId::opened(FIRST) => {
                 out.push(Output::Abort(ConnId::opened(SECOND)));
-                out.push(Output::Finish(conn));
+                out.push(Output::CloseWhenSent(conn));
                 out.push(Output::Stopped);
             }
             _ => {}
--- a/crates/event-loop/tests/stop_listening.rs
+++ b/crates/event-loop/tests/stop_listening.rs
@@ -25,7 +25,7 @@
             }
             Input::Data(conn, _) => {
                 out.push(Output::Write(conn, b"answer".to_vec()));
-                out.push(Output::Finish(conn));
+                out.push(Output::CloseWhenSent(conn));
                 self.answered += 1;
                 if self.answered == self.expected {
                     out.push(Output::Stopped);
--- a/crates/fault-injection/src/memory.rs
+++ b/crates/fault-injection/src/memory.rs
@@ -284,7 +284,7 @@
         {
             site = daemon.site;
         }
-        site.settings.routers = self.script.floor;
+        site.settings.router_count = self.script.floor;
         site.name = format!("r{r}");
         let front = Front::new(Arc::new(site), self.rng.next_u64(), now, WALL + now);
         let router = &mut self.routers[r];
--- a/crates/fault-injection/src/wire.rs
+++ b/crates/fault-injection/src/wire.rs
@@ -3,7 +3,7 @@
 
 use rand_xoshiro::rand_core::{RngCore, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
-use slipreel_state_machine::{ConnId, Door, Input, Machine, Output};
+use slipreel_state_machine::{ConnId, Input, ListenerId, Machine, Output};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
 use std::net::SocketAddr;
@@ -101,7 +101,7 @@
             .flat_map(move |from| (0..members).filter(move |to| *to != from).map(move |to| (from, to)))
     }
 
-    fn way(&self, door: Door) -> (usize, usize) {
+    fn way(&self, door: ListenerId) -> (usize, usize) {
         let rest = self.members - 1;
         let (from, at) = (door.0 / rest, door.0 % rest);
         (from, at + usize::from(at >= from))
@@ -115,7 +115,7 @@
         (self.rng.next_u64() >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    fn datagram(&mut self, now: Duration, door: Door, bytes: &[u8], out: &mut Vec<Output>) {
+    fn datagram(&mut self, now: Duration, door: ListenerId, bytes: &[u8], out: &mut Vec<Output>) {
         let (from, to) = self.way(door);
         let link = self.link(from, to);
         self.passed.0 += 1;
@@ -141,7 +141,7 @@
         while self.late.peek().is_some_and(|Reverse((at, _))| *at <= now) {
             let Some(Reverse((_, seq))) = self.late.pop() else { break };
             if let Some((door, to, bytes)) = self.bytes.remove(&seq) {
-                out.push(Output::Datagram(Door(door), to, bytes));
+                out.push(Output::Datagram(ListenerId(door), to, bytes));
             }
         }
         for at in 0..self.pairs.len() {
@@ -198,8 +198,8 @@
         if pair.open && !way.held.is_empty() && !link.cut && !link.mute && link.trickle.is_none() {
             out.push(Output::Write(other, way.held.iter().copied().collect()));
         }
-        out.push(Output::Finish(other));
-        out.push(Output::Finish(conn));
+        out.push(Output::CloseWhenSent(other));
+        out.push(Output::CloseWhenSent(conn));
     }
 }
 
@@ -223,16 +223,16 @@
                 }
             }
             Input::Data(conn, bytes) => self.data(now, conn, bytes, out),
-            Input::HungUp(_) | Input::Crowded(_) => {}
+            Input::PeerClosedWhilePaused(_) | Input::DescriptorsExhausted(_) => {}
             Input::Eof(conn) | Input::Lost(conn, _) => self.end(conn, out),
-            Input::News(news) => {
+            Input::OwnerMessage(news) => {
                 if let Some(Links(links)) = news.downcast_ref::<Arc<Links>>().map(|l| &**l) {
                     for &(from, to, link) in links {
                         self.links[from * self.members + to] = link;
                     }
                 } else if let Some(Noise(to, bytes)) = news.downcast_ref::<Noise>() {
                     let door = Wire::ways(self.members).position(|(_, at)| at == *to).unwrap_or(0);
-                    out.push(Output::Datagram(Door(door), self.targets[*to], bytes.clone()));
+                    out.push(Output::Datagram(ListenerId(door), self.targets[*to], bytes.clone()));
                 }
             }
             Input::Stop => out.push(Output::Stopped),
--- a/crates/gateway/benches/front.rs
+++ b/crates/gateway/benches/front.rs
@@ -7,21 +7,21 @@
 };
 use slipreel_gateway::{Front, Site};
 use slipreel_protocol::http::chunk;
-use slipreel_state_machine::{ConnId, Door, Input, Machine, Output};
+use slipreel_state_machine::{ConnId, Input, ListenerId, Machine, Output};
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-const CLIENTS: Door = Door(0);
+const CLIENTS: ListenerId = ListenerId(0);
 
 fn site() -> Site {
     let start = starting_class();
     let class = slipreel::Class {
-        aim: start.aim,
-        aim_per_1000: start.aim_per_1000,
-        worth: 1.0,
-        effect: slipreel::Effect::Safe,
+        latency_objective: start.aim,
+        latency_objective_per_1000_tokens: start.aim_per_1000,
+        priority_weight: 1.0,
+        idempotency: slipreel::Idempotency::Idempotent,
         streams: true,
     };
     let engine = |port: u16, role| EngineSite {
@@ -32,7 +32,7 @@
         cell: "a".into(),
         state: slipreel::EngineState::Ready,
     };
-    let roles = [slipreel::Role::Read, slipreel::Role::Write];
+    let roles = [slipreel::Role::Prefill, slipreel::Role::Decode];
     Site {
         settings: slipreel::Settings { classes: vec![class], ..starting_settings() },
         classes: vec![ClassSite { name: "chat".into(), patience: start.patience }],
@@ -213,7 +213,7 @@
 
 fn module_alone() {
     use slipreel::{
-        Action, Ended, Engine, Event, KindId, Listing, LoadReport, Outcome, Request, RequestId, Router,
+        Action, AttemptEnded, Engine, Event, KindId, Listing, LoadReport, Outcome, Request, RequestId, Router,
     };
     let site = site();
     let mut router = Router::new(site.settings.clone(), 5);
@@ -235,7 +235,7 @@
             session: n,
             prompt_tokens: 300.0,
             max_output_tokens: 50.0,
-            time_left: Duration::from_secs(6),
+            client_timeout: Duration::from_secs(6),
             ..Request::default()
         };
         router.handle(now, Event::Request(request), &mut out);
@@ -243,28 +243,32 @@
         while let Some(action) = out.pop() {
             match action {
                 Action::Probe(engine) => {
-                    router.handle(now, Event::Probed { engine, outcome: Outcome::Ok, report }, &mut out);
+                    router.handle(
+                        now,
+                        Event::ProbeEnded { engine, outcome: Outcome::Completed, report },
+                        &mut out,
+                    );
                 }
                 Action::SetTimer { timer, after } if after < Duration::from_secs(1) => {
-                    router.handle(now, Event::Timer(timer), &mut out);
+                    router.handle(now, Event::TimerFired(timer), &mut out);
                 }
                 Action::Send { request, .. } => {
-                    let outcome = if attempt == 0 { Outcome::Read } else { Outcome::Ok };
+                    let outcome = if attempt == 0 { Outcome::Prefilled } else { Outcome::Completed };
                     let latency = Duration::from_millis(20);
                     if attempt > 0 {
                         router.handle(now, Event::FirstToken { request, attempt, latency }, &mut out);
                     }
-                    let ended = Ended {
+                    let ended = AttemptEnded {
                         request,
                         attempt,
                         outcome,
                         latency,
-                        finished: attempt > 0,
-                        kept_tokens: 0.0,
+                        request_finished: attempt > 0,
+                        cached_tokens: 0.0,
                         report,
                     };
                     attempt += 1;
-                    router.handle(now, Event::Ended(ended), &mut out);
+                    router.handle(now, Event::AttemptEnded(ended), &mut out);
                 }
                 _ => {}
             }
--- a/crates/gateway/src/call.rs
+++ b/crates/gateway/src/call.rs
@@ -3,7 +3,7 @@
 use crate::site::Site;
 use crate::translate::Writer;
 use serde_json::{Map, Value};
-use slipreel::{Effect, EngineId, Outcome, RequestId, Role};
+use slipreel::{EngineId, Idempotency, Outcome, RequestId, Role};
 use slipreel_protocol::engine;
 use slipreel_protocol::http::{self, Framing};
 use slipreel_state_machine::ConnId;
@@ -49,7 +49,7 @@
     pub(crate) epoch: Option<u64>,
     /// Position of its class in them.
     pub(crate) class: usize,
-    pub(crate) effect: Effect,
+    pub(crate) effect: Idempotency,
     pub(crate) stream: bool,
     /// When it had come in whole.
     pub(crate) since: Duration,
@@ -85,7 +85,7 @@
     pub(crate) site: Arc<Site>,
     pub(crate) epoch: Option<u64>,
     pub(crate) class: usize,
-    pub(crate) effect: Effect,
+    pub(crate) effect: Idempotency,
     pub(crate) stream: bool,
     pub(crate) now: Duration,
     pub(crate) time_left: Duration,
@@ -132,7 +132,7 @@
         &mut self, now: Duration, engine: EngineId, addr: SocketAddr, role: Role, via: &str,
     ) -> (usize, Vec<u8>) {
         let attempt = self.attempts.len();
-        let read = role == Role::Read;
+        let read = role == Role::Prefill;
         let body = if read {
             self.holders.push((engine, addr, attempt));
             engine::read_body(&self.chat)
@@ -148,7 +148,7 @@
             ("x-request-id", name.as_str()),
             ("endpoint-load-metrics-format", "TEXT"),
         ];
-        if matches!(self.effect, Effect::Keyed { .. }) {
+        if matches!(self.effect, Idempotency::WithKey { .. }) {
             fields.push(("idempotency-key", self.key.as_str()));
         }
         let epoch = self.epoch.map(|e| e.to_string());
@@ -226,7 +226,7 @@
 
     /// An attempt that read nothing holds nothing. Gives its engine if it counted as a holder.
     pub(crate) fn holds_nothing(&mut self, attempt: usize, outcome: Outcome) -> Option<EngineId> {
-        if !matches!(outcome, Outcome::Full { .. } | Outcome::ConnectFailed | Outcome::Moot) {
+        if !matches!(outcome, Outcome::Rejected { .. } | Outcome::ConnectFailed | Outcome::NotSent) {
             return None;
         }
         let at = self.holders.iter().position(|&(_, _, at)| at == attempt)?;
@@ -241,6 +241,9 @@
     /// Whether trying again could run it twice, for all that this router knows.
     pub(crate) fn must_not_repeat(&self) -> bool {
         let ran = self.attempts.iter().any(|a| !a.read);
-        ran && !matches!(self.effect, Effect::Safe | Effect::Keyed { group: slipreel::Group::All, .. })
+        ran && !matches!(
+            self.effect,
+            Idempotency::Idempotent | Idempotency::WithKey { scope: slipreel::DeduplicationScope::All, .. }
+        )
     }
 }
--- a/crates/gateway/src/carry.rs
+++ b/crates/gateway/src/carry.rs
@@ -4,7 +4,7 @@
 use crate::front::{Alarm, Decided, Front};
 use crate::limits;
 use crate::link::{Link, State, Use};
-use slipreel::{Action, Effect, EngineId, Event, LoadReport, Outcome, ReportSource, RequestId};
+use slipreel::{Action, EngineId, Event, Idempotency, LoadReport, Outcome, ReportSource, RequestId};
 use slipreel_connections::{Errand, Release, ReleaseId, ReleaseStep, Slot};
 use slipreel_protocol::engine::{self, Load};
 use slipreel_protocol::http::{self, Framing};
@@ -25,9 +25,9 @@
 impl Front {
     pub(crate) fn carry_out(&mut self, generation: u64, action: Decided, out: &mut Vec<Output>) {
         match action {
-            Action::Send { request, engine, limit } => self.send(request, engine, limit, out),
+            Action::Send { request, engine, timeout: limit } => self.send(request, engine, limit, out),
             Action::Cancel { request, attempt } => self.cancel(request, attempt, out),
-            Action::Refuse { request, retry_after, over_share } => {
+            Action::Reject { request, retry_after, over_quota: over_share } => {
                 self.refuse(request, retry_after, over_share, out);
             }
             Action::Fail(request) => self.fail(request, out),
@@ -36,12 +36,12 @@
                 self.wheel.set(self.now.saturating_add(after), Alarm::Module(generation, timer));
             }
             Action::Probe(engine) => self.probe(engine, out),
-            Action::CloseIdle(engine) => self.close_idle(engine, out),
+            Action::CloseIdleConnections(engine) => self.close_idle(engine, out),
             Action::Log(line) => out.push(Output::Log(line)),
             // The list is pushed to the front; it is at the module's hands already.
             Action::WatchEngines(_) | Action::FetchEngines => {}
             // Settings say that there are no peers, places ahead or moved streams; the module asks for none.
-            Action::TellPeer { .. } | Action::Reserve { .. } | Action::MoveStream(_) => {}
+            Action::SendToPeer { .. } | Action::Reserve { .. } | Action::MigrateStream(_) => {}
         }
     }
 
@@ -51,9 +51,9 @@
         let (now, via) = (self.now, format!("1.1 {}", self.site.name));
         let Some(call) = self.calls.get_mut(&id) else { return };
         let (attempt, bytes) = call.send(now, engine, addr, role, &via);
-        let call_runs_once = call.effect != Effect::Safe;
+        let call_runs_once = call.effect != Idempotency::Idempotent;
         self.tally.attempts += 1;
-        let read = role == slipreel::Role::Read;
+        let read = role == slipreel::Role::Prefill;
         if read {
             self.pool.holds(engine);
         }
@@ -69,7 +69,7 @@
                 }
             }
             // As many connections as the engine may have: it has no room for this router.
-            None => self.ended(id, attempt, Outcome::Full { no_state: false }, 0.0, None),
+            None => self.ended(id, attempt, Outcome::Rejected { state_missing: false }, 0.0, None),
         }
     }
 
@@ -79,7 +79,7 @@
         let Some(call) = self.calls.get_mut(&id) else { return };
         let attempt = call.attempts.len();
         call.attempts.push(crate::call::Attempt { engine, conn: None, sent: now, read: false, out: true });
-        self.ended(id, attempt, Outcome::Moot, 0.0, None);
+        self.ended(id, attempt, Outcome::NotSent, 0.0, None);
     }
 
     /// Sends bytes to an engine on an idle connection or a new one. `None` if it may have no more.
@@ -127,7 +127,7 @@
         }
         if let Some(&idle) = self.pool.idle(engine).first() {
             self.forget_link(idle);
-            out.push(Output::Finish(idle));
+            out.push(Output::CloseWhenSent(idle));
         }
     }
 
@@ -139,7 +139,7 @@
         }
         let Some(conn) = call.attempts.get(attempt).filter(|a| a.out).and_then(|a| a.conn) else { return };
         let unsent = self.links.get(&conn).is_some_and(|l| l.state == State::Connecting);
-        self.drop_link(conn, out, if unsent { Outcome::Moot } else { Outcome::Cancelled });
+        self.drop_link(conn, out, if unsent { Outcome::NotSent } else { Outcome::Cancelled });
     }
 
     /// Closes a connection at once; what it carried ends so.
@@ -208,7 +208,7 @@
 
     fn probe(&mut self, engine: EngineId, out: &mut Vec<Output>) {
         let Some(addr) = self.members.addr(engine) else {
-            return self.probed(engine, Outcome::Moot, LoadReport::default());
+            return self.probed(engine, Outcome::NotSent, LoadReport::default());
         };
         let (host, epoch) = (addr.to_string(), self.epoch().map(|e| e.to_string()));
         let mut fields = vec![("host", host.as_str())];
@@ -217,18 +217,18 @@
         self.tally.probes += 1;
         self.gauges.probe();
         if self.exchange(engine, addr, Use::Probe, bytes, Wanted::Any, out).is_none() {
-            self.probed(engine, Outcome::Moot, LoadReport::default());
+            self.probed(engine, Outcome::NotSent, LoadReport::default());
         }
     }
 
     pub(crate) fn probed(&mut self, engine: EngineId, outcome: Outcome, report: LoadReport) {
-        self.tell_all(Event::Probed { engine, outcome, report });
+        self.tell_all(Event::ProbeEnded { engine, outcome, report });
     }
 
     pub(crate) fn close_idle(&mut self, engine: EngineId, out: &mut Vec<Output>) {
         for conn in self.pool.idle(engine) {
             self.forget_link(conn);
-            out.push(Output::Finish(conn));
+            out.push(Output::CloseWhenSent(conn));
         }
     }
 
@@ -245,23 +245,23 @@
         self.gauges.attempt(a.read, outcome);
         call.worked(latency);
         self.pool.freed(call.holds_nothing(attempt, outcome));
-        let ended = slipreel::Ended {
+        let ended = slipreel::AttemptEnded {
             request: id,
             attempt,
             outcome,
             latency,
-            finished: call.over,
-            kept_tokens: kept,
+            request_finished: call.over,
+            cached_tokens: kept,
             report,
         };
         let generation = call.generation;
         self.reap.push(id);
-        self.tell(generation, Event::Ended(ended));
+        self.tell(generation, Event::AttemptEnded(ended));
     }
 
     /// A load report as the module takes it; nothing where the site says that answers carry none.
     pub(crate) fn report(&self, load: &Load) -> LoadReport {
-        if self.site.settings.reports != ReportSource::Answers {
+        if self.site.settings.report_source != ReportSource::Answers {
             return LoadReport::default();
         }
         load_report(load)
--- a/crates/gateway/src/classify.rs
+++ b/crates/gateway/src/classify.rs
@@ -3,7 +3,7 @@
 
 use crate::site::Site;
 use serde_json::Value;
-use slipreel::{ClassId, Effect, TenantId};
+use slipreel::{ClassId, Idempotency, TenantId};
 use slipreel_protocol::http::Head;
 use slipreel_protocol::messages::{Ask, ErrorKind, Fault};
 use std::time::Duration;
@@ -87,7 +87,7 @@
             }
         }
     };
-    let keyed = matches!(site.settings.classes[class].effect, Effect::Keyed { .. });
+    let keyed = matches!(site.settings.classes[class].idempotency, Idempotency::WithKey { .. });
     let idempotency_key = head.get("idempotency-key").filter(|_| keyed);
     if idempotency_key.is_some_and(|k| k.is_empty() || k.len() > LONGEST_KEY) {
         return Err(Fault::new(ErrorKind::InvalidRequest, "idempotency-key: expected 1 to 256 bytes"));
--- a/crates/gateway/src/engines.rs
+++ b/crates/gateway/src/engines.rs
@@ -9,7 +9,7 @@
 use slipreel::{Event, LoadReport, Outcome, RequestId};
 use slipreel_protocol::engine::Chunk;
 use slipreel_protocol::messages::{ErrorKind, Fault};
-use slipreel_state_machine::{ConnId, Loss, Output};
+use slipreel_state_machine::{ConnId, ConnectionLoss, Output};
 use std::time::Duration;
 
 impl Front {
@@ -19,7 +19,7 @@
         if let Use::Attempt { call, .. } = link.used_for {
             // Where the module may not cancel, an attempt for a client that has left is not begun any more.
             if self.calls.get(&RequestId(call)).is_none_or(|call| call.over) {
-                return self.drop_link(conn, out, Outcome::Moot);
+                return self.drop_link(conn, out, Outcome::NotSent);
             }
         }
         (link.state, link.since) = (State::Busy, now);
@@ -49,7 +49,7 @@
         self.drop_link(conn, out, Outcome::Reset);
     }
 
-    pub(crate) fn link_lost(&mut self, conn: ConnId, why: Loss, out: &mut Vec<Output>) {
+    pub(crate) fn link_lost(&mut self, conn: ConnId, why: ConnectionLoss, out: &mut Vec<Output>) {
         if let Some(link) = self.forget_link(conn) {
             self.carried_ended(&link, loss_outcome(why), out);
         }
@@ -70,7 +70,7 @@
             }
             State::Idle => {
                 self.forget_link(conn);
-                out.push(Output::Finish(conn));
+                out.push(Output::CloseWhenSent(conn));
             }
         }
     }
@@ -99,7 +99,7 @@
                     // The head of a stream comes long before its end: what it tells of load is told now.
                     let report = self.report(&told);
                     if report != LoadReport::default() {
-                        self.probed(engine, Outcome::Ok, report);
+                        self.probed(engine, Outcome::Completed, report);
                     }
                 }
                 (Said::Report(told), _) => {
@@ -109,7 +109,7 @@
                 }
                 (Said::Load(told), Use::Probe) => {
                     self.exchange_over(conn, out);
-                    self.probed(engine, Outcome::Ok, load_report(&told));
+                    self.probed(engine, Outcome::Completed, load_report(&told));
                     self.note_start(engine, told.started);
                 }
                 (Said::Read { transfer, usage }, Use::Attempt { call, attempt, .. }) => {
@@ -120,7 +120,7 @@
                         let tokens = usage.prompt_tokens.saturating_sub(usage.cached_tokens());
                         self.gauges.read(call.class_name(), tokens);
                     }
-                    self.ended(id, attempt, Outcome::Read, usage.cached_tokens() as f64, load);
+                    self.ended(id, attempt, Outcome::Prefilled, usage.cached_tokens() as f64, load);
                 }
                 (Said::Chunk(chunk), Use::Attempt { call, attempt, .. }) => {
                     if !self.chunk(RequestId(call), attempt, &chunk, &mut piece, out) {
@@ -134,7 +134,13 @@
                 }
                 (Said::Full { no_state }, Use::Attempt { call, attempt, .. }) => {
                     self.turned_away(conn, out);
-                    self.ended(RequestId(call), attempt, Outcome::Full { no_state }, 0.0, load);
+                    self.ended(
+                        RequestId(call),
+                        attempt,
+                        Outcome::Rejected { state_missing: no_state },
+                        0.0,
+                        load,
+                    );
                 }
                 (Said::Wrong(status, message), Use::Attempt { call, attempt, .. }) => {
                     self.turned_away(conn, out);
@@ -194,14 +200,14 @@
             }
         } else {
             self.forget_link(conn);
-            out.push(Output::Finish(conn));
+            out.push(Output::CloseWhenSent(conn));
         }
     }
 
     fn note_start(&mut self, engine: slipreel::EngineId, started: Option<f64>) {
         let Some(wall) = started.and_then(|s| Duration::try_from_secs_f64(s).ok()) else { return };
         let started = wall.saturating_sub(self.epoch_ahead);
-        let cold = self.site.settings.cold_time;
+        let cold = self.site.settings.warmup_time;
         if let Some(event) = self.members.note_start(self.now, engine, started, cold) {
             self.tell_all(event);
         }
@@ -245,7 +251,7 @@
         let whole = self.calls.get(&id).is_some_and(|c| c.begun == Some(attempt) && c.writer.is_whole());
         if whole {
             self.serve_whole(id, out);
-            self.ended(id, attempt, Outcome::Ok, 0.0, None);
+            self.ended(id, attempt, Outcome::Completed, 0.0, None);
         } else {
             self.attempt_broke(id, attempt, Outcome::Error, out);
         }
@@ -260,7 +266,7 @@
         let Some(call) = begun else { return self.ended(id, attempt, outcome, 0.0, None) };
         if call.writer.is_whole() {
             self.serve_whole(id, out);
-            return self.ended(id, attempt, Outcome::Ok, 0.0, None);
+            return self.ended(id, attempt, Outcome::Completed, 0.0, None);
         }
         if !call.stream {
             // Nothing of it has gone out: the module settles whether another attempt follows.
--- a/crates/gateway/src/front.rs
+++ b/crates/gateway/src/front.rs
@@ -10,7 +10,7 @@
 use slipreel_connections::{Client, Due, Pool, ReleaseId, ReleaseQueue, State as ClientState, Wheel};
 use slipreel_consensus::PolicyHandle;
 use slipreel_membership::{Board, Standing};
-use slipreel_state_machine::{ConnId, Input, Loss, Machine, Output};
+use slipreel_state_machine::{ConnId, ConnectionLoss, Input, Machine, Output};
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::sync::Arc;
 use std::time::Duration;
@@ -172,14 +172,14 @@
     pub(crate) fn settings_of(&mut self, site: &Site) -> slipreel::Settings {
         let mut settings = site.settings.clone();
         settings.zone = self.members.zone(&site.zone);
-        settings.routers = self.routers.unwrap_or(settings.routers);
+        settings.router_count = self.routers.unwrap_or(settings.router_count);
         settings
     }
 
     /// The view reckons with another number of routers: all that was learnt stays.
     fn share_with(&mut self, routers: Sharing) {
         self.routers = Some(routers.0);
-        self.brains.iter_mut().for_each(|b| b.router.share_with(routers.0));
+        self.brains.iter_mut().for_each(|b| b.router.set_router_count(routers.0));
     }
 
     /// Whether another process holds this one's name in the fleet, or is not yet known not to.
@@ -220,7 +220,7 @@
             for at in 0..self.brains.len() {
                 let generation = self.brains[at].generation;
                 // An heir is told of the ends of what it has inherited, too; what it asks for on that account is the first one's affair.
-                let inherits = matches!(event, Event::Ended(_) | Event::FirstToken { .. });
+                let inherits = matches!(event, Event::AttemptEnded(_) | Event::FirstToken { .. });
                 if to.is_some_and(|to| to != generation && !(inherits && to < generation)) {
                     continue;
                 }
@@ -296,7 +296,7 @@
 
     fn fire(&mut self, alarm: Alarm, out: &mut Vec<Output>) {
         match alarm {
-            Alarm::Module(generation, timer) => self.tell(generation, Event::Timer(timer)),
+            Alarm::Module(generation, timer) => self.tell(generation, Event::TimerFired(timer)),
             Alarm::Client(conn) => {
                 self.client_alarms.fired(conn);
                 let due = self.clients.get(&conn).and_then(|c| self.client_due(c));
@@ -352,7 +352,7 @@
                 && matches!(l.used_for, Use::Attempt { .. })
         });
         for conn in unsent {
-            self.drop_link(conn, out, slipreel::Outcome::Moot);
+            self.drop_link(conn, out, slipreel::Outcome::NotSent);
         }
         for engine in closed {
             self.close_idle(engine, out);
@@ -393,7 +393,7 @@
             let Some(client) = self.clients.get_mut(&conn) else { continue };
             match client.state {
                 ClientState::Idle => {
-                    out.push(Output::Finish(conn));
+                    out.push(Output::CloseWhenSent(conn));
                     self.forget_client(conn);
                 }
                 _ => client.last_answer(),
@@ -431,9 +431,9 @@
     pub(crate) fn stands(&self) -> Now {
         let engine = |(_, m): (_, &crate::members::Member)| {
             let role = match m.site.role {
-                slipreel::Role::Read => "read",
-                slipreel::Role::Write => "write",
-                slipreel::Role::Both => "both",
+                slipreel::Role::Prefill => "read",
+                slipreel::Role::Decode => "write",
+                slipreel::Role::Mixed => "both",
             };
             let state = match m.site.state {
                 slipreel::EngineState::Ready => "ready",
@@ -483,9 +483,12 @@
             Input::Lost(conn, why) if conn.is_opened() => self.link_lost(conn, why, out),
             Input::Lost(conn, _) => self.client_gone(conn),
             // A client may ask, close its side and only listen: what it sent before is read first.
-            Input::HungUp(_) | Input::Crowded(_) | Input::Wake | Input::Datagram(..) => {}
+            Input::PeerClosedWhilePaused(_)
+            | Input::DescriptorsExhausted(_)
+            | Input::Wake
+            | Input::Datagram(..) => {}
             Input::Stop => self.stop(out),
-            Input::News(news) => {
+            Input::OwnerMessage(news) => {
                 if let Some(list) = news.downcast_ref::<Vec<EngineSite>>() {
                     self.take_list(list, out);
                 } else if let Some(site) = news.downcast_ref::<Arc<Site>>() {
@@ -508,11 +511,11 @@
 }
 
 /// What the loss of a connection that carried something means for the module.
-pub(crate) fn loss_outcome(loss: Loss) -> slipreel::Outcome {
+pub(crate) fn loss_outcome(loss: ConnectionLoss) -> slipreel::Outcome {
     match loss {
-        Loss::NotConnected => slipreel::Outcome::ConnectFailed,
-        Loss::Exhausted => slipreel::Outcome::Moot,
-        Loss::Reset => slipreel::Outcome::Reset,
+        ConnectionLoss::NotConnected => slipreel::Outcome::ConnectFailed,
+        ConnectionLoss::Exhausted => slipreel::Outcome::NotSent,
+        ConnectionLoss::Reset => slipreel::Outcome::Reset,
     }
 }
 
--- a/crates/gateway/src/gauges.rs
+++ b/crates/gateway/src/gauges.rs
@@ -73,16 +73,16 @@
 
 fn outcome_name(outcome: Outcome) -> &'static str {
     match outcome {
-        Outcome::Ok => "ok",
-        Outcome::Read => "read",
+        Outcome::Completed => "ok",
+        Outcome::Prefilled => "read",
         Outcome::Error => "error",
-        Outcome::Full { no_state: false } => "full",
-        Outcome::Full { no_state: true } => "no_state",
+        Outcome::Rejected { state_missing: false } => "full",
+        Outcome::Rejected { state_missing: true } => "no_state",
         Outcome::TimedOut => "timed_out",
         Outcome::ConnectFailed => "connect_failed",
         Outcome::Reset => "reset",
         Outcome::Cancelled => "cancelled",
-        Outcome::Moot => "moot",
+        Outcome::NotSent => "moot",
     }
 }
 
--- a/crates/gateway/src/limits.rs
+++ b/crates/gateway/src/limits.rs
@@ -64,29 +64,29 @@
 /// in common.
 pub fn starting_settings() -> Settings {
     Settings {
-        routers: 1,
+        router_count: 1,
         zone: ZoneId(0),
         tick: ms(5),
         classes: Vec::new(),
         tenants: Vec::new(),
-        over_share_worth: 0.05,
-        kinds: KINDS.to_vec(),
+        over_quota_weight: 0.05,
+        kind_roles: KINDS.to_vec(),
         memory_tokens: vec![],
-        writers_read: false,
-        ask_for_engines: false,
-        reports: ReportSource::Answers,
+        decode_engines_prefill: false,
+        polls_engine_list: false,
+        report_source: ReportSource::Answers,
         limits: Limits {
-            attempts: 6,
-            cancel: true,
+            max_attempts: 6,
+            cancellation: true,
             probes: true,
-            second_copies: false,
-            retry_after: Some(ms(2_000)),
+            hedged_requests: false,
+            max_retry_after: Some(ms(2_000)),
             connect_timeout: ms(250),
         },
-        cold_share: 0.3,
-        cold_time: ms(13_000),
-        cold_budget: Duration::ZERO,
-        let_go_within: ms(500),
+        warmup_initial_share: 0.3,
+        warmup_time: ms(13_000),
+        warmup_budget: Duration::ZERO,
+        held_state_limit: ms(500),
     }
 }
 
--- a/crates/gateway/src/members.rs
+++ b/crates/gateway/src/members.rs
@@ -100,7 +100,7 @@
         let kind = KindId(KINDS.iter().position(|&r| r == member.site.role)?);
         let zone = ZoneId(self.zones.number(&member.site.zone));
         let cell = CellId(self.cells.number(&member.site.cell));
-        Some(Engine { id, state: member.site.state, kind, zone, cell, started: member.started })
+        Some(Engine { id, state: member.site.state, kind, zone, cell, started_at: member.started })
     }
 
     /// An engine has told when it started. Gives the event for the module if that is news that matters: it has
--- a/crates/gateway/src/members/tests.rs
+++ b/crates/gateway/src/members/tests.rs
@@ -18,11 +18,11 @@
 fn a_restart_is_told_once_and_an_old_start_is_not() {
     let s = Duration::from_secs;
     let mut members = Members::default();
-    members.replace(Duration::ZERO, &[site(1, Role::Read, EngineState::Ready)]);
+    members.replace(Duration::ZERO, &[site(1, Role::Prefill, EngineState::Ready)]);
     let id = engine_id(SocketAddr::from(([127, 0, 0, 1], 1)));
     assert!(members.note_start(s(1000), id, s(100), COLD).is_none(), "long ago");
     let event = members.note_start(s(1100), id, s(1099), COLD).expect("a restart");
-    assert_eq!(entries(event)[0].started, Some(s(1099)));
+    assert_eq!(entries(event)[0].started_at, Some(s(1099)));
     assert!(members.note_start(s(1101), id, s(1099), COLD).is_none(), "told already");
     assert!(members.note_start(s(1101), id, s(1098), COLD).is_none(), "the same start, rounded otherwise");
     let event = members.note_start(s(1300), id, s(1290), COLD);
@@ -33,22 +33,23 @@
 fn one_that_joins_counts_as_cold_until_it_tells() {
     let s = Duration::from_secs;
     let mut members = Members::default();
-    members.replace(s(1), &[site(1, Role::Read, EngineState::Ready)]);
-    let (event, _) = members.replace(s(50), &[1, 2].map(|port| site(port, Role::Read, EngineState::Ready)));
-    let started: Vec<_> = entries(event).iter().map(|e| e.started).collect();
+    members.replace(s(1), &[site(1, Role::Prefill, EngineState::Ready)]);
+    let (event, _) =
+        members.replace(s(50), &[1, 2].map(|port| site(port, Role::Prefill, EngineState::Ready)));
+    let started: Vec<_> = entries(event).iter().map(|e| e.started_at).collect();
     assert_eq!(started, [None, Some(s(50))]);
     let id = engine_id(SocketAddr::from(([127, 0, 0, 1], 2)));
     let event = members.note_start(s(51), id, s(2), COLD).expect("it has been up for long");
-    assert_eq!(entries(event)[0].started, Some(s(2)));
+    assert_eq!(entries(event)[0].started_at, Some(s(2)));
     assert!(members.note_start(s(52), id, s(2), COLD).is_none());
 }
 
 #[test]
 fn one_that_drains_or_leaves_or_changes_role_is_named() {
     let mut members = Members::default();
-    let all = [1, 2, 3].map(|port| site(port, Role::Read, EngineState::Ready));
+    let all = [1, 2, 3].map(|port| site(port, Role::Prefill, EngineState::Ready));
     members.replace(Duration::ZERO, &all);
-    let list = [site(1, Role::Read, EngineState::Draining), site(2, Role::Write, EngineState::Ready)];
+    let list = [site(1, Role::Prefill, EngineState::Draining), site(2, Role::Decode, EngineState::Ready)];
     let (event, closed) = members.replace(Duration::from_secs(5), &list);
     let id = |port| engine_id(SocketAddr::from(([127, 0, 0, 1], port)));
     assert_eq!(closed, [id(1), id(3)]);
@@ -57,6 +58,6 @@
         entries.iter().map(|e| (e.state, e.kind.0)).collect::<Vec<_>>(),
         [(EngineState::Draining, 0), (EngineState::Ready, 1)]
     );
-    assert_eq!(entries[1].started, Some(Duration::from_secs(5)), "a new role comes with a new start");
+    assert_eq!(entries[1].started_at, Some(Duration::from_secs(5)), "a new role comes with a new start");
     assert!(members.role(id(3)).is_none());
 }
--- a/crates/gateway/src/policy.rs
+++ b/crates/gateway/src/policy.rs
@@ -5,7 +5,7 @@
 use crate::serve::retry_after;
 use crate::site::Site;
 use serde_json::{json, Value};
-use slipreel::{Action, Places};
+use slipreel::{Action, SettingsMapping};
 use slipreel_connections::{Received, State};
 use slipreel_consensus::policy_state::Proposal;
 use slipreel_consensus::wire::OperatorRequest;
@@ -70,7 +70,7 @@
         let place = |name: &String, all: &[String]| all.iter().position(|n| n == name);
         let classes: Vec<String> = self.site.classes.iter().map(|c| c.name.clone()).collect();
         let tenants: Vec<String> = self.site.tenants.iter().map(|t| t.name.clone()).collect();
-        let places = Places {
+        let places = SettingsMapping {
             classes: site.classes.iter().map(|c| place(&c.name, &classes)).collect(),
             tenants: site.tenants.iter().map(|t| place(&t.name, &tenants)).collect(),
         };
@@ -79,7 +79,7 @@
         let mut actions: Vec<Action> = Vec::new();
         let seed = self.seed.wrapping_add(generation);
         let Some(last) = self.brains.last() else { return };
-        let router = last.router.heir(self.now, settings, &places, seed, &mut actions);
+        let router = last.router.successor(self.now, settings, &places, seed, &mut actions);
         self.brains.push(Brain { generation, router });
         let listed = site.taken_out != self.site.taken_out;
         self.site = site;
@@ -97,7 +97,7 @@
         let id = match action {
             Action::Send { request, .. }
             | Action::Cancel { request, .. }
-            | Action::Refuse { request, .. } => request,
+            | Action::Reject { request, .. } => request,
             Action::Fail(request) | Action::Release(request) => request,
             _ => return false,
         };
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -10,11 +10,11 @@
 use slipreel_connections::{Received, State};
 use slipreel_protocol::http::{self, Malformed};
 use slipreel_protocol::messages::{Ask, ErrorKind, Fault};
-use slipreel_state_machine::{ConnId, Door, Output};
+use slipreel_state_machine::{ConnId, ListenerId, Output};
 use std::time::Duration;
 
 /// The door of operators; clients come by the first.
-const OPERATORS: Door = Door(1);
+const OPERATORS: ListenerId = ListenerId(1);
 
 impl Front {
     // ---- In ---------------------------------------------------------------------------------
@@ -255,7 +255,7 @@
             site: self.site.clone(),
             epoch: self.epoch(),
             class: traits.class.0,
-            effect: self.site.settings.classes[traits.class.0].effect,
+            effect: self.site.settings.classes[traits.class.0].idempotency,
             stream: ask.stream,
             now: self.now,
             time_left: traits.time_left,
@@ -276,10 +276,10 @@
             shared_prefix: traits.shared_prefix,
             prompt_tokens: traits.prompt_tokens,
             max_output_tokens: f64::from(ask.max_tokens),
-            time_left: traits.time_left,
-            whole: (!ask.stream).then(|| traits.told.unwrap_or(traits.time_left)),
-            repeat: traits.repeat,
-            resumes: false,
+            client_timeout: traits.time_left,
+            complete_answer_timeout: (!ask.stream).then(|| traits.told.unwrap_or(traits.time_left)),
+            is_retry: traits.repeat,
+            is_resumption: false,
         };
         self.tell(generation, Event::Request(request));
         Ok(())
@@ -295,7 +295,7 @@
             State::Serving(_) if half_close => {}
             // Between requests, or in the midst of one that can't be ended any more.
             _ => {
-                out.push(Output::Finish(conn));
+                out.push(Output::CloseWhenSent(conn));
                 self.client_gone(conn);
             }
         }
@@ -315,7 +315,7 @@
         let (generation, begun) = (call.generation, call.begun);
         let conn = begun.and_then(|a| call.attempts[a].conn);
         self.reap.push(id);
-        self.tell(generation, Event::ClientGone(id));
+        self.tell(generation, Event::ClientDisconnected(id));
         // The module leaves a stream that has begun to its client, and this one is gone.
         if let Some(conn) = conn {
             self.orphans.push(conn);
@@ -341,7 +341,7 @@
                 self.malformed(conn, &why, out);
             }
             State::Idle if client.unsent == 0 => {
-                out.push(Output::Finish(conn));
+                out.push(Output::CloseWhenSent(conn));
                 self.forget_client(conn);
             }
             // It takes nothing of what waits for it.
@@ -482,7 +482,7 @@
         let generation = call.generation;
         self.answer_fault(id, &fault, None, Final::Failed, out);
         // To the module its client is as good as gone: no attempt follows, and what is held is let go of.
-        self.tell(generation, Event::ClientGone(id));
+        self.tell(generation, Event::ClientDisconnected(id));
         if let Some(conn) = conn {
             self.drop_link(conn, out, Outcome::Cancelled);
         }
@@ -497,7 +497,7 @@
             let Some(call) = self.calls.get(&id) else { continue };
             let (generation, conn) = (call.generation, call.begun.and_then(|a| call.attempts[a].conn));
             // For the module the client is as good as gone: it cancels and lets go.
-            self.tell(generation, Event::ClientGone(id));
+            self.tell(generation, Event::ClientDisconnected(id));
             if let Some(conn) = conn {
                 self.drop_link(conn, out, Outcome::Cancelled);
             }
@@ -505,7 +505,7 @@
         let mut rest: Vec<ConnId> = self.clients.keys().copied().collect();
         rest.sort();
         for conn in rest {
-            out.push(Output::Finish(conn));
+            out.push(Output::CloseWhenSent(conn));
             self.forget_client(conn);
         }
     }
--- a/crates/gateway/src/site.rs
+++ b/crates/gateway/src/site.rs
@@ -32,7 +32,7 @@
 }
 
 /// The kinds of engine, by role: `KindId` is the position here.
-pub const KINDS: [Role; 3] = [Role::Read, Role::Write, Role::Both];
+pub const KINDS: [Role; 3] = [Role::Prefill, Role::Decode, Role::Mixed];
 
 /// What the front knows of a class beside what the module does.
 #[derive(Clone, Debug)]
--- a/crates/gateway/tests/connections.rs
+++ b/crates/gateway/tests/connections.rs
@@ -2,11 +2,11 @@
 
 use slipreel_gateway::site::*;
 use slipreel_gateway::{Front, Site};
-use slipreel_state_machine::{ConnId, Door, Input, Loss, Machine, Output};
+use slipreel_state_machine::{ConnId, ConnectionLoss, Input, ListenerId, Machine, Output};
 use std::sync::Arc;
 use std::time::Duration;
 
-const CLIENTS: Door = Door(0);
+const CLIENTS: ListenerId = ListenerId(0);
 const CLIENT: ConnId = ConnId(1);
 
 fn ms(n: u64) -> Duration {
@@ -16,10 +16,10 @@
 fn site() -> Site {
     let start = starting_class();
     let class = slipreel::Class {
-        aim: start.aim,
-        aim_per_1000: start.aim_per_1000,
-        worth: 1.0,
-        effect: slipreel::Effect::Safe,
+        latency_objective: start.aim,
+        latency_objective_per_1000_tokens: start.aim_per_1000,
+        priority_weight: 1.0,
+        idempotency: slipreel::Idempotency::Idempotent,
         streams: true,
     };
     let engine = |port: u16, role| EngineSite {
@@ -35,7 +35,7 @@
         classes: vec![ClassSite { name: "chat".into(), patience: start.patience }],
         models: vec![ModelSite { name: "m".into(), class: 0, served_as: "engine-m".into() }],
         tenants: Vec::new(),
-        engines: vec![engine(1, slipreel::Role::Read), engine(2, slipreel::Role::Write)],
+        engines: vec![engine(1, slipreel::Role::Prefill), engine(2, slipreel::Role::Decode)],
         bounds: Bounds { requests: 3, body: 10_000, unsent: 2_000, ..Bounds::default() },
         taken_out: Vec::new(),
         roles_frozen: false,
@@ -124,7 +124,7 @@
     let mut host = Host::new(site());
     let answer = host.ask("POST /v1/messages HTTP/1.1\r\nhost: a\r\ncontent-length: 104857600\r\n\r\n");
     assert!(answer.starts_with("HTTP/1.1 413 ") && answer.contains("request_too_large"), "{answer}");
-    assert!(host.out.contains(&Output::Finish(CLIENT)));
+    assert!(host.out.contains(&Output::CloseWhenSent(CLIENT)));
 }
 
 #[test]
@@ -156,13 +156,13 @@
     host.ask("GET /health HT");
     let out = host.pass(Bounds::default().receive + ms(5));
     assert!(
-        text(&out, CLIENT).starts_with("HTTP/1.1 408 ") && out.contains(&Output::Finish(CLIENT)),
+        text(&out, CLIENT).starts_with("HTTP/1.1 408 ") && out.contains(&Output::CloseWhenSent(CLIENT)),
         "{out:?}"
     );
     let mut host = Host::new(site());
     host.tell(Input::Accepted(CLIENT, CLIENTS));
     assert!(host.pass(Bounds::default().client_idle - ms(5)).is_empty());
-    assert!(host.pass(ms(10)).contains(&Output::Finish(CLIENT)));
+    assert!(host.pass(ms(10)).contains(&Output::CloseWhenSent(CLIENT)));
     assert_eq!(host.front.holds().0, 0);
 }
 
@@ -188,7 +188,7 @@
     for _ in 0..40 {
         let out = std::mem::take(&mut host.out);
         for (conn, _) in connects(&out) {
-            host.tell(Input::Lost(conn, Loss::Exhausted));
+            host.tell(Input::Lost(conn, ConnectionLoss::Exhausted));
         }
         host.pass(ms(50));
         answer.push_str(&text(&host.out, CLIENT));
@@ -252,7 +252,7 @@
     let mut host = Host::new(site());
     let writer = up_to_the_stream(&mut host);
     host.tell(Input::Data(writer, &token(1)));
-    let out = host.tell(Input::Lost(writer, Loss::Reset));
+    let out = host.tell(Input::Lost(writer, ConnectionLoss::Reset));
     let end = text(&out, CLIENT);
     assert!(
         end.contains("event: error\n") && end.ends_with("0\r\n\r\n") && !end.contains("message_stop"),
@@ -267,7 +267,7 @@
     host.tell(Input::Data(writer, &token(1)));
     host.tell(Input::Accepted(ConnId(2), CLIENTS));
     let out = host.tell(Input::Stop);
-    assert!(out.contains(&Output::Finish(ConnId(2))) && !out.contains(&Output::Stopped));
+    assert!(out.contains(&Output::CloseWhenSent(ConnId(2))) && !out.contains(&Output::Stopped));
     assert!(host.tell(Input::Accepted(ConnId(3), CLIENTS)).contains(&Output::Abort(ConnId(3))));
     let end = "data: {\"choices\":[{\"delta\":{},\"finish_reason\":\"stop\"}]}\n\ndata: [DONE]\n\n";
     let mut bytes = slipreel_protocol::http::chunk(end.as_bytes());
@@ -300,7 +300,7 @@
 
 /// What operators get to see; metrics are not on the clients' port.
 fn published(host: &mut Host) -> String {
-    host.tell(Input::Accepted(ConnId(2), Door(1)));
+    host.tell(Input::Accepted(ConnId(2), ListenerId(1)));
     let out = host.tell(Input::Data(ConnId(2), b"GET /metrics HTTP/1.1\r\nhost: a\r\n\r\n"));
     text(&out, ConnId(2))
 }
@@ -358,7 +358,7 @@
     host.tell(Input::Data(reader, answer.as_bytes()));
     // The client leaves while the state waits at the reader, whose links are cut for a second.
     host.out.clear();
-    host.tell(Input::Lost(CLIENT, Loss::Reset));
+    host.tell(Input::Lost(CLIENT, ConnectionLoss::Reset));
     let mut tries = 0;
     for _ in 0..5 {
         let opened: Vec<(ConnId, u16)> = connects(&std::mem::take(&mut host.out));
@@ -392,7 +392,7 @@
     host.tell(Input::Accepted(other, CLIENTS));
     let out = host.tell(Input::Data(other, post(BODY).as_bytes()));
     assert_eq!(connects(&out).iter().filter(|(_, port)| *port == 1).count(), 1, "{out:?}");
-    let out = host.tell(Input::Lost(CLIENT, Loss::Reset));
+    let out = host.tell(Input::Lost(CLIENT, ConnectionLoss::Reset));
     assert!(text(&out, reader).starts_with("POST /abort_requests "), "{out:?}");
 }
 
@@ -401,9 +401,9 @@
 
 /// A first request is served whole, and a second one read: gives the host, the writer's kept connection, and what came of
 /// the second read.
-fn up_to_a_second_write(effect: slipreel::Effect) -> (Host, ConnId, Vec<Output>) {
+fn up_to_a_second_write(effect: slipreel::Idempotency) -> (Host, ConnId, Vec<Output>) {
     let mut site = site();
-    site.settings.classes[0].effect = effect;
+    site.settings.classes[0].idempotency = effect;
     let mut host = Host::new(site);
     let writer = up_to_the_stream(&mut host);
     host.tell(Input::Data(writer, &token(1)));
@@ -425,9 +425,13 @@
 /// An answer which says that nothing ran is no proof where it may be one left over from the exchange before.
 #[test]
 fn a_write_that_must_not_be_repeated_goes_out_on_a_connection_that_carried_nothing_before() {
-    let keyed = slipreel::Effect::Keyed { group: slipreel::Group::Cell, window: ms(5_000) };
-    for (effect, opens) in [(slipreel::Effect::Safe, false), (slipreel::Effect::Unsafe, true), (keyed, true)]
-    {
+    let keyed =
+        slipreel::Idempotency::WithKey { scope: slipreel::DeduplicationScope::Cell, window: ms(5_000) };
+    for (effect, opens) in [
+        (slipreel::Idempotency::Idempotent, false),
+        (slipreel::Idempotency::NotIdempotent, true),
+        (keyed, true),
+    ] {
         let (_, writer, out) = up_to_a_second_write(effect);
         assert_eq!(connects(&out).len(), usize::from(opens), "{effect:?}: {out:?}");
         assert_eq!(text(&out, writer).is_empty(), opens, "{effect:?}");
@@ -436,7 +440,7 @@
 
 #[test]
 fn a_kept_connection_that_turns_an_attempt_away_is_closed() {
-    let (mut host, writer, _) = up_to_a_second_write(slipreel::Effect::Safe);
+    let (mut host, writer, _) = up_to_a_second_write(slipreel::Idempotency::Idempotent);
     let full = r#"{"error":{"type":"overloaded_error","message":"full"}}"#;
     let full = full.replace("overloaded_error", slipreel_protocol::engine::FULL);
     let answer = format!("HTTP/1.1 503 Busy\r\ncontent-length: {}\r\n\r\n{full}", full.len());
@@ -447,11 +451,11 @@
 #[test]
 fn nothing_is_begun_for_a_client_that_left_while_the_connection_came_up() {
     let mut site = site();
-    site.settings.limits.cancel = false;
+    site.settings.limits.cancellation = false;
     let mut host = Host::new(site);
     host.ask(&post(BODY));
     let (reader, _) = connects(&host.out)[0];
-    host.tell(Input::Lost(CLIENT, Loss::Reset));
+    host.tell(Input::Lost(CLIENT, ConnectionLoss::Reset));
     let out = host.tell(Input::Connected(reader));
     assert_eq!(text(&out, reader), "");
 }
--- a/crates/membership/benches/size.rs
+++ b/crates/membership/benches/size.rs
@@ -6,7 +6,7 @@
 use rand_xoshiro::rand_core::{RngCore, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
 use slipreel_membership::{pace, Board, Fleet, Kept, Peers, Settings, State};
-use slipreel_state_machine::{Door, Input, Machine, Output};
+use slipreel_state_machine::{Input, ListenerId, Machine, Output};
 use slipreel_test_servers::memory::{Delays, World};
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -53,7 +53,7 @@
         while now >= self.next {
             self.next += pace::ROUND;
             for to in (0..self.heard.len()).filter(|&to| to != self.me) {
-                out.push(Output::Datagram(Door(0), addr(to), vec![0; 16]));
+                out.push(Output::Datagram(ListenerId(0), addr(to), vec![0; 16]));
             }
         }
     }
@@ -143,7 +143,7 @@
             bytes.extend(known.incarnation.to_le_bytes());
             bytes.extend((known.health as u32).to_le_bytes());
         }
-        out.push(Output::Datagram(Door(0), addr(to), bytes));
+        out.push(Output::Datagram(ListenerId(0), addr(to), bytes));
     }
 
     fn learn(&mut self, now: Duration, n: usize, incarnation: u32, health: Health) {
--- a/crates/membership/src/fleet.rs
+++ b/crates/membership/src/fleet.rs
@@ -9,7 +9,7 @@
 use rand_xoshiro::rand_core::{RngCore, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
 use slipreel_protocol::fleet::{frame, Bad, Beat, Flags, Life, Message, BEAT};
-use slipreel_state_machine::{Door, Input, Machine, Output};
+use slipreel_state_machine::{Input, ListenerId, Machine, Output};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -68,7 +68,7 @@
 const LINES: usize = 24;
 /// Lives asked for in one message.
 const ASKS: usize = 32;
-const DOOR: Door = Door(0);
+const DOOR: ListenerId = ListenerId(0);
 
 /// A member of a fleet.
 pub struct Fleet {
@@ -691,7 +691,7 @@
                     self.tally.exchanges += 1;
                     if answer {
                         out.push(Output::Write(conn, self.whole_frame(now)));
-                        out.push(Output::Finish(conn));
+                        out.push(Output::CloseWhenSent(conn));
                     }
                     if !quiet {
                         self.take(now, &message, false, out);
@@ -704,7 +704,7 @@
                 self.stopping = true;
                 self.leave(out);
             }
-            Input::News(news) => {
+            Input::OwnerMessage(news) => {
                 if let Some(peers) = news.downcast_ref::<Arc<Peers>>() {
                     self.peers = (**peers).clone();
                     out.push(Output::Log(format!(
@@ -714,7 +714,11 @@
                     )));
                 }
             }
-            Input::Datagram(..) | Input::Sent(..) | Input::HungUp(_) | Input::Crowded(_) | Input::Wake => {}
+            Input::Datagram(..)
+            | Input::Sent(..)
+            | Input::PeerClosedWhilePaused(_)
+            | Input::DescriptorsExhausted(_)
+            | Input::Wake => {}
         }
         self.wake(now, out);
     }
--- a/crates/membership/src/sync.rs
+++ b/crates/membership/src/sync.rs
@@ -78,7 +78,7 @@
 
     fn end(&mut self, conn: ConnId, out: &mut Vec<Output>) {
         self.lost(conn);
-        out.push(Output::Finish(conn));
+        out.push(Output::CloseWhenSent(conn));
     }
 
     /// A connection is over.
--- a/crates/membership/tests/asleep.rs
+++ b/crates/membership/tests/asleep.rs
@@ -1,7 +1,7 @@
 //! A process that was challenged for its name and then did not run for a while does not take the name from the one that holds it.
 
 use slipreel_membership::{Board, Fleet, Kept, Peers, Settings, Standing};
-use slipreel_state_machine::{Door, Input, Machine, Output};
+use slipreel_state_machine::{Input, ListenerId, Machine, Output};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -51,7 +51,7 @@
             let there = |(port, _): &&mut (u16, Fleet)| addr(*port) == to && !asleep.contains(port);
             let Some((port, m)) = members.iter_mut().find(there) else { continue };
             let mut out = Vec::new();
-            m.handle(*now, Input::Datagram(Door(0), from, &bytes), &mut out);
+            m.handle(*now, Input::Datagram(ListenerId(0), from, &bytes), &mut out);
             mail.extend(out.into_iter().filter_map(|o| sent(*port, o)));
         }
     }
--- a/crates/platform-settings/src/lib.rs
+++ b/crates/platform-settings/src/lib.rs
@@ -5,7 +5,9 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-use slipreel::{Class, Effect, Group, Limits, ReportSource, Role, Settings, Tenant, ZoneId};
+use slipreel::{
+    Class, DeduplicationScope, Idempotency, Limits, ReportSource, Role, Settings, Tenant, ZoneId,
+};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -187,9 +189,9 @@
         .list("extra.role_by_kind")
         .into_iter()
         .map(|role| match role {
-            "read" => Ok(Role::Read),
-            "write" => Ok(Role::Write),
-            "both" => Ok(Role::Both),
+            "read" => Ok(Role::Prefill),
+            "write" => Ok(Role::Decode),
+            "both" => Ok(Role::Mixed),
             other => Err(BadSetting(format!("extra.role_by_kind: '{other}' is not known"))),
         })
         .collect::<Result<Vec<_>, _>>()?;
@@ -203,36 +205,36 @@
     ];
     let hears = pairs.flag("limits.retry_after")?;
     let limits = Limits {
-        attempts: pairs.count("limits.send_cap", Some(2.0))? as usize,
-        cancel: pairs.flag("limits.cancelling")?,
+        max_attempts: pairs.count("limits.send_cap", Some(2.0))? as usize,
+        cancellation: pairs.flag("limits.cancelling")?,
         probes: pairs.flag("limits.may_probe")?,
-        second_copies: pairs.flag("limits.second_copies")?,
-        retry_after: hears.then(|| pairs.millis("limits.max_retry_after", Some(0.0))).transpose()?,
+        hedged_requests: pairs.flag("limits.second_copies")?,
+        max_retry_after: hears.then(|| pairs.millis("limits.max_retry_after", Some(0.0))).transpose()?,
         connect_timeout: pairs.millis("limits.connect_timeout", Some(250.0))?,
     };
     let settings = Settings {
-        routers: pairs.count("balancers", Some(1.0))?.max(1),
+        router_count: pairs.count("balancers", Some(1.0))?.max(1),
         zone: ZoneId(pairs.count("zone", Some(0.0))?),
         tick: pairs.millis("tick", Some(1.0))?,
         classes,
         tenants,
-        over_share_worth: pairs.number("over_share_worth", Some(1.0))?,
-        kinds,
+        over_quota_weight: pairs.number("over_share_worth", Some(1.0))?,
+        kind_roles: kinds,
         memory_tokens: pairs.numbers("extra.tokens_by_kind")?,
-        writers_read: pairs.flag("extra.local_read")?,
-        ask_for_engines: pairs.word(
+        decode_engines_prefill: pairs.flag("extra.local_read")?,
+        polls_engine_list: pairs.word(
             "discovery",
             &[("automatic", false), ("subscribe", true)],
             Some(false),
         )?,
-        reports: pairs.word("report.source", &sources, Some(ReportSource::None))?,
+        report_source: pairs.word("report.source", &sources, Some(ReportSource::None))?,
         limits,
-        cold_share: pairs.number("rules.cold_share", Some(0.0))?.min(1.0),
-        cold_time: pairs.millis("rules.cold", Some(0.0))?,
-        cold_budget: pairs
+        warmup_initial_share: pairs.number("rules.cold_share", Some(0.0))?.min(1.0),
+        warmup_time: pairs.millis("rules.cold", Some(0.0))?,
+        warmup_budget: pairs
             .millis("rules.fall", Some(0.0))?
             .mul_f64(pairs.number("rules.fall_multiple", Some(0.0))?.clamp(0.0, 1e3)),
-        let_go_within: pairs.millis("extra.let_go_by", Some(0.0))?,
+        held_state_limit: pairs.millis("extra.let_go_by", Some(0.0))?,
     };
     let names = |key: &str| pairs.list(key).into_iter().map(str::to_owned).collect::<Vec<_>>();
     let column_names = names("report.columns");
@@ -261,11 +263,11 @@
 
 /// Two classes of one name that may be repeated differently leave open which of them a request is of.
 fn check_class_names(pairs: &Pairs, classes: &[Class]) -> Result<(), BadSetting> {
-    let mut effects: BTreeMap<&str, (usize, Effect)> = BTreeMap::new();
+    let mut effects: BTreeMap<&str, (usize, Idempotency)> = BTreeMap::new();
     for (i, class) in classes.iter().enumerate() {
         let name = pairs.get(&format!("classes.{i}.name")).unwrap_or_default();
-        let &mut (first, effect) = effects.entry(name).or_insert((i, class.effect));
-        if effect != class.effect {
+        let &mut (first, effect) = effects.entry(name).or_insert((i, class.idempotency));
+        if effect != class.idempotency {
             return Err(BadSetting(format!(
                 "classes.{i}.name: '{name}' is also the name of classes.{first}, which may be repeated differently: \
                  expected a name of its own, or the same idempotency, group and window"
@@ -277,17 +279,21 @@
 
 /// How often a request of a class may run. What is not told gets the strictest meaning: unsafe; the group of one cell; a
 /// window of nothing.
-fn effect(pairs: &Pairs, i: usize) -> Result<Effect, BadSetting> {
+fn effect(pairs: &Pairs, i: usize) -> Result<Idempotency, BadSetting> {
     let key = |field: &str| format!("classes.{i}.{field}");
-    let groups = [("all", Group::All), ("zone", Group::Zone), ("cell", Group::Cell)];
+    let groups = [
+        ("all", DeduplicationScope::All),
+        ("zone", DeduplicationScope::Zone),
+        ("cell", DeduplicationScope::Cell),
+    ];
     let kinds = [("safe", 0), ("keyed", 1), ("unsafe", 2)];
     Ok(match pairs.word(&key("idempotency"), &kinds, Some(2))? {
-        0 => Effect::Safe,
-        1 => Effect::Keyed {
-            group: pairs.word(&key("group"), &groups, Some(Group::Cell))?,
+        0 => Idempotency::Idempotent,
+        1 => Idempotency::WithKey {
+            scope: pairs.word(&key("group"), &groups, Some(DeduplicationScope::Cell))?,
             window: pairs.millis(&key("window"), Some(0.0))?,
         },
-        _ => Effect::Unsafe,
+        _ => Idempotency::NotIdempotent,
     })
 }
 
@@ -296,11 +302,13 @@
     let name = pairs.get(&key("name")).unwrap_or_default();
     let effect = effect(pairs, i).map_err(|bad| BadSetting(format!("{} (of class '{name}')", bad.0)))?;
     Ok(Class {
-        aim: pairs.millis(&key("target"), None)?,
-        aim_per_1000: Duration::try_from_secs_f64(stretch.get(i).copied().unwrap_or(0.0) / 1e6)
-            .map_err(|_| BadSetting("extra.aim_us_per_1000_prompt_tokens: too long".into()))?,
-        worth: pairs.number(&key("worth"), None)?,
-        effect,
+        latency_objective: pairs.millis(&key("target"), None)?,
+        latency_objective_per_1000_tokens: Duration::try_from_secs_f64(
+            stretch.get(i).copied().unwrap_or(0.0) / 1e6,
+        )
+        .map_err(|_| BadSetting("extra.aim_us_per_1000_prompt_tokens: too long".into()))?,
+        priority_weight: pairs.number(&key("worth"), None)?,
+        idempotency: effect,
         streams: pairs.flag(&key("streaming"))?,
     })
 }
--- a/crates/platform-settings/src/tests.rs
+++ b/crates/platform-settings/src/tests.rs
@@ -29,10 +29,10 @@
 fn missing_keys_get_neutral_values() {
     let profile = parse(LEAST).unwrap();
     let s = &profile.settings;
-    assert_eq!(s.kinds, [Role::Read, Role::Write]);
-    assert_eq!(s.classes[0].effect, Effect::Unsafe);
-    assert!(!s.limits.cancel && !s.limits.probes && s.limits.retry_after.is_none());
-    assert_eq!(s.reports, ReportSource::None);
+    assert_eq!(s.kind_roles, [Role::Prefill, Role::Decode]);
+    assert_eq!(s.classes[0].idempotency, Idempotency::NotIdempotent);
+    assert!(!s.limits.cancellation && !s.limits.probes && s.limits.max_retry_after.is_none());
+    assert_eq!(s.report_source, ReportSource::None);
 }
 
 #[test]
@@ -71,11 +71,11 @@
 
 #[test]
 fn every_effect_is_read() {
-    let with = |tail: &str| parse(&format!("{LEAST}{tail}")).unwrap().settings.classes[0].effect;
-    assert_eq!(with("classes.0.idempotency=safe\n"), Effect::Safe);
+    let with = |tail: &str| parse(&format!("{LEAST}{tail}")).unwrap().settings.classes[0].idempotency;
+    assert_eq!(with("classes.0.idempotency=safe\n"), Idempotency::Idempotent);
     assert_eq!(
         with("classes.0.idempotency=keyed\nclasses.0.group=zone\nclasses.0.window=2500\n"),
-        Effect::Keyed { group: Group::Zone, window: Duration::from_millis(2500) }
+        Idempotency::WithKey { scope: DeduplicationScope::Zone, window: Duration::from_millis(2500) }
     );
 }
 
@@ -110,8 +110,8 @@
 
 #[test]
 fn what_is_not_told_of_repeats_has_the_strictest_meaning() {
-    let effect = |tail: &str| parse(&format!("{LEAST}{tail}")).unwrap().settings.classes[0].effect;
-    assert_eq!(effect(""), Effect::Unsafe);
-    let strictest = Effect::Keyed { group: Group::Cell, window: Duration::ZERO };
+    let effect = |tail: &str| parse(&format!("{LEAST}{tail}")).unwrap().settings.classes[0].idempotency;
+    assert_eq!(effect(""), Idempotency::NotIdempotent);
+    let strictest = Idempotency::WithKey { scope: DeduplicationScope::Cell, window: Duration::ZERO };
     assert_eq!(effect("classes.0.idempotency=keyed\n"), strictest);
 }
--- a/crates/platform/src/ask.rs
+++ b/crates/platform/src/ask.rs
@@ -109,9 +109,9 @@
             // One token is four characters.
             prompt_tokens: prompt.unwrap_or(received.body.len() as f64 / 4.0),
             max_output_tokens: most.unwrap_or(0.0),
-            time_left,
-            repeat: once("x-retry")? == Some("1"),
-            resumes: once("x-retry")? == Some("again"),
+            client_timeout: time_left,
+            is_retry: once("x-retry")? == Some("1"),
+            is_resumption: once("x-retry")? == Some("again"),
             ..Request::default()
         },
     })
--- a/crates/platform/src/ask/tests.rs
+++ b/crates/platform/src/ask/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use slipreel_connections::{Client, State};
 use slipreel_protocol::http::Limits;
-use slipreel_state_machine::{ConnId, Door};
+use slipreel_state_machine::{ConnId, ListenerId};
 
 fn profile() -> Profile {
     slipreel_platform_settings::parse(
@@ -13,7 +13,7 @@
 }
 
 fn received(fields: &str) -> Received {
-    let mut client = Client::new(ConnId(1), Door(0), Duration::ZERO, Limits::default(), 1000);
+    let mut client = Client::new(ConnId(1), ListenerId(0), Duration::ZERO, Limits::default(), 1000);
     let text =
         format!("POST /v1/chat/completions HTTP/1.1\r\nHost: a\r\n{fields}Content-Length: 8\r\n\r\n12345678");
     client.feed(Duration::ZERO, text.as_bytes(), &mut Vec::new());
@@ -35,12 +35,12 @@
         (r.shared_prefix, r.prompt_tokens, r.max_output_tokens),
         (Some(0x5c0f_6e1a_2b3d_4c59), 5120.0, 800.0)
     );
-    assert_eq!((r.time_left, r.repeat), (Duration::from_millis(4800), false));
+    assert_eq!((r.client_timeout, r.is_retry), (Duration::from_millis(4800), false));
     let more = format!("{GOOD}X-Retry: 1\r\n").replace("4800m", "1500u");
     let ask = read(&profile(), &received(&more)).unwrap();
-    assert_eq!((ask.request.time_left, ask.request.repeat), (Duration::from_micros(1500), true));
+    assert_eq!((ask.request.client_timeout, ask.request.is_retry), (Duration::from_micros(1500), true));
     let again = read(&profile(), &received(&more.replace("X-Retry: 1", "X-Retry: again"))).unwrap().request;
-    assert_eq!((again.repeat, again.resumes), (false, true));
+    assert_eq!((again.is_retry, again.is_resumption), (false, true));
     let short = GOOD.split("X-Extras").next().unwrap();
     assert_eq!(read(&profile(), &received(short)).unwrap().request.prompt_tokens, 2.0, "by its body");
 }
--- a/crates/platform/src/call.rs
+++ b/crates/platform/src/call.rs
@@ -16,6 +16,19 @@
     FORWARDED.into_iter().filter_map(field).collect()
 }
 
+/// An outcome as it is written in the log. `slipreel losses` groups requests by these words.
+fn outcome_name(outcome: Outcome) -> String {
+    match outcome {
+        Outcome::Completed => "Ok".to_owned(),
+        Outcome::Prefilled => "Read".to_owned(),
+        Outcome::Rejected { state_missing } => format!("Full {{ no_state: {state_missing} }}"),
+        Outcome::NotSent => "Moot".to_owned(),
+        Outcome::Error | Outcome::TimedOut | Outcome::ConnectFailed | Outcome::Reset | Outcome::Cancelled => {
+            format!("{outcome:?}")
+        }
+    }
+}
+
 /// An attempt, as far as the wire goes.
 #[derive(Debug)]
 pub(crate) struct Attempt {
@@ -179,7 +192,7 @@
         let attempts = self.attempts.iter().map(|a| {
             let (kind, age) =
                 (if a.reads { "read" } else { "write" }, now.saturating_sub(a.sent).as_millis());
-            let end = a.outcome.map_or_else(|| "out".to_owned(), |o| format!("{o:?}"));
+            let end = a.outcome.map_or_else(|| "out".to_owned(), outcome_name);
             format!("{kind} {age} ms ago {end}")
         });
         let attempts: Vec<String> = attempts.collect();
--- a/crates/platform/src/carry.rs
+++ b/crates/platform/src/carry.rs
@@ -4,7 +4,7 @@
 use crate::node::{Alarm, Node};
 use crate::proof::{AttemptEnd, NeverRan};
 use crate::room;
-use slipreel::{Action, Ended, EngineId, Event, LoadReport, Outcome, ReportSource, RequestId, Role};
+use slipreel::{Action, AttemptEnded, EngineId, Event, LoadReport, Outcome, ReportSource, RequestId, Role};
 use slipreel_connections::{Errand, Slot};
 use slipreel_protocol::http::{self, Framing};
 use slipreel_state_machine::{ConnId, Output};
@@ -14,9 +14,9 @@
 impl Node {
     pub(crate) fn carry_out(&mut self, action: Action, out: &mut Vec<Output>) {
         match action {
-            Action::Send { request, engine, limit } => self.send(request, engine, limit, out),
+            Action::Send { request, engine, timeout: limit } => self.send(request, engine, limit, out),
             Action::Cancel { request, attempt } => self.cancel(request, attempt, out),
-            Action::Refuse { request, retry_after, over_share } => {
+            Action::Reject { request, retry_after, over_quota: over_share } => {
                 self.refuse(request, retry_after, over_share, out);
             }
             Action::Fail(request) => self.fail(request, out),
@@ -25,12 +25,14 @@
                 self.wheel.set(self.now + after, Alarm::Module(timer));
             }
             Action::Probe(engine) => self.probe(engine, out),
-            Action::CloseIdle(engine) => self.close_idle(engine, out),
-            Action::MoveStream(request) => self.move_stream(request, out),
+            Action::CloseIdleConnections(engine) => self.close_idle(engine, out),
+            Action::MigrateStream(request) => self.move_stream(request, out),
             Action::Log(line) => self.note(|| line, out),
             // The platform has no places to hold ahead and no way to talk to other routers, and its watch is always open.
-            Action::Reserve { request, engine } => self.tell(Event::Place { request, engine, held: false }),
-            Action::WatchEngines(_) | Action::FetchEngines | Action::TellPeer { .. } => {}
+            Action::Reserve { request, engine } => {
+                self.tell(Event::ReservationAnswered { request, engine, granted: false })
+            }
+            Action::WatchEngines(_) | Action::FetchEngines | Action::SendToPeer { .. } => {}
         }
     }
 
@@ -41,7 +43,7 @@
         let member = self.members.get(engine);
         let cell = member.map(|m| m.cell);
         let crosses = member.is_some_and(|m| m.zone != self.profile.settings.zone);
-        let member = member.map(|m| (m.addr, m.role == Role::Read));
+        let member = member.map(|m| (m.addr, m.role == Role::Prefill));
         let Some(call) = self.calls.get_mut(&id) else { return };
         let runs_once = call.runs_once;
         let (addr, reads) = member.unwrap_or((SocketAddr::from(([0, 0, 0, 0], 0)), false));
@@ -208,7 +210,7 @@
     pub(crate) fn close_idle(&mut self, engine: EngineId, out: &mut Vec<Output>) {
         for conn in self.pool.idle(engine) {
             self.forget_link(conn);
-            out.push(Output::Finish(conn));
+            out.push(Output::CloseWhenSent(conn));
         }
     }
 
@@ -220,7 +222,7 @@
         let latency = now.saturating_sub(a.sent);
         call.ended(now, attempt, &end);
         match outcome {
-            Outcome::Read => {
+            Outcome::Prefilled => {
                 self.tally.read_tokens += call.prompt;
                 self.tally.kept_tokens += kept_tokens as u64;
             }
@@ -233,20 +235,20 @@
         self.reap.push(id);
         let report = self.allowed(end.report());
         self.tally.reports += u64::from(report != LoadReport::default());
-        self.tell(Event::Ended(Ended {
+        self.tell(Event::AttemptEnded(AttemptEnded {
             request: id,
             attempt,
             outcome,
             latency,
-            finished,
-            kept_tokens,
+            request_finished: finished,
+            cached_tokens: kept_tokens,
             report,
         }));
     }
 
     /// A report in an answer; none where the settings say that answers hold none.
     fn allowed(&self, report: LoadReport) -> LoadReport {
-        match self.profile.settings.reports {
+        match self.profile.settings.report_source {
             ReportSource::Answers => report,
             ReportSource::Probes | ReportSource::None => LoadReport::default(),
         }
@@ -256,19 +258,19 @@
 
     fn probe(&mut self, engine: EngineId, out: &mut Vec<Output>) {
         let Some(addr) = self.members.get(engine).map(|m| m.addr) else {
-            return self.probed(engine, Outcome::Moot, LoadReport::default());
+            return self.probed(engine, Outcome::NotSent, LoadReport::default());
         };
-        let reports = self.profile.settings.reports != ReportSource::None && !self.layout.is_empty();
+        let reports = self.profile.settings.report_source != ReportSource::None && !self.layout.is_empty();
         let path = if reports { "/-/load" } else { "/-/healthy" };
         let bytes = http::request_head("GET", path, &[("host", &addr.to_string())], Framing::Length(0));
         self.tally.probes += 1;
         if !self.exchange(engine, addr, Use::Probe, bytes, out) {
-            self.probed(engine, Outcome::Moot, LoadReport::default());
+            self.probed(engine, Outcome::NotSent, LoadReport::default());
         }
     }
 
     pub(crate) fn probed(&mut self, engine: EngineId, outcome: Outcome, report: LoadReport) {
         self.tally.reports += u64::from(report != LoadReport::default());
-        self.tell(Event::Probed { engine, outcome, report });
+        self.tell(Event::ProbeEnded { engine, outcome, report });
     }
 }
--- a/crates/platform/src/clients.rs
+++ b/crates/platform/src/clients.rs
@@ -5,7 +5,7 @@
 use crate::node::Node;
 use crate::proof::AttemptEnd;
 use crate::room;
-use slipreel::{Effect, Event, Outcome, RequestId};
+use slipreel::{Event, Idempotency, Outcome, RequestId};
 use slipreel_connections::{Client, Received, State};
 use slipreel_protocol::http::{self, Limits};
 use slipreel_state_machine::{ConnId, Output};
@@ -33,7 +33,8 @@
             return out.push(Output::Abort(conn));
         }
         let limits = Limits { head: room::HEAD, body: room::BODY, ..Limits::default() };
-        let mut client = Client::new(conn, slipreel_state_machine::Door(0), self.now, limits, room::AHEAD);
+        let mut client =
+            Client::new(conn, slipreel_state_machine::ListenerId(0), self.now, limits, room::AHEAD);
         if self.stopping.is_some() {
             client.last_answer();
         }
@@ -58,7 +59,7 @@
         // One that was answered ends in order: a reset would take the answer with it if that is still on its way, and a
         // request that comes in just now is one that was never read.
         let silent = self.unheard.contains_key(&conn);
-        out.push(if silent { Output::Abort(conn) } else { Output::Finish(conn) });
+        out.push(if silent { Output::Abort(conn) } else { Output::CloseWhenSent(conn) });
         self.forget_client(conn);
         true
     }
@@ -143,17 +144,20 @@
         let mut request = ask.request;
         request.id = id;
         // Its client's time runs from its last byte, also while it waits behind the request before it.
-        let deadline = received.arrived.saturating_add(request.time_left);
-        request.time_left = deadline.saturating_sub(self.now);
+        let deadline = received.arrived.saturating_add(request.client_timeout);
+        request.client_timeout = deadline.saturating_sub(self.now);
         let class = self.profile.settings.classes.get(request.class.0);
-        let effect = class.map_or(Effect::Unsafe, |c| c.effect);
-        let aim = class.map(|c| c.aim + c.aim_per_1000.mul_f64(request.prompt_tokens / 1e3));
+        let effect = class.map_or(Idempotency::NotIdempotent, |c| c.idempotency);
+        let aim = class.map(|c| {
+            c.latency_objective + c.latency_objective_per_1000_tokens.mul_f64(request.prompt_tokens / 1e3)
+        });
         let wanted = self.now.saturating_add(aim.unwrap_or(Duration::MAX));
         if let Some(client) = self.clients.get_mut(&conn) {
             client.state = State::Serving(Some(id.0));
         }
         let (times, prompt) = ([deadline, wanted], request.prompt_tokens as u64);
-        let call = Call::new(ask.name.clone(), conn, effect != Effect::Safe, times, prompt, received);
+        let call =
+            Call::new(ask.name.clone(), conn, effect != Idempotency::Idempotent, times, prompt, received);
         self.held_bytes += bytes;
         self.calls.insert(id, call);
         self.names.insert(ask.name, id);
@@ -164,7 +168,7 @@
     pub(crate) fn client_eof(&mut self, conn: ConnId, out: &mut Vec<Output>) {
         // A client that closes its connection has gone away, whatever it still waits for.
         if self.clients.contains_key(&conn) {
-            out.push(Output::Finish(conn));
+            out.push(Output::CloseWhenSent(conn));
             self.client_gone(conn, out);
         }
     }
@@ -179,7 +183,7 @@
         self.tally.left += 1;
         self.tally.fruitless += u64::from(self.calls.get(&id).is_some_and(|c| c.begun.is_none()));
         self.close(id);
-        self.tell(Event::ClientGone(id));
+        self.tell(Event::ClientDisconnected(id));
         let begun = self.calls.get(&id).and_then(|c| c.attempts[c.begun?].conn);
         if let Some(link) = begun {
             // A stream that nobody reads.
@@ -206,7 +210,7 @@
                 self.turn(conn, 408, "the request did not come whole in time", out);
             }
             State::Idle => {
-                out.push(Output::Finish(conn));
+                out.push(Output::CloseWhenSent(conn));
                 self.forget_client(conn);
             }
             // It takes nothing of what waits for it.
@@ -334,7 +338,7 @@
         self.tally.failed += 1;
         self.tally.broken += 1;
         if self.clients.contains_key(&conn) {
-            out.push(Output::Finish(conn));
+            out.push(Output::CloseWhenSent(conn));
             self.forget_client(conn);
         }
     }
--- a/crates/platform/src/engines.rs
+++ b/crates/platform/src/engines.rs
@@ -5,7 +5,7 @@
 use crate::proof::{AttemptEnd, NeverRan};
 use crate::room;
 use slipreel::{Event, LoadReport, Outcome, RequestId};
-use slipreel_state_machine::{ConnId, Loss, Output};
+use slipreel_state_machine::{ConnId, ConnectionLoss, Output};
 
 /// Idle connections that are kept to one engine.
 const MOST_IDLE: usize = 1;
@@ -76,9 +76,9 @@
         }
     }
 
-    pub(crate) fn link_lost(&mut self, conn: ConnId, why: Loss, out: &mut Vec<Output>) {
+    pub(crate) fn link_lost(&mut self, conn: ConnId, why: ConnectionLoss, out: &mut Vec<Output>) {
         if let Some(link) = self.forget_link(conn) {
-            if why == Loss::Exhausted {
+            if why == ConnectionLoss::Exhausted {
                 // Room for the next one: engines' connections come before clients that stand idle.
                 self.evict(out);
             }
@@ -91,7 +91,7 @@
         if let Some(link) = self.forget_link(conn) {
             out.push(Output::Abort(conn));
             self.broke(&link);
-            self.carried_ended(&link, end_of_lost(Loss::Reset, &link), out);
+            self.carried_ended(&link, end_of_lost(ConnectionLoss::Reset, &link), out);
         }
     }
 
@@ -118,7 +118,7 @@
             Some(State::Busy) => self.drop_link(conn, AttemptEnd::may_have_run(Outcome::TimedOut), out),
             Some(State::Idle) => {
                 self.forget_link(conn);
-                out.push(Output::Finish(conn));
+                out.push(Output::CloseWhenSent(conn));
             }
             None => {}
         }
@@ -152,7 +152,7 @@
                 self.exchange_over(conn, out);
                 let body = std::str::from_utf8(&answer.body).ok().and_then(|text| self.layout.read(text));
                 let report = answer.report.or(body).unwrap_or_default();
-                let outcome = if answer.status == 200 { Outcome::Ok } else { Outcome::Error };
+                let outcome = if answer.status == 200 { Outcome::Completed } else { Outcome::Error };
                 self.probed(engine, outcome, report);
             }
             // Any other status is none that a release is answered with: guards against a late second answer of the exchange
--- a/crates/platform/src/members.rs
+++ b/crates/platform/src/members.rs
@@ -52,7 +52,7 @@
 impl Members {
     /// `wall`: the wall clock since the epoch, at the node's time `now`.
     pub(crate) fn new(profile: &Profile, now: Duration, wall: Duration) -> Self {
-        let roles = profile.settings.kinds.iter().copied();
+        let roles = profile.settings.kind_roles.iter().copied();
         Members {
             by_id: BTreeMap::new(),
             kinds: profile.kinds.iter().cloned().zip(roles).collect(),
@@ -166,7 +166,7 @@
             kind: KindId(kind),
             zone: ZoneId(zone as u32),
             cell: CellId(entry.cell),
-            started,
+            started_at: started,
         })
     }
 }
--- a/crates/platform/src/node.rs
+++ b/crates/platform/src/node.rs
@@ -10,12 +10,12 @@
 use crate::report::Layout;
 use crate::room::{self, Room};
 use crate::watch::{State as WatchState, Watch};
-use slipreel::{EngineId, Event, Outcome, RequestId, Router, TimerId};
+use slipreel::{EngineId, Event, Outcome, RequestId, Router, StateSizes, TimerId};
 use slipreel_connections::{
     Client, Due, Pool, ReleaseId, ReleaseQueue, State as ClientState, TimerKey, Trust, Wheel,
 };
 use slipreel_platform_settings::Profile;
-use slipreel_state_machine::{ConnId, Input, Loss, Machine, Output};
+use slipreel_state_machine::{ConnId, ConnectionLoss, Input, Machine, Output};
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::time::Duration;
 
@@ -212,12 +212,12 @@
 
     /// The same as the module counts them, of the engines that it lists.
     pub fn counted(&self) -> BTreeMap<EngineId, usize> {
-        self.router.under_way().map(|(engine, out)| (engine, out as usize)).collect()
+        self.router.attempts_in_flight().map(|(engine, out)| (engine, out as usize)).collect()
     }
 
     /// What the module keeps: requests, timers, engines.
-    pub fn kept(&self) -> (usize, usize, usize) {
-        self.router.kept()
+    pub fn decision_state_sizes(&self) -> StateSizes {
+        self.router.state_sizes()
     }
 
     /// Entries of the node's other books, which go by engine and by client.
@@ -348,7 +348,7 @@
 
     fn fire(&mut self, alarm: Alarm, out: &mut Vec<Output>) {
         match alarm {
-            Alarm::Module(timer) => self.tell(Event::Timer(timer)),
+            Alarm::Module(timer) => self.tell(Event::TimerFired(timer)),
             Alarm::Client(conn) => {
                 self.client_alarms.fired(conn);
                 match self.clients.get(&conn).and_then(|c| self.client_due(c)) {
@@ -389,11 +389,12 @@
     fn log_standing(&self, out: &mut Vec<Output>) {
         let busy = self.links.values().filter(|l| l.state != LinkState::Idle).count();
         let [clients, links, calls, timers, releases] = self.holds();
+        let sizes = self.router.state_sizes();
         out.push(Output::Log(format!(
             "clients {clients}, requests {calls}, connections to engines {links} ({busy} busy), engines {}, timers {timers}, \
              releases {releases}, module keeps {:?}; {:?}",
             self.members.len(),
-            self.router.kept(),
+            (sizes.requests, sizes.timers, sizes.engines),
             self.tally
         )));
     }
@@ -433,12 +434,12 @@
 
     /// Its connection is over. Without a descriptor for it, clients that stand idle and engines' idle connections make
     /// room for the next: the list comes before them.
-    fn watch_lost(&mut self, why: Loss, out: &mut Vec<Output>) {
-        if why == Loss::Exhausted && !self.evict(out) {
+    fn watch_lost(&mut self, why: ConnectionLoss, out: &mut Vec<Output>) {
+        if why == ConnectionLoss::Exhausted && !self.evict(out) {
             self.close_oldest_idle(out);
         }
         self.watch_failed(
-            if why == Loss::Exhausted { "no descriptor is left" } else { "its connection broke" },
+            if why == ConnectionLoss::Exhausted { "no descriptor is left" } else { "its connection broke" },
             false,
             out,
         );
@@ -537,7 +538,7 @@
             if let Some(until) = may_speak_until.filter(|&until| until > self.now) {
                 self.wheel.set(until, Alarm::Stop);
             } else {
-                out.push(Output::Finish(conn));
+                out.push(Output::CloseWhenSent(conn));
                 self.forget_client(conn);
             }
         }
@@ -557,7 +558,7 @@
                 true if moves => self.move_stream(id, out),
                 false if leaves => {
                     self.fail(id, out);
-                    self.tell(Event::ClientGone(id));
+                    self.tell(Event::ClientDisconnected(id));
                 }
                 _ => {}
             }
@@ -607,7 +608,7 @@
             Input::Accepted(conn, _) => self.accepted(conn, out),
             // The bounds of `room` hold for what the settings allow; the system may allow less. Who comes is worth more than
             // who stands idle longest.
-            Input::Crowded(_) => {
+            Input::DescriptorsExhausted(_) => {
                 if !self.evict(out) {
                     self.close_oldest_idle(out);
                 }
@@ -625,8 +626,8 @@
             Input::Eof(conn) if conn.is_opened() => self.link_eof(conn, out),
             // Half-closed counts as closed: the protocol knows no client that asks and then only listens.
             Input::Eof(conn) => self.client_eof(conn, out),
-            Input::HungUp(conn) if !conn.is_opened() => self.client_eof(conn, out),
-            Input::HungUp(_) => {}
+            Input::PeerClosedWhilePaused(conn) if !conn.is_opened() => self.client_eof(conn, out),
+            Input::PeerClosedWhilePaused(_) => {}
             Input::Sent(conn, n) if conn.is_opened() => self.link_sent(conn, n),
             Input::Sent(conn, n) => self.client_sent(conn, n, out),
             Input::Lost(conn, why) if self.is_watch(conn) => self.watch_lost(why, out),
@@ -634,7 +635,7 @@
             Input::Lost(conn, _) => self.client_gone(conn, out),
             Input::Wake | Input::Datagram(..) => {}
             Input::Stop => self.stop(),
-            Input::News(news) => {
+            Input::OwnerMessage(news) => {
                 if let Some(config) = news.downcast_ref::<Config>() {
                     self.reload(config, out);
                 }
@@ -649,13 +650,13 @@
 }
 
 /// How what a connection carried ends as the connection is lost. What had not been written whole never ran.
-pub(crate) fn end_of_lost(why: Loss, link: &Link) -> AttemptEnd {
+pub(crate) fn end_of_lost(why: ConnectionLoss, link: &Link) -> AttemptEnd {
     match (why, link.never_written()) {
-        (Loss::NotConnected, Some(_)) => AttemptEnd::never_ran(NeverRan::NotConnected),
-        (Loss::Exhausted, Some(_)) => AttemptEnd::never_ran(NeverRan::NotTried),
+        (ConnectionLoss::NotConnected, Some(_)) => AttemptEnd::never_ran(NeverRan::NotConnected),
+        (ConnectionLoss::Exhausted, Some(_)) => AttemptEnd::never_ran(NeverRan::NotTried),
         // It stood, so its engine could be reached: told as a failure to connect, each such reset would have the engine
         // left alone for a second.
-        (Loss::Reset, Some(proof)) => AttemptEnd::never_ran(proof),
+        (ConnectionLoss::Reset, Some(proof)) => AttemptEnd::never_ran(proof),
         (_, None) => AttemptEnd::may_have_run(Outcome::Reset),
     }
 }
--- a/crates/platform/src/proof.rs
+++ b/crates/platform/src/proof.rs
@@ -28,8 +28,8 @@
     pub(crate) fn outcome(self) -> Outcome {
         match self {
             NeverRan::NotConnected => Outcome::ConnectFailed,
-            NeverRan::NotTried | NeverRan::GivenUp | NeverRan::LastByteHeld => Outcome::Moot,
-            NeverRan::TurnedAway { no_state } => Outcome::Full { no_state },
+            NeverRan::NotTried | NeverRan::GivenUp | NeverRan::LastByteHeld => Outcome::NotSent,
+            NeverRan::TurnedAway { no_state } => Outcome::Rejected { state_missing: no_state },
         }
     }
 }
@@ -72,12 +72,12 @@
 
     /// A stream came whole.
     pub(crate) fn served() -> Self {
-        AttemptEnd::new(Outcome::Ok, None)
+        AttemptEnd::new(Outcome::Completed, None)
     }
 
     /// A reader has read the prompt, of which it had kept so many tokens. Only for attempts at readers, which have no effect.
     pub(crate) fn read(kept_tokens: f64) -> Self {
-        AttemptEnd { kept_tokens, ..AttemptEnd::new(Outcome::Read, None) }
+        AttemptEnd { kept_tokens, ..AttemptEnd::new(Outcome::Prefilled, None) }
     }
 
     /// The same with the engine's load.
--- a/crates/platform/src/room.rs
+++ b/crates/platform/src/room.rs
@@ -68,7 +68,7 @@
 
 /// How releases are retried. They are repeated at the pace of the rule on held state, whose slack covers a retry.
 pub(crate) fn release_timing(settings: &Settings) -> ReleaseTiming {
-    let repeat = settings.let_go_within.max(RELEASE_RETRY);
+    let repeat = settings.held_state_limit.max(RELEASE_RETRY);
     ReleaseTiming { retry: RELEASE_RETRY, repeat, give_up: RELEASE_GIVE_UP }
 }
 
--- a/crates/platform/tests/answers_owed.rs
+++ b/crates/platform/tests/answers_owed.rs
@@ -3,7 +3,7 @@
 
 mod common;
 use common::*;
-use slipreel_state_machine::{ConnId, Door, Input, Output};
+use slipreel_state_machine::{ConnId, Input, ListenerId, Output};
 
 /// The time told to an engine in the first request among these, milliseconds.
 fn told(out: &[Output]) -> f64 {
@@ -71,7 +71,7 @@
 /// Connections that come in until one that is there already has to make room.
 fn crowd_until_one_ends(host: &mut Host, watched: ConnId) -> Vec<Output> {
     for n in 0..400 {
-        let out = host.tell(Input::Accepted(ConnId(10_000 + n), Door(0)));
+        let out = host.tell(Input::Accepted(ConnId(10_000 + n), ListenerId(0)));
         if ends(&out, watched) {
             return out;
         }
--- a/crates/platform/tests/bad_clients.rs
+++ b/crates/platform/tests/bad_clients.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use slipreel_state_machine::{ConnId, Door, Input, Output};
+use slipreel_state_machine::{ConnId, Input, ListenerId, Output};
 
 #[test]
 fn what_cant_be_read_or_meant_gets_an_error_and_no_engine_hears_of_it() {
@@ -109,9 +109,9 @@
 
 /// So many connections come in and say nothing. Gives those that were closed for them.
 fn crowd(host: &mut Host, from: u64, count: u64) -> Vec<ConnId> {
-    let accepted = (from..from + count).flat_map(|n| host.tell(Input::Accepted(ConnId(n), Door(0))));
+    let accepted = (from..from + count).flat_map(|n| host.tell(Input::Accepted(ConnId(n), ListenerId(0))));
     let closed = |o| match o {
-        Output::Abort(conn) | Output::Finish(conn) => Some(conn),
+        Output::Abort(conn) | Output::CloseWhenSent(conn) => Some(conn),
         _ => None,
     };
     accepted.filter_map(closed).collect()
--- a/crates/platform/tests/common/mod.rs
+++ b/crates/platform/tests/common/mod.rs
@@ -5,7 +5,7 @@
 pub mod world;
 
 use slipreel_platform::{Config, Node};
-use slipreel_state_machine::{ConnId, Door, Input, Loss, Machine, Output};
+use slipreel_state_machine::{ConnId, ConnectionLoss, Input, ListenerId, Machine, Output};
 use std::time::Duration;
 
 pub fn ms(n: u64) -> Duration {
@@ -88,7 +88,7 @@
     pub fn client(&mut self) -> ConnId {
         self.clients += 1;
         let conn = ConnId(self.clients);
-        self.tell(Input::Accepted(conn, Door(0)));
+        self.tell(Input::Accepted(conn, ListenerId(0)));
         conn
     }
 
@@ -215,7 +215,7 @@
 }
 
 pub fn finished(out: &[Output], conn: ConnId) -> bool {
-    out.contains(&Output::Finish(conn))
+    out.contains(&Output::CloseWhenSent(conn))
 }
 
 pub fn aborted(out: &[Output], conn: ConnId) -> bool {
@@ -226,6 +226,6 @@
     finished(out, conn) || aborted(out, conn)
 }
 
-pub fn lost(conn: ConnId, why: Loss) -> Input<'static> {
+pub fn lost(conn: ConnId, why: ConnectionLoss) -> Input<'static> {
     Input::Lost(conn, why)
 }
--- a/crates/platform/tests/common/world.rs
+++ b/crates/platform/tests/common/world.rs
@@ -90,7 +90,7 @@
             }
         }
         let goodbye = match input {
-            Input::Eof(conn) | Input::Lost(conn, _) | Input::HungUp(conn) => Some(conn),
+            Input::Eof(conn) | Input::Lost(conn, _) | Input::PeerClosedWhilePaused(conn) => Some(conn),
             _ => None,
         };
         match goodbye.filter(|conn| self.flaw == Flaw::LateGoodbyes && !conn.is_opened()) {
@@ -128,7 +128,7 @@
     /// What goes to clients is kept back, in order; what was kept back for long enough goes.
     fn hold_back(&mut self, now: Duration, out: &mut Vec<Output>) {
         let to_client = |output: &Output| match output {
-            Output::Write(conn, _) | Output::Finish(conn) => !conn.is_opened(),
+            Output::Write(conn, _) | Output::CloseWhenSent(conn) => !conn.is_opened(),
             _ => false,
         };
         let (held, at_once): (Vec<Output>, Vec<Output>) = out.drain(..).partition(to_client);
--- a/crates/platform/tests/fleet.rs
+++ b/crates/platform/tests/fleet.rs
@@ -132,7 +132,11 @@
         assert_eq!(fabric.broken, [""; 0], "seed {seed}");
         assert!(fabric.twice.is_empty(), "seed {seed}: second copies {:?}", fabric.twice);
         let [_, _, calls, _, releases] = node.holds();
-        assert_eq!((calls, releases, node.kept().0), (0, 0, 0), "seed {seed}: nothing is left");
+        assert_eq!(
+            (calls, releases, node.decision_state_sizes().requests),
+            (0, 0, 0),
+            "seed {seed}: nothing is left"
+        );
     }
 }
 
@@ -158,16 +162,16 @@
         fleet.replace();
         if n % 500 == 499 {
             fleet.run(ms(1_500));
-            let (node, kept) = (fleet.node(), fleet.node().kept());
-            sizes.push((node.holds(), kept, node.books()));
+            let node = fleet.node();
+            sizes.push((node.holds(), node.decision_state_sizes(), node.books()));
         }
     }
     fleet.run(ms(60_000));
     assert_eq!(fleet.clients().odd, [""; 0], "{:?}", fleet.clients().endings);
     assert_eq!(fleet.node().holds()[4], 0, "every release is over in the end");
-    for (holds, kept, books) in &sizes {
+    for (holds, decisions, books) in &sizes {
         let [clients, links, calls, timers, releases] = *holds;
         assert!(links < 60 && calls < 20 && releases < 10 && clients < 200 && timers < 600, "{sizes:?}");
-        assert!(kept.2 <= 7 && kept.1 < 300 && *books < 40, "{sizes:?}");
+        assert!(decisions.engines <= 7 && decisions.timers < 300 && *books < 40, "{sizes:?}");
     }
 }
--- a/crates/platform/tests/gone.rs
+++ b/crates/platform/tests/gone.rs
@@ -2,11 +2,11 @@
 
 mod common;
 use common::*;
-use slipreel_state_machine::{ConnId, Input, Loss, Output};
+use slipreel_state_machine::{ConnId, ConnectionLoss, Input, Output};
 
 /// How a client goes.
 const GOODBYES: [fn(ConnId) -> Input<'static>; 3] =
-    [Input::Eof, |conn| Input::Lost(conn, Loss::Reset), Input::HungUp];
+    [Input::Eof, |conn| Input::Lost(conn, ConnectionLoss::Reset), Input::PeerClosedWhilePaused];
 
 /// Requests that are written whole, or as far as their last byte.
 fn posts(out: &[Output]) -> usize {
@@ -33,7 +33,11 @@
         assert_eq!(posts(&all), 0, "{all:?}");
     }
     let [clients, _, calls, _, releases] = host.node.holds();
-    assert_eq!((clients, calls, releases, host.node.kept().0), (0, 0, 0, 0), "nothing is kept of it");
+    assert_eq!(
+        (clients, calls, releases, host.node.decision_state_sizes().requests),
+        (0, 0, 0, 0),
+        "nothing is kept of it"
+    );
     assert!(host.node.under_way().is_empty(), "{:?}", host.node.under_way());
 }
 
@@ -155,7 +159,7 @@
     let out = host.data(client, ahead);
     assert!(out.contains(&Output::Pause(client)));
     host.connected(reader);
-    goes(&mut host, client, Input::HungUp, &[(reader, READ)]);
+    goes(&mut host, client, Input::PeerClosedWhilePaused, &[(reader, READ)]);
     assert_eq!(host.node.tally().taken, 1);
 }
 
--- a/crates/platform/tests/never_ran.rs
+++ b/crates/platform/tests/never_ran.rs
@@ -3,7 +3,7 @@
 
 mod common;
 use common::*;
-use slipreel_state_machine::{ConnId, Input, Loss, Output};
+use slipreel_state_machine::{ConnId, ConnectionLoss, Input, Output};
 
 /// Whole again for the writers: a stream with one event.
 fn whole_stream() -> String {
@@ -59,7 +59,8 @@
 
 #[test]
 fn a_keyed_write_that_is_reset_before_its_bytes_are_reported_as_sent_may_have_run() {
-    for end in [|conn| lost(conn, Loss::Reset), |conn| Input::Eof(conn)] as [fn(ConnId) -> Input<'static>; 2]
+    for end in [|conn| lost(conn, ConnectionLoss::Reset), |conn| Input::Eof(conn)]
+        as [fn(ConnId) -> Input<'static>; 2]
     {
         let mut host = Host::with(&keyed_settings());
         let (client, writer, port) = at_a_writer_unreported(&mut host, "cell");
@@ -75,7 +76,7 @@
     let mut host = Host::with(&keyed_settings());
     let (client, writer, port) = at_a_writer_unreported(&mut host, "cell");
     host.pass(ms(1));
-    let out = host.tell(lost(writer, Loss::Reset));
+    let out = host.tell(lost(writer, ConnectionLoss::Reset));
     assert_eq!(status(&out, client), None);
     assert!(goes_to_the_other_cell(&mut host, port, out), "its other writer is tried");
 }
--- a/crates/platform/tests/peers.rs
+++ b/crates/platform/tests/peers.rs
@@ -3,7 +3,7 @@
 mod common;
 use common::*;
 use slipreel_platform::Config;
-use slipreel_state_machine::{Input, Loss, Machine, Output};
+use slipreel_state_machine::{ConnectionLoss, Input, Machine, Output};
 
 const WATCH_HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
@@ -62,7 +62,7 @@
     }
     let (mut host, conn) = watching();
     assert!(aborted(&host.data(conn, &good), conn), "an older whole list that was not asked for");
-    for deed in [Input::Eof(conn), Input::Lost(conn, Loss::Reset)] {
+    for deed in [Input::Eof(conn), Input::Lost(conn, ConnectionLoss::Reset)] {
         let (mut host, conn) = watching();
         host.data(conn, chunk("{\"index\":42,\"snap"));
         host.tell(deed);
@@ -174,14 +174,17 @@
             assert!(!ends(&out, client) && watch(&out).is_none(), "it may be silent for so long");
         }
         let config = Config::parse(&config("127.0.0.9:8600", &list(41, true, &engines()), 256)).unwrap();
-        let out = host.tell(Input::News(&config));
+        let out = host.tell(Input::OwnerMessage(&config));
         let (new, port) = watch(&out).expect("opened at once");
         assert!(aborted(&out, old) && port == 8600);
         let out = host.tell(Input::Connected(new));
         assert!(text(&out, new).contains("after=41 "));
         let out = host.data(writer, chunk("data: [DONE]\n\n") + "0\r\n\r\n");
         assert!(text(&out, client).ends_with("0\r\n\r\n"), "the stream goes on");
-        assert!(watch(&host.tell(Input::News(&config))).is_none(), "the same address again changes nothing");
+        assert!(
+            watch(&host.tell(Input::OwnerMessage(&config))).is_none(),
+            "the same address again changes nothing"
+        );
     }
 }
 
@@ -269,7 +272,7 @@
     let client = host.client();
     let reader = opened(&host.data(client, request("chat", "1")))[0].0;
     host.connected(reader);
-    let out = host.tell(lost(reader, Loss::Reset));
+    let out = host.tell(lost(reader, ConnectionLoss::Reset));
     // The module reads it again there; the release goes first or with it, and is not repeated under the new read.
     let again = opened(&out);
     assert!(!again.is_empty(), "{out:?}");
@@ -288,7 +291,7 @@
     let client = host.client();
     let reader = opened(&host.data(client, request("chat", "1")))[0].0;
     host.connected(reader);
-    host.tell(lost(reader, Loss::Reset));
+    host.tell(lost(reader, ConnectionLoss::Reset));
     let out = host.pass(ms(700));
     assert!(releases(&out).is_empty(), "it would let go of what the new attempt reads: {out:?}");
 }
--- a/crates/platform/tests/releases.rs
+++ b/crates/platform/tests/releases.rs
@@ -9,7 +9,7 @@
 };
 use slipreel_invariants::terms::{Fact, Seen};
 use slipreel_platform::Config;
-use slipreel_state_machine::{ConnId, Input, Loss, Output};
+use slipreel_state_machine::{ConnId, ConnectionLoss, Input, Output};
 use slipreel_test_servers::platform::look;
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -232,7 +232,7 @@
     let (reader, _) = opened(&host.data(client, request("chat", "1")))[0];
     host.connected(reader);
     // The read broke and may have left state. It is read anew, and then no writer can be reached.
-    let out = host.tell(lost(reader, Loss::Reset));
+    let out = host.tell(lost(reader, ConnectionLoss::Reset));
     let (reader, _) = opened(&out)[0];
     host.connected(reader);
     let mut out = host.data(reader, READ_WITHOUT_REPORT);
@@ -242,7 +242,7 @@
         let tried = opened(&out);
         out = if tried.is_empty() { host.pass(ms(5)) } else { Vec::new() };
         for (conn, _) in tried {
-            out.extend(host.tell(lost(conn, Loss::NotConnected)));
+            out.extend(host.tell(lost(conn, ConnectionLoss::NotConnected)));
         }
     }
     let sent = releases_within(&mut host, out, ms(200));
@@ -258,7 +258,7 @@
     host.connected(broken);
     // Its read broke and is made again; the stream is to begin while three others keep their engines' connections busy.
     let mut reader = broken;
-    for (conn, _) in opened(&host.tell(lost(broken, Loss::Reset))) {
+    for (conn, _) in opened(&host.tell(lost(broken, ConnectionLoss::Reset))) {
         let out = host.connected(conn);
         if releases(&out).is_empty() {
             reader = conn;
@@ -315,9 +315,9 @@
     let out = host.data(reader, READ_WITHOUT_REPORT);
     let (writer, _) = opened(&out)[0];
     // The kept connection breaks, so that a new one has to come up for the release.
-    host.tell(lost(reader, Loss::Reset));
+    host.tell(lost(reader, ConnectionLoss::Reset));
     let mut out = host.tell(Input::Eof(client));
-    out.extend(host.tell(lost(writer, Loss::NotConnected)));
+    out.extend(host.tell(lost(writer, ConnectionLoss::NotConnected)));
     (host, out)
 }
 
@@ -338,7 +338,7 @@
     let text = config("127.0.0.8:8500", &list(41, true, &engines()), 256);
     let new = Config::parse(&text).expect("a configuration");
     let mut all = out;
-    all.extend(host.tell(Input::News(&new)));
+    all.extend(host.tell(Input::OwnerMessage(&new)));
     assert_eq!(watch(&all).map(|(_, port)| port), Some(8500), "discovery is asked at its new address");
     let before = host.node.holds()[4];
     assert_eq!(before, 1, "the release is open");
--- a/crates/platform/tests/requests.rs
+++ b/crates/platform/tests/requests.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use slipreel_state_machine::{ConnId, Input, Loss, Output};
+use slipreel_state_machine::{ConnId, ConnectionLoss, Input, Output};
 
 #[test]
 fn a_request_goes_on_unchanged_and_its_stream_comes_back_unchanged() {
@@ -97,10 +97,10 @@
         assert_eq!(unsafe_write(&mut host, |h, w| h.data(w, &reply)), expected, "{reply}");
     }
     let mut host = Host::new();
-    assert_eq!(unsafe_write(&mut host, |h, w| h.tell(lost(w, Loss::Reset))), Some(502), "reset");
+    assert_eq!(unsafe_write(&mut host, |h, w| h.tell(lost(w, ConnectionLoss::Reset))), Some(502), "reset");
     let mut host = Host::new();
     assert_eq!(unsafe_write(&mut host, |h, w| h.tell(Input::Eof(w))), Some(502), "closed without an answer");
-    for why in [Loss::NotConnected, Loss::Exhausted] {
+    for why in [ConnectionLoss::NotConnected, ConnectionLoss::Exhausted] {
         let mut host = Host::new();
         let client = host.client();
         let reader = opened(&host.data(client, request("once", "1")))[0].0;
@@ -120,7 +120,7 @@
     host.connected(reader);
     let writer = opened(&host.data(reader, READ))[0].0;
     host.tell(Input::Connected(writer));
-    let out = host.tell(lost(writer, Loss::Reset));
+    let out = host.tell(lost(writer, ConnectionLoss::Reset));
     assert_eq!((status(&out, client), opened(&out).len()), (None, 1));
 }
 
@@ -158,7 +158,7 @@
         assert!(!text(&written, writer).ends_with(BODY), "the last byte is held back");
         host.tell(Input::Sent(writer, n));
         host.pass(ms(1));
-        let out = host.tell(lost(writer, Loss::Reset));
+        let out = host.tell(lost(writer, ConnectionLoss::Reset));
         assert_eq!(status(&out, client), None, "kept {kept}: it goes to the other writer");
     }
 }
@@ -166,7 +166,7 @@
 #[test]
 fn an_unsafe_request_whose_last_byte_was_handed_over_may_have_run() {
     // The write of the last byte fails, or its peer ends the connection then: it may have arrived.
-    for end in [lost as fn(ConnId, Loss) -> Input<'static>, |conn, _| Input::Eof(conn)] {
+    for end in [lost as fn(ConnId, ConnectionLoss) -> Input<'static>, |conn, _| Input::Eof(conn)] {
         let mut host = Host::new();
         let client = host.client();
         let out = host.data(client, request("once", "2"));
@@ -176,7 +176,7 @@
         let writer = opened(&out)[0].0;
         host.connected(writer);
         assert!(text(&host.pass(ms(4)), writer).ends_with('}'), "the last byte goes out");
-        let out = host.tell(end(writer, Loss::Reset));
+        let out = host.tell(end(writer, ConnectionLoss::Reset));
         assert_eq!(status(&out, client), Some(502), "it is not sent again, and not told to be harmless");
     }
 }
@@ -221,7 +221,7 @@
 fn a_stream_that_breaks_ends_its_client_in_order_without_the_last_chunk() {
     type Deed = dyn Fn(&mut Host, ConnId) -> Vec<Output>;
     let breaks: [&Deed; 5] = [
-        &|h, w| h.tell(lost(w, Loss::Reset)),
+        &|h, w| h.tell(lost(w, ConnectionLoss::Reset)),
         &|h, w| h.tell(Input::Eof(w)),
         &|h, w| h.data(w, "zz\r\n"),
         &|h, w| h.data(w, "bb800000\r\ndata: "),
@@ -249,7 +249,7 @@
     assert_eq!(host.node.tally().left, 1);
     let mut host = Host::new();
     let (client, writer) = host.streaming("chat");
-    assert!(aborted(&host.tell(lost(client, Loss::Reset)), writer));
+    assert!(aborted(&host.tell(lost(client, ConnectionLoss::Reset)), writer));
     assert_eq!((host.node.tally().left, host.node.tally().failed, host.node.holds()[2]), (1, 0, 0));
 }
 
--- a/crates/roles/src/conductor.rs
+++ b/crates/roles/src/conductor.rs
@@ -231,7 +231,7 @@
                     }
                     if talk.asked.is_empty() {
                         self.talks.remove(&conn);
-                        return out.push(Output::Finish(conn));
+                        return out.push(Output::CloseWhenSent(conn));
                     }
                 }
             }
@@ -244,7 +244,7 @@
         for (watched, known) in self.engines.iter().zip(&mut self.known) {
             let (Some(load), Some(told)) = (known.load, known.told) else { continue };
             let held = load.running.unwrap_or(0.0) + load.waiting.unwrap_or(0.0);
-            let reads = told.role == Role::Read;
+            let reads = told.role == Role::Prefill;
             let busy =
                 (held / if reads { self.places.read } else { self.places.write }.max(1.0)).min(MOST_BUSY);
             if reads {
@@ -260,7 +260,7 @@
                 None => first.saturating_sub(self.costs.cold * 4),
             };
             known.epoch = Some((told.epoch, since));
-            let other = if reads { Role::Write } else { Role::Read };
+            let other = if reads { Role::Decode } else { Role::Prefill };
             let phase = match told.serving {
                 false => Phase::Changing(other),
                 true if now < since + self.costs.cold => Phase::Warming,
@@ -299,7 +299,7 @@
             else {
                 continue;
             };
-            let to = if change.to == Role::Read { "read" } else { "write" };
+            let to = if change.to == Role::Prefill { "read" } else { "write" };
             let body = json!({"to": to, "replaces": change.replaces}).to_string();
             let host = self.engines[engine].addr.to_string();
             let fields = [("host", host.as_str()), ("content-type", "application/json")];
@@ -314,9 +314,9 @@
 fn told(body: &[u8]) -> Option<Told> {
     let value: Value = serde_json::from_slice(body).ok()?;
     let role = match value["role"].as_str()? {
-        "read" => Role::Read,
-        "write" => Role::Write,
-        "both" => Role::Both,
+        "read" => Role::Prefill,
+        "write" => Role::Decode,
+        "both" => Role::Mixed,
         _ => return None,
     };
     let (epoch, serving) = (value["epoch"].as_u64()?, value["serving"].as_bool()?);
@@ -340,12 +340,12 @@
             Input::Data(conn, bytes) => self.data(conn, bytes, out),
             Input::Eof(conn) => {
                 self.talks.remove(&conn);
-                out.push(Output::Finish(conn));
+                out.push(Output::CloseWhenSent(conn));
             }
             Input::Lost(conn, _) => {
                 self.talks.remove(&conn);
             }
-            Input::News(news) => {
+            Input::OwnerMessage(news) => {
                 if let Some(Freeze(frozen)) = news.downcast_ref() {
                     self.frozen = *frozen;
                     self.planner.freeze(*frozen);
@@ -361,8 +361,8 @@
             }
             Input::Accepted(..)
             | Input::Sent(..)
-            | Input::HungUp(_)
-            | Input::Crowded(_)
+            | Input::PeerClosedWhilePaused(_)
+            | Input::DescriptorsExhausted(_)
             | Input::Wake
             | Input::Datagram(..)
             | Input::Stop => {}
--- a/crates/roles/src/planner.rs
+++ b/crates/roles/src/planner.rs
@@ -201,9 +201,9 @@
         for e in view.engines.iter().filter(|e| e.phase != Phase::Leaving) {
             let role = if let Phase::Changing(to) = e.phase { to } else { e.role };
             match role {
-                Role::Read => pools.readers += 1.0,
-                Role::Write => pools.writers += 1.0,
-                Role::Both => {
+                Role::Prefill => pools.readers += 1.0,
+                Role::Decode => pools.writers += 1.0,
+                Role::Mixed => {
                     pools.readers += 0.5;
                     pools.writers += 0.5;
                 }
@@ -221,7 +221,7 @@
     /// Where `gone` engines have left their role for this one, and `there` of them work in it.
     fn moved(self, to: Role, gone: f64, there: f64) -> Pools {
         match to {
-            Role::Read => Pools { readers: self.readers + there, writers: self.writers - gone },
+            Role::Prefill => Pools { readers: self.readers + there, writers: self.writers - gone },
             _ => Pools { readers: self.readers - gone, writers: self.writers + there },
         }
     }
@@ -229,7 +229,7 @@
     /// The stage that one more engine from the other would help, if there is one.
     fn wants(self, mix: Mix) -> Option<Role> {
         let serves = self.serves(mix);
-        [Role::Read, Role::Write].into_iter().find(|&to| self.moved(to, 1.0, 1.0).serves(mix) > serves)
+        [Role::Prefill, Role::Decode].into_iter().find(|&to| self.moved(to, 1.0, 1.0).serves(mix) > serves)
     }
 }
 
@@ -253,7 +253,7 @@
             _ => self.history.mean(),
         };
         let wants = pools.wants(mix);
-        let side = wants.map_or(0, |to| if to == Role::Read { -1 } else { 1 });
+        let side = wants.map_or(0, |to| if to == Role::Prefill { -1 } else { 1 });
         self.history.note_short(view.now, side);
         let none = |because: &str| Plan { changes: Vec::new(), because: because.into() };
         if self.limits.frozen {
@@ -305,7 +305,7 @@
             Plan { changes: Vec::new(), because: "no change pays before the mix swings back".into() };
         let mut most = 0.0;
         let mix = to_come[0].0;
-        for to in [Role::Read, Role::Write] {
+        for to in [Role::Prefill, Role::Decode] {
             // What serves the present swing is undone before the next; what does not is for that one.
             let helps = pools.moved(to, 1.0, 1.0).serves(mix) > pools.serves(mix);
             let to_come = if helps { &to_come[..1] } else { to_come };
@@ -449,13 +449,13 @@
         let swings = self.history.comes_and_goes() || self.history.rhythm(self.history.at()).is_some();
         let undone = if swings { 1.0 } else { UNDONE };
         let missed = (YOUNGEST + self.costs.drain + self.cold_loss()).as_secs_f64();
-        let stage = if e.role == Role::Read { pools.readers } else { pools.writers };
+        let stage = if e.role == Role::Prefill { pools.readers } else { pools.writers };
         again + undone * (again + missed / stage.max(1.0))
     }
 
     /// The engines that may take the role, the cheapest first.
     fn candidates<'a>(&self, view: &'a View, to: Role, mix: Mix, pools: Pools) -> Vec<&'a EngineView> {
-        let from = if to == Role::Read { Role::Write } else { Role::Read };
+        let from = if to == Role::Prefill { Role::Decode } else { Role::Prefill };
         let may = |e: &&EngineView| {
             e.role == from
                 && e.phase == Phase::Serving
@@ -479,7 +479,7 @@
         let in_cell = view.engines.iter().filter(stays).filter(|o| o.cell == e.cell).count();
         let in_zone = view.engines.iter().filter(stays).filter(|o| o.zone == e.zone).count();
         let least =
-            if e.role == Role::Read { self.limits.readers_in_cell } else { self.limits.writers_in_cell };
+            if e.role == Role::Prefill { self.limits.readers_in_cell } else { self.limits.writers_in_cell };
         in_cell >= least && in_zone >= self.limits.in_zone
     }
 }
--- a/crates/roles/src/program.rs
+++ b/crates/roles/src/program.rs
@@ -15,8 +15,8 @@
     // The share served: no more than either stage can, or is asked.
     let share = problem.add_var(seconds, (0.0, 1.0));
     let (have, keep) =
-        if to == Role::Read { (pools.readers, pools.writers) } else { (pools.writers, pools.readers) };
-    let (need, other) = if to == Role::Read { (mix.read, mix.write) } else { (mix.write, mix.read) };
+        if to == Role::Prefill { (pools.readers, pools.writers) } else { (pools.writers, pools.readers) };
+    let (need, other) = if to == Role::Prefill { (mix.read, mix.write) } else { (mix.write, mix.read) };
     let with = |work: f64, part: f64| -> Vec<(microlp::Variable, f64)> {
         takes.iter().map(|&t| (t, part)).chain([(share, work)]).collect()
     };
--- a/crates/roles/tests/fluid/mod.rs
+++ b/crates/roles/tests/fluid/mod.rs
@@ -35,7 +35,7 @@
     pub fn new(n: usize) -> Self {
         let engine = |i: usize| EngineView {
             id: EngineId(i as u64),
-            role: if i < n / 2 { Role::Read } else { Role::Write },
+            role: if i < n / 2 { Role::Prefill } else { Role::Decode },
             epoch: 0,
             cell: CellId((i % (n / 8).max(1)) as u32),
             zone: ZoneId((i % 2) as u32),
@@ -85,8 +85,8 @@
     while t < seconds {
         let (now, mix) = (s(t), mix(t));
         let served = |need: f64, can: f64| if need > 0.0 { (can / need).min(1.0) } else { 1.0 };
-        done +=
-            served(mix.read, fluid.can(now, Role::Read)).min(served(mix.write, fluid.can(now, Role::Write)));
+        done += served(mix.read, fluid.can(now, Role::Prefill))
+            .min(served(mix.write, fluid.can(now, Role::Decode)));
         asked += 1.0;
         if policy.is_some() {
             let plan = planner.plan(&View { now, engines: fluid.engines.clone(), mix });
@@ -108,16 +108,16 @@
             while t < seconds {
                 let (now, at) = (s(t), mix(t));
                 let served = |need: f64, can: f64| if need > 0.0 { (can / need).min(1.0) } else { 1.0 };
-                done += served(at.read, fluid.can(now, Role::Read))
-                    .min(served(at.write, fluid.can(now, Role::Write)));
+                done += served(at.read, fluid.can(now, Role::Prefill))
+                    .min(served(at.write, fluid.can(now, Role::Decode)));
                 asked += 1.0;
                 // The side that will be short once a change begun now has worked.
                 let ahead = mix(t + lead);
                 let goal = if ahead.read > ahead.write { n / 2 + k } else { n / 2 - k };
-                let mut readers = fluid.engines.iter().filter(|e| role_to_be(e) == Role::Read).count();
+                let mut readers = fluid.engines.iter().filter(|e| role_to_be(e) == Role::Prefill).count();
                 let mut changes = Vec::new();
                 while fluid.leaving.len() + changes.len() < LIMITS.in_flight && readers != goal {
-                    let to = if readers < goal { Role::Read } else { Role::Write };
+                    let to = if readers < goal { Role::Prefill } else { Role::Decode };
                     let free = |e: &&EngineView| {
                         e.role != to
                             && e.phase == Phase::Serving
@@ -139,7 +139,7 @@
                         gain,
                         likely,
                     });
-                    readers = if to == Role::Read { readers + 1 } else { readers - 1 };
+                    readers = if to == Role::Prefill { readers + 1 } else { readers - 1 };
                 }
                 fluid.apply(now, &Plan { changes, because: String::new() });
                 t += 0.5;
--- a/crates/roles/tests/roles.rs
+++ b/crates/roles/tests/roles.rs
@@ -24,7 +24,7 @@
 fn engines(readers: u64, writers: u64, cells: u64) -> Vec<EngineView> {
     let engine = |n: u64| EngineView {
         id: EngineId(n),
-        role: if n < readers { Role::Read } else { Role::Write },
+        role: if n < readers { Role::Prefill } else { Role::Decode },
         epoch: n,
         cell: CellId((n % cells) as u32),
         zone: ZoneId(0),
@@ -56,7 +56,7 @@
         let changed: Vec<u64> = plan.changes.iter().map(|c| c.engine.0).collect();
         assert_eq!(changed, [10, 11], "{policy:?}: the writers that keep least: {plan:?}");
         let first = &plan.changes[0];
-        assert_eq!((first.from, first.to, first.replaces), (Role::Write, Role::Read, 10));
+        assert_eq!((first.from, first.to, first.replaces), (Role::Decode, Role::Prefill, 10));
         assert!(
             first.gain > first.cost && first.to_string().contains("serves 77.1% in place of 64.3%"),
             "{first}"
@@ -101,7 +101,7 @@
 #[test]
 fn changes_under_way_count_for_their_new_role() {
     let mut all = engines(10, 10, 2);
-    all[10..14].iter_mut().for_each(|e| e.phase = Phase::Changing(Role::Read));
+    all[10..14].iter_mut().for_each(|e| e.phase = Phase::Changing(Role::Prefill));
     let limits = Limits { in_flight: 9, ..LIMITS };
     let mut planner = Planner::new(limits, COSTS, Policy::Greedy);
     let plan = settled(&mut planner, &all, mix(12.0, 3.0), 160);
@@ -147,22 +147,22 @@
 
 #[test]
 fn an_order_for_another_epoch_changes_nothing() {
-    let mut record = RoleRecord::started(Role::Read, 4, s(10));
+    let mut record = RoleRecord::started(Role::Prefill, 4, s(10));
     let order = |replaces, to| Order { replaces, to };
     assert!(
-        matches!(record.order(s(11), order(3, Role::Write)), Err(Rejected::OtherEpoch(state)) if state.epoch == 4)
+        matches!(record.order(s(11), order(3, Role::Decode)), Err(Rejected::OtherEpoch(state)) if state.epoch == 4)
     );
-    assert!(matches!(record.order(s(11), order(4, Role::Read)), Err(Rejected::SameRole(_))));
-    record.order(s(12), order(4, Role::Write)).expect("the present epoch");
+    assert!(matches!(record.order(s(11), order(4, Role::Prefill)), Err(Rejected::SameRole(_))));
+    record.order(s(12), order(4, Role::Decode)).expect("the present epoch");
     assert!(!record.takes_work());
-    record.order(s(13), order(4, Role::Write)).expect("the same order again");
-    assert!(matches!(record.order(s(13), order(4, Role::Both)), Err(Rejected::Changing(_))));
+    record.order(s(13), order(4, Role::Decode)).expect("the same order again");
+    assert!(matches!(record.order(s(13), order(4, Role::Mixed)), Err(Rejected::Changing(_))));
     assert_eq!(record.left(s(14), 1, 0), None);
     assert_eq!(record.left(s(14), 0, 1), None, "it holds a state that nobody has fetched");
     let state = record.left(s(15), 0, 0).expect("the new role");
-    assert_eq!((state.role, state.epoch, state.started, state.step), (Role::Write, 5, s(15), Step::Serving));
+    assert_eq!((state.role, state.epoch, state.started, state.step), (Role::Decode, 5, s(15), Step::Serving));
     assert!(
-        matches!(record.order(s(16), order(4, Role::Read)), Err(Rejected::OtherEpoch(_))),
+        matches!(record.order(s(16), order(4, Role::Prefill)), Err(Rejected::OtherEpoch(_))),
         "a planner back from the dead"
     );
 }
@@ -172,8 +172,8 @@
     /// told before, and the role changes only when nothing of the old one is left.
     #[test]
     fn epochs_and_starts_only_grow(events in prop::collection::vec((0u8..3, 0u64..6, 0usize..3, 0usize..2), 1..60)) {
-        let mut record = RoleRecord::started(Role::Read, 0, s(1));
-        let roles = [Role::Read, Role::Write, Role::Both];
+        let mut record = RoleRecord::started(Role::Prefill, 0, s(1));
+        let roles = [Role::Prefill, Role::Decode, Role::Mixed];
         for (n, (kind, epoch, work, held)) in events.into_iter().enumerate() {
             let before = record.state();
             // Time stands still now and then.
--- a/crates/scenario/benches/sockets.rs
+++ b/crates/scenario/benches/sockets.rs
@@ -104,7 +104,7 @@
             }
             Input::Eof(conn) => {
                 self.conns.remove(&conn);
-                out.push(Output::Finish(conn));
+                out.push(Output::CloseWhenSent(conn));
             }
             Input::Lost(conn, _) => {
                 self.conns.remove(&conn);
--- a/crates/scenario/src/actor.rs
+++ b/crates/scenario/src/actor.rs
@@ -84,7 +84,7 @@
 
 impl Machine for Sabotaged {
     fn handle(&mut self, now: Duration, input: Input<'_>, out: &mut Vec<Output>) {
-        if let (Input::News(news), Sabotage::IgnoresLists) = (&input, self.how) {
+        if let (Input::OwnerMessage(news), Sabotage::IgnoresLists) = (&input, self.how) {
             if news.is::<Vec<EngineSite>>() {
                 return;
             }
--- a/crates/scenario/src/fleet.rs
+++ b/crates/scenario/src/fleet.rs
@@ -106,10 +106,10 @@
     /// What a model's requests do when they run.
     pub fn effect_of(site: &Site, model: &str) -> Effect {
         let class = site.models.iter().find(|m| m.name == model).map(|m| &site.settings.classes[m.class]);
-        match class.map(|c| c.effect) {
-            Some(slipreel::Effect::Keyed { .. }) => Effect::Keyed,
-            Some(slipreel::Effect::Unsafe) => Effect::Unsafe,
-            Some(slipreel::Effect::Safe) | None => Effect::Safe,
+        match class.map(|c| c.idempotency) {
+            Some(slipreel::Idempotency::WithKey { .. }) => Effect::Keyed,
+            Some(slipreel::Idempotency::NotIdempotent) => Effect::Unsafe,
+            Some(slipreel::Idempotency::Idempotent) | None => Effect::Safe,
         }
     }
 
@@ -129,7 +129,7 @@
     /// The site that a router is handed.
     pub fn router_site(&self, router: usize, addrs: &[SocketAddr]) -> Site {
         let mut site = self.site.clone();
-        site.settings.routers = self.routers as u32;
+        site.settings.router_count = self.routers as u32;
         site.zone = self.router_zone(router);
         site.name = Self::router_name(router);
         let placed = self.engines.iter().zip(addrs).map(|(e, addr)| {
--- a/crates/scenario/src/report.rs
+++ b/crates/scenario/src/report.rs
@@ -18,7 +18,7 @@
     Figures {
         answer_slack: WIRE,
         drain_grace: DRAIN_GRACE,
-        let_go: day.site.settings.let_go_within,
+        let_go: day.site.settings.held_state_limit,
         wire: WIRE,
     }
 }
--- a/crates/scenario/src/stage.rs
+++ b/crates/scenario/src/stage.rs
@@ -253,7 +253,7 @@
             self.follow(stage, next);
         }
         // State that nobody took has to be let go of: what the rules allow, and a little.
-        let last = stage.now() + self.day.site.settings.let_go_within * 4;
+        let last = stage.now() + self.day.site.settings.held_state_limit * 4;
         stage.until(last);
         self.ledger.note(stage.now(), Seen::RunOver);
     }
--- a/crates/settings/src/roles.rs
+++ b/crates/settings/src/roles.rs
@@ -98,8 +98,8 @@
     let places = (doc.need::<Over0>(at, "read_places"), doc.need::<Over0>(at, "write_places"));
     let costs = Costs {
         drain: doc.or(here, "drain", Costs::DRAIN),
-        cold: settings.cold_time,
-        cold_share: settings.cold_share,
+        cold: settings.warmup_time,
+        cold_share: settings.warmup_initial_share,
         read_per_s: speeds.0.as_ref().map_or(1.0, |n| n.0),
     };
     let policy = doc.or(here, "policy", Policy::Greedy);
--- a/crates/settings/src/site.rs
+++ b/crates/settings/src/site.rs
@@ -3,7 +3,9 @@
 use crate::doc::Doc;
 use crate::fleet::{read_fleet, FleetSite};
 use crate::values::{Bytes, Loopback, Name, Value};
-use slipreel::{Class, Effect, EngineState, Group, Limits, ReportSource, Role, Settings, Tenant, ZoneId};
+use slipreel::{
+    Class, DeduplicationScope, EngineState, Idempotency, Limits, ReportSource, Role, Settings, Tenant, ZoneId,
+};
 use slipreel_gateway::site::{
     starting_class, starting_settings, Bounds, ClassSite, EngineSite, ModelSite, Site,
 };
@@ -164,36 +166,36 @@
 ) -> Settings {
     let at = doc.one("limits");
     let start = starting_settings();
-    let cold_share = doc.or(at, "cold_share", start.cold_share);
+    let cold_share = doc.or(at, "cold_share", start.warmup_initial_share);
     if let Some(at) = at.filter(|_| cold_share > 1.0) {
         doc.say(at, "cold_share", format!("{cold_share}: expected a share from 0 to 1"));
     }
-    let retry_after = doc.or(at, "retry_after", start.limits.retry_after.unwrap_or_default());
+    let retry_after = doc.or(at, "retry_after", start.limits.max_retry_after.unwrap_or_default());
     Settings {
-        routers,
+        router_count: routers,
         // Named in the site; the front numbers it as its list does.
         zone: ZoneId(0),
         tick: doc.or(router, "tick", start.tick),
         classes,
         tenants,
-        over_share_worth: doc.or(at, "over_share_worth", start.over_share_worth),
-        kinds: KINDS.to_vec(),
+        over_quota_weight: doc.or(at, "over_share_worth", start.over_quota_weight),
+        kind_roles: KINDS.to_vec(),
         memory_tokens: vec![],
-        writers_read: doc.or(at, "writers_read", start.writers_read),
-        ask_for_engines: false,
-        reports: doc.or(at, "reports", start.reports),
+        decode_engines_prefill: doc.or(at, "writers_read", start.decode_engines_prefill),
+        polls_engine_list: false,
+        report_source: doc.or(at, "reports", start.report_source),
         limits: Limits {
-            attempts: at_least_one(doc, at, "attempts", start.limits.attempts),
-            cancel: doc.or(at, "cancel", start.limits.cancel),
+            max_attempts: at_least_one(doc, at, "attempts", start.limits.max_attempts),
+            cancellation: doc.or(at, "cancel", start.limits.cancellation),
             probes: doc.or(at, "probes", start.limits.probes),
-            second_copies: false,
-            retry_after: (retry_after > Duration::ZERO).then_some(retry_after),
+            hedged_requests: false,
+            max_retry_after: (retry_after > Duration::ZERO).then_some(retry_after),
             connect_timeout: doc.or(at, "connect_timeout", start.limits.connect_timeout),
         },
-        cold_share,
-        cold_time: doc.or(at, "cold_time", start.cold_time),
-        cold_budget: doc.or(at, "cold_budget", start.cold_budget),
-        let_go_within: doc.or(at, "let_go_within", start.let_go_within),
+        warmup_initial_share: cold_share,
+        warmup_time: doc.or(at, "cold_time", start.warmup_time),
+        warmup_budget: doc.or(at, "cold_budget", start.warmup_budget),
+        held_state_limit: doc.or(at, "let_go_within", start.held_state_limit),
     }
 }
 
@@ -223,16 +225,16 @@
     let mut classes = Vec::new();
     for at in doc.all("class") {
         let name = named(doc, at);
-        let group = doc.or(Some(at), "group", Group::All);
+        let group = doc.or(Some(at), "group", DeduplicationScope::All);
         let window = doc.or(Some(at), "window", start.window);
         let word = doc.text(at, "effect").unwrap_or_else(|| "safe".into());
         let effect = match word.as_str() {
-            "safe" => Effect::Safe,
-            "keyed" => Effect::Keyed { group, window },
-            "unsafe" => Effect::Unsafe,
+            "safe" => Idempotency::Idempotent,
+            "keyed" => Idempotency::WithKey { scope: group, window },
+            "unsafe" => Idempotency::NotIdempotent,
             other => {
                 doc.say(at, "effect", format!("{other:?}: expected safe, keyed or unsafe"));
-                Effect::Unsafe
+                Idempotency::NotIdempotent
             }
         };
         let aim = doc.or(Some(at), "aim", start.aim);
@@ -241,10 +243,10 @@
             doc.say(at, "patience", format!("{patience:?}: expected more than the aim, {aim:?}"));
         }
         let class = Class {
-            aim,
-            aim_per_1000: doc.or(Some(at), "aim_per_1000", start.aim_per_1000),
-            worth: doc.or(Some(at), "worth", 1.0),
-            effect,
+            latency_objective: aim,
+            latency_objective_per_1000_tokens: doc.or(Some(at), "aim_per_1000", start.aim_per_1000),
+            priority_weight: doc.or(Some(at), "worth", 1.0),
+            idempotency: effect,
             streams: true,
         };
         classes.push((class, ClassSite { name, patience }));
@@ -315,8 +317,8 @@
 /// Some engine that reads and some that writes have to be left, of those that this router lists.
 fn check_taken_out(doc: &mut Doc, engines: &[EngineSite], taken_out: &[String]) {
     let Some(at) = doc.one("operations").filter(|_| !engines.is_empty()) else { return };
-    for (role, what) in [(Role::Read, "reads"), (Role::Write, "writes")] {
-        let can = |e: &&EngineSite| e.role == role || e.role == Role::Both;
+    for (role, what) in [(Role::Prefill, "reads"), (Role::Decode, "writes")] {
+        let can = |e: &&EngineSite| e.role == role || e.role == Role::Mixed;
         if !engines.iter().filter(can).any(|e| !taken_out.contains(&e.name)) {
             let why = format!(
                 "{}: expected an engine that {what} to be left, of those listed here",
@@ -355,8 +357,8 @@
         }
         engines.push(EngineSite { name, addr, role, zone, cell, state });
     }
-    let can = |wanted: Role| engines.iter().any(|e| e.role == wanted || e.role == Role::Both);
-    let complete = can(Role::Read) && can(Role::Write);
+    let can = |wanted: Role| engines.iter().any(|e| e.role == wanted || e.role == Role::Mixed);
+    let complete = can(Role::Prefill) && can(Role::Decode);
     if !(engines.is_empty() || complete) {
         doc.say_file("expected engines that read and engines that write, or some that do both");
     }
--- a/crates/settings/src/slices.rs
+++ b/crates/settings/src/slices.rs
@@ -43,9 +43,9 @@
     let mut slices: BTreeMap<(&str, &str, u16, bool), Vec<&EngineSite>> = BTreeMap::new();
     for e in engines.iter().filter(|e| e.state != EngineState::Gone) {
         let role = match e.role {
-            Role::Read => "read",
-            Role::Write => "write",
-            Role::Both => "both",
+            Role::Prefill => "read",
+            Role::Decode => "write",
+            Role::Mixed => "both",
         };
         // The ports of a slice are those of all its addresses, and its addresses of one family.
         slices.entry((role, &e.cell, e.addr.port(), e.addr.is_ipv4())).or_default().push(e);
--- a/crates/settings/src/slices/tests.rs
+++ b/crates/settings/src/slices/tests.rs
@@ -11,10 +11,10 @@
         state,
     };
     let mut all = vec![
-        engine("127.0.0.1:9001", Role::Read, "a", EngineState::Ready),
-        engine("127.0.0.2:9001", Role::Read, "a", EngineState::Draining),
-        engine("[::1]:9001", Role::Write, "a", EngineState::Ready),
-        engine("127.0.0.1:9004", Role::Both, "b", EngineState::Ready),
+        engine("127.0.0.1:9001", Role::Prefill, "a", EngineState::Ready),
+        engine("127.0.0.2:9001", Role::Prefill, "a", EngineState::Draining),
+        engine("[::1]:9001", Role::Decode, "a", EngineState::Ready),
+        engine("127.0.0.1:9004", Role::Mixed, "b", EngineState::Ready),
     ];
     let mut read = engines_from_slices(&engines_to_slices(&all)).expect("a list that can be read");
     all.sort_by_key(|e| e.addr);
--- a/crates/settings/src/values.rs
+++ b/crates/settings/src/values.rs
@@ -1,6 +1,6 @@
 //! The kinds of value that settings hold, and what is said of one that can't be read.
 
-use slipreel::{EngineState, Group, Role};
+use slipreel::{DeduplicationScope, EngineState, Role};
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -121,21 +121,21 @@
     const EXPECTED: &'static str = "read, write or both";
     fn read(text: &str) -> Result<Self, String> {
         or_expected(match text {
-            "read" => Some(Role::Read),
-            "write" => Some(Role::Write),
-            "both" => Some(Role::Both),
+            "read" => Some(Role::Prefill),
+            "write" => Some(Role::Decode),
+            "both" => Some(Role::Mixed),
             _ => None,
         })
     }
 }
 
-impl Value for Group {
+impl Value for DeduplicationScope {
     const EXPECTED: &'static str = "all, zone or cell";
     fn read(text: &str) -> Result<Self, String> {
         or_expected(match text {
-            "all" => Some(Group::All),
-            "zone" => Some(Group::Zone),
-            "cell" => Some(Group::Cell),
+            "all" => Some(DeduplicationScope::All),
+            "zone" => Some(DeduplicationScope::Zone),
+            "cell" => Some(DeduplicationScope::Cell),
             _ => None,
         })
     }
--- a/crates/state-machine/src/lib.rs
+++ b/crates/state-machine/src/lib.rs
@@ -32,11 +32,11 @@
 
 /// One of a machine's listeners: its place in the order in which they were opened.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Door(pub usize);
+pub struct ListenerId(pub usize);
 
 /// Why a connection is over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Loss {
+pub enum ConnectionLoss {
     /// It never stood: refused or unreachable. Nothing was sent.
     NotConnected,
     /// It could not be tried: the process has no descriptor or port left. Nothing was sent.
@@ -49,30 +49,30 @@
 #[derive(Clone, Copy, Debug)]
 pub enum Input<'a> {
     /// A peer has connected to one of the machine's listeners.
-    Accepted(ConnId, Door),
+    Accepted(ConnId, ListenerId),
     /// An [`Output::Connect`] has succeeded.
     Connected(ConnId),
     /// A peer waits at a listener, and the process has no descriptor left to take it up with. Said again after a while.
-    Crowded(Door),
+    DescriptorsExhausted(ListenerId),
     /// Bytes have come in.
     Data(ConnId, &'a [u8]),
     /// The peer sends no more; it may still read.
     Eof(ConnId),
     /// The peer of a paused connection has closed it, whatever it had sent before and still waits unread. Told once; the
     /// rest and `Eof` or `Lost` follow once the connection is resumed.
-    HungUp(ConnId),
+    PeerClosedWhilePaused(ConnId),
     /// So many of the bytes given to [`Output::Write`] have left the driver.
     Sent(ConnId, usize),
     /// The connection is over. Nothing follows for it.
-    Lost(ConnId, Loss),
-    /// A datagram has come in by one of the machine's datagram sockets ([`Door`]s of their own count), from this address.
-    Datagram(Door, SocketAddr, &'a [u8]),
+    Lost(ConnId, ConnectionLoss),
+    /// A datagram has come in by one of the machine's datagram sockets ([`ListenerId`]s of their own count), from this address.
+    Datagram(ListenerId, SocketAddr, &'a [u8]),
     /// The time given by [`Machine::wake_at`] has come, or passed.
     Wake,
     /// Take no new work, finish what runs, then say [`Output::Stopped`].
     Stop,
     /// News from the machine's owner; each machine says which types it takes and ignores the others.
-    News(&'a (dyn Any + Send + Sync)),
+    OwnerMessage(&'a (dyn Any + Send + Sync)),
 }
 
 /// What a machine asks its driver for.
@@ -83,9 +83,9 @@
     /// Send bytes, in order. The driver keeps what can't be sent yet: the machine bounds it by `Sent`.
     Write(ConnId, Vec<u8>),
     /// Send what was written, then close. No input follows for it.
-    Finish(ConnId),
+    CloseWhenSent(ConnId),
     /// Send what was written, then tell the peer that no more comes; go on reading.
-    Shut(ConnId),
+    ShutdownWrite(ConnId),
     /// Close at once, dropping what is unsent. No input follows for it.
     Abort(ConnId),
     /// Hand over no more data of this connection until `Resume`.
@@ -94,7 +94,7 @@
     Resume(ConnId),
     /// Send a datagram by one of the machine's datagram sockets. It may be lost, late, doubled or out of order, and
     /// nothing is told of it.
-    Datagram(Door, SocketAddr, Vec<u8>),
+    Datagram(ListenerId, SocketAddr, Vec<u8>),
     /// Take no further connections. Those that the system has taken already are handed over first; then the machine's
     /// listeners are closed.
     StopListening,
--- a/crates/test-servers/src/client.rs
+++ b/crates/test-servers/src/client.rs
@@ -7,7 +7,7 @@
 use slipreel_invariants::{Effect, Ending, Seen, Try};
 use slipreel_protocol::http::{self, Decoder, Framing, Item, Limits, Side, Start};
 use slipreel_protocol::sse;
-use slipreel_state_machine::{ConnId, Input, Loss, Machine, Output};
+use slipreel_state_machine::{ConnId, ConnectionLoss, Input, Machine, Output};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -366,7 +366,7 @@
         if again && open.status != 0 && idle.len() < 256 {
             idle.push_back(conn);
         } else {
-            out.push(Output::Finish(conn));
+            out.push(Output::CloseWhenSent(conn));
         }
         self.over(now, conn, Some(ending));
     }
@@ -380,19 +380,21 @@
     }
 
     /// The connection is over before the answer was whole.
-    fn cut(&mut self, now: Duration, conn: ConnId, why: Loss) {
+    fn cut(&mut self, now: Duration, conn: ConnId, why: ConnectionLoss) {
         for idle in &mut self.idle {
             idle.retain(|&c| c != conn);
         }
         let Some(open) = self.open.get_mut(&conn) else { return };
         match why {
             // Nobody took the request: for the rules it was never asked.
-            Loss::NotConnected | Loss::Exhausted => self.ledger.note(now, Seen::Left(open.what)),
+            ConnectionLoss::NotConnected | ConnectionLoss::Exhausted => {
+                self.ledger.note(now, Seen::Left(open.what))
+            }
             // It has said that it sends no more: a router may take that for leaving.
-            Loss::Reset if self.plans[open.plan].habit == Habit::HalfCloses => {
+            ConnectionLoss::Reset if self.plans[open.plan].habit == Habit::HalfCloses => {
                 self.ledger.note(now, Seen::Left(open.what));
             }
-            Loss::Reset => {
+            ConnectionLoss::Reset => {
                 open.is_unanswered = true;
                 self.ledger.note(now, Seen::Cut(open.what));
             }
@@ -549,23 +551,23 @@
                 self.send(now, conn, out);
                 let half = |o: &Open| self.plans[o.plan].habit == Habit::HalfCloses;
                 if self.open.get(&conn).is_some_and(half) {
-                    out.push(Output::Shut(conn));
+                    out.push(Output::ShutdownWrite(conn));
                 }
             }
             Input::Data(conn, bytes) => self.data(now, conn, bytes, out),
             Input::Eof(conn) => {
-                out.push(Output::Finish(conn));
-                self.cut(now, conn, Loss::Reset);
+                out.push(Output::CloseWhenSent(conn));
+                self.cut(now, conn, ConnectionLoss::Reset);
             }
             Input::Lost(conn, why) => self.cut(now, conn, why),
             Input::Stop => self.left = 0,
             Input::Accepted(..)
             | Input::Sent(..)
-            | Input::HungUp(_)
-            | Input::Crowded(_)
+            | Input::PeerClosedWhilePaused(_)
+            | Input::DescriptorsExhausted(_)
             | Input::Wake
             | Input::Datagram(..)
-            | Input::News(_) => {}
+            | Input::OwnerMessage(_) => {}
         }
         while let Some((&(at, n), _)) = self.alarms.first_key_value() {
             if at > now {
--- a/crates/test-servers/src/engine/fetch.rs
+++ b/crates/test-servers/src/engine/fetch.rs
@@ -114,7 +114,7 @@
             idle.push(conn);
         } else {
             self.wires.remove(&conn);
-            out.push(Output::Finish(conn));
+            out.push(Output::CloseWhenSent(conn));
         }
         Some(ended)
     }
--- a/crates/test-servers/src/engine/mod.rs
+++ b/crates/test-servers/src/engine/mod.rs
@@ -657,7 +657,7 @@
         if garbage.hangs() {
             return;
         }
-        out.push(Output::Finish(conn));
+        out.push(Output::CloseWhenSent(conn));
         self.gone(now, conn, out);
     }
 
@@ -712,11 +712,11 @@
                 self.fetched(now, ended, out);
             }
             Input::Eof(id) => {
-                out.push(Output::Finish(id));
+                out.push(Output::CloseWhenSent(id));
                 self.gone(now, id, out);
             }
             Input::Lost(id, _) => self.gone(now, id, out),
-            Input::HungUp(_) | Input::Crowded(_) => {}
+            Input::PeerClosedWhilePaused(_) | Input::DescriptorsExhausted(_) => {}
             Input::Sent(id, n) => self.sent(now, id, n, out),
             Input::Wake => {
                 for job in self.fetches.late(now, out) {
@@ -734,7 +734,7 @@
             }
             Input::Stop => self.stopping = true,
             Input::Datagram(..) => {}
-            Input::News(news) => {
+            Input::OwnerMessage(news) => {
                 if let Some(fault) = news.downcast_ref::<Fault>() {
                     self.fault(now, fault, out);
                 }
--- a/crates/test-servers/src/engine/spec.rs
+++ b/crates/test-servers/src/engine/spec.rs
@@ -33,9 +33,9 @@
 impl From<Role> for slipreel::Role {
     fn from(role: Role) -> Self {
         match role {
-            Role::Read => slipreel::Role::Read,
-            Role::Write => slipreel::Role::Write,
-            Role::Both => slipreel::Role::Both,
+            Role::Read => slipreel::Role::Prefill,
+            Role::Write => slipreel::Role::Decode,
+            Role::Both => slipreel::Role::Mixed,
         }
     }
 }
@@ -43,9 +43,9 @@
 impl From<slipreel::Role> for Role {
     fn from(role: slipreel::Role) -> Self {
         match role {
-            slipreel::Role::Read => Role::Read,
-            slipreel::Role::Write => Role::Write,
-            slipreel::Role::Both => Role::Both,
+            slipreel::Role::Prefill => Role::Read,
+            slipreel::Role::Decode => Role::Write,
+            slipreel::Role::Mixed => Role::Both,
         }
     }
 }
--- a/crates/test-servers/src/gate.rs
+++ b/crates/test-servers/src/gate.rs
@@ -76,13 +76,14 @@
                     self.peers.insert(*conn, *addr);
                     Some(*conn)
                 }
-                Output::Write(conn, _) | Output::Shut(conn) | Output::Finish(conn) | Output::Abort(conn) => {
-                    Some(*conn)
-                }
+                Output::Write(conn, _)
+                | Output::ShutdownWrite(conn)
+                | Output::CloseWhenSent(conn)
+                | Output::Abort(conn) => Some(*conn),
                 _ => None,
             };
             let cut = conn.is_some_and(|c| self.is_cut(c));
-            let last = matches!(output, Output::Finish(_) | Output::Abort(_));
+            let last = matches!(output, Output::CloseWhenSent(_) | Output::Abort(_));
             if let (true, Some(conn)) = (cut, conn) {
                 match &output {
                     Output::Write(_, bytes) => {
@@ -125,7 +126,9 @@
             let conn = match &held {
                 Held::In(conn, _) | Held::Eof(conn) => *conn,
                 Held::Out(Output::Connect(conn, _) | Output::Write(conn, _)) => *conn,
-                Held::Out(Output::Shut(conn) | Output::Finish(conn) | Output::Abort(conn)) => *conn,
+                Held::Out(
+                    Output::ShutdownWrite(conn) | Output::CloseWhenSent(conn) | Output::Abort(conn),
+                ) => *conn,
                 Held::Out(_) => continue,
             };
             if self.is_cut(conn) {
@@ -147,7 +150,7 @@
 impl<M: Machine> Machine for Gate<M> {
     fn handle(&mut self, now: Duration, input: Input<'_>, out: &mut Vec<Output>) {
         match input {
-            Input::News(news) if news.is::<Cut>() => {
+            Input::OwnerMessage(news) if news.is::<Cut>() => {
                 if let Some(cut) = news.downcast_ref::<Cut>() {
                     self.set(now, cut, out);
                 }
