--- a/crates/test-servers/src/memory.rs
+++ b/crates/test-servers/src/memory.rs
@@ -6,7 +6,7 @@
 
 use rand_xoshiro::rand_core::{RngCore, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
-use slipreel_state_machine::{ConnId, Door, Input, Loss, Machine, Output};
+use slipreel_state_machine::{ConnId, ConnectionLoss, Input, ListenerId, Machine, Output};
 use std::any::Any;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, HashMap, VecDeque};
@@ -85,14 +85,14 @@
     flows: [Flow; 2],
     connected: bool,
     /// By which listener it came.
-    door: Door,
+    door: ListenerId,
 }
 
 enum Event {
     Wake(usize),
     Connecting { link: u64, addr: SocketAddr },
     Connected(u64),
-    Refused { node: usize, id: ConnId, why: Loss },
+    Refused { node: usize, id: ConnId, why: ConnectionLoss },
     Arrive { link: u64, to: usize, piece: Piece },
     Deliver { link: u64, to: usize },
     Sent { link: u64, from: usize, n: usize },
@@ -112,7 +112,7 @@
     by_id: HashMap<ConnId, (u64, usize)>,
     /// Its datagram sockets, and what waits in them while it does not run.
     mailboxes: Vec<SocketAddr>,
-    waiting: VecDeque<(Door, SocketAddr, Vec<u8>)>,
+    waiting: VecDeque<(ListenerId, SocketAddr, Vec<u8>)>,
 }
 
 /// Hosts machines in virtual time.
@@ -123,7 +123,7 @@
     events: HashMap<u64, Event>,
     nodes: Vec<Node<M>>,
     listeners: BTreeMap<SocketAddr, usize>,
-    mailboxes: BTreeMap<SocketAddr, (usize, Door)>,
+    mailboxes: BTreeMap<SocketAddr, (usize, ListenerId)>,
     links: HashMap<u64, Link>,
     next_link: u64,
     /// Pairs of machines between which nothing passes; the lower number first.
@@ -203,7 +203,7 @@
     /// Opens datagram sockets for a machine, at these addresses.
     pub fn open_mailboxes(&mut self, node: usize, addrs: &[SocketAddr]) {
         for &addr in addrs {
-            let door = Door(self.nodes[node].mailboxes.len());
+            let door = ListenerId(self.nodes[node].mailboxes.len());
             self.nodes[node].mailboxes.push(addr);
             self.mailboxes.insert(addr, (node, door));
         }
@@ -221,7 +221,7 @@
 
     /// Gives news to a machine.
     pub fn news(&mut self, node: usize, news: &(dyn Any + Send + Sync)) {
-        self.give(node, Input::News(news));
+        self.give(node, Input::OwnerMessage(news));
     }
 
     /// Tells a machine to stop in good order.
@@ -263,7 +263,7 @@
             self.listeners.insert(addr, node);
         }
         for (at, addr) in n.mailboxes.clone().into_iter().enumerate() {
-            self.mailboxes.insert(addr, (node, Door(at)));
+            self.mailboxes.insert(addr, (node, ListenerId(at)));
         }
         self.plan_wake(node);
     }
@@ -419,14 +419,17 @@
         let Some(&node) = self.listeners.get(&addr).filter(|_| from.open) else {
             self.links.remove(&link);
             let at = self.now + self.delay();
-            return self.plan(at, Event::Refused { node: from.node, id: from.id, why: Loss::NotConnected });
+            return self.plan(
+                at,
+                Event::Refused { node: from.node, id: from.id, why: ConnectionLoss::NotConnected },
+            );
         };
         if self.is_cut(from.node, node) {
             return self.plan(self.now + CONNECT_RETRY, Event::Connecting { link, addr });
         }
         if let Some(l) = self.links.get_mut(&link) {
             l.ends[1].node = node;
-            l.door = Door(self.nodes[node].addrs.iter().position(|a| *a == addr).unwrap_or(0));
+            l.door = ListenerId(self.nodes[node].addrs.iter().position(|a| *a == addr).unwrap_or(0));
         }
         let at = self.now + self.delay() + self.lateness();
         self.plan(at, Event::Connected(link));
@@ -524,7 +527,7 @@
             if flow.paused && is_data {
                 let closed = |piece: &Piece| matches!(piece, Piece::Fin | Piece::Reset);
                 if flow.arrived.iter().any(closed) && !std::mem::replace(&mut flow.hung_up, true) {
-                    self.give(end.node, Input::HungUp(end.id));
+                    self.give(end.node, Input::PeerClosedWhilePaused(end.id));
                 }
                 return;
             }
@@ -540,7 +543,7 @@
                 Piece::Fin => self.give(end.node, Input::Eof(end.id)),
                 Piece::Reset => {
                     self.close_end(link, to);
-                    self.give(end.node, Input::Lost(end.id, Loss::Reset));
+                    self.give(end.node, Input::Lost(end.id, ConnectionLoss::Reset));
                 }
             }
         }
@@ -594,7 +597,12 @@
                 let (from, to) = (End { node, id, open: true }, End { node: 0, id: ConnId(0), open: false });
                 self.links.insert(
                     link,
-                    Link { ends: [from, to], flows: Default::default(), connected: false, door: Door(0) },
+                    Link {
+                        ends: [from, to],
+                        flows: Default::default(),
+                        connected: false,
+                        door: ListenerId(0),
+                    },
                 );
                 self.nodes[node].by_id.insert(id, (link, 0));
                 let at = self.now + self.delay();
@@ -609,7 +617,7 @@
                     self.launch(link, 1 - end);
                 }
             }
-            Output::Shut(id) => {
+            Output::ShutdownWrite(id) => {
                 let Some((link, end)) = found(&id) else { return };
                 if let Some(l) = self.links.get_mut(&link) {
                     if !std::mem::replace(&mut l.flows[1 - end].closed, true) {
@@ -618,7 +626,7 @@
                 }
                 self.launch(link, 1 - end);
             }
-            Output::Finish(id) => {
+            Output::CloseWhenSent(id) => {
                 let Some((link, end)) = found(&id) else { return };
                 if let Some(l) = self.links.get_mut(&link) {
                     if !std::mem::replace(&mut l.flows[1 - end].closed, true) {
@@ -635,7 +643,7 @@
                 let Some((link, end)) = found(&id) else { return };
                 self.reset(link, end);
             }
-            Output::Datagram(Door(door), to, bytes) => {
+            Output::Datagram(ListenerId(door), to, bytes) => {
                 let Some(&from) = self.nodes[node].mailboxes.get(door) else { return };
                 let at = self.now + self.delay();
                 self.plan(at, Event::Datagram { from, to, bytes });
--- a/crates/test-servers/src/platform/client.rs
+++ b/crates/test-servers/src/platform/client.rs
@@ -247,7 +247,7 @@
             }
             Input::Data(conn, bytes) => self.data(now, conn, bytes, out),
             Input::Eof(conn) => {
-                out.push(Output::Finish(conn));
+                out.push(Output::CloseWhenSent(conn));
                 self.closed(conn);
             }
             Input::Lost(conn, _) => self.closed(conn),
--- a/crates/test-servers/src/platform/discovery.rs
+++ b/crates/test-servers/src/platform/discovery.rs
@@ -191,7 +191,7 @@
                     self.answer(conn, now, out);
                 }
             }
-            Input::News(news) => {
+            Input::OwnerMessage(news) => {
                 if let Some(listing) = news.downcast_ref::<Listing>() {
                     self.changes(listing, out);
                 } else if let Some(mood) = news.downcast_ref::<Mood>() {
@@ -211,7 +211,7 @@
                 }
             }
             Input::Eof(conn) => {
-                out.push(Output::Finish(conn));
+                out.push(Output::CloseWhenSent(conn));
                 self.watches.remove(&conn);
             }
             Input::Lost(conn, _) => {
--- a/crates/test-servers/src/platform/engine.rs
+++ b/crates/test-servers/src/platform/engine.rs
@@ -292,7 +292,7 @@
                 }
             }
             Input::Eof(conn) => {
-                out.push(Output::Finish(conn));
+                out.push(Output::CloseWhenSent(conn));
                 self.gone(conn, false);
             }
             Input::Lost(conn, _) => self.gone(conn, false),
--- a/crates/test-servers/src/platform/hostile_engine.rs
+++ b/crates/test-servers/src/platform/hostile_engine.rs
@@ -254,7 +254,7 @@
     fn close(&mut self, conn: ConnId, attempt: AttemptId, resets: bool, out: &mut Vec<Output>) {
         self.see(Seen::Over(attempt));
         self.connections.remove(&conn);
-        out.push(if resets { Output::Abort(conn) } else { Output::Finish(conn) });
+        out.push(if resets { Output::Abort(conn) } else { Output::CloseWhenSent(conn) });
     }
 
     fn finish(&mut self, number: u64, out: &mut Vec<Output>) {
@@ -324,7 +324,7 @@
                 out.push(if fault == ExchangeFault::ResetIdle {
                     Output::Abort(conn)
                 } else {
-                    Output::Finish(conn)
+                    Output::CloseWhenSent(conn)
                 });
                 return self.gone(conn);
             }
@@ -397,11 +397,11 @@
                 }
             }
             Input::Eof(conn) => {
-                out.push(Output::Finish(conn));
+                out.push(Output::CloseWhenSent(conn));
                 self.gone(conn);
             }
             Input::Lost(conn, _) => self.gone(conn),
-            Input::News(news) if news.is::<EngineDies>() => {
+            Input::OwnerMessage(news) if news.is::<EngineDies>() => {
                 let connections: Vec<ConnId> = self.connections.keys().copied().collect();
                 connections.into_iter().for_each(|conn| self.gone(conn));
             }
--- a/crates/test-servers/src/platform/repeating_client.rs
+++ b/crates/test-servers/src/platform/repeating_client.rs
@@ -287,7 +287,7 @@
             Input::Connected(conn) => self.send(conn, out),
             Input::Data(conn, bytes) => self.data(conn, bytes, out),
             Input::Eof(conn) => {
-                out.push(Output::Finish(conn));
+                out.push(Output::CloseWhenSent(conn));
                 self.closed(conn, true);
             }
             Input::Lost(conn, _) => self.closed(conn, false),
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -32,23 +32,23 @@
 
 /// What a request does when it runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Effect {
+pub enum Idempotency {
     /// May run any number of times.
-    Safe,
-    /// Repeats are dropped by the engines of `group` for `window` after the first that may have run.
-    Keyed {
+    Idempotent,
+    /// Repeats are dropped by the engines of `scope` for `window` after the first that may have run.
+    WithKey {
         /// The engines that know each other's repeats.
-        group: Group,
+        scope: DeduplicationScope,
         /// How long they remember.
         window: Duration,
     },
     /// Must never run twice.
-    Unsafe,
+    NotIdempotent,
 }
 
 /// The engines that drop each other's repeats of a keyed request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Group {
+pub enum DeduplicationScope {
     /// All of them.
     All,
     /// Those of one zone.
@@ -61,13 +61,13 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
     /// First-token aim of an empty prompt.
-    pub aim: Duration,
+    pub latency_objective: Duration,
     /// What the aim grows by for each 1,000 prompt tokens.
-    pub aim_per_1000: Duration,
+    pub latency_objective_per_1000_tokens: Duration,
     /// What one request is worth.
-    pub worth: f64,
+    pub priority_weight: f64,
     /// What a request does when it runs.
-    pub effect: Effect,
+    pub idempotency: Idempotency,
     /// Whether answers stream, so that a first token is told.
     pub streams: bool,
 }
@@ -84,11 +84,11 @@
 pub enum Role {
     /// Reads prompts.
     #[default]
-    Read,
+    Prefill,
     /// Writes answers.
-    Write,
+    Decode,
     /// Does both.
-    Both,
+    Mixed,
 }
 
 /// Where load reports come from.
@@ -106,15 +106,15 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limits {
     /// The most attempts one request may have.
-    pub attempts: usize,
+    pub max_attempts: usize,
     /// Whether attempts may be cancelled.
-    pub cancel: bool,
+    pub cancellation: bool,
     /// Whether engines may be probed.
     pub probes: bool,
     /// Whether two attempts of one request may be out at once.
-    pub second_copies: bool,
+    pub hedged_requests: bool,
     /// The longest retry time that clients heed; `None` if they hear none.
-    pub retry_after: Option<Duration>,
+    pub max_retry_after: Option<Duration>,
     /// After this an attempt without a connection ends as [`Outcome::ConnectFailed`].
     pub connect_timeout: Duration,
 }
@@ -123,7 +123,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// How many routers share the fleet, this one counted.
-    pub routers: u32,
+    pub router_count: u32,
     /// The zone of this router.
     pub zone: ZoneId,
     /// Least time between two batches of events.
@@ -133,28 +133,28 @@
     /// The tenants; empty if there are none.
     pub tenants: Vec<Tenant>,
     /// What a request over its tenant's share is worth, as a share of its class's worth.
-    pub over_share_worth: f64,
+    pub over_quota_weight: f64,
     /// The role of each kind of engine.
-    pub kinds: Vec<Role>,
+    pub kind_roles: Vec<Role>,
     /// The memory of each kind, tokens; empty where that is not told.
     pub memory_tokens: Vec<f64>,
     /// Whether a writer reads a prompt itself when there is no state to fetch.
-    pub writers_read: bool,
+    pub decode_engines_prefill: bool,
     /// Whether the list of engines has to be asked for.
-    pub ask_for_engines: bool,
+    pub polls_engine_list: bool,
     /// Where load reports come from.
-    pub reports: ReportSource,
+    pub report_source: ReportSource,
     /// What the site allows.
     pub limits: Limits,
     /// A started engine has at least this share of its capacity.
-    pub cold_share: f64,
+    pub warmup_initial_share: f64,
     /// And is warm within this time.
-    pub cold_time: Duration,
+    pub warmup_time: Duration,
     /// Work of so long a time, at what it can do by then, that a cold engine may get at once from all routers; zero where
     /// that is not told.
-    pub cold_budget: Duration,
+    pub warmup_budget: Duration,
     /// Held state must be taken or let go within this time.
-    pub let_go_within: Duration,
+    pub held_state_limit: Duration,
 }
 
 /// Whether an engine takes new work.
@@ -183,7 +183,7 @@
     /// Its cell.
     pub cell: CellId,
     /// When it last started; `None` if long ago.
-    pub started: Option<Duration>,
+    pub started_at: Option<Duration>,
 }
 
 /// How a list of engines is to be taken.
@@ -232,29 +232,29 @@
     /// The most tokens the answer may have.
     pub max_output_tokens: f64,
     /// How long until the client gives up.
-    pub time_left: Duration,
+    pub client_timeout: Duration,
     /// For an answer of which nothing goes out before it is whole: how long until the client gives up on that.
     /// `None` if it streams, or if its class tells no first token.
-    pub whole: Option<Duration>,
+    pub complete_answer_timeout: Option<Duration>,
     /// Whether the client says that it has asked before.
-    pub repeat: bool,
+    pub is_retry: bool,
     /// Whether it asks for the rest of a stream that broke or was moved.
-    pub resumes: bool,
+    pub is_resumption: bool,
 }
 
 /// How an attempt or a probe ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// Served, or the probe was answered.
-    Ok,
+    Completed,
     /// The prompt is read and its state waits at the reader.
-    Read,
+    Prefilled,
     /// The engine failed; the attempt may have run.
     Error,
-    /// Turned away; it never ran. `no_state`: there was no state to fetch.
-    Full {
+    /// Turned away; it never ran. `state_missing`: there was no state to fetch.
+    Rejected {
         /// There was no state to fetch.
-        no_state: bool,
+        state_missing: bool,
     },
     /// No reply in time; it may have run or still run.
     TimedOut,
@@ -265,19 +265,22 @@
     /// Cancelled; it may have run.
     Cancelled,
     /// Never sent.
-    Moot,
+    NotSent,
 }
 
 impl Outcome {
     /// Whether it proves that the attempt had no effect.
     pub fn proves_not_run(self) -> bool {
-        matches!(self, Outcome::Read | Outcome::Full { .. } | Outcome::ConnectFailed | Outcome::Moot)
+        matches!(
+            self,
+            Outcome::Prefilled | Outcome::Rejected { .. } | Outcome::ConnectFailed | Outcome::NotSent
+        )
     }
 }
 
 /// The end of one attempt; each has exactly one.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Ended {
+pub struct AttemptEnded {
     /// Which request.
     pub request: RequestId,
     /// Which of its attempts, from 0.
@@ -287,9 +290,9 @@
     /// Since its send.
     pub latency: Duration,
     /// The request is finished.
-    pub finished: bool,
+    pub request_finished: bool,
     /// Prompt tokens that a read found kept.
-    pub kept_tokens: f64,
+    pub cached_tokens: f64,
     /// The engine's load, where told.
     pub report: LoadReport,
 }
@@ -316,22 +319,22 @@
         latency: Duration,
     },
     /// An attempt has ended.
-    Ended(Ended),
+    AttemptEnded(AttemptEnded),
     /// The answer to a request for a place at a writer.
-    Place {
+    ReservationAnswered {
         /// Which request.
         request: RequestId,
         /// The engine asked.
         engine: EngineId,
         /// Whether the place is held.
-        held: bool,
+        granted: bool,
     },
     /// The client has left; no answer is owed any more.
-    ClientGone(RequestId),
+    ClientDisconnected(RequestId),
     /// A timer has come due.
-    Timer(TimerId),
+    TimerFired(TimerId),
     /// A probe has ended.
-    Probed {
+    ProbeEnded {
         /// The engine probed.
         engine: EngineId,
         /// How it ended.
@@ -358,7 +361,7 @@
         /// Where to.
         engine: EngineId,
         /// Time-out of this attempt; `None`: until the client gives up.
-        limit: Option<Duration>,
+        timeout: Option<Duration>,
     },
     /// Stop waiting for one attempt.
     Cancel {
@@ -368,13 +371,13 @@
         attempt: usize,
     },
     /// Final answer: turned away, harmless to try again.
-    Refuse {
+    Reject {
         /// Which request.
         request: RequestId,
         /// When the client may come again.
         retry_after: Option<Duration>,
         /// The tenant was over its share when it asked, so that its own restraint would help.
-        over_share: bool,
+        over_quota: bool,
     },
     /// Final answer: failed, with no promise.
     Fail(RequestId),
@@ -388,8 +391,8 @@
         engine: EngineId,
     },
     /// End a running stream in good order so that it goes on elsewhere.
-    MoveStream(RequestId),
-    /// Ask for a [`Event::Timer`].
+    MigrateStream(RequestId),
+    /// Ask for a [`Event::TimerFired`].
     SetTimer {
         /// The timer's name.
         timer: TimerId,
@@ -399,13 +402,13 @@
     /// Probe an engine.
     Probe(EngineId),
     /// Close the idle connections to an engine.
-    CloseIdle(EngineId),
+    CloseIdleConnections(EngineId),
     /// Subscribe to changes of the list of engines, or end that.
     WatchEngines(bool),
     /// Ask once for the complete list of engines.
     FetchEngines,
     /// Send a message to one router, or to all.
-    TellPeer {
+    SendToPeer {
         /// Its number; `None`: all.
         to: Option<u16>,
         /// What to send.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -11,35 +11,35 @@
 //!
 //! let ms = Duration::from_millis;
 //! let settings = Settings {
-//!     routers: 1,
+//!     router_count: 1,
 //!     zone: ZoneId(0),
 //!     tick: ms(1),
 //!     classes: vec![Class {
-//!         aim: ms(800),
-//!         aim_per_1000: ms(40),
-//!         worth: 1.0,
-//!         effect: Effect::Safe,
+//!         latency_objective: ms(800),
+//!         latency_objective_per_1000_tokens: ms(40),
+//!         priority_weight: 1.0,
+//!         idempotency: Idempotency::Idempotent,
 //!         streams: true,
 //!     }],
 //!     tenants: vec![],
-//!     over_share_worth: 1.0,
-//!     kinds: vec![Role::Read, Role::Write],
+//!     over_quota_weight: 1.0,
+//!     kind_roles: vec![Role::Prefill, Role::Decode],
 //!     memory_tokens: vec![],
-//!     writers_read: false,
-//!     ask_for_engines: false,
-//!     reports: ReportSource::Answers,
+//!     decode_engines_prefill: false,
+//!     polls_engine_list: false,
+//!     report_source: ReportSource::Answers,
 //!     limits: Limits {
-//!         attempts: 4,
-//!         cancel: true,
+//!         max_attempts: 4,
+//!         cancellation: true,
 //!         probes: true,
-//!         second_copies: false,
-//!         retry_after: None,
+//!         hedged_requests: false,
+//!         max_retry_after: None,
 //!         connect_timeout: ms(250),
 //!     },
-//!     cold_share: 0.3,
-//!     cold_time: ms(10_000),
-//!     cold_budget: Duration::ZERO,
-//!     let_go_within: ms(500),
+//!     warmup_initial_share: 0.3,
+//!     warmup_time: ms(10_000),
+//!     warmup_budget: Duration::ZERO,
+//!     held_state_limit: ms(500),
 //! };
 //! let mut router = Router::new(settings, 7);
 //! let mut actions = Vec::new();
@@ -50,7 +50,7 @@
 //!     kind: KindId(kind),
 //!     zone: ZoneId(0),
 //!     cell: CellId(0),
-//!     started: None,
+//!     started_at: None,
 //! };
 //! let engines = vec![engine(1, 0), engine(2, 1)];
 //! router.handle(ms(0), Event::Engines { listing: Listing::Complete, engines }, &mut actions);
@@ -64,10 +64,10 @@
 //!         shared_prefix: Some(3),
 //!         prompt_tokens: 900.0,
 //!         max_output_tokens: 200.0,
-//!         time_left: ms(4000),
-//!         whole: None,
-//!         repeat: false,
-//!         resumes: false,
+//!         client_timeout: ms(4000),
+//!         complete_answer_timeout: None,
+//!         is_retry: false,
+//!         is_resumption: false,
 //!     }),
 //!     &mut actions,
 //! );
@@ -83,5 +83,5 @@
 mod rules;
 
 pub use interface::*;
-pub use rules::gauge::Places;
+pub use rules::gauge::{SettingsMapping, StateSizes};
 pub use rules::Router;
--- a/src/rules.rs
+++ b/src/rules.rs
@@ -178,10 +178,10 @@
 impl Router {
     /// A router that knows nothing yet but its settings; `seed` settles its chances.
     pub fn new(settings: Settings, seed: u64) -> Self {
-        let worths = || settings.classes.iter().map(|c| c.worth);
+        let worths = || settings.classes.iter().map(|c| c.priority_weight);
         let top_worth = worths().fold(0.0, f64::max);
         let equal = worths().all(|w| w >= top_worth);
-        let aims = || settings.classes.iter().map(|c| c.aim);
+        let aims = || settings.classes.iter().map(|c| c.latency_objective);
         let loose_aim = aims().max().filter(|&loose| equal && aims().any(|a| a < loose));
         let quotas = settings.tenants.iter().map(|_| (QUOTA_DEPTH, Duration::ZERO)).collect();
         Router {
@@ -209,11 +209,13 @@
             Event::FirstToken { request, attempt, latency } => {
                 self.on_first(now, (request, attempt), latency, out);
             }
-            Event::Ended(ended) => self.on_ended(now, ended, out),
-            Event::ClientGone(id) => self.end(id, None, out),
-            Event::Timer(timer) => self.on_timer(now, timer, out),
-            Event::Probed { engine, outcome, report } => self.on_probed(now, engine, outcome, report, out),
-            Event::Place { .. } | Event::PeerMessage { .. } => {}
+            Event::AttemptEnded(ended) => self.on_ended(now, ended, out),
+            Event::ClientDisconnected(id) => self.end(id, None, out),
+            Event::TimerFired(timer) => self.on_timer(now, timer, out),
+            Event::ProbeEnded { engine, outcome, report } => {
+                self.on_probed(now, engine, outcome, report, out);
+            }
+            Event::ReservationAnswered { .. } | Event::PeerMessage { .. } => {}
         }
     }
 
@@ -228,12 +230,13 @@
         self.mean_prompt.add(request.prompt_tokens, MEAN_WEIGHT);
         let over_share = self.over_share(now, &request);
         let droppable = self.droppable(over_share, &request);
-        let saturation = self.stage(now, Role::Read).max(self.stage(now, Role::Write));
+        let saturation = self.stage(now, Role::Prefill).max(self.stage(now, Role::Decode));
         let chance = refusal_chance(saturation, droppable);
         let refused = self.hopeless(&request) || self.chance() < chance;
         let until =
             |left: Duration| now + left.min(LONGEST).saturating_sub(self.settings.tick * ANSWER_TICKS);
-        let (deadline, whole_by) = (until(request.time_left), request.whole.map(until));
+        let (deadline, whole_by) =
+            (until(request.client_timeout), request.complete_answer_timeout.map(until));
         let luck = self.chance();
         let job = Job { request, deadline, whole_by, over_share, luck, ..Job::default() };
         self.jobs.insert(id, job);
@@ -248,8 +251,8 @@
     /// Whether its client will have left before an answer usually begins: abandoned tries eat capacity. Harm:
     /// a jam that is over refuses on, so each refusal lets the means forget.
     fn hopeless(&mut self, request: &Request) -> bool {
-        let usual = self.means[Role::Read as usize].waited + self.means[Role::Write as usize].waited;
-        let hopeless = request.time_left.as_secs_f64() < usual;
+        let usual = self.means[Role::Prefill as usize].waited + self.means[Role::Decode as usize].waited;
+        let hopeless = request.client_timeout.as_secs_f64() < usual;
         if hopeless {
             self.means.iter_mut().for_each(|means| means.waited *= 1.0 - MEAN_WEIGHT);
         }
@@ -260,8 +263,8 @@
     /// because its tenant is over its share; where all are worth the same, the loosest aim yields.
     fn droppable(&self, over: bool, request: &Request) -> bool {
         let class = &self.settings.classes[request.class.0];
-        let worth = class.worth * if over { self.settings.over_share_worth } else { 1.0 };
-        worth < self.top_worth || self.loose_aim == Some(class.aim)
+        let worth = class.priority_weight * if over { self.settings.over_quota_weight } else { 1.0 };
+        worth < self.top_worth || self.loose_aim == Some(class.latency_objective)
     }
 
     /// Token bucket of a tenant's quota, this router's part of it.
@@ -269,11 +272,11 @@
         let tenant = request.tenant.0;
         let quota = self.settings.tenants.get(tenant).and_then(|t| t.quota_per_s);
         let (Some(quota), Some((level, at))) = (quota, self.quotas.get_mut(tenant)) else { return false };
-        let rate = quota / f64::from(self.settings.routers);
+        let rate = quota / f64::from(self.settings.router_count);
         *level = (*level + rate * now.saturating_sub(*at).as_secs_f64()).min(QUOTA_DEPTH);
         *at = now;
         let over = *level < 1.0;
-        *level -= if over || request.repeat { 0.0 } else { 1.0 };
+        *level -= if over || request.is_retry { 0.0 } else { 1.0 };
         over
     }
 
@@ -281,9 +284,9 @@
     /// post: of the two stages the fuller one counts, as idle engines of the other would hide it.
     fn stage(&self, now: Duration, role: Role) -> f64 {
         let (mut sum, mut count) = (0.0, 0);
-        for does in [Role::Read, Role::Write, Role::Both] {
-            if does == role || does == Role::Both || role == Role::Both {
-                let to_read = if does == Role::Read { self.unread } else { 1.0 };
+        for does in [Role::Prefill, Role::Decode, Role::Mixed] {
+            if does == role || does == Role::Mixed || role == Role::Mixed {
+                let to_read = if does == Role::Prefill { self.unread } else { 1.0 };
                 let queued = *self.mean_prompt * to_read / WAITING_THRESHOLD;
                 let weights = [queued, queued * self.usual(does) / WAITING_PRIOR];
                 let (fixed, known, moving) = self.fleet.sums(does as usize, weights);
@@ -301,15 +304,15 @@
 
     /// Its two parts, of waiting tokens and of memory.
     fn parts(&self, now: Duration, server: &Server) -> Option<(f64, f64)> {
-        if self.settings.reports == ReportSource::None {
-            let waiting = server.since * f64::from(self.settings.routers);
+        if self.settings.report_source == ReportSource::None {
+            let waiting = server.since * f64::from(self.settings.router_count);
             return Some((waiting / WAITING_THRESHOLD, 0.0));
         }
         let (at, report) = server.report.as_ref()?;
         if now.saturating_sub(*at) > REPORT_LIFE {
             return None;
         }
-        let to_read = if server.role == Role::Read { self.unread } else { 1.0 };
+        let to_read = if server.role == Role::Prefill { self.unread } else { 1.0 };
         // In-flight counts hold running answers too: only the part of its time that an attempt waits counts.
         let part =
             (server.waiting.max(0.0) + self.usual(server.role)) / (server.out.max(0.0) + WAITING_PRIOR);
@@ -325,7 +328,7 @@
     /// Tokens under way at a reader that tells only its queue: those in its memory that were not kept. One
     /// long prompt that is read stands in no queue, and holds up all behind it.
     fn reading(&self, server: &Server) -> f64 {
-        let Some((_, report)) = server.report.as_ref().filter(|_| server.role == Role::Read) else {
+        let Some((_, report)) = server.report.as_ref().filter(|_| server.role == Role::Prefill) else {
             return 0.0;
         };
         let counted = report.waiting_tokens.or(report.in_flight).is_some();
@@ -347,10 +350,10 @@
         if job.ended || job.parked.is_some() || job.attempts.iter().any(|a| a.out) {
             return;
         }
-        let left = self.settings.limits.attempts.saturating_sub(job.attempts.len());
+        let left = self.settings.limits.max_attempts.saturating_sub(job.attempts.len());
         self.settle(now);
         let Some(job) = self.jobs.get(&id) else { return };
-        let unsafe_now = job.may_have_run.is_some() && self.effect(job) == Effect::Unsafe;
+        let unsafe_now = job.may_have_run.is_some() && self.effect(job) == Idempotency::NotIdempotent;
         // A repeat has to come in time: a new connection may take as long as it is given to come up.
         let least = self.settings.limits.connect_timeout.max(ASK_WAIT);
         let late = self.window_left(now, job).is_some_and(|left| left <= least);
@@ -408,9 +411,9 @@
         let mut cells: BTreeMap<CellId, [f64; 2]> = BTreeMap::new();
         for server in self.servers.values().filter(|s| s.ready()) {
             let parts = match server.role {
-                Role::Read => [2.0, 0.0],
-                Role::Write => [0.0, 2.0],
-                Role::Both => [1.0, 1.0],
+                Role::Prefill => [2.0, 0.0],
+                Role::Decode => [0.0, 2.0],
+                Role::Mixed => [1.0, 1.0],
             };
             for counts in [&mut fleet, cells.entry(server.entry.cell).or_default()] {
                 *counts = [counts[0] + parts[0], counts[1] + parts[1]];
@@ -420,12 +423,13 @@
         self.fleet.place(self.servers.iter().map(|(&id, server)| {
             let Engine { cell, zone, .. } = server.entry;
             let (role, ready) = (server.role as usize, server.ready());
-            let [least, most] = if server.role == Role::Read { HOME_WEIGHTS } else { [1.0; 2] };
+            let [least, most] = if server.role == Role::Prefill { HOME_WEIGHTS } else { [1.0; 2] };
             let near = cells.get(&cell).copied().unwrap_or_default();
             let own = if zone == self.settings.zone { OWN_ZONE } else { 1.0 };
             let weight = own * (ratio(near) / ratio(fleet)).clamp(least, most);
-            let alone = server.role == Role::Both || server.role == Role::Write && self.settings.writers_read;
-            let reaches = [alone || server.role == Role::Read, alone, server.role != Role::Read];
+            let alone = server.role == Role::Mixed
+                || server.role == Role::Decode && self.settings.decode_engines_prefill;
+            let reaches = [alone || server.role == Role::Prefill, alone, server.role != Role::Prefill];
             Placed { id, role, ready, weight, cell, zone, reaches }
         }));
     }
@@ -445,7 +449,7 @@
 
     fn standing(&self, now: Duration, server: &Server) -> Standing {
         let report = server.report.as_ref();
-        let told = report.filter(|_| self.settings.reports != ReportSource::None).map(|(_, r)| r);
+        let told = report.filter(|_| self.settings.report_source != ReportSource::None).map(|(_, r)| r);
         let counted = match (self.load(now, server).filter(|_| server.ready()), told) {
             (None, _) => Counted::Unknown,
             // Counts of requests weigh by means over all engines, which move without news of any.
@@ -543,14 +547,14 @@
             let load = self.parts(now, server).map(load);
             let load = load.unwrap_or_else(|| self.stage(now, server.role) * WAITING_THRESHOLD);
             // A cold engine with half of its budget to do is full: its report is what all routers share.
-            let budget = self.settings.cold_budget.as_secs_f64() * f64::from(self.settings.routers);
+            let budget = self.settings.warmup_budget.as_secs_f64() * f64::from(self.settings.router_count);
             if budget > 0.0 && self.is_cold(now, server) && load > 0.5 * budget * self.cold_rate(now, server)
             {
                 return None;
             }
             let silent = if server.heard + FRESH < asked { SILENT_TOKENS } else { 0.0 };
             // Exception: where no writer stands in its cell, all its states go far, which is slow and priced.
-            let lone = server.role == Role::Read && !self.fleet.has_writer(server.entry.cell);
+            let lone = server.role == Role::Prefill && !self.fleet.has_writer(server.entry.cell);
             let moves = if lone { self.unread * job.request.prompt_tokens } else { 0.0 };
             Some((*id, load + server.tokens + silent + moves))
         };
@@ -569,7 +573,7 @@
         let Some(job) = self.jobs.get(&id) else { return (shelf, Vec::new()) };
         let server = |at: u32| self.servers.get(&shelf.id(at as usize));
         let barred = |&at: &u32| !server(at).is_some_and(|s| self.may_send(job, s));
-        let bound = matches!(self.effect(job), Effect::Keyed { .. }) && job.may_have_run.is_some();
+        let bound = matches!(self.effect(job), Idempotency::WithKey { .. }) && job.may_have_run.is_some();
         let mut gone: Vec<u32> =
             if bound { (0..shelf.len() as u32).filter(barred).collect() } else { vec![] };
         let tried = |id: EngineId| job.attempts.iter().any(|a| a.engine == id && !a.done);
@@ -604,25 +608,25 @@
 
     /// A keyed request that may have run goes, and is read anew, only where its repeats are dropped.
     fn may_send(&self, job: &Job, server: &Server) -> bool {
-        let Effect::Keyed { group, .. } = self.effect(job) else { return true };
+        let Idempotency::WithKey { scope: group, .. } = self.effect(job) else { return true };
         let Some((_, at, first)) = &job.may_have_run else { return true };
-        server.entry.started.is_none_or(|started| started <= *at)
+        server.entry.started_at.is_none_or(|started| started <= *at)
             && match group {
-                Group::All => true,
-                Group::Zone => first.zone == server.entry.zone,
-                Group::Cell => first.cell == server.entry.cell,
+                DeduplicationScope::All => true,
+                DeduplicationScope::Zone => first.zone == server.entry.zone,
+                DeduplicationScope::Cell => first.cell == server.entry.cell,
             }
     }
 
     /// How much longer a keyed request that may have run may come to an engine again.
     fn window_left(&self, now: Duration, job: &Job) -> Option<Duration> {
         let (_, at, _) = job.may_have_run.as_ref()?;
-        let Effect::Keyed { window, .. } = self.effect(job) else { return None };
+        let Idempotency::WithKey { window, .. } = self.effect(job) else { return None };
         Some(at.saturating_add(window).saturating_sub(now))
     }
 
-    fn effect(&self, job: &Job) -> Effect {
-        self.settings.classes[job.request.class.0].effect
+    fn effect(&self, job: &Job) -> Idempotency {
+        self.settings.classes[job.request.class.0].idempotency
     }
 
     fn send(&mut self, now: Duration, id: RequestId, engine: EngineId, out: Out) {
@@ -634,7 +638,7 @@
         let Some(server) = self.servers.get_mut(&engine) else { return };
         self.fleet.touch(engine);
         let prompt = job.request.prompt_tokens;
-        let read = server.role == Role::Read;
+        let read = server.role == Role::Prefill;
         let tokens = if read { prompt } else { prompt + job.request.max_output_tokens };
         let (sent, state) = (now, job.held.take());
         job.attempts.push(Attempt { engine, sent, tokens, read, out: true, begun: None, done: false, state });
@@ -650,7 +654,7 @@
             Some(rate) => (server.bucket, server.bucket_at) = (server.bucket_level(now, rate) - prompt, now),
             None => self.note_borne(now, role, prompt),
         }
-        out.push(Action::Send { request: id, engine, limit: limit.filter(|_| !read) });
+        out.push(Action::Send { request: id, engine, timeout: limit.filter(|_| !read) });
         let patience = self.patience(role, own_pace, prompt);
         self.alarm(Alarm::Check(id, attempt), patience, out);
     }
@@ -665,11 +669,11 @@
 
     /// Nothing is usable just now: wait a little, a held state never longer than part of its limit.
     fn park(&mut self, now: Duration, id: RequestId, out: Out) {
-        let patience = self.settings.let_go_within.mul_f64(HOLD_PART);
+        let patience = self.settings.held_state_limit.mul_f64(HOLD_PART);
         let Some(job) = self.jobs.get_mut(&id) else { return };
         let waited = match job.held {
             Some((_, since)) => now.saturating_sub(since) + ASK_WAIT >= patience,
-            None => now + job.request.time_left / 2 > job.deadline,
+            None => now + job.request.client_timeout / 2 > job.deadline,
         };
         if waited || self.servers.is_empty() {
             return self.give_up(id, out);
@@ -695,37 +699,38 @@
         self.heard_well(now, engine, Some((latency, prompt)));
     }
 
-    fn on_ended(&mut self, now: Duration, ended: Ended, out: Out) {
-        let Ended { request: id, outcome, latency, .. } = ended;
+    fn on_ended(&mut self, now: Duration, ended: AttemptEnded, out: Out) {
+        let AttemptEnded { request: id, outcome, latency, .. } = ended;
         let Some(job) = self.jobs.get_mut(&id) else { return };
         let Some(a) = job.attempts.get_mut(ended.attempt).filter(|a| a.out) else { return };
         self.fleet.touch(a.engine);
         // One that found no state to fetch is not at fault: with the state read again it is as good as any.
-        let blameless = outcome == Outcome::Full { no_state: true };
-        (a.out, a.done) = (false, blameless || a.read && matches!(outcome, Outcome::Read | Outcome::Reset));
+        let blameless = outcome == Outcome::Rejected { state_missing: true };
+        (a.out, a.done) =
+            (false, blameless || a.read && matches!(outcome, Outcome::Prefilled | Outcome::Reset));
         let Attempt { engine, sent, begun, read, tokens, state, .. } = *a;
         let prompt = job.request.prompt_tokens;
-        job.ended |= ended.finished;
-        let left = self.settings.limits.attempts.saturating_sub(job.attempts.len());
+        job.ended |= ended.request_finished;
+        let left = self.settings.limits.max_attempts.saturating_sub(job.attempts.len());
         let one_more = ASK_WAIT + self.settings.limits.connect_timeout;
-        let rest = EJECT_BASE * self.settings.routers.clamp(1, 1 << EJECT_DOUBLINGS);
+        let rest = EJECT_BASE * self.settings.router_count.clamp(1, 1 << EJECT_DOUBLINGS);
         if outcome.proves_not_run() && job.may_have_run.as_ref().is_some_and(|r| r.0 == ended.attempt) {
             job.may_have_run = None;
         }
         job.held = match outcome {
-            Outcome::Read => Some((engine, now)),
-            Outcome::Ok | Outcome::Full { no_state: true } => None,
+            Outcome::Prefilled => Some((engine, now)),
+            Outcome::Completed | Outcome::Rejected { state_missing: true } => None,
             _ if begun.is_some() => None,
             // The state still waits unless it was fetched: asking another writer for it tells. With two
             // attempts left that would leave too few, and the reader has kept the text: it is read again.
             Outcome::Error | Outcome::Reset | Outcome::TimedOut | Outcome::Cancelled if left == 2 => None,
             // It came to no writer, so its time runs on: kept if one more such write leaves enough.
-            Outcome::ConnectFailed | Outcome::Moot => {
-                state.filter(|&(_, since)| now + one_more <= since + self.settings.let_go_within)
+            Outcome::ConnectFailed | Outcome::NotSent => {
+                state.filter(|&(_, since)| now + one_more <= since + self.settings.held_state_limit)
             }
             _ => state.map(|(reader, _)| (reader, now)),
         };
-        let (over, class, mut role) = (job.ended, job.request.class.0, Role::Read);
+        let (over, class, mut role) = (job.ended, job.request.class.0, Role::Prefill);
         let load = self.servers.get(&engine).and_then(|s| self.load(now, s));
         let roomy = load.is_some_and(|load| refusal_chance(load, true) < 1.0);
         if let Some(server) = self.servers.get_mut(&engine) {
@@ -733,10 +738,10 @@
             server.out -= 1.0;
             server.rests.resize(self.settings.classes.len(), Duration::ZERO);
             match outcome {
-                Outcome::Full { no_state: true } => server.heard = now,
+                Outcome::Rejected { state_missing: true } => server.heard = now,
                 // One that errs at once seems idle and draws all, and each of many routers meets it rarely.
                 Outcome::Error if begun.is_none() => server.rests.fill(now + rest),
-                Outcome::Full { .. } => {
+                Outcome::Rejected { .. } => {
                     server.heard = now;
                     // What is turned away is not borne: jammed peers would seem to bear what no cold one can.
                     let means = &mut self.means[server.role as usize];
@@ -752,10 +757,10 @@
         }
         self.take_report(now, engine, ended.report);
         match outcome {
-            Outcome::Ok | Outcome::Read => {
+            Outcome::Completed | Outcome::Prefilled => {
                 let mut tokens = prompt;
                 if read {
-                    tokens = (prompt - ended.kept_tokens).max(0.0);
+                    tokens = (prompt - ended.cached_tokens).max(0.0);
                     self.unread += MEAN_WEIGHT * (tokens / prompt.max(1.0) - self.unread);
                 }
                 let Means { waited, whole, .. } = &mut self.means[role as usize];
@@ -777,8 +782,11 @@
     fn on_check(&mut self, id: RequestId, attempt: usize, out: Out) {
         let Some(job) = self.jobs.get(&id).filter(|j| !j.ended) else { return };
         let Some(a) = job.attempts.get(attempt).filter(|a| a.out && a.begun.is_none()) else { return };
-        let repeatable = a.read || self.effect(job) == Effect::Safe;
-        if repeatable && self.settings.limits.attempts > job.attempts.len() && self.settings.limits.cancel {
+        let repeatable = a.read || self.effect(job) == Idempotency::Idempotent;
+        if repeatable
+            && self.settings.limits.max_attempts > job.attempts.len()
+            && self.settings.limits.cancellation
+        {
             out.push(Action::Cancel { request: id, attempt });
         }
     }
@@ -788,12 +796,12 @@
     /// No further attempt: the final answer, at once. Who is refused may come again after the window.
     fn give_up(&mut self, id: RequestId, out: Out) {
         let Some(job) = self.jobs.get(&id).filter(|j| !j.ended) else { return };
-        let harmless = job.may_have_run.is_none() || self.effect(job) == Effect::Safe;
+        let harmless = job.may_have_run.is_none() || self.effect(job) == Idempotency::Idempotent;
         let over_share = job.over_share;
         let answer = if harmless {
             let wait = RETRY_AFTER.mul_f64(0.5 + self.chance());
-            let retry_after = self.settings.limits.retry_after.map(|most| wait.min(most));
-            Action::Refuse { request: id, retry_after, over_share }
+            let retry_after = self.settings.limits.max_retry_after.map(|most| wait.min(most));
+            Action::Reject { request: id, retry_after, over_quota: over_share }
         } else {
             Action::Fail(id)
         };
@@ -805,7 +813,7 @@
         let Some(job) = self.jobs.get_mut(&id) else { return };
         job.ended = true;
         out.extend(answer);
-        if self.settings.limits.cancel {
+        if self.settings.limits.cancellation {
             let open = |(_, a): &(usize, &Attempt)| a.out && a.begun.is_none();
             let open = job.attempts.iter().enumerate().filter(open);
             out.extend(open.map(|(attempt, _)| Action::Cancel { request: id, attempt }));
@@ -901,19 +909,19 @@
     /// Told to have started, or back from where it could not be reached: it may have restarted long before
     /// the list says so, and what is sent meanwhile counts. Harm: after a mere cut its share comes late.
     fn is_cold(&self, now: Duration, server: &Server) -> bool {
-        server.cold_since(now).is_some_and(|at| now < at.saturating_add(self.settings.cold_time))
+        server.cold_since(now).is_some_and(|at| now < at.saturating_add(self.settings.warmup_time))
     }
 
     /// The part of its work that an engine can do by now.
     fn part(&self, now: Duration, server: &Server) -> f64 {
         let Some(since) = server.cold_since(now).filter(|_| self.is_cold(now, server)) else { return 1.0 };
-        let age = now.saturating_sub(since).as_secs_f64() / self.settings.cold_time.as_secs_f64().max(1e-3);
-        self.settings.cold_share + (1.0 - self.settings.cold_share) * age.min(1.0)
+        let age = now.saturating_sub(since).as_secs_f64() / self.settings.warmup_time.as_secs_f64().max(1e-3);
+        self.settings.warmup_initial_share + (1.0 - self.settings.warmup_initial_share) * age.min(1.0)
     }
 
     /// What this router may send a cold engine, tokens a second: its share of what a warm one bears.
     fn cold_rate(&self, now: Duration, server: &Server) -> f64 {
-        let least = *self.mean_prompt / COLD_STEP.as_secs_f64() / f64::from(self.settings.routers);
+        let least = *self.mean_prompt / COLD_STEP.as_secs_f64() / f64::from(self.settings.router_count);
         self.part(now, server) * self.means[server.role as usize].borne.max(least)
     }
 
@@ -932,14 +940,14 @@
 
     fn on_list(&mut self, now: Duration, listing: Listing, engines: Vec<Engine>, out: Out) {
         if listing == Listing::Failed {
-            if self.settings.ask_for_engines {
+            if self.settings.polls_engine_list {
                 let wait = RETRY_AFTER.mul_f64(0.5 + self.chance());
                 self.alarm(Alarm::List, wait, out);
             }
             return;
         }
         // A router comes up with the list that it last held.
-        if listing == Listing::Cached && self.settings.ask_for_engines {
+        if listing == Listing::Cached && self.settings.polls_engine_list {
             out.push(Action::WatchEngines(true));
         }
         if listing != Listing::Changes {
@@ -953,14 +961,14 @@
                 self.fleet.list_moved(self.servers.remove(&entry.id).is_some());
                 continue;
             }
-            let Some(&role) = self.settings.kinds.get(entry.kind.0) else { continue };
+            let Some(&role) = self.settings.kind_roles.get(entry.kind.0) else { continue };
             let (heard, bucket, bucket_at) = (now, 1.0, now);
             let fresh =
                 || Server { entry: entry.clone(), role, heard, bucket, bucket_at, ..Server::default() };
             let place = |s: &Server| (s.role as usize, s.entry.state, s.entry.zone, s.entry.cell);
             let before = self.servers.get(&entry.id).map(place);
             let server = self.servers.entry(entry.id).or_insert_with(fresh);
-            if (server.entry.started, server.role) != (entry.started, role) {
+            if (server.entry.started_at, server.role) != (entry.started_at, role) {
                 // A restart, told or not: what was known of the engine is void, what is out there is not.
                 let Server { tokens, out, waiting, .. } = *server;
                 *server = Server { tokens, out, waiting, ..fresh() };
@@ -984,7 +992,7 @@
         server.probing = false;
         self.fleet.touch(engine);
         let askers = std::mem::take(&mut server.askers);
-        if outcome == Outcome::Ok {
+        if outcome == Outcome::Completed {
             self.reached(now, engine);
             self.take_report(now, engine, report);
         } else if server.unreachable() {
@@ -1063,7 +1071,7 @@
     }
 
     fn cold_since(&self, now: Duration) -> Option<Duration> {
-        self.unreachable().then_some(now).or(self.entry.started.max(self.returned))
+        self.unreachable().then_some(now).or(self.entry.started_at.max(self.returned))
     }
 
     /// What the bucket of a cold engine holds at this rate: no more than lets one prompt through.
--- a/src/rules/gauge.rs
+++ b/src/rules/gauge.rs
@@ -5,22 +5,33 @@
 
 use super::Router;
 use crate::interface::EngineId;
-pub use heir::Places;
+pub use heir::SettingsMapping;
+
+/// How many entries of each kind a router holds.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct StateSizes {
+    /// Requests in progress.
+    pub requests: usize,
+    /// Timers that are set.
+    pub timers: usize,
+    /// Engines of the list.
+    pub engines: usize,
+}
 
 impl Router {
-    /// How many requests, timers and engines are kept.
-    pub fn kept(&self) -> (usize, usize, usize) {
-        (self.jobs.len(), self.alarms.len(), self.servers.len())
+    /// How many requests, timers and engines it holds.
+    pub fn state_sizes(&self) -> StateSizes {
+        StateSizes { requests: self.jobs.len(), timers: self.alarms.len(), engines: self.servers.len() }
     }
 
     /// So many routers share the fleet from now on, this one counted. All that was learnt stays: parts of quotas and of cold
     /// budgets are worked out from the count each time.
-    pub fn share_with(&mut self, routers: u32) {
-        self.settings.routers = routers.max(1);
+    pub fn set_router_count(&mut self, routers: u32) {
+        self.settings.router_count = routers.max(1);
     }
 
     /// Its own attempts that it counts as out, by engine of the list.
-    pub fn under_way(&self) -> impl Iterator<Item = (EngineId, f64)> + '_ {
+    pub fn attempts_in_flight(&self) -> impl Iterator<Item = (EngineId, f64)> + '_ {
         self.servers.iter().map(|(&id, server)| (id, server.out))
     }
 }
--- a/src/rules/gauge/heir.rs
+++ b/src/rules/gauge/heir.rs
@@ -7,14 +7,14 @@
 
 /// Where the new settings' entries stood in the old ones; what is new stands nowhere.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Places {
+pub struct SettingsMapping {
     /// For each new class its old place.
     pub classes: Vec<Option<usize>>,
     /// For each new tenant its old place.
     pub tenants: Vec<Option<usize>>,
 }
 
-impl Places {
+impl SettingsMapping {
     fn new_class(&self, old: ClassId) -> ClassId {
         let at = self.classes.iter().position(|&place| place == Some(old.0));
         ClassId(at.unwrap_or(0))
@@ -26,8 +26,8 @@
     /// quotas by tenant. It counts this one's attempts as out, too: it is to be told of their ends as this one is, and what it asks for on their
     /// account is not to be carried out. Timers that it needs are appended to `out`.
     #[must_use]
-    pub fn heir(
-        &self, now: Duration, settings: Settings, places: &Places, seed: u64, out: &mut Vec<Action>,
+    pub fn successor(
+        &self, now: Duration, settings: Settings, places: &SettingsMapping, seed: u64, out: &mut Vec<Action>,
     ) -> Router {
         let mut heir = Router::new(settings, seed);
         heir.mean_prompt = self.mean_prompt;
--- a/tests/choices.rs
+++ b/tests/choices.rs
@@ -12,7 +12,7 @@
 /// The fleet as a plain list.
 type Fleet = BTreeMap<EngineId, Engine>;
 
-const ROLES: [Role; 3] = [Role::Read, Role::Write, Role::Both];
+const ROLES: [Role; 3] = [Role::Prefill, Role::Decode, Role::Mixed];
 
 /// Weight of a home, counted over the whole list for this one engine.
 fn weight(fleet: &Fleet, home: &Engine) -> f64 {
@@ -20,13 +20,13 @@
         let at = |e: &&Engine| e.state == EngineState::Ready && (!near || e.cell == home.cell);
         let part = |e: &Engine| match ROLES[e.kind.0] {
             r if r == role => 2.0,
-            Role::Both => 1.0,
+            Role::Mixed => 1.0,
             _ => 0.0,
         };
         fleet.values().filter(at).map(part).sum::<f64>().max(1.0)
     };
-    let ratio = |near| count(near, Role::Write) / count(near, Role::Read);
-    let bounds = if ROLES[home.kind.0] == Role::Read { [0.75, 1.25] } else { [1.0; 2] };
+    let ratio = |near| count(near, Role::Decode) / count(near, Role::Prefill);
+    let bounds = if ROLES[home.kind.0] == Role::Prefill { [0.75, 1.25] } else { [1.0; 2] };
     // The router's own zone is the first.
     let own = if home.zone == ZoneId(0) { 2.5 } else { 1.0 };
     own * (ratio(true) / ratio(false)).clamp(bounds[0], bounds[1])
@@ -35,7 +35,7 @@
 /// The two homes of a request in the order of its session, then the two engines that it may spill to.
 fn homes(fleet: &Fleet, session: u64, shared: Option<u64>) -> Vec<EngineId> {
     let key = shared.unwrap_or(session);
-    let reads = |e: &&Engine| e.state == EngineState::Ready && ROLES[e.kind.0] != Role::Write;
+    let reads = |e: &&Engine| e.state == EngineState::Ready && ROLES[e.kind.0] != Role::Decode;
     let mut scored: Vec<(f64, EngineId)> = fleet
         .values()
         .filter(reads)
@@ -59,7 +59,7 @@
     let until = out.iter().position(|a| matches!(a, Action::Send { .. })).unwrap_or(out.len());
     let probed = |a: &Action| if let Action::Probe(engine) = a { Some(*engine) } else { None };
     let asked = out[..until].iter().filter_map(probed).collect();
-    host.tell(Event::ClientGone(RequestId(id)));
+    host.tell(Event::ClientDisconnected(RequestId(id)));
     asked
 }
 
@@ -74,7 +74,7 @@
         let mut list = vec![engine(1, 0, 0), engine(2, 1, 0)];
         list.extend((3..n + 3).map(|id| engine(id * 31, below(3) as usize, below(u64::from(cells)) as u32)));
         let mut fleet: Fleet = list.iter().map(|e| (e.id, e.clone())).collect();
-        let mut host = Host::new(settings(Effect::Safe), seed, list);
+        let mut host = Host::new(settings(Idempotency::Idempotent), seed, list);
         for id in 0..60 {
             let (session, shared) = (below(1 << 40), (below(2) == 0).then(|| below(9)));
             let mut expected = homes(&fleet, session, shared);
@@ -92,7 +92,7 @@
                 3 => entry.cell = CellId(below(u64::from(cells)) as u32),
                 _ => {
                     // Long enough ago that it is warm.
-                    (entry.kind, entry.started) = (KindId(below(3) as usize), Some(ms(id)));
+                    (entry.kind, entry.started_at) = (KindId(below(3) as usize), Some(ms(id)));
                 }
             }
             if entry.state == EngineState::Gone {
@@ -114,7 +114,7 @@
     // Four readers and a writer in each of two zones, one cell a zone.
     let readers = (1..=8u64).map(|id| engine(id, 0, (id % 2) as u32));
     let list: Vec<Engine> = readers.chain([engine(9, 1, 0), engine(10, 1, 1)]).collect();
-    let mut host = Host::new(settings(Effect::Safe), 3, list);
+    let mut host = Host::new(settings(Idempotency::Idempotent), 3, list);
     let own = |id: &&EngineId| id.0 % 2 == 0;
     let mut firsts = 0;
     for id in 0..400 {
--- a/tests/cold_sum.rs
+++ b/tests/cold_sum.rs
@@ -165,44 +165,44 @@
 
     fn router(&mut self, n: usize) -> Router {
         let settings = Settings {
-            routers: self.scene.routers as u32,
+            router_count: self.scene.routers as u32,
             zone: ZoneId((n % 2) as u32),
             tick: ms(4),
             classes: vec![
                 Class {
-                    aim: ms(1_000),
-                    aim_per_1000: ms(40),
-                    worth: 3.0,
-                    effect: Effect::Safe,
+                    latency_objective: ms(1_000),
+                    latency_objective_per_1000_tokens: ms(40),
+                    priority_weight: 3.0,
+                    idempotency: Idempotency::Idempotent,
                     streams: true,
                 },
                 Class {
-                    aim: ms(1_000),
-                    aim_per_1000: ms(40),
-                    worth: 1.0,
-                    effect: Effect::Safe,
+                    latency_objective: ms(1_000),
+                    latency_objective_per_1000_tokens: ms(40),
+                    priority_weight: 1.0,
+                    idempotency: Idempotency::Idempotent,
                     streams: true,
                 },
             ],
             tenants: vec![],
-            over_share_worth: 0.05,
-            kinds: vec![Role::Read, Role::Write],
+            over_quota_weight: 0.05,
+            kind_roles: vec![Role::Prefill, Role::Decode],
             memory_tokens: vec![],
-            writers_read: false,
-            ask_for_engines: false,
-            reports: ReportSource::Answers,
+            decode_engines_prefill: false,
+            polls_engine_list: false,
+            report_source: ReportSource::Answers,
             limits: Limits {
-                attempts: 4,
-                cancel: true,
+                max_attempts: 4,
+                cancellation: true,
                 probes: true,
-                second_copies: false,
-                retry_after: Some(ms(2_000)),
+                hedged_requests: false,
+                max_retry_after: Some(ms(2_000)),
                 connect_timeout: ms(250),
             },
-            cold_share: BUDGET.from,
-            cold_time: if self.scene.blind { Duration::ZERO } else { BUDGET.warm_after },
-            cold_budget: BUDGET.window.mul_f64(BUDGET.multiple),
-            let_go_within: ms(500),
+            warmup_initial_share: BUDGET.from,
+            warmup_time: if self.scene.blind { Duration::ZERO } else { BUDGET.warm_after },
+            warmup_budget: BUDGET.window.mul_f64(BUDGET.multiple),
+            held_state_limit: ms(500),
         };
         Router::new(settings, self.rng.next_u64())
     }
@@ -226,7 +226,7 @@
             kind: KindId(server.kind),
             zone: ZoneId((n / 2 % 2) as u32),
             cell: CellId((n / 2) as u32),
-            started: (!server.started.is_zero()).then_some(server.started),
+            started_at: (!server.started.is_zero()).then_some(server.started),
         }
     }
 
@@ -262,7 +262,7 @@
                 Action::SetTimer { timer, after } => self.at(after, Due::Timer(n, life, timer)),
                 Action::Probe(engine) => {
                     let (after, outcome) = if self.server(engine).reachable {
-                        (ms(2), Outcome::Ok)
+                        (ms(2), Outcome::Completed)
                     } else {
                         (ms(250), Outcome::ConnectFailed)
                     };
@@ -292,14 +292,16 @@
         server.busy = server.busy.max(now) + Duration::from_secs_f64(work / warm / share);
         let (took, kind) = (server.busy - now + ms(5), server.kind);
         if took > ms(3_900) {
-            return self
-                .at(ms(5), Due::Ended(n, life, request, attempt, Outcome::Full { no_state: false }, ms(5)));
+            return self.at(
+                ms(5),
+                Due::Ended(n, life, request, attempt, Outcome::Rejected { state_missing: false }, ms(5)),
+            );
         }
         if kind == 0 {
-            return self.at(took, Due::Ended(n, life, request, attempt, Outcome::Read, took));
+            return self.at(took, Due::Ended(n, life, request, attempt, Outcome::Prefilled, took));
         }
         self.at(took, Due::First(n, life, request, attempt, took));
-        self.at(took + ms(300), Due::Ended(n, life, request, attempt, Outcome::Ok, took + ms(300)));
+        self.at(took + ms(300), Due::Ended(n, life, request, attempt, Outcome::Completed, took + ms(300)));
     }
 
     fn attempt(&mut self, request: RequestId) -> usize {
@@ -336,7 +338,7 @@
             shared_prefix: Some(prefix as u64 + 1),
             prompt_tokens: tokens,
             max_output_tokens: 60.0,
-            time_left: ms(4_000),
+            client_timeout: ms(4_000),
             ..Request::default()
         };
         self.handle(n.unwrap_or(0), Event::Request(request));
@@ -423,7 +425,9 @@
         let alive = |sim: &Sim, n: usize, life: u32| sim.routers[n].1 == life;
         match self.due.remove(&seq) {
             Some(Due::Arrive) => self.arrive(),
-            Some(Due::Timer(n, life, timer)) if alive(self, n, life) => self.handle(n, Event::Timer(timer)),
+            Some(Due::Timer(n, life, timer)) if alive(self, n, life) => {
+                self.handle(n, Event::TimerFired(timer))
+            }
             Some(Due::Tell(n, engines)) => {
                 let listing =
                     if engines.len() == self.servers.len() { Listing::Complete } else { Listing::Changes };
@@ -431,16 +435,24 @@
             }
             Some(Due::Probed(n, life, engine, outcome)) if alive(self, n, life) => {
                 let report = self.report(engine);
-                self.handle(n, Event::Probed { engine, outcome, report });
+                self.handle(n, Event::ProbeEnded { engine, outcome, report });
             }
             Some(Due::First(n, life, request, attempt, latency)) if alive(self, n, life) => {
                 self.handle(n, Event::FirstToken { request, attempt, latency });
             }
             Some(Due::Ended(n, life, request, attempt, outcome, latency)) if alive(self, n, life) => {
                 let report = LoadReport::default();
-                let finished = outcome == Outcome::Ok;
-                let ended = Ended { request, attempt, outcome, latency, finished, kept_tokens: 0.0, report };
-                self.handle(n, Event::Ended(ended));
+                let finished = outcome == Outcome::Completed;
+                let ended = AttemptEnded {
+                    request,
+                    attempt,
+                    outcome,
+                    latency,
+                    request_finished: finished,
+                    cached_tokens: 0.0,
+                    report,
+                };
+                self.handle(n, Event::AttemptEnded(ended));
             }
             Some(Due::Start(round)) => self.start(round),
             Some(Due::Back(id)) => self.server(id).reachable = true,
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -8,36 +8,42 @@
     Duration::from_millis(n)
 }
 
-pub fn class(worth: f64, aim: u64, effect: Effect) -> Class {
-    Class { aim: ms(aim), aim_per_1000: ms(40), worth, effect, streams: true }
+pub fn class(worth: f64, aim: u64, effect: Idempotency) -> Class {
+    Class {
+        latency_objective: ms(aim),
+        latency_objective_per_1000_tokens: ms(40),
+        priority_weight: worth,
+        idempotency: effect,
+        streams: true,
+    }
 }
 
 /// Two classes, worth 3 (protected) and 1, both of one effect.
-pub fn settings(effect: Effect) -> Settings {
+pub fn settings(effect: Idempotency) -> Settings {
     Settings {
-        routers: 1,
+        router_count: 1,
         zone: ZoneId(0),
         tick: ms(2),
         classes: vec![class(3.0, 1000, effect), class(1.0, 2000, effect)],
         tenants: vec![],
-        over_share_worth: 0.05,
-        kinds: vec![Role::Read, Role::Write, Role::Both],
+        over_quota_weight: 0.05,
+        kind_roles: vec![Role::Prefill, Role::Decode, Role::Mixed],
         memory_tokens: vec![],
-        writers_read: false,
-        ask_for_engines: false,
-        reports: ReportSource::Answers,
+        decode_engines_prefill: false,
+        polls_engine_list: false,
+        report_source: ReportSource::Answers,
         limits: Limits {
-            attempts: 4,
-            cancel: true,
+            max_attempts: 4,
+            cancellation: true,
             probes: true,
-            second_copies: false,
-            retry_after: Some(ms(2000)),
+            hedged_requests: false,
+            max_retry_after: Some(ms(2000)),
             connect_timeout: ms(250),
         },
-        cold_share: 0.3,
-        cold_time: ms(10_000),
-        cold_budget: Duration::ZERO,
-        let_go_within: ms(500),
+        warmup_initial_share: 0.3,
+        warmup_time: ms(10_000),
+        warmup_budget: Duration::ZERO,
+        held_state_limit: ms(500),
     }
 }
 
@@ -60,7 +66,7 @@
         shared_prefix: Some(5),
         prompt_tokens: 1000.0,
         max_output_tokens: 200.0,
-        time_left: ms(4000),
+        client_timeout: ms(4000),
         ..Request::default()
     }
 }
@@ -90,7 +96,7 @@
             next += 1;
             if let (false, &Action::Probe(engine)) = (self.mute, action) {
                 let report = LoadReport { waiting_tokens: self.waiting, ..LoadReport::default() };
-                let probed = Event::Probed { engine, outcome: Outcome::Ok, report };
+                let probed = Event::ProbeEnded { engine, outcome: Outcome::Completed, report };
                 self.router.handle(self.now, probed, &mut out);
             }
         }
@@ -110,14 +116,14 @@
     }
 
     pub fn end_with(&mut self, id: u64, attempt: usize, outcome: Outcome, report: LoadReport) -> Vec<Action> {
-        let finished = outcome == Outcome::Ok;
-        self.tell(Event::Ended(Ended {
+        let finished = outcome == Outcome::Completed;
+        self.tell(Event::AttemptEnded(AttemptEnded {
             request: RequestId(id),
             attempt,
             outcome,
             latency: ms(50),
-            finished,
-            kept_tokens: 0.0,
+            request_finished: finished,
+            cached_tokens: 0.0,
             report,
         }))
     }
@@ -125,7 +131,7 @@
     /// Lets an engine report its load by a probe.
     pub fn report(&mut self, id: u64, waiting_tokens: f64) {
         let report = LoadReport { waiting_tokens: Some(waiting_tokens), ..LoadReport::default() };
-        self.tell(Event::Probed { engine: EngineId(id), outcome: Outcome::Ok, report });
+        self.tell(Event::ProbeEnded { engine: EngineId(id), outcome: Outcome::Completed, report });
     }
 }
 
@@ -137,7 +143,7 @@
 }
 
 pub fn refused(actions: &[Action]) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Refuse { .. }))
+    actions.iter().any(|a| matches!(a, Action::Reject { .. }))
 }
 
 pub fn failed(actions: &[Action]) -> bool {
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -19,7 +19,7 @@
 
 #[test]
 fn the_curve_has_the_figures_of_the_post() {
-    let s = settings(Effect::Safe);
+    let s = settings(Idempotency::Idempotent);
     let at = |saturation| refused_share(&s, [saturation; 2], 1);
     assert!((0.002..0.02).contains(&at(0.12)), "{}", at(0.12));
     assert!((0.25..0.34).contains(&at(0.25)), "{}", at(0.25));
@@ -29,12 +29,12 @@
 /// A real engine's published share of memory ends at 1: full memory alone refuses one in six, whatever lies behind it.
 #[test]
 fn memory_that_is_full_everywhere_refuses_one_in_six() {
-    let s = settings(Effect::Safe);
+    let s = settings(Idempotency::Idempotent);
     let one = |seed| {
         let mut host = Host::new(s.clone(), seed, vec![engine(1, 0, 0), engine(2, 1, 0)]);
         for id in [1, 2] {
             let report = LoadReport { memory_share: Some(1.0), queued: Some(0.0), ..LoadReport::default() };
-            host.tell(Event::Probed { engine: EngineId(id), outcome: Outcome::Ok, report });
+            host.tell(Event::ProbeEnded { engine: EngineId(id), outcome: Outcome::Completed, report });
         }
         refused(&host.ask(request(1, 1)))
     };
@@ -44,7 +44,7 @@
 
 #[test]
 fn protected_requests_pass_until_all_droppable_are_refused() {
-    let s = settings(Effect::Safe);
+    let s = settings(Idempotency::Idempotent);
     assert_eq!(refused_share(&s, [0.31; 2], 0), 0.0);
     // Beyond, the same curve holds for a part of the saturation: what is left can't carry them.
     let beyond = refused_share(&s, [0.33; 2], 0);
@@ -54,22 +54,22 @@
 
 #[test]
 fn idle_engines_of_one_stage_do_not_hide_full_ones_of_the_other() {
-    let s = settings(Effect::Safe);
+    let s = settings(Idempotency::Idempotent);
     assert_eq!(refused_share(&s, [0.0, 0.34], 1), 1.0);
     assert_eq!(refused_share(&s, [0.34, 0.0], 1), 1.0);
 }
 
 #[test]
 fn of_equal_worths_the_loosest_aim_yields() {
-    let mut s = settings(Effect::Safe);
-    s.classes[0].worth = 1.0;
+    let mut s = settings(Idempotency::Idempotent);
+    s.classes[0].priority_weight = 1.0;
     assert_eq!(refused_share(&s, [0.31; 2], 0), 0.0);
     assert!(refused_share(&s, [0.31; 2], 1) > 0.7);
 }
 
 #[test]
 fn what_a_tenant_sends_over_its_share_is_droppable() {
-    let mut s = settings(Effect::Safe);
+    let mut s = settings(Idempotency::Idempotent);
     s.tenants = vec![Tenant { quota_per_s: Some(1.0) }];
     let mut host = Host::new(s, 2, vec![engine(1, 0, 0), engine(2, 1, 0)]);
     host.report(1, 0.0);
@@ -81,12 +81,12 @@
 
 #[test]
 fn repeats_that_clients_mark_do_not_draw_on_their_tenants_share() {
-    let mut s = settings(Effect::Safe);
+    let mut s = settings(Idempotency::Idempotent);
     s.tenants = vec![Tenant { quota_per_s: Some(1.0) }];
     let mut host = Host::new(s, 2, vec![engine(1, 0, 0), engine(2, 1, 0)]);
     host.report(1, 0.0);
     host.report(2, 19_400.0); // certain for droppable, one in nine for protected ones
-    let ask = |id| refused(&host.ask(Request { repeat: true, ..request(id, 0) }));
+    let ask = |id| refused(&host.ask(Request { is_retry: true, ..request(id, 0) }));
     let refusals = (0..40).map(ask).filter(|&refused| refused).count();
     assert!(refusals < 25, "{refusals}");
 }
@@ -94,13 +94,13 @@
 #[test]
 fn a_refusal_tells_when_to_come_again_where_clients_hear_it() {
     for most in [None, Some(ms(300))] {
-        let mut s = settings(Effect::Safe);
-        s.limits.retry_after = most;
+        let mut s = settings(Idempotency::Idempotent);
+        s.limits.max_retry_after = most;
         let mut host = Host::new(s, 1, vec![engine(1, 0, 0), engine(2, 1, 0)]);
         host.report(2, 30_000.0);
         let out = host.ask(request(1, 1));
         assert!(
-            out.contains(&Action::Refuse { request: RequestId(1), retry_after: most, over_share: false }),
+            out.contains(&Action::Reject { request: RequestId(1), retry_after: most, over_quota: false }),
             "{out:?}"
         );
     }
@@ -111,7 +111,7 @@
     let mut homes = std::collections::BTreeSet::new();
     for seed in 0..20 {
         let engines = (1..=6).map(|id| engine(id, 0, 0)).chain([engine(9, 1, 0)]).collect();
-        let mut host = Host::new(settings(Effect::Safe), seed, engines);
+        let mut host = Host::new(settings(Idempotency::Idempotent), seed, engines);
         homes.extend((0..4).filter_map(|id| sent_to(&host.ask(request(id, 0)))));
     }
     assert_eq!(homes.len(), 2);
@@ -121,20 +121,23 @@
 fn the_writer_is_picked_when_the_read_has_ended_and_near_it() {
     for seed in 0..20 {
         let engines = vec![engine(1, 0, 0), engine(2, 1, 0), engine(3, 1, 1), engine(4, 1, 1)];
-        let mut host = Host::new(settings(Effect::Safe), seed, engines);
+        let mut host = Host::new(settings(Idempotency::Idempotent), seed, engines);
         assert_eq!(sent_to(&host.ask(request(1, 0))), Some(1));
-        assert_eq!(sent_to(&host.end(1, 0, Outcome::Read)), Some(2));
+        assert_eq!(sent_to(&host.end(1, 0, Outcome::Prefilled)), Some(2));
     }
 }
 
 #[test]
 fn a_near_writer_that_bears_far_more_is_passed_over() {
-    let mut host =
-        Host::new(settings(Effect::Safe), 1, vec![engine(1, 0, 0), engine(2, 1, 0), engine(3, 1, 1)]);
+    let mut host = Host::new(
+        settings(Idempotency::Idempotent),
+        1,
+        vec![engine(1, 0, 0), engine(2, 1, 0), engine(3, 1, 1)],
+    );
     let targets: Vec<_> = (0..8)
         .filter_map(|id| {
             host.ask(request(id, 0));
-            sent_to(&host.end(id, 0, Outcome::Read))
+            sent_to(&host.end(id, 0, Outcome::Prefilled))
         })
         .collect();
     let near = targets.iter().filter(|&&writer| writer == 2).count();
@@ -144,26 +147,26 @@
 
 #[test]
 fn the_deadline_brings_one_answer_and_later_events_bring_none() {
-    let mut host = Host::new(settings(Effect::Safe), 1, vec![engine(1, 0, 0), engine(2, 1, 0)]);
+    let mut host = Host::new(settings(Idempotency::Idempotent), 1, vec![engine(1, 0, 0), engine(2, 1, 0)]);
     let out = host.ask(request(1, 0));
     let &(timer, after) = timers(&out).iter().max_by_key(|(_, after)| *after).unwrap();
     assert!(after <= ms(4000) && after >= ms(3980));
     host.now += after;
-    let out = host.tell(Event::Timer(timer));
+    let out = host.tell(Event::TimerFired(timer));
     assert!(failed(&out) && released(&out));
     assert!(out.contains(&Action::Cancel { request: RequestId(1), attempt: 0 }));
     // The read was done all the same: its state is let go, and nothing else happens.
-    let out = host.end(1, 0, Outcome::Read);
+    let out = host.end(1, 0, Outcome::Prefilled);
     assert!(released(&out) && !failed(&out) && !refused(&out) && sent_to(&out).is_none());
-    assert_eq!(host.router.kept().0, 0);
+    assert_eq!(host.router.state_sizes().requests, 0);
 }
 
 #[test]
 fn a_client_that_leaves_while_its_state_waits_has_it_let_go() {
-    let mut host = Host::new(settings(Effect::Safe), 1, vec![engine(1, 0, 0), engine(2, 1, 0)]);
+    let mut host = Host::new(settings(Idempotency::Idempotent), 1, vec![engine(1, 0, 0), engine(2, 1, 0)]);
     host.ask(request(1, 0));
-    assert!(released(&host.tell(Event::ClientGone(RequestId(1)))));
-    assert!(released(&host.end(1, 0, Outcome::Read)));
+    assert!(released(&host.tell(Event::ClientDisconnected(RequestId(1)))));
+    assert!(released(&host.end(1, 0, Outcome::Prefilled)));
 }
 
 /// Found on nairobi-highlights: a writer cut off from the reader says that there is no state, and
@@ -171,12 +174,12 @@
 #[test]
 fn state_that_could_not_be_fetched_is_let_go() {
     for attempts in [3, 4] {
-        let mut s = settings(Effect::Safe);
-        s.limits.attempts = attempts;
+        let mut s = settings(Idempotency::Idempotent);
+        s.limits.max_attempts = attempts;
         let mut host = Host::new(s, 1, vec![engine(1, 0, 0), engine(2, 1, 0)]);
         host.ask(request(1, 0));
-        host.end(1, 0, Outcome::Read);
-        let out = host.end(1, 1, Outcome::Full { no_state: true });
+        host.end(1, 0, Outcome::Prefilled);
+        let out = host.end(1, 1, Outcome::Rejected { state_missing: true });
         assert!(released(&out), "{out:?}");
         assert_eq!(refused(&out), attempts == 3, "{out:?}");
         assert_eq!(sent_to(&out).is_some(), attempts == 4, "{out:?}");
@@ -185,13 +188,13 @@
 
 #[test]
 fn held_state_that_finds_no_writer_is_let_go_within_its_limit() {
-    let mut host = Host::new(settings(Effect::Safe), 1, vec![engine(1, 0, 0)]);
+    let mut host = Host::new(settings(Idempotency::Idempotent), 1, vec![engine(1, 0, 0)]);
     host.ask(request(1, 0));
-    let (mut out, start) = (host.end(1, 0, Outcome::Read), host.now);
+    let (mut out, start) = (host.end(1, 0, Outcome::Prefilled), host.now);
     while !released(&out) {
         let (timer, after) = timers(&out)[0];
         host.now += after;
-        out = host.tell(Event::Timer(timer));
+        out = host.tell(Event::TimerFired(timer));
     }
     assert!(host.now - start <= ms(450), "{:?}", host.now - start);
     assert!(refused(&out));
@@ -202,12 +205,12 @@
 #[test]
 fn state_whose_writers_cant_be_reached_is_let_go_within_its_limit() {
     for (limit, takes) in [(500, 250), (500, 1), (1_000, 250), (300, 100)] {
-        let mut s = settings(Effect::Unsafe);
-        (s.limits.attempts, s.let_go_within) = (6, ms(limit));
+        let mut s = settings(Idempotency::NotIdempotent);
+        (s.limits.max_attempts, s.held_state_limit) = (6, ms(limit));
         let engines = (1..9).map(|id| engine(id, usize::from(id > 2), 0)).collect();
         let mut host = Host::new(s, 1, engines);
         host.ask(request(1, 0));
-        let (mut out, held, mut writes) = (host.end(1, 0, Outcome::Read), host.now, 0);
+        let (mut out, held, mut writes) = (host.end(1, 0, Outcome::Prefilled), host.now, 0);
         while !released(&out) {
             assert!(sent_to(&out).is_some_and(|engine| engine > 2), "{out:?}");
             writes += 1;
@@ -226,8 +229,11 @@
 #[test]
 fn nothing_goes_to_an_engine_that_drains_or_is_gone() {
     for state in [EngineState::Draining, EngineState::Gone] {
-        let mut host =
-            Host::new(settings(Effect::Safe), 1, vec![engine(1, 0, 0), engine(2, 0, 0), engine(3, 1, 0)]);
+        let mut host = Host::new(
+            settings(Idempotency::Idempotent),
+            1,
+            vec![engine(1, 0, 0), engine(2, 0, 0), engine(3, 1, 0)],
+        );
         host.list(Listing::Changes, vec![Engine { state, ..engine(1, 0, 0) }]);
         for id in 0..20 {
             assert_eq!(sent_to(&host.ask(request(id, 0))), Some(2));
@@ -237,7 +243,7 @@
 
 #[test]
 fn an_engine_absent_from_a_complete_list_is_gone_and_a_failed_call_changes_nothing() {
-    let mut host = Host::new(settings(Effect::Safe), 1, vec![engine(1, 0, 0), engine(2, 1, 0)]);
+    let mut host = Host::new(settings(Idempotency::Idempotent), 1, vec![engine(1, 0, 0), engine(2, 1, 0)]);
     host.list(Listing::Failed, vec![]);
     assert_eq!(sent_to(&host.ask(request(1, 0))), Some(1));
     host.list(Listing::Complete, vec![engine(2, 1, 0)]);
@@ -249,12 +255,15 @@
 fn a_cold_engine_is_not_pushed_over() {
     let warm = |host: &mut Host, id: u64| {
         let reader = sent_to(&host.ask(request(id, 0)));
-        host.end(id, 0, Outcome::Read);
-        host.end(id, 1, Outcome::Ok);
+        host.end(id, 0, Outcome::Prefilled);
+        host.end(id, 1, Outcome::Completed);
         reader
     };
-    let mut host =
-        Host::new(settings(Effect::Safe), 1, vec![engine(1, 0, 0), engine(2, 0, 0), engine(3, 1, 0)]);
+    let mut host = Host::new(
+        settings(Idempotency::Idempotent),
+        1,
+        vec![engine(1, 0, 0), engine(2, 0, 0), engine(3, 1, 0)],
+    );
     let mut sends = [0; 2];
     let mut id = 0;
     for _ in 0..500 {
@@ -264,7 +273,10 @@
     }
     let borne = f64::from(sends[0].max(sends[1])) / 10.0;
     let started = Some(host.now);
-    host.list(Listing::Changes, (1..=2).map(|id| Engine { started, ..engine(id, 0, 0) }).collect());
+    host.list(
+        Listing::Changes,
+        (1..=2).map(|id| Engine { started_at: started, ..engine(id, 0, 0) }).collect(),
+    );
     let mut cold = 0;
     for step in 0..1000 {
         id += 1;
@@ -280,8 +292,8 @@
 /// Found in incident ia21940: all routers heard of a start at once, and each sent a prompt.
 #[test]
 fn hundreds_of_routers_do_not_send_to_a_cold_engine_at_once() {
-    let mut s = settings(Effect::Safe);
-    s.routers = 200;
+    let mut s = settings(Idempotency::Idempotent);
+    s.router_count = 200;
     // Ten readers for 400 requests a second: a warm one bears 40, and one that starts does 0.3 of that. What the terms let
     // it have in a second is 2.5 times that and chance, though 200 routers know nothing yet and hear of it at once.
     let (mut sent, mut all) = (0, 0);
@@ -289,7 +301,7 @@
         let readers = (2..=10).map(|id| engine(id, 0, 0)).chain([engine(20, 1, 0)]).collect();
         let mut host = Host::new(s.clone(), seed, readers);
         let started = Some(host.now);
-        host.list(Listing::Changes, vec![Engine { started, ..engine(1, 0, 0) }]);
+        host.list(Listing::Changes, vec![Engine { started_at: started, ..engine(1, 0, 0) }]);
         for id in 0..2 {
             host.now += ms(450);
             let out = host.ask(Request { shared_prefix: Some(seed * 2 + id + 1), ..request(id, 0) });
@@ -312,10 +324,10 @@
         // Cells of one zone: the own zone weighs more.
         .map(|e| Engine { zone: ZoneId(0), ..e })
         .collect();
-    let mut host = Host::new(settings(Effect::Safe), 1, engines);
+    let mut host = Host::new(settings(Idempotency::Idempotent), 1, engines);
     let home = |id| {
         let out = host.ask(Request { shared_prefix: None, ..request(id, 0) });
-        host.tell(Event::ClientGone(RequestId(id)));
+        host.tell(Event::ClientDisconnected(RequestId(id)));
         host.end(id, 0, Outcome::Cancelled);
         sent_to(&out)
     };
@@ -326,16 +338,17 @@
 /// Found on manila-assist: writers that had all restarted were pushed over before the list told of it.
 #[test]
 fn an_engine_back_from_where_it_could_not_be_reached_counts_as_cold() {
-    let mut host = Host::new(settings(Effect::Safe), 1, vec![engine(1, 0, 0), engine(2, 1, 0)]);
+    let mut host = Host::new(settings(Idempotency::Idempotent), 1, vec![engine(1, 0, 0), engine(2, 1, 0)]);
     for id in 0..50 {
         host.now += ms(100);
         host.ask(request(id, 0));
-        host.end(id, 0, Outcome::Read);
-        host.end(id, 1, Outcome::Ok);
+        host.end(id, 0, Outcome::Prefilled);
+        host.end(id, 1, Outcome::Completed);
     }
     host.ask(request(90, 0));
     host.end(90, 0, Outcome::ConnectFailed);
-    let back = Event::Probed { engine: EngineId(1), outcome: Outcome::Ok, report: LoadReport::default() };
+    let back =
+        Event::ProbeEnded { engine: EngineId(1), outcome: Outcome::Completed, report: LoadReport::default() };
     host.now += ms(3000);
     host.tell(back);
     let sent = (100..200).filter(|&id| sent_to(&host.ask(request(id, 0))).is_some()).count();
@@ -350,7 +363,7 @@
         due.sort_by_key(|&(at, _)| std::cmp::Reverse(at));
         let (at, timer) = due.pop().expect("a timer that leads there");
         host.now = at;
-        out = host.tell(Event::Timer(timer));
+        out = host.tell(Event::TimerFired(timer));
     }
     out
 }
@@ -359,7 +372,7 @@
 #[test]
 fn a_read_that_says_nothing_goes_again_though_its_engine_answers_probes() {
     let engines = vec![engine(1, 0, 0), engine(2, 0, 0), engine(3, 1, 0)];
-    let mut host = Host::new(settings(Effect::Unsafe), 1, engines);
+    let mut host = Host::new(settings(Idempotency::NotIdempotent), 1, engines);
     let out = host.ask(request(1, 0));
     let silent = sent_to(&out).unwrap();
     let (start, lost) = (host.now, Action::Cancel { request: RequestId(1), attempt: 0 });
@@ -370,23 +383,26 @@
 
 #[test]
 fn an_unsafe_write_that_says_nothing_is_awaited_and_a_safe_one_goes_again() {
-    for effect in [Effect::Safe, Effect::Unsafe] {
+    for effect in [Idempotency::Idempotent, Idempotency::NotIdempotent] {
         let engines = vec![engine(1, 0, 0), engine(2, 1, 0), engine(3, 1, 0)];
         let mut host = Host::new(settings(effect), 1, engines);
         let mut out = host.ask(request(1, 0));
-        out.extend(host.end(1, 0, Outcome::Read));
+        out.extend(host.end(1, 0, Outcome::Prefilled));
         let cancels = |out: &[Action]| out.iter().any(|a| matches!(a, Action::Cancel { attempt: 1, .. }));
         let out = wait_for(&mut host, out, |out| cancels(out) || failed(out));
-        assert_eq!(failed(&out), effect == Effect::Unsafe, "{out:?}");
+        assert_eq!(failed(&out), effect == Idempotency::NotIdempotent, "{out:?}");
     }
 }
 
 #[test]
 fn a_lost_write_with_two_attempts_left_is_read_again_at_the_reader_that_kept_the_text() {
-    let mut host =
-        Host::new(settings(Effect::Safe), 1, vec![engine(1, 0, 0), engine(2, 0, 0), engine(3, 1, 0)]);
+    let mut host = Host::new(
+        settings(Idempotency::Idempotent),
+        1,
+        vec![engine(1, 0, 0), engine(2, 0, 0), engine(3, 1, 0)],
+    );
     let reader = sent_to(&host.ask(request(1, 0)));
-    assert_eq!(sent_to(&host.end(1, 0, Outcome::Read)), Some(3));
+    assert_eq!(sent_to(&host.end(1, 0, Outcome::Prefilled)), Some(3));
     host.now += ms(10);
     assert_eq!(sent_to(&host.end(1, 1, Outcome::Reset)), reader);
 }
@@ -395,17 +411,17 @@
 #[test]
 fn an_engine_full_for_one_class_is_left_alone_by_that_class_only() {
     let engines = vec![engine(1, 0, 0), engine(2, 0, 0), engine(3, 1, 0)];
-    let mut host = Host::new(settings(Effect::Safe), 1, engines);
+    let mut host = Host::new(settings(Idempotency::Idempotent), 1, engines);
     [1, 2].into_iter().for_each(|id| host.report(id, 100.0));
     let full = sent_to(&host.ask(request(1, 0))).unwrap();
-    host.end(1, 0, Outcome::Full { no_state: false });
+    host.end(1, 0, Outcome::Rejected { state_missing: false });
     let reads = |host: &mut Host, class, ids: std::ops::Range<u64>| {
         let mut sent = Vec::new();
         for id in ids {
             host.now += ms(200);
             sent.extend(sent_to(&host.ask(Request { session: id, ..request(id, class) })));
             host.end(id, 0, Outcome::TimedOut);
-            host.tell(Event::ClientGone(RequestId(id)));
+            host.tell(Event::ClientDisconnected(RequestId(id)));
         }
         sent
     };
@@ -416,7 +432,7 @@
 #[test]
 fn connections_that_fail_at_most_engines_do_not_empty_the_pool() {
     let engines = (1..=4).map(|id| engine(id, 0, 0)).chain([engine(9, 1, 0)]).collect();
-    let mut host = Host::new(settings(Effect::Safe), 1, engines);
+    let mut host = Host::new(settings(Idempotency::Idempotent), 1, engines);
     let mut failures = 0;
     for id in 0..6 {
         let mut out = host.ask(request(id, 0));
@@ -427,7 +443,7 @@
             failures += 1;
             out = host.end(id, attempt, Outcome::ConnectFailed);
         }
-        host.tell(Event::ClientGone(RequestId(id)));
+        host.tell(Event::ClientDisconnected(RequestId(id)));
     }
     host.now += ms(20_000);
     assert!(failures >= 3 && sent_to(&host.ask(request(90, 0))).is_some(), "{failures} failures");
@@ -435,24 +451,25 @@
 
 #[test]
 fn a_request_whose_client_leaves_before_answers_usually_begin_is_refused() {
-    let mut host = Host::new(settings(Effect::Safe), 1, vec![engine(1, 0, 0), engine(2, 1, 0)]);
+    let mut host = Host::new(settings(Idempotency::Idempotent), 1, vec![engine(1, 0, 0), engine(2, 1, 0)]);
     for id in 0..100 {
         host.now += ms(500);
         host.ask(request(id, 0));
-        for (attempt, outcome) in [(0, Outcome::Read), (1, Outcome::Ok)] {
-            host.tell(Event::Ended(Ended {
+        for (attempt, outcome) in [(0, Outcome::Prefilled), (1, Outcome::Completed)] {
+            host.tell(Event::AttemptEnded(AttemptEnded {
                 request: RequestId(id),
                 attempt,
                 outcome,
                 latency: ms(400),
-                finished: outcome == Outcome::Ok,
-                kept_tokens: 0.0,
+                request_finished: outcome == Outcome::Completed,
+                cached_tokens: 0.0,
                 report: LoadReport::default(),
             }));
         }
     }
-    let ask =
-        |host: &mut Host, id, left| refused(&host.ask(Request { time_left: ms(left), ..request(id, 0) }));
+    let ask = |host: &mut Host, id, left| {
+        refused(&host.ask(Request { client_timeout: ms(left), ..request(id, 0) }))
+    };
     assert!(ask(&mut host, 200, 300) && !ask(&mut host, 201, 3000));
     // Each refusal lets it forget a little, so that a jam that is over does not refuse for ever.
     assert!((300..340).any(|id| !ask(&mut host, id, 300)));
@@ -465,13 +482,14 @@
 #[test]
 fn a_few_requests_tell_how_long_prompts_are() {
     for prompt_tokens in [200.0, 1_000.0, 8_000.0] {
-        let mut host = Host::new(settings(Effect::Safe), 1, vec![engine(1, 0, 0), engine(2, 1, 0)]);
+        let mut host =
+            Host::new(settings(Idempotency::Idempotent), 1, vec![engine(1, 0, 0), engine(2, 1, 0)]);
         for id in 0..8 {
             host.ask(Request { prompt_tokens, ..request(id, 0) });
-            host.tell(Event::ClientGone(RequestId(id)));
+            host.tell(Event::ClientDisconnected(RequestId(id)));
         }
         let report = LoadReport { queued: Some(3.0), ..LoadReport::default() };
-        host.tell(Event::Probed { engine: EngineId(1), outcome: Outcome::Ok, report });
+        host.tell(Event::ProbeEnded { engine: EngineId(1), outcome: Outcome::Completed, report });
         let refusals =
             (100..150).filter(|&id| refused(&host.ask(Request { prompt_tokens, ..request(id, 1) })));
         // 24,000 tokens wait where prompts are long.
@@ -485,7 +503,7 @@
     for (writer_at, waiting, expected) in [(0, 0.0, 0), (1, 0.0, 1), (0, 600.0, 0), (0, 2_500.0, 1)] {
         for id in 0..20 {
             let engines = vec![engine(1, 0, 0), engine(2, 0, 1), engine(3, 1, writer_at)];
-            let mut host = Host::new(settings(Effect::Safe), id, engines);
+            let mut host = Host::new(settings(Idempotency::Idempotent), id, engines);
             host.report(2 - u64::from(writer_at), 0.0);
             host.report(1 + u64::from(writer_at), waiting);
             let taken = sent_to(&host.ask(request(id, 0)));
@@ -504,11 +522,11 @@
         ..LoadReport::default()
     };
     for (memory_tokens, busy_is_taken) in [(vec![300_000.0, 900_000.0, 0.0], false), (vec![], true)] {
-        let s = Settings { memory_tokens, ..settings(Effect::Safe) };
+        let s = Settings { memory_tokens, ..settings(Idempotency::Idempotent) };
         let mut host = Host::new(s, 1, vec![engine(1, 0, 0), engine(2, 0, 0), engine(3, 1, 0)]);
         // One reads a long prompt and nothing waits behind it; at the other two short ones wait.
         for (id, report) in [(1, told(0.0, 0.13)), (2, told(2.0, 0.01))] {
-            host.tell(Event::Probed { engine: EngineId(id), outcome: Outcome::Ok, report });
+            host.tell(Event::ProbeEnded { engine: EngineId(id), outcome: Outcome::Completed, report });
         }
         let taken = sent_to(&host.ask(request(1, 0)));
         assert_eq!(taken, Some(if busy_is_taken { 1 } else { 2 }));
@@ -520,7 +538,7 @@
 fn engines_to_spill_to_are_asked_only_where_the_homes_bear_more_than_the_prompt() {
     for (waiting, probes) in [(0.0, 2), (900.0, 2), (1_100.0, 4)] {
         let engines = (1..9).map(|id| engine(id, 0, 0)).chain([engine(9, 1, 0)]).collect();
-        let mut host = Host::new(settings(Effect::Safe), 1, engines);
+        let mut host = Host::new(settings(Idempotency::Idempotent), 1, engines);
         (host.now, host.waiting) = (host.now + ms(1_000), Some(waiting));
         let out = host.ask(request(1, 0));
         let asked = out.iter().filter(|a| matches!(a, Action::Probe(_))).count();
@@ -530,7 +548,7 @@
 
 #[test]
 fn a_refused_request_asks_engines_whose_reports_are_old() {
-    let mut host = Host::new(settings(Effect::Safe), 1, vec![engine(1, 0, 0), engine(2, 1, 0)]);
+    let mut host = Host::new(settings(Idempotency::Idempotent), 1, vec![engine(1, 0, 0), engine(2, 1, 0)]);
     let asks = |out: &[Action]| out.iter().filter(|a| matches!(a, Action::Probe(_))).count();
     host.mute = true;
     host.now += ms(800);
@@ -547,12 +565,12 @@
 fn the_engine_that_tells_of_less_load_is_chosen() {
     for seed in 0..20 {
         let engines = vec![engine(1, 0, 0), engine(2, 0, 0), engine(3, 1, 0), engine(4, 1, 0)];
-        let mut host = Host::new(settings(Effect::Safe), seed, engines);
+        let mut host = Host::new(settings(Idempotency::Idempotent), seed, engines);
         for (id, waiting) in [(1, 9_000.0), (2, 100.0), (3, 100.0), (4, 9_000.0)] {
             host.report(id, waiting);
         }
         assert_eq!(sent_to(&host.ask(request(1, 0))), Some(2));
-        assert_eq!(sent_to(&host.end(1, 0, Outcome::Read)), Some(3));
+        assert_eq!(sent_to(&host.end(1, 0, Outcome::Prefilled)), Some(3));
     }
 }
 
@@ -562,9 +580,9 @@
     let (mut readers, mut writers) = (std::collections::BTreeSet::new(), std::collections::BTreeSet::new());
     for seed in 0..40 {
         let engines = (1..=3).map(|id| engine(id, 0, 0)).chain((4..=7).map(|id| engine(id, 1, 0))).collect();
-        let mut host = Host::new(settings(Effect::Safe), seed, engines);
+        let mut host = Host::new(settings(Idempotency::Idempotent), seed, engines);
         readers.extend(sent_to(&host.ask(Request { session: seed, ..request(1, 0) })));
-        writers.extend(sent_to(&host.end(1, 0, Outcome::Read)));
+        writers.extend(sent_to(&host.end(1, 0, Outcome::Prefilled)));
     }
     assert_eq!((readers.len(), writers.len()), (2, 4));
 }
@@ -574,7 +592,7 @@
 fn of_the_engines_asked_those_that_do_not_answer_come_last() {
     for seed in 0..20 {
         let engines = vec![engine(1, 0, 0), engine(2, 0, 0), engine(3, 1, 0)];
-        let mut host = Host::new(settings(Effect::Safe), seed, engines);
+        let mut host = Host::new(settings(Idempotency::Idempotent), seed, engines);
         // The last that was heard of reader 1 was that it is idle.
         host.report(1, 0.0);
         host.now += ms(1_000);
@@ -586,7 +604,9 @@
         host.now += ms(30);
         let due: Vec<Action> = waits
             .iter()
-            .flat_map(|&(timer, after)| if after <= ms(30) { host.tell(Event::Timer(timer)) } else { vec![] })
+            .flat_map(
+                |&(timer, after)| if after <= ms(30) { host.tell(Event::TimerFired(timer)) } else { vec![] },
+            )
             .collect();
         assert_eq!(sent_to(&due), Some(2));
     }
@@ -594,39 +614,39 @@
 
 #[test]
 fn a_site_whose_list_must_be_asked_for_is_asked_again_after_a_failure() {
-    let mut s = settings(Effect::Safe);
-    s.ask_for_engines = true;
+    let mut s = settings(Idempotency::Idempotent);
+    s.polls_engine_list = true;
     let mut host = Host { router: Router::new(s, 1), now: ms(0), mute: false, waiting: None };
     let out = host.list(Listing::Cached, vec![]);
     assert!(out.contains(&Action::WatchEngines(true)));
     let out = host.list(Listing::Failed, vec![]);
     let (timer, after) = timers(&out)[0];
     host.now += after;
-    assert!(host.tell(Event::Timer(timer)).contains(&Action::WatchEngines(true)));
+    assert!(host.tell(Event::TimerFired(timer)).contains(&Action::WatchEngines(true)));
 }
 
 #[test]
 fn with_no_engines_at_all_the_answer_comes_at_once() {
-    let mut host = Host::new(settings(Effect::Unsafe), 1, vec![]);
+    let mut host = Host::new(settings(Idempotency::NotIdempotent), 1, vec![]);
     assert!(refused(&host.ask(request(1, 0))));
-    assert_eq!(host.router.kept().0, 0);
+    assert_eq!(host.router.state_sizes().requests, 0);
 }
 
 #[test]
 fn a_mixed_engine_alone_serves_in_one_attempt() {
-    let mut host = Host::new(settings(Effect::Safe), 1, vec![engine(1, 2, 0)]);
+    let mut host = Host::new(settings(Idempotency::Idempotent), 1, vec![engine(1, 2, 0)]);
     assert_eq!(sent_to(&host.ask(request(1, 0))), Some(1));
     let first = Event::FirstToken { request: RequestId(1), attempt: 0, latency: ms(80) };
     assert!(!failed(&host.tell(first)));
-    host.end(1, 0, Outcome::Ok);
-    assert_eq!(host.router.kept().0, 0);
+    host.end(1, 0, Outcome::Completed);
+    assert_eq!(host.router.state_sizes().requests, 0);
 }
 
 /// Found on thess-journey: a hot beginning filled its two homes while other readers idled.
 #[test]
 fn a_hot_beginning_spills_from_its_two_homes() {
     let engines = (1..=4).map(|id| engine(id, 0, 0)).chain([engine(9, 1, 0)]).collect();
-    let mut host = Host::new(settings(Effect::Safe), 1, engines);
+    let mut host = Host::new(settings(Idempotency::Idempotent), 1, engines);
     let sent: Vec<_> = (0..12).filter_map(|id| sent_to(&host.ask(request(id, 0)))).collect();
     let distinct = |sent: &[u64]| sent.iter().collect::<std::collections::BTreeSet<_>>().len();
     assert_eq!((distinct(&sent[..4]), distinct(&sent)), (2, 4), "{sent:?}");
@@ -635,10 +655,10 @@
 #[test]
 fn absurd_lengths_and_times_do_no_harm() {
     let started = Some(std::time::Duration::MAX);
-    let engines = vec![Engine { started, ..engine(1, 0, 0) }, engine(2, 0, 0), engine(3, 1, 0)];
-    let mut host = Host::new(settings(Effect::Safe), 1, engines);
+    let engines = vec![Engine { started_at: started, ..engine(1, 0, 0) }, engine(2, 0, 0), engine(3, 1, 0)];
+    let mut host = Host::new(settings(Idempotency::Idempotent), 1, engines);
     let time_left = std::time::Duration::MAX;
-    let out = host.ask(Request { time_left, prompt_tokens: f64::MAX, ..request(1, 0) });
+    let out = host.ask(Request { client_timeout: time_left, prompt_tokens: f64::MAX, ..request(1, 0) });
     assert!(timers(&out).iter().all(|(_, after)| *after <= ms(3_600_000)), "{out:?}");
     assert!(sent_to(&out).is_some());
 }
@@ -648,11 +668,11 @@
 fn a_refusal_names_a_tenant_over_its_share() {
     let tenants = vec![Tenant { quota_per_s: Some(1.0) }, Tenant { quota_per_s: None }];
     let engines = vec![engine(1, 0, 0), engine(2, 1, 0)];
-    let mut host = Host::new(Settings { tenants, ..settings(Effect::Safe) }, 3, engines);
+    let mut host = Host::new(Settings { tenants, ..settings(Idempotency::Idempotent) }, 3, engines);
     host.report(1, 300_000.0);
     let told = |out: &[Action]| {
         out.iter().find_map(|a| match a {
-            Action::Refuse { over_share, .. } => Some(*over_share),
+            Action::Reject { over_quota: over_share, .. } => Some(*over_share),
             _ => None,
         })
     };
@@ -670,14 +690,18 @@
 fn a_writer_that_found_no_state_is_not_passed_over() {
     for seed in 0..20 {
         let engines = vec![engine(1, 0, 0), engine(2, 1, 0), engine(3, 1, 0)];
-        let limits = Limits { attempts: 6, ..settings(Effect::Safe).limits };
-        let mut host = Host::new(Settings { limits, ..settings(Effect::Safe) }, seed, engines);
+        let limits = Limits { max_attempts: 6, ..settings(Idempotency::Idempotent).limits };
+        let mut host = Host::new(Settings { limits, ..settings(Idempotency::Idempotent) }, seed, engines);
         assert_eq!(sent_to(&host.ask(request(1, 0))), Some(1));
-        let first = sent_to(&host.end(1, 0, Outcome::Read)).expect("a writer");
+        let first = sent_to(&host.end(1, 0, Outcome::Prefilled)).expect("a writer");
         let second = sent_to(&host.end(1, 1, Outcome::Error)).expect("the other writer");
         assert_ne!(first, second);
-        assert_eq!(sent_to(&host.end(1, 2, Outcome::Full { no_state: true })), Some(1), "it is read again");
-        assert_eq!(sent_to(&host.end(1, 3, Outcome::Read)), Some(second), "seed {seed}");
+        assert_eq!(
+            sent_to(&host.end(1, 2, Outcome::Rejected { state_missing: true })),
+            Some(1),
+            "it is read again"
+        );
+        assert_eq!(sent_to(&host.end(1, 3, Outcome::Prefilled)), Some(second), "seed {seed}");
     }
 }
 
@@ -686,23 +710,24 @@
 fn what_was_turned_away_gives_a_cold_engine_no_budget() {
     let to_cold = |jammed: bool| {
         let engines = vec![engine(1, 0, 0), engine(2, 1, 0)];
-        let mut host = Host::new(settings(Effect::Safe), 9, engines.clone());
+        let mut host = Host::new(settings(Idempotency::Idempotent), 9, engines.clone());
         let mut count = 0;
         for id in 0..600 {
             host.now += ms(10);
             if id == 400 {
-                let cold = Engine { started: Some(host.now), ..engine(3, 1, 0) };
+                let cold = Engine { started_at: Some(host.now), ..engine(3, 1, 0) };
                 host.list(Listing::Changes, vec![cold]);
             }
             host.ask(request(id, 0));
             let mut attempt = 0;
-            let mut sent = sent_to(&host.end(id, 0, Outcome::Read));
+            let mut sent = sent_to(&host.end(id, 0, Outcome::Prefilled));
             while let Some(writer) = sent {
                 attempt += 1;
                 count += u64::from(writer == 3);
                 // The jam lasts on, and the cold one beside it serves.
                 let turned = jammed && writer == 2;
-                let outcome = if turned { Outcome::Full { no_state: false } } else { Outcome::Ok };
+                let outcome =
+                    if turned { Outcome::Rejected { state_missing: false } } else { Outcome::Completed };
                 sent = sent_to(&host.end(id, attempt, outcome));
                 if !turned {
                     break;
@@ -718,8 +743,11 @@
 /// A reader of half its role's speed and a queue: its reads were cancelled just before they ended, at twice the cost.
 #[test]
 fn a_slow_engine_has_its_own_time() {
-    let mut host =
-        Host::new(settings(Effect::Safe), 3, vec![engine(1, 0, 0), engine(2, 0, 0), engine(9, 1, 0)]);
+    let mut host = Host::new(
+        settings(Idempotency::Idempotent),
+        3,
+        vec![engine(1, 0, 0), engine(2, 0, 0), engine(9, 1, 0)],
+    );
     let draining = |id: u64, drains: bool| Engine {
         state: if drains { EngineState::Draining } else { EngineState::Ready },
         ..engine(id, 0, 0)
@@ -732,17 +760,17 @@
             host.now += ms(10);
             last = host.ask(request(next, 0));
             let (request, report) = (RequestId(next), LoadReport::default());
-            let ended = Ended {
+            let ended = AttemptEnded {
                 request,
                 attempt: 0,
-                outcome: Outcome::Read,
+                outcome: Outcome::Prefilled,
                 latency,
-                finished: false,
-                kept_tokens: 0.0,
+                request_finished: false,
+                cached_tokens: 0.0,
                 report,
             };
-            host.tell(Event::Ended(ended));
-            host.end(next, 1, Outcome::Ok);
+            host.tell(Event::AttemptEnded(ended));
+            host.end(next, 1, Outcome::Completed);
         }
         last
     };
@@ -765,21 +793,21 @@
     for (routers, apart, most) in [(1, 20, 4), (300, 2_000, 18)] {
         let sick = 2;
         let writers = [2, 3, 4, 5].map(|id| engine(id, 1, 0));
-        let s = Settings { routers, ..settings(Effect::Safe) };
+        let s = Settings { router_count: routers, ..settings(Idempotency::Idempotent) };
         let mut host = Host::new(s, 4, [vec![engine(1, 0, 0)], writers.to_vec()].concat());
         let mut at_sick = 0;
         for id in 0..100 {
             host.now += ms(apart);
             host.ask(request(id, 0));
-            let out = host.end(id, 0, Outcome::Read);
+            let out = host.end(id, 0, Outcome::Prefilled);
             match sent_to(&out) {
                 Some(engine) if engine == sick => {
                     at_sick += 1;
                     host.end(id, 1, Outcome::Error);
-                    host.tell(Event::ClientGone(RequestId(id)));
+                    host.tell(Event::ClientDisconnected(RequestId(id)));
                 }
                 _ => {
-                    host.end(id, 1, Outcome::Ok);
+                    host.end(id, 1, Outcome::Completed);
                 }
             }
         }
--- a/tests/heir.rs
+++ b/tests/heir.rs
@@ -11,7 +11,7 @@
 
 #[test]
 fn an_heir_counts_what_is_out_until_it_ends_and_knows_who_is_ejected() {
-    let mut settings = settings(Effect::Safe);
+    let mut settings = settings(Idempotency::Idempotent);
     settings.tenants = vec![Tenant { quota_per_s: Some(0.1) }];
     let engines = (0..8).map(|id| engine(id, usize::from(id >= 4), 0)).collect();
     let mut host = Host::new(settings.clone(), 3, engines);
@@ -22,40 +22,40 @@
     let first = sent(&out).expect("a request was sent");
     host.now += ms(10);
     // One can't be reached: it is ejected.
-    let lost = Ended {
+    let lost = AttemptEnded {
         request: RequestId(0),
         attempt: 0,
         outcome: Outcome::ConnectFailed,
         latency: ms(10),
-        finished: false,
-        kept_tokens: 0.0,
+        request_finished: false,
+        cached_tokens: 0.0,
         report: LoadReport::default(),
     };
-    host.tell(Event::Ended(lost));
+    host.tell(Event::AttemptEnded(lost));
     let mut actions = Vec::new();
-    let places = Places { classes: vec![Some(0); settings.classes.len()], tenants: vec![Some(0)] };
-    let mut heir = host.router.heir(host.now, settings, &places, 9, &mut actions);
+    let places = SettingsMapping { classes: vec![Some(0); settings.classes.len()], tenants: vec![Some(0)] };
+    let mut heir = host.router.successor(host.now, settings, &places, 9, &mut actions);
     assert!(matches!(actions[..], [Action::SetTimer { .. }]), "the trial of the ejected one: {actions:?}");
-    let count = |r: &Router| r.under_way().collect::<Vec<_>>();
+    let count = |r: &Router| r.attempts_in_flight().collect::<Vec<_>>();
     assert_eq!(count(&heir), count(&host.router));
     assert!(count(&heir).iter().any(|(_, n)| *n > 0.0));
     assert!(count(&heir).iter().any(|(id, _)| *id == first));
     // All that is out ends; both are told.
     for id in 0..12 {
         for attempt in 0..4 {
-            let ended = Ended {
+            let ended = AttemptEnded {
                 request: RequestId(id),
                 attempt,
                 outcome: Outcome::Error,
                 latency: ms(20),
-                finished: true,
-                kept_tokens: 0.0,
+                request_finished: true,
+                cached_tokens: 0.0,
                 report: LoadReport::default(),
             };
-            heir.handle(host.now, Event::Ended(ended.clone()), &mut actions);
-            host.tell(Event::Ended(ended));
+            heir.handle(host.now, Event::AttemptEnded(ended.clone()), &mut actions);
+            host.tell(Event::AttemptEnded(ended));
         }
     }
     assert!(count(&heir).iter().all(|(_, n)| *n == 0.0), "{:?}", count(&heir));
-    assert_eq!(heir.kept().0, 0, "nothing of the first one's is kept");
+    assert_eq!(heir.state_sizes().requests, 0, "nothing of the first one's is kept");
 }
--- a/tests/rules_hold.rs
+++ b/tests/rules_hold.rs
@@ -77,13 +77,14 @@
         for action in actions {
             match action {
                 Action::Send { request, engine, .. } => self.check_send(request.0, engine.0),
-                Action::Refuse { request, .. } => {
+                Action::Reject { request, .. } => {
                     let harmless = {
                         let open = &self.open[&request.0];
                         open.ran.is_empty()
                             || matches!(
-                                self.settings.classes[open.class].effect,
-                                Effect::Safe | Effect::Keyed { group: Group::All, .. }
+                                self.settings.classes[open.class].idempotency,
+                                Idempotency::Idempotent
+                                    | Idempotency::WithKey { scope: DeduplicationScope::All, .. }
                             )
                     };
                     assert!(harmless, "a refusal after {request:?} may have run");
@@ -119,21 +120,21 @@
         let open = self.open.get_mut(&id).expect("a request that was given");
         assert!(!open.answered && !open.closed, "a send for a request that has ended");
         assert!(open.out.is_empty(), "two attempts out at once");
-        assert!(open.attempts < self.settings.limits.attempts, "too many attempts");
-        let read = self.settings.kinds[target.kind.0] == Role::Read;
+        assert!(open.attempts < self.settings.limits.max_attempts, "too many attempts");
+        let read = self.settings.kind_roles[target.kind.0] == Role::Prefill;
         // Reading it anew counts, too: engines of another group know nothing of the first attempt.
         if let Some(&(at, first)) = open.ran.first() {
-            match self.settings.classes[open.class].effect {
-                Effect::Safe => {}
-                Effect::Unsafe => panic!("an unsafe request that may have run is sent again"),
-                Effect::Keyed { group, window } => {
+            match self.settings.classes[open.class].idempotency {
+                Idempotency::Idempotent => {}
+                Idempotency::NotIdempotent => panic!("an unsafe request that may have run is sent again"),
+                Idempotency::WithKey { scope: group, window } => {
                     let arrives = now + self.settings.limits.connect_timeout;
                     assert!(arrives < at + window, "a keyed request that may come after its window");
                     let first = &self.engines[&first];
                     assert!(match group {
-                        Group::All => true,
-                        Group::Zone => first.zone == target.zone,
-                        Group::Cell => first.cell == target.cell,
+                        DeduplicationScope::All => true,
+                        DeduplicationScope::Zone => first.zone == target.zone,
+                        DeduplicationScope::Cell => first.cell == target.cell,
                     });
                 }
             }
@@ -154,7 +155,7 @@
         let open =
             Open { deadline, class, answered: false, closed: false, attempts: 0, out, ran, held: None };
         self.open.insert(self.next, open);
-        let request = Request { time_left, prompt_tokens, ..request(self.next, class) };
+        let request = Request { client_timeout: time_left, prompt_tokens, ..request(self.next, class) };
         let actions = self.host.ask(request);
         self.take(actions);
     }
@@ -174,11 +175,11 @@
             return self.take(actions);
         }
         let outcome = match draw {
-            _ if begun => [Outcome::Ok, Outcome::Reset][usize::from(draw == 0)],
-            0..=5 if read => Outcome::Read,
-            0..=5 => Outcome::Ok,
+            _ if begun => [Outcome::Completed, Outcome::Reset][usize::from(draw == 0)],
+            0..=5 if read => Outcome::Prefilled,
+            0..=5 => Outcome::Completed,
             6 => Outcome::Error,
-            7 => Outcome::Full { no_state: !read && self.below(2) == 0 },
+            7 => Outcome::Rejected { state_missing: !read && self.below(2) == 0 },
             8 => Outcome::TimedOut,
             9 => Outcome::ConnectFailed,
             10 => Outcome::Reset,
@@ -186,20 +187,20 @@
         };
         let open = self.open.get_mut(&id).unwrap();
         open.out.remove(&attempt);
-        if outcome == Outcome::Read || (!read && !begun && outcome != Outcome::Ok) {
+        if outcome == Outcome::Prefilled || (!read && !begun && outcome != Outcome::Completed) {
             open.held = Some(now);
         }
         if !read && !outcome.proves_not_run() {
             open.ran.push((sent, engine));
         }
-        open.closed |= begun || outcome == Outcome::Ok;
-        let actions = self.host.tell(Event::Ended(Ended {
+        open.closed |= begun || outcome == Outcome::Completed;
+        let actions = self.host.tell(Event::AttemptEnded(AttemptEnded {
             request: RequestId(id),
             attempt,
             outcome,
             latency: now - sent,
-            finished: open.closed || open.answered,
-            kept_tokens: f64::from(draw as u32) * 100.0,
+            request_finished: open.closed || open.answered,
+            cached_tokens: f64::from(draw as u32) * 100.0,
             report: LoadReport {
                 waiting_tokens: Some(draw as f64 * 500.0),
                 memory_share: Some(0.3),
@@ -213,11 +214,11 @@
         let id = 1 + self.below(self.engines.len() as u64);
         let draw = self.below(9);
         let entry = self.engines.get_mut(&id).unwrap();
-        (entry.state, entry.started) = match draw {
-            0 => (EngineState::Draining, entry.started),
-            1 => (EngineState::Gone, entry.started),
+        (entry.state, entry.started_at) = match draw {
+            0 => (EngineState::Draining, entry.started_at),
+            1 => (EngineState::Gone, entry.started_at),
             2 => (EngineState::Ready, Some(self.host.now)),
-            _ => (EngineState::Ready, entry.started),
+            _ => (EngineState::Ready, entry.started_at),
         };
         let engines = vec![entry.clone()];
         let actions = self.host.list(Listing::Changes, engines);
@@ -231,28 +232,28 @@
         let (due, later): (Vec<_>, Vec<_>) = set.into_iter().partition(|(at, _)| *at <= now);
         self.timers = later;
         for (_, timer) in due {
-            let actions = self.host.tell(Event::Timer(timer));
+            let actions = self.host.tell(Event::TimerFired(timer));
             self.take(actions);
         }
         match self.below(40) {
             0..=3 => self.ask(),
             4 => self.change_list(),
             5 => {
-                let actions = self.host.tell(Event::Timer(TimerId(u64::MAX)));
+                let actions = self.host.tell(Event::TimerFired(TimerId(u64::MAX)));
                 assert!(actions.is_empty());
             }
             6 => {
                 let engine = EngineId(1 + self.below(self.engines.len() as u64));
-                let outcome = [Outcome::Ok, Outcome::ConnectFailed][self.below(2) as usize];
+                let outcome = [Outcome::Completed, Outcome::ConnectFailed][self.below(2) as usize];
                 let report = LoadReport::default();
-                let actions = self.host.tell(Event::Probed { engine, outcome, report });
+                let actions = self.host.tell(Event::ProbeEnded { engine, outcome, report });
                 self.take(actions);
             }
             7 => {
                 let waiting = self.open.iter().find(|(_, o)| !o.answered && !o.closed).map(|(id, _)| *id);
                 if let Some(id) = waiting {
                     self.open.get_mut(&id).unwrap().closed = true;
-                    let actions = self.host.tell(Event::ClientGone(RequestId(id)));
+                    let actions = self.host.tell(Event::ClientDisconnected(RequestId(id)));
                     self.take(actions);
                 }
             }
@@ -269,7 +270,7 @@
             let ended = open.answered || open.closed;
             assert!(ended || now <= open.deadline + SLACK, "request {id} is lost");
             let pinned = open.held.filter(|_| open.out.is_empty());
-            let limit = self.settings.let_go_within;
+            let limit = self.settings.held_state_limit;
             assert!(pinned.is_none_or(|since| now - since <= limit), "state of {id} is pinned");
         }
         self.open.retain(|_, o| !(o.out.is_empty() && o.held.is_none() && (o.answered || o.closed)));
@@ -285,12 +286,18 @@
 }
 
 fn mixed_effects() -> Settings {
-    let keyed = |group| Effect::Keyed { group, window: ms(700) };
-    let mut s = settings(Effect::Safe);
-    s.classes = [Effect::Safe, Effect::Unsafe, keyed(Group::All), keyed(Group::Zone), keyed(Group::Cell)]
-        .into_iter()
-        .map(|effect| class(1.0, 800, effect))
-        .collect();
+    let keyed = |group| Idempotency::WithKey { scope: group, window: ms(700) };
+    let mut s = settings(Idempotency::Idempotent);
+    s.classes = [
+        Idempotency::Idempotent,
+        Idempotency::NotIdempotent,
+        keyed(DeduplicationScope::All),
+        keyed(DeduplicationScope::Zone),
+        keyed(DeduplicationScope::Cell),
+    ]
+    .into_iter()
+    .map(|effect| class(1.0, 800, effect))
+    .collect();
     s
 }
 
@@ -298,11 +305,12 @@
 fn the_rules_hold_over_long_random_sequences() {
     for seed in 0..12 {
         let mut s = mixed_effects();
-        s.limits.cancel = seed % 3 != 0;
+        s.limits.cancellation = seed % 3 != 0;
         s.limits.probes = seed % 4 != 0;
-        s.limits.attempts = 2 + seed as usize % 4;
-        s.routers = [1, 3, 200, 1000][seed as usize % 4];
-        s.reports = [ReportSource::Answers, ReportSource::Probes, ReportSource::None][seed as usize % 3];
+        s.limits.max_attempts = 2 + seed as usize % 4;
+        s.router_count = [1, 3, 200, 1000][seed as usize % 4];
+        s.report_source =
+            [ReportSource::Answers, ReportSource::Probes, ReportSource::None][seed as usize % 3];
         let mut world = World::new(s, seed);
         for step in 0..20_000u64 {
             world.step();
@@ -321,7 +329,7 @@
     for (kinds, steps) in [(&[2][..], 6_000), (&[0, 1][..], 6_000), (&hundreds[..], 1_500)] {
         for routers in [1, 1000] {
             let mut s = mixed_effects();
-            s.routers = routers;
+            s.router_count = routers;
             let mut world = World::of(s, 3, kinds);
             (0..steps).for_each(|_| world.step());
             assert!(world.sends > 10, "{} sends with {} engines", world.sends, kinds.len());
@@ -343,13 +351,19 @@
 #[test]
 fn what_is_kept_stays_bounded() {
     let mut world = World::new(mixed_effects(), 9);
-    let mut most = (0, 0, 0);
+    let mut most = StateSizes::default();
     for step in 0..60_000 {
         world.step();
         if step > 10_000 {
-            let kept = world.host.router.kept();
-            most = (most.0.max(kept.0), most.1.max(kept.1), most.2.max(kept.2));
+            let sizes = world.host.router.state_sizes();
+            most.requests = most.requests.max(sizes.requests);
+            most.timers = most.timers.max(sizes.timers);
+            most.engines = most.engines.max(sizes.engines);
         }
     }
-    assert!(most.0 < 200 && most.1 < 1_000 && most.2 <= 7, "{most:?} after {} requests", world.next);
+    assert!(
+        most.requests < 200 && most.timers < 1_000 && most.engines <= 7,
+        "{most:?} after {} requests",
+        world.next
+    );
 }
--- a/tests/whole_answers.rs
+++ b/tests/whole_answers.rs
@@ -6,12 +6,12 @@
 use slipreel::*;
 
 /// A request whose answer goes out whole, up to the first token of its write.
-fn up_to_a_whole_answer(effect: Effect, seed: u64) -> Host {
+fn up_to_a_whole_answer(effect: Idempotency, seed: u64) -> Host {
     let engines = vec![engine(1, 0, 0), engine(2, 1, 0), engine(3, 1, 0)];
     let mut host = Host::new(settings(effect), seed, engines);
     let whole = Some(ms(20_000));
-    assert_eq!(sent_to(&host.ask(Request { whole, ..request(1, 0) })), Some(1));
-    assert!(sent_to(&host.end(1, 0, Outcome::Read)).is_some());
+    assert_eq!(sent_to(&host.ask(Request { complete_answer_timeout: whole, ..request(1, 0) })), Some(1));
+    assert!(sent_to(&host.end(1, 0, Outcome::Prefilled)).is_some());
     host.now += ms(50);
     host.tell(Event::FirstToken { request: RequestId(1), attempt: 1, latency: ms(50) });
     host
@@ -20,22 +20,24 @@
 fn breaks(host: &mut Host, attempt: usize) -> Vec<Action> {
     let (request, latency) = (RequestId(1), ms(100));
     let (outcome, report) = (Outcome::Reset, LoadReport::default());
-    host.tell(Event::Ended(Ended {
+    host.tell(Event::AttemptEnded(AttemptEnded {
         request,
         attempt,
         outcome,
         latency,
-        finished: false,
-        kept_tokens: 0.0,
+        request_finished: false,
+        cached_tokens: 0.0,
         report,
     }))
 }
 
 #[test]
 fn a_whole_answer_that_breaks_is_tried_again_as_its_class_allows() {
-    let group = Group::All;
-    let keyed = Effect::Keyed { group, window: ms(30_000) };
-    for (effect, again) in [(Effect::Safe, true), (keyed, true), (Effect::Unsafe, false)] {
+    let group = DeduplicationScope::All;
+    let keyed = Idempotency::WithKey { scope: group, window: ms(30_000) };
+    for (effect, again) in
+        [(Idempotency::Idempotent, true), (keyed, true), (Idempotency::NotIdempotent, false)]
+    {
         let mut host = up_to_a_whole_answer(effect, 3);
         let out = breaks(&mut host, 1);
         // The state went with the writer: the prompt is read again.
@@ -47,7 +49,7 @@
 #[test]
 fn a_whole_answer_has_the_time_that_its_client_gives_it() {
     for (after, again) in [(10_000, true), (25_000, false)] {
-        let mut host = up_to_a_whole_answer(Effect::Safe, 3);
+        let mut host = up_to_a_whole_answer(Idempotency::Idempotent, 3);
         host.now += ms(after);
         let out = breaks(&mut host, 1);
         assert_eq!((sent_to(&out).is_some(), refused(&out)), (again, !again), "{after}: {out:?}");
@@ -57,14 +59,14 @@
 #[test]
 fn a_whole_answer_that_is_being_written_is_neither_cut_nor_cancelled() {
     let engines = vec![engine(1, 0, 0), engine(2, 1, 0)];
-    let mut host = Host::new(settings(Effect::Safe), 3, engines);
-    let mut set = timers(&host.ask(Request { whole: Some(ms(20_000)), ..request(1, 0) }));
-    set.extend(timers(&host.end(1, 0, Outcome::Read)));
+    let mut host = Host::new(settings(Idempotency::Idempotent), 3, engines);
+    let mut set = timers(&host.ask(Request { complete_answer_timeout: Some(ms(20_000)), ..request(1, 0) }));
+    set.extend(timers(&host.end(1, 0, Outcome::Prefilled)));
     host.now += ms(50);
     host.tell(Event::FirstToken { request: RequestId(1), attempt: 1, latency: ms(50) });
     host.now += ms(30_000);
     while let Some((timer, _)) = set.pop() {
-        let out = host.tell(Event::Timer(timer));
+        let out = host.tell(Event::TimerFired(timer));
         assert!(!failed(&out) && !out.iter().any(|a| matches!(a, Action::Cancel { .. })), "{out:?}");
         set.extend(timers(&out));
     }
