--- a/crates/emulator/src/play.rs
+++ b/crates/emulator/src/play.rs
@@ -506,10 +506,10 @@
             }
             // What turns work away tells no load, as the stand-in's errors don't.
             Say::Full => {
-                self.ended(who, Outcome::Rejected { state_missing: false }, 0.0, LoadReport::default())
+                self.ended(who, Outcome::Rejected { state_missing: false }, 0.0, LoadReport::default());
             }
             Say::NoState => {
-                self.ended(who, Outcome::Rejected { state_missing: true }, 0.0, LoadReport::default())
+                self.ended(who, Outcome::Rejected { state_missing: true }, 0.0, LoadReport::default());
             }
         }
     }
--- a/crates/platform/src/carry.rs
+++ b/crates/platform/src/carry.rs
@@ -30,7 +30,7 @@
             Action::Log(line) => self.note(|| line, out),
             // The platform has no places to hold ahead and no way to talk to other routers, and its watch is always open.
             Action::Reserve { request, engine } => {
-                self.tell(Event::ReservationAnswered { request, engine, granted: false })
+                self.tell(Event::ReservationAnswered { request, engine, granted: false });
             }
             Action::WatchEngines(_) | Action::FetchEngines | Action::SendToPeer { .. } => {}
         }
--- a/crates/test-servers/src/client.rs
+++ b/crates/test-servers/src/client.rs
@@ -388,7 +388,7 @@
         match why {
             // Nobody took the request: for the rules it was never asked.
             ConnectionLoss::NotConnected | ConnectionLoss::Exhausted => {
-                self.ledger.note(now, Seen::Left(open.what))
+                self.ledger.note(now, Seen::Left(open.what));
             }
             // It has said that it sends no more: a router may take that for leaving.
             ConnectionLoss::Reset if self.plans[open.plan].habit == Habit::HalfCloses => {
--- a/tests/cold_sum.rs
+++ b/tests/cold_sum.rs
@@ -426,7 +426,7 @@
         match self.due.remove(&seq) {
             Some(Due::Arrive) => self.arrive(),
             Some(Due::Timer(n, life, timer)) if alive(self, n, life) => {
-                self.handle(n, Event::TimerFired(timer))
+                self.handle(n, Event::TimerFired(timer));
             }
             Some(Due::Tell(n, engines)) => {
                 let listing =
