--- a/crates/roles/src/planner.rs
+++ b/crates/roles/src/planner.rs
@@ -159,12 +159,21 @@
     pub likely: Duration,
 }
 
+/// A role as it is written in the log.
+fn role_in_log(role: Role) -> &'static str {
+    match role {
+        Role::Prefill => "Read",
+        Role::Decode => "Write",
+        Role::Mixed => "Both",
+    }
+}
+
 impl fmt::Display for Change {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
-            "{:x}: {:?} to {:?} (epoch {}): serves {:.1}% in place of {:.1}%, likely for {:.0} s; costs {:.2}, gains {:.2} s of full service",
-            self.engine.0, self.from, self.to, self.replaces, 100.0 * self.served.1, 100.0 * self.served.0,
+            "{:x}: {} to {} (epoch {}): serves {:.1}% in place of {:.1}%, likely for {:.0} s; costs {:.2}, gains {:.2} s of full service",
+            self.engine.0, role_in_log(self.from), role_in_log(self.to), self.replaces, 100.0 * self.served.1, 100.0 * self.served.0,
             self.likely.as_secs_f64(), self.cost, self.gain
         )
     }
