--- a/crates/event-loop/src/connection.rs
+++ b/crates/event-loop/src/connection.rs
@@ -1,65 +1,75 @@
-//! One socket: what waits to be sent, and which readiness is wanted.
+//! One socket of a connection: what waits to be sent, and which readiness it asks epoll for.
 
 use rustix::event::epoll::EventFlags;
 use rustix::fd::OwnedFd;
 use rustix::io::Errno;
-use rustix::net::{send, SendFlags};
+use rustix::net::{self, send, sockopt, SendFlags, Shutdown};
 use slipreel_state_machine::ConnId;
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Where a socket stands.
+/// Small writes of one moment are joined up to this size, bytes.
+const JOINED_WRITE: usize = 16 << 10;
+
+/// The phase of a connection's life.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Phase {
+    /// The system is establishing it.
     Connecting,
     Open,
-    /// The machine has ended it; what was written still goes out, what comes in is dropped until then.
-    Finishing(Duration),
+    /// The machine has ended it. What was written is still sent; what comes in is dropped.
+    Closing,
 }
 
-pub(crate) struct Conn {
+/// A connection of one machine.
+pub(crate) struct Connection {
     pub(crate) fd: OwnedFd,
-    pub(crate) node: usize,
+    /// The place of its machine in the event loop.
+    pub(crate) machine: usize,
     pub(crate) id: ConnId,
     pub(crate) phase: Phase,
+    /// The machine takes no more data for now.
     pub(crate) paused: bool,
-    pub(crate) eof: bool,
-    /// The machine knows that the peer has closed it though it is paused.
-    pub(crate) hung_up: bool,
-    /// The write side is to be shut when all is sent.
-    pub(crate) shuts: bool,
-    /// It is shut.
-    pub(crate) shut: bool,
+    /// The peer has sent its end of file.
+    pub(crate) peer_finished: bool,
+    /// The machine was told that the peer has closed it although it is paused.
+    pub(crate) peer_close_reported: bool,
+    /// It is queued for sending.
+    pub(crate) queued_to_flush: bool,
+    /// The readiness that epoll was last asked for.
     pub(crate) interest: EventFlags,
-    pub(crate) dirty: bool,
-    waiting: VecDeque<Vec<u8>>,
-    /// Bytes of the first waiting piece that are gone.
-    gone: usize,
+    /// The write side is to be shut down once all is sent.
+    shutdown_requested: bool,
+    shutdown_done: bool,
+    unsent: VecDeque<Vec<u8>>,
+    /// Bytes of the first unsent piece that are sent.
+    sent_of_first: usize,
 }
 
-/// How a send went.
+/// How a flush went.
 pub(crate) enum Flushed {
-    /// So many bytes went; there may be more.
+    /// So many bytes were sent; there may be more.
     Sent(usize),
+    /// The connection is broken.
     Broken,
 }
 
-impl Conn {
-    pub(crate) fn new(fd: OwnedFd, node: usize, id: ConnId, phase: Phase) -> Self {
-        Conn {
+impl Connection {
+    pub(crate) fn new(fd: OwnedFd, machine: usize, id: ConnId, phase: Phase) -> Self {
+        Connection {
             fd,
-            node,
+            machine,
             id,
             phase,
             paused: false,
-            eof: false,
-            hung_up: false,
-            shuts: false,
-            shut: false,
+            peer_finished: false,
+            peer_close_reported: false,
+            queued_to_flush: false,
             interest: EventFlags::empty(),
-            dirty: false,
-            waiting: VecDeque::new(),
-            gone: 0,
+            shutdown_requested: false,
+            shutdown_done: false,
+            unsent: VecDeque::new(),
+            sent_of_first: 0,
         }
     }
 
@@ -67,28 +77,32 @@
         if bytes.is_empty() {
             return;
         }
-        // Small pieces of one moment go out together.
-        match self.waiting.back_mut() {
-            Some(last) if last.len() + bytes.len() <= 16 << 10 => last.extend_from_slice(&bytes),
-            _ => self.waiting.push_back(bytes),
+        match self.unsent.back_mut() {
+            Some(last) if last.len() + bytes.len() <= JOINED_WRITE => last.extend_from_slice(&bytes),
+            _ => self.unsent.push_back(bytes),
         }
     }
 
     pub(crate) fn has_unsent(&self) -> bool {
-        !self.waiting.is_empty()
+        !self.unsent.is_empty()
+    }
+
+    /// Shuts the write side down once all that was written is sent.
+    pub(crate) fn request_shutdown(&mut self) {
+        self.shutdown_requested = true;
     }
 
-    /// Sends what the socket takes.
+    /// Sends what the socket takes, then shuts the write side down if that was asked for and nothing is left.
     pub(crate) fn flush(&mut self) -> Flushed {
         let mut sent = 0;
-        while let Some(first) = self.waiting.front() {
-            match send(&self.fd, &first[self.gone..], SendFlags::NOSIGNAL) {
-                Ok(n) => {
-                    sent += n;
-                    self.gone += n;
-                    if self.gone == first.len() {
-                        self.waiting.pop_front();
-                        self.gone = 0;
+        while let Some(first) = self.unsent.front() {
+            match send(&self.fd, &first[self.sent_of_first..], SendFlags::NOSIGNAL) {
+                Ok(count) => {
+                    sent += count;
+                    self.sent_of_first += count;
+                    if self.sent_of_first == first.len() {
+                        self.unsent.pop_front();
+                        self.sent_of_first = 0;
                     }
                 }
                 Err(Errno::AGAIN) => break,
@@ -96,23 +110,35 @@
                 Err(_) => return Flushed::Broken,
             }
         }
+        if self.shutdown_requested {
+            self.shut_down_when_sent();
+        }
         Flushed::Sent(sent)
     }
 
-    /// The readiness that is wanted now.
-    pub(crate) fn wanted(&self) -> EventFlags {
-        let mut flags = EventFlags::empty();
-        match self.phase {
-            Phase::Connecting => flags |= EventFlags::OUT,
-            Phase::Open => {
-                if !self.paused && !self.eof {
-                    flags |= EventFlags::IN;
-                } else if self.paused && !self.eof && !self.hung_up {
-                    flags |= EventFlags::RDHUP;
-                }
-            }
-            Phase::Finishing(_) => flags |= EventFlags::IN,
+    /// Shuts the write side down, once, if nothing waits to be sent.
+    pub(crate) fn shut_down_when_sent(&mut self) {
+        if !self.has_unsent() && !std::mem::replace(&mut self.shutdown_done, true) {
+            let _ = net::shutdown(&self.fd, Shutdown::Write);
         }
+    }
+
+    /// Makes the coming close reset the connection, so that the peer sees that its exchange did not end in order.
+    pub(crate) fn reset_on_close(&self) {
+        let _ = sockopt::set_socket_linger(&self.fd, Some(Duration::ZERO));
+    }
+
+    /// The readiness that is wanted now.
+    pub(crate) fn wanted_readiness(&self) -> EventFlags {
+        let mut flags = match self.phase {
+            Phase::Connecting => EventFlags::OUT,
+            Phase::Closing => EventFlags::IN,
+            Phase::Open if self.peer_finished => EventFlags::empty(),
+            Phase::Open if !self.paused => EventFlags::IN,
+            // Paused: only the peer's close is of interest, until it was reported.
+            Phase::Open if !self.peer_close_reported => EventFlags::RDHUP,
+            Phase::Open => EventFlags::empty(),
+        };
         if self.has_unsent() {
             flags |= EventFlags::OUT;
         }
--- a/crates/event-loop/src/event_loop.rs
+++ b/crates/event-loop/src/event_loop.rs
@@ -1,642 +1,329 @@
-//! The event loop.
+//! The event loop: waits for readiness, commands and timers, and hands them to its machines.
 
+mod lifecycle;
+mod listeners;
+mod outputs;
 mod readiness;
-mod slots;
 #[cfg(test)]
 mod tests;
 
-use crate::conn::{Conn, Phase};
+use crate::clock::Clock;
+use crate::command::{Command, Handle, NodeId};
+use crate::descriptor_reserve::DescriptorReserve;
+use crate::lingering::LingeringConnections;
+use crate::slot_table::{Readiness, Slot, SlotTable};
 use crate::{check_loopback, NetError};
-use rustix::event::epoll::{self, CreateFlags, EventData, EventFlags};
-use rustix::event::{eventfd, EventfdFlags, Timespec};
-use rustix::fd::OwnedFd;
-use rustix::io::Errno;
-use rustix::net::{self, sockopt, AddressFamily, SendFlags, SocketFlags, SocketType};
-use slipreel_state_machine::{ConnId, ConnectionLoss, Input, ListenerId, Machine, Output};
-use std::any::Any;
+use rustix::event::{epoll, eventfd, EventfdFlags};
+use slipreel_state_machine::{ConnId, Input, Machine, Output};
 use std::collections::{HashMap, VecDeque};
 use std::net::SocketAddr;
 use std::sync::{mpsc, Arc};
-use std::time::{Duration, Instant};
-
-/// The clock does not begin at nothing, so that an engine's start can lie before the loop's.
-const CLOCK_BASE: Duration = Duration::from_secs(1 << 20);
-/// How long a finished connection waits for its peer to close too, so that the last answer is not lost to a reset.
-const LINGER: Duration = Duration::from_millis(1_000);
-/// Bytes taken from a connection before the others have their turn. Guards against floods: requests sent ahead by the
-/// thousand on a few connections must not hold up timers, other clients' requests and the word that a client has gone.
-const READ_A_TURN: usize = 16 << 10;
-/// Reads that drop what still comes on a finished connection, before others have their turn.
-const DISCARDS_A_TURN: usize = 4;
-/// Wait before accepting goes on after descriptors ran out.
-const NO_DESCRIPTORS: Duration = Duration::from_millis(50);
-const BACKLOG: i32 = 4096;
-/// Connections taken from a listener before others have their turn.
-const ACCEPTS_A_TURN: i32 = 64;
-/// Descriptors kept for connections that the machines open: those that come in may take all others.
-const RESERVE: usize = 4;
-/// Datagrams taken at once before others have their turn.
-const DATAGRAMS: usize = 64;
-/// Bytes of the longest datagram that there can be.
-const DATAGRAM_LENGTH: usize = 64 << 10;
-
-/// A clock that several loops share.
-#[derive(Clone, Copy, Debug)]
-pub struct Clock(Instant);
-
-impl Clock {
-    /// A clock that starts now.
-    pub fn start() -> Self {
-        Clock(Instant::now())
-    }
-
-    /// The present time.
-    pub fn now(&self) -> Duration {
-        CLOCK_BASE + self.0.elapsed()
-    }
-}
-
-/// A machine in a loop.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct NodeId(pub usize);
-
-/// What a loop is told from another thread.
-pub enum Command<M> {
-    /// News for a machine.
-    News(NodeId, Arc<dyn Any + Send + Sync>),
-    /// A machine is to stop in good order.
-    Stop(NodeId),
-    /// A machine dies at once, as if its process were killed: its connections are reset, its state is gone.
-    Kill(NodeId),
-    /// A machine takes the place of one that was killed, on the same addresses.
-    Revive(NodeId, M),
-    /// A machine is not run until `Thaw`; its connections stay.
-    Freeze(NodeId),
-    /// Runs a frozen machine again.
-    Thaw(NodeId),
-    /// The loop ends now.
-    End,
-}
+use std::time::Duration;
 
-/// Tells a loop something from another thread.
-pub struct Handle<M> {
-    commands: mpsc::Sender<Command<M>>,
-    wake: Arc<OwnedFd>,
-}
+/// Readiness events that are taken from the system at once.
+const EVENTS_PER_TURN: usize = 1024;
 
-impl<M> Clone for Handle<M> {
-    fn clone(&self) -> Self {
-        Handle { commands: self.commands.clone(), wake: self.wake.clone() }
-    }
+/// A datagram socket of a machine: its address and its slot.
+struct BoundDatagramSocket {
+    address: SocketAddr,
+    slot: usize,
 }
 
-impl<M> Handle<M> {
-    /// Tells it. False if the loop has ended.
-    pub fn tell(&self, command: Command<M>) -> bool {
-        let told = self.commands.send(command).is_ok();
-        let _ = rustix::io::write(&*self.wake, &1u64.to_ne_bytes());
-        told
-    }
+/// Whether a machine is run.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum RunState {
+    Running,
+    /// Not run until it is thawed; its connections stay open.
+    Frozen,
+    /// Killed: it is given nothing any more.
+    Dead,
 }
 
-struct Node<M> {
+/// A machine with its sockets.
+struct HostedMachine<M> {
     machine: M,
     listeners: Vec<SocketAddr>,
-    /// Its datagram sockets: their addresses and slots.
-    datagrams: Vec<(SocketAddr, usize)>,
-    by_id: HashMap<ConnId, usize>,
+    datagram_sockets: Vec<BoundDatagramSocket>,
+    /// The slots of its connections.
+    connections: HashMap<ConnId, usize>,
+    /// How many connections it has accepted: the last one's number.
     accepted: u64,
-    dead: bool,
-    frozen: bool,
+    run_state: RunState,
+    /// It has said [`Output::Stopped`].
     stopped: bool,
 }
 
-struct Listener {
-    fd: OwnedFd,
-    node: usize,
-    door: ListenerId,
-    /// Out of descriptors: not asked until then.
-    resting: Option<Duration>,
-}
+impl<M: Machine> HostedMachine<M> {
+    fn is_running(&self) -> bool {
+        self.run_state == RunState::Running
+    }
 
-/// A datagram socket.
-struct Mailbox {
-    fd: OwnedFd,
-    node: usize,
-    door: ListenerId,
+    /// When it wants to be woken, if it is run.
+    fn wake_at(&self) -> Option<Duration> {
+        if self.is_running() {
+            self.machine.wake_at()
+        } else {
+            None
+        }
+    }
 }
 
-enum Slot {
-    Free,
-    Mailbox(Mailbox),
-    Conn(Box<Conn>),
-    Listener(Listener),
+/// An output of a machine that is still to be carried out.
+struct PendingOutput {
+    machine: usize,
+    output: Output,
 }
 
-type Log = Box<dyn FnMut(NodeId, &str) + Send>;
+type LogSink = Box<dyn FnMut(NodeId, &str) + Send>;
 
-/// An event loop that drives machines over sockets.
+/// An event loop that drives machines over sockets, in one thread.
 pub struct Loop<M> {
-    epoll: OwnedFd,
     clock: Clock,
-    nodes: Vec<Node<M>>,
-    slots: Vec<Slot>,
-    /// Counts the uses of each slot: readiness of an earlier use is ignored.
-    uses: Vec<u32>,
-    free: Vec<usize>,
-    /// Machines' outputs to carry out.
-    todo: VecDeque<(usize, Output)>,
-    dirty: VecDeque<usize>,
-    /// Finished connections that wait for their peers, by when, with the use of the slot.
-    lingering: VecDeque<(Duration, usize, u32)>,
-    /// The slots of listeners.
-    doors: Vec<usize>,
+    machines: Vec<HostedMachine<M>>,
+    sockets: SlotTable,
+    pending_outputs: VecDeque<PendingOutput>,
+    /// The slots of connections that have something to send.
+    pending_flushes: VecDeque<usize>,
+    lingering: LingeringConnections,
     /// Outputs are being carried out: what they cause is queued, not nested.
-    busy: bool,
+    is_delivering: bool,
     commands: mpsc::Receiver<Command<M>>,
     handle: Handle<M>,
-    log: Log,
+    log: LogSink,
     ended: bool,
-    /// Whether other addresses than loopback's may be used.
-    anywhere: bool,
-    /// The most descriptors of connections; those that only wait for their peer's end go first.
-    most: usize,
-    /// Descriptors of nothing, given up one by one where the process has no other left to connect with.
-    reserve: Vec<std::fs::File>,
-}
-
-const WAKE: u64 = u64::MAX;
-
-fn family(addr: SocketAddr) -> AddressFamily {
-    if addr.is_ipv4() {
-        AddressFamily::INET
-    } else {
-        AddressFamily::INET6
-    }
-}
-
-fn token(slot: usize, uses: u32) -> EventData {
-    EventData::new_u64((u64::from(uses) << 32) | slot as u64)
+    /// Whether other addresses than those of loopback may be used.
+    any_address_allowed: bool,
+    max_connections: usize,
+    reserve: DescriptorReserve,
 }
 
 impl<M: Machine> Loop<M> {
-    /// A loop without machines.
+    /// An event loop without machines.
     ///
     /// # Errors
-    /// No descriptors for epoll; `Unsupported` on a kernel before 5.11, which knows no waits under a millisecond.
+    /// No descriptor is left for epoll; `Unsupported` on a kernel before 5.11, which has no waits under a millisecond.
     pub fn new(clock: Clock) -> std::io::Result<Self> {
-        let epoll = epoll::create(CreateFlags::CLOEXEC)?;
-        let mut none: [std::mem::MaybeUninit<epoll::Event>; 1] = [std::mem::MaybeUninit::uninit()];
-        let now = Timespec { tv_sec: 0, tv_nsec: 0 };
-        if matches!(epoll::wait(&epoll, &mut none, Some(&now)), Err(Errno::NOSYS)) {
-            let why = "the event loop needs epoll_pwait2, which Linux has since 5.11";
-            return Err(std::io::Error::new(std::io::ErrorKind::Unsupported, why));
-        }
         let wake = Arc::new(eventfd(0, EventfdFlags::CLOEXEC | EventfdFlags::NONBLOCK)?);
-        epoll::add(&epoll, &*wake, EventData::new_u64(WAKE), EventFlags::IN)?;
+        let sockets = SlotTable::new(&wake)?;
         let (sender, commands) = mpsc::channel();
         Ok(Loop {
-            epoll,
             clock,
-            nodes: Vec::new(),
-            slots: Vec::new(),
-            uses: Vec::new(),
-            free: Vec::new(),
-            todo: VecDeque::new(),
-            dirty: VecDeque::new(),
-            lingering: VecDeque::new(),
-            doors: Vec::new(),
-            busy: false,
+            machines: Vec::new(),
+            sockets,
+            pending_outputs: VecDeque::new(),
+            pending_flushes: VecDeque::new(),
+            lingering: LingeringConnections::default(),
+            is_delivering: false,
             commands,
-            handle: Handle { commands: sender, wake },
+            handle: Handle::new(sender, wake),
             log: Box::new(|_, _| {}),
             ended: false,
-            anywhere: false,
-            most: usize::MAX,
-            reserve: Vec::new(),
+            any_address_allowed: false,
+            max_connections: usize::MAX,
+            reserve: DescriptorReserve::default(),
         })
     }
 
-    /// Fills the reserve of descriptors as far as there are any.
-    fn refill(&mut self) {
-        while self.reserve.len() < RESERVE {
-            let Ok(file) = std::fs::File::open("/dev/null") else { return };
-            self.reserve.push(file);
-        }
-    }
-
-    /// Closes the connection that has waited longest for its peer's end. False if none does.
-    fn close_lingering(&mut self) -> bool {
-        while let Some((_, slot, uses)) = self.lingering.pop_front() {
-            if self.uses[slot] == uses {
-                self.close(slot);
-                return true;
-            }
-        }
-        false
-    }
-
-    /// Lifts the guard that keeps this loop on loopback addresses: its caller vouches for every address that its machines
-    /// name and that it listens on.
+    /// Lifts the restriction of this event loop to loopback addresses: its caller vouches for every address that its
+    /// machines name and that it listens on.
     pub fn allow_any_address(&mut self) {
-        self.anywhere = true;
+        self.any_address_allowed = true;
     }
 
-    /// Bounds the descriptors of its connections. At the bound a finished connection that only waits for its peer's end
+    /// Bounds the descriptors of connections. At the bound an ended connection that only waits for its peer to close
     /// is closed to make room; the machines bound the others.
     pub fn bound_connections(&mut self, most: usize) {
-        self.most = most;
+        self.max_connections = most;
     }
 
-    fn check(&self, addr: SocketAddr) -> Result<(), NetError> {
-        if self.anywhere {
+    fn check_address(&self, address: SocketAddr) -> Result<(), NetError> {
+        if self.any_address_allowed {
             Ok(())
         } else {
-            check_loopback(addr)
+            check_loopback(address)
         }
     }
 
-    /// Where lines for the staff go.
+    /// Where log lines of machines and of the event loop go.
     pub fn on_log(&mut self, log: impl FnMut(NodeId, &str) + Send + 'static) {
         self.log = Box::new(log);
     }
 
-    /// Tells this loop something from another thread.
+    /// Sends commands to this event loop from another thread.
     pub fn handle(&self) -> Handle<M> {
         self.handle.clone()
     }
 
     /// Adds a machine.
     pub fn add(&mut self, machine: M) -> NodeId {
-        self.nodes.push(Node {
+        self.machines.push(HostedMachine {
             machine,
             listeners: Vec::new(),
-            datagrams: Vec::new(),
-            by_id: HashMap::new(),
+            datagram_sockets: Vec::new(),
+            connections: HashMap::new(),
             accepted: 0,
-            dead: false,
-            frozen: false,
+            run_state: RunState::Running,
             stopped: false,
         });
-        NodeId(self.nodes.len() - 1)
-    }
-
-    /// Listens for a machine; gives the address, with the port that the system chose if 0 was asked for.
-    ///
-    /// # Errors
-    /// The address is not a loopback one, or in use.
-    pub fn listen(&mut self, node: NodeId, addr: SocketAddr) -> Result<SocketAddr, NetError> {
-        self.listen_with(node, addr, true)
-    }
-
-    /// Listens for a machine at an address that no other listener has: two processes that are given the same one by mistake
-    /// are not to share what comes in.
-    ///
-    /// # Errors
-    /// The address is not a loopback one, or in use.
-    pub fn listen_alone(&mut self, node: NodeId, addr: SocketAddr) -> Result<SocketAddr, NetError> {
-        self.listen_with(node, addr, false)
-    }
-
-    fn listen_with(&mut self, node: NodeId, addr: SocketAddr, shared: bool) -> Result<SocketAddr, NetError> {
-        self.check(addr)?;
-        let system = |e: Errno| NetError::System(addr, e.into());
-        let fd = net::socket_with(
-            family(addr),
-            SocketType::STREAM,
-            SocketFlags::NONBLOCK | SocketFlags::CLOEXEC,
-            None,
-        )
-        .map_err(system)?;
-        sockopt::set_socket_reuseaddr(&fd, true).map_err(system)?;
-        if shared {
-            sockopt::set_socket_reuseport(&fd, true).map_err(system)?;
-        }
-        net::bind(&fd, &addr).map_err(system)?;
-        net::listen(&fd, BACKLOG).map_err(system)?;
-        let bound = net::getsockname(&fd).map_err(system)?;
-        let bound = SocketAddr::try_from(bound).map_err(system)?;
-        let slot = self.slot();
-        epoll::add(&self.epoll, &fd, token(slot, self.uses[slot]), EventFlags::IN).map_err(system)?;
-        let door = ListenerId(self.nodes[node.0].listeners.len());
-        self.slots[slot] = Slot::Listener(Listener { fd, node: node.0, door, resting: None });
-        self.doors.push(slot);
-        self.nodes[node.0].listeners.push(bound);
-        Ok(bound)
-    }
-
-    /// Opens a datagram socket for a machine; gives its address, with the port that the system chose if 0 was asked for.
-    ///
-    /// # Errors
-    /// The address is not a loopback one, or in use.
-    pub fn listen_datagrams(&mut self, node: NodeId, addr: SocketAddr) -> Result<SocketAddr, NetError> {
-        self.check(addr)?;
-        let system = |e: Errno| NetError::System(addr, e.into());
-        let flags = SocketFlags::NONBLOCK | SocketFlags::CLOEXEC;
-        let fd = net::socket_with(family(addr), SocketType::DGRAM, flags, None).map_err(system)?;
-        net::bind(&fd, &addr).map_err(system)?;
-        let bound = net::getsockname(&fd).map_err(system)?;
-        let bound = SocketAddr::try_from(bound).map_err(system)?;
-        let slot = self.slot();
-        epoll::add(&self.epoll, &fd, token(slot, self.uses[slot]), EventFlags::IN).map_err(system)?;
-        let door = ListenerId(self.nodes[node.0].datagrams.len());
-        self.slots[slot] = Slot::Mailbox(Mailbox { fd, node: node.0, door });
-        self.doors.push(slot);
-        self.nodes[node.0].datagrams.push((bound, slot));
-        Ok(bound)
+        NodeId(self.machines.len() - 1)
     }
 
-    /// Looks at a machine.
+    /// The machine of this number.
     pub fn machine(&self, node: NodeId) -> &M {
-        &self.nodes[node.0].machine
+        &self.machines[node.0].machine
     }
 
-    /// Puts a machine in another's place, before the loop runs.
+    /// The machine of this number, to be changed before the event loop runs.
     pub fn machine_mut(&mut self, node: NodeId) -> &mut M {
-        &mut self.nodes[node.0].machine
+        &mut self.machines[node.0].machine
     }
 
-    /// The machines, after the loop has ended.
+    /// The machines, after the event loop has ended.
     pub fn into_machines(self) -> Vec<M> {
-        self.nodes.into_iter().map(|n| n.machine).collect()
+        self.machines.into_iter().map(|hosted| hosted.machine).collect()
     }
 
     /// Runs until all machines have stopped, or [`Command::End`].
     ///
     /// # Errors
-    /// Epoll failed, which no input can cause.
+    /// Epoll failed, which no peer can cause.
     pub fn run(&mut self) -> std::io::Result<()> {
-        let mut events: Vec<epoll::Event> = Vec::with_capacity(1024);
-        self.refill();
-        while !self.ended && (self.nodes.iter().any(|n| !n.stopped) || !self.lingering.is_empty()) {
+        let mut events = Vec::with_capacity(EVENTS_PER_TURN);
+        self.reserve.refill();
+        while !self.ended && !self.is_done() {
             self.turn(&mut events)?;
         }
         Ok(())
     }
 
+    fn is_done(&self) -> bool {
+        self.machines.iter().all(|hosted| hosted.stopped) && self.lingering.is_empty()
+    }
+
     /// Waits for what comes next and handles it.
     fn turn(&mut self, events: &mut Vec<epoll::Event>) -> std::io::Result<()> {
         let timeout = self.next_wake().map(|at| at.saturating_sub(self.clock.now()));
-        let timeout =
-            timeout.map(|t| Timespec { tv_sec: t.as_secs() as i64, tv_nsec: i64::from(t.subsec_nanos()) });
-        events.clear();
-        match epoll::wait(&self.epoll, rustix::buffer::spare_capacity(events), timeout.as_ref()) {
-            Ok(_) | Err(Errno::INTR) => {}
-            Err(why) => return Err(why.into()),
-        }
-        // What peers that connected to a machine did comes before what those did that it connected to: a client that has
-        // gone is known before an engine's answer has the next attempt for it written.
-        for accepted in [true, false] {
-            for event in events.iter() {
-                let (data, flags) = (event.data.u64(), event.flags);
-                if data == WAKE {
-                    continue;
-                }
-                let (slot, uses) = ((data & u64::from(u32::MAX)) as usize, (data >> 32) as u32);
-                if self.uses.get(slot) == Some(&uses) && self.is_accepted(slot) == accepted {
-                    self.ready(slot, flags);
-                }
-            }
-        }
-        if events.drain(..).any(|event| event.data.u64() == WAKE) {
-            let mut count = [0; 8];
-            let _ = rustix::io::read(&*self.handle.wake, &mut count);
+        self.sockets.wait(events, timeout)?;
+        let readiness: Vec<Readiness> = events.iter().map(Readiness::from).collect();
+        // Accepted connections come before those that the machines have opened: that a client has gone is known before an
+        // engine's answer makes its router begin the next attempt for it.
+        self.handle_ready_sockets(&readiness, true);
+        self.handle_ready_sockets(&readiness, false);
+        if readiness.iter().any(|ready| matches!(ready, Readiness::Wake)) {
+            self.handle.clear_wake();
         }
         while let Ok(command) = self.commands.try_recv() {
-            self.command(command);
+            self.run_command(command);
         }
         self.run_due();
         Ok(())
     }
 
+    /// Handles the ready sockets of accepted connections, or all others.
+    fn handle_ready_sockets(&mut self, readiness: &[Readiness], accepted: bool) {
+        for ready in readiness {
+            let &Readiness::Socket(slot_use, flags) = ready else { continue };
+            if self.sockets.is_current(slot_use) && self.is_accepted(slot_use.slot) == accepted {
+                self.handle_readiness(slot_use.slot, flags);
+            }
+        }
+    }
+
     fn next_wake(&self) -> Option<Duration> {
-        let machines = self.nodes.iter().filter(|n| !n.dead && !n.frozen).filter_map(|n| n.machine.wake_at());
-        let resting = self.doors.iter().filter_map(|&slot| match &self.slots[slot] {
-            Slot::Listener(l) => l.resting,
-            _ => None,
-        });
-        let lingering = self.lingering.front().map(|&(until, ..)| until);
-        machines.chain(resting).chain(lingering).min()
+        let machines = self.machines.iter().filter_map(HostedMachine::wake_at);
+        let sockets = self.sockets.bound_sockets().iter();
+        let listeners = sockets.filter_map(|&slot| self.sockets.listener(slot)?.paused_until);
+        machines.chain(listeners).chain(self.lingering.next_deadline()).min()
     }
 
+    /// Does what is due by time alone.
     fn run_due(&mut self) {
         let now = self.clock.now();
-        for at in 0..self.nodes.len() {
-            let node = &self.nodes[at];
-            if !node.dead && !node.frozen && node.machine.wake_at().is_some_and(|due| due <= now) {
-                self.give(at, Input::Wake);
-            }
-        }
-        while let Some(&(until, slot, uses)) = self.lingering.front() {
-            let open = self.uses[slot] == uses;
-            if open && until > now {
-                break;
-            }
-            self.lingering.pop_front();
-            if open {
-                self.close(slot);
+        for machine in 0..self.machines.len() {
+            if self.machines[machine].wake_at().is_some_and(|due| due <= now) {
+                self.deliver(machine, Input::Wake);
             }
         }
-        for at in 0..self.doors.len() {
-            let slot = self.doors[at];
-            let Slot::Listener(l) = &mut self.slots[slot] else { continue };
-            if l.resting.is_some_and(|until| until <= now) {
-                l.resting = None;
-                let _ = epoll::modify(&self.epoll, &l.fd, token(slot, self.uses[slot]), EventFlags::IN);
+        while let Some(slot_use) = self.lingering.pop_due(now, |slot_use| self.sockets.is_current(slot_use)) {
+            if self.sockets.is_current(slot_use) {
+                self.close(slot_use.slot);
             }
         }
+        self.resume_listeners(now);
     }
 
-    fn command(&mut self, command: Command<M>) {
+    fn run_command(&mut self, command: Command<M>) {
         match command {
-            Command::News(node, news) => self.give(node.0, Input::OwnerMessage(&*news)),
-            Command::Stop(node) => self.give(node.0, Input::Stop),
+            Command::News(node, message) => self.deliver(node.0, Input::OwnerMessage(&*message)),
+            Command::Stop(node) => self.deliver(node.0, Input::Stop),
             Command::Kill(node) => self.kill(node.0),
             Command::Revive(node, machine) => self.revive(node, machine),
-            Command::Freeze(node) => self.freeze(node.0, true),
-            Command::Thaw(node) => self.freeze(node.0, false),
+            Command::Freeze(node) => self.set_run_state(node.0, RunState::Frozen),
+            Command::Thaw(node) => self.set_run_state(node.0, RunState::Running),
             Command::End => self.ended = true,
         }
     }
 
-    fn kill(&mut self, node: usize) {
-        self.nodes[node].dead = true;
-        let mine = |s: &Slot| match s {
-            Slot::Conn(c) => c.node == node,
-            Slot::Listener(l) => l.node == node,
-            Slot::Mailbox(m) => m.node == node,
-            Slot::Free => false,
-        };
-        let slots: Vec<usize> = (0..self.slots.len()).filter(|&s| mine(&self.slots[s])).collect();
-        for slot in slots {
-            if let Slot::Conn(c) = &self.slots[slot] {
-                let _ = sockopt::set_socket_linger(&c.fd, Some(Duration::ZERO));
-            }
-            self.close(slot);
-        }
-        self.nodes[node].by_id.clear();
-    }
-
-    fn revive(&mut self, node: NodeId, machine: M) {
-        let n = &mut self.nodes[node.0];
-        (n.machine, n.dead, n.frozen, n.stopped) = (machine, false, false, false);
-        let (listeners, datagrams) = (std::mem::take(&mut n.listeners), std::mem::take(&mut n.datagrams));
-        for addr in listeners {
-            if let Err(why) = self.listen(node, addr) {
-                (self.log)(node, &format!("can't listen again: {why}"));
-            }
-        }
-        for (addr, _) in datagrams {
-            if let Err(why) = self.listen_datagrams(node, addr) {
-                (self.log)(node, &format!("can't take datagrams again: {why}"));
-            }
-        }
-    }
-
-    fn freeze(&mut self, node: usize, frozen: bool) {
-        self.nodes[node].frozen = frozen;
-        let slots: Vec<usize> = self.nodes[node].by_id.values().copied().collect();
-        slots.into_iter().for_each(|slot| self.set_interest(slot));
-        // What comes for a process that does not run waits in its socket, as far as that holds it.
-        let interest = if frozen { EventFlags::empty() } else { EventFlags::IN };
-        for &(_, slot) in &self.nodes[node].datagrams {
-            if let Slot::Mailbox(m) = &self.slots[slot] {
-                let _ = epoll::modify(&self.epoll, &m.fd, token(slot, self.uses[slot]), interest);
-            }
-        }
-    }
-
-    // ---- Machines ------------------------------------------------------------------------------
-
     /// Gives an input to a machine and carries out what it asks for, until nothing is left.
-    fn give(&mut self, node: usize, input: Input<'_>) {
+    fn deliver(&mut self, machine: usize, input: Input<'_>) {
         let now = self.clock.now();
-        let n = &mut self.nodes[node];
-        if n.dead {
+        let hosted = &mut self.machines[machine];
+        if hosted.run_state == RunState::Dead {
             return;
         }
-        let mut out = Vec::new();
-        n.machine.handle(now, input, &mut out);
-        self.todo.extend(out.into_iter().map(|o| (node, o)));
-        if std::mem::replace(&mut self.busy, true) {
+        let mut outputs = Vec::new();
+        hosted.machine.handle(now, input, &mut outputs);
+        self.pending_outputs.extend(outputs.into_iter().map(|output| PendingOutput { machine, output }));
+        if std::mem::replace(&mut self.is_delivering, true) {
             return;
         }
         loop {
-            if let Some((node, output)) = self.todo.pop_front() {
-                self.carry_out(node, output);
+            if let Some(PendingOutput { machine, output }) = self.pending_outputs.pop_front() {
+                self.carry_out(machine, output);
                 continue;
             }
-            // One at a time: what the machine asks for on hearing that one was sent comes before the next goes out. Else a
-            // connection given up by that word, with its request told as never sent, would still send it.
-            let Some(slot) = self.dirty.pop_front() else { break };
-            if let Slot::Conn(c) = &mut self.slots[slot] {
-                c.dirty = false;
-                if matches!(c.phase, Phase::Finishing(_)) {
-                    self.linger(slot);
-                } else {
-                    self.flush(slot);
-                }
-            }
+            // One connection at a time: what the machine asks for when it learns that bytes were sent comes before the
+            // next one sends. Otherwise a connection that is aborted then, with its request reported as never sent,
+            // would still send it.
+            let Some(slot) = self.pending_flushes.pop_front() else { break };
+            self.flush_pending(slot);
         }
-        self.busy = false;
+        self.is_delivering = false;
     }
 
-    fn carry_out(&mut self, node: usize, output: Output) {
-        match output {
-            Output::Connect(id, addr) => self.connect(node, id, addr),
-            Output::Write(id, bytes) => self.with(node, id, |conn| {
-                conn.write(bytes);
-                true
-            }),
-            Output::ShutdownWrite(id) => self.with(node, id, |conn| {
-                conn.shuts = true;
-                true
-            }),
-            Output::CloseWhenSent(id) => {
-                let until = self.clock.now() + LINGER;
-                let Some(&slot) = self.nodes[node].by_id.get(&id) else { return };
-                if let Slot::Conn(conn) = &mut self.slots[slot] {
-                    if conn.phase == Phase::Connecting {
-                        return self.close(slot);
-                    }
-                    conn.phase = Phase::Finishing(until);
-                }
-                self.with(node, id, |_| true);
-                self.nodes[node].by_id.remove(&id);
-                self.lingering.push_back((until, slot, self.uses[slot]));
-                self.set_interest(slot);
-            }
-            Output::Abort(id) => {
-                if let Some(slot) = self.nodes[node].by_id.remove(&id) {
-                    if let Slot::Conn(conn) = &self.slots[slot] {
-                        let _ = sockopt::set_socket_linger(&conn.fd, Some(Duration::ZERO));
-                    }
-                    self.close(slot);
-                }
-            }
-            Output::Datagram(ListenerId(door), to, bytes) => {
-                let slot = self.nodes[node].datagrams.get(door).map(|&(_, slot)| slot);
-                if let (Some(Slot::Mailbox(m)), Ok(())) = (slot.map(|s| &self.slots[s]), self.check(to)) {
-                    // A full buffer or a peer that is not there loses it, as a network may.
-                    let _ = net::sendto(&m.fd, &bytes, SendFlags::empty(), &to);
-                }
-            }
-            Output::Pause(id) => self.pause(node, id, true),
-            Output::Resume(id) => self.pause(node, id, false),
-            Output::StopListening => self.stop_listening(node),
-            Output::Stopped => {
-                self.nodes[node].stopped = true;
-                let mine = |s: &Slot| match s {
-                    Slot::Listener(l) => l.node == node,
-                    Slot::Mailbox(m) => m.node == node,
-                    _ => false,
-                };
-                let slots: Vec<usize> = (0..self.slots.len()).filter(|&s| mine(&self.slots[s])).collect();
-                slots.into_iter().for_each(|slot| self.close(slot));
-            }
-            Output::Log(line) => (self.log)(NodeId(node), &line),
+    /// Closes the socket of a slot and frees the slot.
+    fn close(&mut self, slot: usize) {
+        let removed = self.sockets.remove(slot);
+        if matches!(removed, Slot::Free) {
+            return;
         }
-    }
-
-    /// Finds a connection of a machine; if `change` says so, it is sent from when all outputs are taken.
-    fn with(&mut self, node: usize, id: ConnId, change: impl FnOnce(&mut Conn) -> bool) {
-        let Some(&slot) = self.nodes[node].by_id.get(&id) else { return };
-        let Slot::Conn(conn) = &mut self.slots[slot] else { return };
-        if change(conn) && !std::mem::replace(&mut conn.dirty, true) {
-            self.dirty.push_back(slot);
+        if let Slot::Connection(connection) = &removed {
+            let connections = &mut self.machines[connection.machine].connections;
+            if connections.get(&connection.id) == Some(&slot) {
+                connections.remove(&connection.id);
+            }
         }
+        // The descriptor has to be closed before the reserve may take it.
+        drop(removed);
+        self.reserve.refill();
     }
 
-    fn pause(&mut self, node: usize, id: ConnId, paused: bool) {
-        let Some(&slot) = self.nodes[node].by_id.get(&id) else { return };
-        if let Slot::Conn(conn) = &mut self.slots[slot] {
-            conn.paused = paused;
+    /// Closes the connection that has waited longest for its peer to close. False if none waits.
+    fn close_oldest_lingering(&mut self) -> bool {
+        while let Some(slot_use) = self.lingering.pop_oldest() {
+            if self.sockets.is_current(slot_use) {
+                self.close(slot_use.slot);
+                return true;
+            }
         }
-        self.set_interest(slot);
+        false
     }
 
-    fn connect(&mut self, node: usize, id: ConnId, addr: SocketAddr) {
-        let lost = |why| Input::Lost(id, why);
-        if self.check(addr).is_err() {
-            (self.log)(NodeId(node), &format!("{addr} is not a loopback address; not connected"));
-            return self.give(node, lost(ConnectionLoss::NotConnected));
-        }
-        let flags = SocketFlags::NONBLOCK | SocketFlags::CLOEXEC;
-        let socket = || net::socket_with(family(addr), SocketType::STREAM, flags, None);
-        let mut made = socket();
-        if made.is_err() && self.reserve.pop().is_some() {
-            made = socket();
-        }
-        let Ok(fd) = made else {
-            return self.give(node, lost(ConnectionLoss::Exhausted));
-        };
-        let _ = sockopt::set_tcp_nodelay(&fd, true);
-        match net::connect(&fd, &addr) {
-            Ok(()) | Err(Errno::INPROGRESS) => {
-                self.insert(Conn::new(fd, node, id, Phase::Connecting));
-            }
-            Err(Errno::ADDRNOTAVAIL | Errno::NOBUFS) => self.give(node, lost(ConnectionLoss::Exhausted)),
-            Err(_) => self.give(node, lost(ConnectionLoss::NotConnected)),
-        }
+    /// Asks epoll for the readiness that a connection wants now.
+    fn update_interest(&mut self, slot: usize) {
+        let Some(connection) = self.sockets.connection(slot) else { return };
+        let is_frozen = self.machines[connection.machine].run_state == RunState::Frozen;
+        let wanted = if is_frozen { epoll::EventFlags::empty() } else { connection.wanted_readiness() };
+        self.sockets.watch_connection(slot, wanted);
     }
 }
--- /dev/null
+++ b/crates/event-loop/src/event_loop/lifecycle.rs
@@ -0,0 +1,52 @@
+//! Machines that are killed, replaced, frozen and thawed, as tests and emulated faults ask for it.
+
+use super::{Loop, RunState};
+use crate::command::NodeId;
+use slipreel_state_machine::Machine;
+
+impl<M: Machine> Loop<M> {
+    /// Ends a machine as a kill of its process would: its connections are reset and its sockets closed.
+    pub(super) fn kill(&mut self, machine: usize) {
+        self.machines[machine].run_state = RunState::Dead;
+        for slot in self.sockets.slots_where(|slot| slot.machine() == Some(machine)) {
+            if let Some(connection) = self.sockets.connection(slot) {
+                connection.reset_on_close();
+            }
+            self.close(slot);
+        }
+        self.machines[machine].connections.clear();
+    }
+
+    /// Puts another machine in the place of one that was killed, on the same addresses.
+    pub(super) fn revive(&mut self, node: NodeId, machine: M) {
+        let hosted = &mut self.machines[node.0];
+        hosted.machine = machine;
+        hosted.run_state = RunState::Running;
+        hosted.stopped = false;
+        let listeners = std::mem::take(&mut hosted.listeners);
+        let datagram_sockets = std::mem::take(&mut hosted.datagram_sockets);
+        for address in listeners {
+            if let Err(why) = self.listen(node, address) {
+                (self.log)(node, &format!("can't listen again: {why}"));
+            }
+        }
+        for socket in datagram_sockets {
+            if let Err(why) = self.listen_datagrams(node, socket.address) {
+                (self.log)(node, &format!("can't take datagrams again: {why}"));
+            }
+        }
+    }
+
+    /// Freezes or thaws a machine. What comes for a frozen one waits in its sockets, as far as these hold it.
+    pub(super) fn set_run_state(&mut self, machine: usize, run_state: RunState) {
+        if self.machines[machine].run_state != RunState::Dead {
+            self.machines[machine].run_state = run_state;
+        }
+        let connections: Vec<usize> = self.machines[machine].connections.values().copied().collect();
+        connections.into_iter().for_each(|slot| self.update_interest(slot));
+        let is_watched = run_state == RunState::Running;
+        for socket in &self.machines[machine].datagram_sockets {
+            self.sockets.watch_bound_socket(socket.slot, is_watched);
+        }
+    }
+}
--- /dev/null
+++ b/crates/event-loop/src/event_loop/listeners.rs
@@ -0,0 +1,250 @@
+//! Listeners and datagram sockets: opening them, accepting connections, taking datagrams, and closing them in order.
+
+use super::outputs::family;
+use super::{BoundDatagramSocket, Loop};
+use crate::command::NodeId;
+use crate::connection::{Connection, Phase};
+use crate::slot_table::{DatagramSocket, Listener, Slot};
+use crate::NetError;
+use rustix::fd::OwnedFd;
+use rustix::io::Errno;
+use rustix::net::{self, sockopt, RecvFlags, SocketFlags, SocketType};
+use slipreel_state_machine::{ConnId, Input, ListenerId, Machine};
+use std::net::SocketAddr;
+use std::time::Duration;
+
+/// Connections that the system holds for a listener until they are accepted.
+const BACKLOG: i32 = 4096;
+/// Connections accepted from a listener before other sockets have their turn.
+const ACCEPTS_PER_TURN: i32 = 64;
+/// Pause of a listener after descriptors ran out.
+const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// Datagrams taken from a socket before other sockets have their turn.
+const DATAGRAMS_PER_TURN: usize = 64;
+/// The longest datagram that there can be, bytes.
+const MAX_DATAGRAM: usize = 64 << 10;
+
+/// Whether more connections may wait at a listener.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Backlog {
+    /// None that can be accepted now.
+    Empty,
+    /// As many were accepted as one turn allows.
+    MayHoldMore,
+}
+
+/// Whether several listeners may share an address.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum AddressUse {
+    /// The system spreads connections over all listeners of the address.
+    Shared,
+    Exclusive,
+}
+
+/// What became of one attempt to accept a connection.
+enum Accepted {
+    Connection(OwnedFd),
+    /// No connection waits.
+    Nothing,
+    /// It failed in a way that says nothing of the next one.
+    TryAgain,
+    NoDescriptor,
+}
+
+fn accept_one(listener: &OwnedFd) -> Accepted {
+    match net::accept_with(listener, SocketFlags::NONBLOCK | SocketFlags::CLOEXEC) {
+        Ok(fd) => Accepted::Connection(fd),
+        Err(Errno::AGAIN) => Accepted::Nothing,
+        Err(Errno::INTR | Errno::CONNABORTED) => Accepted::TryAgain,
+        Err(_) => Accepted::NoDescriptor,
+    }
+}
+
+/// Opens and binds a listening socket.
+fn open_listener(address: SocketAddr, address_use: AddressUse) -> Result<OwnedFd, Errno> {
+    let flags = SocketFlags::NONBLOCK | SocketFlags::CLOEXEC;
+    let fd = net::socket_with(family(address), SocketType::STREAM, flags, None)?;
+    sockopt::set_socket_reuseaddr(&fd, true)?;
+    if address_use == AddressUse::Shared {
+        sockopt::set_socket_reuseport(&fd, true)?;
+    }
+    net::bind(&fd, &address)?;
+    net::listen(&fd, BACKLOG)?;
+    Ok(fd)
+}
+
+/// Opens and binds a datagram socket.
+fn open_datagram_socket(address: SocketAddr) -> Result<OwnedFd, Errno> {
+    let flags = SocketFlags::NONBLOCK | SocketFlags::CLOEXEC;
+    let fd = net::socket_with(family(address), SocketType::DGRAM, flags, None)?;
+    net::bind(&fd, &address)?;
+    Ok(fd)
+}
+
+/// The address that a socket is bound to.
+fn bound_address(fd: &OwnedFd) -> Result<SocketAddr, Errno> {
+    SocketAddr::try_from(net::getsockname(fd)?)
+}
+
+impl<M: Machine> Loop<M> {
+    /// Listens for a machine; gives the address, with the port that the system chose if 0 was asked for.
+    ///
+    /// # Errors
+    /// The address is not a loopback one, or in use.
+    pub fn listen(&mut self, node: NodeId, addr: SocketAddr) -> Result<SocketAddr, NetError> {
+        self.listen_with(node, addr, AddressUse::Shared)
+    }
+
+    /// Listens for a machine at an address that no other listener has: two processes that are given the same one by mistake
+    /// are not to share what comes in.
+    ///
+    /// # Errors
+    /// The address is not a loopback one, or in use.
+    pub fn listen_alone(&mut self, node: NodeId, addr: SocketAddr) -> Result<SocketAddr, NetError> {
+        self.listen_with(node, addr, AddressUse::Exclusive)
+    }
+
+    fn listen_with(
+        &mut self, node: NodeId, address: SocketAddr, address_use: AddressUse,
+    ) -> Result<SocketAddr, NetError> {
+        self.check_address(address)?;
+        let failed = |why: Errno| NetError::System(address, why.into());
+        let fd = open_listener(address, address_use).map_err(failed)?;
+        let bound = bound_address(&fd).map_err(failed)?;
+        let id = ListenerId(self.machines[node.0].listeners.len());
+        let listener = Listener { fd, machine: node.0, id, paused_until: None };
+        self.sockets.add_listener(listener).map_err(failed)?;
+        self.machines[node.0].listeners.push(bound);
+        Ok(bound)
+    }
+
+    /// Opens a datagram socket for a machine; gives its address, with the port that the system chose if 0 was asked for.
+    ///
+    /// # Errors
+    /// The address is not a loopback one, or in use.
+    pub fn listen_datagrams(&mut self, node: NodeId, addr: SocketAddr) -> Result<SocketAddr, NetError> {
+        self.check_address(addr)?;
+        let failed = |why: Errno| NetError::System(addr, why.into());
+        let fd = open_datagram_socket(addr).map_err(failed)?;
+        let address = bound_address(&fd).map_err(failed)?;
+        let id = ListenerId(self.machines[node.0].datagram_sockets.len());
+        let socket = DatagramSocket { fd, machine: node.0, id };
+        let slot = self.sockets.add_datagram_socket(socket).map_err(failed)?;
+        self.machines[node.0].datagram_sockets.push(BoundDatagramSocket { address, slot });
+        Ok(address)
+    }
+
+    /// Accepts the connections of a listener that is ready.
+    pub(super) fn handle_ready_listener(&mut self, slot: usize) {
+        self.accept(slot);
+    }
+
+    /// Closes the listeners of a machine once it has all connections that the system holds for them. A close over
+    /// connections that were not accepted would reset them, with whatever their clients had sent.
+    pub(super) fn stop_listening(&mut self, machine: usize) {
+        let is_its_listener =
+            |slot: &Slot| matches!(slot, Slot::Listener(listener) if listener.machine == machine);
+        for slot in self.sockets.slots_where(is_its_listener) {
+            for _ in 0..BACKLOG / ACCEPTS_PER_TURN {
+                if self.accept(slot) == Backlog::Empty {
+                    break;
+                }
+            }
+            self.close(slot);
+        }
+    }
+
+    /// Accepts as many connections as one turn allows.
+    fn accept(&mut self, slot: usize) -> Backlog {
+        for _ in 0..ACCEPTS_PER_TURN {
+            let Some(listener) = self.sockets.listener(slot) else { return Backlog::Empty };
+            let machine = listener.machine;
+            if self.is_frozen(machine) {
+                // The system takes connections for a process that does not run; nothing accepts them.
+                self.pause_listener(slot);
+                return Backlog::Empty;
+            }
+            match accept_one(&listener.fd) {
+                Accepted::Connection(fd) => {
+                    let listener = listener.id;
+                    self.add_accepted(machine, listener, fd);
+                }
+                Accepted::Nothing => return Backlog::Empty,
+                Accepted::TryAgain => {}
+                Accepted::NoDescriptor => {
+                    let listener = listener.id;
+                    if self.make_room_for_accepted(machine, listener) {
+                        continue;
+                    }
+                    if self.sockets.listener(slot).is_some() {
+                        self.pause_listener(slot);
+                        (self.log)(NodeId(machine), "no descriptors are left to accept connections");
+                    }
+                    return Backlog::Empty;
+                }
+            }
+        }
+        Backlog::MayHoldMore
+    }
+
+    fn add_accepted(&mut self, machine: usize, listener: ListenerId, fd: OwnedFd) {
+        let _ = sockopt::set_tcp_nodelay(&fd, true);
+        let hosted = &mut self.machines[machine];
+        hosted.accepted += 1;
+        let id = ConnId(hosted.accepted);
+        self.add_connection(Connection::new(fd, machine, id, Phase::Open));
+        self.deliver(machine, Input::Accepted(id, listener));
+    }
+
+    /// Frees a descriptor: an ended connection that waits for its peer goes first, then what the machine closes.
+    fn make_room_for_accepted(&mut self, machine: usize, listener: ListenerId) -> bool {
+        if self.close_oldest_lingering() {
+            return true;
+        }
+        let free_before = self.sockets.free_count();
+        self.deliver(machine, Input::DescriptorsExhausted(listener));
+        self.close_oldest_lingering() || self.sockets.free_count() > free_before
+    }
+
+    /// Accepts nothing from a listener for a while.
+    fn pause_listener(&mut self, slot: usize) {
+        let until = self.clock.now() + ACCEPT_PAUSE;
+        if let Some(listener) = self.sockets.listener_mut(slot) {
+            listener.paused_until = Some(until);
+        }
+        self.sockets.watch_bound_socket(slot, false);
+    }
+
+    /// Accepts connections again from listeners whose pause is over.
+    pub(super) fn resume_listeners(&mut self, now: Duration) {
+        for slot in self.sockets.bound_sockets().to_vec() {
+            let Some(listener) = self.sockets.listener_mut(slot) else { continue };
+            if listener.paused_until.is_some_and(|until| until <= now) {
+                listener.paused_until = None;
+                self.sockets.watch_bound_socket(slot, true);
+            }
+        }
+    }
+
+    /// Takes the datagrams of a socket that is ready.
+    pub(super) fn handle_ready_datagram_socket(&mut self, slot: usize) {
+        let mut buffer = [0; MAX_DATAGRAM];
+        for _ in 0..DATAGRAMS_PER_TURN {
+            let Some(socket) = self.sockets.datagram_socket(slot) else { return };
+            let (machine, id) = (socket.machine, socket.id);
+            if self.is_frozen(machine) {
+                return;
+            }
+            match net::recvfrom(&socket.fd, &mut buffer[..], RecvFlags::empty()) {
+                Ok((length, _, Some(from))) => {
+                    if let Ok(from) = SocketAddr::try_from(from) {
+                        self.deliver(machine, Input::Datagram(id, from, &buffer[..length]));
+                    }
+                }
+                Err(Errno::AGAIN) => return,
+                // An earlier datagram met no socket at its destination: the next call takes what is there.
+                Ok(_) | Err(_) => {}
+            }
+        }
+    }
+}
--- a/crates/event-loop/src/event_loop/readiness.rs
+++ b/crates/event-loop/src/event_loop/readiness.rs
@@ -1,239 +1,157 @@
-//! What a descriptor that is ready calls for: accepting, reading, sending, connecting and closing.
+//! What a ready connection calls for: connecting, reading, sending and closing.
 
-use super::{
-    Loop, Slot, ACCEPTS_A_TURN, BACKLOG, DATAGRAMS, DATAGRAM_LENGTH, DISCARDS_A_TURN, NO_DESCRIPTORS,
-    READ_A_TURN,
-};
-use crate::conn::{Conn, Flushed, Phase};
-use crate::driver::{token, NodeId};
-use rustix::event::epoll::{self, EventFlags};
+use super::Loop;
+use crate::connection::{Flushed, Phase};
+use crate::slot_table::Slot;
+use rustix::event::epoll::EventFlags;
 use rustix::io::Errno;
-use rustix::net::{self, sockopt, RecvFlags, Shutdown, SocketFlags};
-use slipreel_state_machine::{ConnId, ConnectionLoss, Input, Machine};
-use std::net::SocketAddr;
+use rustix::net::sockopt;
+use slipreel_state_machine::{ConnectionLoss, Input, Machine};
 
-/// Whether more connections may wait at a listener.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Waiting {
-    /// None that can be taken now.
-    Nobody,
-    /// As many were taken as one turn allows.
-    Perhaps,
-}
+/// Bytes read from a connection before the others have their turn. Guards against floods: thousands of requests sent
+/// ahead on a few connections must not hold up timers, requests of other clients, or the news that a client has gone.
+const READ_PER_TURN: usize = 16 << 10;
+/// Bytes of one read that drops what still comes on an ended connection.
+const DISCARD_SIZE: usize = 4 << 10;
+/// Such reads before other connections have their turn.
+const DISCARDS_PER_TURN: usize = 4;
 
 impl<M: Machine> Loop<M> {
     /// Whether a slot holds a connection that a peer has opened.
     pub(super) fn is_accepted(&self, slot: usize) -> bool {
-        matches!(&self.slots[slot], Slot::Conn(c) if !c.id.is_opened())
+        self.sockets.connection(slot).is_some_and(|connection| !connection.id.is_opened())
     }
 
-    pub(super) fn ready(&mut self, slot: usize, flags: EventFlags) {
-        match &self.slots[slot] {
-            Slot::Listener(_) => {
-                self.accept(slot);
-            }
-            Slot::Mailbox(_) => self.take_datagrams(slot),
-            Slot::Conn(c) => match c.phase {
-                Phase::Connecting => self.connected(slot),
-                Phase::Open => {
-                    if flags.intersects(EventFlags::OUT) {
-                        self.flush(slot);
-                    }
-                    let ends = EventFlags::HUP | EventFlags::ERR | EventFlags::RDHUP;
-                    if flags.intersects(ends) {
-                        self.hung_up(slot, flags);
-                    }
-                    if flags.intersects(ends | EventFlags::IN) {
-                        self.read(slot);
-                    }
-                }
-                Phase::Finishing(_) => self.linger(slot),
+    pub(super) fn handle_readiness(&mut self, slot: usize, flags: EventFlags) {
+        match self.sockets.get(slot) {
+            Slot::Listener(_) => self.handle_ready_listener(slot),
+            Slot::DatagramSocket(_) => self.handle_ready_datagram_socket(slot),
+            Slot::Connection(connection) => match connection.phase {
+                Phase::Connecting => self.finish_connecting(slot),
+                Phase::Open => self.handle_open_connection(slot, flags),
+                Phase::Closing => self.finish_closing(slot),
             },
             Slot::Free => {}
         }
     }
 
-    /// A peer has closed or reset a connection that may be paused. A reset one is read to its end all the same, which its
-    /// socket bounds: the system reports it again and again until then.
-    pub(super) fn hung_up(&mut self, slot: usize, flags: EventFlags) {
-        let Slot::Conn(conn) = &mut self.slots[slot] else { return };
-        if !conn.paused || conn.phase != Phase::Open || self.nodes[conn.node].frozen {
-            return;
+    fn handle_open_connection(&mut self, slot: usize, flags: EventFlags) {
+        if flags.intersects(EventFlags::OUT) {
+            self.flush(slot);
         }
-        let (node, id) = (conn.node, conn.id);
-        if flags.intersects(EventFlags::HUP | EventFlags::ERR) {
-            conn.paused = false;
+        let peer_close = EventFlags::HUP | EventFlags::ERR | EventFlags::RDHUP;
+        if flags.intersects(peer_close) {
+            self.report_close_of_paused(slot, flags);
         }
-        if !std::mem::replace(&mut conn.hung_up, true) {
-            self.set_interest(slot);
-            self.give(node, Input::PeerClosedWhilePaused(id));
+        if flags.intersects(peer_close | EventFlags::IN) {
+            self.read(slot);
         }
     }
 
-    /// Closes the listeners of a machine once it has all connections that the system took for them. A close over
-    /// connections that nobody has taken up would reset them, with whatever their clients had sent.
-    pub(super) fn stop_listening(&mut self, node: usize) {
-        let is_listener = |slot: &Slot| matches!(slot, Slot::Listener(listener) if listener.node == node);
-        let listeners: Vec<usize> = (0..self.slots.len()).filter(|&s| is_listener(&self.slots[s])).collect();
-        for slot in listeners {
-            for _ in 0..BACKLOG / ACCEPTS_A_TURN {
-                if self.accept(slot) == Waiting::Nobody {
-                    break;
-                }
-            }
-            self.close(slot);
+    /// A peer has closed or reset a connection that may be paused. A reset one is read to its end all the same, which its
+    /// socket bounds: the system reports it again and again until then.
+    fn report_close_of_paused(&mut self, slot: usize, flags: EventFlags) {
+        let Some(connection) = self.sockets.connection(slot) else { return };
+        let (machine, id) = (connection.machine, connection.id);
+        let is_paused = connection.paused && connection.phase == Phase::Open;
+        if !is_paused || self.is_frozen(machine) {
+            return;
         }
-    }
-
-    pub(super) fn accept(&mut self, slot: usize) -> Waiting {
-        for _ in 0..ACCEPTS_A_TURN {
-            let Slot::Listener(listener) = &mut self.slots[slot] else { return Waiting::Nobody };
-            let (node, door) = (listener.node, listener.door);
-            if self.nodes[node].frozen {
-                // The kernel takes connections for a process that does not run; nobody takes them up.
-                listener.resting = Some(self.clock.now() + NO_DESCRIPTORS);
-                let _ = epoll::modify(
-                    &self.epoll,
-                    &listener.fd,
-                    token(slot, self.uses[slot]),
-                    EventFlags::empty(),
-                );
-                return Waiting::Nobody;
-            }
-            match net::accept_with(&listener.fd, SocketFlags::NONBLOCK | SocketFlags::CLOEXEC) {
-                Ok(fd) => {
-                    let _ = sockopt::set_tcp_nodelay(&fd, true);
-                    let n = &mut self.nodes[node];
-                    n.accepted += 1;
-                    let id = ConnId(n.accepted);
-                    self.insert(Conn::new(fd, node, id, Phase::Open));
-                    self.give(node, Input::Accepted(id, door));
-                }
-                Err(Errno::AGAIN) => return Waiting::Nobody,
-                Err(Errno::INTR | Errno::CONNABORTED) => {}
-                Err(_) => {
-                    // What only waits for its peer's end goes first, then what the machine ends to make room.
-                    if self.close_lingering() {
-                        continue;
-                    }
-                    let free = self.free.len();
-                    self.give(node, Input::DescriptorsExhausted(door));
-                    if self.close_lingering() || self.free.len() > free {
-                        continue;
-                    }
-                    let Slot::Listener(listener) = &mut self.slots[slot] else { return Waiting::Nobody };
-                    listener.resting = Some(self.clock.now() + NO_DESCRIPTORS);
-                    let _ = epoll::modify(
-                        &self.epoll,
-                        &listener.fd,
-                        token(slot, self.uses[slot]),
-                        EventFlags::empty(),
-                    );
-                    (self.log)(NodeId(node), "no descriptors are left to accept connections");
-                    return Waiting::Nobody;
-                }
-            }
+        let Some(connection) = self.sockets.connection_mut(slot) else { return };
+        if flags.intersects(EventFlags::HUP | EventFlags::ERR) {
+            connection.paused = false;
         }
-        Waiting::Perhaps
-    }
-
-    pub(super) fn take_datagrams(&mut self, slot: usize) {
-        let mut buf = [0; DATAGRAM_LENGTH];
-        for _ in 0..DATAGRAMS {
-            let Slot::Mailbox(m) = &self.slots[slot] else { return };
-            let (node, door) = (m.node, m.door);
-            if self.nodes[node].frozen {
-                return;
-            }
-            match net::recvfrom(&m.fd, &mut buf[..], RecvFlags::empty()) {
-                Ok((n, _, Some(from))) => {
-                    if let Ok(from) = SocketAddr::try_from(from) {
-                        self.give(node, Input::Datagram(door, from, &buf[..n]));
-                    }
-                }
-                Err(Errno::AGAIN) => return,
-                // What was sent before met no socket: the next call takes what is there.
-                Ok(_) | Err(_) => {}
-            }
+        if !std::mem::replace(&mut connection.peer_close_reported, true) {
+            self.update_interest(slot);
+            self.deliver(machine, Input::PeerClosedWhilePaused(id));
         }
     }
 
-    pub(super) fn connected(&mut self, slot: usize) {
-        let Slot::Conn(conn) = &mut self.slots[slot] else { return };
-        let (node, id) = (conn.node, conn.id);
-        if matches!(sockopt::socket_error(&conn.fd), Ok(Ok(()))) {
-            conn.phase = Phase::Open;
-            self.set_interest(slot);
-            self.give(node, Input::Connected(id));
+    fn finish_connecting(&mut self, slot: usize) {
+        let Some(connection) = self.sockets.connection_mut(slot) else { return };
+        let (machine, id) = (connection.machine, connection.id);
+        if matches!(sockopt::socket_error(&connection.fd), Ok(Ok(()))) {
+            connection.phase = Phase::Open;
+            self.update_interest(slot);
+            self.deliver(machine, Input::Connected(id));
         } else {
             self.close(slot);
-            self.give(node, Input::Lost(id, ConnectionLoss::NotConnected));
+            self.deliver(machine, Input::Lost(id, ConnectionLoss::NotConnected));
         }
     }
 
-    pub(super) fn read(&mut self, slot: usize) {
-        let Slot::Conn(conn) = &mut self.slots[slot] else { return };
-        let (node, id) = (conn.node, conn.id);
-        if conn.phase != Phase::Open || conn.paused || conn.eof || self.nodes[node].frozen {
+    fn read(&mut self, slot: usize) {
+        let Some(connection) = self.sockets.connection(slot) else { return };
+        let (machine, id) = (connection.machine, connection.id);
+        let takes_data = connection.phase == Phase::Open && !connection.paused && !connection.peer_finished;
+        if !takes_data || self.is_frozen(machine) {
             return;
         }
-        let mut buf = [0; READ_A_TURN];
-        match rustix::io::read(&conn.fd, &mut buf[..]) {
+        let mut buffer = [0; READ_PER_TURN];
+        match rustix::io::read(&connection.fd, &mut buffer[..]) {
             Ok(0) => {
-                conn.eof = true;
-                self.set_interest(slot);
-                self.give(node, Input::Eof(id));
+                if let Some(connection) = self.sockets.connection_mut(slot) {
+                    connection.peer_finished = true;
+                }
+                self.update_interest(slot);
+                self.deliver(machine, Input::Eof(id));
             }
-            Ok(n) => self.give(node, Input::Data(id, &buf[..n])),
+            Ok(count) => self.deliver(machine, Input::Data(id, &buffer[..count])),
             // The system reports it again as long as there is something to read.
             Err(Errno::AGAIN | Errno::INTR) => {}
             Err(_) => {
                 self.close(slot);
-                self.give(node, Input::Lost(id, ConnectionLoss::Reset));
+                self.deliver(machine, Input::Lost(id, ConnectionLoss::Reset));
             }
         }
     }
 
-    /// A finished connection: what is unsent goes out, then the peer's end is awaited for a while.
-    pub(super) fn linger(&mut self, slot: usize) {
+    /// An ended connection: what is unsent is sent, then the peer's close is awaited for a while.
+    fn finish_closing(&mut self, slot: usize) {
         self.flush(slot);
-        let Slot::Conn(conn) = &mut self.slots[slot] else { return };
-        if conn.has_unsent() {
+        let Some(connection) = self.sockets.connection_mut(slot) else { return };
+        if connection.has_unsent() {
             return;
         }
-        if !std::mem::replace(&mut conn.shut, true) {
-            let _ = net::shutdown(&conn.fd, Shutdown::Write);
-        }
-        let mut buf = [0; 4096];
-        for _ in 0..DISCARDS_A_TURN {
-            match rustix::io::read(&conn.fd, &mut buf[..]) {
-                Ok(n) if n > 0 => {}
+        connection.shut_down_when_sent();
+        let mut buffer = [0; DISCARD_SIZE];
+        for _ in 0..DISCARDS_PER_TURN {
+            match rustix::io::read(&connection.fd, &mut buffer[..]) {
+                Ok(count) if count > 0 => {}
                 Err(Errno::AGAIN | Errno::INTR) => return,
                 Ok(_) | Err(_) => return self.close(slot),
             }
         }
     }
 
-    pub(super) fn flush(&mut self, slot: usize) {
-        let Slot::Conn(conn) = &mut self.slots[slot] else { return };
-        let (node, id, phase) = (conn.node, conn.id, conn.phase);
+    /// Sends what a connection that was queued for it has to send.
+    pub(super) fn flush_pending(&mut self, slot: usize) {
+        let Some(connection) = self.sockets.connection_mut(slot) else { return };
+        connection.queued_to_flush = false;
+        if connection.phase == Phase::Closing {
+            self.finish_closing(slot);
+        } else {
+            self.flush(slot);
+        }
+    }
+
+    fn flush(&mut self, slot: usize) {
+        let Some(connection) = self.sockets.connection_mut(slot) else { return };
+        let (machine, id, phase) = (connection.machine, connection.id, connection.phase);
         if phase == Phase::Connecting {
             return;
         }
-        match conn.flush() {
+        match connection.flush() {
             Flushed::Sent(sent) => {
-                if conn.shuts && !conn.has_unsent() && !std::mem::replace(&mut conn.shut, true) {
-                    let _ = net::shutdown(&conn.fd, Shutdown::Write);
-                }
-                self.set_interest(slot);
+                self.update_interest(slot);
                 if sent > 0 && phase == Phase::Open {
-                    self.give(node, Input::Sent(id, sent));
+                    self.deliver(machine, Input::Sent(id, sent));
                 }
             }
             Flushed::Broken => {
                 self.close(slot);
                 if phase == Phase::Open {
-                    self.give(node, Input::Lost(id, ConnectionLoss::Reset));
+                    self.deliver(machine, Input::Lost(id, ConnectionLoss::Reset));
                 }
             }
         }
--- a/crates/event-loop/src/event_loop/tests.rs
+++ b/crates/event-loop/src/event_loop/tests.rs
@@ -1,4 +1,5 @@
 use super::*;
+use rustix::net::sockopt;
 use std::io::{Read, Write};
 use std::net::TcpListener;
 
@@ -32,9 +33,9 @@
     for _ in 0..2 {
         looped.turn(&mut events).expect("a turn");
     }
-    assert_eq!(looped.nodes[node.0].by_id.len(), 2, "one that was accepted and one that was opened");
-    for &slot in looped.nodes[node.0].by_id.values() {
-        let Slot::Conn(conn) = &looped.slots[slot] else { unreachable!("a connection's slot") };
+    assert_eq!(looped.machines[node.0].connections.len(), 2, "one that was accepted and one that was opened");
+    for &slot in looped.machines[node.0].connections.values() {
+        let Some(conn) = looped.sockets.connection(slot) else { unreachable!("a connection's slot") };
         let no_delay = sockopt::tcp_nodelay(&conn.fd).expect("an option of TCP");
         assert!(no_delay, "connection {:?}", conn.id);
     }
--- a/crates/event-loop/src/slot_table.rs
+++ b/crates/event-loop/src/slot_table.rs
@@ -1,59 +1,294 @@
-//! The table of descriptors: a slot for each, counted uses, and the readiness that each asks for.
+//! The table of sockets that epoll watches: a slot for each, and how often each slot was used.
 
-use super::{token, Loop, Slot, RESERVE};
-use crate::conn::Conn;
-use rustix::event::epoll::{self, EventFlags};
-use rustix::fd::AsFd;
-use slipreel_state_machine::Machine;
+use crate::connection::Connection;
+use rustix::event::epoll::{self, CreateFlags, EventData, EventFlags};
+use rustix::event::Timespec;
+use rustix::fd::{AsFd, OwnedFd};
+use rustix::io::Errno;
+use slipreel_state_machine::ListenerId;
+use std::time::Duration;
 
-impl<M: Machine> Loop<M> {
-    pub(super) fn slot(&mut self) -> usize {
+/// The token of the wake-up descriptor, which is none of a slot.
+const WAKE_TOKEN: u64 = u64::MAX;
+
+/// A socket that listens for connections of one machine.
+pub(crate) struct Listener {
+    pub(crate) fd: OwnedFd,
+    /// The place of its machine in the event loop.
+    pub(crate) machine: usize,
+    pub(crate) id: ListenerId,
+    /// No connection is accepted before this time: descriptors ran out, or the machine is frozen.
+    pub(crate) paused_until: Option<Duration>,
+}
+
+/// A datagram socket of one machine.
+pub(crate) struct DatagramSocket {
+    pub(crate) fd: OwnedFd,
+    /// The place of its machine in the event loop.
+    pub(crate) machine: usize,
+    pub(crate) id: ListenerId,
+}
+
+/// What a slot holds.
+pub(crate) enum Slot {
+    Free,
+    Connection(Box<Connection>),
+    Listener(Listener),
+    DatagramSocket(DatagramSocket),
+}
+
+impl Slot {
+    /// The place of the machine that the socket belongs to.
+    pub(crate) fn machine(&self) -> Option<usize> {
+        match self {
+            Slot::Free => None,
+            Slot::Connection(connection) => Some(connection.machine),
+            Slot::Listener(listener) => Some(listener.machine),
+            Slot::DatagramSocket(socket) => Some(socket.machine),
+        }
+    }
+
+    /// Whether it holds a listener or a datagram socket.
+    pub(crate) fn is_bound_socket(&self) -> bool {
+        matches!(self, Slot::Listener(_) | Slot::DatagramSocket(_))
+    }
+}
+
+/// One use of a slot. It is outdated once the slot was freed, whoever uses it since.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) struct SlotUse {
+    pub(crate) slot: usize,
+    generation: u32,
+}
+
+impl SlotUse {
+    fn token(self) -> EventData {
+        EventData::new_u64((u64::from(self.generation) << 32) | self.slot as u64)
+    }
+
+    fn from_token(token: u64) -> SlotUse {
+        SlotUse { slot: (token & u64::from(u32::MAX)) as usize, generation: (token >> 32) as u32 }
+    }
+}
+
+/// Readiness that epoll has reported.
+#[derive(Clone, Copy, Debug)]
+pub(crate) enum Readiness {
+    /// Another thread has sent a command.
+    Wake,
+    /// The socket of a slot is ready.
+    Socket(SlotUse, EventFlags),
+}
+
+impl From<&epoll::Event> for Readiness {
+    fn from(event: &epoll::Event) -> Self {
+        // The event is packed: its fields are copied out.
+        let (data, flags) = (event.data, event.flags);
+        match data.u64() {
+            WAKE_TOKEN => Readiness::Wake,
+            token => Readiness::Socket(SlotUse::from_token(token), flags),
+        }
+    }
+}
+
+/// The sockets of an event loop and the epoll instance that watches them.
+pub(crate) struct SlotTable {
+    epoll: OwnedFd,
+    slots: Vec<Slot>,
+    /// How often each slot was freed. Readiness that was reported for an earlier use is ignored.
+    generations: Vec<u32>,
+    free: Vec<usize>,
+    /// The slots of listeners and datagram sockets, in the order in which they were opened.
+    bound_sockets: Vec<usize>,
+}
+
+impl SlotTable {
+    /// An empty table, woken by `wake`.
+    ///
+    /// # Errors
+    /// No descriptor is left for epoll; `Unsupported` on a kernel before 5.11, which has no waits under a millisecond.
+    pub(crate) fn new(wake: &OwnedFd) -> std::io::Result<SlotTable> {
+        let epoll = epoll::create(CreateFlags::CLOEXEC)?;
+        let mut none: [std::mem::MaybeUninit<epoll::Event>; 1] = [std::mem::MaybeUninit::uninit()];
+        let no_wait = Timespec { tv_sec: 0, tv_nsec: 0 };
+        if matches!(epoll::wait(&epoll, &mut none, Some(&no_wait)), Err(Errno::NOSYS)) {
+            let why = "the event loop needs epoll_pwait2, which Linux has since 5.11";
+            return Err(std::io::Error::new(std::io::ErrorKind::Unsupported, why));
+        }
+        epoll::add(&epoll, wake, EventData::new_u64(WAKE_TOKEN), EventFlags::IN)?;
+        Ok(SlotTable {
+            epoll,
+            slots: Vec::new(),
+            generations: Vec::new(),
+            free: Vec::new(),
+            bound_sockets: Vec::new(),
+        })
+    }
+
+    /// Waits for readiness, for `timeout` at most.
+    ///
+    /// # Errors
+    /// Epoll failed, which no peer can cause.
+    pub(crate) fn wait(
+        &self, events: &mut Vec<epoll::Event>, timeout: Option<Duration>,
+    ) -> std::io::Result<()> {
+        let timeout = timeout.map(|timeout| Timespec {
+            tv_sec: timeout.as_secs() as i64,
+            tv_nsec: i64::from(timeout.subsec_nanos()),
+        });
+        events.clear();
+        match epoll::wait(&self.epoll, rustix::buffer::spare_capacity(events), timeout.as_ref()) {
+            Ok(_) | Err(Errno::INTR) => Ok(()),
+            Err(why) => Err(why.into()),
+        }
+    }
+
+    /// Takes a free slot, which the caller fills.
+    fn take_slot(&mut self) -> usize {
         self.free.pop().unwrap_or_else(|| {
             self.slots.push(Slot::Free);
-            self.uses.push(0);
+            self.generations.push(0);
             self.slots.len() - 1
         })
     }
 
-    pub(super) fn insert(&mut self, mut conn: Conn) {
-        while self.slots.len() - self.free.len() - self.doors.len() >= self.most {
-            let Some((_, slot, uses)) = self.lingering.pop_front() else { break };
-            if self.uses[slot] == uses {
-                self.close(slot);
-            }
-        }
-        let slot = self.slot();
-        conn.interest = conn.wanted();
-        let added = epoll::add(&self.epoll, conn.fd.as_fd(), token(slot, self.uses[slot]), conn.interest);
+    /// Adds a listener and watches it for connections.
+    ///
+    /// # Errors
+    /// Epoll can't watch it.
+    pub(crate) fn add_listener(&mut self, listener: Listener) -> Result<usize, Errno> {
+        let slot = self.take_slot();
+        epoll::add(&self.epoll, &listener.fd, self.current_use(slot).token(), EventFlags::IN)?;
+        self.slots[slot] = Slot::Listener(listener);
+        self.bound_sockets.push(slot);
+        Ok(slot)
+    }
+
+    /// Adds a datagram socket and watches it for datagrams.
+    ///
+    /// # Errors
+    /// Epoll can't watch it.
+    pub(crate) fn add_datagram_socket(&mut self, socket: DatagramSocket) -> Result<usize, Errno> {
+        let slot = self.take_slot();
+        epoll::add(&self.epoll, &socket.fd, self.current_use(slot).token(), EventFlags::IN)?;
+        self.slots[slot] = Slot::DatagramSocket(socket);
+        self.bound_sockets.push(slot);
+        Ok(slot)
+    }
+
+    /// Adds a connection and watches it for what it wants.
+    pub(crate) fn add_connection(&mut self, mut connection: Connection) -> usize {
+        let slot = self.take_slot();
+        connection.interest = connection.wanted_readiness();
+        let token = self.current_use(slot).token();
+        let added = epoll::add(&self.epoll, connection.fd.as_fd(), token, connection.interest);
         debug_assert!(added.is_ok());
-        self.nodes[conn.node].by_id.insert(conn.id, slot);
-        self.slots[slot] = Slot::Conn(Box::new(conn));
+        self.slots[slot] = Slot::Connection(Box::new(connection));
+        slot
     }
 
-    pub(super) fn set_interest(&mut self, slot: usize) {
-        let Slot::Conn(conn) = &mut self.slots[slot] else { return };
-        let wanted = if self.nodes[conn.node].frozen { EventFlags::empty() } else { conn.wanted() };
-        if wanted != conn.interest {
-            conn.interest = wanted;
-            let _ = epoll::modify(&self.epoll, &conn.fd, token(slot, self.uses[slot]), wanted);
+    /// Asks epoll for another readiness of a connection.
+    pub(crate) fn watch_connection(&mut self, slot: usize, wanted: EventFlags) {
+        let token = self.current_use(slot).token();
+        let Slot::Connection(connection) = &mut self.slots[slot] else { return };
+        if wanted != connection.interest {
+            connection.interest = wanted;
+            let _ = epoll::modify(&self.epoll, &connection.fd, token, wanted);
         }
     }
 
-    /// Closes the socket of a slot and frees it.
-    pub(super) fn close(&mut self, slot: usize) {
-        match std::mem::replace(&mut self.slots[slot], Slot::Free) {
-            Slot::Conn(conn) => {
-                if self.nodes[conn.node].by_id.get(&conn.id) == Some(&slot) {
-                    self.nodes[conn.node].by_id.remove(&conn.id);
-                }
+    /// Asks epoll for readiness of a listener or a datagram socket, or for none.
+    pub(crate) fn watch_bound_socket(&self, slot: usize, watched: bool) {
+        let fd = match &self.slots[slot] {
+            Slot::Listener(listener) => &listener.fd,
+            Slot::DatagramSocket(socket) => &socket.fd,
+            Slot::Connection(_) | Slot::Free => return,
+        };
+        let wanted = if watched { EventFlags::IN } else { EventFlags::empty() };
+        let _ = epoll::modify(&self.epoll, fd, self.current_use(slot).token(), wanted);
+    }
+
+    /// Empties a slot for its next use and gives what it held.
+    pub(crate) fn remove(&mut self, slot: usize) -> Slot {
+        let removed = std::mem::replace(&mut self.slots[slot], Slot::Free);
+        match removed {
+            Slot::Free => return removed,
+            Slot::Listener(_) | Slot::DatagramSocket(_) => {
+                self.bound_sockets.retain(|&bound| bound != slot);
             }
-            Slot::Listener(_) | Slot::Mailbox(_) => self.doors.retain(|&door| door != slot),
-            Slot::Free => return,
+            Slot::Connection(_) => {}
         }
-        self.uses[slot] = self.uses[slot].wrapping_add(1);
+        self.generations[slot] = self.generations[slot].wrapping_add(1);
         self.free.push(slot);
-        if self.reserve.len() < RESERVE {
-            self.refill();
+        removed
+    }
+
+    pub(crate) fn get(&self, slot: usize) -> &Slot {
+        &self.slots[slot]
+    }
+
+    pub(crate) fn connection(&self, slot: usize) -> Option<&Connection> {
+        match &self.slots[slot] {
+            Slot::Connection(connection) => Some(connection),
+            _ => None,
+        }
+    }
+
+    pub(crate) fn connection_mut(&mut self, slot: usize) -> Option<&mut Connection> {
+        match &mut self.slots[slot] {
+            Slot::Connection(connection) => Some(connection),
+            _ => None,
         }
     }
+
+    pub(crate) fn listener(&self, slot: usize) -> Option<&Listener> {
+        match &self.slots[slot] {
+            Slot::Listener(listener) => Some(listener),
+            _ => None,
+        }
+    }
+
+    pub(crate) fn listener_mut(&mut self, slot: usize) -> Option<&mut Listener> {
+        match &mut self.slots[slot] {
+            Slot::Listener(listener) => Some(listener),
+            _ => None,
+        }
+    }
+
+    pub(crate) fn datagram_socket(&self, slot: usize) -> Option<&DatagramSocket> {
+        match &self.slots[slot] {
+            Slot::DatagramSocket(socket) => Some(socket),
+            _ => None,
+        }
+    }
+
+    /// The present use of a slot.
+    pub(crate) fn current_use(&self, slot: usize) -> SlotUse {
+        SlotUse { slot, generation: self.generations[slot] }
+    }
+
+    /// Whether a slot has not been freed since this use of it began.
+    pub(crate) fn is_current(&self, slot_use: SlotUse) -> bool {
+        self.generations.get(slot_use.slot) == Some(&slot_use.generation)
+    }
+
+    /// The slots of listeners and datagram sockets.
+    pub(crate) fn bound_sockets(&self) -> &[usize] {
+        &self.bound_sockets
+    }
+
+    /// The slots whose sockets are so, in their order.
+    pub(crate) fn slots_where(&self, is_wanted: impl Fn(&Slot) -> bool) -> Vec<usize> {
+        (0..self.slots.len()).filter(|&slot| is_wanted(&self.slots[slot])).collect()
+    }
+
+    /// How many connections there are.
+    pub(crate) fn connection_count(&self) -> usize {
+        self.slots.len() - self.free.len() - self.bound_sockets.len()
+    }
+
+    /// How many slots are free.
+    pub(crate) fn free_count(&self) -> usize {
+        self.free.len()
+    }
 }
