--- a/src/rules/gauge.rs
+++ b/src/decisions/inspection.rs
@@ -1,11 +1,10 @@
-//! What a router holds, for its host to show and to check against its sockets, and the one setting that changes while it runs.
+//! What a router holds, for its host to show and to check against its sockets, and the one setting that changes while
+//! it runs.
+//!
 //! Decides nothing.
 
-mod heir;
-
-use super::Router;
+use super::router::Router;
 use crate::interface::EngineId;
-pub use heir::SettingsMapping;
 
 /// How many entries of each kind a router holds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
--- /dev/null
+++ b/src/decisions/mod.rs
@@ -0,0 +1,33 @@
+//! Every decision of slipreel, one file a concern. The types that it is told of and answers in are those of
+//! `src/interface.rs`; what only looks things up is in the index of engines. Nothing else decides.
+//!
+//! A request passes through `admission`, `prefill_affinity` or `decode_choice`, `probes`, `placement`, `attempts`,
+//! `retries` and `release`. `saturation`, `eligibility`, `ejection` and `slow_start` say what these may know of the
+//! engines.
+
+mod admission;
+mod attempts;
+mod decode_choice;
+mod ejection;
+mod eligibility;
+mod engines;
+mod index_refresh;
+mod inspection;
+mod placement;
+mod prefill_affinity;
+mod probes;
+mod release;
+mod requests;
+mod retries;
+mod router;
+mod saturation;
+mod slow_start;
+mod successor;
+mod timers;
+
+pub use inspection::StateSizes;
+pub use router::Router;
+pub use successor::SettingsMapping;
+
+/// The actions that a decision appends to.
+type Out<'a> = &'a mut Vec<crate::interface::Action>;
--- /dev/null
+++ b/src/decisions/release.rs
@@ -0,0 +1,62 @@
+//! The end of a request: its final answer, and the release of all that is reserved for it.
+//!
+//! Decides whether a request that is given up is rejected, so that its client may come again, or failed. May read the
+//! request alone. See docs/design.md, "The rules".
+
+use super::requests::Attempt;
+use super::router::Router;
+use super::timers::Alarm;
+use super::Out;
+use crate::interface::{Action, Idempotency, RequestId};
+use std::time::Duration;
+
+/// Wait told with a refusal or before the list is asked for again, jittered by half. A full queue's time.
+pub(super) const RETRY_AFTER: Duration = Duration::from_millis(1_000);
+pub(super) const HOLD_PART: f64 = 0.5; // Part of the let-go limit after which state without a writer is let go.
+
+impl Router {
+    /// No further attempt: the final answer, at once. Who is refused may come again after the window.
+    pub(super) fn give_up(&mut self, id: RequestId, out: Out) {
+        let Some(job) = self.jobs.get(&id).filter(|j| !j.ended) else { return };
+        let harmless = job.may_have_run.is_none() || self.effect(job) == Idempotency::Idempotent;
+        let over_share = job.over_share;
+        let answer = if harmless {
+            let wait = RETRY_AFTER.mul_f64(0.5 + self.chance());
+            let retry_after = self.settings.limits.max_retry_after.map(|most| wait.min(most));
+            Action::Reject { request: id, retry_after, over_quota: over_share }
+        } else {
+            Action::Fail(id)
+        };
+        self.end(id, Some(answer), out);
+    }
+
+    /// The one place where a request ends and lets go. A read still out comes through here again.
+    pub(super) fn end(&mut self, id: RequestId, answer: Option<Action>, out: Out) {
+        let Some(job) = self.jobs.get_mut(&id) else { return };
+        job.ended = true;
+        out.extend(answer);
+        if self.settings.limits.cancellation {
+            let open = |(_, a): &(usize, &Attempt)| a.out && a.begun.is_none();
+            let open = job.attempts.iter().enumerate().filter(open);
+            out.extend(open.map(|(attempt, _)| Action::Cancel { request: id, attempt }));
+        }
+        if !job.attempts.is_empty() {
+            out.push(Action::Release(id));
+        }
+        job.held = None;
+        if job.attempts.iter().all(|a| !a.out) {
+            self.jobs.remove(&id);
+        }
+    }
+
+    /// Its time is up, or longer by now; a whole answer that is being written ends by its host's bound.
+    pub(super) fn on_deadline(&mut self, now: Duration, id: RequestId, out: Out) {
+        let Some(job) = self.jobs.get(&id) else { return };
+        if now < job.deadline {
+            return self.alarm(Alarm::Deadline(id), job.deadline - now, out);
+        }
+        if !job.attempts.iter().any(|a| a.out && a.begun.is_some()) {
+            self.end(id, Some(Action::Fail(id)), out);
+        }
+    }
+}
--- a/src/rules/gauge/heir.rs
+++ b/src/decisions/successor.rs
@@ -1,7 +1,11 @@
-//! New settings while a router runs: an heir that knows all that the first has learnt, and takes the requests from then on. The first
-//! ends what it has taken, by the settings under which it took it. Decides nothing: it copies.
+//! New settings while a router runs: a successor that knows all that the first router has learnt, and takes the requests
+//! from then on. The first ends what it has taken, by the settings under which it took it.
+//!
+//! Decides nothing: it copies. See docs/design-policy.md.
 
-use super::super::{Alarm, Attempt, Job, Router};
+use super::requests::{Attempt, Job};
+use super::router::Router;
+use super::timers::Alarm;
 use crate::interface::{Action, ClassId, Settings};
 use std::time::Duration;
 
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -78,10 +78,9 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
+mod decisions;
 mod fleet;
 mod interface;
-mod rules;
 
+pub use decisions::{Router, SettingsMapping, StateSizes};
 pub use interface::*;
-pub use rules::gauge::{SettingsMapping, StateSizes};
-pub use rules::Router;
