--- a/crates/cli/src/losses.rs
+++ b/crates/cli/src/losses.rs
@@ -50,7 +50,7 @@
     taken: Vec<u64>,
 }
 
-/// The counts in a line, as `Tally { name: number, .. }` stands there.
+/// The counts in a line, as `Tally { name: number, .. }` stands there: the text of `slipreel_platform::Counters`.
 fn counts(line: &str) -> Option<BTreeMap<String, u64>> {
     let (_, rest) = line.split_once("Tally {")?;
     let (pairs, _) = rest.split_once('}')?;
--- a/crates/cli/src/node.rs
+++ b/crates/cli/src/node.rs
@@ -6,7 +6,7 @@
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use signal_hook::iterator::Signals;
 use slipreel_event_loop::{Clock, Command, Handle, Loop, NodeId};
-use slipreel_platform::{Config, Node};
+use slipreel_platform::{Config, PlatformRouter};
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 use std::time::{Instant, SystemTime};
@@ -37,21 +37,21 @@
     looped.on_log(|_, line| tracing::info!("{line}"));
     // The platform gives every address; its network is the guard here.
     looped.allow_any_address();
-    looped.bound_connections(config.room.connections());
-    let (listen, name, sockets) = (config.listen, config.name.clone(), config.room.sockets);
+    looped.bound_connections(config.resource_limits.driver_connections());
+    let (listen, name, sockets) = (config.listen, config.name.clone(), config.resource_limits.descriptors);
     let wall = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
-    let node = looped.add(Node::new(config, clock.now(), wall));
+    let node = looped.add(PlatformRouter::new(config, clock.now(), wall));
     looped.listen(node, listen).map_err(|why| run(&why))?;
     tell_signals(signals, file, looped.handle(), node).map_err(|why| run(&why))?;
     tracing::info!(%listen, name, sockets, ?configured, listening = ?started.elapsed(), "serving");
     looped.run().map_err(|why| run(&why))?;
-    tracing::info!("stopped: {:?}", looped.machine(node).tally());
+    tracing::info!("stopped: {}", looped.machine(node).counters());
     Ok(())
 }
 
 /// Tells the loop of signals: SIGHUP reads the file again, and a bad one changes nothing; SIGTERM ends in order.
 fn tell_signals(
-    mut signals: Signals, file: PathBuf, handle: Handle<Node>, node: NodeId,
+    mut signals: Signals, file: PathBuf, handle: Handle<PlatformRouter>, node: NodeId,
 ) -> std::io::Result<()> {
     let wait = move || {
         for signal in signals.forever() {
--- a/crates/platform/src/clients.rs
+++ b/crates/platform/src/clients.rs
@@ -1,16 +1,24 @@
 //! The clients' side: whole requests come in, one final answer goes out.
 
-use crate::ask;
-use crate::call::Call;
-use crate::node::Node;
+use crate::parse_request::{self, ParsedRequest};
 use crate::proof::AttemptEnd;
-use crate::room;
+use crate::request::{ActiveRequest, RequestTerms};
+use crate::request_error::RequestError;
+use crate::resource_limits::MAX_HEAD_BYTES;
+use crate::router::PlatformRouter;
 use slipreel::{Event, Idempotency, Outcome, RequestId};
 use slipreel_connections::{Client, Received, State};
 use slipreel_protocol::http::{self, Limits};
 use slipreel_state_machine::{ConnId, Output};
 use std::time::Duration;
 
+/// The largest body of a client's request, in bytes. From the protocol.
+const MAX_REQUEST_BODY_BYTES: u64 = 256 << 10;
+/// Bytes of pipelined requests that may wait while one is being answered.
+const MAX_PIPELINED_BYTES: usize = 16 << 10;
+/// A connection that has sent nothing for less is not closed to free a slot: its first request may be on its way.
+pub(crate) const NEW_CONNECTION_GRACE: Duration = Duration::from_millis(400);
+
 /// Connections of clients that may be closed to make room, those that go first before the others.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Eviction {
@@ -24,26 +32,26 @@
     JustReceiving,
 }
 
-impl Node {
+impl PlatformRouter {
     // ---- In -----------------------------------------------------------------------------------
 
     pub(crate) fn accepted(&mut self, conn: ConnId, out: &mut Vec<Output>) {
-        if self.clients.len() >= self.room.clients && !self.evict(out) {
-            self.tally.turned += 1;
+        if self.clients.len() >= self.resource_limits.client_connections && !self.evict(out) {
+            self.counters.rejected_before_admission += 1;
             return out.push(Output::Abort(conn));
         }
-        let limits = Limits { head: room::HEAD, body: room::BODY, ..Limits::default() };
+        let limits = Limits { head: MAX_HEAD_BYTES, body: MAX_REQUEST_BODY_BYTES, ..Limits::default() };
         let mut client =
-            Client::new(conn, slipreel_state_machine::ListenerId(0), self.now, limits, room::AHEAD);
+            Client::new(conn, slipreel_state_machine::ListenerId(0), self.now, limits, MAX_PIPELINED_BYTES);
         if self.stopping.is_some() {
             client.last_answer();
         }
         self.clients.insert(conn, client);
-        self.unheard.insert(conn, self.now);
-        self.arm_client(conn);
+        self.awaiting_first_request.insert(conn, self.now);
+        self.arm_client_timer(conn);
     }
 
-    /// Room for one more client is made by closing one whose first request has not come whole after a while, else the one
+    /// Frees a slot for one more client by closing one whose first request has not come in whole after a while, else the one
     /// that stands idle longest, else one that came a moment ago. False if all are at work.
     pub(crate) fn evict(&mut self, out: &mut Vec<Output>) -> bool {
         let ranked = self.clients.values().filter_map(|c| Some((self.eviction_rank(c)?, c.since, c.conn)));
@@ -52,22 +60,22 @@
         if client.state == State::Receiving {
             // Its last byte may be on its way: no request is read in part and then closed without an answer.
             client.last_answer();
-            self.turn(conn, 503, "no room is left for it", out);
+            self.reject(conn, &RequestError::Evicted, out);
             return true;
         }
-        self.tally.turned += 1;
+        self.counters.rejected_before_admission += 1;
         // One that was answered ends in order: a reset would take the answer with it if that is still on its way, and a
         // request that comes in just now is one that was never read.
-        let silent = self.unheard.contains_key(&conn);
+        let silent = self.awaiting_first_request.contains_key(&conn);
         out.push(if silent { Output::Abort(conn) } else { Output::CloseWhenSent(conn) });
-        self.forget_client(conn);
+        self.remove_client(conn);
         true
     }
 
     /// Which connections make room first; none that is at work.
     fn eviction_rank(&self, client: &Client) -> Option<Eviction> {
-        let unheard_since = self.unheard.get(&client.conn).copied();
-        let is_old = |since: Duration| self.now >= since + room::YOUNG;
+        let unheard_since = self.awaiting_first_request.get(&client.conn).copied();
+        let is_old = |since: Duration| self.now >= since + NEW_CONNECTION_GRACE;
         match (unheard_since, client.state) {
             (_, State::Serving(_)) | (None, State::Receiving) => None,
             (None, State::Idle) => Some(Eviction::Idle),
@@ -84,7 +92,7 @@
         client.feed(now, bytes, out);
         self.read_requests(conn, out);
         if self.clients.get(&conn).is_some_and(|c| c.state != before) {
-            self.arm_client(conn);
+            self.arm_client_timer(conn);
         }
     }
 
@@ -96,12 +104,12 @@
             match client.receive(now, out) {
                 Ok(None) => return,
                 Ok(Some(received)) => {
-                    self.unheard.remove(&conn);
+                    self.awaiting_first_request.remove(&conn);
                     self.route(conn, received, out);
                 }
-                Err(why) => {
+                Err(malformed) => {
                     client.last_answer();
-                    return self.turn(conn, why.status, &why.why, out);
+                    return self.reject(conn, &RequestError::Malformed(malformed), out);
                 }
             }
         }
@@ -113,56 +121,70 @@
                 let status = if self.ready { 200 } else { 503 };
                 self.answer(conn, status, &[], b"{}", out);
             }
-            (_, path) if path.starts_with("/-/") => self.turn(conn, 404, "no such path", out),
-            _ => self.ask(conn, received, out),
+            (_, path) if path.starts_with("/-/") => self.reject(conn, &RequestError::UnknownPath, out),
+            _ => self.admit(conn, received, out),
         }
     }
 
-    fn ask(&mut self, conn: ConnId, received: Received, out: &mut Vec<Output>) {
-        let ask = match ask::read(&self.profile, &received) {
-            Ok(ask) => ask,
-            Err(ask::Bad(status, why)) => return self.turn(conn, status, &why, out),
-        };
-        if self.stopping_for(self.leaves()) {
-            // All that was taken before has its answer by now, and the process may be killed at any time.
-            return self.turn(conn, 503, "this router is about to end", out);
+    fn admit(&mut self, conn: ConnId, received: Received, out: &mut Vec<Output>) {
+        match self.check_admissible(&received) {
+            Ok(parsed) => self.start_request(conn, parsed, received),
+            Err(error) => {
+                // Counted here and by `reject` as well.
+                self.counters.rejected_before_admission += u64::from(error == RequestError::OutOfMemory);
+                self.reject(conn, &error, out);
+            }
+        }
+    }
+
+    /// Parses a request and checks whether this router may take it now.
+    fn check_admissible(&mut self, received: &Received) -> Result<ParsedRequest, RequestError> {
+        let parsed = parse_request::parse(&self.profile, received)?;
+        if self.shutting_down_for(self.shutdown_deadline()) {
+            return Err(RequestError::ShuttingDown);
         }
-        if self.names.contains_key(&ask.name) {
+        if self.open_by_client_id.contains_key(&parsed.client_id) {
             // The other one's attempts and answer go on unharmed.
-            return self.turn(conn, 409, "X-Request-Id: a request of this id is open", out);
+            return Err(RequestError::IdInUse);
         }
-        if self.sent_on.contains(self.now, &ask.name) {
-            return self.turn(conn, 409, "X-Request-Id: a request of this id was sent on before", out);
+        if self.recently_forwarded.contains(self.now, &parsed.client_id) {
+            return Err(RequestError::IdRecentlyForwarded);
         }
-        let bytes = received.body.len();
-        if self.held_bytes + bytes > self.room.bytes {
-            self.tally.turned += 1;
-            return self.turn(conn, 503, "no memory is left for it", out);
+        if self.held_bytes + received.body.len() > self.resource_limits.request_bytes {
+            return Err(RequestError::OutOfMemory);
         }
-        self.next_call += 1;
-        let id = RequestId(self.next_call);
-        let mut request = ask.request;
+        Ok(parsed)
+    }
+
+    /// Records an admitted request and tells the decision module of it.
+    fn start_request(&mut self, conn: ConnId, parsed: ParsedRequest, received: Received) {
+        let ParsedRequest { client_id, mut request } = parsed;
+        self.next_request += 1;
+        let id = RequestId(self.next_request);
         request.id = id;
         // Its client's time runs from its last byte, also while it waits behind the request before it.
         let deadline = received.arrived.saturating_add(request.client_timeout);
         request.client_timeout = deadline.saturating_sub(self.now);
         let class = self.profile.settings.classes.get(request.class.0);
-        let effect = class.map_or(Idempotency::NotIdempotent, |c| c.idempotency);
-        let aim = class.map(|c| {
-            c.latency_objective + c.latency_objective_per_1000_tokens.mul_f64(request.prompt_tokens / 1e3)
+        let idempotency = class.map_or(Idempotency::NotIdempotent, |class| class.idempotency);
+        let objective = class.map_or(Duration::MAX, |class| {
+            let per_token = class.latency_objective_per_1000_tokens.mul_f64(request.prompt_tokens / 1e3);
+            class.latency_objective + per_token
         });
-        let wanted = self.now.saturating_add(aim.unwrap_or(Duration::MAX));
         if let Some(client) = self.clients.get_mut(&conn) {
             client.state = State::Serving(Some(id.0));
         }
-        let (times, prompt) = ([deadline, wanted], request.prompt_tokens as u64);
-        let call =
-            Call::new(ask.name.clone(), conn, effect != Idempotency::Idempotent, times, prompt, received);
-        self.held_bytes += bytes;
-        self.calls.insert(id, call);
-        self.names.insert(ask.name, id);
-        self.tally.taken += 1;
-        self.tell(Event::Request(request));
+        let terms = RequestTerms {
+            runs_once: idempotency != Idempotency::Idempotent,
+            deadline,
+            first_event_due: self.now.saturating_add(objective),
+            prompt_tokens: request.prompt_tokens as u64,
+        };
+        self.held_bytes += received.body.len();
+        self.requests.insert(id, ActiveRequest::new(client_id.clone(), conn, terms, received));
+        self.open_by_client_id.insert(client_id, id);
+        self.counters.admitted += 1;
+        self.queue_event(Event::Request(request));
     }
 
     pub(crate) fn client_eof(&mut self, conn: ConnId, out: &mut Vec<Output>) {
@@ -174,20 +196,21 @@
     }
 
     pub(crate) fn client_gone(&mut self, conn: ConnId, out: &mut Vec<Output>) {
-        let call = match self.clients.get(&conn).map(|c| c.state) {
-            Some(State::Serving(Some(call))) => Some(RequestId(call)),
+        let request = match self.clients.get(&conn).map(|c| c.state) {
+            Some(State::Serving(Some(request))) => Some(RequestId(request)),
             _ => None,
         };
-        self.forget_client(conn);
-        let Some(id) = call.filter(|id| self.calls.get(id).is_some_and(|c| !c.over)) else { return };
-        self.tally.left += 1;
-        self.tally.fruitless += u64::from(self.calls.get(&id).is_some_and(|c| c.begun.is_none()));
+        self.remove_client(conn);
+        let Some(id) = request.filter(|id| self.requests.get(id).is_some_and(|c| !c.over)) else { return };
+        self.counters.disconnected += 1;
+        self.counters.ended_without_event +=
+            u64::from(self.requests.get(&id).is_some_and(|c| c.streaming_attempt.is_none()));
         self.close(id);
-        self.tell(Event::ClientDisconnected(id));
-        let begun = self.calls.get(&id).and_then(|c| c.attempts[c.begun?].conn);
-        if let Some(link) = begun {
+        self.queue_event(Event::ClientDisconnected(id));
+        let streaming_attempt = self.requests.get(&id).and_then(|c| c.attempts[c.streaming_attempt?].conn);
+        if let Some(connection) = streaming_attempt {
             // A stream that nobody reads.
-            self.drop_link(link, AttemptEnd::may_have_run(Outcome::Cancelled), out);
+            self.abort_connection(connection, AttemptEnd::may_have_run(Outcome::Cancelled), out);
         }
     }
 
@@ -196,22 +219,22 @@
         let Some(client) = self.clients.get_mut(&conn) else { return };
         client.unsent = client.unsent.saturating_sub(n);
         client.moved = now;
-        if let State::Serving(Some(call)) = client.state {
-            self.check_pace(RequestId(call), out);
+        if let State::Serving(Some(request)) = client.state {
+            self.check_pace(RequestId(request), out);
         }
     }
 
     /// Its time is up, by its state.
-    pub(crate) fn client_late(&mut self, conn: ConnId, out: &mut Vec<Output>) {
+    pub(crate) fn client_timed_out(&mut self, conn: ConnId, out: &mut Vec<Output>) {
         let Some(client) = self.clients.get_mut(&conn) else { return };
         match client.state {
             State::Receiving => {
                 client.last_answer();
-                self.turn(conn, 408, "the request did not come whole in time", out);
+                self.reject(conn, &RequestError::ReceiveTimeout, out);
             }
             State::Idle => {
                 out.push(Output::CloseWhenSent(conn));
-                self.forget_client(conn);
+                self.remove_client(conn);
             }
             // It takes nothing of what waits for it.
             State::Serving(_) => {
@@ -223,11 +246,11 @@
 
     // ---- Out ----------------------------------------------------------------------------------
 
-    /// An answer that the module has not been asked for.
-    fn turn(&mut self, conn: ConnId, status: u16, why: &str, out: &mut Vec<Output>) {
-        self.tally.turned += 1;
-        let body = serde_json::json!({ "error": why }).to_string();
-        self.answer(conn, status, &[], body.as_bytes(), out);
+    /// Answers a request that the decision module is not told of.
+    fn reject(&mut self, conn: ConnId, error: &RequestError, out: &mut Vec<Output>) {
+        self.counters.rejected_before_admission += 1;
+        let body = serde_json::json!({ "error": error.to_string() }).to_string();
+        self.answer(conn, error.status(), &[], body.as_bytes(), out);
     }
 
     fn answer(
@@ -246,63 +269,67 @@
         let now = self.now;
         let Some(client) = self.clients.get_mut(&conn) else { return };
         if client.done(now, out) {
-            self.arm_client(conn);
+            self.arm_client_timer(conn);
         } else {
-            self.forget_client(conn);
+            self.remove_client(conn);
         }
     }
 
     /// A request has its final answer, or needs none any more.
     fn close(&mut self, id: RequestId) {
-        let Some(call) = self.calls.get_mut(&id) else { return };
-        if !std::mem::replace(&mut call.over, true) {
-            if call.begun.is_none() {
-                self.held_bytes = self.held_bytes.saturating_sub(call.bytes());
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        if !std::mem::replace(&mut request.over, true) {
+            if request.streaming_attempt.is_none() {
+                self.held_bytes = self.held_bytes.saturating_sub(request.bytes());
             }
-            self.names.remove(&call.name);
-            self.reap.push(id);
+            self.open_by_client_id.remove(&request.client_id);
+            self.finished.push(id);
         }
     }
 
     /// Writes a final answer that is no stream, and goes on with what the client has sent ahead.
-    fn answer_call(
+    fn answer_request(
         &mut self, id: RequestId, status: u16, fields: &[(&str, &str)], why: &str, out: &mut Vec<Output>,
     ) {
-        let Some(conn) = self.calls.get(&id).filter(|c| !c.over).map(|c| c.client) else { return };
+        let Some(conn) = self.requests.get(&id).filter(|c| !c.over).map(|c| c.client) else { return };
         self.close(id);
         let body = serde_json::json!({ "error": why }).to_string();
         self.answer(conn, status, fields, body.as_bytes(), out);
         self.read_requests(conn, out);
     }
 
-    pub(crate) fn refuse(
+    pub(crate) fn reject_request(
         &mut self, id: RequestId, after: Option<Duration>, over_share: bool, out: &mut Vec<Output>,
     ) {
-        self.tally.refused += 1;
-        let tried = self.calls.get(&id).is_some_and(|c| !c.attempts.is_empty());
-        *(if tried { &mut self.tally.fruitless } else { &mut self.tally.refused_early }) += 1;
-        self.say_why("refused", id, out);
+        self.counters.rejected += 1;
+        let tried = self.requests.get(&id).is_some_and(|c| !c.attempts.is_empty());
+        *(if tried {
+            &mut self.counters.ended_without_event
+        } else {
+            &mut self.counters.rejected_without_attempt
+        }) += 1;
+        self.log_request_end("refused", id, out);
         let after = after.map(|after| format!("{:.3}", after.as_secs_f64()));
         let fields: Vec<(&str, &str)> = after.iter().map(|after| ("retry-after", after.as_str())).collect();
         let status = if over_share { 429 } else { 503 };
-        self.answer_call(id, status, &fields, "turned away; trying again is harmless", out);
+        self.answer_request(id, status, &fields, "turned away; trying again is harmless", out);
     }
 
-    pub(crate) fn fail(&mut self, id: RequestId, out: &mut Vec<Output>) {
-        self.tally.failed += 1;
-        self.tally.fruitless += 1;
-        self.say_why("failed", id, out);
-        self.answer_call(id, 502, &[], "failed; it may have run", out);
+    pub(crate) fn fail_request(&mut self, id: RequestId, out: &mut Vec<Output>) {
+        self.counters.failed += 1;
+        self.counters.ended_without_event += 1;
+        self.log_request_end("failed", id, out);
+        self.answer_request(id, 502, &[], "failed; it may have run", out);
     }
 
     /// How a request came to its end, for the staff.
-    fn say_why(&mut self, what: &str, id: RequestId, out: &mut Vec<Output>) {
-        let Some(story) = self.calls.get(&id).map(|c| c.story(self.now)) else { return };
-        self.note(|| format!("{what}: {story}"), out);
+    fn log_request_end(&mut self, what: &str, id: RequestId, out: &mut Vec<Output>) {
+        let Some(trace) = self.requests.get(&id).map(|c| c.trace(self.now)) else { return };
+        self.log_limited(|| format!("{what}: {trace}"), out);
     }
 
     pub(crate) fn begin_stream(&mut self, id: RequestId, out: &mut Vec<Output>) {
-        let Some(client) = self.calls.get(&id).map(|c| c.client) else { return };
+        let Some(client) = self.requests.get(&id).map(|c| c.client) else { return };
         if let Some(client) = self.clients.get_mut(&client) {
             if self.stopping.is_some() {
                 client.last_answer();
@@ -311,18 +338,18 @@
         }
     }
 
-    pub(crate) fn stream_on(&mut self, id: RequestId, events: &[u8], out: &mut Vec<Output>) {
-        let Some(client) = self.calls.get(&id).map(|c| c.client) else { return };
+    pub(crate) fn write_events(&mut self, id: RequestId, events: &[u8], out: &mut Vec<Output>) {
+        let Some(client) = self.requests.get(&id).map(|c| c.client) else { return };
         if let Some(client) = self.clients.get_mut(&client) {
             client.write(http::chunk(events), out);
         }
     }
 
     /// A stream has come whole.
-    pub(crate) fn serve_whole(&mut self, id: RequestId, out: &mut Vec<Output>) {
-        let Some(conn) = self.calls.get(&id).filter(|c| !c.over).map(|c| c.client) else { return };
+    pub(crate) fn complete_stream(&mut self, id: RequestId, out: &mut Vec<Output>) {
+        let Some(conn) = self.requests.get(&id).filter(|c| !c.over).map(|c| c.client) else { return };
         self.close(id);
-        self.tally.served += 1;
+        self.counters.completed += 1;
         if let Some(client) = self.clients.get_mut(&conn) {
             client.write(http::LAST_CHUNK.to_vec(), out);
         }
@@ -331,25 +358,26 @@
     }
 
     /// A stream has broken: the client's connection ends in order, without the last chunk.
-    pub(crate) fn break_off(&mut self, id: RequestId, out: &mut Vec<Output>) {
-        let Some(conn) = self.calls.get(&id).filter(|c| !c.over).map(|c| c.client) else { return };
-        self.say_why("broke off", id, out);
+    pub(crate) fn abort_stream(&mut self, id: RequestId, out: &mut Vec<Output>) {
+        let Some(conn) = self.requests.get(&id).filter(|c| !c.over).map(|c| c.client) else { return };
+        self.log_request_end("broke off", id, out);
         self.close(id);
-        self.tally.failed += 1;
-        self.tally.broken += 1;
+        self.counters.failed += 1;
+        self.counters.broken_streams += 1;
         if self.clients.contains_key(&conn) {
             out.push(Output::CloseWhenSent(conn));
-            self.forget_client(conn);
+            self.remove_client(conn);
         }
     }
 
     /// A stream is moved: it ends where it stands, and its client asks for the rest.
-    pub(crate) fn move_stream(&mut self, id: RequestId, out: &mut Vec<Output>) {
-        let Some(conn) = self.calls.get(&id).filter(|c| !c.over).and_then(|c| c.attempts[c.begun?].conn)
+    pub(crate) fn migrate_stream(&mut self, id: RequestId, out: &mut Vec<Output>) {
+        let Some(conn) =
+            self.requests.get(&id).filter(|c| !c.over).and_then(|c| c.attempts[c.streaming_attempt?].conn)
         else {
             return;
         };
-        self.break_off(id, out);
-        self.drop_link(conn, AttemptEnd::may_have_run(Outcome::Cancelled), out);
+        self.abort_stream(id, out);
+        self.abort_connection(conn, AttemptEnd::may_have_run(Outcome::Cancelled), out);
     }
 }
--- a/crates/platform/src/list.rs
+++ b/crates/platform/src/endpoint_list.rs
@@ -6,7 +6,7 @@
 
 /// An entry of the list.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct Listed {
+pub(crate) struct EndpointEntry {
     pub(crate) name: String,
     /// `None` only if it is gone.
     pub(crate) addr: Option<SocketAddr>,
@@ -20,13 +20,13 @@
 
 /// One object that discovery told.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct List {
+pub struct EndpointList {
     pub(crate) index: u64,
     /// All engines, not changes alone.
     pub(crate) whole: bool,
     /// It is of an earlier version than what is held, and was told again when asked for.
     pub(crate) older: bool,
-    pub(crate) entries: Vec<Listed>,
+    pub(crate) entries: Vec<EndpointEntry>,
 }
 
 /// The most engines of a list: far over any fleet, so that a line can't ask for all the memory.
@@ -50,7 +50,7 @@
         .ok_or_else(|| format!("{name}: {found}: expected a whole number of 0 or more"))
 }
 
-fn listed(value: &Value) -> Result<Listed, String> {
+fn listed(value: &Value) -> Result<EndpointEntry, String> {
     let state = match text(value, "status")? {
         "Ready" => EngineState::Ready,
         "Terminating" => EngineState::Draining,
@@ -61,12 +61,12 @@
     if state == EngineState::Gone {
         let none = || (None, String::new(), String::new(), 0, 0);
         let (addr, zone, kind, cell, since_ms) = none();
-        return Ok(Listed { name, addr, zone, kind, cell, state, since_ms });
+        return Ok(EndpointEntry { name, addr, zone, kind, cell, state, since_ms });
     }
     let addr = text(value, "address")?;
     let addr = addr.parse().map_err(|_| format!("address: {addr:?}: expected IP:PORT"))?;
     let cell = number(value, "group")?;
-    Ok(Listed {
+    Ok(EndpointEntry {
         name,
         addr: Some(addr),
         zone: slipreel_platform_settings::as_named(text(value, "zone")?),
@@ -81,7 +81,7 @@
 ///
 /// # Errors
 /// What can't be read, with its place. Nothing of the object is taken then.
-pub(crate) fn read(value: &Value) -> Result<List, String> {
+pub(crate) fn read(value: &Value) -> Result<EndpointList, String> {
     let entries = field(value, "endpoints")?.as_array().ok_or("endpoints: expected a list")?;
     if entries.len() > MOST {
         return Err(format!("endpoints: {} entries: expected at most {MOST}", entries.len()));
@@ -91,7 +91,7 @@
         .map(|(i, entry)| listed(entry).map_err(|why| format!("endpoints.{i}.{why}")))
         .collect::<Result<_, _>>()?;
     let whole = field(value, "snapshot")?.as_bool().ok_or("snapshot: expected true or false")?;
-    Ok(List { index: number(value, "index")?, whole, older: false, entries })
+    Ok(EndpointList { index: number(value, "index")?, whole, older: false, entries })
 }
 
 /// Takes the whole objects at the front of what a watch has said so far, however they are spread over lines, and leaves
@@ -100,7 +100,7 @@
 /// # Errors
 /// As [`read`], or what stands there is no JSON. The objects before it have been taken.
 pub(crate) fn take(
-    said: &mut Vec<u8>, out: &mut impl FnMut(List) -> Result<(), String>,
+    said: &mut Vec<u8>, out: &mut impl FnMut(EndpointList) -> Result<(), String>,
 ) -> Result<(), String> {
     let mut values = serde_json::Deserializer::from_slice(said).into_iter::<Value>();
     let mut taken = 0;
--- a/crates/platform/src/list/tests.rs
+++ b/crates/platform/src/endpoint_list/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-fn read_line(line: &[u8]) -> Result<List, String> {
+fn read_line(line: &[u8]) -> Result<EndpointList, String> {
     let (mut said, mut lists) = (line.to_vec(), Vec::new());
     take(&mut said, &mut |list| {
         lists.push(list);
--- a/crates/platform/src/members.rs
+++ b/crates/platform/src/endpoints.rs
@@ -1,6 +1,6 @@
 //! The engines as discovery told of them. Names are the engines; addresses may change.
 
-use crate::list::{List, Listed};
+use crate::endpoint_list::{EndpointEntry, EndpointList};
 use slipreel::{CellId, Engine, EngineId, EngineState, Event, KindId, Listing, Role, ZoneId};
 use slipreel_platform_settings::Profile;
 use std::collections::BTreeMap;
@@ -10,7 +10,7 @@
 
 /// One engine.
 #[derive(Clone, Debug)]
-pub(crate) struct Member {
+pub(crate) struct Endpoint {
     pub(crate) addr: SocketAddr,
     pub(crate) name: String,
     pub(crate) role: Role,
@@ -29,8 +29,8 @@
 
 /// The engines, and how names of the settings are numbered.
 #[derive(Debug)]
-pub(crate) struct Members {
-    by_id: BTreeMap<EngineId, Member>,
+pub(crate) struct Endpoints {
+    by_id: BTreeMap<EngineId, Endpoint>,
     kinds: Vec<(String, Role)>,
     zones: Vec<String>,
     /// The node's clock at the epoch of wall time is this much before its own zero.
@@ -38,7 +38,7 @@
 }
 
 /// What a list changed.
-pub(crate) struct Change {
+pub(crate) struct EndpointChanges {
     /// For the module.
     pub(crate) event: Event,
     /// Engines that want nothing new any more.
@@ -49,11 +49,11 @@
     pub(crate) odd: Vec<String>,
 }
 
-impl Members {
+impl Endpoints {
     /// `wall`: the wall clock since the epoch, at the node's time `now`.
     pub(crate) fn new(profile: &Profile, now: Duration, wall: Duration) -> Self {
         let roles = profile.settings.kind_roles.iter().copied();
-        Members {
+        Endpoints {
             by_id: BTreeMap::new(),
             kinds: profile.kinds.iter().cloned().zip(roles).collect(),
             zones: profile.zones.clone(),
@@ -61,7 +61,7 @@
         }
     }
 
-    pub(crate) fn get(&self, id: EngineId) -> Option<&Member> {
+    pub(crate) fn get(&self, id: EngineId) -> Option<&Endpoint> {
         self.by_id.get(&id)
     }
 
@@ -70,21 +70,21 @@
     }
 
     /// The engines, the one heard of last first.
-    pub(crate) fn by_heard(&self) -> Vec<EngineId> {
+    pub(crate) fn by_last_contact(&self) -> Vec<EngineId> {
         let mut all: Vec<(Duration, EngineId)> = self.by_id.iter().map(|(&id, m)| (m.heard, id)).collect();
         all.sort_by_key(|&(heard, id)| (std::cmp::Reverse(heard), id));
         all.into_iter().map(|(_, id)| id).collect()
     }
 
     pub(crate) fn heard(&mut self, id: EngineId, now: Duration) {
-        if let Some(member) = self.by_id.get_mut(&id) {
-            member.heard = now;
+        if let Some(endpoint) = self.by_id.get_mut(&id) {
+            endpoint.heard = now;
         }
     }
 
     /// Of a list that is older than what is held: whether this entry may still count. One that has left since, or wants
     /// nothing new, does not come back by it; a restart that the held one did not know does.
-    fn outlives(&self, entry: &Listed) -> bool {
+    fn outlives(&self, entry: &EndpointEntry) -> bool {
         let held = self.by_id.get(&engine_id(&entry.name));
         held.is_some_and(|m| m.state == EngineState::Ready || entry.since_ms > m.since_ms)
     }
@@ -92,7 +92,7 @@
     /// Takes a list; `cached` if it is the one that the node was started with.
     ///
     /// One that is older than what is held is no whole list any more: who is absent there may have come since.
-    pub(crate) fn take(&mut self, mut list: List, cached: bool) -> Change {
+    pub(crate) fn take(&mut self, mut list: EndpointList, cached: bool) -> EndpointChanges {
         if list.older {
             list.whole = false;
             list.entries.retain(|entry| self.outlives(entry));
@@ -129,10 +129,10 @@
                 )),
             }
         }
-        Change { event: Event::Engines { listing, engines }, closed, moved, odd }
+        EndpointChanges { event: Event::Engines { listing, engines }, closed, moved, odd }
     }
 
-    fn place(&mut self, id: EngineId, entry: &Listed, moved: &mut Vec<EngineId>) -> Option<Engine> {
+    fn place(&mut self, id: EngineId, entry: &EndpointEntry, moved: &mut Vec<EngineId>) -> Option<Engine> {
         let addr = entry.addr?;
         let kind = self.kinds.iter().position(|(name, _)| *name == entry.kind)?;
         let role = self.kinds[kind].1;
@@ -141,7 +141,7 @@
             self.zones.push(entry.zone.clone());
             self.zones.len() - 1
         });
-        let member = self.by_id.entry(id).or_insert_with(|| Member {
+        let endpoint = self.by_id.entry(id).or_insert_with(|| Endpoint {
             addr,
             name: entry.name.clone(),
             role,
@@ -151,12 +151,12 @@
             state: entry.state,
             since_ms: entry.since_ms,
         });
-        (member.state, member.since_ms) = (entry.state, entry.since_ms);
-        if (member.addr, member.role) != (addr, role) {
+        (endpoint.state, endpoint.since_ms) = (entry.state, entry.since_ms);
+        if (endpoint.addr, endpoint.role) != (addr, role) {
             moved.push(id);
         }
-        member.addr = addr;
-        (member.role, member.zone, member.cell) = (role, ZoneId(zone as u32), CellId(entry.cell));
+        endpoint.addr = addr;
+        (endpoint.role, endpoint.zone, endpoint.cell) = (role, ZoneId(zone as u32), CellId(entry.cell));
         let started = (entry.since_ms > 0)
             .then(|| Duration::from_millis(entry.since_ms).saturating_sub(self.epoch_ahead))
             .filter(|at| !at.is_zero());
--- a/crates/platform/src/link.rs
+++ b/crates/platform/src/engine_connection.rs
@@ -1,24 +1,30 @@
 //! A connection to an engine: the client side of HTTP, one exchange at a time, and what its bytes say.
 //!
 //! States and their time-outs: `Connecting` (the module's connect time), `Busy` (a probe or a release its own; an attempt
-//! the module's patience, then `room::SILENT_STREAM` once its stream has begun), `Idle` (part of the engine's).
+//! the module's patience, then `STREAM_SILENCE_TIMEOUT` once its stream has begun), `Idle` (part of the engine's).
 
+use crate::load_report::ReportLayout;
 use crate::proof::{AttemptEnd, NeverRan};
-use crate::report::Layout;
-use crate::room;
-use slipreel::{EngineId, LoadReport, Outcome};
+use crate::resource_limits::MAX_HEAD_BYTES;
+use slipreel::{EngineId, LoadReport, Outcome, RequestId};
 use slipreel_connections::ReleaseId;
 use slipreel_protocol::http::{Decoder, Head, Item, Limits, Side, Start};
 use slipreel_state_machine::ConnId;
 use std::net::SocketAddr;
 use std::time::Duration;
 
+/// The largest stream of an engine, in bytes: over what the protocol allows, far under what would hurt. A chunk that claims
+/// more is malformed as soon as its size is read.
+const MAX_STREAM_BYTES: u64 = 1 << 20;
+/// The largest event of a stream, and the largest answer that is not a stream, in bytes.
+const MAX_EVENT_BYTES: usize = 64 << 10;
+
 /// What a connection is used for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Use {
-    /// An attempt: of which call, and which of its attempts.
+pub(crate) enum ConnectionPurpose {
+    /// An attempt: of which request, and which of its attempts.
     Attempt {
-        call: u64,
+        request: RequestId,
         attempt: usize,
     },
     Probe,
@@ -58,7 +64,7 @@
 
 /// What the bytes of an exchange said.
 #[derive(Debug, PartialEq)]
-pub(crate) enum Said {
+pub(crate) enum ResponseEvent {
     /// Whole events of a stream, as they came.
     Events(Vec<u8>),
     /// The stream's last chunk, and the report that came with it.
@@ -79,12 +85,12 @@
 
 /// One connection to an engine.
 #[derive(Debug)]
-pub(crate) struct Link {
+pub(crate) struct EngineConnection {
     pub(crate) conn: ConnId,
     pub(crate) engine: EngineId,
     pub(crate) addr: SocketAddr,
     pub(crate) state: State,
-    pub(crate) used_for: Use,
+    pub(crate) purpose: ConnectionPurpose,
     /// Since when the state lasts; in a stream: when it last said something.
     pub(crate) since: Duration,
     /// What of the request is still to be written: all until the connection stands, then the last byte that is held back.
@@ -99,7 +105,7 @@
     /// It has carried an exchange before: a late second answer to that can't be told from the answer to the present one.
     pub(crate) is_reused: bool,
     /// The same, and nothing of the answer to the present one has come.
-    pub(crate) on_trust: bool,
+    pub(crate) reuse_unproven: bool,
     /// The exchange is over, and another may follow.
     pub(crate) reusable: bool,
     decoder: Decoder,
@@ -107,7 +113,7 @@
 }
 
 fn decoder() -> Decoder {
-    let limits = Limits { head: room::HEAD, body: room::STREAM, ..Limits::default() };
+    let limits = Limits { head: MAX_HEAD_BYTES, body: MAX_STREAM_BYTES, ..Limits::default() };
     Decoder::new(Side::Client, limits)
 }
 
@@ -121,16 +127,17 @@
     block.split(|&b| b == b'\n').map(|line| line.strip_suffix(b"\r").unwrap_or(line))
 }
 
-impl Link {
+impl EngineConnection {
     pub(crate) fn new(
-        conn: ConnId, engine: EngineId, addr: SocketAddr, used_for: Use, now: Duration, pending: Vec<u8>,
+        conn: ConnId, engine: EngineId, addr: SocketAddr, purpose: ConnectionPurpose, now: Duration,
+        pending: Vec<u8>,
     ) -> Self {
-        Link {
+        EngineConnection {
             conn,
             engine,
             addr,
             state: State::Connecting,
-            used_for,
+            purpose,
             since: now,
             unsent: pending.len(),
             pending,
@@ -138,7 +145,7 @@
             odd_reports: 0,
             paused: false,
             is_reused: false,
-            on_trust: false,
+            reuse_unproven: false,
             reusable: false,
             decoder: decoder(),
             body: Body::None,
@@ -146,10 +153,10 @@
     }
 
     /// A further exchange begins on it. Gives what to write now.
-    pub(crate) fn begin(&mut self, used_for: Use, now: Duration, bytes: Vec<u8>) -> Vec<u8> {
-        (self.used_for, self.unsent, self.pending) = (used_for, bytes.len(), bytes);
+    pub(crate) fn begin(&mut self, purpose: ConnectionPurpose, now: Duration, bytes: Vec<u8>) -> Vec<u8> {
+        (self.purpose, self.unsent, self.pending) = (purpose, bytes.len(), bytes);
         (self.reusable, self.body, self.holds_last_byte) = (false, Body::None, false);
-        (self.is_reused, self.on_trust) = (true, true);
+        (self.is_reused, self.reuse_unproven) = (true, true);
         self.stands(now)
     }
 
@@ -170,29 +177,29 @@
     }
 
     /// Whether its last byte is held back.
-    pub(crate) fn holds_back(&self) -> bool {
+    pub(crate) fn is_holding_last_byte(&self) -> bool {
         self.state == State::Busy && !self.pending.is_empty()
     }
 
     /// Proof that its request never came whole to the engine. That bytes were not reported as sent is none: the report may
     /// be late, and a write that fails may have arrived.
-    pub(crate) fn never_written(&self) -> Option<NeverRan> {
+    pub(crate) fn proof_of_never_written(&self) -> Option<NeverRan> {
         match self.state {
             State::Connecting => Some(NeverRan::GivenUp),
-            State::Busy if self.holds_back() => Some(NeverRan::LastByteHeld),
+            State::Busy if self.is_holding_last_byte() => Some(NeverRan::LastByteHeld),
             State::Busy | State::Idle => None,
         }
     }
 
     /// How what it carries ends as it is given up.
     pub(crate) fn given_up(&self, outcome: Outcome) -> AttemptEnd {
-        self.never_written().map_or_else(|| AttemptEnd::may_have_run(outcome), AttemptEnd::never_ran)
+        self.proof_of_never_written().map_or_else(|| AttemptEnd::may_have_run(outcome), AttemptEnd::never_ran)
     }
 
     /// The same connection, with the last byte of its request held back.
     #[must_use]
     pub(crate) fn holding_last_byte(self) -> Self {
-        Link { holds_last_byte: true, ..self }
+        EngineConnection { holds_last_byte: true, ..self }
     }
 
     /// Proof by an answer which says that nothing ran: the first on its connection, which can be to nothing else.
@@ -202,43 +209,43 @@
     }
 
     /// Takes bytes; appends what they said. Nothing more is to be fed after `Spoilt`.
-    pub(crate) fn feed(&mut self, bytes: &[u8], layout: &Layout, said: &mut Vec<Said>) {
+    pub(crate) fn feed(&mut self, bytes: &[u8], report_layout: &ReportLayout, said: &mut Vec<ResponseEvent>) {
         self.decoder.feed(bytes);
         loop {
             match self.decoder.next_item() {
                 Ok(None) => return,
                 Ok(Some(Item::Head(head))) => {
-                    if let Err(why) = self.head(&head, layout) {
-                        return said.push(Said::Spoilt(why));
+                    if let Err(why) = self.head(&head, report_layout) {
+                        return said.push(ResponseEvent::Spoilt(why));
                     }
                 }
                 Ok(Some(Item::Body(piece))) => {
-                    if let Err(why) = self.piece(&piece, layout, said) {
-                        return said.push(Said::Spoilt(why));
+                    if let Err(why) = self.piece(&piece, report_layout, said) {
+                        return said.push(ResponseEvent::Spoilt(why));
                     }
                 }
                 Ok(Some(Item::End)) => {
-                    if self.ended(layout, said) {
+                    if self.ended(report_layout, said) {
                         return;
                     }
                 }
-                Err(why) => return said.push(Said::Spoilt(why.why)),
+                Err(why) => return said.push(ResponseEvent::Spoilt(why.why)),
             }
         }
     }
 
-    fn head(&mut self, head: &Head, layout: &Layout) -> Result<(), String> {
+    fn head(&mut self, head: &Head, report_layout: &ReportLayout) -> Result<(), String> {
         let Start::Response { status } = head.start else { return Err("no answer".into()) };
         if status < 200 {
             // 101 would make it another protocol; the others only say that an answer is to come.
             return if status == 101 { Err("status 101".into()) } else { Ok(()) };
         }
         self.reusable = head.keep_alive;
-        let report = head.get("x-load").map(|text| layout.read(text));
+        let report = head.get("x-load").map(|text| report_layout.read(text));
         self.odd_reports += u64::from(report == Some(None));
         let report = report.flatten();
         let kind = head.get("content-type").unwrap_or_default();
-        self.body = if status == 200 && matches!(self.used_for, Use::Attempt { .. }) {
+        self.body = if status == 200 && matches!(self.purpose, ConnectionPurpose::Attempt { .. }) {
             if !kind.starts_with("text/event-stream") {
                 return Err(format!("content type {kind:?}: expected text/event-stream"));
             }
@@ -250,14 +257,16 @@
         Ok(())
     }
 
-    fn piece(&mut self, piece: &[u8], layout: &Layout, said: &mut Vec<Said>) -> Result<(), String> {
+    fn piece(
+        &mut self, piece: &[u8], report_layout: &ReportLayout, said: &mut Vec<ResponseEvent>,
+    ) -> Result<(), String> {
         match &mut self.body {
             Body::None => Ok(()),
             Body::Whole(answer) => {
                 answer.body.extend_from_slice(piece);
-                let long = answer.body.len() > room::EVENT;
+                let long = answer.body.len() > MAX_EVENT_BYTES;
                 if long {
-                    Err(format!("an answer over {} bytes", room::EVENT))
+                    Err(format!("an answer over {MAX_EVENT_BYTES} bytes"))
                 } else {
                     Ok(())
                 }
@@ -265,25 +274,26 @@
             Body::Stream(held, report) => {
                 held.extend_from_slice(piece);
                 let mut whole = Vec::new();
-                let mut begun = 0;
+                let mut streaming_attempt = 0;
                 for at in 0..held.len() {
-                    let ends = held[begun..=at].ends_with(b"\n\n") || held[begun..=at].ends_with(b"\n\r\n");
+                    let ends = held[streaming_attempt..=at].ends_with(b"\n\n")
+                        || held[streaming_attempt..=at].ends_with(b"\n\r\n");
                     if !ends {
                         continue;
                     }
-                    let block = &held[begun..=at];
+                    let block = &held[streaming_attempt..=at];
                     if let Some(odd) = lines(block).find(|line| !is_event_line(line)) {
                         let odd = String::from_utf8_lossy(&odd[..odd.len().min(40)]).into_owned();
                         emit(whole, said);
                         return Err(format!("{odd:?} in a stream of events"));
                     }
-                    take_block(block, layout, report, &mut self.odd_reports, &mut whole);
-                    begun = at + 1;
+                    take_block(block, report_layout, report, &mut self.odd_reports, &mut whole);
+                    streaming_attempt = at + 1;
                 }
-                held.drain(..begun);
+                held.drain(..streaming_attempt);
                 emit(whole, said);
-                if held.len() > room::EVENT {
-                    return Err(format!("an event over {} bytes", room::EVENT));
+                if held.len() > MAX_EVENT_BYTES {
+                    return Err(format!("an event over {MAX_EVENT_BYTES} bytes"));
                 }
                 Ok(())
             }
@@ -291,19 +301,19 @@
     }
 
     /// The end of a message. Whether the exchange is over.
-    fn ended(&mut self, layout: &Layout, said: &mut Vec<Said>) -> bool {
+    fn ended(&mut self, report_layout: &ReportLayout, said: &mut Vec<ResponseEvent>) -> bool {
         match std::mem::replace(&mut self.body, Body::None) {
             Body::None => return false,
-            Body::Whole(answer) => said.push(Said::Answer(answer)),
+            Body::Whole(answer) => said.push(ResponseEvent::Answer(answer)),
             Body::Stream(held, mut report) => {
                 if lines(&held).any(|line| !is_event_line(line)) {
-                    said.push(Said::Spoilt("the last event has no end".into()));
+                    said.push(ResponseEvent::Spoilt("the last event has no end".into()));
                     return true;
                 }
                 let mut whole = Vec::new();
-                take_block(&held, layout, &mut report, &mut self.odd_reports, &mut whole);
+                take_block(&held, report_layout, &mut report, &mut self.odd_reports, &mut whole);
                 emit(whole, said);
-                said.push(Said::End(report));
+                said.push(ResponseEvent::End(report));
             }
         }
         // More than was asked for, or an answer before all was asked: what comes next can't be told apart.
@@ -312,15 +322,16 @@
     }
 }
 
-fn emit(whole: Vec<u8>, said: &mut Vec<Said>) {
+fn emit(whole: Vec<u8>, said: &mut Vec<ResponseEvent>) {
     if !whole.is_empty() {
-        said.push(Said::Events(whole));
+        said.push(ResponseEvent::Events(whole));
     }
 }
 
 /// An event as it came; a block of comments alone is none, and may hold a report.
 fn take_block(
-    block: &[u8], layout: &Layout, report: &mut Option<LoadReport>, odd: &mut u64, whole: &mut Vec<u8>,
+    block: &[u8], report_layout: &ReportLayout, report: &mut Option<LoadReport>, odd: &mut u64,
+    whole: &mut Vec<u8>,
 ) {
     let mut comments = true;
     for line in lines(block).filter(|line| !line.is_empty()) {
@@ -331,7 +342,7 @@
         let told = std::str::from_utf8(comment).ok().and_then(|text| text.trim().split_once(':'));
         let told = told.filter(|(name, _)| name.eq_ignore_ascii_case("x-load"));
         if let Some((_, text)) = told {
-            match layout.read(text) {
+            match report_layout.read(text) {
                 Some(told) => *report = Some(told),
                 None => *odd += 1,
             }
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,38 +1,47 @@
-//! The platform's protocol as a machine without I/O and clock: clients on one side, engines and discovery on the other.
+//! The platform's protocol as a state machine without I/O and clock: clients on one side, engines and discovery on the
+//! other.
 //!
-//! A [`Node`] is a [`Machine`](slipreel_state_machine::Machine). It holds `slipreel::Router`, tells it what happens on the
-//! sockets and carries out what it decides. A request's way through the files:
+//! A [`PlatformRouter`] is a [`Machine`](slipreel_state_machine::Machine). It holds the decision module
+//! (`slipreel::Router`), queues events for it about what happens on the sockets, and dispatches the actions that it
+//! decides. A request's way through the files:
 //!
-//! 1. `clients`: bytes become one whole request, `ask` reads off its head what the module is told;
-//! 2. `carry`: the module's actions become attempts on connections (`link`), probes, and releases (`release`);
-//! 3. `engines`: what engines say becomes events for the module, and the events of one stream the client's answer;
+//! 1. `clients`: bytes of a client become one complete request; `parse_request` reads from its head what the decision
+//!    module is told, and `request_error` says why a request is rejected before that;
+//! 2. `dispatch`: the module's actions become attempts on connections (`engine_connection`), health checks, and
+//!    releases of held state (`release`);
+//! 3. `engines`: responses of engines become events for the module, and the events of one stream the client's answer;
 //! 4. `clients`: the one final answer is written.
 //!
-//! `call` is one request under way, `list` and `members` are what discovery told, `watch` how it is asked, `report` a
-//! load report, `proof` what it rests on that an attempt never ran, `recent_ids` which ids were sent on lately,
-//! `room` what is bounded and what goes first when it is short, `config` what a node is started with.
+//! Beside that way stand `request` (one request in progress), `endpoints` and `endpoint_list` (the engines that discovery
+//! lists), `watch` (how discovery is asked), `load_report` (the text of a load report), `proof` (evidence that an attempt
+//! never ran), `recent_ids` (ids that were forwarded lately), `resource_limits` (bounds of the process), `counters` and
+//! `log_limiter` (what the log says), and `config` (what a router is started with).
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-mod ask;
-mod call;
-mod carry;
 mod clients;
 pub mod config;
+mod counters;
+mod dispatch;
+mod endpoint_list;
+mod endpoints;
+mod engine_connection;
 mod engines;
-mod link;
-mod list;
-mod members;
-mod node;
+mod load_report;
+mod log_limiter;
+mod parse_request;
 mod proof;
 mod recent_ids;
 mod release;
-mod report;
-mod room;
+mod request;
+mod request_error;
+mod resource_limits;
+mod router;
 mod watch;
 
-pub use config::{Config, Unreadable};
-pub use members::engine_id;
-pub use node::{Node, Tally};
-pub use room::Room;
+pub use config::{Config, ConfigError};
+pub use counters::Counters;
+pub use endpoints::engine_id;
+pub use resource_limits::ResourceLimits;
+pub use router::PlatformRouter;
--- a/crates/platform/src/report.rs
+++ b/crates/platform/src/load_report.rs
@@ -5,11 +5,11 @@
 
 /// Where the values of a report go, by name.
 #[derive(Clone, Debug)]
-pub(crate) struct Layout(Vec<(String, Column)>);
+pub(crate) struct ReportLayout(Vec<(String, Column)>);
 
-impl Layout {
+impl ReportLayout {
     pub(crate) fn of(profile: &Profile) -> Self {
-        Layout(profile.column_names.iter().cloned().zip(profile.columns.iter().copied()).collect())
+        ReportLayout(profile.column_names.iter().cloned().zip(profile.columns.iter().copied()).collect())
     }
 
     /// Reads a report. `None` if it is none: a name without a value, or a value that is no number of 0 or more. Fields
--- a/crates/platform/src/report/tests.rs
+++ b/crates/platform/src/load_report/tests.rs
@@ -1,13 +1,13 @@
 use super::*;
 
-fn layout() -> Layout {
+fn report_layout() -> ReportLayout {
     let columns = [("queue", Column::Queued), ("x0", Column::MemoryShare), ("x1", Column::WaitingThousands)];
-    Layout(columns.map(|(n, c)| (n.to_owned(), c)).to_vec())
+    ReportLayout(columns.map(|(n, c)| (n.to_owned(), c)).to_vec())
 }
 
 #[test]
 fn a_report_is_read_by_the_names_of_the_settings() {
-    let read = layout().read("queue=2, x0=0.25,x1=1.5,shoe=44").unwrap();
+    let read = report_layout().read("queue=2, x0=0.25,x1=1.5,shoe=44").unwrap();
     let expected = LoadReport {
         queued: Some(2.0),
         memory_share: Some(0.25),
@@ -20,6 +20,6 @@
 #[test]
 fn one_that_cant_be_read_is_none() {
     for text in ["", "queue", "queue=", "queue=NaN", "queue=-1", "queue=1,,x0=1", "\u{1}=2", "shoe=44"] {
-        assert_eq!(layout().read(text), None, "{text:?}");
+        assert_eq!(report_layout().read(text), None, "{text:?}");
     }
 }
--- a/crates/platform/src/ask/tests.rs
+++ b/crates/platform/src/parse_request/tests.rs
@@ -27,26 +27,29 @@
                     X-Extras: prefix=5c0f6e1a2b3d4c59,prompt_len=5120,prefix_len=2048,max_out=800\r\n";
 
 #[test]
-fn what_is_asked_is_read_off_the_head() {
-    let ask = read(&profile(), &received(GOOD)).unwrap();
-    let r = &ask.request;
-    assert_eq!((ask.name.as_str(), r.class, r.tenant, r.session), ("9b1f", ClassId(1), TenantId(0), 16));
+fn a_request_is_parsed_from_its_head() {
+    let parsed = parse(&profile(), &received(GOOD)).unwrap();
+    let r = &parsed.request;
+    assert_eq!(
+        (parsed.client_id.as_str(), r.class, r.tenant, r.session),
+        ("9b1f", ClassId(1), TenantId(0), 16)
+    );
     assert_eq!(
         (r.shared_prefix, r.prompt_tokens, r.max_output_tokens),
         (Some(0x5c0f_6e1a_2b3d_4c59), 5120.0, 800.0)
     );
     assert_eq!((r.client_timeout, r.is_retry), (Duration::from_millis(4800), false));
     let more = format!("{GOOD}X-Retry: 1\r\n").replace("4800m", "1500u");
-    let ask = read(&profile(), &received(&more)).unwrap();
-    assert_eq!((ask.request.client_timeout, ask.request.is_retry), (Duration::from_micros(1500), true));
-    let again = read(&profile(), &received(&more.replace("X-Retry: 1", "X-Retry: again"))).unwrap().request;
+    let parsed = parse(&profile(), &received(&more)).unwrap();
+    assert_eq!((parsed.request.client_timeout, parsed.request.is_retry), (Duration::from_micros(1500), true));
+    let again = parse(&profile(), &received(&more.replace("X-Retry: 1", "X-Retry: again"))).unwrap().request;
     assert_eq!((again.is_retry, again.is_resumption), (false, true));
     let short = GOOD.split("X-Extras").next().unwrap();
-    assert_eq!(read(&profile(), &received(short)).unwrap().request.prompt_tokens, 2.0, "by its body");
+    assert_eq!(parse(&profile(), &received(short)).unwrap().request.prompt_tokens, 2.0, "by its body");
 }
 
 #[test]
-fn what_cant_be_meant_is_bad() {
+fn an_invalid_or_missing_field_gives_status_400() {
     for (from, to) in [
         ("X-Request-Id: 9b1f\r\n", ""),
         ("9b1f", "a/b"),
@@ -64,7 +67,7 @@
         ("prompt_len=5120", "prompt_len"),
         ("max_out=800", "max_out=inf"),
     ] {
-        let asked = read(&profile(), &received(&GOOD.replace(from, to)));
-        assert_eq!(asked.map(|_| ()).unwrap_err().0, 400, "{to}");
+        let asked = parse(&profile(), &received(&GOOD.replace(from, to)));
+        assert_eq!(asked.map(|_| ()).unwrap_err().status(), 400, "{to}");
     }
 }
--- a/crates/platform/src/release.rs
+++ b/crates/platform/src/release.rs
@@ -4,11 +4,10 @@
 //! from last, on a connection that stands; to another one each time it is sent again; and to any connection that has just
 //! answered something else.
 
-use crate::link::Use;
-use crate::node::{Alarm, Node};
-use crate::room;
-use slipreel::{EngineId, RequestId};
-use slipreel_connections::{Release, ReleaseId, ReleaseStep};
+use crate::engine_connection::ConnectionPurpose;
+use crate::router::{PlatformRouter, Timer};
+use slipreel::{EngineId, RequestId, Settings};
+use slipreel_connections::{Release, ReleaseId, ReleaseStep, ReleaseTiming};
 use slipreel_protocol::http::{self, Framing};
 use slipreel_state_machine::{ConnId, Output};
 use std::net::SocketAddr;
@@ -17,21 +16,43 @@
 /// The address of a holder that has left the list; nothing is sent there.
 const NOWHERE: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::UNSPECIFIED), 0);
 
-impl Node {
+/// A release that was not acknowledged is sent again after this, to another engine if possible: several times within the
+/// half second of the protocol's rule on held state.
+const RELEASE_RETRY_INTERVAL: Duration = Duration::from_millis(120);
+/// A release that no engine has acknowledged for so long is given up: longer than any outage on record.
+const RELEASE_EXPIRY: Duration = Duration::from_millis(60_000);
+/// A release that was sent so long ago without an answer is sent on any connection that has just answered, too.
+const RELEASE_STALE_AFTER: Duration = Duration::from_millis(20);
+/// An engine that was heard from so long after an attempt at it had ended has seen that: what was on its way has come.
+const CANCELLATION_SEEN_AFTER: Duration = Duration::from_millis(30);
+/// State may come to be held so long after its prefill was given up: an engine that hangs or is cut off for as long goes
+/// on with it before it sees that its connection was closed. Not every engine drops a prefill whose deadline has passed.
+const RELEASE_REPEAT_PERIOD: Duration = Duration::from_millis(8_000);
+
+/// How releases are retried. They are repeated at the pace of the rule on held state, whose slack covers a retry.
+pub(crate) fn release_timing(settings: &Settings) -> ReleaseTiming {
+    ReleaseTiming {
+        retry: RELEASE_RETRY_INTERVAL,
+        repeat: settings.held_state_limit.max(RELEASE_RETRY_INTERVAL),
+        give_up: RELEASE_EXPIRY,
+    }
+}
+
+impl PlatformRouter {
     /// Releases what is held for a request, in place of an earlier release of it that is not over.
     pub(crate) fn release(&mut self, id: RequestId, out: &mut Vec<Output>) {
-        let Some(call) = self.calls.get_mut(&id) else { return };
-        let Some(&holder) = call.holders().first() else { return };
-        let addr = self.members.get(holder).map_or(NOWHERE, |m| m.addr);
-        let release = self.releases.add(self.now, holder, addr, call.name.clone());
-        let unsure = call.unsure();
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        let Some(&holder) = request.state_holders().first() else { return };
+        let addr = self.endpoints.get(holder).map_or(NOWHERE, |m| m.addr);
+        let release = self.releases.add(self.now, holder, addr, request.client_id.clone());
+        let unsure = request.unsure();
         if !unsure.is_empty() {
-            self.releases.repeat_until(release, self.now + room::RELEASE_REPEATS, unsure);
+            self.releases.repeat_until(release, self.now + RELEASE_REPEAT_PERIOD, unsure);
         }
-        if let Some(earlier) = call.release {
+        if let Some(earlier) = request.release {
             self.releases.withdraw(earlier);
         }
-        call.releasing(release);
+        request.begin_release(release);
         self.release_due(release, out);
     }
 
@@ -40,10 +61,10 @@
         match self.releases.step(id, self.now) {
             ReleaseStep::Over => {}
             ReleaseStep::Wait(at) => {
-                self.wheel.set(at, Alarm::Release(id));
+                self.timers.set(at, Timer::Release(id));
             }
             ReleaseStep::Send(release) => {
-                self.wheel.set(self.now + room::RELEASE_RETRY, Alarm::Release(id));
+                self.timers.set(self.now + RELEASE_RETRY_INTERVAL, Timer::Release(id));
                 if release.repeats && self.is_sure(&release) {
                     self.releases.repeat_no_more(id);
                 }
@@ -57,15 +78,15 @@
     /// Whether every engine with an attempt that was given up or broke off has been heard from long enough after that to
     /// have seen it.
     fn is_sure(&self, release: &Release) -> bool {
-        let heard = |engine: EngineId| self.members.get(engine).map_or(Duration::ZERO, |m| m.heard);
-        release.unsure.iter().all(|a| heard(a.engine) >= a.ended + room::RELEASE_SURE)
+        let heard = |engine: EngineId| self.endpoints.get(engine).map_or(Duration::ZERO, |m| m.heard);
+        release.unsure.iter().all(|a| heard(a.engine) >= a.ended + CANCELLATION_SEEN_AFTER)
     }
 
     /// To which engines a release goes now. Of those that were not asked for it yet: the one heard from last among those
     /// with a connection that stands; and, once a try has failed, one heard from later still, for which a connection has to
     /// be opened.
     fn release_targets(&mut self, id: ReleaseId, release: &Release) -> Vec<EngineId> {
-        let engines = self.members.by_heard();
+        let engines = self.endpoints.by_last_contact();
         let mut candidates: Vec<EngineId> =
             engines.iter().copied().filter(|engine| !release.asked.contains(engine)).collect();
         if candidates.is_empty() {
@@ -75,26 +96,26 @@
         let standing = candidates.iter().position(|&engine| self.pool.has_idle(engine));
         let mut targets: Vec<EngineId> = standing.map(|at| candidates[at]).into_iter().collect();
         let opens = standing.is_none() || (standing > Some(0) && !release.asked.is_empty());
-        if opens && self.releases.may_open(release.holder, self.now, room::RELEASE_RETRY) {
+        if opens && self.releases.may_open(release.holder, self.now, RELEASE_RETRY_INTERVAL) {
             targets.extend(candidates.first());
         }
         targets
     }
 
     fn send_release(&mut self, id: ReleaseId, release: &Release, engine: EngineId, out: &mut Vec<Output>) {
-        let Some(addr) = self.members.get(engine).map(|m| m.addr) else { return };
+        let Some(addr) = self.endpoints.get(engine).map(|m| m.addr) else { return };
         let target = format!("/v1/holds/{}", release.name);
         let bytes = http::request_head("DELETE", &target, &[("host", &addr.to_string())], Framing::Length(0));
-        self.tally.releases += 1;
+        self.counters.releases += 1;
         self.releases.sent(id, engine, self.now);
-        self.exchange(engine, addr, Use::Release(id), bytes, out);
+        self.exchange(engine, addr, ConnectionPurpose::Release(id), bytes, out);
     }
 
     /// A connection has answered and fallen idle: it takes the oldest release that waits, so that many of them follow each
     /// other on one connection that works while all others are silent.
-    pub(crate) fn release_next(&mut self, conn: ConnId, out: &mut Vec<Output>) {
-        let Some(engine) = self.links.get(&conn).map(|l| l.engine) else { return };
-        let stale = self.now.saturating_sub(room::RELEASE_STALE);
+    pub(crate) fn send_waiting_release(&mut self, conn: ConnId, out: &mut Vec<Output>) {
+        let Some(engine) = self.engine_connections.get(&conn).map(|l| l.engine) else { return };
+        let stale = self.now.saturating_sub(RELEASE_STALE_AFTER);
         let Some(id) = self.releases.waiting(stale) else { return };
         let Some(release) = self.releases.get(id).cloned() else { return };
         self.send_release(id, &release, engine, out);
--- a/crates/platform/src/call.rs
+++ b/crates/platform/src/request.rs
@@ -47,20 +47,27 @@
     pub(crate) reads: bool,
 }
 
-/// A request under way.
-#[derive(Debug)]
-pub(crate) struct Call {
-    /// What its client and the engines know it by.
-    pub(crate) name: String,
-    pub(crate) client: ConnId,
-    /// It must not be repeated freely: it is unsafe, or keyed.
+/// What a request asks of its router, beside its bytes.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct RequestTerms {
+    /// It must not be repeated freely: it is not idempotent, or idempotent by its key alone.
     pub(crate) runs_once: bool,
     /// When its client gives up waiting for the first event.
     pub(crate) deadline: Duration,
-    /// By when its first event is wanted.
-    pub(crate) wanted: Duration,
+    /// When its first event is due by the latency objective of its class.
+    pub(crate) first_event_due: Duration,
     /// Length of its prompt, tokens.
-    pub(crate) prompt: u64,
+    pub(crate) prompt_tokens: u64,
+}
+
+/// A request in progress.
+#[derive(Debug)]
+pub(crate) struct ActiveRequest {
+    /// What its client and the engines know it by.
+    pub(crate) client_id: String,
+    /// The connection of its client.
+    pub(crate) client: ConnId,
+    pub(crate) terms: RequestTerms,
     method: String,
     target: String,
     /// Fields that go on to engines as they came.
@@ -68,36 +75,30 @@
     body: Vec<u8>,
     pub(crate) attempts: Vec<Attempt>,
     /// The attempt whose first event was passed on.
-    pub(crate) begun: Option<usize>,
+    pub(crate) streaming_attempt: Option<usize>,
     /// It has its final answer, or its client has left.
     pub(crate) over: bool,
     /// The release of its state that is not over.
     pub(crate) release: Option<ReleaseId>,
     /// The holder of state whose release was withdrawn as another attempt was sent.
-    owes: Option<EngineId>,
+    withdrawn_from: Option<EngineId>,
 }
 
-impl Call {
-    pub(crate) fn new(
-        name: String, client: ConnId, runs_once: bool, [deadline, wanted]: [Duration; 2], prompt: u64,
-        received: Received,
-    ) -> Self {
-        Call {
-            name,
+impl ActiveRequest {
+    pub(crate) fn new(client_id: String, client: ConnId, terms: RequestTerms, received: Received) -> Self {
+        ActiveRequest {
+            client_id,
             client,
-            runs_once,
-            deadline,
-            wanted,
-            prompt,
+            terms,
             method: received.method().to_owned(),
             target: received.target().to_owned(),
             forwarded: forwarded(&received),
             body: received.body,
             attempts: Vec::new(),
-            begun: None,
+            streaming_attempt: None,
             over: false,
             release: None,
-            owes: None,
+            withdrawn_from: None,
         }
     }
 
@@ -129,9 +130,10 @@
     /// The request to write to an engine. It tells what is left of the deadline as it is written: a connection may take long
     /// to come up.
     pub(crate) fn message(&self, now: Duration, addr: SocketAddr) -> Vec<u8> {
-        let left = self.deadline.saturating_sub(now).as_micros();
+        let left = self.terms.deadline.saturating_sub(now).as_micros();
         let (host, left) = (addr.to_string(), format!("{left}u"));
-        let mut fields = vec![("host", host.as_str()), ("x-request-id", &self.name), ("x-deadline", &left)];
+        let mut fields =
+            vec![("host", host.as_str()), ("x-request-id", &self.client_id), ("x-deadline", &left)];
         fields.extend(self.forwarded.iter().map(|(name, value)| (*name, value.as_str())));
         let mut bytes =
             http::request_head(&self.method, &self.target, &fields, Framing::Length(self.body.len()));
@@ -148,8 +150,8 @@
     }
 
     /// A stream has begun: it has fetched the state that the last read left.
-    pub(crate) fn has_begun(&mut self, attempt: usize) {
-        self.begun = Some(attempt);
+    pub(crate) fn begin_stream(&mut self, attempt: usize) {
+        self.streaming_attempt = Some(attempt);
         // What a client has been passed on is never sent again.
         self.body = Vec::new();
         if let Some(read) = self.attempts[..attempt].iter_mut().rfind(|a| a.holds) {
@@ -158,9 +160,9 @@
     }
 
     /// Who may hold state for it that no attempt is reading now; the last one first.
-    pub(crate) fn holders(&self) -> Vec<EngineId> {
+    pub(crate) fn state_holders(&self) -> Vec<EngineId> {
         let held = self.attempts.iter().rev().filter(|a| a.holds && !a.out).map(|a| a.engine);
-        held.chain(self.owes).collect()
+        held.chain(self.withdrawn_from).collect()
     }
 
     /// Attempts after whose end state may still come to be held: they were given up or broke off, and while its engine has
@@ -177,18 +179,18 @@
     }
 
     /// Its state is being released so.
-    pub(crate) fn releasing(&mut self, release: ReleaseId) {
-        (self.release, self.owes) = (Some(release), None);
+    pub(crate) fn begin_release(&mut self, release: ReleaseId) {
+        (self.release, self.withdrawn_from) = (Some(release), None);
         self.attempts.iter_mut().filter(|a| !a.out).for_each(|a| a.holds = false);
     }
 
     /// A release that is not over is withdrawn: sent again later it could release what a new attempt reads. It is owed then.
     pub(crate) fn release_withdrawn(&mut self, holder: EngineId) {
-        (self.release, self.owes) = (None, Some(holder));
+        (self.release, self.withdrawn_from) = (None, Some(holder));
     }
 
     /// What became of it so far, for the staff.
-    pub(crate) fn story(&self, now: Duration) -> String {
+    pub(crate) fn trace(&self, now: Duration) -> String {
         let attempts = self.attempts.iter().map(|a| {
             let (kind, age) =
                 (if a.reads { "read" } else { "write" }, now.saturating_sub(a.sent).as_millis());
@@ -196,8 +198,8 @@
             format!("{kind} {age} ms ago {end}")
         });
         let attempts: Vec<String> = attempts.collect();
-        let kind = if self.runs_once { "runs once" } else { "repeatable" };
-        let left = self.deadline.saturating_sub(now).as_millis();
+        let kind = if self.terms.runs_once { "runs once" } else { "repeatable" };
+        let left = self.terms.deadline.saturating_sub(now).as_millis();
         format!("{kind}, {left} ms left: {}", attempts.join(", "))
     }
 
--- a/crates/platform/src/node.rs
+++ b/crates/platform/src/router.rs
@@ -1,14 +1,18 @@
 //! The node as a machine: takes inputs in turn, fires timers, and lets the module decide until nothing is left.
 
-use crate::call::Call;
+use crate::clients::NEW_CONNECTION_GRACE;
 use crate::config::Config;
-use crate::link::{Link, State as LinkState, Use};
-use crate::list::List;
-use crate::members::Members;
+use crate::counters::Counters;
+use crate::endpoint_list::EndpointList;
+use crate::endpoints::Endpoints;
+use crate::engine_connection::{ConnectionPurpose, EngineConnection, State as ConnectionState};
+use crate::load_report::ReportLayout;
+use crate::log_limiter::LogLimiter;
 use crate::proof::{AttemptEnd, NeverRan};
 use crate::recent_ids::RecentIds;
-use crate::report::Layout;
-use crate::room::{self, Room};
+use crate::release;
+use crate::request::ActiveRequest;
+use crate::resource_limits::ResourceLimits;
 use crate::watch::{State as WatchState, Watch};
 use slipreel::{EngineId, Event, Outcome, RequestId, Router, StateSizes, TimerId};
 use slipreel_connections::{
@@ -19,61 +23,46 @@
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::time::Duration;
 
-/// How many requests ended how. Counters only grow.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Tally {
-    /// Requests told to the module.
-    pub taken: u64,
-    /// Whole streams passed on.
-    pub served: u64,
-    /// Turned away by the module.
-    pub refused: u64,
-    /// Failed, by the module or as a stream broke.
-    pub failed: u64,
-    /// Clients that left before their answer ended.
-    pub left: u64,
-    /// Answered or closed without the module: what can't be read, or for want of room.
-    pub turned: u64,
-    /// Attempts sent to engines.
-    pub attempts: u64,
-    /// Probes sent.
-    pub probes: u64,
-    /// Releases sent to engines, repeats counted.
-    pub releases: u64,
-    /// Streams and answers of engines that could not be read.
-    pub spoilt: u64,
-    /// Connections opened to engines.
-    pub opened: u64,
-    /// Load reports that came with answers or probes and were told to the module.
-    pub reports: u64,
-    /// Reports that could not be read.
-    pub odd_reports: u64,
-    /// Refused before any attempt: by the curve, as hopeless, or with nothing to send to.
-    pub refused_early: u64,
-    /// Failed or refused after attempts, or left by their clients while some were out.
-    pub fruitless: u64,
-    /// First events that came later than the aim of their class.
-    pub late: u64,
-    /// Streams that broke after their first event.
-    pub broken: u64,
-    /// Attempts that were given up, broke or ended as errors: work for nothing.
-    pub wasted: u64,
-    /// Attempts at engines of another zone.
-    pub crossed: u64,
-    /// Prompt tokens of reads that ended well, and how many of these their readers had kept.
-    pub read_tokens: u64,
-    /// See `read_tokens`.
-    pub kept_tokens: u64,
-    /// Prompt tokens whose state was written outside the cell of their reader.
-    pub moved_tokens: u64,
-}
+/// A connection whose first request has not come in whole is closed after this: within the 3 s that the protocol allows.
+const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(2_400);
+/// From when something of a request has come it has to be complete within this; same reason.
+const RECEIVE_TIMEOUT: Duration = Duration::from_millis(2_400);
+/// A client that takes nothing for so long while something waits for it is cut off.
+const CLIENT_STALL_TIMEOUT: Duration = Duration::from_millis(10_000);
+/// A stream that is silent for so long is given up: under the 5 s after which its client would be left waiting.
+const STREAM_SILENCE_TIMEOUT: Duration = Duration::from_millis(4_200);
+/// A health check is answered within this, or counts as lost.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(250);
+/// How long a connection for a release may take to carry it.
+const RELEASE_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// An idle connection to an engine is closed at this fraction of the engine's own idle timeout.
+const ENGINE_IDLE_FRACTION: f64 = 0.5;
+/// The engine's idle timeout where the settings name none.
+const DEFAULT_ENGINE_IDLE_TIMEOUT: Duration = Duration::from_millis(8_000);
+/// The last byte of a request that must not be repeated is held back for so long: a peer that resets the connection as a
+/// request comes in is seen to do so in this time.
+const LAST_BYTE_DELAY: Duration = Duration::from_millis(3);
+/// After it was told to stop, a router goes on taking requests for so long: who comes still has to be answered. From the
+/// protocol.
+const SHUTDOWN_GRACE: Duration = Duration::from_millis(700);
+/// So long after the start of a shutdown streams are migrated, where clients resume them: late enough for most to end by
+/// themselves, and early enough that the next router in a rolling restart is still up.
+const STREAM_MIGRATION_DELAY: Duration = Duration::from_millis(2_400);
+/// The longest wait of a client that the time until the kill goes by. From the protocol.
+const MAX_CLIENT_WAIT: Duration = Duration::from_millis(3_000);
+/// So long before the kill nothing is left unanswered.
+const SHUTDOWN_MARGIN: Duration = Duration::from_millis(450);
+/// The least time after which a machine is woken again rather than in the same moment.
+const MIN_WAKE_DELAY: Duration = Duration::from_millis(1);
+/// The time between two status lines.
+const STATUS_INTERVAL: Duration = Duration::from_millis(10_000);
 
 /// Why a timer was set.
 #[derive(Clone, Copy, Debug)]
-pub(crate) enum Alarm {
+pub(crate) enum Timer {
     Module(TimerId),
     Client(ConnId),
-    Link(ConnId),
+    EngineConnection(ConnId),
     /// An attempt's time-out, where the module gives one.
     Attempt(RequestId, usize),
     /// A release may be due again.
@@ -98,113 +87,117 @@
 
 /// A router on the platform, without I/O and clock.
 ///
-/// Takes as [`Input::News`]: a [`Config`], when the file was replaced.
-pub struct Node {
+/// Takes as [`Input::OwnerMessage`]: a [`Config`], when the file was replaced.
+pub struct PlatformRouter {
     pub(crate) now: Duration,
-    pub(crate) room: Room,
+    pub(crate) resource_limits: ResourceLimits,
     pub(crate) profile: Profile,
-    pub(crate) layout: Layout,
+    pub(crate) report_layout: ReportLayout,
     router: Router,
-    pub(crate) members: Members,
+    pub(crate) endpoints: Endpoints,
     pub(crate) watch: Watch,
     pub(crate) clients: HashMap<ConnId, Client>,
-    client_alarms: Due,
+    client_timers: Due,
     /// Clients whose first request has not come yet.
-    pub(crate) unheard: HashMap<ConnId, Duration>,
-    pub(crate) links: HashMap<ConnId, Link>,
-    link_alarms: Due,
+    pub(crate) awaiting_first_request: HashMap<ConnId, Duration>,
+    pub(crate) engine_connections: HashMap<ConnId, EngineConnection>,
+    engine_timers: Due,
     pub(crate) pool: Pool,
     pub(crate) trust: Trust,
-    pub(crate) calls: BTreeMap<RequestId, Call>,
+    pub(crate) requests: BTreeMap<RequestId, ActiveRequest>,
     /// Open requests by the name their clients gave them.
-    pub(crate) names: HashMap<String, RequestId>,
+    pub(crate) open_by_client_id: HashMap<String, RequestId>,
     /// Ids of requests that were sent on to engines lately.
-    pub(crate) sent_on: RecentIds,
-    pub(crate) wheel: Wheel<Alarm>,
-    watch_alarm: Option<TimerKey>,
+    pub(crate) recently_forwarded: RecentIds,
+    pub(crate) timers: Wheel<Timer>,
+    watch_timer: Option<TimerKey>,
     pub(crate) events: VecDeque<Event>,
-    pub(crate) reap: Vec<RequestId>,
+    pub(crate) finished: Vec<RequestId>,
     pub(crate) releases: ReleaseQueue,
     pub(crate) held_bytes: usize,
     next_conn: u64,
-    pub(crate) next_call: u64,
+    pub(crate) next_request: u64,
     pub(crate) ready: bool,
     pub(crate) stopping: Option<Duration>,
     stopped: bool,
     listening: Listening,
-    logged: Option<Duration>,
-    unlogged: u64,
+    log: LogLimiter,
     /// Stories of writes that never ran since it last said how things stand.
-    pub(crate) stories: u32,
-    pub(crate) tally: Tally,
+    pub(crate) never_ran_lines: u32,
+    pub(crate) counters: Counters,
 }
 
-impl Node {
+impl PlatformRouter {
     /// A node at its start. `wall` is the wall clock, since the epoch, at the clock's time `now`.
     pub fn new(config: Config, now: Duration, wall: Duration) -> Self {
-        let Config { discovery, seed, room, known, profile, .. } = config;
-        let mut node = Node {
+        let Config { discovery, seed, resource_limits, known, profile, .. } = config;
+        let mut node = PlatformRouter {
             now,
-            room,
-            layout: Layout::of(&profile),
+            resource_limits,
+            report_layout: ReportLayout::of(&profile),
             router: Router::new(profile.settings.clone(), seed),
-            members: Members::new(&profile, now, wall),
+            endpoints: Endpoints::new(&profile, now, wall),
             watch: Watch::new(discovery, now, seed),
             clients: HashMap::new(),
-            client_alarms: Due::default(),
-            unheard: HashMap::new(),
-            links: HashMap::new(),
-            link_alarms: Due::default(),
+            client_timers: Due::default(),
+            awaiting_first_request: HashMap::new(),
+            engine_connections: HashMap::new(),
+            engine_timers: Due::default(),
             pool: Pool::default(),
             trust: Trust::default(),
-            calls: BTreeMap::new(),
-            names: HashMap::new(),
-            sent_on: RecentIds::default(),
-            wheel: Wheel::default(),
-            watch_alarm: None,
+            requests: BTreeMap::new(),
+            open_by_client_id: HashMap::new(),
+            recently_forwarded: RecentIds::default(),
+            timers: Wheel::default(),
+            watch_timer: None,
             events: VecDeque::new(),
-            reap: Vec::new(),
-            releases: ReleaseQueue::new(room::release_timing(&profile.settings)),
+            finished: Vec::new(),
+            releases: ReleaseQueue::new(release::release_timing(&profile.settings)),
             held_bytes: 0,
             next_conn: 0,
-            next_call: 0,
+            next_request: 0,
             ready: false,
             stopping: None,
             stopped: false,
             listening: Listening::Open,
-            logged: None,
-            unlogged: 0,
-            stories: 0,
-            tally: Tally::default(),
+            log: LogLimiter::default(),
+            never_ran_lines: 0,
+            counters: Counters::default(),
             profile,
         };
         if let Some(known) = known {
             node.watch.holds(known.index);
             node.ready = true;
-            let change = node.members.take(known, true);
+            let change = node.endpoints.take(known, true);
             node.events.push_back(change.event);
         }
-        node.arm_watch();
-        node.wheel.set(now + room::SAY_STANDING, Alarm::Standing);
+        node.arm_watch_timer();
+        node.timers.set(now + STATUS_INTERVAL, Timer::Standing);
         node
     }
 
     /// What it has done so far.
-    pub fn tally(&self) -> Tally {
-        self.tally
+    pub fn counters(&self) -> Counters {
+        self.counters
     }
 
     /// What it holds: client connections, engine connections, requests under way, timers, releases.
     pub fn holds(&self) -> [usize; 5] {
-        [self.clients.len(), self.links.len(), self.calls.len(), self.wheel.len(), self.releases.len()]
+        [
+            self.clients.len(),
+            self.engine_connections.len(),
+            self.requests.len(),
+            self.timers.len(),
+            self.releases.len(),
+        ]
     }
 
     /// Attempts that are out on connections, by engine: what the module counts as under way there.
     pub fn under_way(&self) -> BTreeMap<EngineId, usize> {
         let mut counts = BTreeMap::new();
-        for link in self.links.values().filter(|l| l.state != LinkState::Idle) {
-            if matches!(link.used_for, Use::Attempt { .. }) {
-                *counts.entry(link.engine).or_default() += 1;
+        for connection in self.engine_connections.values().filter(|l| l.state != ConnectionState::Idle) {
+            if matches!(connection.purpose, ConnectionPurpose::Attempt { .. }) {
+                *counts.entry(connection.engine).or_default() += 1;
             }
         }
         counts
@@ -222,30 +215,34 @@
 
     /// Entries of the node's other books, which go by engine and by client.
     pub fn books(&self) -> usize {
-        self.members.len() + self.names.len() + self.unheard.len() + self.pool.len() + self.trust.len()
+        self.endpoints.len()
+            + self.open_by_client_id.len()
+            + self.awaiting_first_request.len()
+            + self.pool.len()
+            + self.trust.len()
     }
 
-    pub(crate) fn tell(&mut self, event: Event) {
+    pub(crate) fn queue_event(&mut self, event: Event) {
         self.events.push_back(event);
     }
 
-    pub(crate) fn opened(&mut self) -> ConnId {
+    pub(crate) fn next_connection_id(&mut self) -> ConnId {
         self.next_conn += 1;
         ConnId::opened(self.next_conn)
     }
 
     /// Lets the module decide until it has been told all; then forgets calls that are done.
-    fn settle(&mut self, out: &mut Vec<Output>) {
+    fn run_decisions(&mut self, out: &mut Vec<Output>) {
         let mut actions = Vec::new();
         while let Some(event) = self.events.pop_front() {
             self.router.handle(self.now, event, &mut actions);
             for action in std::mem::take(&mut actions) {
-                self.carry_out(action, out);
+                self.dispatch(action, out);
             }
         }
-        for id in std::mem::take(&mut self.reap) {
-            if self.calls.get(&id).is_some_and(Call::is_done) {
-                self.calls.remove(&id);
+        for id in std::mem::take(&mut self.finished) {
+            if self.requests.get(&id).is_some_and(ActiveRequest::is_done) {
+                self.requests.remove(&id);
             }
         }
         self.stop_when_done(out);
@@ -254,9 +251,9 @@
     /// Ends in two steps once nothing is left to do after a stop: first it stops listening, so that who has just connected
     /// is still answered, and it stops for good when nobody had, or all of them have left.
     fn stop_when_done(&mut self, out: &mut Vec<Output>) {
-        let released = self.releases.is_empty() || self.stopping_for(self.leaves());
-        let is_done = self.stopping_for(room::STOP_GRACE)
-            && self.calls.is_empty()
+        let released = self.releases.is_empty() || self.shutting_down_for(self.shutdown_deadline());
+        let is_done = self.shutting_down_for(SHUTDOWN_GRACE)
+            && self.requests.is_empty()
             && self.clients.is_empty()
             && released;
         if !is_done || self.stopped {
@@ -271,7 +268,7 @@
             Listening::Closing => {}
             Listening::Closed => {
                 self.stopped = true;
-                self.log_standing(out);
+                self.log_status(out);
                 out.push(Output::Stopped);
             }
         }
@@ -280,133 +277,140 @@
     /// Has the router woken once its driver has carried out all that was asked for.
     fn await_end_of_listening(&mut self) {
         if self.listening == Listening::Closing {
-            self.wheel.set(self.now + room::NEXT_WAKE, Alarm::StoppedListening);
+            self.timers.set(self.now + MIN_WAKE_DELAY, Timer::StoppedListening);
         }
     }
 
-    /// A line for the staff on a peer's misdeed; no more than so many a second, the rest are counted.
-    pub(crate) fn note(&mut self, line: impl FnOnce() -> String, out: &mut Vec<Output>) {
-        if self.logged.is_some_and(|at| self.now < at + room::LOG_STEP) {
-            self.unlogged += 1;
-            return;
+    /// Logs a line on a fault of a peer, at a limited rate.
+    pub(crate) fn log_limited(&mut self, line: impl FnOnce() -> String, out: &mut Vec<Output>) {
+        if let Some(line) = self.log.limit(self.now, line) {
+            out.push(Output::Log(line));
         }
-        self.logged = Some(self.now);
-        let more = std::mem::take(&mut self.unlogged);
-        let more = if more > 0 { format!(" (and {more} lines before it)") } else { String::new() };
-        out.push(Output::Log(line() + &more));
     }
 
     // ---- Timers -----------------------------------------------------------------------------
 
-    fn client_due(&self, client: &Client) -> Option<Duration> {
-        let stalled = (client.unsent > 0).then(|| client.moved + room::STALLED);
+    fn client_deadline(&self, client: &Client) -> Option<Duration> {
+        let stalled = (client.unsent > 0).then(|| client.moved + CLIENT_STALL_TIMEOUT);
         let due = match client.state {
-            ClientState::Idle if self.unheard.contains_key(&client.conn) => Some(client.since + room::SILENT),
-            ClientState::Idle => Some(client.since + self.room.client_idle(self.clients.len())),
+            ClientState::Idle if self.awaiting_first_request.contains_key(&client.conn) => {
+                Some(client.since + FIRST_REQUEST_TIMEOUT)
+            }
+            ClientState::Idle => {
+                Some(client.since + self.resource_limits.client_idle_timeout(self.clients.len()))
+            }
             ClientState::Receiving => {
-                let first = self.unheard.get(&client.conn).map(|&at| at + room::SILENT);
-                Some((client.since + room::RECEIVE).min(first.unwrap_or(Duration::MAX)))
+                let first =
+                    self.awaiting_first_request.get(&client.conn).map(|&at| at + FIRST_REQUEST_TIMEOUT);
+                Some((client.since + RECEIVE_TIMEOUT).min(first.unwrap_or(Duration::MAX)))
             }
             ClientState::Serving(_) => None,
         };
         due.into_iter().chain(stalled).min()
     }
 
-    fn link_due(&self, link: &Link) -> Option<Duration> {
-        match (link.state, link.used_for) {
-            (LinkState::Idle, _) => {
-                let theirs = self.profile.idle_close.unwrap_or(room::ENGINE_IDLE);
-                Some(link.since + theirs.mul_f64(room::ENGINE_IDLE_PART))
+    fn engine_deadline(&self, connection: &EngineConnection) -> Option<Duration> {
+        match (connection.state, connection.purpose) {
+            (ConnectionState::Idle, _) => {
+                let theirs = self.profile.idle_close.unwrap_or(DEFAULT_ENGINE_IDLE_TIMEOUT);
+                Some(connection.since + theirs.mul_f64(ENGINE_IDLE_FRACTION))
             }
-            (_, Use::Release(_)) => Some(link.since + room::RELEASE_CALL),
-            (LinkState::Connecting, _) => Some(link.since + self.profile.settings.limits.connect_timeout),
-            (LinkState::Busy, Use::Probe) => Some(link.since + room::PROBE),
-            (LinkState::Busy, Use::Attempt { .. }) if link.holds_back() => Some(link.since + room::HOLD_BACK),
-            (LinkState::Busy, Use::Attempt { call, attempt }) => {
-                let begun = self.calls.get(&RequestId(call)).is_some_and(|c| c.begun == Some(attempt));
-                (begun && !link.paused).then(|| link.since + room::SILENT_STREAM)
+            (_, ConnectionPurpose::Release(_)) => Some(connection.since + RELEASE_TIMEOUT),
+            (ConnectionState::Connecting, _) => {
+                Some(connection.since + self.profile.settings.limits.connect_timeout)
+            }
+            (ConnectionState::Busy, ConnectionPurpose::Probe) => Some(connection.since + PROBE_TIMEOUT),
+            (ConnectionState::Busy, ConnectionPurpose::Attempt { .. })
+                if connection.is_holding_last_byte() =>
+            {
+                Some(connection.since + LAST_BYTE_DELAY)
+            }
+            (ConnectionState::Busy, ConnectionPurpose::Attempt { request, attempt }) => {
+                let streaming_attempt =
+                    self.requests.get(&request).is_some_and(|c| c.streaming_attempt == Some(attempt));
+                (streaming_attempt && !connection.paused).then(|| connection.since + STREAM_SILENCE_TIMEOUT)
             }
         }
     }
 
-    pub(crate) fn arm_client(&mut self, conn: ConnId) {
-        let due = self.clients.get(&conn).and_then(|c| self.client_due(c));
-        self.client_alarms.arm(&mut self.wheel, conn, due, Alarm::Client(conn));
+    pub(crate) fn arm_client_timer(&mut self, conn: ConnId) {
+        let due = self.clients.get(&conn).and_then(|c| self.client_deadline(c));
+        self.client_timers.arm(&mut self.timers, conn, due, Timer::Client(conn));
     }
 
-    pub(crate) fn arm_link(&mut self, conn: ConnId) {
-        let due = self.links.get(&conn).and_then(|l| self.link_due(l));
-        self.link_alarms.arm(&mut self.wheel, conn, due, Alarm::Link(conn));
+    pub(crate) fn arm_engine_timer(&mut self, conn: ConnId) {
+        let due = self.engine_connections.get(&conn).and_then(|l| self.engine_deadline(l));
+        self.engine_timers.arm(&mut self.timers, conn, due, Timer::EngineConnection(conn));
     }
 
-    fn arm_watch(&mut self) {
-        if let Some(key) = self.watch_alarm.take() {
-            self.wheel.cancel(key);
+    fn arm_watch_timer(&mut self) {
+        if let Some(key) = self.watch_timer.take() {
+            self.timers.cancel(key);
         }
-        self.watch_alarm = Some(self.wheel.set(self.watch.due(), Alarm::Watch));
+        self.watch_timer = Some(self.timers.set(self.watch.due(), Timer::Watch));
     }
 
-    fn fire(&mut self, alarm: Alarm, out: &mut Vec<Output>) {
-        match alarm {
-            Alarm::Module(timer) => self.tell(Event::TimerFired(timer)),
-            Alarm::Client(conn) => {
-                self.client_alarms.fired(conn);
-                match self.clients.get(&conn).and_then(|c| self.client_due(c)) {
-                    Some(at) if at <= self.now => self.client_late(conn, out),
-                    _ => self.arm_client(conn),
+    fn fire(&mut self, timer: Timer, out: &mut Vec<Output>) {
+        match timer {
+            Timer::Module(timer) => self.queue_event(Event::TimerFired(timer)),
+            Timer::Client(conn) => {
+                self.client_timers.fired(conn);
+                match self.clients.get(&conn).and_then(|c| self.client_deadline(c)) {
+                    Some(at) if at <= self.now => self.client_timed_out(conn, out),
+                    _ => self.arm_client_timer(conn),
                 }
             }
-            Alarm::Link(conn) => {
-                self.link_alarms.fired(conn);
-                match self.links.get(&conn).and_then(|l| self.link_due(l)) {
-                    Some(at) if at <= self.now => self.link_late(conn, out),
-                    _ => self.arm_link(conn),
+            Timer::EngineConnection(conn) => {
+                self.engine_timers.fired(conn);
+                match self.engine_connections.get(&conn).and_then(|l| self.engine_deadline(l)) {
+                    Some(at) if at <= self.now => self.engine_timed_out(conn, out),
+                    _ => self.arm_engine_timer(conn),
                 }
             }
-            Alarm::Attempt(id, attempt) => self.attempt_late(id, attempt, out),
-            Alarm::Release(id) => self.release_due(id, out),
-            Alarm::Watch => self.watch_due(out),
-            Alarm::Stop => self.stop_step(out),
+            Timer::Attempt(id, attempt) => self.attempt_timed_out(id, attempt, out),
+            Timer::Release(id) => self.release_due(id, out),
+            Timer::Watch => self.watch_due(out),
+            Timer::Stop => self.shutdown_step(out),
             // What follows is settled after each input.
-            Alarm::StoppedListening => self.await_end_of_listening(),
-            Alarm::Standing => self.say_standing(out),
+            Timer::StoppedListening => self.await_end_of_listening(),
+            Timer::Standing => self.on_status_timer(out),
         }
     }
 
     fn run_timers(&mut self, out: &mut Vec<Output>) {
-        while let Some(alarm) = self.wheel.pop(self.now) {
-            self.fire(alarm, out);
-            self.settle(out);
+        while let Some(timer) = self.timers.pop(self.now) {
+            self.fire(timer, out);
+            self.run_decisions(out);
         }
     }
 
-    fn say_standing(&mut self, out: &mut Vec<Output>) {
-        self.wheel.set(self.now + room::SAY_STANDING, Alarm::Standing);
-        self.stories = 0;
-        self.log_standing(out);
+    fn on_status_timer(&mut self, out: &mut Vec<Output>) {
+        self.timers.set(self.now + STATUS_INTERVAL, Timer::Standing);
+        self.never_ran_lines = 0;
+        self.log_status(out);
     }
 
-    fn log_standing(&self, out: &mut Vec<Output>) {
-        let busy = self.links.values().filter(|l| l.state != LinkState::Idle).count();
-        let [clients, links, calls, timers, releases] = self.holds();
+    fn log_status(&self, out: &mut Vec<Output>) {
+        let busy = self.engine_connections.values().filter(|l| l.state != ConnectionState::Idle).count();
+        let [clients, engine_connections, requests, timers, releases] = self.holds();
         let sizes = self.router.state_sizes();
         out.push(Output::Log(format!(
-            "clients {clients}, requests {calls}, connections to engines {links} ({busy} busy), engines {}, timers {timers}, \
-             releases {releases}, module keeps {:?}; {:?}",
-            self.members.len(),
+            "clients {clients}, requests {requests}, connections to engines {engine_connections} ({busy} busy), engines {}, timers {timers}, \
+             releases {releases}, module keeps {:?}; {}",
+            self.endpoints.len(),
             (sizes.requests, sizes.timers, sizes.engines),
-            self.tally
+            self.counters
         )));
     }
 
     // ---- Discovery ----------------------------------------------------------------------------
 
     fn watch_due(&mut self, out: &mut Vec<Output>) {
-        self.watch_alarm = None;
+        self.watch_timer = None;
         if self.watch.due() <= self.now {
             match self.watch.state {
                 WatchState::Waiting(_) => {
-                    let conn = self.opened();
+                    let conn = self.next_connection_id();
                     self.watch.state = WatchState::Connecting(conn, self.now);
                     out.push(Output::Connect(conn, self.watch.addr));
                 }
@@ -419,7 +423,7 @@
                 }
             }
         }
-        self.arm_watch();
+        self.arm_watch_timer();
     }
 
     /// The watch is given up and opened anew, after a while or at once.
@@ -427,9 +431,9 @@
         if let Some(conn) = self.watch.conn() {
             out.push(Output::Abort(conn));
         }
-        self.note(|| format!("the watch of the list ends: {why}"), out);
+        self.log_limited(|| format!("the watch of the list ends: {why}"), out);
         self.watch.failed(self.now, at_once);
-        self.arm_watch();
+        self.arm_watch_timer();
     }
 
     /// Its connection is over. Without a descriptor for it, clients that stand idle and engines' idle connections make
@@ -449,35 +453,35 @@
         let mut lists = Vec::new();
         let fed = self.watch.feed(self.now, bytes, &mut lists);
         for list in lists {
-            self.take_list(list, out);
+            self.apply_endpoint_list(list, out);
             // What one list makes the module decide is carried out by that list, not by the next.
-            self.settle(out);
+            self.run_decisions(out);
         }
         match fed {
-            Ok(()) => self.arm_watch(),
+            Ok(()) => self.arm_watch_timer(),
             Err(why) => self.watch_failed(&why, false, out),
         }
     }
 
-    fn take_list(&mut self, list: List, out: &mut Vec<Output>) {
-        let change = self.members.take(list, false);
+    fn apply_endpoint_list(&mut self, list: EndpointList, out: &mut Vec<Output>) {
+        let change = self.endpoints.take(list, false);
         self.ready = true;
         for line in change.odd {
-            self.note(|| line, out);
+            self.log_limited(|| line, out);
         }
-        self.tell(change.event);
+        self.queue_event(change.event);
         // What has not left for an engine that drains or is gone goes elsewhere, also if only its last byte has not.
         let mut unsent: Vec<ConnId> = self
-            .links
+            .engine_connections
             .values()
-            .filter(|l| l.state == LinkState::Connecting || l.holds_back())
-            .filter(|l| matches!(l.used_for, Use::Attempt { .. }))
+            .filter(|l| l.state == ConnectionState::Connecting || l.is_holding_last_byte())
+            .filter(|l| matches!(l.purpose, ConnectionPurpose::Attempt { .. }))
             .filter(|l| change.closed.contains(&l.engine) || change.moved.contains(&l.engine))
             .map(|l| l.conn)
             .collect();
         unsent.sort();
         for conn in unsent {
-            self.give_up_link(conn, Outcome::Cancelled, out);
+            self.cancel_connection(conn, Outcome::Cancelled, out);
         }
         for engine in change.closed.into_iter().chain(change.moved) {
             self.trust.forget(engine);
@@ -497,7 +501,7 @@
                 out.push(Output::Abort(conn));
             }
             self.watch.again(self.now);
-            self.arm_watch();
+            self.arm_watch_timer();
             self.watch_due(out);
         }
     }
@@ -511,19 +515,19 @@
         self.stopping = Some(self.now);
         // Each answer from now on says that its connection ends.
         self.clients.values_mut().for_each(Client::last_answer);
-        for step in [room::STOP_GRACE, room::STOP_MOVE, self.leaves()] {
-            self.wheel.set(self.now + step, Alarm::Stop);
+        for step in [SHUTDOWN_GRACE, STREAM_MIGRATION_DELAY, self.shutdown_deadline()] {
+            self.timers.set(self.now + step, Timer::Stop);
         }
     }
 
     /// When after a stop all has to be answered: the process is killed soon after.
-    pub(crate) fn leaves(&self) -> Duration {
-        let longest = self.profile.longest_wait.unwrap_or(Duration::MAX).min(room::STOP_LONGEST);
-        (longest + room::STOP_GRACE).saturating_sub(room::STOP_SPARE)
+    pub(crate) fn shutdown_deadline(&self) -> Duration {
+        let longest = self.profile.longest_wait.unwrap_or(Duration::MAX).min(MAX_CLIENT_WAIT);
+        (longest + SHUTDOWN_GRACE).saturating_sub(SHUTDOWN_MARGIN)
     }
 
     /// Whether it was told to stop so long ago.
-    pub(crate) fn stopping_for(&self, time: Duration) -> bool {
+    pub(crate) fn shutting_down_for(&self, time: Duration) -> bool {
         self.stopping.is_some_and(|since| self.now >= since + time)
     }
 
@@ -534,31 +538,36 @@
         let mut idle: Vec<ConnId> = self.clients.values().filter(is_idle).map(|client| client.conn).collect();
         idle.sort();
         for conn in idle {
-            let may_speak_until = self.unheard.get(&conn).map(|&since| since + room::YOUNG);
+            let may_speak_until =
+                self.awaiting_first_request.get(&conn).map(|&since| since + NEW_CONNECTION_GRACE);
             if let Some(until) = may_speak_until.filter(|&until| until > self.now) {
-                self.wheel.set(until, Alarm::Stop);
+                self.timers.set(until, Timer::Stop);
             } else {
                 out.push(Output::CloseWhenSent(conn));
-                self.forget_client(conn);
+                self.remove_client(conn);
             }
         }
     }
 
     /// The steps of a stop: idle connections end; streams that would be cut off are moved, where their clients ask for
     /// the rest; at the last moment, what has not begun is answered.
-    fn stop_step(&mut self, out: &mut Vec<Output>) {
+    fn shutdown_step(&mut self, out: &mut Vec<Output>) {
         self.close_idle_clients(out);
-        let begun = |c: &&Call| c.begun.is_some();
-        let open: Vec<(RequestId, bool)> =
-            self.calls.iter().filter(|(_, c)| !c.over).map(|(&id, c)| (id, begun(&c))).collect();
-        let moves = self.profile.resumes && self.stopping_for(room::STOP_MOVE);
-        let leaves = self.stopping_for(self.leaves());
-        for (id, begun) in open {
-            match begun {
-                true if moves => self.move_stream(id, out),
-                false if leaves => {
-                    self.fail(id, out);
-                    self.tell(Event::ClientDisconnected(id));
+        let streaming_attempt = |c: &&ActiveRequest| c.streaming_attempt.is_some();
+        let open: Vec<(RequestId, bool)> = self
+            .requests
+            .iter()
+            .filter(|(_, c)| !c.over)
+            .map(|(&id, c)| (id, streaming_attempt(&c)))
+            .collect();
+        let moves = self.profile.resumes && self.shutting_down_for(STREAM_MIGRATION_DELAY);
+        let shutdown_deadline = self.shutting_down_for(self.shutdown_deadline());
+        for (id, streaming_attempt) in open {
+            match streaming_attempt {
+                true if moves => self.migrate_stream(id, out),
+                false if shutdown_deadline => {
+                    self.fail_request(id, out);
+                    self.queue_event(Event::ClientDisconnected(id));
                 }
                 _ => {}
             }
@@ -567,17 +576,17 @@
 
     // ---- Books --------------------------------------------------------------------------------
 
-    pub(crate) fn forget_client(&mut self, conn: ConnId) {
+    pub(crate) fn remove_client(&mut self, conn: ConnId) {
         self.clients.remove(&conn);
-        self.unheard.remove(&conn);
-        self.client_alarms.cancel(&mut self.wheel, conn);
+        self.awaiting_first_request.remove(&conn);
+        self.client_timers.cancel(&mut self.timers, conn);
     }
 
-    pub(crate) fn forget_link(&mut self, conn: ConnId) -> Option<Link> {
-        self.link_alarms.cancel(&mut self.wheel, conn);
-        let link = self.links.remove(&conn)?;
-        self.pool.gone(link.engine, conn);
-        Some(link)
+    pub(crate) fn remove_engine_connection(&mut self, conn: ConnId) -> Option<EngineConnection> {
+        self.engine_timers.cancel(&mut self.timers, conn);
+        let connection = self.engine_connections.remove(&conn)?;
+        self.pool.gone(connection.engine, conn);
+        Some(connection)
     }
 
     fn is_watch(&self, conn: ConnId) -> bool {
@@ -585,7 +594,7 @@
     }
 }
 
-impl Machine for Node {
+impl Machine for PlatformRouter {
     fn handle(&mut self, now: Duration, input: Input<'_>, out: &mut Vec<Output>) {
         self.now = self.now.max(now);
         // The driver hands over who waits at the listener before it says that time has passed. Guards against an end
@@ -598,7 +607,7 @@
         if let Input::Data(conn, bytes) = input {
             if !conn.is_opened() {
                 self.client_data(conn, bytes, out);
-                self.settle(out);
+                self.run_decisions(out);
                 return self.run_timers(out);
             }
         }
@@ -616,22 +625,22 @@
             Input::Connected(conn) if self.is_watch(conn) => {
                 let asked = self.watch.ask(conn, self.now);
                 out.push(Output::Write(conn, asked));
-                self.arm_watch();
+                self.arm_watch_timer();
             }
-            Input::Connected(conn) => self.link_connected(conn, out),
+            Input::Connected(conn) => self.engine_connected(conn, out),
             Input::Data(conn, bytes) if self.is_watch(conn) => self.watch_data(bytes, out),
-            Input::Data(conn, bytes) if conn.is_opened() => self.link_data(conn, bytes, out),
+            Input::Data(conn, bytes) if conn.is_opened() => self.engine_data(conn, bytes, out),
             Input::Data(..) => {}
             Input::Eof(conn) if self.is_watch(conn) => self.watch_failed("it was closed", false, out),
-            Input::Eof(conn) if conn.is_opened() => self.link_eof(conn, out),
+            Input::Eof(conn) if conn.is_opened() => self.engine_eof(conn, out),
             // Half-closed counts as closed: the protocol knows no client that asks and then only listens.
             Input::Eof(conn) => self.client_eof(conn, out),
             Input::PeerClosedWhilePaused(conn) if !conn.is_opened() => self.client_eof(conn, out),
             Input::PeerClosedWhilePaused(_) => {}
-            Input::Sent(conn, n) if conn.is_opened() => self.link_sent(conn, n),
+            Input::Sent(conn, n) if conn.is_opened() => self.engine_sent(conn, n),
             Input::Sent(conn, n) => self.client_sent(conn, n, out),
             Input::Lost(conn, why) if self.is_watch(conn) => self.watch_lost(why, out),
-            Input::Lost(conn, why) if conn.is_opened() => self.link_lost(conn, why, out),
+            Input::Lost(conn, why) if conn.is_opened() => self.engine_lost(conn, why, out),
             Input::Lost(conn, _) => self.client_gone(conn, out),
             Input::Wake | Input::Datagram(..) => {}
             Input::Stop => self.stop(),
@@ -641,17 +650,17 @@
                 }
             }
         }
-        self.settle(out);
+        self.run_decisions(out);
     }
 
     fn wake_at(&self) -> Option<Duration> {
-        self.wheel.next_at()
+        self.timers.next_at()
     }
 }
 
 /// How what a connection carried ends as the connection is lost. What had not been written whole never ran.
-pub(crate) fn end_of_lost(why: ConnectionLoss, link: &Link) -> AttemptEnd {
-    match (why, link.never_written()) {
+pub(crate) fn end_of_lost(why: ConnectionLoss, connection: &EngineConnection) -> AttemptEnd {
+    match (why, connection.proof_of_never_written()) {
         (ConnectionLoss::NotConnected, Some(_)) => AttemptEnd::never_ran(NeverRan::NotConnected),
         (ConnectionLoss::Exhausted, Some(_)) => AttemptEnd::never_ran(NeverRan::NotTried),
         // It stood, so its engine could be reached: told as a failure to connect, each such reset would have the engine
--- a/crates/platform/src/watch.rs
+++ b/crates/platform/src/watch.rs
@@ -4,14 +4,35 @@
 //! the back-off between two has one, and together they stay inside that (`tests::whatever_a_call_came_to_...`). After
 //! a call that failed the whole list is asked for: what its watch had missed need not be in the changes of the next.
 
-use crate::list::{self, List};
-use crate::room;
+use crate::endpoint_list::{self, EndpointList};
+use crate::resource_limits::MAX_HEAD_BYTES;
 use slipreel_protocol::http::{self, Decoder, Framing, Item, Limits, Side, Start};
 use slipreel_state_machine::ConnId;
 use std::net::SocketAddr;
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64;
 
+/// The largest object of discovery, in bytes.
+const MAX_OBJECT_BYTES: usize = 4 << 20;
+/// A watch sends something every 2 s; silent for so long it hangs.
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(3_700);
+/// The fraction of `SILENCE_TIMEOUT` by which each call may wait less: hundreds of routers that lost discovery in one
+/// moment must not all reconnect in one.
+const SILENCE_TIMEOUT_JITTER: f64 = 0.2;
+/// The list that was asked for has to come within this after the head of the answer.
+const FIRST_LIST_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// A head or an object of which only a part has come for so long is given up: what follows would be taken for its rest.
+const PARTIAL_MESSAGE_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// The time in which the connection has to be established.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// The shortest wait before a watch is opened again after a failure.
+const MIN_BACKOFF: Duration = Duration::from_millis(100);
+/// The most that jitter adds to the backoff after a first failure, so that hundreds of routers don't come together; it
+/// doubles with each further failure.
+const INITIAL_BACKOFF_JITTER: Duration = Duration::from_millis(700);
+/// The most that jitter adds to the backoff after any number of failures.
+const MAX_BACKOFF_JITTER: Duration = Duration::from_millis(1_900);
+
 /// Where the watch stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum State {
@@ -52,13 +73,13 @@
 }
 
 fn decoder() -> Decoder {
-    Decoder::new(Side::Client, Limits { head: room::HEAD, body: u64::MAX, ..Limits::default() })
+    Decoder::new(Side::Client, Limits { head: MAX_HEAD_BYTES, body: u64::MAX, ..Limits::default() })
 }
 
 /// The longest back-off after so many failures in a row.
 fn back_off(failures: u32) -> Duration {
-    let spread = room::WATCH_SPREAD * (1 << failures.saturating_sub(1).min(8));
-    room::WATCH_AGAIN + spread.min(room::WATCH_SPREAD_MOST)
+    let spread = INITIAL_BACKOFF_JITTER * (1 << failures.saturating_sub(1).min(8));
+    MIN_BACKOFF + spread.min(MAX_BACKOFF_JITTER)
 }
 
 impl Watch {
@@ -75,7 +96,7 @@
             part: None,
             failures: 0,
             went_back: false,
-            patience: room::WATCH_SILENT,
+            patience: SILENCE_TIMEOUT,
             // Seeds that lie close together have to draw far apart from the first draw on.
             chance: xxh3_64(&seed.to_le_bytes()) | 1,
         }
@@ -97,12 +118,12 @@
     pub(crate) fn due(&self) -> Duration {
         match self.state {
             State::Waiting(at) => at,
-            State::Connecting(_, since) => since + room::WATCH_CONNECT,
+            State::Connecting(_, since) => since + CONNECT_TIMEOUT,
             State::Open(_, heard) => {
-                let whole = self.part.map_or(Duration::MAX, |since| since + room::WATCH_PART);
+                let whole = self.part.map_or(Duration::MAX, |since| since + PARTIAL_MESSAGE_TIMEOUT);
                 // Guards against a watch that says that it lives and never tells the list that it was asked for.
                 let first =
-                    self.answered.filter(|_| self.anew).map_or(Duration::MAX, |at| at + room::WATCH_FIRST);
+                    self.answered.filter(|_| self.anew).map_or(Duration::MAX, |at| at + FIRST_LIST_TIMEOUT);
                 whole.min(first).min(heard + self.patience)
             }
         }
@@ -125,7 +146,7 @@
     pub(crate) fn failed(&mut self, now: Duration, at_once: bool) {
         self.anew = true;
         self.failures = if at_once { 0 } else { self.failures.saturating_add(1) };
-        let wait = room::WATCH_AGAIN + (back_off(self.failures) - room::WATCH_AGAIN).mul_f64(self.draw());
+        let wait = MIN_BACKOFF + (back_off(self.failures) - MIN_BACKOFF).mul_f64(self.draw());
         self.again(if at_once { now } else { now + wait });
     }
 
@@ -140,7 +161,7 @@
     /// Its connection stands: gives what to ask.
     pub(crate) fn ask(&mut self, conn: ConnId, now: Duration) -> Vec<u8> {
         self.state = State::Open(conn, now);
-        self.patience = room::WATCH_SILENT.mul_f64(1.0 - room::WATCH_SILENT_SPREAD * self.draw());
+        self.patience = SILENCE_TIMEOUT.mul_f64(1.0 - SILENCE_TIMEOUT_JITTER * self.draw());
         let after = if self.anew { 0 } else { self.index };
         let (target, host) = (format!("/api/targets?watch=1&after={after}"), self.addr.to_string());
         http::request_head("GET", &target, &[("host", &host)], Framing::Length(0))
@@ -150,7 +171,9 @@
     ///
     /// # Errors
     /// What can't be read, or is older than what is held: the watch has to be opened anew. The lists before it count.
-    pub(crate) fn feed(&mut self, now: Duration, bytes: &[u8], out: &mut Vec<List>) -> Result<(), String> {
+    pub(crate) fn feed(
+        &mut self, now: Duration, bytes: &[u8], out: &mut Vec<EndpointList>,
+    ) -> Result<(), String> {
         if let State::Open(_, heard) = &mut self.state {
             *heard = now;
         }
@@ -187,9 +210,9 @@
     }
 
     /// What has been said since the last whole object; the lists that it completes go to `out`.
-    fn objects(&mut self, out: &mut Vec<List>) -> Result<(), String> {
+    fn objects(&mut self, out: &mut Vec<EndpointList>) -> Result<(), String> {
         let Watch { said, index, anew, went_back, .. } = self;
-        let mut take = |mut list: List| {
+        let mut take = |mut list: EndpointList| {
             let older = list.index < *index;
             let again = std::mem::replace(went_back, older);
             if older && !(again && list.whole && *anew) {
@@ -199,11 +222,11 @@
             out.push(list);
             Ok(())
         };
-        let taken = list::take(said, &mut take);
+        let taken = endpoint_list::take(said, &mut take);
         if taken.is_err() {
             self.anew = true;
-        } else if self.said.len() > room::LIST {
-            return Err(format!("an object over {} bytes", room::LIST));
+        } else if self.said.len() > MAX_OBJECT_BYTES {
+            return Err(format!("an object over {MAX_OBJECT_BYTES} bytes"));
         }
         taken
     }
--- a/crates/platform/src/watch/tests.rs
+++ b/crates/platform/src/watch/tests.rs
@@ -2,6 +2,9 @@
 
 use super::*;
 
+/// From when discovery has a change and can be reached, a router has to know it after this. From the protocol.
+const CHANGE_NOTIFICATION_DEADLINE: Duration = Duration::from_millis(6_000);
+
 const HEAD: &[u8] = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
 fn line(index: u64, whole: bool) -> String {
@@ -27,8 +30,8 @@
     }
     assert_eq!(out.iter().map(|l| (l.index, l.whole)).collect::<Vec<_>>(), [(42, true), (43, false)]);
     assert_eq!(watch.due(), Duration::from_secs(3) + watch.patience);
-    let least = room::WATCH_SILENT.mul_f64(1.0 - room::WATCH_SILENT_SPREAD);
-    assert!((least..=room::WATCH_SILENT).contains(&watch.patience), "{:?}", watch.patience);
+    let least = SILENCE_TIMEOUT.mul_f64(1.0 - SILENCE_TIMEOUT_JITTER);
+    assert!((least..=SILENCE_TIMEOUT).contains(&watch.patience), "{:?}", watch.patience);
 }
 
 #[test]
@@ -90,7 +93,7 @@
     let (mut watch, mut out) = (open(41), Vec::new());
     let endless = http::chunk(format!("[\"{}\",\n", "x".repeat(60_000)).as_bytes());
     let fed = (0..200).map(|_| watch.feed(Duration::ZERO, &endless, &mut out)).find(Result::is_err);
-    assert!(fed.is_some() && out.is_empty() && watch.said.len() < 2 * room::LIST);
+    assert!(fed.is_some() && out.is_empty() && watch.said.len() < 2 * MAX_OBJECT_BYTES);
 }
 
 #[test]
@@ -110,17 +113,17 @@
 #[test]
 fn whatever_a_call_came_to_the_longest_gap_to_the_next_answer_stays_inside_the_time_told() {
     let answer = Duration::from_millis(300);
-    let next = room::WATCH_CONNECT + answer;
+    let next = CONNECT_TIMEOUT + answer;
     let longest = (1..40).map(back_off).max().unwrap();
-    assert_eq!(longest, room::WATCH_AGAIN + room::WATCH_SPREAD_MOST);
-    for stage in [Duration::ZERO, room::WATCH_CONNECT, room::WATCH_PART, room::WATCH_FIRST] {
-        assert!(stage + longest + next < room::TOLD - Duration::from_secs(1), "{stage:?}");
+    assert_eq!(longest, MIN_BACKOFF + MAX_BACKOFF_JITTER);
+    for stage in [Duration::ZERO, CONNECT_TIMEOUT, PARTIAL_MESSAGE_TIMEOUT, FIRST_LIST_TIMEOUT] {
+        assert!(stage + longest + next < CHANGE_NOTIFICATION_DEADLINE - Duration::from_secs(1), "{stage:?}");
     }
     // A silent one is followed at once, also if that one's connection never comes up.
-    assert!(room::WATCH_SILENT + next < room::TOLD);
-    assert!(room::WATCH_SILENT + room::WATCH_CONNECT + back_off(1) + answer < room::TOLD);
+    assert!(SILENCE_TIMEOUT + next < CHANGE_NOTIFICATION_DEADLINE);
+    assert!(SILENCE_TIMEOUT + CONNECT_TIMEOUT + back_off(1) + answer < CHANGE_NOTIFICATION_DEADLINE);
     // The least patience is longer than one line that is due every 2 s and late by 0.9 s.
-    assert!(room::WATCH_SILENT.mul_f64(1.0 - room::WATCH_SILENT_SPREAD) > Duration::from_millis(2_900));
+    assert!(SILENCE_TIMEOUT.mul_f64(1.0 - SILENCE_TIMEOUT_JITTER) > Duration::from_millis(2_900));
 }
 
 #[test]
@@ -137,10 +140,10 @@
     }
     for (n, (least, most)) in waits.iter().enumerate() {
         let bound = back_off(n as u32 + 1);
-        assert!(*least >= room::WATCH_AGAIN && *least < room::WATCH_AGAIN + bound / 10, "{waits:?}");
+        assert!(*least >= MIN_BACKOFF && *least < MIN_BACKOFF + bound / 10, "{waits:?}");
         assert!(*most <= bound && *most > bound.mul_f64(0.9), "{waits:?}");
     }
-    assert_eq!(back_off(2) - room::WATCH_AGAIN, room::WATCH_SPREAD * 2);
+    assert_eq!(back_off(2) - MIN_BACKOFF, INITIAL_BACKOFF_JITTER * 2);
     let mut watch = open(41);
     (0..4).for_each(|_| watch.failed(Duration::ZERO, false));
     watch.ask(ConnId::opened(1), Duration::ZERO);
@@ -169,7 +172,7 @@
             watch.feed(now, &[*b], &mut Vec::new()).unwrap();
         }
         assert!(
-            watch.due() <= now && now <= room::WATCH_PART + Duration::from_millis(800),
+            watch.due() <= now && now <= PARTIAL_MESSAGE_TIMEOUT + Duration::from_millis(800),
             "{what}: {now:?}"
         );
         assert!(!watch.overdue(now).1, "{what}");
@@ -189,7 +192,7 @@
         watch.feed(now, &http::chunk(b"\n"), &mut Vec::new()).unwrap();
         assert!(now < Duration::from_secs(2));
     }
-    assert_eq!(now, room::WATCH_FIRST);
+    assert_eq!(now, FIRST_LIST_TIMEOUT);
     // One that has told its list may go on without news for as long as it likes.
     watch.failed(now, false);
     watch.ask(ConnId::opened(3), now);
--- a/crates/platform/tests/bad_clients.rs
+++ b/crates/platform/tests/bad_clients.rs
@@ -48,7 +48,7 @@
         let client = host.client();
         let out = host.data(client, bytes);
         assert_eq!(status(&out, client), Some(expected), "{what}");
-        assert!(opened(&out).is_empty() && host.node.tally().taken == 0, "{what}");
+        assert!(opened(&out).is_empty() && host.node.counters().admitted == 0, "{what}");
     }
 }
 
@@ -60,16 +60,16 @@
     assert_eq!(status(&host.data(other, request("chat", "9b1f")), other), Some(409));
     let out = host.data(writer, chunk("data: [DONE]\n\n") + "0\r\n\r\n");
     assert!(text(&out, first).ends_with("0\r\n\r\n"));
-    assert_eq!(host.node.tally().served, 1);
+    assert_eq!(host.node.counters().completed, 1);
     // Nor is it taken after that: it was sent on, and every request carries a new id.
     let out = host.data(other, request("chat", "9b1f"));
     assert_eq!(
-        (status(&out, other), opened(&out).len(), host.node.tally().taken),
+        (status(&out, other), opened(&out).len(), host.node.counters().admitted),
         (Some(409), 0, 1),
         "{out:?}"
     );
     let out = host.data(other, request("chat", "9b20"));
-    assert_eq!(host.node.tally().taken, 2, "a new one is: {out:?}");
+    assert_eq!(host.node.counters().admitted, 2, "a new one is: {out:?}");
 }
 
 #[test]
@@ -104,7 +104,7 @@
     let client = host.client();
     let out: Vec<_> = many.as_bytes().chunks(8_000).flat_map(|part| host.data(client, part)).collect();
     assert!(out.contains(&Output::Pause(client)), "no more than a bound is kept while one is served");
-    assert_eq!(host.node.tally().taken, 1);
+    assert_eq!(host.node.counters().admitted, 1);
 }
 
 /// So many connections come in and say nothing. Gives those that were closed for them.
@@ -133,7 +133,7 @@
     assert!(evicted.contains(&used) && !evicted.contains(&working));
     let [clients, links, ..] = host.node.holds();
     assert!(clients + links < 256 - 16, "{clients} {links}");
-    assert_eq!(host.node.tally().turned as usize, 2 + 460 - clients, "each is counted");
+    assert_eq!(host.node.counters().rejected_before_admission as usize, 2 + 460 - clients, "each is counted");
 }
 
 #[test]
--- a/crates/platform/tests/common/day.rs
+++ b/crates/platform/tests/common/day.rs
@@ -2,7 +2,7 @@
 
 use super::ms;
 use slipreel_invariants::repeats::{judge, Break, Terms};
-use slipreel_platform::{Config, Node};
+use slipreel_platform::{Config, PlatformRouter};
 use slipreel_state_machine::{Input, Machine, Output};
 use slipreel_test_servers::memory::{Delays, World};
 use slipreel_test_servers::platform::{
@@ -114,7 +114,7 @@
 }
 
 enum Actor {
-    Router(Box<Node>),
+    Router(Box<PlatformRouter>),
     Engine(Box<HostileEngine>),
     Discovery(Box<Discovery>),
     Clients(Box<RepeatingClients>),
@@ -258,7 +258,7 @@
         let text = self.settings.router_config(self.day.routers, listen, discovery, seed, known);
         let config = Config::parse(&text).expect("a configuration that can be read");
         let now = self.world.now();
-        Actor::Router(Box::new(Node::new(config, now, now)))
+        Actor::Router(Box::new(PlatformRouter::new(config, now, now)))
     }
 
     fn add_clients(&mut self) {
--- a/crates/platform/tests/common/mod.rs
+++ b/crates/platform/tests/common/mod.rs
@@ -4,7 +4,7 @@
 pub mod day;
 pub mod world;
 
-use slipreel_platform::{Config, Node};
+use slipreel_platform::{Config, PlatformRouter};
 use slipreel_state_machine::{ConnId, ConnectionLoss, Input, ListenerId, Machine, Output};
 use std::time::Duration;
 
@@ -51,7 +51,7 @@
 }
 
 pub struct Host {
-    pub node: Node,
+    pub node: PlatformRouter,
     pub now: Duration,
     clients: u64,
 }
@@ -64,7 +64,7 @@
     pub fn with(config: &str) -> Self {
         let now = Duration::from_secs(1000);
         let config = Config::parse(config).expect("a configuration that can be read");
-        Host { node: Node::new(config, now, Duration::from_secs(1_700_000_000)), now, clients: 0 }
+        Host { node: PlatformRouter::new(config, now, Duration::from_secs(1_700_000_000)), now, clients: 0 }
     }
 
     pub fn tell(&mut self, input: Input<'_>) -> Vec<Output> {
--- a/crates/platform/tests/common/world.rs
+++ b/crates/platform/tests/common/world.rs
@@ -2,7 +2,7 @@
 
 use super::{config, ms};
 use slipreel_invariants::terms::{judge, Break, Seen, Terms};
-use slipreel_platform::{Config, Node};
+use slipreel_platform::{Config, PlatformRouter};
 use slipreel_state_machine::{ConnId, Input, Machine, Output};
 use slipreel_test_servers::memory::{Delays, World};
 use slipreel_test_servers::platform::{
@@ -59,7 +59,7 @@
 
 /// A router, perhaps broken.
 pub struct Flawed {
-    pub node: Node,
+    pub node: PlatformRouter,
     flaw: Flaw,
     asked: u32,
     /// Goodbyes of clients that it is to hear of later.
@@ -69,7 +69,7 @@
 }
 
 impl Flawed {
-    pub fn new(node: Node, flaw: Flaw) -> Box<Flawed> {
+    pub fn new(node: PlatformRouter, flaw: Flaw) -> Box<Flawed> {
         Box::new(Flawed { node, flaw, asked: 0, goodbyes: BTreeSet::new(), held: VecDeque::new() })
     }
 }
@@ -267,7 +267,7 @@
                 .replace("\"balancers\":1", &format!("\"balancers\":{}", plan.routers))
                 .replace("8c1f30d27a5be964", &format!("{:x}", plan.seed * 1_000 + u64::from(n) + 1));
             town.agents.push(town.world.add(Actor::Discovery(Box::new(discovery)), &[agent]));
-            let node = Node::new(Config::parse(&text).unwrap(), START, START);
+            let node = PlatformRouter::new(Config::parse(&text).unwrap(), START, START);
             town.listens.push(listen);
             town.routers.push(town.world.add(Actor::Node(Flawed::new(node, plan.flaw)), &[listen]));
             let seed = plan.seed * 77 + u64::from(n);
--- a/crates/platform/tests/fleet.rs
+++ b/crates/platform/tests/fleet.rs
@@ -1,7 +1,7 @@
 //! A seeded fleet in virtual time: engines that fault, are replaced under new names and leave; clients that ask once,
 //! stay, or go. Every request has one ending, nothing is sent twice or kept, and the node ends as small as it began.
 
-use slipreel_platform::{Config, Node};
+use slipreel_platform::{Config, PlatformRouter};
 use slipreel_test_servers::memory::{Delays, World};
 use slipreel_test_servers::platform::{look, Clients, Discovery, Ending, Engine, Faults, Listing, Shared};
 use std::net::SocketAddr;
@@ -45,14 +45,14 @@
         let discovery = world.add(Actor::Discovery(Box::new(discovery)), &[DISCOVERY.parse().unwrap()]);
         let config = Config::parse(&config(DISCOVERY, &known, 512)).unwrap();
         let target = config.listen;
-        let node =
-            world.add(Actor::Node(Flawed::new(Node::new(config, START, START), Flaw::None)), &[target]);
+        let node = world
+            .add(Actor::Node(Flawed::new(PlatformRouter::new(config, START, START), Flaw::None)), &[target]);
         let clients = Clients::new(target, &["chat", "once"], every, requests, START + ms(50), seed);
         let clients = world.add(Actor::Clients(Box::new(clients)), &[]);
         Fleet { world, shared, faults, node, discovery, clients, live, born: 5, seed }
     }
 
-    fn node(&self) -> &Node {
+    fn node(&self) -> &PlatformRouter {
         match self.world.machine(self.node) {
             Actor::Node(flawed) => &flawed.node,
             _ => unreachable!("the node's place"),
@@ -150,7 +150,7 @@
             let pinned = look(&fleet.shared).pinned(fleet.world.now(), ms(500));
             assert_eq!(pinned, [""; 0], "seed {seed} at {:?}", fleet.world.now() - START);
         }
-        assert!(fleet.node().tally().releases > 20, "the case came up");
+        assert!(fleet.node().counters().releases > 20, "the case came up");
     }
 }
 
--- a/crates/platform/tests/gone.rs
+++ b/crates/platform/tests/gone.rs
@@ -93,7 +93,7 @@
         host.connected(reader);
         // The answer was on its way as the connection was closed.
         goes(&mut host, client, goodbye, &[(reader, READ)]);
-        assert!(host.node.tally().releases > 0, "the state that the read may have left is let go of");
+        assert!(host.node.counters().releases > 0, "the state that the read may have left is let go of");
     }
 }
 
@@ -144,7 +144,7 @@
         assert_eq!(opened(&out).len(), 1, "one at a time");
         host.connected(reader);
         goes(&mut host, client, goodbye, &[(reader, READ)]);
-        assert_eq!(host.node.tally().taken, 1);
+        assert_eq!(host.node.counters().admitted, 1);
     }
 }
 
@@ -160,7 +160,7 @@
     assert!(out.contains(&Output::Pause(client)));
     host.connected(reader);
     goes(&mut host, client, Input::PeerClosedWhilePaused, &[(reader, READ)]);
-    assert_eq!(host.node.tally().taken, 1);
+    assert_eq!(host.node.counters().admitted, 1);
 }
 
 #[test]
--- a/crates/platform/tests/peers.rs
+++ b/crates/platform/tests/peers.rs
@@ -301,7 +301,7 @@
     let mut host = Host::new();
     let (_, writer) = host.streaming("chat");
     host.data(writer, chunk("data: [DONE]\n\n") + "0\r\n\r\n");
-    assert_eq!((host.node.tally().releases, host.node.holds()[4]), (0, 0));
+    assert_eq!((host.node.counters().releases, host.node.holds()[4]), (0, 0));
 }
 
 // ---- Stop ---------------------------------------------------------------------------------------
--- a/crates/platform/tests/requests.rs
+++ b/crates/platform/tests/requests.rs
@@ -26,7 +26,7 @@
     let body = seen.split_once("\r\n\r\n").unwrap().1;
     let expected = chunk(&event("one")) + &chunk(&format!("{}data: [DONE]\n\n", event("two"))) + "0\r\n\r\n";
     assert_eq!(body, expected);
-    assert_eq!((host.node.tally().served, host.node.tally().failed), (1, 0));
+    assert_eq!((host.node.counters().completed, host.node.counters().failed), (1, 0));
 
     // The client's connection is kept. An attempt takes no engine's connection that carried another: an answer left over
     // from that could be taken for its own.
@@ -232,7 +232,7 @@
         let (client, writer) = host.streaming("chat");
         let out = deed(&mut host, writer);
         assert!(finished(&out, client) && !text(&out, client).contains("0\r\n\r\n"), "case {n}");
-        assert_eq!((host.node.tally().failed, host.node.holds()[2]), (1, 0), "case {n}");
+        assert_eq!((host.node.counters().failed, host.node.holds()[2]), (1, 0), "case {n}");
     }
     // One that falls silent is given up before its client has been left waiting for 5 s.
     let mut host = Host::new();
@@ -246,11 +246,14 @@
     let (client, writer, _) = host.at_writer("chat");
     let out = host.tell(Input::Eof(client));
     assert!(aborted(&out, writer));
-    assert_eq!(host.node.tally().left, 1);
+    assert_eq!(host.node.counters().disconnected, 1);
     let mut host = Host::new();
     let (client, writer) = host.streaming("chat");
     assert!(aborted(&host.tell(lost(client, ConnectionLoss::Reset)), writer));
-    assert_eq!((host.node.tally().left, host.node.tally().failed, host.node.holds()[2]), (1, 0, 0));
+    assert_eq!(
+        (host.node.counters().disconnected, host.node.counters().failed, host.node.holds()[2]),
+        (1, 0, 0)
+    );
 }
 
 #[test]
@@ -278,7 +281,7 @@
     let stream = format!("{interim}{head}{}{}0\r\n\r\n", chunk(&event("one")), chunk(": X-Load: ~~~\n\n"));
     let out = host.data(writer, stream);
     assert!(text(&out, client).contains("one") && text(&out, client).ends_with("0\r\n\r\n"));
-    assert_eq!(host.node.tally().served, 1);
+    assert_eq!(host.node.counters().completed, 1);
 }
 
 #[test]
