--- a/crates/consensus/src/storage/tests.rs
+++ b/crates/consensus/src/storage/tests.rs
@@ -31,3 +31,80 @@
     assert_eq!(storage.decided_from(0), [settle("x")]);
     assert!(storage.has_open());
 }
+
+/// Files of a voter as the build before issue 50 wrote them: one appended to, and the same state written whole. Never generated again.
+const APPENDED_FILE: &[u8] = include_bytes!("../../tests/data/voter-file-appended.bin");
+const COMPACTED_FILE: &[u8] = include_bytes!("../../tests/data/voter-file-compacted.bin");
+
+fn stored_proposal(id: &str) -> crate::policy_state::Proposal {
+    crate::policy_state::Proposal {
+        id: id.into(),
+        text: format!("policy of {id}"),
+        from: "router-b".into(),
+        wall: 1_764_000_000,
+        on: 2,
+        back: Some(1),
+    }
+}
+
+fn stored_rejection() -> crate::policy_state::Verdict {
+    let no = crate::policy_state::No { router: "router-c".into(), why: "line 3: expected a time".into() };
+    crate::policy_state::Verdict::Dropped(vec![no])
+}
+
+/// The configuration of the fixture: three voters, on a state with two epochs, a dropped change and one under way.
+fn stored_terms() -> Terms {
+    let member = |name: &str, disk| VoterIdentity { name: name.into(), disk };
+    let mut base = PolicyState::founded("first policy", "router-a", 1_763_000_000);
+    let second = crate::policy_state::Proposal { on: 1, back: None, ..stored_proposal("second") };
+    base.apply(&Entry::Propose(second));
+    base.apply(&Entry::Settle("second".into(), crate::policy_state::Verdict::InForce));
+    base.apply(&Entry::Propose(stored_proposal("dropped")));
+    base.apply(&Entry::Settle("dropped".into(), stored_rejection()));
+    base.apply(&Entry::Propose(stored_proposal("pending")));
+    let members = vec![member("router-a", 11), member("router-b", 300), member("router-c", u64::MAX)];
+    Terms { configuration: 7, members, base }
+}
+
+fn stored_entries() -> Vec<Entry> {
+    vec![
+        Entry::Settle("pending".into(), crate::policy_state::Verdict::InForce),
+        Entry::Propose(stored_proposal("next")),
+        Entry::Settle("next".into(), stored_rejection()),
+        Entry::Seats(stored_terms().members),
+    ]
+}
+
+/// The file that the fixture's writes give, in pieces, and the store after them.
+fn written_in_pieces() -> (Vec<u8>, VoterStorage) {
+    let mut storage = VoterStorage::default();
+    let mut file = storage.file(300, Some(&stored_terms()));
+    storage.set_promise(Ballot::with(7, 5, 1, 2)).expect("in memory");
+    storage.set_accepted_round(Ballot::with(7, 4, 0, 3)).expect("in memory");
+    storage.append_entries(stored_entries()).expect("in memory");
+    file.extend(storage.drain().expect("something was noted").0);
+    storage.append_on_prefix(3, stored_entries()[3..].to_vec()).expect("in memory");
+    storage.set_decided_idx(3).expect("in memory");
+    file.extend(storage.drain().expect("something was noted").0);
+    (file, storage)
+}
+
+#[test]
+fn a_file_of_the_build_before_is_read_to_the_same_state() {
+    for (name, file) in [("appended", APPENDED_FILE), ("compacted", COMPACTED_FILE)] {
+        let found = read(file).expect("a file of the build before");
+        assert_eq!((found.disk, found.held), (Some(300), file.len()), "{name}");
+        let (terms, noted) = found.configuration.expect("a configuration");
+        assert_eq!(terms, stored_terms(), "{name}");
+        assert_eq!(noted.promise, Some(Ballot::with(7, 5, 1, 2)), "{name}");
+        assert_eq!(noted.accepted, Some(Ballot::with(7, 4, 0, 3)), "{name}");
+        assert_eq!((noted.entries, noted.decided), (stored_entries(), 3), "{name}");
+    }
+}
+
+#[test]
+fn a_file_is_written_as_the_build_before_wrote_it() {
+    let (file, storage) = written_in_pieces();
+    assert_eq!(file, APPENDED_FILE);
+    assert_eq!(storage.file(300, Some(&stored_terms())), COMPACTED_FILE);
+}
--- a/crates/consensus/src/wire/tests.rs
+++ b/crates/consensus/src/wire/tests.rs
@@ -1,4 +1,5 @@
 use super::*;
+use crate::policy_state;
 
 #[test]
 fn a_frame_comes_back_from_any_pieces_and_changed_bytes_are_refused() {
@@ -18,3 +19,130 @@
     }
     assert_eq!(Frame::decode(b"slFT").err(), Some(Bad::Noise));
 }
+
+/// One frame of each kind as the build before issue 50 sent them. Never generated again.
+const FRAMES: &[u8] = include_bytes!("../../tests/data/wire-frames.bin");
+
+fn sent_peer(name: &str) -> Peer {
+    Peer { name: name.into(), disk: 300, life: u64::MAX }
+}
+
+fn sent_proposal() -> Proposal {
+    Proposal { id: "x".into(), text: "policy".into(), from: "router-b".into(), wall: 9, on: 2, back: Some(1) }
+}
+
+fn sent_term() -> Term {
+    Term { configuration: 7, ballot: 5, voter: 2 }
+}
+
+fn sent_rejection() -> policy_state::No {
+    policy_state::No { router: "router-c".into(), why: "expected a time".into() }
+}
+
+fn sent_ask() -> Ask {
+    Ask {
+        nonce: 1,
+        epoch: 2,
+        digest: 3,
+        version: (4, 5),
+        tried: Some(("x".into(), Some("expected a time".into()))),
+        since: 6,
+        gone: true,
+    }
+}
+
+fn sent_grant() -> Grant {
+    let outcome = Outcome {
+        id: "w".into(),
+        from: "router-b".into(),
+        wall: 8,
+        digest: 9,
+        epoch: Some(2),
+        back: Some(1),
+        noes: vec![sent_rejection()],
+    };
+    Grant {
+        nonce: 1,
+        term: sent_term(),
+        leader: "router-a".into(),
+        epoch: 2,
+        digest: 3,
+        lease_ms: 3_000,
+        text: Some("policy".into()),
+        trial: Some(Trial { id: "x".into(), text: Some("next".into()), waits_for: vec!["router-c".into()] }),
+        version: (4, 5),
+        recent: Some(vec![outcome]),
+        voters: vec!["router-a".into(), "router-b".into()],
+    }
+}
+
+fn sent_state() -> Terms {
+    let members = vec![crate::storage::VoterIdentity { name: "router-a".into(), disk: 11 }];
+    Terms { configuration: 7, members, base: policy_state::PolicyState::founded("policy", "router-a", 9) }
+}
+
+/// What voters of one configuration send each other: entries, and who leads.
+fn sent_votes() -> [Message<Entry>; 2] {
+    use omnipaxos::ballot_leader_election::Ballot;
+    use omnipaxos::messages::ballot_leader_election::{BLEMessage, HeartbeatMsg, HeartbeatRequest};
+    use omnipaxos::messages::sequence_paxos::{AcceptDecide, PaxosMessage, PaxosMsg};
+    use omnipaxos::util::SequenceNumber;
+    let entries = vec![
+        Entry::Propose(sent_proposal()),
+        Entry::Settle("x".into(), policy_state::Verdict::InForce),
+        Entry::Settle("y".into(), policy_state::Verdict::Dropped(vec![sent_rejection()])),
+        Entry::Seats(sent_state().members),
+    ];
+    let accept = PaxosMsg::AcceptDecide(AcceptDecide {
+        n: Ballot::with(7, 5, 1, 2),
+        seq_num: SequenceNumber { session: 1, counter: 2 },
+        decided_idx: 3,
+        entries,
+    });
+    let heartbeat = HeartbeatMsg::Request(HeartbeatRequest { round: 4 });
+    [
+        Message::SequencePaxos(PaxosMessage { from: 1, to: 2, msg: accept }),
+        Message::BLE(BLEMessage { from: 1, to: 2, msg: heartbeat }),
+    ]
+}
+
+fn sent_bodies() -> Vec<Body> {
+    let confirm = Confirm { term: sent_term(), round: 1, holds: 2, decided: 3 };
+    let replace = |new| OperatorRequest::Replace { old: "router-c".into(), new };
+    let [accept, heartbeat] = sent_votes();
+    vec![
+        Body::Vote(7, accept),
+        Body::Vote(7, heartbeat),
+        Body::Confirm(confirm),
+        Body::Confirmed(sent_term(), 1),
+        Body::Ask(sent_ask()),
+        Body::Relay(sent_peer("router-d"), sent_ask()),
+        Body::Grant(sent_grant()),
+        Body::Pass("router-d".into(), sent_grant()),
+        Body::Say(OperatorRequest::Propose(sent_proposal())),
+        Body::Say(replace(None)),
+        Body::Say(replace(Some("router-e".into()))),
+        Body::Founding("policy".into()),
+        Body::Want(6),
+        Body::State(sent_state()),
+    ]
+}
+
+#[test]
+fn frames_are_encoded_as_the_build_before_encoded_them() {
+    let encode = |body| Frame { fleet: "fleet".into(), from: sent_peer("router-a"), body }.encode();
+    let bytes: Vec<u8> = sent_bodies().into_iter().flat_map(encode).collect();
+    assert_eq!(bytes, FRAMES);
+}
+
+#[test]
+fn frames_of_the_build_before_are_decoded_to_the_same_messages() {
+    let mut rest = FRAMES;
+    for body in sent_bodies() {
+        let (frame, used) = Frame::decode(rest).expect("a frame of the build before").expect("complete");
+        assert_eq!((frame.fleet.as_str(), frame.from), ("fleet", sent_peer("router-a")));
+        assert_eq!(format!("{:?}", frame.body), format!("{body:?}"));
+        rest = &rest[used..];
+    }
+    assert!(rest.is_empty());
+}
