--- a/crates/consensus/benches/policy.rs
+++ b/crates/consensus/benches/policy.rs
@@ -126,13 +126,13 @@
     let from = Instant::now();
     let found = storage::read(&file).expect("a whole file");
     let took = from.elapsed();
-    let (terms, _) = found.configuration.expect("a configuration");
+    let (configuration, _) = found.configuration.expect("a configuration");
     println!(
         "10,000 epochs of a policy of {} bytes: the log is {} KB at most; read in {:.1} ms (epoch {} at the configuration's beginning)",
         policy.len(),
         most / 1_024,
         took.as_secs_f64() * 1_000.0,
-        terms.base.epoch
+        configuration.initial_state.epoch
     );
 }
 
--- a/crates/consensus/src/bootstrap.rs
+++ b/crates/consensus/src/bootstrap.rs
@@ -3,9 +3,10 @@
 //! All of them, not a majority: a founder that has lost its folder looks like one that never had any, and two of three such could found a second
 //! fleet beside the first. Which policy holds first: the one that most founders start with; of equally many, that of the founder named first.
 
+use crate::configuration::Configuration;
 use crate::policy_state::PolicyState;
-use crate::storage::{Terms, VoterIdentity};
 use crate::timing;
+use crate::voter_identity::VoterIdentity;
 use crate::wire::Peer;
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -35,7 +36,7 @@
     }
 
     /// The first configuration, if this founder is the one that begins it and all others were heard a moment ago.
-    pub(crate) fn begin(&self, now: Duration, me: &Peer, text: &str, wall: u64) -> Option<Terms> {
+    pub(crate) fn begin(&self, now: Duration, me: &Peer, text: &str, wall: u64) -> Option<Configuration> {
         if self.founders.first() != Some(&me.name) || me.disk == 0 {
             return None;
         }
@@ -49,8 +50,12 @@
         }
         let votes = |text: &String| all.iter().filter(|(_, t)| t == text).count();
         let first = all.iter().rev().max_by_key(|(_, text)| votes(text))?;
-        let members = all.iter().map(|(p, _)| VoterIdentity { name: p.name.clone(), disk: p.disk }).collect();
-        Some(Terms { configuration: 1, members, base: PolicyState::founded(&first.1, &first.0.name, wall) })
+        let voters = all.iter().map(|(p, _)| VoterIdentity { name: p.name.clone(), disk: p.disk }).collect();
+        Some(Configuration {
+            number: 1,
+            voters,
+            initial_state: PolicyState::founded(&first.1, &first.0.name, wall),
+        })
     }
 }
 
--- a/crates/consensus/src/bootstrap/tests.rs
+++ b/crates/consensus/src/bootstrap/tests.rs
@@ -13,12 +13,19 @@
     assert!(founding.begin(ms(1), &peer("a"), "one", 0).is_none(), "c is missing");
     founding.hear(ms(1), &peer("x"), "two".into());
     founding.hear(ms(1), &peer("c"), "two".into());
-    let terms = founding.begin(ms(2), &peer("a"), "one", 0).expect("all are there");
-    assert_eq!((terms.base.text.as_str(), terms.base.epoch, terms.members.len()), ("two", 1, 3));
+    let configuration = founding.begin(ms(2), &peer("a"), "one", 0).expect("all are there");
+    assert_eq!(
+        (
+            configuration.initial_state.text.as_str(),
+            configuration.initial_state.epoch,
+            configuration.voters.len()
+        ),
+        ("two", 1, 3)
+    );
     assert!(founding.begin(ms(2), &peer("b"), "one", 0).is_none(), "a begins");
     assert!(founding.begin(ms(900), &peer("a"), "one", 0).is_none(), "they were heard long ago");
     founding.hear(ms(1_000), &peer("b"), "two".into());
     founding.hear(ms(1_000), &peer("c"), "three".into());
-    let terms = founding.begin(ms(1_001), &peer("a"), "one", 0).expect("all are there");
-    assert_eq!(terms.base.text, "one", "of equally many the first founder's");
+    let configuration = founding.begin(ms(1_001), &peer("a"), "one", 0).expect("all are there");
+    assert_eq!(configuration.initial_state.text, "one", "of equally many the first founder's");
 }
--- a/crates/consensus/src/consensus.rs
+++ b/crates/consensus/src/consensus.rs
@@ -1,13 +1,15 @@
 //! The machine: frames in and out, the disk before the wire, and whose turn it is.
 
 use crate::bootstrap::Founding;
+use crate::configuration::Configuration;
 use crate::handle::{Cut, Permit, PolicyHandle, RouterStatus};
 use crate::leadership::{Answer, Leadership, Step};
 use crate::lease_holder::{LeaseHolder, Try};
 use crate::peer_connections::PeerConnections;
 use crate::policy_state::{Entry, PolicyState};
-use crate::storage::{Found, PersistedState, Terms, VoterIdentity, VoterStorage};
+use crate::storage::{Found, PersistedState, VoterStorage};
 use crate::voter::Voter;
+use crate::voter_identity::VoterIdentity;
 use crate::wire::{Ask, Bad, Body, Frame, Grant, OperatorRequest, Peer, LONGEST};
 use crate::{log::Damage, timing};
 use omnipaxos::messages::Message;
@@ -157,8 +159,8 @@
     fn recover(&mut self, now: Duration, found: Found, seed: u64) {
         self.me.disk = found.disk.unwrap_or(seed.rotate_left(17) | 1);
         let member = self.member();
-        let configuration = found.configuration.and_then(|(terms, noted)| Voter::new(terms, &member, noted));
-        self.voter = configuration;
+        self.voter =
+            found.configuration.and_then(|(configuration, noted)| Voter::new(configuration, &member, noted));
         // The whole file anew: it ends with a whole frame, and a folder that can't be written is known from the beginning.
         self.rewrite(now);
         if self.voter.is_none() && self.settings.founders.contains(&self.me.name) {
@@ -195,11 +197,11 @@
     /// Writes the whole file. What was noted in memory alone is on it then.
     fn rewrite(&mut self, now: Duration) {
         let empty = VoterStorage::default();
-        let (storage, terms) = match &self.voter {
-            Some(voter) => (voter.storage(), Some(&voter.terms)),
+        let (storage, configuration) = match &self.voter {
+            Some(voter) => (voter.storage(), Some(&voter.configuration)),
             None => (&empty, None),
         };
-        let file = storage.file(self.me.disk, terms);
+        let file = storage.file(self.me.disk, configuration);
         self.failing = self.disk.replace(&file).err().map(|why| (now, why));
     }
 
@@ -227,9 +229,9 @@
     }
 
     /// Enters a configuration, on a state that was decided.
-    fn enter(&mut self, now: Duration, terms: Terms, out: &mut Vec<Output>) {
-        let (configuration, n) = (terms.configuration, terms.members.len());
-        self.voter = Voter::new(terms, &self.member(), PersistedState::default());
+    fn enter(&mut self, now: Duration, configuration: Configuration, out: &mut Vec<Output>) {
+        let (number, voters) = (configuration.number, configuration.voters.len());
+        self.voter = Voter::new(configuration, &self.member(), PersistedState::default());
         self.founding = None;
         self.rewrite(now);
         if let Some((_, why)) = &self.failing {
@@ -239,7 +241,7 @@
         }
         let part = if self.voter.is_some() { "votes" } else { "does not vote any more" };
         out.push(Output::Log(format!(
-            "policy: configuration {configuration} of {n} voters; this router {part}"
+            "policy: configuration {number} of {voters} voters; this router {part}"
         )));
     }
 
@@ -279,13 +281,13 @@
 
     fn tell_state(&mut self, now: Duration, peer: &Peer, than: u32, out: &mut Vec<Output>) {
         let member = VoterIdentity { name: peer.name.clone(), disk: peer.disk };
-        let Some(terms) = self.voter.as_ref().map(|v| &v.terms) else { return };
+        let Some(configuration) = self.voter.as_ref().map(|v| &v.configuration) else { return };
         // One that was left out is told so, too.
-        let concerns = terms.members.contains(&member) || than > 0;
-        if terms.configuration > than && concerns && self.failing.is_none() {
-            let terms = terms.clone();
+        let concerns = configuration.voters.contains(&member) || than > 0;
+        if configuration.number > than && concerns && self.failing.is_none() {
+            let configuration = configuration.clone();
             if self.may_tell(now, &peer.name) {
-                self.send(now, &peer.name, Body::State(terms), out);
+                self.send(now, &peer.name, Body::State(configuration), out);
             }
         }
     }
@@ -351,7 +353,7 @@
                 self.tell_state(now, &from, 0, out);
             }
             Body::Want(configuration) => self.tell_state(now, &from, configuration, out),
-            Body::State(terms) => self.take_state(now, terms, out),
+            Body::State(configuration) => self.take_state(now, configuration, out),
         }
     }
 
@@ -368,7 +370,7 @@
             }
             return;
         };
-        let mine = voter.terms.configuration;
+        let mine = voter.configuration.number;
         match configuration.cmp(&mine) {
             std::cmp::Ordering::Equal => voter.take(member, message),
             std::cmp::Ordering::Less => self.tell_state(now, from, configuration, out),
@@ -380,11 +382,11 @@
         }
     }
 
-    fn take_state(&mut self, now: Duration, terms: Terms, out: &mut Vec<Output>) {
-        let mine = self.voter.as_ref().map_or(0, |v| v.terms.configuration);
-        let sits = terms.members.contains(&self.member());
-        if terms.configuration > mine && (sits || mine > 0) && self.failing.is_none() && self.me.disk != 0 {
-            self.enter(now, terms, out);
+    fn take_state(&mut self, now: Duration, configuration: Configuration, out: &mut Vec<Output>) {
+        let mine = self.voter.as_ref().map_or(0, |v| v.configuration.number);
+        let sits = configuration.voters.contains(&self.member());
+        if configuration.number > mine && (sits || mine > 0) && self.failing.is_none() && self.me.disk != 0 {
+            self.enter(now, configuration, out);
         }
     }
 
@@ -464,12 +466,12 @@
         }
         founding.next = now + timing::FOUND;
         let wall = (self.wall_ahead + now).as_secs();
-        if let Some(terms) = founding.begin(now, &self.me, &self.settings.policy, wall) {
-            self.enter(now, terms.clone(), out);
+        if let Some(configuration) = founding.begin(now, &self.me, &self.settings.policy, wall) {
+            self.enter(now, configuration.clone(), out);
             if self.failing.is_none() {
                 let me = self.me.name.clone();
-                for member in terms.members.iter().filter(|s| s.name != me) {
-                    self.send(now, &member.name, Body::State(terms.clone()), out);
+                for member in configuration.voters.iter().filter(|s| s.name != me) {
+                    self.send(now, &member.name, Body::State(configuration.clone()), out);
                 }
             }
             return;
@@ -547,13 +549,13 @@
                 let configuration = configuration_of(self.voter.as_ref());
                 self.send(now, &to, Body::Vote(configuration, message), out);
             }
-            if let Some(terms) = next {
-                let old = self.voter.as_ref().map(|v| v.terms.members.clone()).unwrap_or_default();
-                self.enter(now, terms.clone(), out);
+            if let Some(configuration) = next {
+                let old = self.voter.as_ref().map(|v| v.configuration.voters.clone()).unwrap_or_default();
+                self.enter(now, configuration.clone(), out);
                 // New voters are told at once; the others come to it by themselves, or ask.
                 let me = self.me.name.clone();
-                for member in terms.members.iter().filter(|s| !old.contains(s) && s.name != me) {
-                    self.send(now, &member.name, Body::State(terms.clone()), out);
+                for member in configuration.voters.iter().filter(|s| !old.contains(s) && s.name != me) {
+                    self.send(now, &member.name, Body::State(configuration.clone()), out);
                 }
                 continue;
             }
@@ -590,7 +592,7 @@
             None => {}
         }
         let confirmed = voter.has_confirmed();
-        let names: Vec<String> = voter.terms.members.iter().map(|s| s.name.clone()).collect();
+        let names: Vec<String> = voter.configuration.voters.iter().map(|s| s.name.clone()).collect();
         self.answer(now, news, out);
         if let Some(question) = question {
             let me = self.me.name.clone();
@@ -638,7 +640,7 @@
         self.shown = Some(key);
         let text = self.lease_holder.text().to_owned();
         let voters = match &self.voter {
-            Some(voter) => voter.terms.members.iter().map(|s| s.name.clone()).collect(),
+            Some(voter) => voter.configuration.voters.iter().map(|s| s.name.clone()).collect(),
             None => self.lease_holder.voters().to_vec(),
         };
         let (outcomes, forgotten, texts) = match policy_state {
@@ -677,7 +679,7 @@
         // A voter that has just started may lack what the others have decided since: its word counts when it has caught up.
         let caught_up = self.voter.as_ref().is_some_and(|v| {
             self.lease_holder.leader().is_some()
-                && self.lease_holder.version() <= (v.terms.configuration, v.applied() as u64)
+                && self.lease_holder.version() <= (v.configuration.number, v.applied() as u64)
         });
         let policy_state =
             self.policy_state().filter(|_| caught_up).and_then(|b| b.pending.as_ref()).map(|p| p.id.clone());
@@ -715,7 +717,7 @@
 }
 
 fn configuration_of(voter: Option<&Voter>) -> u32 {
-    voter.map_or(0, |v| v.terms.configuration)
+    voter.map_or(0, |v| v.configuration.number)
 }
 
 impl Machine for Consensus {
--- a/crates/consensus/src/leadership.rs
+++ b/crates/consensus/src/leadership.rs
@@ -4,11 +4,11 @@
 //! force when every router that may still act by the old epoch has tried the new policy and holds no more than a short lease. What leases an
 //! earlier leader gave it can't know: it waits as long as the longest of them.
 
-use crate::membership::{self, Live, Replacing};
 use crate::policy_state::{Entry, No, PolicyState, Proposal, Verdict};
-use crate::storage::VoterIdentity;
+use crate::reconfiguration::{self, Live, Replacing};
 use crate::timing;
 use crate::voter::{Term, Voter};
+use crate::voter_identity::VoterIdentity;
 use crate::wire::{Ask, Grant, OperatorRequest, Peer, Trial};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -168,7 +168,7 @@
         if lease > timing::SHORT {
             held.long = held.ask.nonce;
         }
-        let version = (voter.terms.configuration, voter.applied() as u64);
+        let version = (voter.configuration.number, voter.applied() as u64);
         let trial = begun.map(|p| Trial {
             id: p.id.clone(),
             text: (held.ask.tried.as_ref().map(|(id, _)| id) != Some(&p.id)).then(|| p.text.clone()),
@@ -186,7 +186,7 @@
             trial,
             version,
             recent: (held.ask.version != version).then(|| policy_state.recent()),
-            voters: voter.terms.members.iter().map(|s| s.name.clone()).collect(),
+            voters: voter.configuration.voters.iter().map(|s| s.name.clone()).collect(),
         };
         Some((peer.clone(), held.via.clone(), grant))
     }
@@ -323,8 +323,8 @@
             Some(OperatorRequest::Replace { old, new }) => Some(Replacing { old, new }),
             _ => None,
         };
-        let next = membership::next(&voter.terms.members, &live, replacing.as_ref())
-            .or_else(|| (voter.applied() >= timing::TURN).then(|| voter.terms.members.clone()))?;
+        let next = reconfiguration::next(&voter.configuration.voters, &live, replacing.as_ref())
+            .or_else(|| (voter.applied() >= timing::TURN).then(|| voter.configuration.voters.clone()))?;
         self.seats_at = now;
         Some(Step::HandOver(next))
     }
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -3,7 +3,7 @@
 //! Up to nine routers vote on one sequence of policies (epochs); every router, voter or not, holds a lease on the epoch that it acts by, and
 //! takes no request without one. `docs/design-policy.md` weighs this against others and says what each part promises.
 //!
-//! [`Consensus`] is the machine. Its decisions: [`policy_state`] what the voters agree on, [`membership`] who votes, [`leadership`] when a leader grants leases and
+//! [`Consensus`] is the machine. Its decisions: [`policy_state`] what the voters agree on, [`reconfiguration`] who votes, [`leadership`] when a leader grants leases and
 //! puts a change in force, [`lease_holder`] by which epoch a router may take requests. Its state: `voter` (one configuration, on the library
 //! `omnipaxos`), [`storage`] and [`log`] (what a voter must not forget). [`PolicyHandle`] is where it meets the rest of the process; [`Member`] puts it
 //! and the view of the fleet behind one address.
@@ -12,22 +12,26 @@
 #![warn(missing_docs)]
 
 mod bootstrap;
+mod configuration;
 mod consensus;
 mod handle;
 pub mod leadership;
 pub mod lease_holder;
 pub mod log;
 mod member;
-pub mod membership;
 mod peer_connections;
 pub mod policy_state;
+pub mod reconfiguration;
 pub mod storage;
 pub mod timing;
 mod voter;
+mod voter_identity;
 pub mod wire;
 
+pub use configuration::Configuration;
 pub use consensus::{Consensus, Disk, Others, Settings, Start};
 pub use handle::{Cut, Permit, PolicyHandle, ProposalStatus, RouterStatus};
 pub use lease_holder::{Made, Try};
 pub use member::{ByView, Member};
 pub use voter::{Confirm, Term};
+pub use voter_identity::VoterIdentity;
--- a/crates/consensus/src/policy_state.rs
+++ b/crates/consensus/src/policy_state.rs
@@ -2,8 +2,8 @@
 //!
 //! Every voter applies the same entries in the same order and comes to the same book. Nothing here knows of voters, leases or time.
 
-use crate::storage::VoterIdentity;
 use crate::timing;
+use crate::voter_identity::VoterIdentity;
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 use xxhash_rust::xxh3::xxh3_64;
--- a/crates/consensus/src/membership.rs
+++ b/crates/consensus/src/reconfiguration.rs
@@ -4,8 +4,8 @@
 //! lost its folder takes its own membership again, as another voter: what it had promised is gone, so the old one must never speak again. A voter
 //! that is only silent keeps its membership until an operator says that it is gone for good.
 
-use crate::storage::VoterIdentity;
 use crate::timing;
+use crate::voter_identity::VoterIdentity;
 use std::time::Duration;
 
 /// A router that holds a lease.
--- a/crates/consensus/src/storage.rs
+++ b/crates/consensus/src/storage.rs
@@ -3,8 +3,9 @@
 //! The library takes each write for done when its call returns. Here it is done in memory and noted; the machine writes what was noted, as one
 //! frame, before any message leaves that rests on it.
 
+use crate::configuration::Configuration;
 use crate::log::{frame, frames, Damage, HEAD};
-use crate::policy_state::{Entry, PolicyState};
+use crate::policy_state::Entry;
 use omnipaxos::ballot_leader_election::Ballot;
 use omnipaxos::storage::{NoSnapshot, StopSign, Storage, StorageOp, StorageResult};
 use serde::{Deserialize, Serialize};
@@ -14,26 +15,6 @@
     type Snapshot = NoSnapshot;
 }
 
-/// A voter: a name, and the disk that its promises are on. A router that has lost its folder is not the voter that it was.
-#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct VoterIdentity {
-    /// The router's name.
-    pub name: String,
-    /// Drawn when its folder was first written.
-    pub disk: u64,
-}
-
-/// One configuration: who votes, from which state on. Its log begins empty.
-#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Terms {
-    /// Counts the configurations from 1.
-    pub configuration: u32,
-    /// Who votes; a voter's number in the agreement is its place here, from 1.
-    pub members: Vec<VoterIdentity>,
-    /// The state that its log begins on.
-    pub base: PolicyState,
-}
-
 /// What a voter notes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Op {
@@ -53,7 +34,7 @@
     /// Which disk this is; the first frame of each file.
     Disk(u64),
     /// A configuration begins; nothing before it counts.
-    Terms(Box<Terms>),
+    Configuration(Box<Configuration>),
     /// What was noted together.
     Ops(Vec<Op>),
 }
@@ -118,13 +99,13 @@
     }
 
     /// A whole file that says the same.
-    pub(crate) fn file(&self, disk: u64, terms: Option<&Terms>) -> Vec<u8> {
+    pub(crate) fn file(&self, disk: u64, configuration: Option<&Configuration>) -> Vec<u8> {
         let mut noted = self.noted();
         noted.ops.clear();
         let mut file = HEAD.to_vec();
         file.extend(frame(&pack(&Record::Disk(disk))));
-        if let Some(terms) = terms {
-            file.extend(frame(&pack(&Record::Terms(Box::new(terms.clone())))));
+        if let Some(configuration) = configuration {
+            file.extend(frame(&pack(&Record::Configuration(Box::new(configuration.clone())))));
             file.extend(frame(&pack(&Record::Ops(noted.whole()))));
         }
         file
@@ -155,8 +136,8 @@
 }
 
 /// The file of a voter at the beginning of a configuration.
-pub fn file_of(disk: u64, terms: &Terms) -> Vec<u8> {
-    VoterStorage::default().file(disk, Some(terms))
+pub fn file_of(disk: u64, configuration: &Configuration) -> Vec<u8> {
+    VoterStorage::default().file(disk, Some(configuration))
 }
 
 /// What a file says.
@@ -165,7 +146,7 @@
     /// Which disk it is; `None`: an empty one.
     pub disk: Option<u64>,
     /// The configuration that it is of, and what was noted there.
-    pub configuration: Option<(Terms, PersistedState)>,
+    pub configuration: Option<(Configuration, PersistedState)>,
     /// Bytes of the file that hold.
     pub held: usize,
 }
@@ -182,7 +163,9 @@
             .map_err(|e| Damage::Record(at, format!("a whole frame that is no record: {e}")))?;
         match record {
             Record::Disk(id) => found.disk = Some(id),
-            Record::Terms(terms) => found.configuration = Some((*terms, PersistedState::default())),
+            Record::Configuration(configuration) => {
+                found.configuration = Some((*configuration, PersistedState::default()))
+            }
             Record::Ops(ops) => match &mut found.configuration {
                 Some((_, noted)) => ops.iter().for_each(|op| noted.take(op)),
                 None => {
--- a/crates/consensus/src/storage/tests.rs
+++ b/crates/consensus/src/storage/tests.rs
@@ -1,14 +1,16 @@
 use super::*;
+use crate::policy_state::PolicyState;
+use crate::voter_identity::VoterIdentity;
 
 #[test]
 fn a_file_says_what_was_noted_whether_in_pieces_or_whole() {
-    let terms = Terms {
-        configuration: 3,
-        members: vec![VoterIdentity { name: "a".into(), disk: 9 }],
-        base: PolicyState::founded("one", "a", 5),
+    let configuration = Configuration {
+        number: 3,
+        voters: vec![VoterIdentity { name: "a".into(), disk: 9 }],
+        initial_state: PolicyState::founded("one", "a", 5),
     };
     let mut storage = VoterStorage::default();
-    let mut file = storage.file(9, Some(&terms));
+    let mut file = storage.file(9, Some(&configuration));
     let ballot = Ballot::with(3, 2, 0, 1);
     let settle = |id: &str| Entry::Settle(id.into(), crate::policy_state::Verdict::InForce);
     storage.set_promise(ballot).expect("in memory");
@@ -22,11 +24,12 @@
     let (bytes, sync) = storage.drain().expect("something was noted");
     assert!(!sync, "what is decided can be learnt again");
     file.extend(bytes);
-    let (pieces, whole) = (read(&file).expect("whole"), read(&storage.file(9, Some(&terms))).expect("whole"));
+    let (pieces, whole) =
+        (read(&file).expect("whole"), read(&storage.file(9, Some(&configuration))).expect("whole"));
     assert_eq!(pieces.disk, Some(9));
     assert_eq!(pieces.configuration, whole.configuration);
-    let (read_terms, noted) = pieces.configuration.expect("a configuration");
-    assert_eq!((read_terms, noted.entries.len(), noted.decided), (terms, 2, 1));
+    let (read_configuration, noted) = pieces.configuration.expect("a configuration");
+    assert_eq!((read_configuration, noted.entries.len(), noted.decided), (configuration, 2, 1));
     assert_eq!(noted.entries[1], settle("z"));
     assert_eq!(storage.decided_from(0), [settle("x")]);
     assert!(storage.has_open());
@@ -53,17 +56,17 @@
 }
 
 /// The configuration of the fixture: three voters, on a state with two epochs, a dropped change and one under way.
-fn stored_terms() -> Terms {
+fn stored_configuration() -> Configuration {
     let member = |name: &str, disk| VoterIdentity { name: name.into(), disk };
-    let mut base = PolicyState::founded("first policy", "router-a", 1_763_000_000);
+    let mut initial_state = PolicyState::founded("first policy", "router-a", 1_763_000_000);
     let second = crate::policy_state::Proposal { on: 1, back: None, ..stored_proposal("second") };
-    base.apply(&Entry::Propose(second));
-    base.apply(&Entry::Settle("second".into(), crate::policy_state::Verdict::InForce));
-    base.apply(&Entry::Propose(stored_proposal("dropped")));
-    base.apply(&Entry::Settle("dropped".into(), stored_rejection()));
-    base.apply(&Entry::Propose(stored_proposal("pending")));
-    let members = vec![member("router-a", 11), member("router-b", 300), member("router-c", u64::MAX)];
-    Terms { configuration: 7, members, base }
+    initial_state.apply(&Entry::Propose(second));
+    initial_state.apply(&Entry::Settle("second".into(), crate::policy_state::Verdict::InForce));
+    initial_state.apply(&Entry::Propose(stored_proposal("dropped")));
+    initial_state.apply(&Entry::Settle("dropped".into(), stored_rejection()));
+    initial_state.apply(&Entry::Propose(stored_proposal("pending")));
+    let voters = vec![member("router-a", 11), member("router-b", 300), member("router-c", u64::MAX)];
+    Configuration { number: 7, voters, initial_state }
 }
 
 fn stored_entries() -> Vec<Entry> {
@@ -71,14 +74,14 @@
         Entry::Settle("pending".into(), crate::policy_state::Verdict::InForce),
         Entry::Propose(stored_proposal("next")),
         Entry::Settle("next".into(), stored_rejection()),
-        Entry::Seats(stored_terms().members),
+        Entry::Seats(stored_configuration().voters),
     ]
 }
 
 /// The file that the fixture's writes give, in pieces, and the store after them.
 fn written_in_pieces() -> (Vec<u8>, VoterStorage) {
     let mut storage = VoterStorage::default();
-    let mut file = storage.file(300, Some(&stored_terms()));
+    let mut file = storage.file(300, Some(&stored_configuration()));
     storage.set_promise(Ballot::with(7, 5, 1, 2)).expect("in memory");
     storage.set_accepted_round(Ballot::with(7, 4, 0, 3)).expect("in memory");
     storage.append_entries(stored_entries()).expect("in memory");
@@ -94,8 +97,8 @@
     for (name, file) in [("appended", APPENDED_FILE), ("compacted", COMPACTED_FILE)] {
         let found = read(file).expect("a file of the build before");
         assert_eq!((found.disk, found.held), (Some(300), file.len()), "{name}");
-        let (terms, noted) = found.configuration.expect("a configuration");
-        assert_eq!(terms, stored_terms(), "{name}");
+        let (configuration, noted) = found.configuration.expect("a configuration");
+        assert_eq!(configuration, stored_configuration(), "{name}");
         assert_eq!(noted.promise, Some(Ballot::with(7, 5, 1, 2)), "{name}");
         assert_eq!(noted.accepted, Some(Ballot::with(7, 4, 0, 3)), "{name}");
         assert_eq!((noted.entries, noted.decided), (stored_entries(), 3), "{name}");
@@ -106,5 +109,5 @@
 fn a_file_is_written_as_the_build_before_wrote_it() {
     let (file, storage) = written_in_pieces();
     assert_eq!(file, APPENDED_FILE);
-    assert_eq!(storage.file(300, Some(&stored_terms())), COMPACTED_FILE);
+    assert_eq!(storage.file(300, Some(&stored_configuration())), COMPACTED_FILE);
 }
--- a/crates/consensus/src/voter.rs
+++ b/crates/consensus/src/voter.rs
@@ -5,9 +5,11 @@
 //! has been replaced unheard, so that alone would let it go on granting leases. Here a leader asks the voters: each that has promised nobody
 //! newer says so, and a majority that does proves that the leader led after it asked.
 
+use crate::configuration::Configuration;
 use crate::policy_state::{Entry, PolicyState};
-use crate::storage::{PersistedState, Terms, VoterIdentity, VoterStorage};
+use crate::storage::{PersistedState, VoterStorage};
 use crate::timing;
+use crate::voter_identity::VoterIdentity;
 use omnipaxos::messages::Message;
 use omnipaxos::util::NodeId;
 use omnipaxos::{ClusterConfig, OmniPaxos, OmniPaxosConfig, ServerConfig};
@@ -55,7 +57,7 @@
 
 /// A voter.
 pub struct Voter {
-    pub(crate) terms: Terms,
+    pub(crate) configuration: Configuration,
     me: NodeId,
     way: Way,
     storage: VoterStorage,
@@ -70,16 +72,18 @@
 
 impl Voter {
     /// A voter at its start, with what it had noted before; `None` if it is none of these.
-    pub(crate) fn new(terms: Terms, member: &VoterIdentity, noted: PersistedState) -> Option<Voter> {
-        let me = terms.members.iter().position(|s| s == member)? as NodeId + 1;
+    pub(crate) fn new(
+        configuration: Configuration, member: &VoterIdentity, noted: PersistedState,
+    ) -> Option<Voter> {
+        let me = configuration.voters.iter().position(|s| s == member)? as NodeId + 1;
         let storage = VoterStorage::new(noted);
-        let way = if terms.members.len() == 1 {
+        let way = if configuration.voters.len() == 1 {
             Way::Alone
         } else {
             let config = OmniPaxosConfig {
                 cluster_config: ClusterConfig {
-                    configuration_id: terms.configuration,
-                    nodes: (1..=terms.members.len() as NodeId).collect(),
+                    configuration_id: configuration.number,
+                    nodes: (1..=configuration.voters.len() as NodeId).collect(),
                     flexible_quorum: None,
                 },
                 server_config: ServerConfig {
@@ -92,9 +96,18 @@
             };
             Way::Together(Box::new(config.build(storage.clone()).ok()?))
         };
-        let policy_state = terms.base.clone();
-        let mut voter =
-            Voter { terms, me, way, storage, policy_state, applied: 0, round: None, rounds: 0, lags: None };
+        let policy_state = configuration.initial_state.clone();
+        let mut voter = Voter {
+            configuration,
+            me,
+            way,
+            storage,
+            policy_state,
+            applied: 0,
+            round: None,
+            rounds: 0,
+            lags: None,
+        };
         voter.apply();
         Some(voter)
     }
@@ -114,20 +127,20 @@
     }
 
     fn member(&self, at: NodeId) -> Option<&VoterIdentity> {
-        self.terms.members.get((at as usize).checked_sub(1)?)
+        self.configuration.voters.get((at as usize).checked_sub(1)?)
     }
 
     fn number(&self, member: &VoterIdentity) -> Option<NodeId> {
-        self.terms.members.iter().position(|s| s == member).map(|at| at as NodeId + 1)
+        self.configuration.voters.iter().position(|s| s == member).map(|at| at as NodeId + 1)
     }
 
     fn majority(&self) -> usize {
-        self.terms.members.len() / 2 + 1
+        self.configuration.voters.len() / 2 + 1
     }
 
     /// The leader that this voter has promised to follow.
     pub(crate) fn term(&self) -> Term {
-        let configuration = self.terms.configuration;
+        let configuration = self.configuration.number;
         match &self.way {
             Way::Alone => Term { configuration, ballot: 1, voter: self.me },
             Way::Together(p) => {
@@ -207,14 +220,14 @@
 
     /// What was sent to a voter in order may not have come: the library agrees with it anew on where they stand.
     pub(crate) fn broke_off(&mut self, name: &str) {
-        let number = self.terms.members.iter().position(|s| s.name == name).map(|at| at as NodeId + 1);
+        let number = self.configuration.voters.iter().position(|s| s.name == name).map(|at| at as NodeId + 1);
         if let (Some(number), Way::Together(p)) = (number.filter(|n| *n != self.me), &mut self.way) {
             p.reconnected(number);
         }
     }
 
-    /// Applies what is decided. The entries that are new, and the terms of the next configuration if this one has ended.
-    pub(crate) fn apply(&mut self) -> (Vec<Entry>, Option<Terms>) {
+    /// Applies what is decided. The entries that are new, and the next configuration if this one has ended.
+    pub(crate) fn apply(&mut self) -> (Vec<Entry>, Option<Configuration>) {
         let mut entries = self.storage.decided_from(self.applied);
         let end = entries.iter().position(|e| matches!(e, Entry::Seats(_)));
         entries.truncate(end.map_or(entries.len(), |at| at + 1));
@@ -222,11 +235,13 @@
             self.policy_state.apply(entry);
         }
         self.applied += entries.len();
-        let configuration = self.terms.configuration + 1;
+        let number = self.configuration.number + 1;
         let next = match entries.last() {
-            Some(Entry::Seats(members)) => {
-                Some(Terms { configuration, members: members.clone(), base: self.policy_state.clone() })
-            }
+            Some(Entry::Seats(members)) => Some(Configuration {
+                number,
+                voters: members.clone(),
+                initial_state: self.policy_state.clone(),
+            }),
             _ => None,
         };
         (entries, next)
--- a/crates/consensus/src/wire.rs
+++ b/crates/consensus/src/wire.rs
@@ -3,8 +3,8 @@
 //!
 //! A frame is `slAC`, a version, the length of what follows the checksum, the checksum, the content. A frame is taken whole or not at all.
 
+use crate::configuration::Configuration;
 use crate::policy_state::{Outcome, Proposal};
-use crate::storage::Terms;
 use crate::voter::{Confirm, Term};
 use crate::{policy_state::Entry, timing};
 use omnipaxos::messages::Message;
@@ -126,7 +126,7 @@
     /// The sender's configuration has ended, or it has none: it asks for the present one.
     Want(u32),
     /// The present configuration.
-    State(Terms),
+    State(Configuration),
 }
 
 /// A frame's content.
--- a/crates/consensus/src/wire/tests.rs
+++ b/crates/consensus/src/wire/tests.rs
@@ -76,9 +76,13 @@
     }
 }
 
-fn sent_state() -> Terms {
-    let members = vec![crate::storage::VoterIdentity { name: "router-a".into(), disk: 11 }];
-    Terms { configuration: 7, members, base: policy_state::PolicyState::founded("policy", "router-a", 9) }
+fn sent_state() -> Configuration {
+    let voters = vec![crate::voter_identity::VoterIdentity { name: "router-a".into(), disk: 11 }];
+    Configuration {
+        number: 7,
+        voters,
+        initial_state: policy_state::PolicyState::founded("policy", "router-a", 9),
+    }
 }
 
 /// What voters of one configuration send each other: entries, and who leads.
@@ -91,7 +95,7 @@
         Entry::Propose(sent_proposal()),
         Entry::Settle("x".into(), policy_state::Verdict::InForce),
         Entry::Settle("y".into(), policy_state::Verdict::Dropped(vec![sent_rejection()])),
-        Entry::Seats(sent_state().members),
+        Entry::Seats(sent_state().voters),
     ];
     let accept = PaxosMsg::AcceptDecide(AcceptDecide {
         n: Ballot::with(7, 5, 1, 2),
--- a/crates/consensus/tests/explore.rs
+++ b/crates/consensus/tests/explore.rs
@@ -6,9 +6,11 @@
 //! one where each router has been told the same, the same messages are on their way and the same time has passed.
 
 use slipreel_consensus::policy_state::{PolicyState, Proposal};
-use slipreel_consensus::storage::{file_of, read, Terms, VoterIdentity};
+use slipreel_consensus::storage::{file_of, read};
 use slipreel_consensus::wire::OperatorRequest;
-use slipreel_consensus::{Consensus, Cut, Disk, Others, PolicyHandle, ProposalStatus, Settings, Start};
+use slipreel_consensus::{
+    Configuration, Consensus, Cut, Disk, Others, PolicyHandle, ProposalStatus, Settings, Start, VoterIdentity,
+};
 use slipreel_state_machine::{ConnId, ConnectionLoss, Input, ListenerId, Machine, Output};
 use stateright::{Checker, Model, Property};
 use std::cell::RefCell;
@@ -105,11 +107,12 @@
 
 impl Lab {
     fn new() -> Lab {
-        let members: Vec<VoterIdentity> =
+        let voters: Vec<VoterIdentity> =
             (0..N).map(|r| VoterIdentity { name: format!("r{r}"), disk: r as u64 + 1 }).collect();
-        let terms = Terms { configuration: 1, members, base: PolicyState::founded("one", "r0", 0) };
+        let configuration =
+            Configuration { number: 1, voters, initial_state: PolicyState::founded("one", "r0", 0) };
         let plates: Vec<Plate> =
-            (0..N).map(|r| Plate(Arc::new(Mutex::new(file_of(r as u64 + 1, &terms))))).collect();
+            (0..N).map(|r| Plate(Arc::new(Mutex::new(file_of(r as u64 + 1, &configuration))))).collect();
         let mut lab = Lab {
             now: Duration::from_secs(1),
             machines: Vec::new(),
--- a/crates/fault-injection/src/platter.rs
+++ b/crates/fault-injection/src/platter.rs
@@ -2,8 +2,8 @@
 
 use slipreel_consensus::log::frame;
 use slipreel_consensus::policy_state::PolicyState;
-use slipreel_consensus::storage::{file_of, read, Found, Terms};
-use slipreel_consensus::Disk;
+use slipreel_consensus::storage::{file_of, read, Found};
+use slipreel_consensus::{Configuration, Disk};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
 #[derive(Default)]
@@ -71,8 +71,8 @@
 /// A file without the state that its configuration begins on.
 fn emptied(file: &[u8]) -> Vec<u8> {
     match read(file) {
-        Ok(Found { disk: Some(disk), configuration: Some((terms, _)), .. }) => {
-            file_of(disk, &Terms { base: PolicyState::default(), ..terms })
+        Ok(Found { disk: Some(disk), configuration: Some((configuration, _)), .. }) => {
+            file_of(disk, &Configuration { initial_state: PolicyState::default(), ..configuration })
         }
         _ => file.to_vec(),
     }
