--- a/crates/membership/src/count.rs
+++ b/crates/membership/src/count.rs
@@ -31,7 +31,7 @@
 
 /// The number of routers to reckon with, this process's own counted.
 pub fn believe(now: Duration, own: Own, table: &Table) -> u32 {
-    let silent = |e: &&crate::table::Entry| e.state == State::Gone && !e.life.left;
+    let silent = |e: &&crate::table::Entry| e.state == State::Gone && !e.life.has_left;
     let sum = |weights: u64| u32::try_from(weights).unwrap_or(u32::MAX);
     let weight = |e: &crate::table::Entry| u64::from(e.life.routers);
     let present =
@@ -47,7 +47,7 @@
 /// Whether those that fell silent are so many that they go on counting whatever time passes: then they are not forgotten.
 pub fn holds(own: Own, table: &Table) -> bool {
     let (mut present, mut silent) = (u64::from(own.routers), 0);
-    for entry in table.iter().filter(|e| !e.life.left || e.state != State::Gone) {
+    for entry in table.iter().filter(|e| !e.life.has_left || e.state != State::Gone) {
         let side = if entry.state == State::Gone { &mut silent } else { &mut present };
         *side += u64::from(entry.life.routers);
     }
--- a/crates/membership/src/count/tests.rs
+++ b/crates/membership/src/count/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use slipreel_protocol::fleet::Life;
+use slipreel_protocol::membership::MemberRecord;
 use std::net::SocketAddr;
 
 fn s(n: u64) -> Duration {
@@ -10,19 +10,26 @@
     let mut table = Table::default();
     for n in 0..names {
         let address = SocketAddr::from(([127, 0, 0, 1], 1 + n as u16));
-        let life = Life { name: format!("r{n}"), incarnation: 1, nonce: 1, address, routers: 1, left: false };
+        let life = MemberRecord {
+            name: format!("r{n}"),
+            incarnation: 1,
+            nonce: 1,
+            address,
+            routers: 1,
+            has_left: false,
+        };
         table.learn(at, &life, 1, Duration::ZERO, "test");
     }
     table
 }
 
 /// Those that `lives` names move on; all states are worked out.
-fn pass(table: &mut Table, from: u64, to: u64, lives: impl Fn(usize) -> bool) {
+fn pass(table: &mut Table, from: u64, to: u64, records: impl Fn(usize) -> bool) {
     for t in from..=to {
         let moved: Vec<u64> =
-            table.iter().enumerate().filter(|(n, _)| lives(*n)).map(|(_, e)| e.id).collect();
+            table.iter().enumerate().filter(|(n, _)| records(*n)).map(|(_, e)| e.id).collect();
         for id in moved {
-            table.beat(s(t), id, t as u32, Duration::ZERO, "test");
+            table.heartbeat(s(t), id, t as u32, Duration::ZERO, "test");
         }
         table.look(s(t), |_| true);
     }
--- a/crates/membership/src/fleet.rs
+++ b/crates/membership/src/fleet.rs
@@ -3,12 +3,14 @@
 use crate::count::{self, Own};
 use crate::rival::{self, Claim, Rival, Verdict};
 use crate::sync::{Came, Exchanges};
-use crate::table::{beat_of, size, Learnt, State, Table};
+use crate::table::{heartbeat_of, size, Learnt, State, Table};
 use crate::view::{Board, MemberView, Standing, View};
 use crate::{pace, Kept};
 use rand_xoshiro::rand_core::{RngCore, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
-use slipreel_protocol::fleet::{frame, Bad, Beat, Flags, Life, Message, BEAT};
+use slipreel_protocol::membership::{
+    frame, DecodeError, Flags, Heartbeat, MemberRecord, Message, MAX_HEARTBEAT_LEN,
+};
 use slipreel_state_machine::{Input, ListenerId, Machine, Output};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -67,7 +69,7 @@
 /// Log lines of one round; what is beyond is counted.
 const LINES: usize = 24;
 /// Lives asked for in one message.
-const ASKS: usize = 32;
+const MAX_REQUESTED_IDS: usize = 32;
 const DOOR: ListenerId = ListenerId(0);
 
 /// A member of a fleet.
@@ -75,7 +77,7 @@
     settings: Settings,
     peers: Peers,
     contacts: Vec<(String, SocketAddr)>,
-    me: Life,
+    me: MemberRecord,
     round: u32,
     standing: Standing,
     table: Table,
@@ -109,13 +111,13 @@
         settings: Settings, peers: Peers, kept: &Kept, seed: u64, now: Duration, board: Arc<Board>,
     ) -> Self {
         let mut rng = Xoshiro256PlusPlus::seed_from_u64(seed);
-        let me = Life {
+        let me = MemberRecord {
             name: settings.name.clone(),
             incarnation: kept.incarnation + 1,
             nonce: rng.next_u64(),
             address: settings.address,
             routers: settings.routers,
-            left: false,
+            has_left: false,
         };
         let floor = settings.floor.max(kept.routers);
         let settings = Settings { floor, ..settings };
@@ -196,22 +198,22 @@
         (rng.next_u64() % below.max(1) as u64) as usize
     }
 
-    fn reach(&self, life: &Life) -> SocketAddr {
+    fn reach(&self, life: &MemberRecord) -> SocketAddr {
         self.peers.book.get(&life.name).copied().unwrap_or(life.address)
     }
 
     // ---- Sending -------------------------------------------------------------------------------
 
-    fn message(&self, flags: Flags, lives: Vec<Life>, beats: Vec<Beat>) -> Message {
+    fn message(&self, flags: Flags, records: Vec<MemberRecord>, heartbeats: Vec<Heartbeat>) -> Message {
         Message {
             fleet: self.settings.fleet.clone(),
-            from: self.me.clone(),
+            sender: self.me.clone(),
             round: self.round,
             digest: self.digest,
             flags,
-            lives,
-            beats,
-            asks: Vec::new(),
+            records,
+            heartbeats,
+            requested_ids: Vec::new(),
         }
     }
 
@@ -231,34 +233,34 @@
     fn tell(&mut self, now: Duration, to: SocketAddr, flags: Flags, out: &mut Vec<Output>) {
         let room = self.room();
         let rng = &mut self.rng;
-        let (lives, beats) = self.table.tell(now, room, |below| Self::lot(rng, below));
-        let message = self.message(flags, lives, beats);
+        let (records, heartbeats) = self.table.tell(now, room, |below| Self::lot(rng, below));
+        let message = self.message(flags, records, heartbeats);
         self.send(to, &message, out);
     }
 
     /// All that is known, or as much as fits and word that there is more.
     fn tell_whole(&mut self, now: Duration, to: SocketAddr, out: &mut Vec<Output>) {
-        let (lives, beats) = self.table.tell_all(now);
-        let need: usize = lives.iter().map(|l| size(l) + BEAT).sum();
+        let (records, heartbeats) = self.table.tell_all(now);
+        let need: usize = records.iter().map(|l| size(l) + MAX_HEARTBEAT_LEN).sum();
         if need > self.room() {
-            return self.tell(now, to, Flags { more: true, ..Flags::default() }, out);
+            return self.tell(now, to, Flags { exceeds_datagram: true, ..Flags::default() }, out);
         }
-        let message = self.message(Flags { whole: true, ..Flags::default() }, lives, beats);
+        let message = self.message(Flags { is_full_state: true, ..Flags::default() }, records, heartbeats);
         self.send(to, &message, out);
     }
 
     fn whole_frame(&self, now: Duration) -> Vec<u8> {
-        let (lives, beats) = self.table.tell_all(now);
-        frame(&self.message(Flags { whole: true, ..Flags::default() }, lives, beats))
+        let (records, heartbeats) = self.table.tell_all(now);
+        frame(&self.message(Flags { is_full_state: true, ..Flags::default() }, records, heartbeats))
     }
 
     /// Addresses of those who are not in the view and may be there: seeds, contacts, whom the book names, who is gone.
     fn absent(&self) -> Vec<SocketAddr> {
         let here = |name: &str| {
             name == self.me.name
-                || self.table.get(name).is_some_and(|e| e.state != State::Gone || e.life.left)
+                || self.table.get(name).is_some_and(|e| e.state != State::Gone || e.life.has_left)
         };
-        let gone = self.table.iter().filter(|e| e.state == State::Gone && !e.life.left);
+        let gone = self.table.iter().filter(|e| e.state == State::Gone && !e.life.has_left);
         let mut all: Vec<SocketAddr> = gone.map(|e| self.reach(&e.life)).collect();
         all.extend(self.peers.book.iter().filter(|(name, _)| !here(name)).map(|(_, to)| *to));
         let kept = self.contacts.iter().filter(|(name, _)| !here(name));
@@ -283,7 +285,7 @@
         let mut present: Vec<SocketAddr> =
             self.table.iter().filter(|e| e.state != State::Gone).map(|e| self.reach(&e.life)).collect();
         let joining = matches!(self.standing, Standing::Joining | Standing::Challenged);
-        let flags = Flags { wants_all: joining, ..Flags::default() };
+        let flags = Flags { wants_full_state: joining, ..Flags::default() };
         for _ in 0..pace::FANOUT {
             let Some(to) = self.draw(&mut present) else { break };
             self.tell(now, to, flags, out);
@@ -293,7 +295,7 @@
             let most = if joining { pace::FANOUT } else { 1 };
             for _ in 0..most {
                 let Some(to) = self.draw(&mut absent) else { break };
-                self.tell(now, to, Flags { wants_all: true, ..Flags::default() }, out);
+                self.tell(now, to, Flags { wants_full_state: true, ..Flags::default() }, out);
             }
         }
     }
@@ -316,9 +318,9 @@
         }
     }
 
-    fn bad(&mut self, now: Duration, bad: &Bad, from: SocketAddr, out: &mut Vec<Output>) {
+    fn bad(&mut self, now: Duration, bad: &DecodeError, from: SocketAddr, out: &mut Vec<Output>) {
         match bad {
-            Bad::Version(_) => self.tally.version += 1,
+            DecodeError::Version(_) => self.tally.version += 1,
             _ => self.tally.noise += 1,
         }
         self.refuse(now, &format!("from {from}: {bad}"), out);
@@ -328,98 +330,107 @@
     fn take(&mut self, now: Duration, message: &Message, answers: bool, out: &mut Vec<Output>) {
         if message.fleet != self.settings.fleet {
             self.tally.foreign += 1;
-            let (name, fleet, own) = (&message.from.name, &message.fleet, &self.settings.fleet);
-            let what = format!("{name} at {} is of fleet {fleet:?}: expected {own:?}", message.from.address);
+            let (name, fleet, own) = (&message.sender.name, &message.fleet, &self.settings.fleet);
+            let what =
+                format!("{name} at {} is of fleet {fleet:?}: expected {own:?}", message.sender.address);
             return self.refuse(now, &what, out);
         }
-        if message.from.nonce == self.me.nonce && message.from.name == self.me.name {
+        if message.sender.nonce == self.me.nonce && message.sender.name == self.me.name {
             return; // One of its own, by a seed that leads back here.
         }
         self.tally.taken += 1;
-        let to = self.reach(&message.from);
-        if message.from.name == self.me.name {
-            return self.rivalled(now, &message.from, message.round, Duration::ZERO, out);
+        let to = self.reach(&message.sender);
+        if message.sender.name == self.me.name {
+            return self.rivalled(now, &message.sender, message.round, Duration::ZERO, out);
         }
-        let by = &message.from.name;
+        let by = &message.sender.name;
         let age = |ms: u32| Duration::from_millis(u64::from(ms));
-        let learnt = self.table.learn(now, &message.from, message.round, Duration::ZERO, by);
+        let learnt = self.table.learn(now, &message.sender, message.round, Duration::ZERO, by);
         if learnt == Learnt::Older {
             // It does not know that another process holds its name: told where it says that it is, as the book leads to the holder.
             let Some(entry) = self.table.get(by) else { return };
-            let beats = vec![beat_of(now, entry)];
-            let word = self.message(Flags::default(), vec![entry.life.clone()], beats);
-            return self.send(message.from.address, &word, out);
+            let heartbeats = vec![heartbeat_of(now, entry)];
+            let word = self.message(Flags::default(), vec![entry.life.clone()], heartbeats);
+            return self.send(message.sender.address, &word, out);
         }
         self.tally.full += u64::from(learnt == Learnt::Full);
-        let rounds: BTreeMap<u64, &Beat> = message.beats.iter().map(|b| (b.life, b)).collect();
-        for life in &message.lives {
-            let beat = rounds.get(&life.id());
+        let rounds: BTreeMap<u64, &Heartbeat> = message.heartbeats.iter().map(|b| (b.record_id, b)).collect();
+        for life in &message.records {
+            let heartbeat = rounds.get(&life.id());
             if life.name == self.me.name {
-                self.told_of_own_name(now, life, beat.copied(), out);
-            } else if let Some(beat) = beat {
-                let learnt = self.table.learn(now, life, beat.round, age(beat.age_ms), by);
+                self.told_of_own_name(now, life, heartbeat.copied(), out);
+            } else if let Some(heartbeat) = heartbeat {
+                let learnt = self.table.learn(now, life, heartbeat.round, age(heartbeat.age_ms), by);
                 self.tally.full += u64::from(learnt == Learnt::Full);
             }
         }
-        let mut asks = Vec::new();
-        for beat in &message.beats {
-            if self.table.name_of(beat.life).is_some() {
-                self.table.beat(now, beat.life, beat.round, age(beat.age_ms), by);
-            } else if let Some(rival) = self.rival.as_ref().filter(|r| r.life.id() == beat.life) {
+        let mut requested_ids = Vec::new();
+        for heartbeat in &message.heartbeats {
+            if self.table.name_of(heartbeat.record_id).is_some() {
+                self.table.heartbeat(now, heartbeat.record_id, heartbeat.round, age(heartbeat.age_ms), by);
+            } else if let Some(rival) = self.rival.as_ref().filter(|r| r.life.id() == heartbeat.record_id) {
                 let life = rival.life.clone();
-                self.told_of_own_name(now, &life, Some(beat), out);
-            } else if asks.len() < ASKS && beat.life != self.me.id() && !self.table.is_buried(beat.life) {
-                asks.push(beat.life);
+                self.told_of_own_name(now, &life, Some(heartbeat), out);
+            } else if requested_ids.len() < MAX_REQUESTED_IDS
+                && heartbeat.record_id != self.me.id()
+                && !self.table.is_buried(heartbeat.record_id)
+            {
+                requested_ids.push(heartbeat.record_id);
             }
         }
         self.settle_changes(now, out);
         if message.digest != self.digest {
             self.disagreed = now;
         }
-        if message.flags.whole && self.standing == Standing::Joining {
+        if message.flags.is_full_state && self.standing == Standing::Joining {
             self.standing = Standing::Ready;
         }
-        if message.flags.more {
+        if message.flags.exceeds_datagram {
             self.exchanges.ask(now, to, out);
         }
         if answers {
-            self.answer(now, message, to, asks, out);
+            self.answer(now, message, to, requested_ids, out);
         }
     }
 
     fn answer(
-        &mut self, now: Duration, message: &Message, to: SocketAddr, asks: Vec<u64>, out: &mut Vec<Output>,
+        &mut self, now: Duration, message: &Message, to: SocketAddr, requested_ids: Vec<u64>,
+        out: &mut Vec<Output>,
     ) {
-        if message.flags.wants_all {
+        if message.flags.wants_full_state {
             self.tell_whole(now, to, out);
         }
-        if !message.asks.is_empty() {
-            let (lives, beats) = self.table.tell_asked(now, &message.asks, self.room());
-            if !lives.is_empty() {
-                let word = self.message(Flags::default(), lives, beats);
+        if !message.requested_ids.is_empty() {
+            let (records, heartbeats) = self.table.tell_asked(now, &message.requested_ids, self.room());
+            if !records.is_empty() {
+                let word = self.message(Flags::default(), records, heartbeats);
                 self.send(to, &word, out);
             }
         }
         // Views that stay apart although nothing changes: somebody has missed what nobody tells any more.
         let apart = message.digest != self.digest && now >= self.changed + pace::SETTLED;
-        let wants_all = apart
+        let wants_full_state = apart
             && self.standing == Standing::Ready
             && self.asked.is_none_or(|at| now >= at + pace::ASK_AGAIN);
-        if wants_all {
+        if wants_full_state {
             self.asked = Some(now);
         }
-        if wants_all || !asks.is_empty() {
-            let mut word = self.message(Flags { wants_all, ..Flags::default() }, Vec::new(), Vec::new());
-            word.asks = asks;
+        if wants_full_state || !requested_ids.is_empty() {
+            let mut word =
+                self.message(Flags { wants_full_state, ..Flags::default() }, Vec::new(), Vec::new());
+            word.requested_ids = requested_ids;
             self.send(to, &word, out);
         }
     }
 
     // ---- One's own name --------------------------------------------------------------------------
 
-    fn told_of_own_name(&mut self, now: Duration, life: &Life, beat: Option<&Beat>, out: &mut Vec<Output>) {
+    fn told_of_own_name(
+        &mut self, now: Duration, life: &MemberRecord, heartbeat: Option<&Heartbeat>, out: &mut Vec<Output>,
+    ) {
         if life.nonce == self.me.nonce && life.incarnation <= self.me.incarnation {
-            let declared = life.left && life.incarnation == self.me.incarnation && self.goodbyes.is_none();
+            let declared =
+                life.has_left && life.incarnation == self.me.incarnation && self.goodbyes.is_none();
             if declared {
                 // Somebody has declared this life gone, and it is not: it goes on as the next one.
                 self.next_life(now, life.incarnation);
@@ -430,10 +441,10 @@
             }
             return;
         }
-        match (beat, life.left) {
-            (Some(beat), _) => {
-                let age = Duration::from_millis(u64::from(beat.age_ms));
-                self.rivalled(now, life, beat.round, age, out);
+        match (heartbeat, life.has_left) {
+            (Some(heartbeat), _) => {
+                let age = Duration::from_millis(u64::from(heartbeat.age_ms));
+                self.rivalled(now, life, heartbeat.round, age, out);
             }
             (None, true) => self.rivalled(now, life, 0, pace::FORGET, out),
             (None, false) => {}
@@ -447,7 +458,9 @@
         self.keep(now);
     }
 
-    fn rivalled(&mut self, now: Duration, life: &Life, round: u32, age: Duration, out: &mut Vec<Output>) {
+    fn rivalled(
+        &mut self, now: Duration, life: &MemberRecord, round: u32, age: Duration, out: &mut Vec<Output>,
+    ) {
         if matches!(self.standing, Standing::Yielded | Standing::Left) {
             return;
         }
@@ -461,9 +474,9 @@
                 // to that one. Untold, both of two that started at about one time went on. Once a round, as two that
                 // both hold the name for a while would answer each other without end.
                 let due = self.rival_told.is_none_or(|told| now >= told + pace::ROUND);
-                if self.standing == Standing::Ready && !life.left && at != self.me.address && due {
+                if self.standing == Standing::Ready && !life.has_left && at != self.me.address && due {
                     self.rival_told = Some(now);
-                    let me = Beat { life: self.me.id(), round: self.round, age_ms: 0 };
+                    let me = Heartbeat { record_id: self.me.id(), round: self.round, age_ms: 0 };
                     let word = self.message(Flags::default(), vec![self.me.clone()], vec![me]);
                     self.send(at, &word, out);
                 }
@@ -574,7 +587,7 @@
         if self.goodbyes.is_some() || self.standing == Standing::Yielded {
             return;
         }
-        self.me.left = true;
+        self.me.has_left = true;
         self.standing = Standing::Left;
         self.goodbyes = Some(pace::GOODBYES);
         let present = self.table.iter().filter(|e| e.state != State::Gone);
@@ -643,15 +656,15 @@
             incarnation: e.life.incarnation,
             state: e.state,
             since: e.since,
-            left: e.life.left,
+            left: e.life.has_left,
         };
         let own = MemberView {
             name: self.me.name.clone(),
             address: self.me.address,
             incarnation: self.me.incarnation,
-            state: if self.me.left { State::Gone } else { State::Alive },
+            state: if self.me.has_left { State::Gone } else { State::Alive },
             since: self.started,
-            left: self.me.left,
+            left: self.me.has_left,
         };
         let mut members: Vec<MemberView> = self.table.iter().map(other).chain([own]).collect();
         members.sort_by(|a, b| a.name.cmp(&b.name));
@@ -686,7 +699,7 @@
             Input::Connected(conn) => out.push(Output::Write(conn, self.whole_frame(now))),
             Input::Data(conn, bytes) => match self.exchanges.data(conn, bytes, out) {
                 Came::Part => {}
-                Came::Bad(bad) => self.bad(now, &bad, SocketAddr::from(([0, 0, 0, 0], 0)), out),
+                Came::DecodeError(bad) => self.bad(now, &bad, SocketAddr::from(([0, 0, 0, 0], 0)), out),
                 Came::Whole { message, answer } => {
                     self.tally.exchanges += 1;
                     if answer {
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,7 +1,7 @@
 //! A view of the fleet that the routers keep among themselves: who is there, as far as one process can know.
 //!
 //! Every member counts its own rounds and tells a few others, five times a second, how far each life that it knows had come and how long
-//! ago it first heard of that ([`slipreel_protocol::fleet`]). Who has not moved on for a while is suspect, then gone. Nobody decides for
+//! ago it first heard of that ([`slipreel_protocol::membership`]). Who has not moved on for a while is suspect, then gone. Nobody decides for
 //! others: each works out the states by itself, from ages that need no clock in common. `docs/design-fleet.md` weighs this against others.
 //!
 //! What a state claims:
--- a/crates/membership/src/rival.rs
+++ b/crates/membership/src/rival.rs
@@ -10,14 +10,14 @@
 //! next incarnation.
 
 use crate::pace;
-use slipreel_protocol::fleet::Life;
+use slipreel_protocol::membership::MemberRecord;
 use std::time::Duration;
 
 /// Another process of this one's name that holds it.
 #[derive(Clone, Debug)]
 pub struct Rival {
     /// Its life.
-    pub life: Life,
+    pub life: MemberRecord,
     /// The furthest round heard of.
     pub round: u32,
     /// When it was last heard to have moved on, on this process's clock.
@@ -39,7 +39,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Claim<'a> {
     /// The life.
-    pub life: &'a Life,
+    pub life: &'a MemberRecord,
     /// Its rounds; of another's those that were heard of, which are never more than it has counted.
     pub round: u32,
 }
@@ -73,13 +73,13 @@
         Some(known) if known.life.id() == told.life.id() => {
             known.heard = known.heard.max(heard);
             known.round = known.round.max(told.round);
-            known.life.left |= told.life.left;
+            known.life.has_left |= told.life.has_left;
         }
         Some(known) if known.life.incarnation > told.life.incarnation => {}
         _ => *rival = Some(Rival { life: told.life.clone(), round: told.round, heard }),
     }
-    let lives = rival.as_ref().is_some_and(|r| !r.life.left && r.heard > started + pace::LATE_NEWS);
-    if lives {
+    let records = rival.as_ref().is_some_and(|r| !r.life.has_left && r.heard > started + pace::LATE_NEWS);
+    if records {
         Verdict::Yields
     } else {
         Verdict::Challenged
@@ -88,7 +88,7 @@
 
 /// Whether a rival has been silent for so long that the name is free, in a fleet of so many.
 pub fn is_over(now: Duration, rival: &Rival, members: usize) -> bool {
-    rival.life.left || now.saturating_sub(rival.heard) >= pace::gone_after(members)
+    rival.life.has_left || now.saturating_sub(rival.heard) >= pace::gone_after(members)
 }
 
 #[cfg(test)]
--- a/crates/membership/src/rival/tests.rs
+++ b/crates/membership/src/rival/tests.rs
@@ -5,14 +5,15 @@
     Duration::from_secs_f64(n)
 }
 
-fn life(incarnation: u64, nonce: u64) -> Life {
+fn life(incarnation: u64, nonce: u64) -> MemberRecord {
     let address = SocketAddr::from(([127, 0, 0, 1], 1));
-    Life { name: "a".into(), incarnation, nonce, address, routers: 1, left: false }
+    MemberRecord { name: "a".into(), incarnation, nonce, address, routers: 1, has_left: false }
 }
 
 /// Weighs a life that was told against one's own.
 fn tell(
-    at: f64, started: f64, own: (&Life, u32), rival: &mut Option<Rival>, told: (&Life, u32), age: f64,
+    at: f64, started: f64, own: (&MemberRecord, u32), rival: &mut Option<Rival>, told: (&MemberRecord, u32),
+    age: f64,
 ) -> Verdict {
     let claim = |(life, round)| Claim { life, round };
     weigh(s(at), s(started), claim(own), rival, claim(told), s(age))
@@ -71,7 +72,7 @@
 #[test]
 fn a_predecessor_that_said_goodbye_is_over_at_once() {
     let mut rival = None;
-    let before = Life { left: true, ..life(5, 3) };
+    let before = MemberRecord { has_left: true, ..life(5, 3) };
     assert_eq!(tell(103.0, 100.0, (&life(1, 7), 15), &mut rival, (&before, 9), 0.0), Verdict::Challenged);
     assert!(is_over(s(103.0), &rival.expect("a rival"), 10));
 }
--- a/crates/membership/src/sync.rs
+++ b/crates/membership/src/sync.rs
@@ -2,7 +2,7 @@
 //! peer that trickles or never answers costs a connection for two seconds and nothing else.
 
 use crate::pace;
-use slipreel_protocol::fleet::{unframe, Bad, Message, LONGEST};
+use slipreel_protocol::membership::{unframe, DecodeError, Message, MAX_MESSAGE_LEN};
 use slipreel_state_machine::{ConnId, Output};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -29,7 +29,7 @@
     /// The other side's message; `answer`: ours is still owed.
     Whole { message: Box<Message>, answer: bool },
     /// No message.
-    Bad(Bad),
+    DecodeError(DecodeError),
 }
 
 impl Exchanges {
@@ -57,10 +57,10 @@
         let Some(exchange) = asked.or(self.taken.get_mut(&conn)) else { return Came::Part };
         exchange.got.extend(bytes);
         let came = match unframe(&exchange.got) {
-            Ok(None) if exchange.got.len() <= LONGEST + 4 => return Came::Part,
-            Ok(None) => Came::Bad(Bad::Long(exchange.got.len())),
+            Ok(None) if exchange.got.len() <= MAX_MESSAGE_LEN + 4 => return Came::Part,
+            Ok(None) => Came::DecodeError(DecodeError::TooLong(exchange.got.len())),
             Ok(Some(message)) => Came::Whole { message: Box::new(message), answer },
-            Err(bad) => Came::Bad(bad),
+            Err(bad) => Came::DecodeError(bad),
         };
         match &came {
             // The answer follows on it, and ends it.
--- a/crates/membership/src/table.rs
+++ b/crates/membership/src/table.rs
@@ -9,7 +9,9 @@
 //! - a goodbye is final for its life.
 
 use crate::pace;
-use slipreel_protocol::fleet::{Beat, Life, BEAT, LIFE, NAME};
+use slipreel_protocol::membership::{
+    Heartbeat, MemberRecord, MAX_HEARTBEAT_LEN, MAX_NAME_LEN, MAX_RECORD_LEN_WITHOUT_NAME,
+};
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::fmt;
 use std::time::Duration;
@@ -44,7 +46,7 @@
 #[derive(Clone, Debug)]
 pub struct Entry {
     /// Its life.
-    pub life: Life,
+    pub life: MemberRecord,
     /// The life's number.
     pub id: u64,
     /// The furthest round heard of.
@@ -146,7 +148,9 @@
     }
 
     /// Takes up a life that was told in full, with how far it had come. Its owner is not in this table.
-    pub fn learn(&mut self, now: Duration, life: &Life, round: u32, age: Duration, by: &str) -> Learnt {
+    pub fn learn(
+        &mut self, now: Duration, life: &MemberRecord, round: u32, age: Duration, by: &str,
+    ) -> Learnt {
         let members = self.present() + 1;
         let known = self.entries.get(&life.name).map(|e| (e.life.incarnation, e.life.nonce, e.id));
         let (incarnation, nonce) = (life.incarnation, life.nonce);
@@ -154,13 +158,13 @@
             Some((i, ..)) if i > incarnation => return Learnt::Older,
             Some((i, n, id)) if (i, n) == (incarnation, nonce) => {
                 let entry = self.entries.get_mut(&life.name);
-                if let Some(entry) = entry.filter(|e| life.left && !e.life.left) {
-                    entry.life.left = true;
+                if let Some(entry) = entry.filter(|e| life.has_left && !e.life.has_left) {
+                    entry.life.has_left = true;
                     entry.by = by.to_owned();
                     entry.tellings = pace::tellings(members);
                     return Learnt::Goodbye;
                 }
-                return self.beat(now, id, round, age, by);
+                return self.heartbeat(now, id, round, age, by);
             }
             Some((i, ..)) if i == incarnation => {
                 let free = self.entries.get(&life.name).is_some_and(|e| e.state == State::Gone);
@@ -170,7 +174,7 @@
             }
             None if self.entries.len() >= pace::MEMBERS => return Learnt::Full,
             // Who is long gone is told of by those who have not forgotten it yet; it stays forgotten.
-            None if life.left || age >= pace::gone_after(members) => return Learnt::Stale,
+            None if life.has_left || age >= pace::gone_after(members) => return Learnt::Stale,
             _ => {}
         }
         if let Some((.., id)) = known {
@@ -196,19 +200,19 @@
             name: life.name.clone(),
             incarnation,
             from: before,
-            to: if life.left { State::Gone } else { State::Alive },
+            to: if life.has_left { State::Gone } else { State::Alive },
             why: format!("a new life at {}, told by {by}", life.address),
         });
         self.names.insert(entry.id, life.name.clone());
         self.entries.insert(
             life.name.clone(),
-            Entry { state: if life.left { State::Gone } else { State::Alive }, ..entry },
+            Entry { state: if life.has_left { State::Gone } else { State::Alive }, ..entry },
         );
         Learnt::New
     }
 
     /// Takes up how far a known life had come.
-    pub fn beat(&mut self, now: Duration, life: u64, round: u32, age: Duration, by: &str) -> Learnt {
+    pub fn heartbeat(&mut self, now: Duration, life: u64, round: u32, age: Duration, by: &str) -> Learnt {
         let Some(entry) = self.names.get(&life).and_then(|name| self.entries.get_mut(name)) else {
             return Learnt::Stale;
         };
@@ -225,8 +229,8 @@
     /// An operator says that a member is gone for good: as if it had said goodbye.
     pub fn forget(&mut self, name: &str, by: &str) -> bool {
         let members = self.present() + 1;
-        let Some(entry) = self.entries.get_mut(name).filter(|e| !e.life.left) else { return false };
-        entry.life.left = true;
+        let Some(entry) = self.entries.get_mut(name).filter(|e| !e.life.has_left) else { return false };
+        entry.life.has_left = true;
         by.clone_into(&mut entry.by);
         entry.tellings = pace::tellings(members);
         true
@@ -239,7 +243,7 @@
         for entry in self.entries.values_mut() {
             let silent = now.saturating_sub(entry.heard);
             let to = match () {
-                () if entry.life.left || silent >= gone => State::Gone,
+                () if entry.life.has_left || silent >= gone => State::Gone,
                 () if silent >= suspect => State::Suspect,
                 () => State::Alive,
             };
@@ -249,7 +253,7 @@
                 continue;
             }
             let why = match to {
-                State::Gone if entry.life.left => format!("its goodbye, told by {}", entry.by),
+                State::Gone if entry.life.has_left => format!("its goodbye, told by {}", entry.by),
                 State::Gone | State::Suspect => {
                     format!("no round for {} ms, the last one told by {}", silent.as_millis(), entry.by)
                 }
@@ -280,9 +284,9 @@
     }
 
     /// A hash over who is there, the same on all who believe the same. Suspects count as there; who is gone is not in it.
-    pub fn digest(&self, me: &Life) -> u64 {
+    pub fn digest(&self, me: &MemberRecord) -> u64 {
         let mut hash = Xxh3::new();
-        let mut add = |life: &Life| {
+        let mut add = |life: &MemberRecord| {
             hash.update(&(life.name.len() as u64).to_be_bytes());
             hash.update(life.name.as_bytes());
             hash.update(&life.incarnation.to_be_bytes());
@@ -305,19 +309,19 @@
     /// first in one half and by lot in the other, so that in a large fleet nobody's rounds wait for long.
     pub fn tell(
         &mut self, now: Duration, room: usize, mut lot: impl FnMut(usize) -> usize,
-    ) -> (Vec<Life>, Vec<Beat>) {
+    ) -> (Vec<MemberRecord>, Vec<Heartbeat>) {
         let mut left = room;
-        let (mut lives, mut beats) = (Vec::new(), Vec::new());
+        let (mut records, mut heartbeats) = (Vec::new(), Vec::new());
         for entry in self.entries.values_mut().filter(|e| e.tellings > 0) {
-            if left < room / 2 + LIFE + NAME + BEAT {
+            if left < room / 2 + MAX_RECORD_LEN_WITHOUT_NAME + MAX_NAME_LEN + MAX_HEARTBEAT_LEN {
                 break;
             }
             entry.tellings -= 1;
-            left -= size(&entry.life) + BEAT;
-            beats.push(beat_of(now, entry));
-            lives.push(entry.life.clone());
+            left -= size(&entry.life) + MAX_HEARTBEAT_LEN;
+            heartbeats.push(heartbeat_of(now, entry));
+            records.push(entry.life.clone());
         }
-        let told: Vec<u64> = beats.iter().map(|b: &Beat| b.life).collect();
+        let told: Vec<u64> = heartbeats.iter().map(|b: &Heartbeat| b.record_id).collect();
         let mut rest: Vec<&Entry> =
             self.entries.values().filter(|e| e.state != State::Gone && !told.contains(&e.id)).collect();
         let fits = left / BEAT_USUAL;
@@ -332,30 +336,32 @@
             }
             rest.truncate(fits);
         }
-        beats.extend(rest.into_iter().map(|e| beat_of(now, e)));
-        (lives, beats)
+        heartbeats.extend(rest.into_iter().map(|e| heartbeat_of(now, e)));
+        (records, heartbeats)
     }
 
     /// All that is known and not gone, for an exchange.
-    pub fn tell_all(&self, now: Duration) -> (Vec<Life>, Vec<Beat>) {
+    pub fn tell_all(&self, now: Duration) -> (Vec<MemberRecord>, Vec<Heartbeat>) {
         let known = || self.entries.values().filter(|e| e.state != State::Gone);
-        (known().map(|e| e.life.clone()).collect(), known().map(|e| beat_of(now, e)).collect())
+        (known().map(|e| e.life.clone()).collect(), known().map(|e| heartbeat_of(now, e)).collect())
     }
 
     /// Lives by their numbers, as far as they are known and fit.
-    pub fn tell_asked(&self, now: Duration, asked: &[u64], room: usize) -> (Vec<Life>, Vec<Beat>) {
+    pub fn tell_asked(
+        &self, now: Duration, asked: &[u64], room: usize,
+    ) -> (Vec<MemberRecord>, Vec<Heartbeat>) {
         let mut left = room;
-        let (mut lives, mut beats) = (Vec::new(), Vec::new());
+        let (mut records, mut heartbeats) = (Vec::new(), Vec::new());
         for entry in asked.iter().filter_map(|id| self.entries.get(self.names.get(id)?)) {
-            let need = size(&entry.life) + BEAT;
+            let need = size(&entry.life) + MAX_HEARTBEAT_LEN;
             if need > left {
                 break;
             }
             left -= need;
-            lives.push(entry.life.clone());
-            beats.push(beat_of(now, entry));
+            records.push(entry.life.clone());
+            heartbeats.push(heartbeat_of(now, entry));
         }
-        (lives, beats)
+        (records, heartbeats)
     }
 }
 
@@ -363,11 +369,11 @@
 const BEAT_USUAL: usize = 8 + 4 + 2;
 
 /// Bytes that a life takes at most.
-pub(crate) fn size(life: &Life) -> usize {
-    LIFE + life.name.len()
+pub(crate) fn size(life: &MemberRecord) -> usize {
+    MAX_RECORD_LEN_WITHOUT_NAME + life.name.len()
 }
 
-pub(crate) fn beat_of(now: Duration, entry: &Entry) -> Beat {
+pub(crate) fn heartbeat_of(now: Duration, entry: &Entry) -> Heartbeat {
     let age = now.saturating_sub(entry.heard).as_millis();
-    Beat { life: entry.id, round: entry.round, age_ms: u32::try_from(age).unwrap_or(u32::MAX) }
+    Heartbeat { record_id: entry.id, round: entry.round, age_ms: u32::try_from(age).unwrap_or(u32::MAX) }
 }
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -5,14 +5,14 @@
 //! - [`messages`]: the Messages API that clients speak.
 //! - [`engine`]: chat completions and load reports, as the open engine serves them.
 //! - [`endpoints`]: the `EndpointSlice` JSON format, for the list of engines.
-//! - [`fleet`]: what routers of one fleet tell each other.
+//! - [`membership`]: the messages by which routers of one fleet track each other (gossip).
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
 pub mod endpoints;
 pub mod engine;
-pub mod fleet;
 pub mod http;
+pub mod membership;
 pub mod messages;
 pub mod sse;
--- a/crates/protocol/src/fleet/tests.rs
+++ b/crates/protocol/src/membership/tests.rs
@@ -1,42 +1,50 @@
 use super::*;
 use proptest::prelude::*;
 
-fn life() -> impl Strategy<Value = Life> {
+fn life() -> impl Strategy<Value = MemberRecord> {
     let address = prop_oneof![
         (any::<[u8; 4]>(), any::<u16>()).prop_map(|(ip, port)| SocketAddr::from((ip, port))),
         (any::<[u8; 16]>(), any::<u16>()).prop_map(|(ip, port)| SocketAddr::from((ip, port))),
     ];
     ("[a-z0-9._-]{1,64}", any::<u64>(), any::<u64>(), address, any::<u32>(), any::<bool>()).prop_map(
-        |(name, incarnation, nonce, address, routers, left)| Life {
+        |(name, incarnation, nonce, address, routers, has_left)| MemberRecord {
             name,
             incarnation,
             nonce,
             address,
             routers,
-            left,
+            has_left,
         },
     )
 }
 
 fn message() -> impl Strategy<Value = Message> {
-    let beat = any::<(u64, u32, u32)>().prop_map(|(life, round, age_ms)| Beat { life, round, age_ms });
+    let heartbeat = any::<(u64, u32, u32)>().prop_map(|(record_id, round, age_ms)| Heartbeat {
+        record_id,
+        round,
+        age_ms,
+    });
     let flags =
-        any::<(bool, bool, bool)>().prop_map(|(wants_all, more, whole)| Flags { wants_all, more, whole });
+        any::<(bool, bool, bool)>().prop_map(|(wants_full_state, exceeds_datagram, is_full_state)| Flags {
+            wants_full_state,
+            exceeds_datagram,
+            is_full_state,
+        });
     let lists = (
         proptest::collection::vec(life(), 0..20),
-        proptest::collection::vec(beat, 0..40),
+        proptest::collection::vec(heartbeat, 0..40),
         proptest::collection::vec(any::<u64>(), 0..10),
     );
     ("[a-z]{1,64}", life(), any::<u32>(), any::<u64>(), flags, lists).prop_map(
-        |(fleet, from, round, digest, flags, (lives, beats, asks))| Message {
+        |(fleet, sender, round, digest, flags, (records, heartbeats, requested_ids))| Message {
             fleet,
-            from,
+            sender,
             round,
             digest,
             flags,
-            lives,
-            beats,
-            asks,
+            records,
+            heartbeats,
+            requested_ids,
         },
     )
 }
@@ -77,31 +85,31 @@
 
 #[test]
 fn what_is_refused_is_named() {
-    let sender = Life {
+    let sender = MemberRecord {
         name: "a".into(),
         incarnation: 1,
         nonce: 2,
         address: SocketAddr::from(([127, 0, 0, 1], 1)),
         routers: 1,
-        left: false,
+        has_left: false,
     };
     let message = Message {
         fleet: "f".into(),
-        from: sender,
+        sender,
         round: 1,
         digest: 2,
         flags: Flags::default(),
-        lives: Vec::new(),
-        beats: Vec::new(),
-        asks: Vec::new(),
+        records: Vec::new(),
+        heartbeats: Vec::new(),
+        requested_ids: Vec::new(),
     };
     let bytes = message.encode();
     let mut newer = bytes.clone();
     newer[4] = 2;
-    assert_eq!(Message::decode(&newer), Err(Bad::Version(2)));
-    assert_eq!(Message::decode(&vec![b'x'; 64 << 10]), Err(Bad::Noise));
-    assert_eq!(Message::decode(&bytes[..bytes.len() - 1]), Err(Bad::Checksum));
-    assert_eq!(unframe(&[0xff; 8]), Err(Bad::Long(u32::MAX as usize)));
+    assert_eq!(Message::decode(&newer), Err(DecodeError::Version(2)));
+    assert_eq!(Message::decode(&vec![b'x'; 64 << 10]), Err(DecodeError::NotAMessage));
+    assert_eq!(Message::decode(&bytes[..bytes.len() - 1]), Err(DecodeError::Checksum));
+    assert_eq!(unframe(&[0xff; 8]), Err(DecodeError::TooLong(u32::MAX as usize)));
     assert_eq!(unframe(&frame(&message)[..20]), Ok(None));
 }
 
@@ -111,14 +119,41 @@
     let mut rest = Vec::new();
     put_text(&mut rest, "f");
     let address = SocketAddr::from(([127, 0, 0, 1], 1));
-    let life = Life { name: "a".into(), incarnation: 1, nonce: 1, address, routers: 1, left: false };
-    put_life(&mut rest, &life);
-    put(&mut rest, 1);
+    let life =
+        MemberRecord { name: "a".into(), incarnation: 1, nonce: 1, address, routers: 1, has_left: false };
+    put_record(&mut rest, &life);
+    put_number(&mut rest, 1);
     rest.extend([0; 9]);
-    put(&mut rest, u64::MAX);
+    put_number(&mut rest, u64::MAX);
     let mut bytes = MAGIC.to_vec();
     bytes.push(VERSION);
     bytes.extend((xxh3_64(&rest) as u32).to_be_bytes());
     bytes.extend(rest);
-    assert_eq!(Message::decode(&bytes), Err(Bad::Content("more bytes")));
+    assert_eq!(Message::decode(&bytes), Err(DecodeError::Content("more bytes")));
+}
+
+/// The bytes were written by the build before the types of this module were renamed.
+#[test]
+fn a_message_keeps_its_bytes_of_earlier_builds() {
+    const BYTES: &str = "736c465401856f204b066d616e696c6108726f757465722d61ac020000000000000007047f0000011f0a0400f0a2040123456789abcdef050108726f757465722d6202ffffffffffffffff0620010db80000000000000000000000031f0a010101000000000000000b05dc0b02000000000000000c000000000000000d";
+    let record = |name: &str, incarnation, nonce, address: &str, routers, has_left| MemberRecord {
+        name: name.into(),
+        incarnation,
+        nonce,
+        address: address.parse().expect("a socket address"),
+        routers,
+        has_left,
+    };
+    let message = Message {
+        fleet: "manila".into(),
+        sender: record("router-a", 300, 7, "127.0.0.1:7946", 4, false),
+        round: 70_000,
+        digest: 0x0123_4567_89ab_cdef,
+        flags: Flags { wants_full_state: true, exceeds_datagram: false, is_full_state: true },
+        records: vec![record("router-b", 2, u64::MAX, "[2001:db8::3]:7946", 1, true)],
+        heartbeats: vec![Heartbeat { record_id: 11, round: 5, age_ms: 1_500 }],
+        requested_ids: vec![12, 13],
+    };
+    let hex: String = message.encode().iter().map(|byte| format!("{byte:02x}")).collect();
+    assert_eq!(hex, BYTES);
 }
