--- a/crates/adapter/src/tests.rs
+++ b/crates/adapter/src/tests.rs
@@ -1,4 +1,6 @@
 use super::*;
+use host::panic_text;
+use std::panic::catch_unwind;
 
 const PROFILE: &str = "classes.count=1\nclasses.0.target=800\nclasses.0.worth=1\n\
                        classes.0.streaming=true\nextra.role_by_kind=read,write\n";
@@ -70,12 +72,12 @@
 #[test]
 fn malformed_input_ends_the_run_with_a_line() {
     let error = run(&[0, 0, 0, 9, 1][..], Vec::new()).unwrap_err();
-    assert_eq!(error, "frame truncated at byte 5");
-    assert_eq!(run(&[][..], Vec::new()), Ok(()));
+    assert_eq!(error.to_string(), "frame truncated at byte 5");
+    assert!(matches!(run(&[][..], Vec::new()), Ok(())));
 }
 
 #[test]
-fn panics_are_told_with_their_text() {
+fn a_panic_is_reported_with_its_text() {
     let panic = catch_unwind(|| panic!("no {}", "way")).unwrap_err();
     assert_eq!(panic_text(&*panic), "no way");
 }
--- a/crates/adapter/src/wire/tests.rs
+++ b/crates/adapter/src/wire/tests.rs
@@ -1,4 +1,10 @@
+use super::decode::outcome_of;
 use super::*;
+use slipreel::{
+    Action, CellId, EngineId, EngineState, Event, Listing, LoadReport, Outcome, RequestId, TimerId,
+};
+use slipreel_platform_settings::Column;
+use std::time::Duration;
 
 fn bytes(hex: &str) -> Vec<u8> {
     let digits: Vec<u8> = hex.bytes().filter(|b| !b.is_ascii_whitespace()).collect();
@@ -17,7 +23,7 @@
 fn read(code: u8, fields: &str) -> Result<Input, Malformed> {
     let frame = batch(code, fields);
     let columns = [Column::MemoryShare, Column::WaitingThousands];
-    let mut batch = open(&frame)?;
+    let mut batch = Batch::open(&frame)?;
     assert_eq!(batch.clock, Some(Duration::from_millis(240)));
     let input = batch.next(|_| &columns)?.expect("one record");
     assert_eq!(batch.next(|_| &columns), Ok(None));
@@ -35,7 +41,7 @@
 const ID: &str = "0003 000a5e3e5d3a91c4";
 
 #[test]
-fn every_event_is_read() {
+fn each_event_record_is_decoded() {
     assert_eq!(
         read(1, "0003 0000000000000007 00000003 613d31"),
         Ok(Input::Attach { router: 3, seed: 7, profile: "a=1".into() })
@@ -49,17 +55,18 @@
     assert_eq!((engines[0].id, engines[0].started_at), (EngineId(ENGINE), None));
     assert_eq!((engines[1].state, engines[1].cell), (EngineState::Draining, CellId(2)));
     assert_eq!(engines[1].started_at, Some(Duration::from_millis(6100)));
-    let query = "0003 000a5e3e5d3a91c4 2b8e6401d9f37c10 0000 44e10000 0000 01 44960000
+    let request_record = "0003 000a5e3e5d3a91c4 2b8e6401d9f37c10 0000 44e10000 0000 01 44960000
         91f03b7c55d20a64 43800000 4028000000000000 406e000000000000";
-    let Event::Request(request) = event(3, query) else { panic!() };
+    let Event::Request(request) = event(3, request_record) else { panic!() };
     assert_eq!(request.id, RequestId(0x000a_5e3e_5d3a_91c4));
     assert_eq!(request.shared_prefix, Some(0x2b8e_6401_d9f3_7c10));
     assert_eq!((request.prompt_tokens, request.max_output_tokens), (1800.0, 256.0));
     assert_eq!(request.client_timeout, Duration::from_millis(240));
     let first = event(4, &format!("{ID} 4032800000000000 0001 0a124a07 2bc3"));
     assert!(matches!(first, Event::FirstToken { attempt: 1, .. }));
-    let verdict = format!("{ID} 0000 0a124a07 2bc3 00ca 4032800000000000 00 00000064 02 3ecccccd 3fa00000");
-    let Event::AttemptEnded(ended) = event(5, &verdict) else { panic!() };
+    let ended_record =
+        format!("{ID} 0000 0a124a07 2bc3 00ca 4032800000000000 00 00000064 02 3ecccccd 3fa00000");
+    let Event::AttemptEnded(ended) = event(5, &ended_record) else { panic!() };
     assert_eq!(
         (ended.outcome, ended.request_finished, ended.cached_tokens),
         (Outcome::Prefilled, false, 100.0)
@@ -73,24 +80,24 @@
         Event::ProbeEnded { engine: EngineId(ENGINE), outcome: Outcome::Completed, .. }
     ));
     assert_eq!(event(9, "0003 00000001 0002 6869"), Event::PeerMessage { from: 1, body: b"hi".to_vec() });
-    let note = event(11, &format!("{ID} 0000 0a124a07 2bc3 01 00000000"));
-    assert!(matches!(note, Event::ReservationAnswered { granted: true, .. }));
+    let answer = event(11, &format!("{ID} 0000 0a124a07 2bc3 01 00000000"));
+    assert!(matches!(answer, Event::ReservationAnswered { granted: true, .. }));
 }
 
 #[test]
-fn every_outcome_is_told_apart() {
-    let full = |no_state| Some(Outcome::Rejected { state_missing: no_state });
-    assert_eq!((outcome(2, 0), outcome(2, 1)), (full(false), full(true)));
+fn each_status_gives_its_outcome_and_an_unknown_one_gives_none() {
+    let rejected = |state_missing| Some(Outcome::Rejected { state_missing });
+    assert_eq!((outcome_of(2, 0), outcome_of(2, 1)), (rejected(false), rejected(true)));
     for (status, proves) in
         [(0, false), (3, false), (4, true), (5, false), (6, false), (7, true), (202, true)]
     {
-        assert_eq!(outcome(status, 0).unwrap().proves_not_run(), proves, "{status}");
+        assert_eq!(outcome_of(status, 0).unwrap().proves_not_run(), proves, "{status}");
     }
-    assert_eq!(outcome(99, 0), None);
+    assert_eq!(outcome_of(99, 0), None);
 }
 
 #[test]
-fn every_action_is_written() {
+fn each_action_is_encoded() {
     let id = RequestId(0x000a_5e3e_5d3a_91c4);
     let engine = EngineId(ENGINE);
     let wait = Duration::from_millis(80);
@@ -124,26 +131,26 @@
     ];
     for (action, hex) in cases {
         let mut reply = Reply::default();
-        reply.action(3, &action);
+        reply.add_action(3, &action);
         assert_eq!(reply.frame()[8..], bytes(&hex), "{action:?}");
     }
     let mut reply = Reply::default();
-    reply.fault(3, "hi");
-    reply.fault(4, "gone");
-    reply.forget(4);
+    reply.add_fault(3, "hi");
+    reply.add_fault(4, "gone");
+    reply.discard(4);
     assert_eq!(reply.frame(), bytes("0000000f 00000001 02 00000006 0003 0002 6869"));
 }
 
 #[test]
-fn what_is_no_time_or_length_is_absent() {
+fn values_that_are_no_time_or_length_are_absent() {
     let nan = "7ff8000000000000";
-    let query =
+    let request_record =
         format!("{ID} 0000000000000000 0000 ffc00000 0000 00 bf800000 0000000000000001 7f800000 {nan} {nan}");
-    let Event::Request(request) = event(3, &query) else { panic!() };
+    let Event::Request(request) = event(3, &request_record) else { panic!() };
     assert_eq!((request.prompt_tokens, request.max_output_tokens), (0.0, 0.0));
     assert_eq!((request.client_timeout, request.shared_prefix), (Duration::ZERO, None));
-    let minus = format!("{ID} 0000 0a124a07 2bc3 0001 bff0000000000000 01 00000000 02 7fc00000 bf800000");
-    let Event::AttemptEnded(ended) = event(5, &minus) else { panic!() };
+    let negative = format!("{ID} 0000 0a124a07 2bc3 0001 bff0000000000000 01 00000000 02 7fc00000 bf800000");
+    let Event::AttemptEnded(ended) = event(5, &negative) else { panic!() };
     assert_eq!((ended.latency, ended.report), (Duration::ZERO, LoadReport::default()));
 }
 
@@ -161,13 +168,13 @@
     assert!(read(2, "0003 00 00000000 ffffffff 00").is_err());
     let mut frame = batch(6, ID);
     frame.truncate(20);
-    assert!(open(&frame).unwrap().next(|_| &[]).is_err());
+    assert!(Batch::open(&frame).unwrap().next(|_| &[]).is_err());
     frame = batch(6, ID);
     frame.push(0);
-    let mut late = open(&frame).unwrap();
+    let mut late = Batch::open(&frame).unwrap();
     late.next(|_| &[]).unwrap();
     assert_eq!(late.next(|_| &[]).unwrap_err().why, "bytes after the last record");
-    assert!(open(&[0; 5]).is_err());
+    assert!(Batch::open(&[0; 5]).is_err());
 }
 
 #[test]
