--- a/src/decisions/attempts.rs
+++ b/src/decisions/attempts.rs
@@ -70,7 +70,7 @@
         let limit = self.jobs.get(&id).and_then(|j| Some(self.window_left(now, j)?.saturating_sub(ASK_WAIT)));
         let Some(job) = self.jobs.get_mut(&id) else { return };
         let Some(server) = self.servers.get_mut(&engine) else { return };
-        self.fleet.touch(engine);
+        self.engine_index.mark_changed(engine);
         let prompt = job.request.prompt_tokens;
         let read = server.role == Role::Prefill;
         let tokens = if read { prompt } else { prompt + job.request.max_output_tokens };
--- a/src/decisions/decode_choice.rs
+++ b/src/decisions/decode_choice.rs
@@ -4,7 +4,7 @@
 //! docs/design.md, "The mechanism", and the exception "near writers".
 
 use super::router::Router;
-use crate::fleet::{shared, two_of, Reach, Rest};
+use crate::engine_index::{split_by_membership, two_at_random, Capability, RemainingPositions};
 use crate::interface::{EngineId, RequestId};
 use std::time::Duration;
 
@@ -12,25 +12,27 @@
     /// Power of two choices: two writers at random. Exception: moving state far is slow and priced, so a
     /// pair of the reader's cell (else its zone) comes first, others only as spill.
     pub(super) fn writers(&mut self, now: Duration, id: RequestId) -> (Vec<EngineId>, Vec<EngineId>) {
-        let (shelf, gone) = self.pool(now, id, Reach::Write);
+        let (shelf, gone) = self.pool(now, id, Capability::Decode);
         let reader = self.jobs.get(&id).and_then(|job| self.servers.get(&job.held?.0));
         let place = reader.map(|s| (s.entry.cell, s.entry.zone));
-        let here = place.map(|(cell, zone)| shelf.here(cell, zone)).unwrap_or_default();
-        let around = place.map(|(cell, zone)| shelf.around(cell, zone)).unwrap_or_default();
+        let here = place.map(|(cell, zone)| shelf.in_cell_and_zone(cell, zone)).unwrap_or_default();
+        let around = place.map(|(cell, zone)| shelf.in_cell_or_zone(cell, zone)).unwrap_or_default();
         for near in [&here[..], &around] {
-            let (missing, beyond) = shared(near, &gone);
+            let (missing, beyond) = split_by_membership(near, &gone);
             if missing.len() == near.len() {
                 continue;
             }
-            let (pair, other) =
-                (Rest::new(near.len(), [&missing, &[]]), Rest::new(shelf.len(), [near, &beyond]));
-            let two = two_of(pair.len(), || self.chance()).into_iter();
+            let (pair, other) = (
+                RemainingPositions::new(near.len(), [&missing, &[]]),
+                RemainingPositions::new(shelf.len(), [near, &beyond]),
+            );
+            let two = two_at_random(pair.len(), || self.chance()).into_iter();
             let pair = two.map(|k| shelf.id(near[pair.nth(k)] as usize)).collect();
-            let two = two_of(other.len(), || self.chance()).into_iter();
+            let two = two_at_random(other.len(), || self.chance()).into_iter();
             return (pair, two.map(|k| shelf.id(other.nth(k))).collect());
         }
-        let all = Rest::new(shelf.len(), [&gone, &[]]);
-        let two = two_of(all.len(), || self.chance()).into_iter();
+        let all = RemainingPositions::new(shelf.len(), [&gone, &[]]);
+        let two = two_at_random(all.len(), || self.chance()).into_iter();
         (two.map(|k| shelf.id(all.nth(k))).collect(), Vec::new())
     }
 }
--- a/src/decisions/ejection.rs
+++ b/src/decisions/ejection.rs
@@ -19,7 +19,7 @@
     pub(super) fn reached(&mut self, now: Duration, engine: EngineId) {
         let Some(server) = self.servers.get_mut(&engine) else { return };
         server.heard = now;
-        self.fleet.touch(engine);
+        self.engine_index.mark_changed(engine);
         if server.unreachable() {
             (server.ejected, server.returned) = (None, Some(now));
             (server.bucket, server.bucket_at) = (1.0, now);
@@ -49,7 +49,7 @@
         let length = (EJECT_BASE * (1 << server.doublings)).mul_f64(jitter);
         server.doublings = (server.doublings + 1).min(EJECT_DOUBLINGS);
         server.ejected = Some(now + length);
-        self.fleet.touch(engine);
+        self.engine_index.mark_changed(engine);
         self.alarm(Alarm::Trial(engine), length, out);
         out.push(Action::Log(format!("engine {:x} ejected for {} ms: {why}", engine.0, length.as_millis())));
     }
--- a/src/decisions/eligibility.rs
+++ b/src/decisions/eligibility.rs
@@ -7,7 +7,7 @@
 use super::engines::Server;
 use super::requests::Job;
 use super::router::Router;
-use crate::fleet::{Reach, Shelf};
+use crate::engine_index::{CandidateIndex, Capability};
 use crate::interface::{DeduplicationScope, EngineId, Idempotency, RequestId};
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,12 +19,14 @@
     /// The usable engines for this request's next attempt. Those it has tried, and those that just were full,
     /// are passed over while there are others. Under the panic threshold unreachable ones are usable again:
     /// connections are slow, not dead. Given as a shelf and, in order, the places on it that are not usable.
-    pub(super) fn pool(&mut self, now: Duration, id: RequestId, reach: Reach) -> (Arc<Shelf>, Vec<u32>) {
-        let shelf = self.fleet.shelf(reach as usize);
-        let mut odd = std::mem::take(&mut self.fleet.odd);
+    pub(super) fn pool(
+        &mut self, now: Duration, id: RequestId, capability: Capability,
+    ) -> (Arc<CandidateIndex>, Vec<u32>) {
+        let shelf = self.engine_index.candidates(capability);
+        let mut odd = std::mem::take(&mut self.engine_index.maybe_restricted);
         let is_odd = |s: &Server| s.rests(now) || s.unreachable() || self.is_cold(now, s);
         odd.retain(|id| self.servers.get(id).is_some_and(is_odd));
-        self.fleet.odd = odd;
+        self.engine_index.maybe_restricted = odd;
         let Some(job) = self.jobs.get(&id) else { return (shelf, Vec::new()) };
         let server = |at: u32| self.servers.get(&shelf.id(at as usize));
         let barred = |&at: &u32| !server(at).is_some_and(|s| self.may_send(job, s));
@@ -32,7 +34,8 @@
         let mut gone: Vec<u32> =
             if bound { (0..shelf.len() as u32).filter(barred).collect() } else { vec![] };
         let tried = |id: EngineId| job.attempts.iter().any(|a| a.engine == id && !a.done);
-        let unusual = self.fleet.odd.iter().copied().chain(job.attempts.iter().map(|a| a.engine));
+        let unusual =
+            self.engine_index.maybe_restricted.iter().copied().chain(job.attempts.iter().map(|a| a.engine));
         let mut unusual: Vec<u32> = unusual.filter_map(|id| shelf.position(id)).collect();
         unusual.sort_unstable();
         unusual.dedup();
--- a/src/decisions/engines.rs
+++ b/src/decisions/engines.rs
@@ -105,11 +105,11 @@
             let named: BTreeSet<EngineId> = engines.iter().map(|e| e.id).collect();
             let before = self.servers.len();
             self.servers.retain(|id, _| named.contains(id));
-            self.fleet.list_moved(self.servers.len() != before);
+            self.engine_index.note_list_change(self.servers.len() != before);
         }
         for entry in engines {
             if entry.state == EngineState::Gone {
-                self.fleet.list_moved(self.servers.remove(&entry.id).is_some());
+                self.engine_index.note_list_change(self.servers.remove(&entry.id).is_some());
                 continue;
             }
             let Some(&role) = self.settings.kind_roles.get(entry.kind.0) else { continue };
@@ -124,9 +124,9 @@
                 let Server { tokens, out, waiting, .. } = *server;
                 *server = Server { tokens, out, waiting, ..fresh() };
             }
-            self.fleet.touch(entry.id);
+            self.engine_index.mark_changed(entry.id);
             server.entry = entry;
-            self.fleet.list_moved(before != Some(place(server)));
+            self.engine_index.note_list_change(before != Some(place(server)));
         }
     }
 }
--- a/src/decisions/index_refresh.rs
+++ b/src/decisions/index_refresh.rs
@@ -6,47 +6,51 @@
 use super::probes::FRESH;
 use super::router::Router;
 use super::saturation::{MEMORY_THRESHOLD, REPORT_LIFE};
-use crate::fleet::{Counted, Standing};
+use crate::engine_index::{EngineStatus, SaturationTerm};
 use crate::interface::ReportSource;
 use std::time::Duration;
 
 impl Router {
     /// Brings the bookkeeping up to date: lists, what has happened to engines, what has run out.
     pub(super) fn settle(&mut self, now: Duration) {
-        if self.fleet.take_moved() {
+        if self.engine_index.take_list_change() {
             self.shelve();
         }
-        while let Some(id) = self.fleet.next(now) {
+        while let Some(id) = self.engine_index.next_outdated(now) {
             if let Some(server) = self.servers.get(&id) {
                 let standing = self.standing(now, server);
-                self.fleet.count(id, standing);
+                self.engine_index.update(id, standing);
             }
         }
     }
 
-    pub(super) fn standing(&self, now: Duration, server: &Server) -> Standing {
+    pub(super) fn standing(&self, now: Duration, server: &Server) -> EngineStatus {
         let report = server.report.as_ref();
         let told = report.filter(|_| self.settings.report_source != ReportSource::None).map(|(_, r)| r);
         let counted = match (self.load(now, server).filter(|_| server.ready()), told) {
-            (None, _) => Counted::Unknown,
+            (None, _) => SaturationTerm::Unknown,
             // Counts of requests weigh by means over all engines, which move without news of any.
             (Some(_), Some(r)) if r.waiting_tokens.is_none() => {
                 let least = r.memory_share.unwrap_or(0.0) / MEMORY_THRESHOLD;
                 let (idle, kind) =
                     (server.out <= 0.0 && server.waiting <= 0.0, usize::from(r.queued.is_none()));
                 match r.queued.or(r.in_flight).unwrap_or(0.0) {
-                    count if server.since != 0.0 || kind == 1 && !idle && count != 0.0 => Counted::Moves,
-                    count if count > 0.0 && least >= 0.0 => Counted::Weighs { kind, count, least },
-                    _ => Counted::Fixed(least.max(0.0)),
+                    count if server.since != 0.0 || kind == 1 && !idle && count != 0.0 => {
+                        SaturationTerm::Varying
+                    }
+                    count if count > 0.0 && least >= 0.0 => {
+                        SaturationTerm::CountWeighted { kind, count, minimum: least }
+                    }
+                    _ => SaturationTerm::Fixed(least.max(0.0)),
                 }
             }
-            (Some(load), _) => Counted::Fixed(load),
+            (Some(load), _) => SaturationTerm::Fixed(load),
         };
         let old = server.ready() && !server.unreachable() && !server.probing && !server.fresh(now);
         let odd = server.rests(now) || server.unreachable() || self.is_cold(now, server);
         let stale = report.map_or(server.heard, |(at, _)| *at) + FRESH;
         let dead = report.map(|(at, _)| *at + REPORT_LIFE + Duration::from_nanos(1));
         let due = [Some(stale), dead].into_iter().flatten().filter(|&at| at > now).min();
-        Standing { role: server.role as usize, counted, old, odd, due }
+        EngineStatus { role: server.role as usize, term: counted, stale: old, maybe_restricted: odd, due }
     }
 }
--- a/src/decisions/placement.rs
+++ b/src/decisions/placement.rs
@@ -41,7 +41,8 @@
             }
             let silent = if server.heard + FRESH < asked { SILENT_TOKENS } else { 0.0 };
             // Exception: where no writer stands in its cell, all its states go far, which is slow and priced.
-            let lone = server.role == Role::Prefill && !self.fleet.has_writer(server.entry.cell);
+            let lone =
+                server.role == Role::Prefill && !self.engine_index.has_decode_engine(server.entry.cell);
             let moves = if lone { self.unread * job.request.prompt_tokens } else { 0.0 };
             Some((*id, load + server.tokens + silent + moves))
         };
--- a/src/decisions/prefill_affinity.rs
+++ b/src/decisions/prefill_affinity.rs
@@ -5,7 +5,7 @@
 //! zone".
 
 use super::router::Router;
-use crate::fleet::{Placed, Reach};
+use crate::engine_index::{Capability, ListedEngine};
 use crate::interface::{CellId, Engine, EngineId, RequestId, Role};
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -21,13 +21,13 @@
     pub(super) fn readers(
         &mut self, now: Duration, id: RequestId, left: usize,
     ) -> (Vec<EngineId>, Vec<EngineId>) {
-        let reach = if left >= 2 { Reach::Read } else { Reach::ReadAndWrite };
-        let (_, gone) = self.pool(now, id, reach);
+        let capability = if left >= 2 { Capability::Prefill } else { Capability::PrefillAndDecode };
+        let (_, gone) = self.pool(now, id, capability);
         let Some(job) = self.jobs.get(&id) else { return Default::default() };
         let session = job.request.session;
         let key = job.request.shared_prefix.unwrap_or(session);
         let hash = |id: EngineId, key| xxh3_64_with_seed(&id.0.to_le_bytes(), key);
-        let mut homes = self.fleet.first(reach as usize, key, 4, &gone, |id| hash(id, key) >> 11);
+        let mut homes = self.engine_index.top_ranked(capability, key, 4, &gone, |id| hash(id, key) >> 11);
         let others = homes.split_off(homes.len().min(2));
         homes.sort_by_key(|&id| hash(id, session));
         (homes, others)
@@ -50,7 +50,7 @@
             }
         }
         let ratio = |[read, write]: [f64; 2]| write.max(1.0) / read.max(1.0);
-        self.fleet.place(self.servers.iter().map(|(&id, server)| {
+        self.engine_index.rebuild(self.servers.iter().map(|(&id, server)| {
             let Engine { cell, zone, .. } = server.entry;
             let (role, ready) = (server.role as usize, server.ready());
             let [least, most] = if server.role == Role::Prefill { HOME_WEIGHTS } else { [1.0; 2] };
@@ -59,8 +59,8 @@
             let weight = own * (ratio(near) / ratio(fleet)).clamp(least, most);
             let alone = server.role == Role::Mixed
                 || server.role == Role::Decode && self.settings.decode_engines_prefill;
-            let reaches = [alone || server.role == Role::Prefill, alone, server.role != Role::Prefill];
-            Placed { id, role, ready, weight, cell, zone, reaches }
+            let capabilities = [alone || server.role == Role::Prefill, alone, server.role != Role::Prefill];
+            ListedEngine { id, role, ready, weight, cell, zone, capabilities }
         }));
     }
 }
--- a/src/decisions/probes.rs
+++ b/src/decisions/probes.rs
@@ -6,7 +6,7 @@
 use super::router::Router;
 use super::timers::Alarm;
 use super::Out;
-use crate::fleet::two_of;
+use crate::engine_index::two_at_random;
 use crate::interface::{Action, EngineId, LoadReport, Outcome, RequestId};
 use std::time::Duration;
 
@@ -40,8 +40,8 @@
     /// A refused request asks too, as a router that refuses all would hear nothing any more.
     pub(super) fn ask_anyone(&mut self, now: Duration, out: Out) {
         self.settle(now);
-        for k in two_of(self.fleet.old(), || self.chance()) {
-            self.probe(self.fleet.nth_old(k), out);
+        for k in two_at_random(self.engine_index.stale_count(), || self.chance()) {
+            self.probe(self.engine_index.nth_stale(k), out);
         }
     }
 
@@ -58,7 +58,7 @@
     ) {
         let Some(server) = self.servers.get_mut(&engine) else { return };
         server.probing = false;
-        self.fleet.touch(engine);
+        self.engine_index.mark_changed(engine);
         let askers = std::mem::take(&mut server.askers);
         if outcome == Outcome::Completed {
             self.reached(now, engine);
@@ -83,7 +83,7 @@
         let allowed = self.settings.limits.probes;
         if let Some(server) = self.servers.get_mut(&engine).filter(|s| allowed && !s.probing) {
             server.probing = true;
-            self.fleet.touch(engine);
+            self.engine_index.mark_changed(engine);
             out.push(Action::Probe(engine));
         }
     }
--- a/src/decisions/retries.rs
+++ b/src/decisions/retries.rs
@@ -30,7 +30,7 @@
     pub(super) fn on_first(&mut self, now: Duration, which: (RequestId, usize), latency: Duration, out: Out) {
         let Some(job) = self.jobs.get_mut(&which.0) else { return };
         let Some(a) = job.attempts.get_mut(which.1).filter(|a| a.out && a.begun.is_none()) else { return };
-        self.fleet.touch(a.engine);
+        self.engine_index.mark_changed(a.engine);
         a.begun = Some(latency);
         // Of a whole answer nothing has gone out yet: if its writer is lost, its class says what may follow.
         (job.ended, job.held) = (job.whole_by.is_none(), None);
@@ -46,7 +46,7 @@
         let AttemptEnded { request: id, outcome, latency, .. } = ended;
         let Some(job) = self.jobs.get_mut(&id) else { return };
         let Some(a) = job.attempts.get_mut(ended.attempt).filter(|a| a.out) else { return };
-        self.fleet.touch(a.engine);
+        self.engine_index.mark_changed(a.engine);
         // One that found no state to fetch is not at fault: with the state read again it is as good as any.
         let blameless = outcome == Outcome::Rejected { state_missing: true };
         (a.out, a.done) =
--- a/src/decisions/router.rs
+++ b/src/decisions/router.rs
@@ -7,7 +7,7 @@
 use super::engines::{Means, Server, FIRST_PACE};
 use super::requests::Job;
 use super::timers::Alarm;
-use crate::fleet::{Fleet, Mean};
+use crate::engine_index::{EngineIndex, RunningMean};
 use crate::interface::{Action, EngineId, Event, RequestId, Settings, TimerId};
 use rand_core::{RngCore, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
@@ -27,12 +27,12 @@
     pub(super) top_worth: f64,
     /// The first-token aim above which equal worths are droppable; `None` where worths differ.
     pub(super) loose_aim: Option<Duration>,
-    pub(super) mean_prompt: Mean,
+    pub(super) mean_prompt: RunningMean,
     /// Mean part of a prompt that its reader had not kept.
     pub(super) unread: f64,
     pub(super) means: [Means; 3],
     /// Bookkeeping, so that no decision walks all engines.
-    pub(super) fleet: Fleet,
+    pub(super) engine_index: EngineIndex,
 }
 
 impl Router {
@@ -53,10 +53,10 @@
             quotas,
             top_worth,
             loose_aim,
-            mean_prompt: Mean::from(FIRST_PROMPT),
+            mean_prompt: RunningMean::from(FIRST_PROMPT),
             unread: 1.0,
             means: [Means { pace: FIRST_PACE, deviation: FIRST_PACE / 2.0, ..Means::default() }; 3],
-            fleet: Fleet::default(),
+            engine_index: EngineIndex::default(),
             settings,
         }
     }
--- a/src/decisions/saturation.rs
+++ b/src/decisions/saturation.rs
@@ -25,7 +25,7 @@
                 let to_read = if does == Role::Prefill { self.unread } else { 1.0 };
                 let queued = *self.mean_prompt * to_read / WAITING_THRESHOLD;
                 let weights = [queued, queued * self.usual(does) / WAITING_PRIOR];
-                let (fixed, known, moving) = self.fleet.sums(does as usize, weights);
+                let (fixed, known, moving) = self.engine_index.saturation_sums(does as usize, weights);
                 let loads = moving.iter().filter_map(|id| self.load(now, self.servers.get(id)?));
                 (sum, count) = (sum + fixed + loads.sum::<f64>(), count + known + moving.len());
             }
--- a/src/decisions/slow_start.rs
+++ b/src/decisions/slow_start.rs
@@ -34,8 +34,14 @@
 
     pub(super) fn note_borne(&mut self, now: Duration, role: Role, prompt: f64) {
         let cold = |s: &&Server| s.role == role && s.ready() && self.is_cold(now, s);
-        let cold = self.fleet.odd.iter().filter_map(|id| self.servers.get(id)).filter(cold).count();
-        let warm = self.fleet.ready(role as usize).saturating_sub(cold).max(1) as f64;
+        let cold = self
+            .engine_index
+            .maybe_restricted
+            .iter()
+            .filter_map(|id| self.servers.get(id))
+            .filter(cold)
+            .count();
+        let warm = self.engine_index.ready_count(role as usize).saturating_sub(cold).max(1) as f64;
         let means = &mut self.means[role as usize];
         let age = now.saturating_sub(means.rate_at).as_secs_f64() / RATE_SPAN.as_secs_f64();
         means.rate = means.rate * (-age).exp() + prompt / RATE_SPAN.as_secs_f64();
--- a/src/decisions/successor.rs
+++ b/src/decisions/successor.rs
@@ -55,7 +55,7 @@
             let attempts = job.attempts.iter().map(|a| Attempt { ..*a }).collect();
             heir.jobs.insert(id, Job { request, attempts, ended: true, ..Job::default() });
         }
-        heir.fleet.list_moved(true);
+        heir.engine_index.note_list_change(true);
         let ejected: Vec<_> =
             heir.servers.iter().filter_map(|(&id, s)| Some((id, s.ejected?.saturating_sub(now)))).collect();
         for (id, left) in ejected {
--- /dev/null
+++ b/src/engine_index/marks.rs
@@ -0,0 +1,51 @@
+//! Marks on positions that are counted and numbered in logarithmic time.
+
+/// Marks on positions, counted and numbered in logarithmic time by a binary indexed tree.
+#[derive(Clone, Debug, Default)]
+pub(crate) struct MarkedPositions {
+    set: Vec<bool>,
+    tree: Vec<u32>,
+    count: usize,
+}
+
+impl MarkedPositions {
+    /// No marks on `n` positions.
+    pub(crate) fn new(n: usize) -> Self {
+        MarkedPositions { set: vec![false; n], tree: vec![0; n + 1], count: 0 }
+    }
+
+    /// Sets or clears the mark of a position.
+    pub(crate) fn put(&mut self, at: usize, mark: bool) {
+        if std::mem::replace(&mut self.set[at], mark) == mark {
+            return;
+        }
+        self.count = if mark { self.count + 1 } else { self.count - 1 };
+        let mut node = at + 1;
+        while node < self.tree.len() {
+            self.tree[node] = if mark { self.tree[node] + 1 } else { self.tree[node] - 1 };
+            node += node & node.wrapping_neg();
+        }
+    }
+
+    /// How many marks are set.
+    pub(crate) fn len(&self) -> usize {
+        self.count
+    }
+
+    /// The position of mark number `k`, from 0, which has to exist.
+    pub(crate) fn nth(&self, k: usize) -> usize {
+        let (mut at, mut left) = (0, k as u32);
+        let mut step = self.tree.len().next_power_of_two();
+        while step > 0 {
+            if at + step < self.tree.len() && self.tree[at + step] <= left {
+                at += step;
+                left -= self.tree[at];
+            }
+            step /= 2;
+        }
+        at
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -79,7 +79,7 @@
 #![warn(missing_docs)]
 
 mod decisions;
-mod fleet;
+mod engine_index;
 mod interface;
 
 pub use decisions::{Router, SettingsMapping, StateSizes};
