--- /dev/null
+++ b/crates/platform/src/active_requests.rs
@@ -0,0 +1,128 @@
+//! The requests in progress: by id and by client id, the memory that they hold, and which ids were forwarded lately.
+
+use crate::recent_ids::RecentIds;
+use crate::request::ActiveRequest;
+use slipreel::RequestId;
+use std::collections::{BTreeMap, HashMap};
+use std::time::Duration;
+
+/// The requests in progress.
+#[derive(Debug, Default)]
+pub(crate) struct ActiveRequests {
+    by_id: BTreeMap<RequestId, ActiveRequest>,
+    /// Requests that are not answered yet, by the id that their clients gave them.
+    by_client_id: HashMap<String, RequestId>,
+    recently_forwarded: RecentIds,
+    /// Requests that may be done and can then be removed.
+    maybe_done: Vec<RequestId>,
+    /// Bytes of bodies that are held for further attempts.
+    held_bytes: usize,
+    last_id: u64,
+}
+
+impl ActiveRequests {
+    /// An id that no request has had.
+    pub(crate) fn next_id(&mut self) -> RequestId {
+        self.last_id += 1;
+        RequestId(self.last_id)
+    }
+
+    pub(crate) fn insert(&mut self, id: RequestId, request: ActiveRequest) {
+        self.held_bytes += request.held_bytes();
+        self.by_client_id.insert(request.client_id.clone(), id);
+        self.by_id.insert(id, request);
+    }
+
+    pub(crate) fn get(&self, id: RequestId) -> Option<&ActiveRequest> {
+        self.by_id.get(&id)
+    }
+
+    pub(crate) fn get_mut(&mut self, id: RequestId) -> Option<&mut ActiveRequest> {
+        self.by_id.get_mut(&id)
+    }
+
+    /// A request that has not had its final answer.
+    pub(crate) fn get_open(&self, id: RequestId) -> Option<&ActiveRequest> {
+        self.get(id).filter(|request| !request.over)
+    }
+
+    /// The requests that have not had their final answer, in the order of their ids.
+    pub(crate) fn open(&self) -> impl Iterator<Item = (RequestId, &ActiveRequest)> {
+        self.by_id.iter().filter(|(_, request)| !request.over).map(|(&id, request)| (id, request))
+    }
+
+    /// Whether this attempt's stream is being forwarded to the client.
+    pub(crate) fn is_streaming(&self, id: RequestId, attempt: usize) -> bool {
+        self.get(id).is_some_and(|request| request.streaming_attempt == Some(attempt))
+    }
+
+    pub(crate) fn len(&self) -> usize {
+        self.by_id.len()
+    }
+
+    pub(crate) fn is_empty(&self) -> bool {
+        self.by_id.is_empty()
+    }
+
+    /// How many client ids of open requests are kept.
+    pub(crate) fn client_id_count(&self) -> usize {
+        self.by_client_id.len()
+    }
+
+    /// Whether a request of this client id is open.
+    pub(crate) fn is_id_in_use(&self, client_id: &str) -> bool {
+        self.by_client_id.contains_key(client_id)
+    }
+
+    /// A request of this client id goes to an engine.
+    pub(crate) fn record_forwarded(&mut self, now: Duration, id: RequestId) {
+        if let Some(request) = self.by_id.get(&id) {
+            self.recently_forwarded.add(now, &request.client_id);
+        }
+    }
+
+    /// Whether a request of this client id was forwarded to an engine lately.
+    pub(crate) fn was_forwarded(&mut self, now: Duration, client_id: &str) -> bool {
+        self.recently_forwarded.contains(now, client_id)
+    }
+
+    /// Bytes of bodies that are held for further attempts.
+    pub(crate) fn held_bytes(&self) -> usize {
+        self.held_bytes
+    }
+
+    /// The stream of an attempt begins: its client has had some of it, so the body is not sent again and is dropped.
+    pub(crate) fn begin_stream(&mut self, id: RequestId, attempt: usize) -> Option<&ActiveRequest> {
+        let request = self.by_id.get_mut(&id)?;
+        self.held_bytes = self.held_bytes.saturating_sub(request.held_bytes());
+        request.begin_stream(attempt);
+        Some(request)
+    }
+
+    /// A request has its final answer, or needs none any more.
+    pub(crate) fn close(&mut self, id: RequestId) {
+        let Some(request) = self.by_id.get_mut(&id) else { return };
+        if std::mem::replace(&mut request.over, true) {
+            return;
+        }
+        if request.streaming_attempt.is_none() {
+            self.held_bytes = self.held_bytes.saturating_sub(request.held_bytes());
+        }
+        self.by_client_id.remove(&request.client_id);
+        self.maybe_done.push(id);
+    }
+
+    /// An attempt of it has ended, perhaps its last.
+    pub(crate) fn check_when_settled(&mut self, id: RequestId) {
+        self.maybe_done.push(id);
+    }
+
+    /// Removes the requests of which nothing more can come.
+    pub(crate) fn remove_done(&mut self) {
+        for id in std::mem::take(&mut self.maybe_done) {
+            if self.get(id).is_some_and(ActiveRequest::is_done) {
+                self.by_id.remove(&id);
+            }
+        }
+    }
+}
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -65,8 +65,10 @@
         };
         let resource_limits = ResourceLimits::new(limit("sockets")?, limit("memory_mb")?);
         let known = value.get("known").filter(|k| !k.is_null());
-        let known =
-            known.map(endpoint_list::read).transpose().map_err(|why| ConfigError(format!("known.{why}")))?;
+        let known = known
+            .map(endpoint_list::read)
+            .transpose()
+            .map_err(|error| ConfigError(format!("known.{error}")))?;
         let profile = slipreel_platform_settings::from_json(field("settings")?);
         Ok(Config {
             name: text("name")?.to_owned(),
--- /dev/null
+++ b/crates/platform/src/discovery.rs
@@ -0,0 +1,115 @@
+//! Discovery's side: the watch of the endpoint list is opened, read and opened again, and its lists are applied.
+
+use crate::config::Config;
+use crate::endpoint_list::EndpointList;
+use crate::router::PlatformRouter;
+use crate::watch::DueStep;
+use slipreel::Outcome;
+use slipreel_state_machine::{ConnId, ConnectionLoss, Output};
+
+impl PlatformRouter {
+    /// The watch's timer has fired: it is opened, or given up if it has timed out.
+    pub(crate) fn watch_due(&mut self, out: &mut Vec<Output>) {
+        self.watch.timer_fired();
+        match self.watch.due_step(self.now) {
+            Some(DueStep::Open) => {
+                let conn = self.engines.next_id();
+                self.watch.connecting(conn, self.now);
+                out.push(Output::Connect(conn, self.watch.addr()));
+            }
+            Some(DueStep::GiveUp(timeout)) => {
+                let reopens_at_once = timeout.reopens_at_once();
+                self.watch_failed(&timeout.to_string(), reopens_at_once, out);
+                if reopens_at_once {
+                    return self.watch_due(out);
+                }
+            }
+            None => {}
+        }
+        self.watch.arm_timer(&mut self.timers);
+    }
+
+    /// The watch's connection is established.
+    pub(crate) fn watch_connected(&mut self, conn: ConnId, out: &mut Vec<Output>) {
+        let request = self.watch.connected(conn, self.now);
+        out.push(Output::Write(conn, request));
+        self.watch.arm_timer(&mut self.timers);
+    }
+
+    /// The watch is given up and opened again, after a backoff or at once.
+    pub(crate) fn watch_failed(&mut self, why: &str, reopens_at_once: bool, out: &mut Vec<Output>) {
+        if let Some(conn) = self.watch.conn() {
+            out.push(Output::Abort(conn));
+        }
+        self.log_limited(|| format!("the watch of the list ends: {why}"), out);
+        self.watch.failed(self.now, reopens_at_once);
+        self.watch.arm_timer(&mut self.timers);
+    }
+
+    /// The watch's connection is lost. Without a descriptor for it, idle client connections and idle connections to
+    /// engines are closed for the next: the list comes before them.
+    pub(crate) fn watch_lost(&mut self, why: ConnectionLoss, out: &mut Vec<Output>) {
+        let why = if why == ConnectionLoss::Exhausted {
+            self.free_descriptor(out);
+            "no descriptor is left"
+        } else {
+            "its connection broke"
+        };
+        self.watch_failed(why, false, out);
+    }
+
+    /// Closes a connection so that the process has a descriptor for another: an idle client's, else an engine's.
+    pub(crate) fn free_descriptor(&mut self, out: &mut Vec<Output>) {
+        if !self.evict(out) {
+            self.close_oldest_idle(out);
+        }
+    }
+
+    /// Bytes of the watch: applies the lists that they complete.
+    pub(crate) fn watch_data(&mut self, bytes: &[u8], out: &mut Vec<Output>) {
+        let mut lists = Vec::new();
+        let fed = self.watch.feed(self.now, bytes, &mut lists);
+        for list in lists {
+            self.apply_endpoint_list(list, out);
+            // What one list makes the module decide is carried out by that list, not by the next.
+            self.run_decisions(out);
+        }
+        match fed {
+            Ok(()) => self.watch.arm_timer(&mut self.timers),
+            Err(error) => self.watch_failed(&error.to_string(), false, out),
+        }
+    }
+
+    fn apply_endpoint_list(&mut self, list: EndpointList, out: &mut Vec<Output>) {
+        let changes = self.endpoints.apply(list, false);
+        for line in changes.skipped {
+            self.log_limited(|| line, out);
+        }
+        self.queue_event(changes.event);
+        // What has not left for an engine that drains or is gone goes elsewhere, also if only its last byte has not.
+        let is_affected = |engine| changes.closed.contains(&engine) || changes.moved.contains(&engine);
+        for conn in self.engines.unwritten_attempts(is_affected) {
+            self.cancel_connection(conn, Outcome::Cancelled, out);
+        }
+        for engine in changes.closed.into_iter().chain(changes.moved) {
+            self.engines.forget_reuse_history(engine);
+            self.close_idle(engine, out);
+        }
+    }
+
+    /// The file was replaced: the watch goes over to the new address; the present list stays until that has sent one.
+    pub(crate) fn reload(&mut self, config: &Config, out: &mut Vec<Output>) {
+        out.push(Output::Log(format!(
+            "the configuration was read again; discovery is at {}",
+            config.discovery
+        )));
+        if config.discovery != self.watch.addr() {
+            if let Some(conn) = self.watch.conn() {
+                out.push(Output::Abort(conn));
+            }
+            self.watch.move_to(config.discovery, self.now);
+            self.watch.arm_timer(&mut self.timers);
+            self.watch_due(out);
+        }
+    }
+}
--- a/crates/platform/src/dispatch.rs
+++ b/crates/platform/src/dispatch.rs
@@ -2,9 +2,10 @@
 
 use crate::engine_connection::{ConnectionPurpose, EngineConnection, State};
 use crate::proof::{AttemptEnd, NeverRan};
-use crate::router::{PlatformRouter, Timer};
+use crate::router::PlatformRouter;
+use crate::timer::Timer;
 use slipreel::{Action, AttemptEnded, EngineId, Event, LoadReport, Outcome, ReportSource, RequestId, Role};
-use slipreel_connections::{Errand, Slot};
+use slipreel_connections::Slot;
 use slipreel_protocol::http::{self, Framing};
 use slipreel_state_machine::{ConnId, Output};
 use std::net::SocketAddr;
@@ -12,11 +13,6 @@
 
 /// Connections for releases beyond the bound of those to engines.
 const EXTRA_RELEASE_CONNECTIONS: usize = 4;
-/// A connection is idle for at least so long after an answer before it is used again: an engine that closes it, or sends
-/// a second answer, is seen to do so in this time.
-const IDLE_BEFORE_REUSE: Duration = Duration::from_millis(8);
-/// Log lines on non-idempotent attempts that never ran, between two status lines.
-const MAX_NEVER_RAN_LINES: u32 = 200;
 
 impl PlatformRouter {
     pub(crate) fn dispatch(&mut self, action: Action, out: &mut Vec<Output>) {
@@ -29,7 +25,7 @@
             Action::Fail(request) => self.fail_request(request, out),
             Action::Release(request) => self.release(request, out),
             Action::SetTimer { timer, after } => {
-                self.timers.set(self.now + after, Timer::Module(timer));
+                self.timers.set(self.now + after, Timer::Decision(timer));
             }
             Action::Probe(engine) => self.probe(engine, out),
             Action::CloseIdleConnections(engine) => self.close_idle(engine, out),
@@ -45,39 +41,39 @@
 
     // ---- Attempts -----------------------------------------------------------------------------
 
-    fn send(&mut self, id: RequestId, engine: EngineId, limit: Option<Duration>, out: &mut Vec<Output>) {
+    fn send(&mut self, id: RequestId, engine: EngineId, timeout: Option<Duration>, out: &mut Vec<Output>) {
         let now = self.now;
-        let endpoint = self.endpoints.get(engine);
-        let cell = endpoint.map(|m| m.cell);
-        let crosses = endpoint.is_some_and(|m| m.zone != self.profile.settings.zone);
-        let endpoint = endpoint.map(|m| (m.addr, m.role == Role::Prefill));
-        let Some(request) = self.requests.get_mut(&id) else { return };
-        let runs_once = request.terms.runs_once;
-        let (addr, reads) = endpoint.unwrap_or((SocketAddr::from(([0, 0, 0, 0], 0)), false));
+        let Some(request) = self.requests.get_mut(id) else { return };
         if let Some(holder) = request.release.and_then(|release| self.releases.withdraw(release)) {
             request.release_withdrawn(holder);
         }
-        let (attempt, bytes) = (request.begin_attempt(now, engine, reads), request.message(now, addr));
-        if endpoint.is_none() {
+        let Some(endpoint) = self.endpoints.get(engine) else {
             // It has left the list in this very moment.
+            let attempt = request.begin_attempt(now, engine, false);
             return self.ended(id, attempt, AttemptEnd::never_ran(NeverRan::NotTried));
+        };
+        let (addr, is_prefill) = (endpoint.addr, endpoint.role == Role::Prefill);
+        let attempt = request.begin_attempt(now, engine, is_prefill);
+        let bytes = request.message(now, addr);
+        let holds_last_byte = request.terms.runs_once && !is_prefill;
+        let prefill_engine = request.prefill_engine().filter(|_| !is_prefill);
+        let prefill_cell = prefill_engine.and_then(|engine| self.endpoints.get(engine)).map(|e| e.cell);
+        if prefill_cell.is_some_and(|cell| cell != endpoint.cell) {
+            self.counters.transferred_tokens += request.terms.prompt_tokens;
         }
-        self.recently_forwarded.add(now, &request.client_id);
-        let from =
-            request.reader().filter(|_| !reads).and_then(|reader| self.endpoints.get(reader)).map(|m| m.cell);
-        self.counters.transferred_tokens +=
-            if from.is_some() && from != cell { request.terms.prompt_tokens } else { 0 };
-        self.counters.cross_zone_attempts += u64::from(crosses);
+        self.counters.cross_zone_attempts += u64::from(endpoint.zone != self.profile.settings.zone);
         self.counters.attempts += 1;
+        self.requests.record_forwarded(now, id);
         let purpose = ConnectionPurpose::Attempt { request: id, attempt };
-        let Some(conn) = self.open_for_attempt(engine, addr, purpose, bytes, runs_once && !reads, out) else {
+        let Some(conn) = self.open_for_attempt(engine, addr, purpose, bytes, holds_last_byte, out) else {
             return self.ended(id, attempt, AttemptEnd::never_ran(NeverRan::NotTried));
         };
-        if let Some(a) = self.requests.get_mut(&id).and_then(|c| c.attempts.get_mut(attempt)) {
-            a.conn = Some(conn);
+        if let Some(attempt) = self.requests.get_mut(id).and_then(|request| request.attempts.get_mut(attempt))
+        {
+            attempt.conn = Some(conn);
         }
-        if let Some(limit) = limit {
-            self.timers.set(now + limit, Timer::Attempt(id, attempt));
+        if let Some(timeout) = timeout {
+            self.timers.set(now + timeout, Timer::Attempt(id, attempt));
         }
     }
 
@@ -93,8 +89,8 @@
         if !self.free_connection_slot(&purpose, out) {
             return None;
         }
-        self.pool.opens(engine);
-        let conn = self.next_connection_id();
+        self.engines.reserve_new(engine);
+        let conn = self.engines.next_id();
         let connection = EngineConnection::new(conn, engine, addr, purpose, self.now, bytes);
         let connection = if holds_last_byte { connection.holding_last_byte() } else { connection };
         self.open(connection, out);
@@ -107,28 +103,21 @@
         out: &mut Vec<Output>,
     ) -> bool {
         let now = self.now;
-        // A release is sent again if it breaks, and goes out as soon as it can.
-        let (errand, rested) = match purpose {
-            ConnectionPurpose::Release(_) => (Errand::Release, now),
-            _ if self.trust.may_use(engine) => (Errand::Probe, now.saturating_sub(IDLE_BEFORE_REUSE)),
-            _ => (Errand::Probe, Duration::ZERO),
-        };
-        match self.pool.take(engine, usize::MAX - 1, errand, rested) {
+        match self.engines.reserve(engine, purpose, now) {
             Slot::Idle(conn) => {
-                if let Some(connection) = self.engine_connections.get_mut(&conn) {
+                if let Some(connection) = self.engines.get_mut(conn) {
                     out.push(Output::Write(conn, connection.begin(purpose, now, bytes)));
                 }
                 self.arm_engine_timer(conn);
                 true
             }
             Slot::Open if self.free_connection_slot(&purpose, out) => {
-                let conn = self.next_connection_id();
+                let conn = self.engines.next_id();
                 self.open(EngineConnection::new(conn, engine, addr, purpose, now, bytes), out);
                 true
             }
             Slot::Open | Slot::Full => {
-                // The place taken in the pool is given back; the number is none of a connection.
-                self.pool.gone(engine, ConnId::opened(0));
+                self.engines.cancel_reservation(engine);
                 false
             }
         }
@@ -137,7 +126,7 @@
     fn open(&mut self, connection: EngineConnection, out: &mut Vec<Output>) {
         let (conn, addr) = (connection.conn, connection.addr);
         self.counters.engine_connections_opened += 1;
-        self.engine_connections.insert(conn, connection);
+        self.engines.insert(connection);
         out.push(Output::Connect(conn, addr));
         self.arm_engine_timer(conn);
     }
@@ -147,21 +136,19 @@
     fn free_connection_slot(&mut self, purpose: &ConnectionPurpose, out: &mut Vec<Output>) -> bool {
         let extra =
             if matches!(purpose, ConnectionPurpose::Release(_)) { EXTRA_RELEASE_CONNECTIONS } else { 0 };
-        self.engine_connections.len() < self.resource_limits.engine_connections + extra
-            || self.close_oldest_idle(out)
+        self.engines.len() < self.resource_limits.engine_connections + extra || self.close_oldest_idle(out)
     }
 
     /// Closes the connection to an engine that stands idle longest. False if none does.
     pub(crate) fn close_oldest_idle(&mut self, out: &mut Vec<Output>) -> bool {
-        let idle = self.engine_connections.values().filter(|l| l.state == State::Idle);
-        let Some(oldest) = idle.min_by_key(|l| (l.since, l.conn)).map(|l| l.conn) else { return false };
-        self.remove_engine_connection(oldest);
+        let Some(oldest) = self.engines.oldest_idle() else { return false };
+        self.engines.remove(oldest, &mut self.timers);
         out.push(Output::Abort(oldest));
         true
     }
 
     fn cancel(&mut self, id: RequestId, attempt: usize, out: &mut Vec<Output>) {
-        let Some(request) = self.requests.get(&id) else { return };
+        let Some(request) = self.requests.get(id) else { return };
         // A stream that has begun is the client's; the module does not cancel it either.
         if request.streaming_attempt == Some(attempt) {
             return;
@@ -172,14 +159,14 @@
 
     /// Closes a connection at once; what it carried ends as given up, or as never run if that is proven.
     pub(crate) fn cancel_connection(&mut self, conn: ConnId, outcome: Outcome, out: &mut Vec<Output>) {
-        if let Some(end) = self.engine_connections.get(&conn).map(|connection| connection.given_up(outcome)) {
+        if let Some(end) = self.engines.get(conn).map(|connection| connection.given_up(outcome)) {
             self.abort_connection(conn, end, out);
         }
     }
 
     /// Closes a connection at once; what it carried ends so.
     pub(crate) fn abort_connection(&mut self, conn: ConnId, end: AttemptEnd, out: &mut Vec<Output>) {
-        let Some(connection) = self.remove_engine_connection(conn) else { return };
+        let Some(connection) = self.engines.remove(conn, &mut self.timers) else { return };
         out.push(Output::Abort(conn));
         self.exchange_ended(&connection, end, out);
     }
@@ -208,13 +195,10 @@
     pub(crate) fn log_never_ran(
         &mut self, id: RequestId, attempt: usize, proof: NeverRan, since: Duration, out: &mut Vec<Output>,
     ) {
-        let Some(request) = self.requests.get(&id).filter(|c| c.terms.runs_once) else { return };
-        if request.attempts.get(attempt).is_none_or(|a| a.reads)
-            || self.never_ran_lines >= MAX_NEVER_RAN_LINES
-        {
+        let Some(request) = self.requests.get(id).filter(|c| c.terms.runs_once) else { return };
+        if request.attempts.get(attempt).is_none_or(|a| a.reads) || !self.never_ran_log.take() {
             return;
         }
-        self.never_ran_lines += 1;
         let ago = self.now.saturating_sub(since).as_micros();
         out.push(Output::Log(format!(
             "never ran: {} attempt {attempt}: {proof}, {ago} us in this state; {}",
@@ -224,8 +208,8 @@
     }
 
     pub(crate) fn close_idle(&mut self, engine: EngineId, out: &mut Vec<Output>) {
-        for conn in self.pool.idle(engine) {
-            self.remove_engine_connection(conn);
+        for conn in self.engines.idle_to(engine) {
+            self.engines.remove(conn, &mut self.timers);
             out.push(Output::CloseWhenSent(conn));
         }
     }
@@ -233,7 +217,7 @@
     /// Tells the module how an attempt ended, once.
     pub(crate) fn ended(&mut self, id: RequestId, attempt: usize, end: AttemptEnd) {
         let (now, outcome, kept_tokens) = (self.now, end.outcome(), end.kept_tokens());
-        let Some(request) = self.requests.get_mut(&id) else { return };
+        let Some(request) = self.requests.get_mut(id) else { return };
         let Some(a) = request.attempts.get(attempt).filter(|a| a.out) else { return };
         let latency = now.saturating_sub(a.sent);
         request.ended(now, attempt, &end);
@@ -248,7 +232,7 @@
             _ => {}
         }
         let finished = request.over;
-        self.finished.push(id);
+        self.requests.check_when_settled(id);
         let report = self.allowed(end.report());
         self.counters.load_reports += u64::from(report != LoadReport::default());
         self.queue_event(Event::AttemptEnded(AttemptEnded {
--- a/crates/platform/src/endpoint_list.rs
+++ b/crates/platform/src/endpoint_list.rs
@@ -1,9 +1,45 @@
-//! What discovery says: the list of engines, whole or as changes, one JSON object at a time.
+//! The endpoint list as discovery sends it: complete or as changes, one JSON object at a time.
 
 use serde_json::Value;
 use slipreel::EngineState;
 use std::net::SocketAddr;
 
+/// The most engines of a list: far over any fleet, so that a line can't ask for all the memory.
+const MAX_ENTRIES: usize = 20_000;
+/// Whole numbers from here on are not exact in a float.
+const MAX_EXACT_FLOAT: f64 = 9e15;
+
+/// Why a list cannot be read. `Display` gives the place of the fault, what stands there and what was expected.
+#[derive(Debug, thiserror::Error)]
+pub(crate) enum EndpointListError {
+    #[error("no JSON: {0}")]
+    NotJson(#[from] serde_json::Error),
+    #[error("{field}: missing")]
+    Missing { field: &'static str },
+    #[error("{field}: {found}: expected text")]
+    NotText { field: &'static str, found: Value },
+    #[error("{field}: {found}: expected a whole number of 0 or more")]
+    NotWholeNumber { field: &'static str, found: Value },
+    #[error("status: {0:?}: expected Ready, Terminating or Gone")]
+    UnknownStatus(String),
+    #[error("address: {0:?}: expected IP:PORT")]
+    InvalidAddress(String),
+    #[error("group: {0}: too large")]
+    GroupTooLarge(u64),
+    #[error("endpoints: expected a list")]
+    NotAList,
+    #[error("endpoints: {0} entries: expected at most {MAX_ENTRIES}")]
+    TooManyEntries(usize),
+    #[error("snapshot: expected true or false")]
+    InvalidSnapshot,
+    #[error("endpoints.{index}.{error}")]
+    Entry {
+        index: usize,
+        #[source]
+        error: Box<EndpointListError>,
+    },
+}
+
 /// An entry of the list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct EndpointEntry {
@@ -18,62 +54,70 @@
     pub(crate) since_ms: u64,
 }
 
-/// One object that discovery told.
+/// One object that discovery sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EndpointList {
+    /// The version of the list.
     pub(crate) index: u64,
-    /// All engines, not changes alone.
-    pub(crate) whole: bool,
-    /// It is of an earlier version than what is held, and was told again when asked for.
-    pub(crate) older: bool,
+    /// It holds all engines, not changes alone.
+    pub(crate) is_complete: bool,
+    /// It is of an earlier version than the one that is held, and was sent again when asked for.
+    pub(crate) is_older: bool,
     pub(crate) entries: Vec<EndpointEntry>,
 }
 
-/// The most engines of a list: far over any fleet, so that a line can't ask for all the memory.
-const MOST: usize = 20_000;
+fn get<'a>(value: &'a Value, field: &'static str) -> Result<&'a Value, EndpointListError> {
+    value.get(field).ok_or(EndpointListError::Missing { field })
+}
 
-fn field<'a>(value: &'a Value, name: &str) -> Result<&'a Value, String> {
-    value.get(name).ok_or_else(|| format!("{name}: missing"))
+fn get_text<'a>(value: &'a Value, field: &'static str) -> Result<&'a str, EndpointListError> {
+    let found = get(value, field)?;
+    found.as_str().ok_or_else(|| EndpointListError::NotText { field, found: found.clone() })
 }
 
-fn text<'a>(value: &'a Value, name: &str) -> Result<&'a str, String> {
-    let found = field(value, name)?;
-    found.as_str().ok_or_else(|| format!("{name}: {found}: expected text"))
+fn get_number(value: &Value, field: &'static str) -> Result<u64, EndpointListError> {
+    let found = get(value, field)?;
+    let is_whole = |number: &f64| number.fract() == 0.0 && (0.0..MAX_EXACT_FLOAT).contains(number);
+    let from_float = || found.as_f64().filter(is_whole).map(|number| number as u64);
+    let number = found.as_u64().or_else(from_float);
+    number.ok_or_else(|| EndpointListError::NotWholeNumber { field, found: found.clone() })
 }
 
-fn number(value: &Value, name: &str) -> Result<u64, String> {
-    let found = field(value, name)?;
-    let whole = |n: f64| (n.fract() == 0.0 && (0.0..9e15).contains(&n)).then_some(n as u64);
-    found
-        .as_u64()
-        .or_else(|| found.as_f64().and_then(whole))
-        .ok_or_else(|| format!("{name}: {found}: expected a whole number of 0 or more"))
+fn parse_state(status: &str) -> Result<EngineState, EndpointListError> {
+    match status {
+        "Ready" => Ok(EngineState::Ready),
+        "Terminating" => Ok(EngineState::Draining),
+        "Gone" => Ok(EngineState::Gone),
+        other => Err(EndpointListError::UnknownStatus(other.to_owned())),
+    }
 }
 
-fn listed(value: &Value) -> Result<EndpointEntry, String> {
-    let state = match text(value, "status")? {
-        "Ready" => EngineState::Ready,
-        "Terminating" => EngineState::Draining,
-        "Gone" => EngineState::Gone,
-        other => return Err(format!("status: {other:?}: expected Ready, Terminating or Gone")),
-    };
-    let name = text(value, "name")?.to_owned();
+/// Reads one entry. One that is gone holds its name alone.
+fn read_entry(value: &Value) -> Result<EndpointEntry, EndpointListError> {
+    let state = parse_state(get_text(value, "status")?)?;
+    let name = get_text(value, "name")?.to_owned();
     if state == EngineState::Gone {
-        let none = || (None, String::new(), String::new(), 0, 0);
-        let (addr, zone, kind, cell, since_ms) = none();
-        return Ok(EndpointEntry { name, addr, zone, kind, cell, state, since_ms });
+        return Ok(EndpointEntry {
+            name,
+            addr: None,
+            zone: String::new(),
+            kind: String::new(),
+            cell: 0,
+            state,
+            since_ms: 0,
+        });
     }
-    let addr = text(value, "address")?;
-    let addr = addr.parse().map_err(|_| format!("address: {addr:?}: expected IP:PORT"))?;
-    let cell = number(value, "group")?;
+    let address = get_text(value, "address")?;
+    let addr = address.parse().map_err(|_| EndpointListError::InvalidAddress(address.to_owned()))?;
+    let group = get_number(value, "group")?;
     Ok(EndpointEntry {
         name,
         addr: Some(addr),
-        zone: slipreel_platform_settings::as_named(text(value, "zone")?),
-        kind: slipreel_platform_settings::as_named(text(value, "type")?),
-        cell: u32::try_from(cell).map_err(|_| format!("group: {cell}: too large"))?,
+        zone: slipreel_platform_settings::as_named(get_text(value, "zone")?),
+        kind: slipreel_platform_settings::as_named(get_text(value, "type")?),
+        cell: u32::try_from(group).map_err(|_| EndpointListError::GroupTooLarge(group))?,
         state,
-        since_ms: number(value, "since_ms")?,
+        since_ms: get_number(value, "since_ms")?,
     })
 }
 
@@ -81,44 +125,44 @@
 ///
 /// # Errors
 /// What can't be read, with its place. Nothing of the object is taken then.
-pub(crate) fn read(value: &Value) -> Result<EndpointList, String> {
-    let entries = field(value, "endpoints")?.as_array().ok_or("endpoints: expected a list")?;
-    if entries.len() > MOST {
-        return Err(format!("endpoints: {} entries: expected at most {MOST}", entries.len()));
+pub(crate) fn read(value: &Value) -> Result<EndpointList, EndpointListError> {
+    let entries = get(value, "endpoints")?.as_array().ok_or(EndpointListError::NotAList)?;
+    if entries.len() > MAX_ENTRIES {
+        return Err(EndpointListError::TooManyEntries(entries.len()));
     }
-    let entries = entries.iter().enumerate();
-    let entries = entries
-        .map(|(i, entry)| listed(entry).map_err(|why| format!("endpoints.{i}.{why}")))
-        .collect::<Result<_, _>>()?;
-    let whole = field(value, "snapshot")?.as_bool().ok_or("snapshot: expected true or false")?;
-    Ok(EndpointList { index: number(value, "index")?, whole, older: false, entries })
+    let read_numbered = |(index, entry): (usize, &Value)| {
+        read_entry(entry).map_err(|error| EndpointListError::Entry { index, error: Box::new(error) })
+    };
+    let entries = entries.iter().enumerate().map(read_numbered).collect::<Result<_, _>>()?;
+    let is_complete = get(value, "snapshot")?.as_bool().ok_or(EndpointListError::InvalidSnapshot)?;
+    Ok(EndpointList { index: get_number(value, "index")?, is_complete, is_older: false, entries })
 }
 
-/// Takes the whole objects at the front of what a watch has said so far, however they are spread over lines, and leaves
-/// what has come in part.
+/// Takes the complete objects at the front of what a watch has sent so far, however they are spread over lines, hands
+/// each to `accept`, and leaves what has come in part.
 ///
 /// # Errors
-/// As [`read`], or what stands there is no JSON. The objects before it have been taken.
-pub(crate) fn take(
-    said: &mut Vec<u8>, out: &mut impl FnMut(EndpointList) -> Result<(), String>,
-) -> Result<(), String> {
-    let mut values = serde_json::Deserializer::from_slice(said).into_iter::<Value>();
-    let mut taken = 0;
-    let mut told = Ok(());
-    while let (true, Some(value)) = (told.is_ok(), values.next()) {
-        told = match value {
-            Ok(value) => read(&value).and_then(&mut *out),
-            Err(why) if why.is_eof() => break,
-            Err(why) => Err(format!("no JSON: {why}")),
+/// As [`read`], what stands there is no JSON, or `accept` fails. The objects before it have been taken.
+pub(crate) fn take<E: From<EndpointListError>>(
+    received: &mut Vec<u8>, accept: &mut impl FnMut(EndpointList) -> Result<(), E>,
+) -> Result<(), E> {
+    let mut values = serde_json::Deserializer::from_slice(received).into_iter::<Value>();
+    let mut taken_bytes = 0;
+    let mut result = Ok(());
+    while let (true, Some(value)) = (result.is_ok(), values.next()) {
+        result = match value {
+            Ok(value) => read(&value).map_err(E::from).and_then(&mut *accept),
+            Err(error) if error.is_eof() => break,
+            Err(error) => Err(EndpointListError::NotJson(error).into()),
         };
-        taken = values.byte_offset();
+        taken_bytes = values.byte_offset();
     }
-    said.drain(..taken);
-    // Between two objects only the empty lines that say that the watch lives.
-    if said.iter().all(u8::is_ascii_whitespace) {
-        said.clear();
+    received.drain(..taken_bytes);
+    // Between two objects only the empty lines by which a watch shows that it is alive.
+    if received.iter().all(u8::is_ascii_whitespace) {
+        received.clear();
     }
-    told
+    result
 }
 
 #[cfg(test)]
--- a/crates/platform/src/endpoint_list/tests.rs
+++ b/crates/platform/src/endpoint_list/tests.rs
@@ -2,10 +2,11 @@
 
 fn read_line(line: &[u8]) -> Result<EndpointList, String> {
     let (mut said, mut lists) = (line.to_vec(), Vec::new());
-    take(&mut said, &mut |list| {
+    let mut accept = |list| -> Result<(), EndpointListError> {
         lists.push(list);
         Ok(())
-    })?;
+    };
+    take(&mut said, &mut accept).map_err(|error| error.to_string())?;
     lists.pop().ok_or_else(|| format!("{} bytes wait for more", said.len()))
 }
 
@@ -15,7 +16,7 @@
 fn an_object_is_read_whole() {
     let line = format!(r#"{{"index":41,"snapshot":true,"endpoints":[{ENTRY}]}}"#);
     let list = read_line(line.as_bytes()).unwrap();
-    assert_eq!((list.index, list.whole), (41, true));
+    assert_eq!((list.index, list.is_complete), (41, true));
     let e = &list.entries[0];
     assert_eq!((e.name.as_str(), e.kind.as_str(), e.cell, e.since_ms), ("s-1", "m2", 3, 17));
     let gone = br#"{"index":42,"snapshot":false,"endpoints":[{"name":"s-1","status":"Gone"}]}"#;
--- a/crates/platform/src/endpoints.rs
+++ b/crates/platform/src/endpoints.rs
@@ -16,8 +16,8 @@
     pub(crate) role: Role,
     pub(crate) zone: ZoneId,
     pub(crate) cell: CellId,
-    /// When it last was heard of on a connection; zero: never.
-    pub(crate) heard: Duration,
+    /// When it was last heard from on a connection; zero: never.
+    pub(crate) last_contact: Duration,
     state: EngineState,
     since_ms: u64,
 }
@@ -27,40 +27,47 @@
     EngineId(xxh3_64(name.as_bytes()))
 }
 
-/// The engines, and how names of the settings are numbered.
+/// The listed engines, and how names of the settings are numbered.
 #[derive(Debug)]
 pub(crate) struct Endpoints {
     by_id: BTreeMap<EngineId, Endpoint>,
     kinds: Vec<(String, Role)>,
     zones: Vec<String>,
-    /// The node's clock at the epoch of wall time is this much before its own zero.
-    epoch_ahead: Duration,
+    /// The zero of this router's clock, as wall time since the epoch.
+    clock_zero: Duration,
+    has_list: bool,
 }
 
 /// What a list changed.
 pub(crate) struct EndpointChanges {
-    /// For the module.
+    /// For the decision module.
     pub(crate) event: Event,
-    /// Engines that want nothing new any more.
+    /// Engines that take no new attempts any more.
     pub(crate) closed: Vec<EngineId>,
     /// Engines that have another address or role than before.
     pub(crate) moved: Vec<EngineId>,
-    /// For the staff: entries that were passed over.
-    pub(crate) odd: Vec<String>,
+    /// Log lines on entries that were skipped.
+    pub(crate) skipped: Vec<String>,
 }
 
 impl Endpoints {
-    /// `wall`: the wall clock since the epoch, at the node's time `now`.
+    /// `wall`: the wall clock since the epoch, at the router's time `now`.
     pub(crate) fn new(profile: &Profile, now: Duration, wall: Duration) -> Self {
         let roles = profile.settings.kind_roles.iter().copied();
         Endpoints {
             by_id: BTreeMap::new(),
             kinds: profile.kinds.iter().cloned().zip(roles).collect(),
             zones: profile.zones.clone(),
-            epoch_ahead: wall.saturating_sub(now),
+            clock_zero: wall.saturating_sub(now),
+            has_list: false,
         }
     }
 
+    /// Whether a list has been applied, a cached one included.
+    pub(crate) fn has_list(&self) -> bool {
+        self.has_list
+    }
+
     pub(crate) fn get(&self, id: EngineId) -> Option<&Endpoint> {
         self.by_id.get(&id)
     }
@@ -69,48 +76,52 @@
         self.by_id.len()
     }
 
-    /// The engines, the one heard of last first.
+    /// The engines, the one that was heard from last first.
     pub(crate) fn by_last_contact(&self) -> Vec<EngineId> {
-        let mut all: Vec<(Duration, EngineId)> = self.by_id.iter().map(|(&id, m)| (m.heard, id)).collect();
-        all.sort_by_key(|&(heard, id)| (std::cmp::Reverse(heard), id));
-        all.into_iter().map(|(_, id)| id).collect()
+        let contacts = self.by_id.iter().map(|(&id, endpoint)| (endpoint.last_contact, id));
+        let mut contacts: Vec<(Duration, EngineId)> = contacts.collect();
+        contacts.sort_by_key(|&(last_contact, id)| (std::cmp::Reverse(last_contact), id));
+        contacts.into_iter().map(|(_, id)| id).collect()
+    }
+
+    /// When an engine was last heard from; zero if never, or if it is not listed.
+    pub(crate) fn last_contact(&self, id: EngineId) -> Duration {
+        self.get(id).map_or(Duration::ZERO, |endpoint| endpoint.last_contact)
     }
 
-    pub(crate) fn heard(&mut self, id: EngineId, now: Duration) {
+    /// Bytes of an engine have come.
+    pub(crate) fn record_contact(&mut self, id: EngineId, now: Duration) {
         if let Some(endpoint) = self.by_id.get_mut(&id) {
-            endpoint.heard = now;
+            endpoint.last_contact = now;
         }
     }
 
-    /// Of a list that is older than what is held: whether this entry may still count. One that has left since, or wants
-    /// nothing new, does not come back by it; a restart that the held one did not know does.
-    fn outlives(&self, entry: &EndpointEntry) -> bool {
+    /// Of a list that is older than the one that is held: whether this entry may still count. One that has left since, or
+    /// drains, does not come back by it; a restart that the held one did not know does.
+    fn may_count_from_older_list(&self, entry: &EndpointEntry) -> bool {
         let held = self.by_id.get(&engine_id(&entry.name));
-        held.is_some_and(|m| m.state == EngineState::Ready || entry.since_ms > m.since_ms)
+        held.is_some_and(|held| held.state == EngineState::Ready || entry.since_ms > held.since_ms)
     }
 
-    /// Takes a list; `cached` if it is the one that the node was started with.
+    /// Applies a list; `is_cached` if it is the one that the router was started with.
     ///
-    /// One that is older than what is held is no whole list any more: who is absent there may have come since.
-    pub(crate) fn take(&mut self, mut list: EndpointList, cached: bool) -> EndpointChanges {
-        if list.older {
-            list.whole = false;
-            list.entries.retain(|entry| self.outlives(entry));
+    /// One that is older than what is held is not complete any more: who is absent there may have come since.
+    pub(crate) fn apply(&mut self, mut list: EndpointList, is_cached: bool) -> EndpointChanges {
+        self.has_list = true;
+        if list.is_older {
+            list.is_complete = false;
+            list.entries.retain(|entry| self.may_count_from_older_list(entry));
         }
-        let listing = match (list.whole, cached) {
+        let listing = match (list.is_complete, is_cached) {
             (_, true) => Listing::Cached,
-            (true, _) => Listing::Complete,
-            (false, _) => Listing::Changes,
+            (true, false) => Listing::Complete,
+            (false, false) => Listing::Changes,
         };
-        let (mut engines, mut closed, mut moved, mut odd) = (Vec::new(), Vec::new(), Vec::new(), Vec::new());
+        let mut closed = Vec::new();
         if listing != Listing::Changes {
-            let named: Vec<EngineId> = list.entries.iter().map(|e| engine_id(&e.name)).collect();
-            let left: Vec<EngineId> = self.by_id.keys().copied().filter(|id| !named.contains(id)).collect();
-            for id in left {
-                self.by_id.remove(&id);
-                closed.push(id);
-            }
+            closed = self.remove_absent(&list.entries);
         }
+        let (mut engines, mut moved, mut skipped) = (Vec::new(), Vec::new(), Vec::new());
         for entry in list.entries {
             let id = engine_id(&entry.name);
             if entry.state != EngineState::Ready {
@@ -121,52 +132,66 @@
                 engines.push(Engine { id, state: entry.state, ..Engine::default() });
                 continue;
             }
-            match self.place(id, &entry, &mut moved) {
+            match self.update(id, &entry, &mut moved) {
                 Some(engine) => engines.push(engine),
-                None => odd.push(format!(
+                None => skipped.push(format!(
                     "engine {}: type {:?} is none of the settings; passed over",
                     entry.name, entry.kind
                 )),
             }
         }
-        EndpointChanges { event: Event::Engines { listing, engines }, closed, moved, odd }
+        EndpointChanges { event: Event::Engines { listing, engines }, closed, moved, skipped }
+    }
+
+    /// Removes the engines that a complete list does not name, and returns them.
+    fn remove_absent(&mut self, entries: &[EndpointEntry]) -> Vec<EngineId> {
+        let named: Vec<EngineId> = entries.iter().map(|entry| engine_id(&entry.name)).collect();
+        let absent: Vec<EngineId> = self.by_id.keys().copied().filter(|id| !named.contains(id)).collect();
+        for id in &absent {
+            self.by_id.remove(id);
+        }
+        absent
     }
 
-    fn place(&mut self, id: EngineId, entry: &EndpointEntry, moved: &mut Vec<EngineId>) -> Option<Engine> {
+    /// Adds or updates an engine. `None` if its kind is none of the settings.
+    fn update(&mut self, id: EngineId, entry: &EndpointEntry, moved: &mut Vec<EngineId>) -> Option<Engine> {
         let addr = entry.addr?;
         let kind = self.kinds.iter().position(|(name, _)| *name == entry.kind)?;
         let role = self.kinds[kind].1;
-        // A zone that the settings don't name is one of its own, not another's.
-        let zone = self.zones.iter().position(|z| *z == entry.zone).unwrap_or_else(|| {
-            self.zones.push(entry.zone.clone());
-            self.zones.len() - 1
-        });
-        let endpoint = self.by_id.entry(id).or_insert_with(|| Endpoint {
+        let zone = self.zone_id(&entry.zone);
+        let cell = CellId(entry.cell);
+        let previous = self.by_id.get(&id);
+        if previous.is_some_and(|previous| (previous.addr, previous.role) != (addr, role)) {
+            moved.push(id);
+        }
+        let endpoint = Endpoint {
             addr,
-            name: entry.name.clone(),
+            // The names of two engines may have one id; the first name stays, as all else is the last one's.
+            name: previous.map_or_else(|| entry.name.clone(), |previous| previous.name.clone()),
             role,
-            zone: ZoneId(zone as u32),
-            cell: CellId(entry.cell),
-            heard: Duration::ZERO,
+            zone,
+            cell,
+            last_contact: previous.map_or(Duration::ZERO, |previous| previous.last_contact),
             state: entry.state,
             since_ms: entry.since_ms,
+        };
+        self.by_id.insert(id, endpoint);
+        let started_at = self.started_at(entry.since_ms);
+        Some(Engine { id, state: entry.state, kind: KindId(kind), zone, cell, started_at })
+    }
+
+    /// The number of a zone. One that the settings don't name gets a number of its own.
+    fn zone_id(&mut self, name: &str) -> ZoneId {
+        let index = self.zones.iter().position(|zone| zone == name).unwrap_or_else(|| {
+            self.zones.push(name.to_owned());
+            self.zones.len() - 1
         });
-        (endpoint.state, endpoint.since_ms) = (entry.state, entry.since_ms);
-        if (endpoint.addr, endpoint.role) != (addr, role) {
-            moved.push(id);
-        }
-        endpoint.addr = addr;
-        (endpoint.role, endpoint.zone, endpoint.cell) = (role, ZoneId(zone as u32), CellId(entry.cell));
-        let started = (entry.since_ms > 0)
-            .then(|| Duration::from_millis(entry.since_ms).saturating_sub(self.epoch_ahead))
-            .filter(|at| !at.is_zero());
-        Some(Engine {
-            id,
-            state: entry.state,
-            kind: KindId(kind),
-            zone: ZoneId(zone as u32),
-            cell: CellId(entry.cell),
-            started_at: started,
-        })
+        ZoneId(index as u32)
+    }
+
+    /// A wall time in milliseconds on this router's clock; `None` if it is before its zero, or not told.
+    fn started_at(&self, since_ms: u64) -> Option<Duration> {
+        let started_at = Duration::from_millis(since_ms).saturating_sub(self.clock_zero);
+        (since_ms > 0 && !started_at.is_zero()).then_some(started_at)
     }
 }
--- a/crates/platform/src/engine_connection.rs
+++ b/crates/platform/src/engine_connection.rs
@@ -8,6 +8,7 @@
 use crate::resource_limits::MAX_HEAD_BYTES;
 use slipreel::{EngineId, LoadReport, Outcome, RequestId};
 use slipreel_connections::ReleaseId;
+use slipreel_platform_settings::Profile;
 use slipreel_protocol::http::{Decoder, Head, Item, Limits, Side, Start};
 use slipreel_state_machine::ConnId;
 use std::net::SocketAddr;
@@ -19,6 +20,37 @@
 /// The largest event of a stream, and the largest answer that is not a stream, in bytes.
 const MAX_EVENT_BYTES: usize = 64 << 10;
 
+/// A stream that is silent for so long is given up: under the 5 s after which its client would be left waiting.
+const STREAM_SILENCE_TIMEOUT: Duration = Duration::from_millis(4_200);
+/// A health check is answered within this, or counts as lost.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(250);
+/// How long a connection for a release may take to carry it.
+const RELEASE_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// The last byte of a request that must not be repeated is held back for so long: a peer that resets the connection as a
+/// request comes in is seen to do so in this time.
+const LAST_BYTE_DELAY: Duration = Duration::from_millis(3);
+/// An idle connection to an engine is closed at this fraction of the engine's own idle timeout.
+const IDLE_FRACTION: f64 = 0.5;
+/// The engine's idle timeout where the settings name none.
+const DEFAULT_ENGINE_IDLE_TIMEOUT: Duration = Duration::from_millis(8_000);
+
+/// The timeouts of connections that come from the settings.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct EngineTimeouts {
+    connect: Duration,
+    idle: Duration,
+}
+
+impl EngineTimeouts {
+    pub(crate) fn new(profile: &Profile) -> Self {
+        let engine_idle = profile.idle_close.unwrap_or(DEFAULT_ENGINE_IDLE_TIMEOUT);
+        EngineTimeouts {
+            connect: profile.settings.limits.connect_timeout,
+            idle: engine_idle.mul_f64(IDLE_FRACTION),
+        }
+    }
+}
+
 /// What a connection is used for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ConnectionPurpose {
@@ -176,6 +208,29 @@
         std::mem::replace(&mut self.pending, held)
     }
 
+    /// When it times out; `None` if it does not in its present state. `is_streaming` tells of an attempt whether its stream
+    /// is being forwarded.
+    pub(crate) fn deadline(
+        &self, timeouts: &EngineTimeouts, is_streaming: impl Fn(RequestId, usize) -> bool,
+    ) -> Option<Duration> {
+        let timeout = match (self.state, self.purpose) {
+            (State::Idle, _) => timeouts.idle,
+            (_, ConnectionPurpose::Release(_)) => RELEASE_TIMEOUT,
+            (State::Connecting, _) => timeouts.connect,
+            (State::Busy, ConnectionPurpose::Probe) => PROBE_TIMEOUT,
+            (State::Busy, ConnectionPurpose::Attempt { .. }) if self.is_holding_last_byte() => {
+                LAST_BYTE_DELAY
+            }
+            (State::Busy, ConnectionPurpose::Attempt { request, attempt }) => {
+                if self.paused || !is_streaming(request, attempt) {
+                    return None;
+                }
+                STREAM_SILENCE_TIMEOUT
+            }
+        };
+        Some(self.since + timeout)
+    }
+
     /// Whether its last byte is held back.
     pub(crate) fn is_holding_last_byte(&self) -> bool {
         self.state == State::Busy && !self.pending.is_empty()
--- /dev/null
+++ b/crates/platform/src/engine_connections.rs
@@ -0,0 +1,165 @@
+//! The connections to engines: their timers, which idle one carries the next exchange, and how reuse has gone so far.
+
+use crate::engine_connection::{ConnectionPurpose, EngineConnection, State};
+use crate::timer::{Timer, Timers};
+use slipreel::EngineId;
+use slipreel_connections::{Due, Errand, Pool, Slot, Trust};
+use slipreel_state_machine::ConnId;
+use std::collections::{BTreeMap, HashMap};
+use std::time::Duration;
+
+/// A connection is idle for at least so long after an answer before it is used again: an engine that closes it, or sends
+/// a second answer, is seen to do so in this time.
+const IDLE_BEFORE_REUSE: Duration = Duration::from_millis(8);
+/// Idle connections that are kept to one engine.
+const MAX_IDLE_PER_ENGINE: usize = 1;
+/// Connections to one engine: bounded by the resource limits alone. One less than the largest number, as the pool lets
+/// health checks and releases have one more.
+const MAX_CONNECTIONS_PER_ENGINE: usize = usize::MAX - 1;
+
+/// The connections to engines.
+#[derive(Debug, Default)]
+pub(crate) struct EngineConnections {
+    by_id: HashMap<ConnId, EngineConnection>,
+    timers: Due,
+    pool: Pool,
+    reuse_history: Trust,
+    last_id: u64,
+}
+
+impl EngineConnections {
+    /// An id for a connection that this router opens, to an engine or to discovery.
+    pub(crate) fn next_id(&mut self) -> ConnId {
+        self.last_id += 1;
+        ConnId::opened(self.last_id)
+    }
+
+    pub(crate) fn insert(&mut self, connection: EngineConnection) {
+        self.by_id.insert(connection.conn, connection);
+    }
+
+    pub(crate) fn get(&self, conn: ConnId) -> Option<&EngineConnection> {
+        self.by_id.get(&conn)
+    }
+
+    pub(crate) fn get_mut(&mut self, conn: ConnId) -> Option<&mut EngineConnection> {
+        self.by_id.get_mut(&conn)
+    }
+
+    /// Removes a connection, its timer and its place in the pool.
+    pub(crate) fn remove(&mut self, conn: ConnId, timers: &mut Timers) -> Option<EngineConnection> {
+        self.timers.cancel(timers, conn);
+        let connection = self.by_id.remove(&conn)?;
+        self.pool.gone(connection.engine, conn);
+        Some(connection)
+    }
+
+    pub(crate) fn len(&self) -> usize {
+        self.by_id.len()
+    }
+
+    /// How many carry an exchange, or are being opened for one.
+    pub(crate) fn busy_count(&self) -> usize {
+        self.by_id.values().filter(|connection| connection.state != State::Idle).count()
+    }
+
+    /// How many engines the pool and the reuse history keep entries of.
+    pub(crate) fn tracked_engines(&self) -> usize {
+        self.pool.len() + self.reuse_history.len()
+    }
+
+    /// Attempts in flight on connections, by engine.
+    pub(crate) fn attempts_in_flight(&self) -> BTreeMap<EngineId, usize> {
+        let mut counts = BTreeMap::new();
+        for connection in self.by_id.values().filter(|connection| connection.state != State::Idle) {
+            if matches!(connection.purpose, ConnectionPurpose::Attempt { .. }) {
+                *counts.entry(connection.engine).or_default() += 1;
+            }
+        }
+        counts
+    }
+
+    /// Connections with attempts to these engines that have not been written, or not to their last byte, in the order of
+    /// their ids.
+    pub(crate) fn unwritten_attempts(&self, is_to: impl Fn(EngineId) -> bool) -> Vec<ConnId> {
+        let mut unwritten: Vec<ConnId> = self
+            .by_id
+            .values()
+            .filter(|connection| connection.state == State::Connecting || connection.is_holding_last_byte())
+            .filter(|connection| matches!(connection.purpose, ConnectionPurpose::Attempt { .. }))
+            .filter(|connection| is_to(connection.engine))
+            .map(|connection| connection.conn)
+            .collect();
+        unwritten.sort();
+        unwritten
+    }
+
+    /// The connection that is idle longest.
+    pub(crate) fn oldest_idle(&self) -> Option<ConnId> {
+        let idle = self.by_id.values().filter(|connection| connection.state == State::Idle);
+        idle.min_by_key(|connection| (connection.since, connection.conn)).map(|connection| connection.conn)
+    }
+
+    /// The idle connections to an engine.
+    pub(crate) fn idle_to(&self, engine: EngineId) -> Vec<ConnId> {
+        self.pool.idle(engine)
+    }
+
+    pub(crate) fn has_idle_to(&self, engine: EngineId) -> bool {
+        self.pool.has_idle(engine)
+    }
+
+    /// Takes a place in the pool for an attempt, which always opens a connection of its own.
+    pub(crate) fn reserve_new(&mut self, engine: EngineId) {
+        self.pool.opens(engine);
+    }
+
+    /// Takes a place in the pool for a health check or a release: an idle connection, or one to be opened.
+    pub(crate) fn reserve(&mut self, engine: EngineId, purpose: ConnectionPurpose, now: Duration) -> Slot {
+        // A release is sent again if it breaks, and goes out as soon as it can.
+        let (errand, idle_since) = match purpose {
+            ConnectionPurpose::Release(_) => (Errand::Release, now),
+            _ if self.reuse_history.may_use(engine) => (Errand::Probe, now.saturating_sub(IDLE_BEFORE_REUSE)),
+            _ => (Errand::Probe, Duration::ZERO),
+        };
+        self.pool.take(engine, MAX_CONNECTIONS_PER_ENGINE, errand, idle_since)
+    }
+
+    /// Gives back a place for which no connection could be opened.
+    pub(crate) fn cancel_reservation(&mut self, engine: EngineId) {
+        // The id is none of a connection.
+        self.pool.gone(engine, ConnId::opened(0));
+    }
+
+    /// Makes a connection available for further exchanges.
+    pub(crate) fn keep_idle(&mut self, engine: EngineId, conn: ConnId, now: Duration) {
+        self.pool.put(engine, conn, MAX_IDLE_PER_ENGINE, now);
+    }
+
+    /// A reused connection has answered.
+    pub(crate) fn record_reuse_success(&mut self, engine: EngineId) {
+        self.reuse_history.used(engine, false);
+    }
+
+    /// A connection broke: if it was reused and had not answered yet, reuse is worth less.
+    pub(crate) fn record_loss(&mut self, connection: &EngineConnection) {
+        if connection.reuse_unproven && connection.state == State::Busy {
+            self.reuse_history.used(connection.engine, true);
+        }
+    }
+
+    /// An engine has left, or has another address or role.
+    pub(crate) fn forget_reuse_history(&mut self, engine: EngineId) {
+        self.reuse_history.forget(engine);
+    }
+
+    /// Sets a connection's timer in place of the one that it had; none if it does not time out.
+    pub(crate) fn arm_timer(&mut self, conn: ConnId, deadline: Option<Duration>, timers: &mut Timers) {
+        self.timers.arm(timers, conn, deadline, Timer::Engine(conn));
+    }
+
+    /// A connection's timer has fired.
+    pub(crate) fn timer_fired(&mut self, conn: ConnId) {
+        self.timers.fired(conn);
+    }
+}
--- a/crates/platform/src/engines.rs
+++ b/crates/platform/src/engines.rs
@@ -3,14 +3,13 @@
 use crate::engine_connection::{Answer, ConnectionPurpose, EngineConnection, ResponseEvent, State};
 use crate::parse_request;
 use crate::proof::{AttemptEnd, NeverRan};
-use crate::router::{end_of_lost, PlatformRouter};
+use crate::request::Attempt;
+use crate::router::PlatformRouter;
 use slipreel::{Event, LoadReport, Outcome, RequestId};
 use slipreel_state_machine::{ConnId, ConnectionLoss, Output};
 
 /// Bytes that may wait for a client before its engine's connection is paused.
 const MAX_UNSENT_BYTES: usize = 64 << 10;
-/// Idle connections that are kept to one engine.
-const MOST_IDLE: usize = 1;
 /// The status with which a reader says that it has read a prompt.
 const READ: u16 = 202;
 /// The status with which an engine acknowledges a release.
@@ -22,13 +21,11 @@
         if self.request_is_over(conn) {
             return self.cancel_connection(conn, Outcome::Cancelled, out);
         }
-        let Some(connection) =
-            self.engine_connections.get_mut(&conn).filter(|l| l.state == State::Connecting)
-        else {
+        let Some(connection) = self.engines.get_mut(conn).filter(|l| l.state == State::Connecting) else {
             return;
         };
         if let ConnectionPurpose::Attempt { request, .. } = connection.purpose {
-            if let Some(request) = self.requests.get(&request) {
+            if let Some(request) = self.requests.get(request) {
                 connection.replace_pending(request.message(now, connection.addr));
             }
         }
@@ -39,37 +36,38 @@
     /// Whether a connection is to carry an attempt for a request that is over: its client has left, or it has its answer.
     /// Where the module may not cancel, such an attempt stays out, but one that has not begun is not begun any more.
     fn request_is_over(&self, conn: ConnId) -> bool {
-        match self.engine_connections.get(&conn).map(|connection| connection.purpose) {
+        match self.engines.get(conn).map(|connection| connection.purpose) {
             Some(ConnectionPurpose::Attempt { request, .. }) => {
-                self.requests.get(&request).is_none_or(|request| request.over)
+                self.requests.get(request).is_none_or(|request| request.over)
             }
             _ => false,
         }
     }
 
     pub(crate) fn engine_sent(&mut self, conn: ConnId, n: usize) {
-        if let Some(connection) = self.engine_connections.get_mut(&conn) {
+        if let Some(connection) = self.engines.get_mut(conn) {
             connection.unsent = connection.unsent.saturating_sub(n);
         }
     }
 
     pub(crate) fn engine_data(&mut self, conn: ConnId, bytes: &[u8], out: &mut Vec<Output>) {
         let now = self.now;
-        let Some(connection) = self.engine_connections.get_mut(&conn) else { return };
+        let Some(connection) = self.engines.get_mut(conn) else { return };
         if connection.state != State::Busy {
             // Bytes that nobody asked for: what follows could be taken for the next answer.
             return self.abort_connection(conn, AttemptEnd::may_have_run(Outcome::Error), out);
         }
         connection.since = now;
         let engine = connection.engine;
-        if std::mem::take(&mut connection.reuse_unproven) {
-            self.trust.used(engine, false);
-        }
+        let is_first_of_reuse = std::mem::take(&mut connection.reuse_unproven);
         let mut said = Vec::new();
         let early = connection.is_holding_last_byte();
         connection.feed(bytes, &self.report_layout, &mut said);
         self.counters.malformed_load_reports += std::mem::take(&mut connection.odd_reports);
-        self.endpoints.heard(engine, now);
+        if is_first_of_reuse {
+            self.engines.record_reuse_success(engine);
+        }
+        self.endpoints.record_contact(engine, now);
         // Before its last byte was written nothing can be the answer to a request, but that it is turned away: guards
         // against a late second answer of the exchange before, taken for a stream or a proof that this one never ran.
         if early && !matches!(&said[..], [ResponseEvent::Answer(answer)] if answer.not_run) {
@@ -79,52 +77,42 @@
         for said in said {
             self.heard(conn, said, out);
         }
-        if let Some(ConnectionPurpose::Attempt { request, .. }) =
-            self.engine_connections.get(&conn).map(|l| l.purpose)
-        {
+        if let Some(ConnectionPurpose::Attempt { request, .. }) = self.engines.get(conn).map(|l| l.purpose) {
             self.check_pace(request, out);
         }
     }
 
     pub(crate) fn engine_lost(&mut self, conn: ConnId, why: ConnectionLoss, out: &mut Vec<Output>) {
-        if let Some(connection) = self.remove_engine_connection(conn) {
+        if let Some(connection) = self.engines.remove(conn, &mut self.timers) {
             if why == ConnectionLoss::Exhausted {
                 // A slot for the next one: connections to engines come before idle clients.
                 self.evict(out);
             }
-            self.record_reuse_failure(&connection);
+            self.engines.record_loss(&connection);
             self.exchange_ended(&connection, end_of_lost(why, &connection), out);
         }
     }
 
     pub(crate) fn engine_eof(&mut self, conn: ConnId, out: &mut Vec<Output>) {
-        if let Some(connection) = self.remove_engine_connection(conn) {
+        if let Some(connection) = self.engines.remove(conn, &mut self.timers) {
             out.push(Output::Abort(conn));
-            self.record_reuse_failure(&connection);
+            self.engines.record_loss(&connection);
             self.exchange_ended(&connection, end_of_lost(ConnectionLoss::Reset, &connection), out);
         }
     }
 
-    /// A connection broke: if it had been kept, kept ones are worth less.
-    fn record_reuse_failure(&mut self, connection: &EngineConnection) {
-        if connection.reuse_unproven && connection.state == State::Busy {
-            self.trust.used(connection.engine, true);
-        }
-    }
-
     /// Its time is up, by its state.
     pub(crate) fn engine_timed_out(&mut self, conn: ConnId, out: &mut Vec<Output>) {
-        if self.engine_connections.get(&conn).is_some_and(EngineConnection::is_holding_last_byte)
+        if self.engines.get(conn).is_some_and(EngineConnection::is_holding_last_byte)
             && self.request_is_over(conn)
         {
             return self.cancel_connection(conn, Outcome::Cancelled, out);
         }
-        if let Some(connection) = self.engine_connections.get_mut(&conn).filter(|l| l.is_holding_last_byte())
-        {
+        if let Some(connection) = self.engines.get_mut(conn).filter(|l| l.is_holding_last_byte()) {
             out.push(Output::Write(conn, std::mem::take(&mut connection.pending)));
             return self.arm_engine_timer(conn);
         }
-        match self.engine_connections.get(&conn).map(|l| l.state) {
+        match self.engines.get(conn).map(|l| l.state) {
             Some(State::Connecting) => {
                 self.abort_connection(conn, AttemptEnd::never_ran(NeverRan::NotConnected), out);
             }
@@ -132,7 +120,7 @@
                 self.abort_connection(conn, AttemptEnd::may_have_run(Outcome::TimedOut), out);
             }
             Some(State::Idle) => {
-                self.remove_engine_connection(conn);
+                self.engines.remove(conn, &mut self.timers);
                 out.push(Output::CloseWhenSent(conn));
             }
             None => {}
@@ -140,7 +128,7 @@
     }
 
     pub(crate) fn attempt_timed_out(&mut self, id: RequestId, attempt: usize, out: &mut Vec<Output>) {
-        let Some(request) = self.requests.get(&id).filter(|c| c.streaming_attempt.is_none()) else { return };
+        let Some(request) = self.requests.get(id).filter(|c| c.streaming_attempt.is_none()) else { return };
         let conn = request.attempts.get(attempt).filter(|a| a.out).and_then(|a| a.conn);
         if let Some(conn) = conn {
             self.cancel_connection(conn, Outcome::TimedOut, out);
@@ -148,7 +136,7 @@
     }
 
     fn heard(&mut self, conn: ConnId, said: ResponseEvent, out: &mut Vec<Output>) {
-        let Some(connection) = self.engine_connections.get(&conn) else { return };
+        let Some(connection) = self.engines.get(conn) else { return };
         let (engine, purpose) = (connection.engine, connection.purpose);
         match (said, purpose) {
             (ResponseEvent::Events(bytes), ConnectionPurpose::Attempt { request, attempt }) => {
@@ -200,7 +188,7 @@
     /// An exchange has ended in order: its connection is kept for the next, or closed.
     fn exchange_finished(&mut self, conn: ConnId, out: &mut Vec<Output>) {
         let now = self.now;
-        let Some(connection) = self.engine_connections.get_mut(&conn) else { return };
+        let Some(connection) = self.engines.get_mut(conn) else { return };
         let engine = connection.engine;
         (connection.state, connection.since) = (State::Idle, now);
         if std::mem::take(&mut connection.paused) {
@@ -211,17 +199,17 @@
             return self.close_connection(conn, out);
         }
         // Each attempt opens one. For probes and releases the one that answered last is kept: it is the likeliest to stand.
-        for older in self.pool.idle(engine) {
+        for older in self.engines.idle_to(engine) {
             self.close_connection(older, out);
         }
-        self.pool.put(engine, conn, MOST_IDLE, now);
+        self.engines.keep_idle(engine, conn, now);
         self.arm_engine_timer(conn);
         self.send_waiting_release(conn, out);
     }
 
     /// Closes a connection that carries nothing any more.
     fn close_connection(&mut self, conn: ConnId, out: &mut Vec<Output>) {
-        self.remove_engine_connection(conn);
+        self.engines.remove(conn, &mut self.timers);
         out.push(Output::Abort(conn));
     }
 
@@ -229,11 +217,11 @@
     fn answered(
         &mut self, conn: ConnId, id: RequestId, attempt: usize, answer: &Answer, out: &mut Vec<Output>,
     ) {
-        let Some(connection) = self.engine_connections.get(&conn) else { return };
+        let Some(connection) = self.engines.get(conn) else { return };
         let (proof, since) = (connection.turned_away(answer), connection.since);
         let reads = self
             .requests
-            .get(&id)
+            .get(id)
             .and_then(|request| request.attempts.get(attempt))
             .is_some_and(|attempt| attempt.reads);
         let end = match proof {
@@ -264,36 +252,40 @@
     pub(crate) fn attempt_broke(
         &mut self, id: RequestId, attempt: usize, end: AttemptEnd, out: &mut Vec<Output>,
     ) {
-        if self.requests.get(&id).is_some_and(|c| c.streaming_attempt == Some(attempt) && !c.over) {
+        if self.requests.get(id).is_some_and(|c| c.streaming_attempt == Some(attempt) && !c.over) {
             self.abort_stream(id, out);
         }
         self.ended(id, attempt, end);
     }
 
-    /// Events of a stream go on to the client. False if nobody wants them.
+    /// Forwards events of a stream to the client. False if its request is over.
     fn forward_events(
         &mut self, id: RequestId, attempt: usize, events: &[u8], out: &mut Vec<Output>,
     ) -> bool {
-        let now = self.now;
-        let Some(request) = self.requests.get_mut(&id).filter(|c| !c.over) else { return false };
+        let Some(request) = self.requests.get_open(id) else { return false };
         if request.streaming_attempt.is_none() {
-            self.held_bytes = self.held_bytes.saturating_sub(request.bytes());
-            request.begin_stream(attempt);
-            self.counters.late_first_events += u64::from(now > request.terms.first_event_due);
-            let a = &request.attempts[attempt];
-            let (latency, conn) = (now.saturating_sub(a.sent), a.conn);
-            self.queue_event(Event::FirstToken { request: id, attempt, latency });
-            self.begin_stream(id, out);
-            if let Some(conn) = conn {
-                self.arm_engine_timer(conn);
-            }
+            self.first_event(id, attempt, out);
         }
         self.write_events(id, events, out);
         true
     }
 
+    /// The first event of a request's stream has come.
+    fn first_event(&mut self, id: RequestId, attempt: usize, out: &mut Vec<Output>) {
+        let now = self.now;
+        let Some(request) = self.requests.begin_stream(id, attempt) else { return };
+        self.counters.late_first_events += u64::from(now > request.terms.first_event_due);
+        let Some(&Attempt { sent, conn, .. }) = request.attempts.get(attempt) else { return };
+        let latency = now.saturating_sub(sent);
+        self.queue_event(Event::FirstToken { request: id, attempt, latency });
+        self.begin_stream(id, out);
+        if let Some(conn) = conn {
+            self.arm_engine_timer(conn);
+        }
+    }
+
     fn stream_ended(&mut self, id: RequestId, attempt: usize, report: LoadReport, out: &mut Vec<Output>) {
-        if self.requests.get(&id).is_some_and(|c| c.streaming_attempt == Some(attempt)) {
+        if self.requests.get(id).is_some_and(|c| c.streaming_attempt == Some(attempt)) {
             self.complete_stream(id, out);
             self.ended(id, attempt, AttemptEnd::served().with_report(report));
         } else {
@@ -305,12 +297,12 @@
 
     /// Pauses or resumes the engine's connection by what waits for the client.
     pub(crate) fn check_pace(&mut self, id: RequestId, out: &mut Vec<Output>) {
-        let Some(request) = self.requests.get(&id) else { return };
+        let Some(request) = self.requests.get(id) else { return };
         let Some(conn) = request.streaming_attempt.and_then(|a| request.attempts[a].conn) else { return };
         let client = request.client;
-        let Some(unsent) = self.clients.get(&client).map(|c| c.unsent) else { return };
+        let Some(unsent) = self.clients.get(client).map(|c| c.unsent) else { return };
         let now = self.now;
-        let Some(connection) = self.engine_connections.get_mut(&conn) else { return };
+        let Some(connection) = self.engines.get_mut(conn) else { return };
         // Some hysteresis, so that a peer of steady pace does not make it change with each write.
         let pauses =
             if connection.paused { unsent > MAX_UNSENT_BYTES / 2 } else { unsent > MAX_UNSENT_BYTES };
@@ -329,3 +321,15 @@
     let kept = value.as_ref().and_then(|v| v.get("cached_tokens")?.as_f64());
     kept.filter(|n| (0.0..=parse_request::MAX_TOKENS).contains(n)).unwrap_or(0.0)
 }
+
+/// How what a connection carried ends as the connection is lost. What had not been written completely never ran.
+fn end_of_lost(why: ConnectionLoss, connection: &EngineConnection) -> AttemptEnd {
+    match (why, connection.proof_of_never_written()) {
+        (ConnectionLoss::NotConnected, Some(_)) => AttemptEnd::never_ran(NeverRan::NotConnected),
+        (ConnectionLoss::Exhausted, Some(_)) => AttemptEnd::never_ran(NeverRan::NotTried),
+        // It was established, so its engine could be reached: told as a failure to connect, each such reset would have the
+        // engine left alone for a second.
+        (ConnectionLoss::Reset, Some(proof)) => AttemptEnd::never_ran(proof),
+        (_, None) => AttemptEnd::may_have_run(Outcome::Reset),
+    }
+}
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -12,21 +12,32 @@
 //! 3. `engines`: responses of engines become events for the module, and the events of one stream the client's answer;
 //! 4. `clients`: the one final answer is written.
 //!
-//! Beside that way stand `request` (one request in progress), `endpoints` and `endpoint_list` (the engines that discovery
-//! lists), `watch` (how discovery is asked), `load_report` (the text of a load report), `proof` (evidence that an attempt
-//! never ran), `recent_ids` (ids that were forwarded lately), `resource_limits` (bounds of the process), `counters` and
-//! `log_limiter` (what the log says), and `config` (what a router is started with).
+//! The router composes types that own their state, each with one job: `client_connections` and `engine_connections`
+//! (connections with their timers, who is evicted, which connection is reused), `active_requests` (requests by id and by
+//! client id, the memory that they hold, ids that were forwarded lately), `endpoints` and `watch` (the listed engines, and
+//! how discovery is asked for them), `shutdown`, `decisions` (the module and its queue of events), `counters`,
+//! `log_limiter`, and `resource_limits`. `router` takes the inputs and fires the timers; `discovery` does for discovery
+//! what `clients` and `engines` do for theirs.
+//!
+//! `request` is one request in progress, `endpoint_list` and `load_report` parse what discovery and engines send, `proof`
+//! is evidence that an attempt never ran, `recent_ids` a bounded memory of ids, `timer` says what timers are for, and
+//! `config` what a router is started with.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
+mod active_requests;
+mod client_connections;
 mod clients;
 pub mod config;
 mod counters;
+mod decisions;
+mod discovery;
 mod dispatch;
 mod endpoint_list;
 mod endpoints;
 mod engine_connection;
+mod engine_connections;
 mod engines;
 mod load_report;
 mod log_limiter;
@@ -38,10 +49,12 @@
 mod request_error;
 mod resource_limits;
 mod router;
+mod shutdown;
+mod timer;
 mod watch;
 
 pub use config::{Config, ConfigError};
 pub use counters::Counters;
 pub use endpoints::engine_id;
 pub use resource_limits::ResourceLimits;
-pub use router::PlatformRouter;
+pub use router::{HeldState, PlatformRouter};
--- a/crates/platform/src/log_limiter.rs
+++ b/crates/platform/src/log_limiter.rs
@@ -1,10 +1,13 @@
-//! Limits how many log lines a router writes on faults of its peers.
+//! Limits how many log lines a router writes on faults of its peers and on attempts that never ran.
 
 use std::time::Duration;
 
 /// The least time between two lines.
 const LOG_INTERVAL: Duration = Duration::from_millis(500);
 
+/// Log lines on non-idempotent attempts that never ran, between two status lines.
+const MAX_NEVER_RAN_LINES: u32 = 200;
+
 /// Lets through one line per [`LOG_INTERVAL`] and counts those that it suppresses.
 #[derive(Debug, Default)]
 pub(crate) struct LogLimiter {
@@ -29,5 +32,25 @@
     }
 }
 
+/// Bounds the lines on non-idempotent attempts that never ran, between two status lines.
+#[derive(Debug, Default)]
+pub(crate) struct NeverRanLogBudget {
+    logged: u32,
+}
+
+impl NeverRanLogBudget {
+    /// Takes one line of the budget. False if none is left.
+    pub(crate) fn take(&mut self) -> bool {
+        let is_left = self.logged < MAX_NEVER_RAN_LINES;
+        self.logged += u32::from(is_left);
+        is_left
+    }
+
+    /// A status line was due: the whole budget is left again.
+    pub(crate) fn reset(&mut self) {
+        self.logged = 0;
+    }
+}
+
 #[cfg(test)]
 mod tests;
--- a/crates/platform/src/release.rs
+++ b/crates/platform/src/release.rs
@@ -5,7 +5,8 @@
 //! answered something else.
 
 use crate::engine_connection::ConnectionPurpose;
-use crate::router::{PlatformRouter, Timer};
+use crate::router::PlatformRouter;
+use crate::timer::Timer;
 use slipreel::{EngineId, RequestId, Settings};
 use slipreel_connections::{Release, ReleaseId, ReleaseStep, ReleaseTiming};
 use slipreel_protocol::http::{self, Framing};
@@ -41,7 +42,7 @@
 impl PlatformRouter {
     /// Releases what is held for a request, in place of an earlier release of it that is not over.
     pub(crate) fn release(&mut self, id: RequestId, out: &mut Vec<Output>) {
-        let Some(request) = self.requests.get_mut(&id) else { return };
+        let Some(request) = self.requests.get_mut(id) else { return };
         let Some(&holder) = request.state_holders().first() else { return };
         let addr = self.endpoints.get(holder).map_or(NOWHERE, |m| m.addr);
         let release = self.releases.add(self.now, holder, addr, request.client_id.clone());
@@ -78,8 +79,9 @@
     /// Whether every engine with an attempt that was given up or broke off has been heard from long enough after that to
     /// have seen it.
     fn is_sure(&self, release: &Release) -> bool {
-        let heard = |engine: EngineId| self.endpoints.get(engine).map_or(Duration::ZERO, |m| m.heard);
-        release.unsure.iter().all(|a| heard(a.engine) >= a.ended + CANCELLATION_SEEN_AFTER)
+        release.unsure.iter().all(|attempt| {
+            self.endpoints.last_contact(attempt.engine) >= attempt.ended + CANCELLATION_SEEN_AFTER
+        })
     }
 
     /// To which engines a release goes now. Of those that were not asked for it yet: the one heard from last among those
@@ -93,7 +95,7 @@
             self.releases.ask_all_again(id);
             candidates = engines;
         }
-        let standing = candidates.iter().position(|&engine| self.pool.has_idle(engine));
+        let standing = candidates.iter().position(|&engine| self.engines.has_idle_to(engine));
         let mut targets: Vec<EngineId> = standing.map(|at| candidates[at]).into_iter().collect();
         let opens = standing.is_none() || (standing > Some(0) && !release.asked.is_empty());
         if opens && self.releases.may_open(release.holder, self.now, RELEASE_RETRY_INTERVAL) {
@@ -114,7 +116,7 @@
     /// A connection has answered and fallen idle: it takes the oldest release that waits, so that many of them follow each
     /// other on one connection that works while all others are silent.
     pub(crate) fn send_waiting_release(&mut self, conn: ConnId, out: &mut Vec<Output>) {
-        let Some(engine) = self.engine_connections.get(&conn).map(|l| l.engine) else { return };
+        let Some(engine) = self.engines.get(conn).map(|l| l.engine) else { return };
         let stale = self.now.saturating_sub(RELEASE_STALE_AFTER);
         let Some(id) = self.releases.waiting(stale) else { return };
         let Some(release) = self.releases.get(id).cloned() else { return };
--- a/crates/platform/src/request.rs
+++ b/crates/platform/src/request.rs
@@ -102,13 +102,13 @@
         }
     }
 
-    /// The reader whose state its next write takes.
-    pub(crate) fn reader(&self) -> Option<EngineId> {
+    /// The prefill engine whose state its next decode fetches.
+    pub(crate) fn prefill_engine(&self) -> Option<EngineId> {
         self.attempts.iter().rev().find(|a| a.reads).map(|a| a.engine)
     }
 
     /// Bytes that it holds.
-    pub(crate) fn bytes(&self) -> usize {
+    pub(crate) fn held_bytes(&self) -> usize {
         self.body.len()
     }
 
--- /dev/null
+++ b/crates/platform/src/shutdown.rs
@@ -0,0 +1,122 @@
+//! The graceful shutdown of a router: from when it was told to stop until nothing is left to do.
+
+use std::time::Duration;
+
+/// After it was told to stop, a router goes on taking requests for so long: who comes still has to be answered. From the
+/// protocol.
+const GRACE: Duration = Duration::from_millis(700);
+/// So long after the start of a shutdown streams are migrated, where clients resume them: late enough for most to end by
+/// themselves, and early enough that the next router in a rolling restart is still up.
+const STREAM_MIGRATION_DELAY: Duration = Duration::from_millis(2_400);
+/// The longest wait of a client that the time until the kill goes by. From the protocol.
+const MAX_CLIENT_WAIT: Duration = Duration::from_millis(3_000);
+/// So long before the kill nothing is left unanswered.
+const MARGIN: Duration = Duration::from_millis(450);
+
+/// How far a router that shuts down is with its listener.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum ListenerState {
+    Open,
+    /// The driver was told to close it, and hands over the connections that wait at it.
+    Closing,
+    Closed,
+}
+
+/// What a router does once nothing is left to do in a shutdown.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum FinalStep {
+    /// Close the listener, so that who has just connected is still answered.
+    StopListening,
+    /// The listener is being closed.
+    Wait,
+    /// End.
+    Stop,
+    /// It has ended.
+    Stopped,
+}
+
+/// The state of a shutdown.
+#[derive(Debug)]
+pub(crate) struct Shutdown {
+    /// When it began; `None` while the router runs.
+    began: Option<Duration>,
+    listener: ListenerState,
+    is_stopped: bool,
+    /// The time after its start by which all has to be answered: the process is killed soon after.
+    deadline: Duration,
+}
+
+impl Shutdown {
+    /// A router that is not shutting down. `longest_wait`: how long a client of any class waits at most, if that is known.
+    pub(crate) fn new(longest_wait: Option<Duration>) -> Self {
+        let longest_wait = longest_wait.unwrap_or(Duration::MAX).min(MAX_CLIENT_WAIT);
+        Shutdown {
+            began: None,
+            listener: ListenerState::Open,
+            is_stopped: false,
+            deadline: (longest_wait + GRACE).saturating_sub(MARGIN),
+        }
+    }
+
+    /// Begins a shutdown. Returns the times at which its steps are due; `None` if it had begun before.
+    pub(crate) fn begin(&mut self, now: Duration) -> Option<[Duration; 3]> {
+        if self.has_begun() {
+            return None;
+        }
+        self.began = Some(now);
+        Some([GRACE, STREAM_MIGRATION_DELAY, self.deadline].map(|step| now + step))
+    }
+
+    pub(crate) fn has_begun(&self) -> bool {
+        self.began.is_some()
+    }
+
+    fn has_lasted(&self, now: Duration, time: Duration) -> bool {
+        self.began.is_some_and(|began| now >= began + time)
+    }
+
+    /// Whether streams that are still open are to be migrated.
+    pub(crate) fn migrates_streams(&self, now: Duration) -> bool {
+        self.has_lasted(now, STREAM_MIGRATION_DELAY)
+    }
+
+    /// Whether all has to be answered by now.
+    pub(crate) fn is_past_deadline(&self, now: Duration) -> bool {
+        self.has_lasted(now, self.deadline)
+    }
+
+    /// Whether a router that has nothing left to do may end.
+    pub(crate) fn may_end(&self, now: Duration) -> bool {
+        self.has_lasted(now, GRACE)
+    }
+
+    /// Nothing is left to do: it ends in two steps. First it stops listening, so that who has just connected is still
+    /// answered, and it stops for good when nobody had, or all of them have left.
+    pub(crate) fn next_final_step(&mut self) -> FinalStep {
+        if self.is_stopped {
+            return FinalStep::Stopped;
+        }
+        match self.listener {
+            ListenerState::Open => {
+                self.listener = ListenerState::Closing;
+                FinalStep::StopListening
+            }
+            ListenerState::Closing => FinalStep::Wait,
+            ListenerState::Closed => {
+                self.is_stopped = true;
+                FinalStep::Stop
+            }
+        }
+    }
+
+    pub(crate) fn is_listener_closing(&self) -> bool {
+        self.listener == ListenerState::Closing
+    }
+
+    /// The driver has handed over the connections that waited at the listener, if it was told to close it.
+    pub(crate) fn connections_handed_over(&mut self) {
+        if self.is_listener_closing() {
+            self.listener = ListenerState::Closed;
+        }
+    }
+}
--- /dev/null
+++ b/crates/platform/src/timer.rs
@@ -0,0 +1,31 @@
+//! What the timers of a router are for.
+
+use slipreel::{RequestId, TimerId};
+use slipreel_connections::{ReleaseId, Wheel};
+use slipreel_state_machine::ConnId;
+
+/// All timers of a router.
+pub(crate) type Timers = Wheel<Timer>;
+
+/// Why a timer was set.
+#[derive(Clone, Copy, Debug)]
+pub(crate) enum Timer {
+    /// The decision module asked for it.
+    Decision(TimerId),
+    /// A client connection may have timed out.
+    Client(ConnId),
+    /// A connection to an engine may have timed out.
+    Engine(ConnId),
+    /// An attempt's timeout, where the decision module gives one.
+    Attempt(RequestId, usize),
+    /// A release may be due again.
+    Release(ReleaseId),
+    /// The watch of the endpoint list may have timed out, or may be opened again.
+    Watch,
+    /// The next step of a shutdown is due.
+    Shutdown,
+    /// The driver has handed over all connections that waited at the listener when it was closed.
+    ListenerClosed,
+    /// The status line is due.
+    Status,
+}
--- a/crates/platform/src/watch.rs
+++ b/crates/platform/src/watch.rs
@@ -1,12 +1,14 @@
-//! How discovery is asked: one watch at a time, opened anew with some chance when it breaks, hangs or can't be read.
+//! How discovery is asked: one watch at a time, opened again after a jittered backoff when it breaks, hangs or can't be read.
 //!
 //! Whatever a call came to, what discovery has and would tell has to be held 6 s later. So every stage of a call has an end,
 //! the back-off between two has one, and together they stay inside that (`tests::whatever_a_call_came_to_...`). After
 //! a call that failed the whole list is asked for: what its watch had missed need not be in the changes of the next.
 
-use crate::endpoint_list::{self, EndpointList};
+use crate::endpoint_list::{self, EndpointList, EndpointListError};
 use crate::resource_limits::MAX_HEAD_BYTES;
-use slipreel_protocol::http::{self, Decoder, Framing, Item, Limits, Side, Start};
+use crate::timer::{Timer, Timers};
+use slipreel_connections::TimerKey;
+use slipreel_protocol::http::{self, Decoder, Framing, Item, Limits, Malformed, Side, Start};
 use slipreel_state_machine::ConnId;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -35,49 +37,98 @@
 
 /// Where the watch stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum State {
+enum State {
     /// Not to be opened before this time.
     Waiting(Duration),
-    /// Since when.
+    /// Its connection is being established, since when.
     Connecting(ConnId, Duration),
-    /// When it last said something.
+    /// Its connection is established; when something was last received.
     Open(ConnId, Duration),
 }
 
-/// The watch of the list.
+/// Why a watch that is overdue is given up. `Display` gives the text of the log line.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub(crate) enum WatchTimeout {
+    #[error("nothing was heard of it for too long")]
+    Silent,
+    #[error("what it said did not come whole in time")]
+    PartialMessage,
+    #[error("it lives, but does not tell the list")]
+    NoList,
+    #[error("no connection in time")]
+    NotConnected,
+}
+
+impl WatchTimeout {
+    /// Whether the next watch is opened without a backoff: the agent on this machine counts as reachable whether a watch
+    /// is established or not.
+    pub(crate) fn reopens_at_once(self) -> bool {
+        self == WatchTimeout::Silent
+    }
+}
+
+/// Why what a watch has sent cannot be used, so that it has to be opened again. `Display` gives the text of the log line.
+#[derive(Debug, thiserror::Error)]
+pub(crate) enum WatchError {
+    #[error("{}", .0.why)]
+    Malformed(Malformed),
+    #[error("answer {0:?}: expected 200")]
+    UnexpectedAnswer(Start),
+    #[error("the watch has ended")]
+    Ended,
+    #[error(transparent)]
+    InvalidList(#[from] EndpointListError),
+    #[error("list {received}: older than {held}, which is held")]
+    OlderList { received: u64, held: u64 },
+    #[error("an object over {MAX_OBJECT_BYTES} bytes")]
+    ObjectTooLarge,
+}
+
+/// What a watch calls for when it is due.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum DueStep {
+    /// Its backoff is over: a connection is to be opened.
+    Open,
+    /// It has timed out.
+    GiveUp(WatchTimeout),
+}
+
+/// The watch of the endpoint list.
 #[derive(Debug)]
 pub(crate) struct Watch {
-    pub(crate) addr: SocketAddr,
-    pub(crate) state: State,
+    addr: SocketAddr,
+    state: State,
+    timer: Option<TimerKey>,
     /// Version of the list that is held.
     index: u64,
-    /// The whole list is asked for, whatever its version: what was told last could not be taken, or the last call failed.
-    anew: bool,
+    /// The complete list is asked for, whatever its version: what came last could not be applied, or the last call failed.
+    needs_complete_list: bool,
     /// Since when the head of its answer, a good one, has come and no object after it.
     answered: Option<Duration>,
-    listening: bool,
+    /// The head of its answer has come.
+    has_head: bool,
     decoder: Decoder,
-    /// What it has said since its last whole object.
-    said: Vec<u8>,
-    /// Since when a head or an object stands there in part.
-    part: Option<Duration>,
-    /// Calls that failed since it last told something.
+    /// What has been received since its last complete object.
+    received: Vec<u8>,
+    /// Since when a head or an object has been received in part.
+    partial_since: Option<Duration>,
+    /// Calls that failed since a list last came.
     failures: u32,
-    /// The last list was older than what is held. A whole one that is told again when asked for counts: discovery has
-    /// begun anew.
-    went_back: bool,
+    /// The last list was older than the one that is held. A complete one that comes again when asked for counts: discovery
+    /// has started over.
+    last_list_was_older: bool,
     /// How long this call may be silent; each draws its own, as hundreds of routers see the same silence.
-    patience: Duration,
-    /// Draws for what is no decision: when it is opened anew.
-    chance: u64,
+    silence_timeout: Duration,
+    /// State of the generator of jitter, apart from that of the decision module.
+    jitter_state: u64,
 }
 
 fn decoder() -> Decoder {
     Decoder::new(Side::Client, Limits { head: MAX_HEAD_BYTES, body: u64::MAX, ..Limits::default() })
 }
 
-/// The longest back-off after so many failures in a row.
-fn back_off(failures: u32) -> Duration {
+/// The longest backoff after so many failures in a row.
+fn max_backoff(failures: u32) -> Duration {
     let spread = INITIAL_BACKOFF_JITTER * (1 << failures.saturating_sub(1).min(8));
     MIN_BACKOFF + spread.min(MAX_BACKOFF_JITTER)
 }
@@ -87,26 +138,37 @@
         Watch {
             addr,
             state: State::Waiting(now),
+            timer: None,
             index: 0,
-            anew: true,
+            needs_complete_list: true,
             answered: None,
-            listening: false,
+            has_head: false,
             decoder: decoder(),
-            said: Vec::new(),
-            part: None,
+            received: Vec::new(),
+            partial_since: None,
             failures: 0,
-            went_back: false,
-            patience: SILENCE_TIMEOUT,
+            last_list_was_older: false,
+            silence_timeout: SILENCE_TIMEOUT,
             // Seeds that lie close together have to draw far apart from the first draw on.
-            chance: xxh3_64(&seed.to_le_bytes()) | 1,
+            jitter_state: xxh3_64(&seed.to_le_bytes()) | 1,
         }
     }
 
-    /// The list that the node holds is of this version.
-    pub(crate) fn holds(&mut self, index: u64) {
-        (self.index, self.anew) = (index, false);
+    /// The list that the router starts with is of this version.
+    pub(crate) fn resume_from(&mut self, index: u64) {
+        (self.index, self.needs_complete_list) = (index, false);
+    }
+
+    pub(crate) fn addr(&self) -> SocketAddr {
+        self.addr
+    }
+
+    /// Whether this is its connection.
+    pub(crate) fn is_connection(&self, conn: ConnId) -> bool {
+        self.conn() == Some(conn)
     }
 
+    /// Its connection, while it has one.
     pub(crate) fn conn(&self) -> Option<ConnId> {
         match self.state {
             State::Waiting(_) => None,
@@ -115,127 +177,166 @@
     }
 
     /// When it has to be looked at again.
-    pub(crate) fn due(&self) -> Duration {
+    fn due(&self) -> Duration {
         match self.state {
             State::Waiting(at) => at,
             State::Connecting(_, since) => since + CONNECT_TIMEOUT,
             State::Open(_, heard) => {
-                let whole = self.part.map_or(Duration::MAX, |since| since + PARTIAL_MESSAGE_TIMEOUT);
+                let whole = self.partial_since.map_or(Duration::MAX, |since| since + PARTIAL_MESSAGE_TIMEOUT);
                 // Guards against a watch that says that it lives and never tells the list that it was asked for.
-                let first =
-                    self.answered.filter(|_| self.anew).map_or(Duration::MAX, |at| at + FIRST_LIST_TIMEOUT);
-                whole.min(first).min(heard + self.patience)
+                let first = self
+                    .answered
+                    .filter(|_| self.needs_complete_list)
+                    .map_or(Duration::MAX, |at| at + FIRST_LIST_TIMEOUT);
+                whole.min(first).min(heard + self.silence_timeout)
             }
         }
     }
 
-    /// Why it is given up when it is due, and whether the next one is opened at once: the agent on this machine counts as
-    /// heard whether a watch stands or not.
-    pub(crate) fn overdue(&self, now: Duration) -> (&'static str, bool) {
+    /// What it calls for now; `None` if it is not due.
+    pub(crate) fn due_step(&self, now: Duration) -> Option<DueStep> {
+        if self.due() > now {
+            return None;
+        }
+        Some(match self.state {
+            State::Waiting(_) => DueStep::Open,
+            State::Connecting(..) | State::Open(..) => DueStep::GiveUp(self.timeout(now)),
+        })
+    }
+
+    /// Why it is given up when it is due.
+    fn timeout(&self, now: Duration) -> WatchTimeout {
         match self.state {
-            State::Open(_, heard) if heard + self.patience <= now => {
-                ("nothing was heard of it for too long", true)
-            }
-            State::Open(..) if self.part.is_some() => ("what it said did not come whole in time", false),
-            State::Open(..) => ("it lives, but does not tell the list", false),
-            _ => ("no connection in time", false),
+            State::Open(_, heard) if heard + self.silence_timeout <= now => WatchTimeout::Silent,
+            State::Open(..) if self.partial_since.is_some() => WatchTimeout::PartialMessage,
+            State::Open(..) => WatchTimeout::NoList,
+            State::Waiting(_) | State::Connecting(..) => WatchTimeout::NotConnected,
         }
     }
 
+    /// Its connection is being opened.
+    pub(crate) fn connecting(&mut self, conn: ConnId, now: Duration) {
+        self.state = State::Connecting(conn, now);
+    }
+
+    /// Discovery is at another address: the next watch is opened there at once.
+    pub(crate) fn move_to(&mut self, addr: SocketAddr, now: Duration) {
+        self.addr = addr;
+        self.reopen_at(now);
+    }
+
+    /// Sets its timer in place of the one that it had.
+    pub(crate) fn arm_timer(&mut self, timers: &mut Timers) {
+        if let Some(key) = self.timer.take() {
+            timers.cancel(key);
+        }
+        self.timer = Some(timers.set(self.due(), Timer::Watch));
+    }
+
+    /// Its timer has fired.
+    pub(crate) fn timer_fired(&mut self) {
+        self.timer = None;
+    }
+
     /// A call has failed at `now`. The next one asks for the whole list after a back-off, or at once.
-    pub(crate) fn failed(&mut self, now: Duration, at_once: bool) {
-        self.anew = true;
-        self.failures = if at_once { 0 } else { self.failures.saturating_add(1) };
-        let wait = MIN_BACKOFF + (back_off(self.failures) - MIN_BACKOFF).mul_f64(self.draw());
-        self.again(if at_once { now } else { now + wait });
+    pub(crate) fn failed(&mut self, now: Duration, reopens_at_once: bool) {
+        self.needs_complete_list = true;
+        self.failures = if reopens_at_once { 0 } else { self.failures.saturating_add(1) };
+        let wait = MIN_BACKOFF + (max_backoff(self.failures) - MIN_BACKOFF).mul_f64(self.next_jitter());
+        self.reopen_at(if reopens_at_once { now } else { now + wait });
     }
 
     /// It is over; the next one is opened at `at`. What it had said in part is dropped.
-    pub(crate) fn again(&mut self, at: Duration) {
+    fn reopen_at(&mut self, at: Duration) {
         self.state = State::Waiting(at);
-        (self.listening, self.answered) = (false, None);
+        (self.has_head, self.answered) = (false, None);
         self.decoder = decoder();
-        (self.said, self.part) = (Vec::new(), None);
+        (self.received, self.partial_since) = (Vec::new(), None);
     }
 
-    /// Its connection stands: gives what to ask.
-    pub(crate) fn ask(&mut self, conn: ConnId, now: Duration) -> Vec<u8> {
+    /// Its connection is established. Returns the request to write.
+    pub(crate) fn connected(&mut self, conn: ConnId, now: Duration) -> Vec<u8> {
         self.state = State::Open(conn, now);
-        self.patience = SILENCE_TIMEOUT.mul_f64(1.0 - SILENCE_TIMEOUT_JITTER * self.draw());
-        let after = if self.anew { 0 } else { self.index };
+        self.silence_timeout = SILENCE_TIMEOUT.mul_f64(1.0 - SILENCE_TIMEOUT_JITTER * self.next_jitter());
+        let after = if self.needs_complete_list { 0 } else { self.index };
         let (target, host) = (format!("/api/targets?watch=1&after={after}"), self.addr.to_string());
         http::request_head("GET", &target, &[("host", &host)], Framing::Length(0))
     }
 
-    /// Takes bytes; gives the lists that they complete.
+    /// Takes bytes; appends the lists that they complete.
     ///
     /// # Errors
-    /// What can't be read, or is older than what is held: the watch has to be opened anew. The lists before it count.
+    /// What can't be read, or is older than what is held: the watch has to be opened again. The lists before it count.
     pub(crate) fn feed(
         &mut self, now: Duration, bytes: &[u8], out: &mut Vec<EndpointList>,
-    ) -> Result<(), String> {
+    ) -> Result<(), WatchError> {
         if let State::Open(_, heard) = &mut self.state {
             *heard = now;
         }
         self.decoder.feed(bytes);
         // What came before something that can't be read counts.
-        let (read, before) = (self.pieces(now), out.len());
-        self.objects(out)?;
+        let (read, before) = (self.read_items(now), out.len());
+        self.take_lists(out)?;
         let told = out.len() > before;
         if told {
-            (self.answered, self.failures, self.part) = (None, 0, None);
+            (self.answered, self.failures, self.partial_since) = (None, 0, None);
         }
         // A head that drips keeps the connection alive as an object in part does.
-        let in_part = !self.said.is_empty() || !self.listening || self.decoder.buffered() > 0;
-        self.part = in_part.then(|| self.part.unwrap_or(now));
+        let in_part = !self.received.is_empty() || !self.has_head || self.decoder.buffered() > 0;
+        self.partial_since = in_part.then(|| self.partial_since.unwrap_or(now));
         read
     }
 
-    fn pieces(&mut self, now: Duration) -> Result<(), String> {
-        while let Some(item) = self.decoder.next_item().map_err(|why| why.why)? {
+    fn read_items(&mut self, now: Duration) -> Result<(), WatchError> {
+        while let Some(item) = self.decoder.next_item().map_err(WatchError::Malformed)? {
             match item {
                 Item::Head(head) => match head.start {
                     Start::Response { status: 200 } => {
-                        (self.listening, self.answered, self.part) = (true, Some(now), None);
+                        (self.has_head, self.answered, self.partial_since) = (true, Some(now), None);
                     }
                     Start::Response { status: 100..=199 } => {}
-                    _ => return Err(format!("answer {:?}: expected 200", head.start)),
+                    _ => return Err(WatchError::UnexpectedAnswer(head.start)),
                 },
-                Item::Body(piece) => self.said.extend_from_slice(&piece),
-                Item::End if self.listening => return Err("the watch has ended".into()),
+                Item::Body(piece) => self.received.extend_from_slice(&piece),
+                Item::End if self.has_head => return Err(WatchError::Ended),
                 Item::End => {}
             }
         }
         Ok(())
     }
 
-    /// What has been said since the last whole object; the lists that it completes go to `out`.
-    fn objects(&mut self, out: &mut Vec<EndpointList>) -> Result<(), String> {
-        let Watch { said, index, anew, went_back, .. } = self;
-        let mut take = |mut list: EndpointList| {
-            let older = list.index < *index;
-            let again = std::mem::replace(went_back, older);
-            if older && !(again && list.whole && *anew) {
-                return Err(format!("list {}: older than {}, which is held", list.index, *index));
+    /// Takes the complete objects out of what has been received; the lists that they hold go to `out`.
+    fn take_lists(&mut self, out: &mut Vec<EndpointList>) -> Result<(), WatchError> {
+        let Watch { received, index, needs_complete_list, last_list_was_older, .. } = self;
+        let mut accept = |mut list: EndpointList| {
+            let is_older = list.index < *index;
+            let came_again = std::mem::replace(last_list_was_older, is_older);
+            let has_started_over = came_again && list.is_complete && *needs_complete_list;
+            if is_older && !has_started_over {
+                return Err(WatchError::OlderList { received: list.index, held: *index });
             }
-            (*index, *anew, *went_back, list.older) = (list.index, false, false, older);
+            *index = list.index;
+            *needs_complete_list = false;
+            *last_list_was_older = false;
+            list.is_older = is_older;
             out.push(list);
             Ok(())
         };
-        let taken = endpoint_list::take(said, &mut take);
+        let taken = endpoint_list::take(received, &mut accept);
         if taken.is_err() {
-            self.anew = true;
-        } else if self.said.len() > MAX_OBJECT_BYTES {
-            return Err(format!("an object over {MAX_OBJECT_BYTES} bytes"));
+            self.needs_complete_list = true;
+        } else if self.received.len() > MAX_OBJECT_BYTES {
+            return Err(WatchError::ObjectTooLarge);
         }
         taken
     }
 
-    fn draw(&mut self) -> f64 {
-        self.chance ^= self.chance << 13;
-        self.chance ^= self.chance >> 7;
-        self.chance ^= self.chance << 17;
-        (self.chance >> 11) as f64 / (1u64 << 53) as f64
+    /// A number from 0 to 1, exclusive (xorshift).
+    fn next_jitter(&mut self) -> f64 {
+        self.jitter_state ^= self.jitter_state << 13;
+        self.jitter_state ^= self.jitter_state >> 7;
+        self.jitter_state ^= self.jitter_state << 17;
+        (self.jitter_state >> 11) as f64 / (1u64 << 53) as f64
     }
 }
 
--- a/crates/platform/src/watch/tests.rs
+++ b/crates/platform/src/watch/tests.rs
@@ -13,8 +13,8 @@
 
 fn open(holds: u64) -> Watch {
     let mut watch = Watch::new(SocketAddr::from(([127, 0, 0, 1], 1)), Duration::ZERO, 7);
-    watch.holds(holds);
-    let asked = watch.ask(ConnId::opened(1), Duration::ZERO);
+    watch.resume_from(holds);
+    let asked = watch.connected(ConnId::opened(1), Duration::ZERO);
     assert!(String::from_utf8_lossy(&asked).contains(&format!("after={holds} ")));
     watch.feed(Duration::ZERO, HEAD, &mut Vec::new()).unwrap();
     watch
@@ -28,10 +28,10 @@
     for b in &bytes {
         watch.feed(Duration::from_secs(3), &[*b], &mut out).unwrap();
     }
-    assert_eq!(out.iter().map(|l| (l.index, l.whole)).collect::<Vec<_>>(), [(42, true), (43, false)]);
-    assert_eq!(watch.due(), Duration::from_secs(3) + watch.patience);
+    assert_eq!(out.iter().map(|l| (l.index, l.is_complete)).collect::<Vec<_>>(), [(42, true), (43, false)]);
+    assert_eq!(watch.due(), Duration::from_secs(3) + watch.silence_timeout);
     let least = SILENCE_TIMEOUT.mul_f64(1.0 - SILENCE_TIMEOUT_JITTER);
-    assert!((least..=SILENCE_TIMEOUT).contains(&watch.patience), "{:?}", watch.patience);
+    assert!((least..=SILENCE_TIMEOUT).contains(&watch.silence_timeout), "{:?}", watch.silence_timeout);
 }
 
 #[test]
@@ -40,8 +40,8 @@
         let (mut watch, mut out) = (open(41), Vec::new());
         assert!(watch.feed(Duration::ZERO, &http::chunk(text.as_bytes()), &mut out).is_err());
         assert!(out.is_empty());
-        watch.again(Duration::ZERO);
-        let asked = String::from_utf8(watch.ask(ConnId::opened(2), Duration::ZERO)).unwrap();
+        watch.reopen_at(Duration::ZERO);
+        let asked = String::from_utf8(watch.connected(ConnId::opened(2), Duration::ZERO)).unwrap();
         assert!(asked.contains("after=0 "), "{asked}");
         watch.feed(Duration::ZERO, HEAD, &mut out).unwrap();
         let asked_for = http::chunk(line(7, true).as_bytes());
@@ -51,7 +51,7 @@
             // again, it has begun anew.
             assert!(taken.is_err() && out.is_empty(), "{text}");
             watch.failed(Duration::ZERO, false);
-            watch.ask(ConnId::opened(3), Duration::ZERO);
+            watch.connected(ConnId::opened(3), Duration::ZERO);
             watch.feed(Duration::ZERO, HEAD, &mut out).unwrap();
             watch.feed(Duration::ZERO, &asked_for, &mut out).unwrap();
         } else {
@@ -74,7 +74,7 @@
             watch.feed(Duration::ZERO, &http::chunk(piece), &mut out).unwrap();
         }
         assert_eq!(out.iter().map(|l| l.index).collect::<Vec<_>>(), [42, 43, 44], "pieces of {size}");
-        assert!(watch.said.is_empty(), "nothing is kept of what was taken");
+        assert!(watch.received.is_empty(), "nothing is kept of what was taken");
     }
 }
 
@@ -93,15 +93,15 @@
     let (mut watch, mut out) = (open(41), Vec::new());
     let endless = http::chunk(format!("[\"{}\",\n", "x".repeat(60_000)).as_bytes());
     let fed = (0..200).map(|_| watch.feed(Duration::ZERO, &endless, &mut out)).find(Result::is_err);
-    assert!(fed.is_some() && out.is_empty() && watch.said.len() < 2 * MAX_OBJECT_BYTES);
+    assert!(fed.is_some() && out.is_empty() && watch.received.len() < 2 * MAX_OBJECT_BYTES);
 }
 
 #[test]
 fn half_a_line_is_dropped_with_its_connection() {
     let (mut watch, mut out) = (open(41), Vec::new());
     watch.feed(Duration::ZERO, &http::chunk(b"{\"index\":42,"), &mut out).unwrap();
-    watch.again(Duration::ZERO);
-    let asked = String::from_utf8(watch.ask(ConnId::opened(2), Duration::ZERO)).unwrap();
+    watch.reopen_at(Duration::ZERO);
+    let asked = String::from_utf8(watch.connected(ConnId::opened(2), Duration::ZERO)).unwrap();
     assert!(asked.contains("after=41 "));
     watch.feed(Duration::ZERO, HEAD, &mut out).unwrap();
     watch.feed(Duration::ZERO, &http::chunk(line(42, false).as_bytes()), &mut out).unwrap();
@@ -114,20 +114,20 @@
 fn whatever_a_call_came_to_the_longest_gap_to_the_next_answer_stays_inside_the_time_told() {
     let answer = Duration::from_millis(300);
     let next = CONNECT_TIMEOUT + answer;
-    let longest = (1..40).map(back_off).max().unwrap();
+    let longest = (1..40).map(max_backoff).max().unwrap();
     assert_eq!(longest, MIN_BACKOFF + MAX_BACKOFF_JITTER);
     for stage in [Duration::ZERO, CONNECT_TIMEOUT, PARTIAL_MESSAGE_TIMEOUT, FIRST_LIST_TIMEOUT] {
         assert!(stage + longest + next < CHANGE_NOTIFICATION_DEADLINE - Duration::from_secs(1), "{stage:?}");
     }
     // A silent one is followed at once, also if that one's connection never comes up.
     assert!(SILENCE_TIMEOUT + next < CHANGE_NOTIFICATION_DEADLINE);
-    assert!(SILENCE_TIMEOUT + CONNECT_TIMEOUT + back_off(1) + answer < CHANGE_NOTIFICATION_DEADLINE);
+    assert!(SILENCE_TIMEOUT + CONNECT_TIMEOUT + max_backoff(1) + answer < CHANGE_NOTIFICATION_DEADLINE);
     // The least patience is longer than one line that is due every 2 s and late by 0.9 s.
     assert!(SILENCE_TIMEOUT.mul_f64(1.0 - SILENCE_TIMEOUT_JITTER) > Duration::from_millis(2_900));
 }
 
 #[test]
-fn each_failure_in_a_row_doubles_the_back_off_to_its_bound_and_news_ends_it() {
+fn each_failure_in_a_row_doubles_the_max_backoff_to_its_bound_and_news_ends_it() {
     // The longest of many draws comes near the bound, the shortest near the least.
     let mut waits = [(Duration::MAX, Duration::ZERO); 5];
     for seed in 1..400 {
@@ -135,22 +135,22 @@
         for (least, most) in &mut waits {
             watch.failed(Duration::ZERO, false);
             (*least, *most) = (watch.due().min(*least), watch.due().max(*most));
-            watch.ask(ConnId::opened(1), Duration::ZERO);
+            watch.connected(ConnId::opened(1), Duration::ZERO);
         }
     }
     for (n, (least, most)) in waits.iter().enumerate() {
-        let bound = back_off(n as u32 + 1);
+        let bound = max_backoff(n as u32 + 1);
         assert!(*least >= MIN_BACKOFF && *least < MIN_BACKOFF + bound / 10, "{waits:?}");
         assert!(*most <= bound && *most > bound.mul_f64(0.9), "{waits:?}");
     }
-    assert_eq!(back_off(2) - MIN_BACKOFF, INITIAL_BACKOFF_JITTER * 2);
+    assert_eq!(max_backoff(2) - MIN_BACKOFF, INITIAL_BACKOFF_JITTER * 2);
     let mut watch = open(41);
     (0..4).for_each(|_| watch.failed(Duration::ZERO, false));
-    watch.ask(ConnId::opened(1), Duration::ZERO);
+    watch.connected(ConnId::opened(1), Duration::ZERO);
     watch.feed(Duration::ZERO, HEAD, &mut Vec::new()).unwrap();
     watch.feed(Duration::ZERO, &http::chunk(line(50, true).as_bytes()), &mut Vec::new()).unwrap();
     watch.failed(Duration::ZERO, false);
-    assert!(watch.due() <= back_off(1));
+    assert!(watch.due() <= max_backoff(1));
 }
 
 /// Guards against an answer that keeps its connection alive byte by byte: a head of which one came a second was waited for
@@ -161,7 +161,7 @@
     let whole = [HEAD, &object].concat();
     for (from, what) in [(0, "head"), (HEAD.len(), "object"), (HEAD.len() + 1, "object that has begun")] {
         let mut watch = Watch::new(SocketAddr::from(([127, 0, 0, 1], 1)), Duration::ZERO, 7);
-        watch.ask(ConnId::opened(1), Duration::ZERO);
+        watch.connected(ConnId::opened(1), Duration::ZERO);
         watch.feed(Duration::ZERO, &whole[..from], &mut Vec::new()).unwrap();
         let mut now = Duration::ZERO;
         for b in &whole[from..] {
@@ -175,7 +175,7 @@
             watch.due() <= now && now <= PARTIAL_MESSAGE_TIMEOUT + Duration::from_millis(800),
             "{what}: {now:?}"
         );
-        assert!(!watch.overdue(now).1, "{what}");
+        assert!(!watch.timeout(now).reopens_at_once(), "{what}");
     }
 }
 
@@ -183,7 +183,7 @@
 fn after_a_failed_call_the_list_itself_is_asked_for_and_signs_of_life_alone_dont_do() {
     let mut watch = open(41);
     watch.failed(Duration::ZERO, false);
-    let asked = String::from_utf8(watch.ask(ConnId::opened(2), Duration::ZERO)).unwrap();
+    let asked = String::from_utf8(watch.connected(ConnId::opened(2), Duration::ZERO)).unwrap();
     assert!(asked.contains("after=0 "), "what the failed one had missed is in no list of changes: {asked}");
     watch.feed(Duration::ZERO, HEAD, &mut Vec::new()).unwrap();
     let mut now = Duration::ZERO;
@@ -195,7 +195,7 @@
     assert_eq!(now, FIRST_LIST_TIMEOUT);
     // One that has told its list may go on without news for as long as it likes.
     watch.failed(now, false);
-    watch.ask(ConnId::opened(3), now);
+    watch.connected(ConnId::opened(3), now);
     watch.feed(now, HEAD, &mut Vec::new()).unwrap();
     watch.feed(now, &http::chunk(line(41, true).as_bytes()), &mut Vec::new()).unwrap();
     assert!(watch.due() > now + Duration::from_secs(3));
--- a/crates/platform/tests/bad_clients.rs
+++ b/crates/platform/tests/bad_clients.rs
@@ -88,7 +88,12 @@
     let client = host.client();
     host.data(client, &request("chat", "1")[..200]);
     host.tell(Input::Eof(client));
-    assert_eq!(host.node.holds()[..3], [0, 0, 0], "half a request and a close leaves nothing");
+    let held = host.node.held_state();
+    assert_eq!(
+        [held.client_connections, held.engine_connections, held.requests],
+        [0, 0, 0],
+        "half a request and a close leaves nothing"
+    );
 }
 
 #[test]
@@ -123,7 +128,7 @@
     let (working, _) = host.streaming("chat");
     let used = host.client();
     host.data(used, "GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n");
-    let [before, ..] = host.node.holds();
+    let before = host.node.held_state().client_connections;
     assert_eq!(before, 2);
     assert!(crowd(&mut host, 10_000, 100).is_empty());
     host.pass(ms(500));
@@ -131,7 +136,8 @@
     assert_eq!(evicted[..3], [10_000, 10_001, 10_002].map(ConnId), "the oldest of the silent first");
     let evicted = crowd(&mut host, 30_000, 300);
     assert!(evicted.contains(&used) && !evicted.contains(&working));
-    let [clients, links, ..] = host.node.holds();
+    let held = host.node.held_state();
+    let (clients, links) = (held.client_connections, held.engine_connections);
     assert!(clients + links < 256 - 16, "{clients} {links}");
     assert_eq!(host.node.counters().rejected_before_admission as usize, 2 + 460 - clients, "each is counted");
 }
@@ -166,7 +172,7 @@
                 host.data(conn, "HTTP/1.1 503 x\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n");
             }
         }
-        most = most.max(host.node.holds()[1]);
+        most = most.max(host.node.held_state().engine_connections);
     }
     assert!(most <= 19, "{most}");
 }
--- a/crates/platform/tests/fleet.rs
+++ b/crates/platform/tests/fleet.rs
@@ -1,7 +1,7 @@
 //! A seeded fleet in virtual time: engines that fault, are replaced under new names and leave; clients that ask once,
 //! stay, or go. Every request has one ending, nothing is sent twice or kept, and the node ends as small as it began.
 
-use slipreel_platform::{Config, PlatformRouter};
+use slipreel_platform::{Config, HeldState, PlatformRouter};
 use slipreel_test_servers::memory::{Delays, World};
 use slipreel_test_servers::platform::{look, Clients, Discovery, Ending, Engine, Faults, Listing, Shared};
 use std::net::SocketAddr;
@@ -96,8 +96,8 @@
             let until = self.world.now() + ms(10);
             self.world.run_until(until);
             let node = self.node();
-            let sockets = node.under_way();
-            for (engine, counted) in node.counted() {
+            let sockets = node.attempts_on_connections();
+            for (engine, counted) in node.attempts_by_decision_module() {
                 let open = sockets.get(&engine).copied().unwrap_or_default();
                 assert_eq!(counted, open, "{engine:?} at {:?}", self.world.now() - START);
             }
@@ -131,7 +131,8 @@
         let fabric = look(&fleet.shared);
         assert_eq!(fabric.broken, [""; 0], "seed {seed}");
         assert!(fabric.twice.is_empty(), "seed {seed}: second copies {:?}", fabric.twice);
-        let [_, _, calls, _, releases] = node.holds();
+        let held = node.held_state();
+        let (calls, releases) = (held.requests, held.releases);
         assert_eq!(
             (calls, releases, node.decision_state_sizes().requests),
             (0, 0, 0),
@@ -163,14 +164,20 @@
         if n % 500 == 499 {
             fleet.run(ms(1_500));
             let node = fleet.node();
-            sizes.push((node.holds(), node.decision_state_sizes(), node.books()));
+            sizes.push((node.held_state(), node.decision_state_sizes(), node.table_entries()));
         }
     }
     fleet.run(ms(60_000));
     assert_eq!(fleet.clients().odd, [""; 0], "{:?}", fleet.clients().endings);
-    assert_eq!(fleet.node().holds()[4], 0, "every release is over in the end");
+    assert_eq!(fleet.node().held_state().releases, 0, "every release is over in the end");
     for (holds, decisions, books) in &sizes {
-        let [clients, links, calls, timers, releases] = *holds;
+        let HeldState {
+            client_connections: clients,
+            engine_connections: links,
+            requests: calls,
+            timers,
+            releases,
+        } = *holds;
         assert!(links < 60 && calls < 20 && releases < 10 && clients < 200 && timers < 600, "{sizes:?}");
         assert!(decisions.engines <= 7 && decisions.timers < 300 && *books < 40, "{sizes:?}");
     }
--- a/crates/platform/tests/gone.rs
+++ b/crates/platform/tests/gone.rs
@@ -32,13 +32,14 @@
         all = host.pass(ms(100));
         assert_eq!(posts(&all), 0, "{all:?}");
     }
-    let [clients, _, calls, _, releases] = host.node.holds();
+    let held = host.node.held_state();
+    let (clients, calls, releases) = (held.client_connections, held.requests, held.releases);
     assert_eq!(
         (clients, calls, releases, host.node.decision_state_sizes().requests),
         (0, 0, 0, 0),
         "nothing is kept of it"
     );
-    assert!(host.node.under_way().is_empty(), "{:?}", host.node.under_way());
+    assert!(host.node.attempts_on_connections().is_empty(), "{:?}", host.node.attempts_on_connections());
 }
 
 fn probing() -> Host {
--- a/crates/platform/tests/never_ran.rs
+++ b/crates/platform/tests/never_ran.rs
@@ -90,7 +90,7 @@
         let (_, kept) = host.read_and_sent_on("chat", "9b1f");
         host.data(kept, whole_stream());
         host.pass(ms(300));
-        assert!(host.node.holds()[1] >= 2, "{class}: connections to both engines stand");
+        assert!(host.node.held_state().engine_connections >= 2, "{class}: connections to both engines stand");
         let client = host.client();
         let out = host.data(client, request(class, "9b20"));
         assert_eq!((opened(&out).len(), posts(&out)), (1, 0), "{class}: the read opens one");
--- a/crates/platform/tests/peers.rs
+++ b/crates/platform/tests/peers.rs
@@ -227,7 +227,7 @@
     assert!(acknowledged.last().is_some_and(|&at| at >= over && at < over + ms(700)), "{acknowledged:?}");
     let out = host.pass(ms(3_000));
     assert!(releases(&out).is_empty() && opened(&out).is_empty(), "that is enough");
-    assert_eq!(host.node.holds()[4], 0);
+    assert_eq!(host.node.held_state().releases, 0);
 }
 
 #[test]
@@ -246,7 +246,7 @@
         acknowledged.extend(acknowledge_all_but(&mut host, out, NO_PORT));
     }
     assert_eq!(acknowledged.len(), 2, "{acknowledged:?}");
-    assert_eq!(host.node.holds()[4], 0);
+    assert_eq!(host.node.held_state().releases, 0);
 }
 
 const WRITER_PORT: u16 = 2;
@@ -301,7 +301,7 @@
     let mut host = Host::new();
     let (_, writer) = host.streaming("chat");
     host.data(writer, chunk("data: [DONE]\n\n") + "0\r\n\r\n");
-    assert_eq!((host.node.counters().releases, host.node.holds()[4]), (0, 0));
+    assert_eq!((host.node.counters().releases, host.node.held_state().releases), (0, 0));
 }
 
 // ---- Stop ---------------------------------------------------------------------------------------
--- a/crates/platform/tests/releases.rs
+++ b/crates/platform/tests/releases.rs
@@ -122,7 +122,7 @@
     let mut out = host.tell(Input::Eof(client));
     let (mut stale, mut acknowledged) = (0, 0);
     // As the write was given up a moment before, two acknowledgements are due.
-    while host.node.holds()[4] > 0 && stale + acknowledged < 50 {
+    while host.node.held_state().releases > 0 && stale + acknowledged < 50 {
         for (conn, _) in opened(&out) {
             out.extend(host.connected(conn));
         }
@@ -276,7 +276,7 @@
             host.connected(conn);
         }
     }
-    assert_eq!(host.node.holds()[1], 4, "all are in use");
+    assert_eq!(host.node.held_state().engine_connections, 4, "all are in use");
     let out = host.data(writer, [STREAM_HEAD, &chunk(&event("one"))].concat());
     let sent = releases_within(&mut host, out, ms(300));
     assert!(!sent.is_empty(), "some are left for releases");
@@ -340,7 +340,7 @@
     let mut all = out;
     all.extend(host.tell(Input::OwnerMessage(&new)));
     assert_eq!(watch(&all).map(|(_, port)| port), Some(8500), "discovery is asked at its new address");
-    let before = host.node.holds()[4];
+    let before = host.node.held_state().releases;
     assert_eq!(before, 1, "the release is open");
     let sent = releases_within(&mut host, all, ms(400));
     assert!(!sent.is_empty(), "it goes out");
--- a/crates/platform/tests/requests.rs
+++ b/crates/platform/tests/requests.rs
@@ -232,7 +232,7 @@
         let (client, writer) = host.streaming("chat");
         let out = deed(&mut host, writer);
         assert!(finished(&out, client) && !text(&out, client).contains("0\r\n\r\n"), "case {n}");
-        assert_eq!((host.node.counters().failed, host.node.holds()[2]), (1, 0), "case {n}");
+        assert_eq!((host.node.counters().failed, host.node.held_state().requests), (1, 0), "case {n}");
     }
     // One that falls silent is given up before its client has been left waiting for 5 s.
     let mut host = Host::new();
@@ -251,7 +251,7 @@
     let (client, writer) = host.streaming("chat");
     assert!(aborted(&host.tell(lost(client, ConnectionLoss::Reset)), writer));
     assert_eq!(
-        (host.node.counters().disconnected, host.node.counters().failed, host.node.holds()[2]),
+        (host.node.counters().disconnected, host.node.counters().failed, host.node.held_state().requests),
         (1, 0, 0)
     );
 }
