--- a/crates/cli/src/member.rs
+++ b/crates/cli/src/member.rs
@@ -2,8 +2,10 @@
 
 use crate::disk::Folder;
 use crate::{lines, Failure};
-use slipreel_consensus::log::Damage;
-use slipreel_consensus::{ByView, Consensus, Disk, Made, Member as Machine, PolicyHandle, Start, Try};
+use slipreel_consensus::log::LogError;
+use slipreel_consensus::{
+    Consensus, Disk, Made, Member as Machine, MembershipDirectory, PolicyHandle, Startup, Try,
+};
 use slipreel_event_loop::{Clock, Command, Handle, Loop, NodeId};
 use slipreel_gateway::{Front, Sharing};
 use slipreel_membership::{Board, Fleet, Kept, Peers, Settings};
@@ -36,7 +38,7 @@
 
     /// Says which keys of this router's file differ from the policy in force, when another one is.
     fn look(&mut self) {
-        let shown = self.handle.shown();
+        let shown = self.handle.status();
         if shown.epoch == self.told {
             return;
         }
@@ -90,13 +92,13 @@
     let policy = policy_of(&text, &file).map_err(|faults| Failure::Input(lines(&faults)))?;
     let own = Arc::new(Mutex::new(text));
     let handle = Arc::new(PolicyHandle::default());
-    let settings = slipreel_consensus::Settings {
+    let settings = slipreel_consensus::ConsensusConfig {
         fleet: site.fleet.clone(),
         name: name.to_owned(),
         founders: site.founders.clone(),
         policy: policy.text,
-        cut: site.cut,
-        datagram: site.datagram,
+        partition_mode: site.cut,
+        max_datagram_len: site.datagram,
     };
     let (of, with) = (file.clone(), own.clone());
     let attempt: Try = Box::new(move |policy: &str| {
@@ -113,19 +115,19 @@
             // What can't be read may hold promises: the router serves by what the others agree on, and does not vote.
             let found = match Folder::read(folder) {
                 Ok(stands) => slipreel_consensus::storage::read(&stands),
-                Err(why) => Err(Damage::Record(0, why.to_string())),
+                Err(why) => Err(LogError::Record(0, why.to_string())),
             };
             (Some(found), Box::new(Folder::new(folder)), lock)
         }
     };
     let wall = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
-    let start = Start {
-        found,
+    let start = Startup {
+        stored: found,
         disk,
-        attempt,
-        others: Box::new(ByView(view.clone())),
+        compiler: attempt,
+        directory: Box::new(MembershipDirectory(view.clone())),
         seed: rand::random(),
-        wall_ahead: wall.saturating_sub(clock.now()),
+        unix_time_at_zero: wall.saturating_sub(clock.now()),
         handle: handle.clone(),
     };
     let consensus = Consensus::new(settings, start, clock.now());
@@ -256,7 +258,7 @@
     /// The settings of a file that is read again, with the policy in force in place of its own; `None`: the file's own policy holds.
     pub(crate) fn with_policy_in_force(&self, config: &Path) -> Option<Result<Daemon, String>> {
         let policy = self.policy.as_ref()?;
-        let shown = policy.handle.shown();
+        let shown = policy.handle.status();
         let text = match std::fs::read_to_string(config) {
             Ok(text) => text,
             Err(e) => return Some(Err(e.to_string())),
--- a/crates/consensus/benches/policy.rs
+++ b/crates/consensus/benches/policy.rs
@@ -14,8 +14,15 @@
 use std::time::{Duration, Instant};
 
 fn propose(routers: &Routers, at: usize, id: &str, text: &str) {
-    let p = Proposal { id: id.into(), text: text.into(), from: format!("r{at}"), wall: 0, on: 0, back: None };
-    routers.boards[at].say(OperatorRequest::Propose(p));
+    let p = Proposal {
+        id: id.into(),
+        text: text.into(),
+        from: format!("r{at}"),
+        submitted_unix_s: 0,
+        base_epoch: 0,
+        restores_epoch: None,
+    };
+    routers.boards[at].submit(OperatorRequest::Propose(p));
 }
 
 fn up(n: usize, founders: usize) -> Routers {
@@ -110,8 +117,10 @@
     while n < 10_000 {
         propose(&routers, 0, &format!("e{n}"), &format!("{policy}; {n}\n"));
         let mut waits = 0;
-        while !matches!(routers.boards[0].shown().stands(&format!("e{n}")), ProposalStatus::InForce(_))
-            && waits < 20_000
+        while !matches!(
+            routers.boards[0].status().proposal_status(&format!("e{n}")),
+            ProposalStatus::InForce(_)
+        ) && waits < 20_000
         {
             routers.run(ms(5));
             waits += 1;
--- a/crates/consensus/src/bootstrap.rs
+++ b/crates/consensus/src/bootstrap.rs
@@ -12,15 +12,15 @@
 use std::time::Duration;
 
 /// What the founders have told each other.
-pub(crate) struct Founding {
+pub(crate) struct Bootstrap {
     founders: Vec<String>,
     heard: BTreeMap<String, (Peer, String, Duration)>,
     pub(crate) next: Duration,
 }
 
-impl Founding {
-    pub(crate) fn new(founders: &[String]) -> Founding {
-        Founding { founders: founders.to_vec(), heard: BTreeMap::new(), next: Duration::ZERO }
+impl Bootstrap {
+    pub(crate) fn new(founders: &[String]) -> Bootstrap {
+        Bootstrap { founders: founders.to_vec(), heard: BTreeMap::new(), next: Duration::ZERO }
     }
 
     /// The other founders.
@@ -43,7 +43,7 @@
         let mut all = vec![(me.clone(), text.to_owned())];
         for founder in self.others(&me.name) {
             let (peer, text, at) = self.heard.get(founder)?;
-            if now >= *at + timing::FOUND * 4 {
+            if now >= *at + timing::BOOTSTRAP_INTERVAL * 4 {
                 return None;
             }
             all.push((peer.clone(), text.clone()));
--- a/crates/consensus/src/bootstrap/tests.rs
+++ b/crates/consensus/src/bootstrap/tests.rs
@@ -1,13 +1,13 @@
 use super::*;
 
 fn peer(name: &str) -> Peer {
-    Peer { name: name.into(), disk: 5, life: 1 }
+    Peer { name: name.into(), disk: 5, incarnation: 1 }
 }
 
 #[test]
 fn the_first_founder_begins_when_all_are_there_with_what_most_start_with() {
     let founders = ["a", "b", "c"].map(str::to_owned);
-    let mut founding = Founding::new(&founders);
+    let mut founding = Bootstrap::new(&founders);
     let ms = Duration::from_millis;
     founding.hear(ms(0), &peer("b"), "two".into());
     assert!(founding.begin(ms(1), &peer("a"), "one", 0).is_none(), "c is missing");
--- a/crates/consensus/src/consensus.rs
+++ b/crates/consensus/src/consensus.rs
@@ -1,17 +1,17 @@
 //! The machine: frames in and out, the disk before the wire, and whose turn it is.
 
-use crate::bootstrap::Founding;
+use crate::bootstrap::Bootstrap;
 use crate::configuration::Configuration;
-use crate::handle::{Cut, Permit, PolicyHandle, RouterStatus};
-use crate::leadership::{Answer, Leadership, Step};
+use crate::handle::{PartitionMode, Permit, PolicyHandle, RouterStatus};
+use crate::leadership::{AddressedGrant, LeaderAction, Leadership};
 use crate::lease_holder::{LeaseHolder, Try};
 use crate::peer_connections::PeerConnections;
 use crate::policy_state::{Entry, PolicyState};
-use crate::storage::{Found, PersistedState, VoterStorage};
+use crate::storage::{PersistedState, StoredState, VoterStorage};
 use crate::voter::Voter;
 use crate::voter_identity::VoterIdentity;
-use crate::wire::{Ask, Bad, Body, Frame, Grant, OperatorRequest, Peer, LONGEST};
-use crate::{log::Damage, timing};
+use crate::wire::{Body, Frame, FrameError, Grant, LeaseRequest, OperatorRequest, Peer, MAX_FRAME_LEN};
+use crate::{log::LogError, timing};
 use omnipaxos::messages::Message;
 use slipreel_state_machine::{ConnId, Input, ListenerId, Machine, Output};
 use std::collections::BTreeMap;
@@ -34,7 +34,7 @@
 }
 
 /// How others are reached.
-pub trait Others: Send {
+pub trait PeerDirectory: Send {
     /// Where a router of this name is reached.
     fn address(&self, name: &str) -> Option<SocketAddr>;
     /// All that are known.
@@ -43,7 +43,7 @@
 
 /// What a router is handed.
 #[derive(Clone, Debug)]
-pub struct Settings {
+pub struct ConsensusConfig {
     /// The fleet's name.
     pub fleet: String,
     /// The router's.
@@ -53,34 +53,34 @@
     /// The policy that this router's own file has, in canonical form.
     pub policy: String,
     /// What it does when it can't know whether its epoch holds.
-    pub cut: Cut,
+    pub partition_mode: PartitionMode,
     /// The longest datagram that it sends, bytes.
-    pub datagram: usize,
+    pub max_datagram_len: usize,
 }
 
 /// What a router finds and is given at its start.
-pub struct Start {
+pub struct Startup {
     /// What stood on its disk; `None`: it has none, and does not vote.
-    pub found: Option<Result<Found, Damage>>,
+    pub stored: Option<Result<StoredState, LogError>>,
     /// Its disk.
     pub disk: Box<dyn Disk>,
     /// How a policy is tried.
-    pub attempt: Try,
+    pub compiler: Try,
     /// How others are reached.
-    pub others: Box<dyn Others>,
+    pub directory: Box<dyn PeerDirectory>,
     /// A new one at each start.
     pub seed: u64,
     /// The wall clock at the clock's zero, for people.
-    pub wall_ahead: Duration,
+    pub unix_time_at_zero: Duration,
     /// Where it meets the rest of the process.
     pub handle: Arc<PolicyHandle>,
 }
 
 /// Connections of others at once.
-const INBOUND: usize = 64;
+const MAX_INBOUND_CONNECTIONS: usize = 64;
 /// Turns of [`Consensus::run`] for one input; each follows from the one before, and a few are enough.
-const TURNS: usize = 16;
-const DOOR: ListenerId = ListenerId(0);
+const MAX_STEPS_PER_INPUT: usize = 16;
+const LISTENER: ListenerId = ListenerId(0);
 
 /// What was shown last, to see whether it has changed: configuration, epoch, last outcome, change under way, leader, troubles, outcomes.
 type Seen = (u32, u64, u64, Option<Under>, Option<String>, Vec<String>, usize);
@@ -89,19 +89,19 @@
 
 /// A router's part in agreeing on the policy and acting by it.
 pub struct Consensus {
-    settings: Settings,
+    settings: ConsensusConfig,
     me: Peer,
     voter: Option<Voter>,
     leadership: Leadership,
     lease_holder: LeaseHolder,
-    founding: Option<Founding>,
+    founding: Option<Bootstrap>,
     connections: PeerConnections,
     /// Connections of others: what has come of a frame, and when they were last heard.
     inbound: BTreeMap<ConnId, (Vec<u8>, Duration)>,
     disk: Box<dyn Disk>,
     /// Since when the disk can't be written, and why: nothing is said as a voter until all of it stands there.
     failing: Option<(Duration, String)>,
-    others: Box<dyn Others>,
+    others: Box<dyn PeerDirectory>,
     handle: Arc<PolicyHandle>,
     wall_ahead: Duration,
     requests: Vec<(OperatorRequest, Duration, Option<Duration>)>,
@@ -120,21 +120,21 @@
 
 impl Consensus {
     /// A router at its start.
-    pub fn new(settings: Settings, start: Start, now: Duration) -> Consensus {
-        let found = start.found.transpose();
+    pub fn new(settings: ConsensusConfig, start: Startup, now: Duration) -> Consensus {
+        let found = start.stored.transpose();
         let mut consensus = Consensus {
-            me: Peer { name: settings.name.clone(), disk: 0, life: start.seed | 1 },
+            me: Peer { name: settings.name.clone(), disk: 0, incarnation: start.seed | 1 },
             voter: None,
             leadership: Leadership::default(),
-            lease_holder: LeaseHolder::new(start.attempt),
+            lease_holder: LeaseHolder::new(start.compiler),
             founding: None,
             connections: PeerConnections::default(),
             inbound: BTreeMap::new(),
             disk: start.disk,
             failing: None,
-            others: start.others,
+            others: start.directory,
             handle: start.handle,
-            wall_ahead: start.wall_ahead,
+            wall_ahead: start.unix_time_at_zero,
             requests: Vec::new(),
             told: BTreeMap::new(),
             next_tick: now,
@@ -156,7 +156,7 @@
         consensus
     }
 
-    fn recover(&mut self, now: Duration, found: Found, seed: u64) {
+    fn recover(&mut self, now: Duration, found: StoredState, seed: u64) {
         self.me.disk = found.disk.unwrap_or(seed.rotate_left(17) | 1);
         let member = self.member();
         self.voter =
@@ -164,7 +164,7 @@
         // The whole file anew: it ends with a whole frame, and a folder that can't be written is known from the beginning.
         self.rewrite(now);
         if self.voter.is_none() && self.settings.founders.contains(&self.me.name) {
-            self.founding = Some(Founding::new(&self.settings.founders));
+            self.founding = Some(Bootstrap::new(&self.settings.founders));
         }
     }
 
@@ -208,7 +208,7 @@
     /// Writes what was noted since the last time. False: it is not on the disk, and nobody must hear of it.
     fn persist(&mut self, now: Duration, out: &mut Vec<Output>) -> bool {
         if let Some((since, _)) = &self.failing {
-            if now < *since + timing::DISK {
+            if now < *since + timing::DISK_RETRY_INTERVAL {
                 return false;
             }
             self.rewrite(now);
@@ -251,12 +251,12 @@
         let Some(address) = self.others.address(to) else { return };
         let in_order = matches!(body, Body::Vote(_, Message::SequencePaxos(_)));
         let frame = Frame { fleet: self.settings.fleet.clone(), from: self.me.clone(), body }.encode();
-        if in_order || frame.len() > self.settings.datagram {
+        if in_order || frame.len() > self.settings.max_datagram_len {
             if !self.connections.send(now, to, address, frame, out) {
                 self.broke_off(to);
             }
         } else {
-            out.push(Output::Datagram(DOOR, address, frame));
+            out.push(Output::Datagram(LISTENER, address, frame));
         }
     }
 
@@ -269,7 +269,7 @@
     /// Whether a peer may be told something that is long, and is not to be told at each of its messages.
     fn may_tell(&mut self, now: Duration, name: &str) -> bool {
         let last = self.told.get(name).copied();
-        let may = last.is_none_or(|at| now >= at + timing::FOUND);
+        let may = last.is_none_or(|at| now >= at + timing::BOOTSTRAP_INTERVAL);
         if may {
             if self.told.len() >= 4_096 {
                 self.told.clear();
@@ -287,16 +287,16 @@
         if configuration.number > than && concerns && self.failing.is_none() {
             let configuration = configuration.clone();
             if self.may_tell(now, &peer.name) {
-                self.send(now, &peer.name, Body::State(configuration), out);
+                self.send(now, &peer.name, Body::Configuration(configuration), out);
             }
         }
     }
 
-    fn answer(&mut self, now: Duration, answers: Vec<Answer>, out: &mut Vec<Output>) {
+    fn answer(&mut self, now: Duration, answers: Vec<AddressedGrant>, out: &mut Vec<Output>) {
         for (peer, via, grant) in answers {
             match via {
                 _ if peer == self.me => self.granted(now, grant, out),
-                Some(via) => self.send(now, &via, Body::Pass(peer.name, grant), out),
+                Some(via) => self.send(now, &via, Body::ForwardedGrant(peer.name, grant), out),
                 None => self.send(now, &peer.name, Body::Grant(grant), out),
             }
         }
@@ -304,7 +304,7 @@
 
     // ---- Taking ------------------------------------------------------------------------------------
 
-    fn bad(&mut self, now: Duration, bad: &Bad, out: &mut Vec<Output>) {
+    fn bad(&mut self, now: Duration, bad: &FrameError, out: &mut Vec<Output>) {
         if self.logged.is_none_or(|at| now >= at + Duration::from_secs(10)) {
             self.logged = Some(now);
             out.push(Output::Log(format!("policy: not taken: {bad}")));
@@ -321,39 +321,39 @@
             Body::Vote(configuration, message) => {
                 self.take_vote(now, &from, &member, configuration, message, out);
             }
-            Body::Confirm(question) => {
+            Body::Heartbeat(question) => {
                 let yes =
                     self.failing.is_none() && self.voter.as_mut().is_some_and(|v| v.asked(now, &question));
                 if yes {
-                    self.send(now, &from.name, Body::Confirmed(question.term, question.round), out);
+                    self.send(now, &from.name, Body::HeartbeatAck(question.term, question.round), out);
                 }
             }
-            Body::Confirmed(term, round) => {
+            Body::HeartbeatAck(term, round) => {
                 if self.voter.as_mut().is_some_and(|v| v.confirmed(&member, term, round)) {
                     self.round_over(now, out);
                 }
             }
-            Body::Ask(ask) => self.asked(now, from, ask, out),
-            Body::Relay(origin, ask) if self.leads() => {
+            Body::LeaseRequest(ask) => self.asked(now, from, ask, out),
+            Body::ForwardedLeaseRequest(origin, ask) if self.leads() => {
                 self.leadership.ask(now, origin, Some(from.name), ask);
             }
-            Body::Relay(..) => {}
+            Body::ForwardedLeaseRequest(..) => {}
             Body::Grant(grant) => self.granted(now, grant, out),
-            Body::Pass(to, grant) if to == self.me.name => self.granted(now, grant, out),
-            Body::Pass(to, grant) => self.send(now, &to, Body::Grant(grant), out),
-            Body::Say(request) => {
+            Body::ForwardedGrant(to, grant) if to == self.me.name => self.granted(now, grant, out),
+            Body::ForwardedGrant(to, grant) => self.send(now, &to, Body::Grant(grant), out),
+            Body::OperatorRequest(request) => {
                 if self.leads() && request.fits() {
                     self.leadership.say(request);
                 }
             }
-            Body::Founding(text) => {
+            Body::Bootstrap(text) => {
                 if let Some(founding) = &mut self.founding {
                     founding.hear(now, &from, text);
                 }
                 self.tell_state(now, &from, 0, out);
             }
-            Body::Want(configuration) => self.tell_state(now, &from, configuration, out),
-            Body::State(configuration) => self.take_state(now, configuration, out),
+            Body::ConfigurationRequest(configuration) => self.tell_state(now, &from, configuration, out),
+            Body::Configuration(configuration) => self.take_state(now, configuration, out),
         }
     }
 
@@ -366,7 +366,7 @@
         }
         let Some(voter) = &mut self.voter else {
             if self.may_tell(now, &from.name) {
-                self.send(now, &from.name, Body::Want(0), out);
+                self.send(now, &from.name, Body::ConfigurationRequest(0), out);
             }
             return;
         };
@@ -376,7 +376,7 @@
             std::cmp::Ordering::Less => self.tell_state(now, from, configuration, out),
             std::cmp::Ordering::Greater => {
                 if self.may_tell(now, &from.name) {
-                    self.send(now, &from.name, Body::Want(mine), out);
+                    self.send(now, &from.name, Body::ConfigurationRequest(mine), out);
                 }
             }
         }
@@ -390,7 +390,7 @@
         }
     }
 
-    fn asked(&mut self, now: Duration, from: Peer, ask: Ask, out: &mut Vec<Output>) {
+    fn asked(&mut self, now: Duration, from: Peer, ask: LeaseRequest, out: &mut Vec<Output>) {
         if self.leads() {
             return self.leadership.ask(now, from, None, ask);
         }
@@ -398,7 +398,7 @@
         let leader =
             self.voter.as_ref().and_then(|v| v.leader()).or(self.lease_holder.leader()).map(str::to_owned);
         if let Some(leader) = leader.filter(|l| *l != self.me.name && *l != from.name) {
-            self.send(now, &leader, Body::Relay(from, ask), out);
+            self.send(now, &leader, Body::ForwardedLeaseRequest(from, ask), out);
         }
     }
 
@@ -454,7 +454,7 @@
         self.turn = self.turn.wrapping_add(1);
         match self.whom() {
             Some(to) if to == self.me.name => self.leadership.ask(now, self.me.clone(), None, ask),
-            Some(to) => self.send(now, &to, Body::Ask(ask), out),
+            Some(to) => self.send(now, &to, Body::LeaseRequest(ask), out),
             None => {}
         }
     }
@@ -464,33 +464,35 @@
         if now < founding.next || self.failing.is_some() {
             return;
         }
-        founding.next = now + timing::FOUND;
+        founding.next = now + timing::BOOTSTRAP_INTERVAL;
         let wall = (self.wall_ahead + now).as_secs();
         if let Some(configuration) = founding.begin(now, &self.me, &self.settings.policy, wall) {
             self.enter(now, configuration.clone(), out);
             if self.failing.is_none() {
                 let me = self.me.name.clone();
                 for member in configuration.voters.iter().filter(|s| s.name != me) {
-                    self.send(now, &member.name, Body::State(configuration.clone()), out);
+                    self.send(now, &member.name, Body::Configuration(configuration.clone()), out);
                 }
             }
             return;
         }
         let others: Vec<String> = founding.others(&self.me.name).cloned().collect();
         for other in others {
-            self.send(now, &other, Body::Founding(self.settings.policy.clone()), out);
+            self.send(now, &other, Body::Bootstrap(self.settings.policy.clone()), out);
         }
     }
 
     /// Operators' words go to the leader until it is known what came of them.
     fn say(&mut self, now: Duration, out: &mut Vec<Output>) {
-        for request in self.handle.requests() {
+        for request in self.handle.take_requests() {
             self.requests.push((request, now, None));
         }
         let mut requests = std::mem::take(&mut self.requests);
-        requests.retain(|(request, since, _)| now < *since + timing::SAID && !self.is_over(request));
+        requests.retain(|(request, since, _)| {
+            now < *since + timing::OPERATOR_REQUEST_TIMEOUT && !self.is_over(request)
+        });
         for (request, _, said) in &mut requests {
-            if said.is_some_and(|at| now < at + timing::SAY) {
+            if said.is_some_and(|at| now < at + timing::OPERATOR_REQUEST_RETRY) {
                 continue;
             }
             if self.leads() {
@@ -498,7 +500,7 @@
                 self.leadership.say(request.clone());
             } else if let Some(to) = self.whom() {
                 *said = Some(now);
-                self.send(now, &to, Body::Say(request.clone()), out);
+                self.send(now, &to, Body::OperatorRequest(request.clone()), out);
             }
         }
         self.requests = requests;
@@ -539,7 +541,7 @@
 
     /// Does what follows from what has come, until nothing more does.
     fn run(&mut self, now: Duration, out: &mut Vec<Output>) {
-        for _ in 0..TURNS {
+        for _ in 0..MAX_STEPS_PER_INPUT {
             if !self.persist(now, out) {
                 break;
             }
@@ -555,7 +557,7 @@
                 // New voters are told at once; the others come to it by themselves, or ask.
                 let me = self.me.name.clone();
                 for member in configuration.voters.iter().filter(|s| !old.contains(s) && s.name != me) {
-                    self.send(now, &member.name, Body::State(configuration.clone()), out);
+                    self.send(now, &member.name, Body::Configuration(configuration.clone()), out);
                 }
                 continue;
             }
@@ -587,8 +589,8 @@
         let question = if begins { voter.ask_to_confirm(now) } else { voter.ask_again(now) };
         let asked = step.is_some();
         match step {
-            Some(Step::Append(entry)) => voter.append(entry),
-            Some(Step::HandOver(members)) => voter.hand_over(&members),
+            Some(LeaderAction::Append(entry)) => voter.append(entry),
+            Some(LeaderAction::Reconfigure(members)) => voter.hand_over(&members),
             None => {}
         }
         let confirmed = voter.has_confirmed();
@@ -597,7 +599,7 @@
         if let Some(question) = question {
             let me = self.me.name.clone();
             for name in names.iter().filter(|n| **n != me) {
-                self.send(now, name, Body::Confirm(question), out);
+                self.send(now, name, Body::Heartbeat(question), out);
             }
         }
         if confirmed {
@@ -613,7 +615,12 @@
         if self.permitted != Some((epoch, until)) {
             self.permitted = Some((epoch, until));
             let made = self.lease_holder.made().cloned();
-            self.handle.allow(Permit { epoch, until, made, cut: self.settings.cut });
+            self.handle.set_permit(Permit {
+                epoch,
+                until,
+                policy: made,
+                partition_mode: self.settings.partition_mode,
+            });
         }
         let mut trouble: Vec<String> = self.damage.iter().cloned().collect();
         trouble.extend(
@@ -651,7 +658,7 @@
             ),
             None => (self.lease_holder.recent().to_vec(), 0, Vec::new()),
         };
-        self.handle.show(RouterStatus {
+        self.handle.set_status(RouterStatus {
             name: self.me.name.clone(),
             epoch,
             digest: if epoch == 0 { 0 } else { crate::policy_state::digest(&text) },
@@ -663,7 +670,7 @@
             outcomes,
             forgotten,
             texts,
-            trouble,
+            faults: trouble,
         });
     }
 
@@ -697,8 +704,8 @@
         loop {
             let Some((got, _)) = self.inbound.get_mut(&conn) else { return };
             match Frame::decode(got) {
-                Ok(None) if got.len() <= LONGEST + 64 => return,
-                Ok(None) => return self.refuse(now, conn, &Bad::Long(bytes.len()), out),
+                Ok(None) if got.len() <= MAX_FRAME_LEN + 64 => return,
+                Ok(None) => return self.refuse(now, conn, &FrameError::TooLong(bytes.len()), out),
                 Err(bad) => return self.refuse(now, conn, &bad, out),
                 Ok(Some((frame, used))) => {
                     got.drain(..used);
@@ -709,7 +716,7 @@
         }
     }
 
-    fn refuse(&mut self, now: Duration, conn: ConnId, bad: &Bad, out: &mut Vec<Output>) {
+    fn refuse(&mut self, now: Duration, conn: ConnId, bad: &FrameError, out: &mut Vec<Output>) {
         self.inbound.remove(&conn);
         out.push(Output::Abort(conn));
         self.bad(now, bad, out);
@@ -728,12 +735,12 @@
         match input {
             Input::Datagram(_, _, bytes) => match Frame::decode(bytes) {
                 Ok(Some((frame, _))) => self.take(now, frame, out),
-                Ok(None) => self.bad(now, &Bad::Checksum, out),
+                Ok(None) => self.bad(now, &FrameError::Checksum, out),
                 Err(bad) => self.bad(now, &bad, out),
             },
             Input::Accepted(conn, _) => {
                 // Its place is that of the one which has been silent longest: a peer that was cut off leaves connections that never end.
-                if self.inbound.len() >= INBOUND {
+                if self.inbound.len() >= MAX_INBOUND_CONNECTIONS {
                     let oldest = self.inbound.iter().min_by_key(|(_, (_, heard))| *heard).map(|(c, _)| *c);
                     if let Some(oldest) = oldest {
                         self.inbound.remove(&oldest);
@@ -765,7 +772,7 @@
                 self.show();
                 match self.whom() {
                     Some(to) if to == self.me.name => {}
-                    Some(to) => self.send(now, &to, Body::Ask(ask), out),
+                    Some(to) => self.send(now, &to, Body::LeaseRequest(ask), out),
                     None => {}
                 }
                 self.stopped = true;
--- a/crates/consensus/src/handle.rs
+++ b/crates/consensus/src/handle.rs
@@ -1,7 +1,7 @@
 //! Where the machine and the rest of the process meet: by what a request may be taken, what operators see, what they say.
 
 use crate::lease_holder::Made;
-use crate::policy_state::{Outcome, Proposal};
+use crate::policy_state::{Proposal, ProposalOutcome};
 use crate::timing;
 use crate::wire::OperatorRequest;
 use arc_swap::ArcSwap;
@@ -13,7 +13,7 @@
 /// What a router does that can't know whether its epoch still holds, as operators chose.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Serialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Cut {
+pub enum PartitionMode {
     /// It takes no requests: two policies are never in force at once.
     #[default]
     Refuse,
@@ -29,15 +29,15 @@
     /// Until when it is certain, on the process's clock.
     pub until: Duration,
     /// What was made of its policy.
-    pub made: Option<Made>,
+    pub policy: Option<Made>,
     /// What holds without certainty.
-    pub cut: Cut,
+    pub partition_mode: PartitionMode,
 }
 
 impl Permit {
     /// Whether a request may be taken by this epoch at `now`.
     pub fn holds(&self, now: Duration) -> bool {
-        self.made.is_some() && (now < self.until || self.cut == Cut::Serve)
+        self.policy.is_some() && (now < self.until || self.partition_mode == PartitionMode::Serve)
     }
 }
 
@@ -61,13 +61,13 @@
     /// Whether this router votes.
     pub votes: bool,
     /// How changes ended: all that are remembered if it votes, the last few if not.
-    pub outcomes: Vec<Outcome>,
+    pub outcomes: Vec<ProposalOutcome>,
     /// Outcomes that are forgotten.
     pub forgotten: u64,
     /// Policies that can be brought back, by epoch.
     pub texts: Vec<(u64, String)>,
     /// Why it does not act by the epoch in force, or does not vote.
-    pub trouble: Vec<String>,
+    pub faults: Vec<String>,
 }
 
 /// Readers never wait for the writer.
@@ -97,33 +97,33 @@
     }
 
     /// What operators see.
-    pub fn shown(&self) -> Arc<RouterStatus> {
+    pub fn status(&self) -> Arc<RouterStatus> {
         self.shown.load_full()
     }
 
     /// An operator's word, for the machine to pass on. False if too many wait, or if it is too long.
-    pub fn say(&self, request: OperatorRequest) -> bool {
+    pub fn submit(&self, request: OperatorRequest) -> bool {
         let mut requests = self.requests.lock().unwrap_or_else(PoisonError::into_inner);
         let known = requests.iter().any(|w| w.key() == request.key());
-        let room = known || requests.len() < timing::WORDS && request.fits();
+        let room = known || requests.len() < timing::MAX_OPERATOR_REQUESTS && request.fits();
         if room && !known {
             requests.push_back(request);
         }
         room
     }
 
-    pub(crate) fn requests(&self) -> VecDeque<OperatorRequest> {
+    pub(crate) fn take_requests(&self) -> VecDeque<OperatorRequest> {
         std::mem::take(&mut *self.requests.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
     /// From now on requests are taken so. The machine says it; what plays a router may, too.
-    pub fn allow(&self, permit: Permit) {
+    pub fn set_permit(&self, permit: Permit) {
         let epoch = permit.epoch;
         self.permit.store(Arc::new(permit));
         self.epoch.store(epoch, Ordering::Release);
     }
 
-    pub(crate) fn show(&self, shown: RouterStatus) {
+    pub(crate) fn set_status(&self, shown: RouterStatus) {
         self.shown.store(Arc::new(shown));
     }
 }
@@ -134,7 +134,7 @@
     /// It is, or was, in force as this epoch.
     InForce(u64),
     /// It never will be.
-    Dropped(Outcome),
+    Dropped(ProposalOutcome),
     /// It is under way.
     Pending(Vec<String>),
     /// This router can't tell.
@@ -143,7 +143,7 @@
 
 impl RouterStatus {
     /// How a proposal stands.
-    pub fn stands(&self, id: &str) -> ProposalStatus {
+    pub fn proposal_status(&self, id: &str) -> ProposalStatus {
         if let Some(outcome) = self.outcomes.iter().rev().find(|o| o.id == id) {
             return match outcome.epoch {
                 Some(epoch) => ProposalStatus::InForce(epoch),
@@ -157,7 +157,7 @@
     }
 
     /// The text that `policy status --json` prints. `holds`: requests are taken now.
-    pub fn status(&self, holds: bool) -> serde_json::Value {
+    pub fn status_json(&self, holds: bool) -> serde_json::Value {
         serde_json::json!({
             "name": self.name,
             "epoch": self.epoch,
@@ -168,19 +168,19 @@
             "leader": self.leader,
             "voters": self.voters,
             "votes": self.votes,
-            "trouble": self.trouble,
+            "trouble": self.faults,
         })
     }
 
     /// The text that `policy history --json` prints.
-    pub fn history(&self) -> serde_json::Value {
+    pub fn history_json(&self) -> serde_json::Value {
         let outcomes: Vec<serde_json::Value> = self.outcomes.iter().map(outcome_json).collect();
         serde_json::json!({"outcomes": outcomes, "forgotten": self.forgotten, "whole": self.votes})
     }
 
     /// The text that `policy status ID --json` prints.
-    pub fn outcome(&self, id: &str) -> serde_json::Value {
-        match self.stands(id) {
+    pub fn proposal_json(&self, id: &str) -> serde_json::Value {
+        match self.proposal_status(id) {
             ProposalStatus::InForce(epoch) => {
                 serde_json::json!({"id": id, "outcome": "in force", "epoch": epoch})
             }
@@ -193,26 +193,33 @@
     }
 
     /// A change back to the policy of an earlier epoch; `None`: it is not kept here.
-    pub fn back_to(&self, epoch: u64, id: String, wall: u64) -> Option<Proposal> {
+    pub fn rollback_proposal(&self, epoch: u64, id: String, wall: u64) -> Option<Proposal> {
         let text = match epoch {
             e if e == self.epoch => self.text.clone(),
             e => self.texts.iter().find(|(kept, _)| *kept == e)?.1.clone(),
         };
-        Some(Proposal { id, text, from: self.name.clone(), wall, on: 0, back: Some(epoch) })
+        Some(Proposal {
+            id,
+            text,
+            from: self.name.clone(),
+            submitted_unix_s: wall,
+            base_epoch: 0,
+            restores_epoch: Some(epoch),
+        })
     }
 }
 
-fn outcome_json(o: &Outcome) -> serde_json::Value {
+fn outcome_json(o: &ProposalOutcome) -> serde_json::Value {
     let noes: Vec<serde_json::Value> =
-        o.noes.iter().map(|n| serde_json::json!({"router": n.router, "why": n.why})).collect();
+        o.rejections.iter().map(|n| serde_json::json!({"router": n.router, "why": n.reason})).collect();
     serde_json::json!({
         "id": o.id,
         "from": o.from,
-        "when": o.wall,
+        "when": o.submitted_unix_s,
         "digest": format!("{:016x}", o.digest),
         "outcome": if o.epoch.is_some() { "in force" } else { "dropped" },
         "epoch": o.epoch,
-        "back_to": o.back,
+        "back_to": o.restores_epoch,
         "why": noes,
     })
 }
--- a/crates/consensus/src/leadership.rs
+++ b/crates/consensus/src/leadership.rs
@@ -4,35 +4,35 @@
 //! force when every router that may still act by the old epoch has tried the new policy and holds no more than a short lease. What leases an
 //! earlier leader gave it can't know: it waits as long as the longest of them.
 
-use crate::policy_state::{Entry, No, PolicyState, Proposal, Verdict};
-use crate::reconfiguration::{self, Live, Replacing};
+use crate::policy_state::{Decision, Entry, PolicyState, Proposal, Rejection};
+use crate::reconfiguration::{self, LiveRouter, VoterReplacement};
 use crate::timing;
 use crate::voter::{Term, Voter};
 use crate::voter_identity::VoterIdentity;
-use crate::wire::{Ask, Grant, OperatorRequest, Peer, Trial};
+use crate::wire::{Grant, LeaseRequest, OperatorRequest, Peer, Trial};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
 /// Routers that may hold a lease; further ones are not answered.
-const HOLDERS: usize = 4_096;
+const MAX_HOLDERS: usize = 4_096;
 
-struct Held {
+struct HolderRecord {
     /// Since when it has held leases without a gap.
     since: Duration,
     heard: Duration,
     /// Until when it may hold one, on the leader's clock.
     until: Duration,
-    ask: Ask,
+    ask: LeaseRequest,
     /// The last question that was answered with a long lease.
     long: u64,
     /// The voter that hands its questions on.
     via: Option<String>,
 }
 
-impl Held {
+impl HolderRecord {
     /// Whether it has tried a change and holds no more than a short lease.
     fn is_armed(&self, id: &str) -> bool {
-        has_tried(&self.ask, id) && self.long < self.ask.since
+        has_tried(&self.ask, id) && self.long < self.ask.short_leases_since
     }
 }
 
@@ -45,7 +45,7 @@
     term: Term,
     /// Since when it has led with all that it holds decided.
     since: Option<Duration>,
-    holders: BTreeMap<Peer, Held>,
+    holders: BTreeMap<Peer, HolderRecord>,
     waiting: Waiting,
     confirming: Waiting,
     requests: Vec<OperatorRequest>,
@@ -60,15 +60,15 @@
 }
 
 /// An answer, to whom, and by way of whom.
-pub type Answer = (Peer, Option<String>, Grant);
+pub type AddressedGrant = (Peer, Option<String>, Grant);
 
 /// What a leader wants of the voters.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Step {
+pub enum LeaderAction {
     /// This entry.
     Append(Entry),
     /// A configuration of these.
-    HandOver(Vec<VoterIdentity>),
+    Reconfigure(Vec<VoterIdentity>),
 }
 
 impl Leadership {
@@ -87,22 +87,22 @@
     }
 
     /// A router asks. Its question waits for the next round.
-    pub fn ask(&mut self, now: Duration, from: Peer, via: Option<String>, ask: Ask) {
-        if self.holders.len() >= HOLDERS && !self.holders.contains_key(&from) {
+    pub fn ask(&mut self, now: Duration, from: Peer, via: Option<String>, ask: LeaseRequest) {
+        if self.holders.len() >= MAX_HOLDERS && !self.holders.contains_key(&from) {
             return;
         }
-        let held = self.holders.entry(from.clone()).or_insert_with(|| Held {
+        let held = self.holders.entry(from.clone()).or_insert_with(|| HolderRecord {
             since: now,
             heard: now,
             until: Duration::ZERO,
-            ask: Ask::default(),
+            ask: LeaseRequest::default(),
             long: 0,
             via: None,
         });
         if ask.nonce <= held.ask.nonce {
             return; // Late: a newer one was taken already.
         }
-        if ask.gone {
+        if ask.released {
             // It has given up all, and what is still on its way to it counts no more there.
             (held.until, held.heard, held.ask) = (now, now, ask);
             self.waiting.remove(&from);
@@ -112,9 +112,9 @@
         if now > held.until {
             held.since = now;
         }
-        if held.long < ask.since {
+        if held.long < ask.short_leases_since {
             // Whatever it held ends with this question. A long lease that was granted after it gave those up is not among it.
-            held.until = now + timing::surely(timing::SHORT);
+            held.until = now + timing::with_clock_drift(timing::SHORT_LEASE);
         }
         (held.heard, held.ask, held.via) = (now, ask, via);
         self.waiting.insert(from);
@@ -131,7 +131,7 @@
     }
 
     /// The round is over: the answers.
-    pub fn confirmed(&mut self, now: Duration, voter: &Voter) -> Vec<Answer> {
+    pub fn confirmed(&mut self, now: Duration, voter: &Voter) -> Vec<AddressedGrant> {
         if self.settling.is_some() || voter.stops() {
             // What is being settled may end the epoch at any moment: they are answered after it. And where the configuration ends, the next one's
             // leader may count on it that nothing is granted here any more: their majorities need not share a voter.
@@ -144,14 +144,14 @@
     }
 
     /// Answers to the last questions of these. `confirmed`: a majority has shown since then that this leader leads.
-    fn grants(&mut self, now: Duration, to: &[Peer], voter: &Voter, confirmed: bool) -> Vec<Answer> {
+    fn grants(&mut self, now: Duration, to: &[Peer], voter: &Voter, confirmed: bool) -> Vec<AddressedGrant> {
         let waits_for = self.waits_for(now, voter.policy_state());
         to.iter().filter_map(|peer| self.grant(now, peer, voter, &waits_for, confirmed)).collect()
     }
 
     fn grant(
         &mut self, now: Duration, peer: &Peer, voter: &Voter, waits_for: &[String], confirmed: bool,
-    ) -> Option<Answer> {
+    ) -> Option<AddressedGrant> {
         let policy_state = voter.policy_state();
         let begun = policy_state.pending.as_ref().filter(|_| self.may_settle(now));
         let held = self.holders.get_mut(peer)?;
@@ -159,13 +159,13 @@
             _ if !confirmed => Duration::ZERO,
             None => timing::LEASE,
             // While a change is under way nothing long is granted, and something short to those that have tried it.
-            Some(p) if held.is_armed(&p.id) => timing::SHORT,
+            Some(p) if held.is_armed(&p.id) => timing::SHORT_LEASE,
             Some(_) => Duration::ZERO,
         };
         if !lease.is_zero() {
-            held.until = held.until.max(now + timing::surely(lease));
+            held.until = held.until.max(now + timing::with_clock_drift(lease));
         }
-        if lease > timing::SHORT {
+        if lease > timing::SHORT_LEASE {
             held.long = held.ask.nonce;
         }
         let version = (voter.configuration.number, voter.applied() as u64);
@@ -192,7 +192,7 @@
     }
 
     /// What has been decided since the last call is told to all at once, as further answers to their last questions.
-    pub fn news(&mut self, now: Duration, voter: &Voter) -> Vec<Answer> {
+    pub fn news(&mut self, now: Duration, voter: &Voter) -> Vec<AddressedGrant> {
         let policy_state = voter.policy_state();
         if self.settling.as_ref().is_some_and(|id| policy_state.pending.as_ref().is_none_or(|p| p.id != *id))
         {
@@ -209,7 +209,7 @@
         let all: Vec<Peer> = self
             .holders
             .iter()
-            .filter(|(_, h)| now < h.heard + timing::LEASE && !h.ask.gone)
+            .filter(|(_, h)| now < h.heard + timing::LEASE && !h.ask.released)
             .map(|(p, _)| p.clone())
             .collect();
         self.grants(now, &all, voter, decided)
@@ -218,11 +218,11 @@
     /// Routers that a change waits for: they may act by the old epoch for longer than a short lease.
     fn waits_for(&self, now: Duration, policy_state: &PolicyState) -> Vec<String> {
         let Some(pending) = &policy_state.pending else { return Vec::new() };
-        let waits = |h: &Held| now < h.until && !h.is_armed(&pending.id);
+        let waits = |h: &HolderRecord| now < h.until && !h.is_armed(&pending.id);
         let named = self.holders.iter().filter(|(_, h)| waits(h)).map(|(p, _)| p.name.clone());
-        let mut names: Vec<String> = named.take(timing::RECENT).collect();
+        let mut names: Vec<String> = named.take(timing::RECENT_OUTCOMES).collect();
         if !self.may_settle(now) {
-            names.push(BEFORE.into());
+            names.push(PREVIOUS_LEADER_LEASES.into());
         }
         names
     }
@@ -236,13 +236,13 @@
 
     /// Whether no lease of an earlier leader can hold any more.
     fn may_settle(&self, now: Duration) -> bool {
-        self.since.is_some_and(|since| now >= since + timing::surely(timing::LEASE))
+        self.since.is_some_and(|since| now >= since + timing::with_clock_drift(timing::LEASE))
     }
 
     /// An operator's word has come. False if there is no room for it.
     pub fn say(&mut self, request: OperatorRequest) -> bool {
         let known = self.requests.iter().any(|w| w.key() == request.key());
-        let room = known || self.requests.len() < timing::WORDS;
+        let room = known || self.requests.len() < timing::MAX_OPERATOR_REQUESTS;
         if room && !known {
             self.requests.push(request);
         }
@@ -250,11 +250,11 @@
     }
 
     /// What is to be done now.
-    pub fn step(&mut self, now: Duration, voter: &Voter) -> Option<Step> {
+    pub fn step(&mut self, now: Duration, voter: &Voter) -> Option<LeaderAction> {
         if self.since.is_none() || self.settling.is_some() || voter.stops() || !voter.is_settled() {
             return None;
         }
-        self.holders.retain(|_, h| now < h.until.max(h.heard + timing::FORGET));
+        self.holders.retain(|_, h| now < h.until.max(h.heard + timing::HOLDER_EXPIRY));
         let policy_state = voter.policy_state();
         if let Some(pending) = &policy_state.pending {
             let step = self.settle(now, policy_state, &pending.clone())?;
@@ -263,7 +263,7 @@
         }
         self.pending_since = None;
         if let Some(proposal) = self.next_proposal(policy_state) {
-            return Some(Step::Append(Entry::Propose(proposal)));
+            return Some(LeaderAction::Append(Entry::Propose(proposal)));
         }
         self.next_council(now, voter)
     }
@@ -276,15 +276,18 @@
         }
     }
 
-    fn settle(&mut self, now: Duration, policy_state: &PolicyState, pending: &Proposal) -> Option<Step> {
-        let noes: Vec<No> = self.holders.iter().filter_map(|(p, h)| no_of(p, h, &pending.id)).collect();
-        let verdict = |v: Verdict| Some(Step::Append(Entry::Settle(pending.id.clone(), v)));
+    fn settle(
+        &mut self, now: Duration, policy_state: &PolicyState, pending: &Proposal,
+    ) -> Option<LeaderAction> {
+        let noes: Vec<Rejection> =
+            self.holders.iter().filter_map(|(p, h)| no_of(p, h, &pending.id)).collect();
+        let verdict = |v: Decision| Some(LeaderAction::Append(Entry::Decide(pending.id.clone(), v)));
         if !noes.is_empty() && self.may_settle(now) {
-            return verdict(Verdict::Dropped(noes));
+            return verdict(Decision::Dropped(noes));
         }
         let waits_for = self.waits_for(now, policy_state);
         if waits_for.is_empty() {
-            return verdict(Verdict::InForce);
+            return verdict(Decision::InForce);
         }
         let since = match &self.pending_since {
             Some((id, since)) if *id == pending.id => *since,
@@ -293,23 +296,23 @@
                 now
             }
         };
-        if now < since + timing::TRY {
+        if now < since + timing::CHANGE_DEADLINE {
             return None;
         }
-        let why = format!("has not tried it within {} s", timing::TRY.as_secs());
-        let late = |router: String| No { router, why: why.clone() };
-        verdict(Verdict::Dropped(waits_for.into_iter().map(late).collect()))
+        let why = format!("has not tried it within {} s", timing::CHANGE_DEADLINE.as_secs());
+        let late = |router: String| Rejection { router, reason: why.clone() };
+        verdict(Decision::Dropped(waits_for.into_iter().map(late).collect()))
     }
 
-    fn next_council(&mut self, now: Duration, voter: &Voter) -> Option<Step> {
-        if now < self.seats_at + timing::SEATS {
+    fn next_council(&mut self, now: Duration, voter: &Voter) -> Option<LeaderAction> {
+        if now < self.seats_at + timing::RECONFIGURATION_INTERVAL {
             return None;
         }
-        let live: Vec<Live> = self
+        let live: Vec<LiveRouter> = self
             .holders
             .iter()
             .filter(|(_, h)| now < h.until)
-            .map(|(p, h)| Live {
+            .map(|(p, h)| LiveRouter {
                 member: VoterIdentity { name: p.name.clone(), disk: p.disk },
                 held: now.saturating_sub(h.since),
             })
@@ -320,37 +323,39 @@
             .position(|w| matches!(w, OperatorRequest::Replace { .. }))
             .map(|at| self.requests.remove(at));
         let replacing = match replacing {
-            Some(OperatorRequest::Replace { old, new }) => Some(Replacing { old, new }),
+            Some(OperatorRequest::Replace { old, new }) => Some(VoterReplacement { old, new }),
             _ => None,
         };
-        let next = reconfiguration::next(&voter.configuration.voters, &live, replacing.as_ref())
-            .or_else(|| (voter.applied() >= timing::TURN).then(|| voter.configuration.voters.clone()))?;
+        let next =
+            reconfiguration::next(&voter.configuration.voters, &live, replacing.as_ref()).or_else(|| {
+                (voter.applied() >= timing::MAX_LOG_ENTRIES).then(|| voter.configuration.voters.clone())
+            })?;
         self.seats_at = now;
-        Some(Step::HandOver(next))
+        Some(LeaderAction::Reconfigure(next))
     }
 
     /// When something is due next by time alone: never a time that has passed, which would be due again at once.
     pub fn due(&self, now: Duration, voter: &Voter) -> Option<Duration> {
         voter.policy_state().pending.as_ref()?;
-        let begins = self.since? + timing::surely(timing::LEASE);
+        let begins = self.since? + timing::with_clock_drift(timing::LEASE);
         self.holders.values().map(|h| h.until).chain([begins]).filter(|at| *at > now).min()
     }
 }
 
 /// What stands among the names that a change waits for while leases of an earlier leader may hold.
-pub const BEFORE: &str = "(leases of the last leader)";
+pub const PREVIOUS_LEADER_LEASES: &str = "(leases of the last leader)";
 
-fn has_tried(ask: &Ask, id: &str) -> bool {
+fn has_tried(ask: &LeaseRequest, id: &str) -> bool {
     ask.tried.as_ref().is_some_and(|(tried, no)| tried == id && no.is_none())
 }
 
 /// Whether it has tried the policy in force as a change a moment ago, so that it has its text.
-fn just_tried(ask: &Ask, policy_state: &PolicyState) -> bool {
+fn just_tried(ask: &LeaseRequest, policy_state: &PolicyState) -> bool {
     policy_state.outcomes.back().is_some_and(|o| o.epoch == Some(policy_state.epoch) && has_tried(ask, &o.id))
 }
 
-fn no_of(peer: &Peer, held: &Held, id: &str) -> Option<No> {
+fn no_of(peer: &Peer, held: &HolderRecord, id: &str) -> Option<Rejection> {
     let (tried, no) = held.ask.tried.as_ref()?;
     let why = no.clone().filter(|_| tried == id)?;
-    Some(No { router: peer.name.clone(), why })
+    Some(Rejection { router: peer.name.clone(), reason: why })
 }
--- a/crates/consensus/src/lease_holder.rs
+++ b/crates/consensus/src/lease_holder.rs
@@ -2,12 +2,12 @@
 //!
 //! A router asks the leader and counts the answer from the moment at which it asked, on its own clock. Without a valid answer it can't know whether
 //! its epoch still holds, and does not take requests by it. While a change is under way it tries the new policy, gives up its long lease for
-//! one of [`timing::SHORT`], and says both in one question: what was answered to earlier questions counts no more.
+//! one of [`timing::SHORT_LEASE`], and says both in one question: what was answered to earlier questions counts no more.
 
-use crate::policy_state::{digest, Outcome};
+use crate::policy_state::{digest, ProposalOutcome};
 use crate::timing;
 use crate::voter::Term;
-use crate::wire::{Ask, Grant};
+use crate::wire::{Grant, LeaseRequest};
 use std::any::Any;
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -20,9 +20,9 @@
 pub type Try = Box<dyn FnMut(&str) -> Result<Made, String> + Send>;
 
 /// Questions that may be under way.
-const ASKS: usize = 256;
+const MAX_OPEN_REQUESTS: usize = 256;
 
-struct Tried {
+struct PreparedPolicy {
     id: String,
     text: String,
     digest: u64,
@@ -41,11 +41,11 @@
     until: Duration,
     term: Term,
     version: (u32, u64),
-    recent: Vec<Outcome>,
+    recent: Vec<ProposalOutcome>,
     leader: Option<String>,
     voters: Vec<String>,
     trial: Option<(String, Vec<String>)>,
-    tried: Option<Tried>,
+    tried: Option<PreparedPolicy>,
     asks: VecDeque<(u64, Duration)>,
     nonce: u64,
     /// The last question that was answered.
@@ -57,7 +57,7 @@
 
 /// What an answer changed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Came {
+pub struct GrantEffect {
     /// The epoch that the router acts by is another.
     pub epoch: bool,
     /// A question is due at once.
@@ -130,7 +130,7 @@
     }
 
     /// How the last changes ended.
-    pub fn recent(&self) -> &[Outcome] {
+    pub fn recent(&self) -> &[ProposalOutcome] {
         &self.recent
     }
 
@@ -158,7 +158,7 @@
     }
 
     /// The question, now.
-    pub fn ask(&mut self, now: Duration) -> Ask {
+    pub fn ask(&mut self, now: Duration) -> LeaseRequest {
         self.nonce += 1;
         if let Some(tried) = self.tried.as_mut().filter(|t| t.made.is_ok()) {
             if tried.since == 0 {
@@ -167,41 +167,47 @@
                 self.asks.clear();
             }
             // The long lease ends with this question, whether it is answered or not.
-            self.until = self.until.min(now + timing::SHORT);
+            self.until = self.until.min(now + timing::SHORT_LEASE);
         }
         self.asks.push_back((self.nonce, now));
-        if self.asks.len() > ASKS {
+        if self.asks.len() > MAX_OPEN_REQUESTS {
             self.asks.pop_front();
         }
         let short = self.tried.as_ref().is_some_and(|t| t.made.is_ok());
         self.next = now
             + match () {
-                () if short => timing::RENEW_SHORT,
-                () if now < self.until => timing::RENEW,
-                () => timing::SEEK,
+                () if short => timing::SHORT_RENEW_INTERVAL,
+                () if now < self.until => timing::RENEW_INTERVAL,
+                () => timing::SEEK_INTERVAL,
             };
-        Ask {
+        LeaseRequest {
             nonce: self.nonce,
             epoch: self.epoch,
             digest: self.digest,
             version: self.version,
             tried: self.tried.as_ref().map(|t| (t.id.clone(), t.made.as_ref().err().cloned())),
-            since: self.tried.as_ref().filter(|t| t.made.is_ok()).map_or(0, |t| t.since),
-            gone: false,
+            short_leases_since: self.tried.as_ref().filter(|t| t.made.is_ok()).map_or(0, |t| t.since),
+            released: false,
         }
     }
 
     /// It takes no requests any more; the leader is told, so that no change waits for its lease.
-    pub fn give_up(&mut self) -> Ask {
+    pub fn give_up(&mut self) -> LeaseRequest {
         self.nonce += 1;
         self.asks.clear();
         self.until = Duration::ZERO;
-        Ask { nonce: self.nonce, epoch: self.epoch, digest: self.digest, gone: true, ..Ask::default() }
+        LeaseRequest {
+            nonce: self.nonce,
+            epoch: self.epoch,
+            digest: self.digest,
+            released: true,
+            ..LeaseRequest::default()
+        }
     }
 
     /// Takes an answer.
-    pub fn answer(&mut self, now: Duration, grant: Grant) -> Came {
-        let mut came = Came::default();
+    pub fn answer(&mut self, now: Duration, grant: Grant) -> GrantEffect {
+        let mut came = GrantEffect::default();
         if grant.term < self.term || grant.epoch < self.epoch {
             return came; // Of a leader that was replaced, or late.
         }
@@ -228,7 +234,7 @@
             if let (false, Some(text)) = (known, &trial.text) {
                 let made = (self.attempt)(text);
                 let (id, digest) = (trial.id.clone(), digest(text));
-                self.tried = Some(Tried { id, text: text.clone(), digest, made, since: 0 });
+                self.tried = Some(PreparedPolicy { id, text: text.clone(), digest, made, since: 0 });
                 (came.ask, self.next) = (true, now);
             }
         }
@@ -240,14 +246,14 @@
             let lease = Duration::from_millis(u64::from(grant.lease_ms));
             self.until = self.until.max(asked + lease);
             if !came.ask && self.tried.is_none() && now < self.until {
-                self.next = self.next.max(asked + timing::RENEW);
+                self.next = self.next.max(asked + timing::RENEW_INTERVAL);
             }
         }
         came
     }
 
     /// Another epoch is in force: the policy that was tried for it, or the one that was sent along.
-    fn move_on(&mut self, epoch: u64, wanted: u64, sent: Option<String>, came: &mut Came) {
+    fn move_on(&mut self, epoch: u64, wanted: u64, sent: Option<String>, came: &mut GrantEffect) {
         let tried = self.tried.take().filter(|t| t.digest == wanted);
         let (text, made) = match (tried, sent) {
             (Some(tried), _) => (tried.text, tried.made),
--- a/crates/consensus/src/lease_holder/tests.rs
+++ b/crates/consensus/src/lease_holder/tests.rs
@@ -38,10 +38,10 @@
     let told = Grant { trial: Some(trial("x", "two")), lease_ms: 0, ..grant(0, 1, "one", 0) };
     assert!(h.answer(MS(110), told.clone()).ask);
     let short = h.ask(MS(111));
-    assert!(short.since == short.nonce && short.tried == Some(("x".into(), None)));
-    assert_eq!(h.until(), MS(111) + timing::SHORT);
+    assert!(short.short_leases_since == short.nonce && short.tried == Some(("x".into(), None)));
+    assert_eq!(h.until(), MS(111) + timing::SHORT_LEASE);
     h.answer(MS(112), Grant { trial: told.trial.clone(), ..grant(before.nonce, 1, "one", 3_000) });
-    assert_eq!(h.until(), MS(111) + timing::SHORT, "granted before the trial");
+    assert_eq!(h.until(), MS(111) + timing::SHORT_LEASE, "granted before the trial");
     let next = h.ask(MS(131));
     h.answer(MS(132), Grant { trial: told.trial.clone(), ..grant(next.nonce, 1, "one", 80) });
     assert_eq!(h.until(), MS(211));
@@ -59,7 +59,7 @@
     let bad = Grant { trial: Some(trial("x", "bad")), ..grant(0, 1, "one", 0) };
     h.answer(MS(10), bad);
     let ask = h.ask(MS(11));
-    assert_eq!((ask.tried, ask.since), (Some(("x".into(), Some("line 1: bad".into()))), 0));
+    assert_eq!((ask.tried, ask.short_leases_since), (Some(("x".into(), Some("line 1: bad".into()))), 0));
     assert_eq!(h.until(), MS(3_000));
     let came = h.answer(MS(20), Grant { text: Some("bad".into()), ..grant(ask.nonce, 2, "bad", 3_000) });
     assert!(!came.epoch && h.stuck().is_some() && h.until() == Duration::ZERO, "it can't act by it");
@@ -71,7 +71,7 @@
     let first = h.ask(MS(0));
     h.answer(MS(1), grant(first.nonce, 1, "one", 3_000));
     let late = h.ask(MS(500));
-    assert!(h.give_up().gone && h.until() == Duration::ZERO);
+    assert!(h.give_up().released && h.until() == Duration::ZERO);
     h.answer(MS(501), grant(late.nonce, 1, "one", 3_000));
     assert_eq!(h.until(), Duration::ZERO);
 }
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -29,9 +29,9 @@
 pub mod wire;
 
 pub use configuration::Configuration;
-pub use consensus::{Consensus, Disk, Others, Settings, Start};
-pub use handle::{Cut, Permit, PolicyHandle, ProposalStatus, RouterStatus};
+pub use consensus::{Consensus, ConsensusConfig, Disk, PeerDirectory, Startup};
+pub use handle::{PartitionMode, Permit, PolicyHandle, ProposalStatus, RouterStatus};
 pub use lease_holder::{Made, Try};
-pub use member::{ByView, Member};
-pub use voter::{Confirm, Term};
+pub use member::{Member, MembershipDirectory};
+pub use voter::{Heartbeat, Term};
 pub use voter_identity::VoterIdentity;
--- a/crates/consensus/src/log.rs
+++ b/crates/consensus/src/log.rs
@@ -8,14 +8,14 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 /// The first line of a file that this build writes.
-pub const HEAD: &[u8] = b"slipreel accord 1\n";
-const FRONT: usize = 12;
+pub const FILE_HEADER: &[u8] = b"slipreel accord 1\n";
+const FRAME_HEADER_LEN: usize = 12;
 /// The longest frame.
-pub const LONGEST: usize = 64 << 20;
+pub const MAX_FRAME_LEN: usize = 64 << 20;
 
 /// Why a file is not taken.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Damage {
+pub enum LogError {
     /// It is of another version: its first line.
     Version(String),
     /// A frame is damaged with others behind it: where, in bytes from the start.
@@ -24,19 +24,19 @@
     Record(usize, String),
 }
 
-impl fmt::Display for Damage {
+impl fmt::Display for LogError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Damage::Version(found) => {
-                write!(f, "{found:?}: expected {:?}", String::from_utf8_lossy(HEAD).trim_end())
+            LogError::Version(found) => {
+                write!(f, "{found:?}: expected {:?}", String::from_utf8_lossy(FILE_HEADER).trim_end())
             }
-            Damage::Frame(at) => write!(f, "byte {at}: a damaged frame with others behind it"),
-            Damage::Record(at, what) => write!(f, "byte {at}: {what}"),
+            LogError::Frame(at) => write!(f, "byte {at}: a damaged frame with others behind it"),
+            LogError::Record(at, what) => write!(f, "byte {at}: {what}"),
         }
     }
 }
 
-impl std::error::Error for Damage {}
+impl std::error::Error for LogError {}
 
 fn sum(len: u32, content: &[u8]) -> u64 {
     xxh3_64_with_seed(content, u64::from(len))
@@ -45,7 +45,7 @@
 /// The bytes of a frame.
 pub fn frame(content: &[u8]) -> Vec<u8> {
     let len = content.len() as u32;
-    let mut out = Vec::with_capacity(FRONT + content.len());
+    let mut out = Vec::with_capacity(FRAME_HEADER_LEN + content.len());
     out.extend(len.to_be_bytes());
     out.extend(sum(len, content).to_be_bytes());
     out.extend(content);
@@ -59,22 +59,22 @@
 ///
 /// # Errors
 /// Why it is not taken.
-pub fn frames(file: &[u8]) -> Result<(Frames<'_>, usize), Damage> {
-    if file.len() < HEAD.len() && HEAD.starts_with(file) {
+pub fn frames(file: &[u8]) -> Result<(Frames<'_>, usize), LogError> {
+    if file.len() < FILE_HEADER.len() && FILE_HEADER.starts_with(file) {
         return Ok((Vec::new(), 0));
     }
-    if !file.starts_with(HEAD) {
+    if !file.starts_with(FILE_HEADER) {
         let line = file.split(|b| *b == b'\n').next().unwrap_or_default();
-        return Err(Damage::Version(String::from_utf8_lossy(&line[..line.len().min(80)]).into_owned()));
+        return Err(LogError::Version(String::from_utf8_lossy(&line[..line.len().min(80)]).into_owned()));
     }
-    let (mut all, mut at) = (Vec::new(), HEAD.len());
+    let (mut all, mut at) = (Vec::new(), FILE_HEADER.len());
     while at < file.len() {
         match whole(&file[at..]) {
             Some(content) => {
                 all.push((at, content));
-                at += FRONT + content.len();
+                at += FRAME_HEADER_LEN + content.len();
             }
-            None if followed(&file[at..]) => return Err(Damage::Frame(at)),
+            None if followed(&file[at..]) => return Err(LogError::Frame(at)),
             None => break,
         }
     }
@@ -83,14 +83,17 @@
 
 fn whole(rest: &[u8]) -> Option<&[u8]> {
     let len = u32::from_be_bytes(rest.get(..4)?.try_into().ok()?);
-    let told = u64::from_be_bytes(rest.get(4..FRONT)?.try_into().ok()?);
-    let content = rest.get(FRONT..FRONT + len as usize).filter(|_| len as usize <= LONGEST)?;
+    let told = u64::from_be_bytes(rest.get(4..FRAME_HEADER_LEN)?.try_into().ok()?);
+    let content = rest
+        .get(FRAME_HEADER_LEN..FRAME_HEADER_LEN + len as usize)
+        .filter(|_| len as usize <= MAX_FRAME_LEN)?;
     (told == sum(len, content)).then_some(content)
 }
 
 /// Whether a whole frame stands anywhere behind a damaged one.
 fn followed(rest: &[u8]) -> bool {
-    (1..rest.len().saturating_sub(FRONT)).any(|at| whole(&rest[at..]).is_some_and(|c| !c.is_empty()))
+    (1..rest.len().saturating_sub(FRAME_HEADER_LEN))
+        .any(|at| whole(&rest[at..]).is_some_and(|c| !c.is_empty()))
 }
 
 #[cfg(test)]
--- a/crates/consensus/src/log/tests.rs
+++ b/crates/consensus/src/log/tests.rs
@@ -2,7 +2,7 @@
 
 #[test]
 fn a_torn_end_is_dropped_wherever_it_is_torn_and_damage_before_others_is_refused() {
-    let mut file = HEAD.to_vec();
+    let mut file = FILE_HEADER.to_vec();
     let starts: Vec<usize> = [&b"one"[..], b"two two", b"three"]
         .iter()
         .map(|content| {
@@ -16,15 +16,15 @@
         assert_eq!(all.len(), whole, "cut at {cut}");
         assert!(held <= cut);
     }
-    let begins = HEAD.len() + FRONT + 3;
-    for at in begins..begins + FRONT + 7 {
+    let begins = FILE_HEADER.len() + FRAME_HEADER_LEN + 3;
+    for at in begins..begins + FRAME_HEADER_LEN + 7 {
         let mut bad = file.clone();
         bad[at] ^= 0x20;
-        assert_eq!(frames(&bad), Err(Damage::Frame(begins)), "byte {at}");
+        assert_eq!(frames(&bad), Err(LogError::Frame(begins)), "byte {at}");
     }
     let mut last = file.clone();
     *last.last_mut().expect("bytes") ^= 1;
     assert_eq!(frames(&last).map(|(all, _)| all.len()), Ok(2), "the last one was being written");
-    let newer = [&b"slipreel accord 2\n"[..], &file[HEAD.len()..]].concat();
-    assert_eq!(frames(&newer), Err(Damage::Version("slipreel accord 2".into())));
+    let newer = [&b"slipreel accord 2\n"[..], &file[FILE_HEADER.len()..]].concat();
+    assert_eq!(frames(&newer), Err(LogError::Version("slipreel accord 2".into())));
 }
--- a/crates/consensus/src/member.rs
+++ b/crates/consensus/src/member.rs
@@ -1,6 +1,6 @@
 //! One address for the view of the fleet and the agreement on policy: each datagram and connection goes to the one that its first bytes name.
 
-use crate::consensus::{Consensus, Others};
+use crate::consensus::{Consensus, PeerDirectory};
 use crate::peer_connections::PeerConnections;
 use crate::wire::MAGIC;
 use slipreel_membership::{Board as ViewBoard, Fleet};
@@ -11,8 +11,8 @@
 use std::time::Duration;
 
 /// Connections that have not said whom they are for, at most, and how long they may take.
-const FRESH: usize = 64;
-const FRESH_TIME: Duration = Duration::from_secs(2);
+const MAX_UNIDENTIFIED_CONNECTIONS: usize = 64;
+const IDENTIFICATION_DEADLINE: Duration = Duration::from_secs(2);
 
 /// A member of a fleet: its view, and its part in the policy where that is on.
 pub struct Member {
@@ -23,9 +23,9 @@
 }
 
 /// Others as the view of the fleet has them.
-pub struct ByView(pub Arc<ViewBoard>);
+pub struct MembershipDirectory(pub Arc<ViewBoard>);
 
-impl Others for ByView {
+impl PeerDirectory for MembershipDirectory {
     fn address(&self, name: &str) -> Option<SocketAddr> {
         self.0.view().members.iter().find(|m| m.name == name).map(|m| m.address)
     }
@@ -81,8 +81,12 @@
     }
 
     fn drop_late(&mut self, now: Duration, out: &mut Vec<Output>) {
-        let late: Vec<ConnId> =
-            self.fresh.iter().filter(|(_, (_, at, _))| now >= *at + FRESH_TIME).map(|(c, _)| *c).collect();
+        let late: Vec<ConnId> = self
+            .fresh
+            .iter()
+            .filter(|(_, (_, at, _))| now >= *at + IDENTIFICATION_DEADLINE)
+            .map(|(c, _)| *c)
+            .collect();
         for conn in late {
             self.fresh.remove(&conn);
             out.push(Output::Abort(conn));
@@ -99,7 +103,7 @@
         match input {
             Input::Datagram(_, _, bytes) if bytes.starts_with(&MAGIC) => self.pass_on(now, input, out),
             Input::Accepted(conn, door) => {
-                if self.fresh.len() < FRESH {
+                if self.fresh.len() < MAX_UNIDENTIFIED_CONNECTIONS {
                     self.fresh.insert(conn, (door, now, Vec::new()));
                 } else {
                     out.push(Output::Abort(conn));
@@ -134,7 +138,7 @@
     }
 
     fn wake_at(&self) -> Option<Duration> {
-        let fresh = self.fresh.values().map(|(_, at, _)| *at + FRESH_TIME).min();
+        let fresh = self.fresh.values().map(|(_, at, _)| *at + IDENTIFICATION_DEADLINE).min();
         let consensus = self.consensus.as_ref().and_then(Machine::wake_at);
         [self.fleet.wake_at(), consensus, fresh].into_iter().flatten().min()
     }
--- a/crates/consensus/src/peer_connections.rs
+++ b/crates/consensus/src/peer_connections.rs
@@ -26,13 +26,17 @@
 }
 
 /// Set in the numbers of connections that this package opens, beside those of the view of the fleet.
-const OURS: u64 = 1 << 40;
+const CONSENSUS_CONNECTION_BIT: u64 = 1 << 40;
 /// A connection that has carried nothing for so long is closed.
-const IDLE: Duration = Duration::from_secs(30);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
 impl Default for PeerConnections {
     fn default() -> Self {
-        PeerConnections { connections: BTreeMap::new(), by_conn: BTreeMap::new(), opened: OURS }
+        PeerConnections {
+            connections: BTreeMap::new(),
+            by_conn: BTreeMap::new(),
+            opened: CONSENSUS_CONNECTION_BIT,
+        }
     }
 }
 
@@ -44,7 +48,7 @@
 
     /// Whether a number is one that these give out.
     pub fn is_ours(conn: ConnId) -> bool {
-        conn.is_opened() && conn.0 & OURS != 0
+        conn.is_opened() && conn.0 & CONSENSUS_CONNECTION_BIT != 0
     }
 
     /// Sends a frame. False: what waits for this peer is too much, and was given up with its connection.
@@ -54,7 +58,7 @@
         if self
             .connections
             .get(name)
-            .is_some_and(|l| l.bytes + frame.len() > timing::LANE_BYTES && l.bytes > 0)
+            .is_some_and(|l| l.bytes + frame.len() > timing::MAX_UNACKED_BYTES && l.bytes > 0)
         {
             self.give_up(name, out);
             return false;
@@ -119,9 +123,10 @@
 
     /// Gives up what is late, and closes what is idle. Whom something may have been lost to.
     pub fn late(&mut self, now: Duration, out: &mut Vec<Output>) -> Vec<String> {
-        let is_late =
-            |l: &PeerConnection| l.unacked.front().is_some_and(|(_, since)| now >= *since + timing::LANE);
-        let is_idle = |l: &PeerConnection| l.unacked.is_empty() && now >= l.used + IDLE;
+        let is_late = |l: &PeerConnection| {
+            l.unacked.front().is_some_and(|(_, since)| now >= *since + timing::ACK_TIMEOUT)
+        };
+        let is_idle = |l: &PeerConnection| l.unacked.is_empty() && now >= l.used + IDLE_TIMEOUT;
         let late: Vec<String> =
             self.connections.iter().filter(|(_, l)| is_late(l)).map(|(n, _)| n.clone()).collect();
         let idle: Vec<String> =
--- a/crates/consensus/src/policy_state.rs
+++ b/crates/consensus/src/policy_state.rs
@@ -18,29 +18,29 @@
     /// The router that it was handed to.
     pub from: String,
     /// What that router's wall clock said, seconds since 1970. Shown to operators, used for nothing.
-    pub wall: u64,
+    pub submitted_unix_s: u64,
     /// It holds only on top of this epoch; 0: on any.
-    pub on: u64,
+    pub base_epoch: u64,
     /// It brings back the policy of this epoch.
-    pub back: Option<u64>,
+    pub restores_epoch: Option<u64>,
 }
 
 /// Why a router can't take a policy.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct No {
+pub struct Rejection {
     /// Which router.
     pub router: String,
     /// Place, value and what was expected.
-    pub why: String,
+    pub reason: String,
 }
 
 /// How a change ends.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Verdict {
+pub enum Decision {
     /// It is the policy from now on.
     InForce,
     /// It never was and never will be.
-    Dropped(Vec<No>),
+    Dropped(Vec<Rejection>),
 }
 
 /// One step that the voters agree on.
@@ -49,28 +49,28 @@
     /// A change is under way; every router is to try it.
     Propose(Proposal),
     /// The change of this id is over.
-    Settle(String, Verdict),
+    Decide(String, Decision),
     /// The configuration ends here, in favour of one of these; what stands behind it counts for nobody.
-    Seats(Vec<VoterIdentity>),
+    Reconfigure(Vec<VoterIdentity>),
 }
 
 /// How a change ended, or that it has not.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Outcome {
+pub struct ProposalOutcome {
     /// The proposal.
     pub id: String,
     /// The router that it was handed to.
     pub from: String,
     /// That router's wall clock, for people.
-    pub wall: u64,
+    pub submitted_unix_s: u64,
     /// Of the policy.
     pub digest: u64,
     /// The epoch that it became; `None`: dropped.
     pub epoch: Option<u64>,
     /// The epoch whose policy it brought back.
-    pub back: Option<u64>,
+    pub restores_epoch: Option<u64>,
     /// Why it was dropped.
-    pub noes: Vec<No>,
+    pub rejections: Vec<Rejection>,
 }
 
 /// The state that entries are applied to.
@@ -85,7 +85,7 @@
     /// The change under way.
     pub pending: Option<Proposal>,
     /// How changes ended, the oldest first.
-    pub outcomes: VecDeque<Outcome>,
+    pub outcomes: VecDeque<ProposalOutcome>,
     /// Outcomes that are not remembered any more.
     pub forgotten: u64,
     /// Policies of earlier epochs.
@@ -101,15 +101,21 @@
     /// The first epoch, with the policy that the founders start with.
     pub fn founded(text: &str, from: &str, wall: u64) -> PolicyState {
         let mut policy_state = PolicyState::default();
-        let first =
-            Proposal { id: "founding".into(), text: text.into(), from: from.into(), wall, on: 0, back: None };
+        let first = Proposal {
+            id: "founding".into(),
+            text: text.into(),
+            from: from.into(),
+            submitted_unix_s: wall,
+            base_epoch: 0,
+            restores_epoch: None,
+        };
         policy_state.apply(&Entry::Propose(first));
-        policy_state.apply(&Entry::Settle("founding".into(), Verdict::InForce));
+        policy_state.apply(&Entry::Decide("founding".into(), Decision::InForce));
         policy_state
     }
 
     /// How a change ended.
-    pub fn outcome(&self, id: &str) -> Option<&Outcome> {
+    pub fn outcome(&self, id: &str) -> Option<&ProposalOutcome> {
         self.outcomes.iter().rev().find(|o| o.id == id)
     }
 
@@ -134,10 +140,10 @@
             }
             _ => {}
         }
-        if proposal.on != 0 && proposal.on != self.epoch {
+        if proposal.base_epoch != 0 && proposal.base_epoch != self.epoch {
             return Some(format!(
                 "made for epoch {}: expected {}, which is in force",
-                proposal.on, self.epoch
+                proposal.base_epoch, self.epoch
             ));
         }
         None
@@ -154,14 +160,14 @@
                 }
                 match self.refuses(proposal) {
                     Some(why) => {
-                        let no = No { router: proposal.from.clone(), why };
-                        self.end(proposal, Verdict::Dropped(vec![no]));
+                        let no = Rejection { router: proposal.from.clone(), reason: why };
+                        self.end(proposal, Decision::Dropped(vec![no]));
                     }
                     None => self.pending = Some(proposal.clone()),
                 }
             }
-            Entry::Seats(_) => {}
-            Entry::Settle(id, verdict) => {
+            Entry::Reconfigure(_) => {}
+            Entry::Decide(id, verdict) => {
                 if self.pending.as_ref().is_none_or(|p| p.id != *id) {
                     return;
                 }
@@ -172,40 +178,40 @@
         }
     }
 
-    fn end(&mut self, proposal: &Proposal, verdict: Verdict) {
+    fn end(&mut self, proposal: &Proposal, verdict: Decision) {
         let (epoch, noes) = match verdict {
-            Verdict::InForce => (Some(self.epoch + 1), Vec::new()),
-            Verdict::Dropped(noes) => (None, noes),
+            Decision::InForce => (Some(self.epoch + 1), Vec::new()),
+            Decision::Dropped(noes) => (None, noes),
         };
         if let Some(epoch) = epoch {
             if self.epoch > 0 {
                 self.texts.push_back((self.epoch, std::mem::take(&mut self.text)));
             }
-            while self.texts.len() > timing::TEXTS {
+            while self.texts.len() > timing::MAX_KEPT_POLICIES {
                 self.texts.pop_front();
             }
             self.epoch = epoch;
             self.text.clone_from(&proposal.text);
             self.digest = digest(&proposal.text);
         }
-        self.outcomes.push_back(Outcome {
+        self.outcomes.push_back(ProposalOutcome {
             id: proposal.id.clone(),
             from: proposal.from.clone(),
-            wall: proposal.wall,
+            submitted_unix_s: proposal.submitted_unix_s,
             digest: digest(&proposal.text),
             epoch,
-            back: proposal.back,
-            noes,
+            restores_epoch: proposal.restores_epoch,
+            rejections: noes,
         });
-        while self.outcomes.len() > timing::OUTCOMES {
+        while self.outcomes.len() > timing::MAX_OUTCOMES {
             self.outcomes.pop_front();
             self.forgotten += 1;
         }
     }
 
     /// The last outcomes, for those who don't keep the policy state.
-    pub fn recent(&self) -> Vec<Outcome> {
-        let from = self.outcomes.len().saturating_sub(timing::RECENT);
+    pub fn recent(&self) -> Vec<ProposalOutcome> {
+        let from = self.outcomes.len().saturating_sub(timing::RECENT_OUTCOMES);
         self.outcomes.iter().skip(from).cloned().collect()
     }
 }
--- a/crates/consensus/src/policy_state/tests.rs
+++ b/crates/consensus/src/policy_state/tests.rs
@@ -5,9 +5,9 @@
         id: id.into(),
         text: text.into(),
         from: "a".into(),
-        wall: 0,
-        on: 0,
-        back: None,
+        submitted_unix_s: 0,
+        base_epoch: 0,
+        restores_epoch: None,
     })
 }
 
@@ -17,39 +17,50 @@
     assert_eq!((policy_state.epoch, policy_state.digest), (1, digest("one")));
     policy_state.apply(&propose("x", "two"));
     policy_state.apply(&propose("y", "three"));
-    assert_eq!(policy_state.outcome("y").map(|o| (o.epoch, o.noes.len())), Some((None, 1)), "one at a time");
-    policy_state.apply(&Entry::Settle("z".into(), Verdict::InForce));
+    assert_eq!(
+        policy_state.outcome("y").map(|o| (o.epoch, o.rejections.len())),
+        Some((None, 1)),
+        "one at a time"
+    );
+    policy_state.apply(&Entry::Decide("z".into(), Decision::InForce));
     assert_eq!(policy_state.epoch, 1, "of another change");
-    policy_state.apply(&Entry::Settle("x".into(), Verdict::InForce));
+    policy_state.apply(&Entry::Decide("x".into(), Decision::InForce));
     assert_eq!(
         (policy_state.epoch, policy_state.text.as_str(), policy_state.text_of(1)),
         (2, "two", Some("one"))
     );
     let before = policy_state.clone();
     policy_state.apply(&propose("x", "four"));
-    policy_state.apply(&Entry::Settle("x".into(), Verdict::Dropped(Vec::new())));
+    policy_state.apply(&Entry::Decide("x".into(), Decision::Dropped(Vec::new())));
     assert_eq!(policy_state, before, "what has ended stays ended");
-    let late = Proposal { id: "l".into(), on: 1, ..book_proposal() };
+    let late = Proposal { id: "l".into(), base_epoch: 1, ..book_proposal() };
     policy_state.apply(&Entry::Propose(late));
     assert!(policy_state.outcome("l").is_some_and(|o| o.epoch.is_none()), "made for an epoch that is over");
 }
 
 fn book_proposal() -> Proposal {
-    Proposal { id: String::new(), text: "t".into(), from: "a".into(), wall: 0, on: 0, back: None }
+    Proposal {
+        id: String::new(),
+        text: "t".into(),
+        from: "a".into(),
+        submitted_unix_s: 0,
+        base_epoch: 0,
+        restores_epoch: None,
+    }
 }
 
 #[test]
 fn outcomes_and_texts_are_bounded_and_what_is_forgotten_is_counted() {
     let mut policy_state = PolicyState::founded("0", "a", 0);
-    for n in 0..timing::OUTCOMES + 10 {
+    for n in 0..timing::MAX_OUTCOMES + 10 {
         policy_state.apply(&propose(&n.to_string(), &n.to_string()));
-        policy_state.apply(&Entry::Settle(n.to_string(), Verdict::InForce));
+        policy_state.apply(&Entry::Decide(n.to_string(), Decision::InForce));
     }
-    assert_eq!((policy_state.outcomes.len(), policy_state.forgotten), (timing::OUTCOMES, 11));
-    assert_eq!(policy_state.texts.len(), timing::TEXTS);
+    assert_eq!((policy_state.outcomes.len(), policy_state.forgotten), (timing::MAX_OUTCOMES, 11));
+    assert_eq!(policy_state.texts.len(), timing::MAX_KEPT_POLICIES);
     assert_eq!(
-        policy_state.text_of(policy_state.epoch - timing::TEXTS as u64),
-        Some(&*(timing::OUTCOMES + 9 - timing::TEXTS).to_string())
+        policy_state.text_of(policy_state.epoch - timing::MAX_KEPT_POLICIES as u64),
+        Some(&*(timing::MAX_OUTCOMES + 9 - timing::MAX_KEPT_POLICIES).to_string())
     );
     assert!(policy_state.outcome("3").is_none() && policy_state.text_of(2).is_none());
 }
--- a/crates/consensus/src/reconfiguration.rs
+++ b/crates/consensus/src/reconfiguration.rs
@@ -1,4 +1,4 @@
-//! Who votes. Up to [`timing::VOTERS`] routers all do; in a larger fleet those that were there first do, and the others learn from them.
+//! Who votes. Up to [`timing::MAX_VOTERS`] routers all do; in a larger fleet those that were there first do, and the others learn from them.
 //!
 //! One membership changes at a time, and only while a majority of the members that come of it are held by routers that are there. A router that has
 //! lost its folder takes its own membership again, as another voter: what it had promised is gone, so the old one must never speak again. A voter
@@ -10,7 +10,7 @@
 
 /// A router that holds a lease.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Live {
+pub struct LiveRouter {
     /// Name and disk; a disk of 0 is none, and can't hold promises.
     pub member: VoterIdentity,
     /// For how long it has held leases without a gap.
@@ -19,7 +19,7 @@
 
 /// An operator's word that a voter is gone for good.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Replacing {
+pub struct VoterReplacement {
     /// The voter.
     pub old: String,
     /// Who takes its place, if that is said.
@@ -28,12 +28,13 @@
 
 /// The members of the next configuration; `None`: they stay.
 pub fn next(
-    members: &[VoterIdentity], live: &[Live], replacing: Option<&Replacing>,
+    members: &[VoterIdentity], live: &[LiveRouter], replacing: Option<&VoterReplacement>,
 ) -> Option<Vec<VoterIdentity>> {
     let sits = |member: &VoterIdentity| members.iter().any(|s| s.name == member.name);
-    let mut waiting: Vec<&Live> = live.iter().filter(|l| l.member.disk != 0 && !sits(&l.member)).collect();
+    let mut waiting: Vec<&LiveRouter> =
+        live.iter().filter(|l| l.member.disk != 0 && !sits(&l.member)).collect();
     waiting.sort_by_key(|l| (std::cmp::Reverse(l.held), &l.member));
-    if let Some(Replacing { old, new }) = replacing {
+    if let Some(VoterReplacement { old, new }) = replacing {
         let at = members.iter().position(|s| s.name == *old)?;
         let mut changed = members.to_vec();
         changed.remove(at);
@@ -45,15 +46,16 @@
         let at = members.iter().position(|s| s.name == l.member.name && s.disk != l.member.disk)?;
         // Its old life may still hold a lease; that of the membership itself being there means that it is no loss.
         let there = live.iter().any(|other| other.member == members[at] && other.held > l.held);
-        (l.member.disk != 0 && !there && l.held >= timing::PROVEN).then(|| (at, l.member.clone()))
+        (l.member.disk != 0 && !there && l.held >= timing::MIN_LEASE_BEFORE_VOTING)
+            .then(|| (at, l.member.clone()))
     });
     if let Some((at, member)) = lost {
         let mut changed = members.to_vec();
         changed[at] = member;
         return sound(&changed, live).then_some(changed);
     }
-    let proven = waiting.iter().find(|l| l.held >= timing::PROVEN)?;
-    if members.len() >= timing::VOTERS {
+    let proven = waiting.iter().find(|l| l.held >= timing::MIN_LEASE_BEFORE_VOTING)?;
+    if members.len() >= timing::MAX_VOTERS {
         return None;
     }
     let changed: Vec<VoterIdentity> = members.iter().cloned().chain([proven.member.clone()]).collect();
@@ -61,7 +63,7 @@
 }
 
 /// Whether a majority of these members are there.
-fn sound(members: &[VoterIdentity], live: &[Live]) -> bool {
+fn sound(members: &[VoterIdentity], live: &[LiveRouter]) -> bool {
     let there = members.iter().filter(|s| live.iter().any(|l| l.member == **s)).count();
     !members.is_empty() && there > members.len() / 2
 }
--- a/crates/consensus/src/storage.rs
+++ b/crates/consensus/src/storage.rs
@@ -4,7 +4,7 @@
 //! frame, before any message leaves that rests on it.
 
 use crate::configuration::Configuration;
-use crate::log::{frame, frames, Damage, HEAD};
+use crate::log::{frame, frames, LogError, FILE_HEADER};
 use crate::policy_state::Entry;
 use omnipaxos::ballot_leader_election::Ballot;
 use omnipaxos::storage::{NoSnapshot, StopSign, Storage, StorageOp, StorageResult};
@@ -17,7 +17,7 @@
 
 /// What a voter notes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Op {
+pub enum StorageWrite {
     /// It takes nothing from an older leader any more.
     Promise(Ballot),
     /// The leader from whom its last entries are.
@@ -36,7 +36,7 @@
     /// A configuration begins; nothing before it counts.
     Configuration(Box<Configuration>),
     /// What was noted together.
-    Ops(Vec<Op>),
+    Writes(Vec<StorageWrite>),
 }
 
 /// What a voter has noted in its present configuration.
@@ -47,33 +47,33 @@
     decided: usize,
     entries: Vec<Entry>,
     /// What is not on the disk yet.
-    ops: Vec<Op>,
+    ops: Vec<StorageWrite>,
 }
 
 impl PersistedState {
-    fn take(&mut self, op: &Op) {
+    fn take(&mut self, op: &StorageWrite) {
         match op {
-            Op::Promise(b) => self.promise = Some(*b),
-            Op::Accepted(b) => self.accepted = Some(*b),
-            Op::Decided(n) => self.decided = *n,
-            Op::Entries(at, entries) => {
+            StorageWrite::Promise(b) => self.promise = Some(*b),
+            StorageWrite::Accepted(b) => self.accepted = Some(*b),
+            StorageWrite::Decided(n) => self.decided = *n,
+            StorageWrite::Entries(at, entries) => {
                 self.entries.truncate(*at);
                 self.entries.extend(entries.iter().cloned());
             }
         }
     }
 
-    fn note(&mut self, op: Op) {
+    fn note(&mut self, op: StorageWrite) {
         self.take(&op);
         self.ops.push(op);
     }
 
     /// All of it, as notes.
-    fn whole(&self) -> Vec<Op> {
-        let mut ops: Vec<Op> = self.promise.map(Op::Promise).into_iter().collect();
-        ops.extend(self.accepted.map(Op::Accepted));
-        ops.push(Op::Entries(0, self.entries.clone()));
-        ops.push(Op::Decided(self.decided));
+    fn whole(&self) -> Vec<StorageWrite> {
+        let mut ops: Vec<StorageWrite> = self.promise.map(StorageWrite::Promise).into_iter().collect();
+        ops.extend(self.accepted.map(StorageWrite::Accepted));
+        ops.push(StorageWrite::Entries(0, self.entries.clone()));
+        ops.push(StorageWrite::Decided(self.decided));
         ops
     }
 }
@@ -94,19 +94,19 @@
     /// What is to be written now, and whether it must be synced before anybody hears of it: what is decided can be learnt again.
     pub(crate) fn drain(&self) -> Option<(Vec<u8>, bool)> {
         let ops = std::mem::take(&mut self.noted().ops);
-        let sync = ops.iter().any(|op| !matches!(op, Op::Decided(_)));
-        (!ops.is_empty()).then(|| (frame(&pack(&Record::Ops(ops))), sync))
+        let sync = ops.iter().any(|op| !matches!(op, StorageWrite::Decided(_)));
+        (!ops.is_empty()).then(|| (frame(&pack(&Record::Writes(ops))), sync))
     }
 
     /// A whole file that says the same.
     pub(crate) fn file(&self, disk: u64, configuration: Option<&Configuration>) -> Vec<u8> {
         let mut noted = self.noted();
         noted.ops.clear();
-        let mut file = HEAD.to_vec();
+        let mut file = FILE_HEADER.to_vec();
         file.extend(frame(&pack(&Record::Disk(disk))));
         if let Some(configuration) = configuration {
             file.extend(frame(&pack(&Record::Configuration(Box::new(configuration.clone())))));
-            file.extend(frame(&pack(&Record::Ops(noted.whole()))));
+            file.extend(frame(&pack(&Record::Writes(noted.whole()))));
         }
         file
     }
@@ -126,7 +126,7 @@
 
     /// Whether the configuration is to end, decided or not.
     pub(crate) fn stops(&self) -> bool {
-        self.noted().entries.iter().any(|e| matches!(e, Entry::Seats(_)))
+        self.noted().entries.iter().any(|e| matches!(e, Entry::Reconfigure(_)))
     }
 }
 
@@ -142,34 +142,34 @@
 
 /// What a file says.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Found {
+pub struct StoredState {
     /// Which disk it is; `None`: an empty one.
     pub disk: Option<u64>,
     /// The configuration that it is of, and what was noted there.
     pub configuration: Option<(Configuration, PersistedState)>,
     /// Bytes of the file that hold.
-    pub held: usize,
+    pub valid_len: usize,
 }
 
 /// Reads a file.
 ///
 /// # Errors
 /// Where it is damaged.
-pub fn read(file: &[u8]) -> Result<Found, Damage> {
+pub fn read(file: &[u8]) -> Result<StoredState, LogError> {
     let (all, held) = frames(file)?;
-    let mut found = Found { held, ..Found::default() };
+    let mut found = StoredState { valid_len: held, ..StoredState::default() };
     for (at, content) in all {
         let record: Record = postcard::from_bytes(content)
-            .map_err(|e| Damage::Record(at, format!("a whole frame that is no record: {e}")))?;
+            .map_err(|e| LogError::Record(at, format!("a whole frame that is no record: {e}")))?;
         match record {
             Record::Disk(id) => found.disk = Some(id),
             Record::Configuration(configuration) => {
                 found.configuration = Some((*configuration, PersistedState::default()))
             }
-            Record::Ops(ops) => match &mut found.configuration {
+            Record::Writes(ops) => match &mut found.configuration {
                 Some((_, noted)) => ops.iter().for_each(|op| noted.take(op)),
                 None => {
-                    return Err(Damage::Record(
+                    return Err(LogError::Record(
                         at,
                         "notes before a configuration: expected its terms first".into(),
                     ))
@@ -208,22 +208,22 @@
     fn append_entries(&mut self, entries: Vec<Entry>) -> StorageResult<()> {
         let mut noted = self.noted();
         let at = noted.entries.len();
-        noted.note(Op::Entries(at, entries));
+        noted.note(StorageWrite::Entries(at, entries));
         Ok(())
     }
 
     fn append_on_prefix(&mut self, at: usize, entries: Vec<Entry>) -> StorageResult<()> {
-        self.noted().note(Op::Entries(at, entries));
+        self.noted().note(StorageWrite::Entries(at, entries));
         Ok(())
     }
 
     fn set_promise(&mut self, promise: Ballot) -> StorageResult<()> {
-        self.noted().note(Op::Promise(promise));
+        self.noted().note(StorageWrite::Promise(promise));
         Ok(())
     }
 
     fn set_decided_idx(&mut self, n: usize) -> StorageResult<()> {
-        self.noted().note(Op::Decided(n));
+        self.noted().note(StorageWrite::Decided(n));
         Ok(())
     }
 
@@ -232,7 +232,7 @@
     }
 
     fn set_accepted_round(&mut self, round: Ballot) -> StorageResult<()> {
-        self.noted().note(Op::Accepted(round));
+        self.noted().note(StorageWrite::Accepted(round));
         Ok(())
     }
 
--- a/crates/consensus/src/storage/tests.rs
+++ b/crates/consensus/src/storage/tests.rs
@@ -12,7 +12,7 @@
     let mut storage = VoterStorage::default();
     let mut file = storage.file(9, Some(&configuration));
     let ballot = Ballot::with(3, 2, 0, 1);
-    let settle = |id: &str| Entry::Settle(id.into(), crate::policy_state::Verdict::InForce);
+    let settle = |id: &str| Entry::Decide(id.into(), crate::policy_state::Decision::InForce);
     storage.set_promise(ballot).expect("in memory");
     storage.append_entries(vec![settle("x"), settle("y")]).expect("in memory");
     let (bytes, sync) = storage.drain().expect("something was noted");
@@ -44,26 +44,30 @@
         id: id.into(),
         text: format!("policy of {id}"),
         from: "router-b".into(),
-        wall: 1_764_000_000,
-        on: 2,
-        back: Some(1),
+        submitted_unix_s: 1_764_000_000,
+        base_epoch: 2,
+        restores_epoch: Some(1),
     }
 }
 
-fn stored_rejection() -> crate::policy_state::Verdict {
-    let no = crate::policy_state::No { router: "router-c".into(), why: "line 3: expected a time".into() };
-    crate::policy_state::Verdict::Dropped(vec![no])
+fn stored_rejection() -> crate::policy_state::Decision {
+    let no = crate::policy_state::Rejection {
+        router: "router-c".into(),
+        reason: "line 3: expected a time".into(),
+    };
+    crate::policy_state::Decision::Dropped(vec![no])
 }
 
 /// The configuration of the fixture: three voters, on a state with two epochs, a dropped change and one under way.
 fn stored_configuration() -> Configuration {
     let member = |name: &str, disk| VoterIdentity { name: name.into(), disk };
     let mut initial_state = PolicyState::founded("first policy", "router-a", 1_763_000_000);
-    let second = crate::policy_state::Proposal { on: 1, back: None, ..stored_proposal("second") };
+    let second =
+        crate::policy_state::Proposal { base_epoch: 1, restores_epoch: None, ..stored_proposal("second") };
     initial_state.apply(&Entry::Propose(second));
-    initial_state.apply(&Entry::Settle("second".into(), crate::policy_state::Verdict::InForce));
+    initial_state.apply(&Entry::Decide("second".into(), crate::policy_state::Decision::InForce));
     initial_state.apply(&Entry::Propose(stored_proposal("dropped")));
-    initial_state.apply(&Entry::Settle("dropped".into(), stored_rejection()));
+    initial_state.apply(&Entry::Decide("dropped".into(), stored_rejection()));
     initial_state.apply(&Entry::Propose(stored_proposal("pending")));
     let voters = vec![member("router-a", 11), member("router-b", 300), member("router-c", u64::MAX)];
     Configuration { number: 7, voters, initial_state }
@@ -71,10 +75,10 @@
 
 fn stored_entries() -> Vec<Entry> {
     vec![
-        Entry::Settle("pending".into(), crate::policy_state::Verdict::InForce),
+        Entry::Decide("pending".into(), crate::policy_state::Decision::InForce),
         Entry::Propose(stored_proposal("next")),
-        Entry::Settle("next".into(), stored_rejection()),
-        Entry::Seats(stored_configuration().voters),
+        Entry::Decide("next".into(), stored_rejection()),
+        Entry::Reconfigure(stored_configuration().voters),
     ]
 }
 
@@ -96,7 +100,7 @@
 fn a_file_of_the_build_before_is_read_to_the_same_state() {
     for (name, file) in [("appended", APPENDED_FILE), ("compacted", COMPACTED_FILE)] {
         let found = read(file).expect("a file of the build before");
-        assert_eq!((found.disk, found.held), (Some(300), file.len()), "{name}");
+        assert_eq!((found.disk, found.valid_len), (Some(300), file.len()), "{name}");
         let (configuration, noted) = found.configuration.expect("a configuration");
         assert_eq!(configuration, stored_configuration(), "{name}");
         assert_eq!(noted.promise, Some(Ballot::with(7, 5, 1, 2)), "{name}");
--- a/crates/consensus/src/voter.rs
+++ b/crates/consensus/src/voter.rs
@@ -31,25 +31,25 @@
 
 /// A leader's question to the voters, and how far it is, so that those who lag see it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub struct Confirm {
+pub struct Heartbeat {
     /// Its term.
     pub term: Term,
     /// Numbers the round.
     pub round: u64,
     /// Entries that it holds.
-    pub holds: usize,
+    pub log_len: usize,
     /// Entries that it knows to be decided.
-    pub decided: usize,
+    pub decided_len: usize,
 }
 
-enum Way {
+enum Replication {
     /// With others.
-    Together(Box<OmniPaxos<Entry, VoterStorage>>),
+    Replicated(Box<OmniPaxos<Entry, VoterStorage>>),
     /// A configuration of one decides by itself.
-    Alone,
+    SingleVoter,
 }
 
-struct Round {
+struct HeartbeatRound {
     number: u64,
     sent: Duration,
     confirmed: BTreeSet<NodeId>,
@@ -59,12 +59,12 @@
 pub struct Voter {
     pub(crate) configuration: Configuration,
     me: NodeId,
-    way: Way,
+    way: Replication,
     storage: VoterStorage,
     policy_state: PolicyState,
     applied: usize,
     /// The round that is under way, as leader.
-    round: Option<Round>,
+    round: Option<HeartbeatRound>,
     rounds: u64,
     /// Since when it lags behind what its leader says, as a follower.
     lags: Option<Duration>,
@@ -78,7 +78,7 @@
         let me = configuration.voters.iter().position(|s| s == member)? as NodeId + 1;
         let storage = VoterStorage::new(noted);
         let way = if configuration.voters.len() == 1 {
-            Way::Alone
+            Replication::SingleVoter
         } else {
             let config = OmniPaxosConfig {
                 cluster_config: ClusterConfig {
@@ -94,7 +94,7 @@
                     ..ServerConfig::default()
                 },
             };
-            Way::Together(Box::new(config.build(storage.clone()).ok()?))
+            Replication::Replicated(Box::new(config.build(storage.clone()).ok()?))
         };
         let policy_state = configuration.initial_state.clone();
         let mut voter = Voter {
@@ -142,8 +142,8 @@
     pub(crate) fn term(&self) -> Term {
         let configuration = self.configuration.number;
         match &self.way {
-            Way::Alone => Term { configuration, ballot: 1, voter: self.me },
-            Way::Together(p) => {
+            Replication::SingleVoter => Term { configuration, ballot: 1, voter: self.me },
+            Replication::Replicated(p) => {
                 let promise = p.get_promise();
                 Term { configuration, ballot: promise.n, voter: promise.pid }
             }
@@ -158,8 +158,8 @@
     /// Whether this voter leads, as far as it knows, and holds all that was ever decided.
     pub(crate) fn leads(&self) -> bool {
         match &self.way {
-            Way::Alone => true,
-            Way::Together(p) => p.get_current_leader() == Some((self.me, true)),
+            Replication::SingleVoter => true,
+            Replication::Replicated(p) => p.get_current_leader() == Some((self.me, true)),
         }
     }
 
@@ -176,13 +176,13 @@
     /// Asks for an entry, as leader.
     pub(crate) fn append(&mut self, entry: Entry) {
         match &mut self.way {
-            Way::Alone => {
+            Replication::SingleVoter => {
                 use omnipaxos::storage::Storage;
                 let n = self.storage.get_log_len().unwrap_or_default() + 1;
                 let _ = self.storage.append_entry(entry);
                 let _ = self.storage.set_decided_idx(n);
             }
-            Way::Together(p) => {
+            Replication::Replicated(p) => {
                 // Never refused: the library's own sign for an end is not used.
                 let _ = p.append(entry);
             }
@@ -191,11 +191,11 @@
 
     /// Ends the configuration in favour of one with these members.
     pub(crate) fn hand_over(&mut self, members: &[VoterIdentity]) {
-        self.append(Entry::Seats(members.to_vec()));
+        self.append(Entry::Reconfigure(members.to_vec()));
     }
 
     pub(crate) fn tick(&mut self) {
-        if let Way::Together(p) = &mut self.way {
+        if let Replication::Replicated(p) = &mut self.way {
             p.tick();
         }
     }
@@ -203,7 +203,7 @@
     /// Takes a message of the agreement. One from a membership that this configuration does not have is not taken.
     pub(crate) fn take(&mut self, from: &VoterIdentity, message: Message<Entry>) {
         let known = self.number(from) == Some(message.get_sender()) && message.get_receiver() == self.me;
-        if let (true, Way::Together(p)) = (known, &mut self.way) {
+        if let (true, Replication::Replicated(p)) = (known, &mut self.way) {
             p.handle_incoming(message);
         }
     }
@@ -211,7 +211,7 @@
     /// Messages that wait to be sent, with whom to: to be taken after what was noted is on the disk.
     pub(crate) fn messages(&mut self) -> Vec<(String, Message<Entry>)> {
         let mut all = Vec::new();
-        if let Way::Together(p) = &mut self.way {
+        if let Replication::Replicated(p) = &mut self.way {
             p.take_outgoing_messages(&mut all);
         }
         let named = |m: Message<Entry>| Some((self.member(m.get_receiver())?.name.clone(), m));
@@ -221,7 +221,8 @@
     /// What was sent to a voter in order may not have come: the library agrees with it anew on where they stand.
     pub(crate) fn broke_off(&mut self, name: &str) {
         let number = self.configuration.voters.iter().position(|s| s.name == name).map(|at| at as NodeId + 1);
-        if let (Some(number), Way::Together(p)) = (number.filter(|n| *n != self.me), &mut self.way) {
+        if let (Some(number), Replication::Replicated(p)) = (number.filter(|n| *n != self.me), &mut self.way)
+        {
             p.reconnected(number);
         }
     }
@@ -229,7 +230,7 @@
     /// Applies what is decided. The entries that are new, and the next configuration if this one has ended.
     pub(crate) fn apply(&mut self) -> (Vec<Entry>, Option<Configuration>) {
         let mut entries = self.storage.decided_from(self.applied);
-        let end = entries.iter().position(|e| matches!(e, Entry::Seats(_)));
+        let end = entries.iter().position(|e| matches!(e, Entry::Reconfigure(_)));
         entries.truncate(end.map_or(entries.len(), |at| at + 1));
         for entry in &entries {
             self.policy_state.apply(entry);
@@ -237,7 +238,7 @@
         self.applied += entries.len();
         let number = self.configuration.number + 1;
         let next = match entries.last() {
-            Some(Entry::Seats(members)) => Some(Configuration {
+            Some(Entry::Reconfigure(members)) => Some(Configuration {
                 number,
                 voters: members.clone(),
                 initial_state: self.policy_state.clone(),
@@ -250,46 +251,47 @@
     // ---- Confirming ------------------------------------------------------------------------------
 
     /// Begins a round, as leader; the message goes to all other voters. `None`: one is under way.
-    pub(crate) fn ask_to_confirm(&mut self, now: Duration) -> Option<Confirm> {
+    pub(crate) fn ask_to_confirm(&mut self, now: Duration) -> Option<Heartbeat> {
         if self.round.is_some() {
             return None;
         }
         self.rounds += 1;
         let confirmed = BTreeSet::from([self.me]);
-        self.round = Some(Round { number: self.rounds, sent: now, confirmed });
+        self.round = Some(HeartbeatRound { number: self.rounds, sent: now, confirmed });
         Some(self.question())
     }
 
     /// The question of the round that is under way, if it is time to ask again.
-    pub(crate) fn ask_again(&mut self, now: Duration) -> Option<Confirm> {
-        let round = self.round.as_mut().filter(|r| now >= r.sent + timing::CONFIRM)?;
+    pub(crate) fn ask_again(&mut self, now: Duration) -> Option<Heartbeat> {
+        let round = self.round.as_mut().filter(|r| now >= r.sent + timing::HEARTBEAT_RETRY)?;
         round.sent = now;
         Some(self.question())
     }
 
-    fn question(&self) -> Confirm {
+    fn question(&self) -> Heartbeat {
         let (holds, decided) = self.reached();
-        Confirm { term: self.term(), round: self.rounds, holds, decided }
+        Heartbeat { term: self.term(), round: self.rounds, log_len: holds, decided_len: decided }
     }
 
     fn reached(&self) -> (usize, usize) {
         match &self.way {
-            Way::Alone => (self.applied, self.applied),
-            Way::Together(p) => (p.get_accepted_idx(), p.get_decided_idx()),
+            Replication::SingleVoter => (self.applied, self.applied),
+            Replication::Replicated(p) => (p.get_accepted_idx(), p.get_decided_idx()),
         }
     }
 
     /// A leader asks: whether this voter has promised nobody newer.
-    pub(crate) fn asked(&mut self, now: Duration, question: &Confirm) -> bool {
+    pub(crate) fn asked(&mut self, now: Duration, question: &Heartbeat) -> bool {
         if question.term != self.term() {
             return false;
         }
         let (holds, decided) = self.reached();
-        let behind =
-            holds < question.holds || decided < question.decided || question.decided < question.holds;
+        let behind = holds < question.log_len
+            || decided < question.decided_len
+            || question.decided_len < question.log_len;
         if !behind {
             self.lags = None;
-        } else if now >= *self.lags.get_or_insert(now) + timing::LAG {
+        } else if now >= *self.lags.get_or_insert(now) + timing::LAG_TIMEOUT {
             // A message of the last exchange may have been lost for good, and nothing follows it that would show the gap.
             self.lags = None;
             let leader = self.leader().unwrap_or_default().to_owned();
--- a/crates/consensus/src/wire.rs
+++ b/crates/consensus/src/wire.rs
@@ -4,8 +4,8 @@
 //! A frame is `slAC`, a version, the length of what follows the checksum, the checksum, the content. A frame is taken whole or not at all.
 
 use crate::configuration::Configuration;
-use crate::policy_state::{Outcome, Proposal};
-use crate::voter::{Confirm, Term};
+use crate::policy_state::{Proposal, ProposalOutcome};
+use crate::voter::{Heartbeat, Term};
 use crate::{policy_state::Entry, timing};
 use omnipaxos::messages::Message;
 use serde::{Deserialize, Serialize};
@@ -17,8 +17,8 @@
 /// The version that this build speaks. Another one is refused and named.
 pub const VERSION: u8 = 1;
 /// The longest frame: the longest policy some times over, as a state carries earlier ones.
-pub const LONGEST: usize = 32 << 20;
-const FRONT: usize = 13;
+pub const MAX_FRAME_LEN: usize = 32 << 20;
+const FRAME_HEADER_LEN: usize = 13;
 
 /// One life of a router.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
@@ -28,12 +28,12 @@
     /// Its disk; 0: it has none.
     pub disk: u64,
     /// Drawn at its start.
-    pub life: u64,
+    pub incarnation: u64,
 }
 
 /// A router asks whether it may take requests by its epoch, and says how it stands.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Ask {
+pub struct LeaseRequest {
     /// Numbers the question; the answer counts from when it was asked.
     pub nonce: u64,
     /// The epoch that it acts by; 0: none yet.
@@ -45,9 +45,9 @@
     /// The change that it has tried, and why it can't take it, if it can't.
     pub tried: Option<(String, Option<String>)>,
     /// It has given up whatever was answered to questions before this one, and wants short leases alone; 0: it has not.
-    pub since: u64,
+    pub short_leases_since: u64,
     /// It takes no requests any more, and wants no answer.
-    pub gone: bool,
+    pub released: bool,
 }
 
 /// A change that a router is to try.
@@ -83,7 +83,7 @@
     /// The configuration and the entries in it that this is the state after.
     pub version: (u32, u64),
     /// How the last changes ended, where the router's version is another.
-    pub recent: Option<Vec<Outcome>>,
+    pub recent: Option<Vec<ProposalOutcome>>,
     /// Who votes.
     pub voters: Vec<String>,
 }
@@ -108,25 +108,25 @@
     /// Between voters of one configuration.
     Vote(u32, Message<Entry>),
     /// A leader asks the voters whether it leads.
-    Confirm(Confirm),
+    Heartbeat(Heartbeat),
     /// It does, as far as this voter has promised.
-    Confirmed(Term, u64),
+    HeartbeatAck(Term, u64),
     /// A router asks.
-    Ask(Ask),
+    LeaseRequest(LeaseRequest),
     /// A voter that does not lead hands a question on.
-    Relay(Peer, Ask),
+    ForwardedLeaseRequest(Peer, LeaseRequest),
     /// The leader answers.
     Grant(Grant),
     /// The answer to a question that was handed on: to be handed back to the router of this name.
-    Pass(String, Grant),
+    ForwardedGrant(String, Grant),
     /// An operator's word.
-    Say(OperatorRequest),
+    OperatorRequest(OperatorRequest),
     /// A founder without a configuration, with the policy that its file has.
-    Founding(String),
+    Bootstrap(String),
     /// The sender's configuration has ended, or it has none: it asks for the present one.
-    Want(u32),
+    ConfigurationRequest(u32),
     /// The present configuration.
-    State(Configuration),
+    Configuration(Configuration),
 }
 
 /// A frame's content.
@@ -142,39 +142,39 @@
 
 /// Why bytes are not a frame.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Bad {
+pub enum FrameError {
     /// They don't begin as one.
-    Noise,
+    NotAFrame,
     /// Another version.
     Version(u8),
     /// Longer than is taken.
-    Long(usize),
+    TooLong(usize),
     /// Changed or cut short on the way.
     Checksum,
     /// The checksum is right and the content is not.
-    Content,
+    Malformed,
 }
 
-impl fmt::Display for Bad {
+impl fmt::Display for FrameError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Bad::Noise => f.write_str("not a frame about policy"),
-            Bad::Version(found) => write!(f, "version {found}: expected {VERSION}"),
-            Bad::Long(n) => write!(f, "{n} bytes: expected {LONGEST} at most"),
-            Bad::Checksum => f.write_str("changed or cut short on the way"),
-            Bad::Content => f.write_str("a whole frame that can't be read"),
+            FrameError::NotAFrame => f.write_str("not a frame about policy"),
+            FrameError::Version(found) => write!(f, "version {found}: expected {VERSION}"),
+            FrameError::TooLong(n) => write!(f, "{n} bytes: expected {MAX_FRAME_LEN} at most"),
+            FrameError::Checksum => f.write_str("changed or cut short on the way"),
+            FrameError::Malformed => f.write_str("a whole frame that can't be read"),
         }
     }
 }
 
-impl std::error::Error for Bad {}
+impl std::error::Error for FrameError {}
 
 impl Frame {
     /// The bytes.
     pub fn encode(&self) -> Vec<u8> {
         // Writing into memory fails for types that say their length only later; there are none here.
         let content = postcard::to_stdvec(self).unwrap_or_default();
-        let mut out = Vec::with_capacity(FRONT + content.len());
+        let mut out = Vec::with_capacity(FRAME_HEADER_LEN + content.len());
         out.extend(MAGIC);
         out.push(VERSION);
         out.extend((content.len() as u32).to_be_bytes());
@@ -187,29 +187,29 @@
     ///
     /// # Errors
     /// Why there is none.
-    pub fn decode(bytes: &[u8]) -> Result<Option<(Frame, usize)>, Bad> {
+    pub fn decode(bytes: &[u8]) -> Result<Option<(Frame, usize)>, FrameError> {
         let known = bytes.len().min(4);
         if bytes[..known] != MAGIC[..known] {
-            return Err(Bad::Noise);
+            return Err(FrameError::NotAFrame);
         }
         if let Some(version) = bytes.get(4).filter(|v| **v != VERSION) {
-            return Err(Bad::Version(*version));
+            return Err(FrameError::Version(*version));
         }
-        let Some(front) = bytes.get(5..FRONT) else { return Ok(None) };
+        let Some(front) = bytes.get(5..FRAME_HEADER_LEN) else { return Ok(None) };
         let (len, told) = front.split_at(4);
         let len = len.iter().fold(0_usize, |n, b| n << 8 | usize::from(*b));
-        if len > LONGEST {
-            return Err(Bad::Long(len));
+        if len > MAX_FRAME_LEN {
+            return Err(FrameError::TooLong(len));
         }
-        let Some(content) = bytes.get(FRONT..FRONT + len) else { return Ok(None) };
+        let Some(content) = bytes.get(FRAME_HEADER_LEN..FRAME_HEADER_LEN + len) else { return Ok(None) };
         if told != (xxh3_64(content) as u32).to_be_bytes() {
-            return Err(Bad::Checksum);
+            return Err(FrameError::Checksum);
         }
-        let frame: Frame = postcard::from_bytes(content).map_err(|_| Bad::Content)?;
+        let frame: Frame = postcard::from_bytes(content).map_err(|_| FrameError::Malformed)?;
         if frame.from.name.len() > 64 || frame.fleet.len() > 64 {
-            return Err(Bad::Content);
+            return Err(FrameError::Malformed);
         }
-        Ok(Some((frame, FRONT + len)))
+        Ok(Some((frame, FRAME_HEADER_LEN + len)))
     }
 }
 
@@ -225,7 +225,7 @@
     /// Whether it is within what is taken.
     pub(crate) fn fits(&self) -> bool {
         match self {
-            OperatorRequest::Propose(p) => p.text.len() <= timing::TEXT && p.id.len() <= 64,
+            OperatorRequest::Propose(p) => p.text.len() <= timing::MAX_POLICY_LEN && p.id.len() <= 64,
             OperatorRequest::Replace { old, new } => {
                 old.len() <= 64 && new.as_ref().is_none_or(|n| n.len() <= 64)
             }
--- a/crates/consensus/src/wire/tests.rs
+++ b/crates/consensus/src/wire/tests.rs
@@ -3,63 +3,71 @@
 
 #[test]
 fn a_frame_comes_back_from_any_pieces_and_changed_bytes_are_refused() {
-    let from = Peer { name: "a".into(), disk: 3, life: 4 };
-    let ask = Ask { nonce: 7, tried: Some(("x".into(), None)), ..Ask::default() };
-    let bytes = Frame { fleet: "f".into(), from: from.clone(), body: Body::Ask(ask.clone()) }.encode();
+    let from = Peer { name: "a".into(), disk: 3, incarnation: 4 };
+    let ask = LeaseRequest { nonce: 7, tried: Some(("x".into(), None)), ..LeaseRequest::default() };
+    let bytes =
+        Frame { fleet: "f".into(), from: from.clone(), body: Body::LeaseRequest(ask.clone()) }.encode();
     for cut in 0..bytes.len() {
         assert!(matches!(Frame::decode(&bytes[..cut]), Ok(None)), "cut at {cut}");
     }
     let (frame, used) = Frame::decode(&[&bytes[..], b"more"].concat()).expect("good").expect("whole");
     assert_eq!((frame.from, used), (from, bytes.len()));
-    assert!(matches!(frame.body, Body::Ask(a) if a == ask));
+    assert!(matches!(frame.body, Body::LeaseRequest(a) if a == ask));
     for at in 0..bytes.len() {
         let mut bad = bytes.clone();
         bad[at] ^= 1;
         assert!(!matches!(Frame::decode(&bad), Ok(Some(_))), "byte {at}");
     }
-    assert_eq!(Frame::decode(b"slFT").err(), Some(Bad::Noise));
+    assert_eq!(Frame::decode(b"slFT").err(), Some(FrameError::NotAFrame));
 }
 
 /// One frame of each kind as the build before issue 50 sent them. Never generated again.
 const FRAMES: &[u8] = include_bytes!("../../tests/data/wire-frames.bin");
 
 fn sent_peer(name: &str) -> Peer {
-    Peer { name: name.into(), disk: 300, life: u64::MAX }
+    Peer { name: name.into(), disk: 300, incarnation: u64::MAX }
 }
 
 fn sent_proposal() -> Proposal {
-    Proposal { id: "x".into(), text: "policy".into(), from: "router-b".into(), wall: 9, on: 2, back: Some(1) }
+    Proposal {
+        id: "x".into(),
+        text: "policy".into(),
+        from: "router-b".into(),
+        submitted_unix_s: 9,
+        base_epoch: 2,
+        restores_epoch: Some(1),
+    }
 }
 
 fn sent_term() -> Term {
     Term { configuration: 7, ballot: 5, voter: 2 }
 }
 
-fn sent_rejection() -> policy_state::No {
-    policy_state::No { router: "router-c".into(), why: "expected a time".into() }
+fn sent_rejection() -> policy_state::Rejection {
+    policy_state::Rejection { router: "router-c".into(), reason: "expected a time".into() }
 }
 
-fn sent_ask() -> Ask {
-    Ask {
+fn sent_ask() -> LeaseRequest {
+    LeaseRequest {
         nonce: 1,
         epoch: 2,
         digest: 3,
         version: (4, 5),
         tried: Some(("x".into(), Some("expected a time".into()))),
-        since: 6,
-        gone: true,
+        short_leases_since: 6,
+        released: true,
     }
 }
 
 fn sent_grant() -> Grant {
-    let outcome = Outcome {
+    let outcome = ProposalOutcome {
         id: "w".into(),
         from: "router-b".into(),
-        wall: 8,
+        submitted_unix_s: 8,
         digest: 9,
         epoch: Some(2),
-        back: Some(1),
-        noes: vec![sent_rejection()],
+        restores_epoch: Some(1),
+        rejections: vec![sent_rejection()],
     };
     Grant {
         nonce: 1,
@@ -93,9 +101,9 @@
     use omnipaxos::util::SequenceNumber;
     let entries = vec![
         Entry::Propose(sent_proposal()),
-        Entry::Settle("x".into(), policy_state::Verdict::InForce),
-        Entry::Settle("y".into(), policy_state::Verdict::Dropped(vec![sent_rejection()])),
-        Entry::Seats(sent_state().voters),
+        Entry::Decide("x".into(), policy_state::Decision::InForce),
+        Entry::Decide("y".into(), policy_state::Decision::Dropped(vec![sent_rejection()])),
+        Entry::Reconfigure(sent_state().voters),
     ];
     let accept = PaxosMsg::AcceptDecide(AcceptDecide {
         n: Ballot::with(7, 5, 1, 2),
@@ -111,24 +119,24 @@
 }
 
 fn sent_bodies() -> Vec<Body> {
-    let confirm = Confirm { term: sent_term(), round: 1, holds: 2, decided: 3 };
+    let confirm = Heartbeat { term: sent_term(), round: 1, log_len: 2, decided_len: 3 };
     let replace = |new| OperatorRequest::Replace { old: "router-c".into(), new };
     let [accept, heartbeat] = sent_votes();
     vec![
         Body::Vote(7, accept),
         Body::Vote(7, heartbeat),
-        Body::Confirm(confirm),
-        Body::Confirmed(sent_term(), 1),
-        Body::Ask(sent_ask()),
-        Body::Relay(sent_peer("router-d"), sent_ask()),
+        Body::Heartbeat(confirm),
+        Body::HeartbeatAck(sent_term(), 1),
+        Body::LeaseRequest(sent_ask()),
+        Body::ForwardedLeaseRequest(sent_peer("router-d"), sent_ask()),
         Body::Grant(sent_grant()),
-        Body::Pass("router-d".into(), sent_grant()),
-        Body::Say(OperatorRequest::Propose(sent_proposal())),
-        Body::Say(replace(None)),
-        Body::Say(replace(Some("router-e".into()))),
-        Body::Founding("policy".into()),
-        Body::Want(6),
-        Body::State(sent_state()),
+        Body::ForwardedGrant("router-d".into(), sent_grant()),
+        Body::OperatorRequest(OperatorRequest::Propose(sent_proposal())),
+        Body::OperatorRequest(replace(None)),
+        Body::OperatorRequest(replace(Some("router-e".into()))),
+        Body::Bootstrap("policy".into()),
+        Body::ConfigurationRequest(6),
+        Body::Configuration(sent_state()),
     ]
 }
 
--- a/crates/consensus/tests/common/mod.rs
+++ b/crates/consensus/tests/common/mod.rs
@@ -2,7 +2,9 @@
 
 #![allow(dead_code)]
 
-use slipreel_consensus::{storage, Consensus, Cut, Disk, Others, PolicyHandle, Settings, Start};
+use slipreel_consensus::{
+    storage, Consensus, ConsensusConfig, Disk, PartitionMode, PeerDirectory, PolicyHandle, Startup,
+};
 use slipreel_state_machine::{Input, Machine, Output};
 use slipreel_test_servers::memory::{Delays, World};
 use std::net::SocketAddr;
@@ -144,7 +146,7 @@
 
 pub struct Fixed(pub usize);
 
-impl Others for Fixed {
+impl PeerDirectory for Fixed {
     fn address(&self, name: &str) -> Option<SocketAddr> {
         name.strip_prefix('r').and_then(|n| n.parse().ok()).filter(|n| *n < self.0).map(addr)
     }
@@ -220,13 +222,13 @@
     pub fn build(&mut self, r: usize, policy: &str) -> Consensus {
         self.lives += 1;
         let handle = Arc::new(PolicyHandle::default());
-        let settings = Settings {
+        let settings = ConsensusConfig {
             fleet: "f".into(),
             name: format!("r{r}"),
             founders: (0..self.founders).map(|n| format!("r{n}")).collect(),
             policy: policy.into(),
-            cut: Cut::Refuse,
-            datagram: 1_200,
+            partition_mode: PartitionMode::Refuse,
+            max_datagram_len: 1_200,
         };
         let bad = format!("bad for r{r}");
         let attempt = move |text: &str| {
@@ -236,13 +238,13 @@
                 Ok(Arc::new(text.to_owned()) as slipreel_consensus::Made)
             }
         };
-        let start = Start {
-            found: Some(storage::read(&self.disks[r].after_crash())),
+        let start = Startup {
+            stored: Some(storage::read(&self.disks[r].after_crash())),
             disk: Box::new(self.disks[r].clone()),
-            attempt: Box::new(attempt),
-            others: Box::new(Fixed(self.len())),
+            compiler: Box::new(attempt),
+            directory: Box::new(Fixed(self.len())),
             seed: self.lives.wrapping_mul(0x9e37_79b9_7f4a_7c15),
-            wall_ahead: Duration::from_secs(1_700_000_000),
+            unix_time_at_zero: Duration::from_secs(1_700_000_000),
             handle: handle.clone(),
         };
         *self.disks[r].1.lock().expect("no panic under it") = Counts::default();
--- a/crates/consensus/tests/explore.rs
+++ b/crates/consensus/tests/explore.rs
@@ -9,7 +9,8 @@
 use slipreel_consensus::storage::{file_of, read};
 use slipreel_consensus::wire::OperatorRequest;
 use slipreel_consensus::{
-    Configuration, Consensus, Cut, Disk, Others, PolicyHandle, ProposalStatus, Settings, Start, VoterIdentity,
+    Configuration, Consensus, ConsensusConfig, Disk, PartitionMode, PeerDirectory, PolicyHandle,
+    ProposalStatus, Startup, VoterIdentity,
 };
 use slipreel_state_machine::{ConnId, ConnectionLoss, Input, ListenerId, Machine, Output};
 use stateright::{Checker, Model, Property};
@@ -49,7 +50,7 @@
 
 struct All;
 
-impl Others for All {
+impl PeerDirectory for All {
     fn address(&self, name: &str) -> Option<SocketAddr> {
         name.strip_prefix('r').and_then(|n| n.parse().ok()).map(addr)
     }
@@ -139,31 +140,37 @@
             lab.next();
         }
         assert_eq!(lab.epochs(), [1; N]);
-        let p =
-            Proposal { id: "x".into(), text: "two".into(), from: "r2".into(), wall: 0, on: 0, back: None };
-        assert!(lab.boards[2].say(OperatorRequest::Propose(p)));
+        let p = Proposal {
+            id: "x".into(),
+            text: "two".into(),
+            from: "r2".into(),
+            submitted_unix_s: 0,
+            base_epoch: 0,
+            restores_epoch: None,
+        };
+        assert!(lab.boards[2].submit(OperatorRequest::Propose(p)));
         lab
     }
 
     fn start(&mut self, r: usize) {
         self.lives += 1;
         let handle = Arc::new(PolicyHandle::default());
-        let settings = Settings {
+        let settings = ConsensusConfig {
             fleet: "f".into(),
             name: format!("r{r}"),
             founders: (0..N).map(|n| format!("r{n}")).collect(),
             policy: "one".into(),
-            cut: Cut::Refuse,
-            datagram: 1_200,
+            partition_mode: PartitionMode::Refuse,
+            max_datagram_len: 1_200,
         };
         let found = read(&self.plates[r].0.lock().expect("no panic under it"));
-        let start = Start {
-            found: Some(found),
+        let start = Startup {
+            stored: Some(found),
             disk: Box::new(self.plates[r].clone()),
-            attempt: Box::new(|text| Ok(Arc::new(text.to_owned()) as slipreel_consensus::Made)),
-            others: Box::new(All),
+            compiler: Box::new(|text| Ok(Arc::new(text.to_owned()) as slipreel_consensus::Made)),
+            directory: Box::new(All),
             seed: self.lives.wrapping_mul(0x9e37_79b9_7f4a_7c15),
-            wall_ahead: Duration::ZERO,
+            unix_time_at_zero: Duration::ZERO,
             handle: handle.clone(),
         };
         self.boards[r] = handle;
@@ -321,7 +328,7 @@
         self.down.is_none()
             && self.sent.is_empty()
             && self.epochs().iter().all(|e| *e == self.newest.0)
-            && self.boards.iter().all(|b| b.shown().pending.is_none())
+            && self.boards.iter().all(|b| b.status().pending.is_none())
             && self.newest.0 == 2
     }
 
@@ -392,7 +399,8 @@
                 _ => (0, Lab::new()),
             };
             path[done..].iter().for_each(|c| lab.choose(*c));
-            let stands: Vec<ProposalStatus> = lab.boards.iter().map(|b| b.shown().stands("x")).collect();
+            let stands: Vec<ProposalStatus> =
+                lab.boards.iter().map(|b| b.status().proposal_status("x")).collect();
             let in_force = stands.iter().any(|s| matches!(s, ProposalStatus::InForce(_)));
             let state = State {
                 path: path.to_vec(),
--- a/crates/consensus/tests/steps.rs
+++ b/crates/consensus/tests/steps.rs
@@ -13,8 +13,15 @@
 const OVERLAP: Duration = Duration::from_millis(81);
 
 fn propose(routers: &Routers, at: usize, id: &str, text: &str) -> bool {
-    let p = Proposal { id: id.into(), text: text.into(), from: format!("r{at}"), wall: 0, on: 0, back: None };
-    routers.boards[at].say(OperatorRequest::Propose(p))
+    let p = Proposal {
+        id: id.into(),
+        text: text.into(),
+        from: format!("r{at}"),
+        submitted_unix_s: 0,
+        base_epoch: 0,
+        restores_epoch: None,
+    };
+    routers.boards[at].submit(OperatorRequest::Propose(p))
 }
 
 /// Three voters and one that does not vote yet, up and settled.
@@ -56,7 +63,8 @@
     }
     let epochs = routers.epochs();
     assert!(epochs.iter().all(|e| *e == epochs[0] && *e > 0), "{at:?} of r{victim}: {epochs:?}");
-    let stands: Vec<ProposalStatus> = (0..3).map(|r| routers.boards[r].shown().stands("x")).collect();
+    let stands: Vec<ProposalStatus> =
+        (0..3).map(|r| routers.boards[r].status().proposal_status("x")).collect();
     assert!(stands.iter().all(|s| *s == stands[0]), "{at:?} of r{victim}: {stands:?}");
     if epochs[0] == 2 {
         assert_eq!(stands[0], ProposalStatus::InForce(2), "{at:?} of r{victim}");
--- a/crates/consensus/tests/thin.rs
+++ b/crates/consensus/tests/thin.rs
@@ -8,8 +8,15 @@
 use slipreel_consensus::ProposalStatus;
 
 fn propose(routers: &Routers, at: usize, id: &str, text: &str) {
-    let p = Proposal { id: id.into(), text: text.into(), from: format!("r{at}"), wall: 0, on: 0, back: None };
-    assert!(routers.boards[at].say(OperatorRequest::Propose(p)));
+    let p = Proposal {
+        id: id.into(),
+        text: text.into(),
+        from: format!("r{at}"),
+        submitted_unix_s: 0,
+        base_epoch: 0,
+        restores_epoch: None,
+    };
+    assert!(routers.boards[at].submit(OperatorRequest::Propose(p)));
 }
 
 fn up(n: usize, founders: usize) -> Routers {
@@ -29,10 +36,10 @@
         propose(&routers, n - 1, "x", "two");
         routers.run(ms(5_000));
         assert_eq!(routers.epochs(), vec![2; n], "{n} routers: {:?}", routers.boards[0]);
-        assert_eq!(routers.boards[n - 1].shown().stands("x"), ProposalStatus::InForce(2));
+        assert_eq!(routers.boards[n - 1].status().proposal_status("x"), ProposalStatus::InForce(2));
         routers.run(ms(30_000));
         assert_eq!(routers.epochs(), vec![2; n]);
-        let voters = routers.boards[0].shown().voters.len();
+        let voters = routers.boards[0].status().voters.len();
         assert_eq!(voters, n.min(9), "up to nine vote");
     }
 }
@@ -45,8 +52,10 @@
     routers.run(ms(1_000));
     assert_eq!(routers.epochs(), [1, 1, 1]);
     for handle in &routers.boards {
-        let ProposalStatus::Dropped(outcome) = handle.shown().stands("x") else { panic!("{handle:?}") };
-        assert_eq!((outcome.noes.len(), outcome.noes[0].router.as_str()), (1, "r2"));
+        let ProposalStatus::Dropped(outcome) = handle.status().proposal_status("x") else {
+            panic!("{handle:?}")
+        };
+        assert_eq!((outcome.rejections.len(), outcome.rejections[0].router.as_str()), (1, "r2"));
     }
 }
 
@@ -63,7 +72,7 @@
     assert_eq!(routers.epochs(), [0, 0, 0], "nobody knows yet");
     routers.run(ms(4_000));
     assert_eq!(routers.epochs(), [2, 2, 2]);
-    assert_eq!(routers.boards[2].shown().text, "two");
+    assert_eq!(routers.boards[2].status().text, "two");
 }
 
 #[test]
@@ -99,7 +108,10 @@
     let before = routers.world.handled();
     routers.run(ms(2_000));
     // Its end waits for the dead one's lease. What is due by time alone is due once, not at every moment after.
-    assert_eq!(routers.boards[leader].shown().stands("x"), ProposalStatus::Pending(vec![format!("r{dead}")]));
+    assert_eq!(
+        routers.boards[leader].status().proposal_status("x"),
+        ProposalStatus::Pending(vec![format!("r{dead}")])
+    );
     let handled = routers.world.handled() - before;
     assert!(handled < 6_000, "{handled} inputs in two seconds");
 }
@@ -115,7 +127,7 @@
     assert_eq!(routers.epochs()[other], 0, "it takes nothing any more");
     propose(&routers, leader, "x", "two");
     routers.run(ms(200));
-    assert_eq!(routers.boards[leader].shown().stands("x"), ProposalStatus::InForce(2));
+    assert_eq!(routers.boards[leader].status().proposal_status("x"), ProposalStatus::InForce(2));
 }
 
 #[test]
--- a/crates/fault-injection/src/bend.rs
+++ b/crates/fault-injection/src/bend.rs
@@ -49,7 +49,7 @@
             return None;
         }
         let (mut frame, _) = Frame::decode(bytes).ok()??;
-        let (Body::Grant(grant) | Body::Pass(_, grant)) = &mut frame.body else { return None };
+        let (Body::Grant(grant) | Body::ForwardedGrant(_, grant)) = &mut frame.body else { return None };
         match (self, grant.trial.take()) {
             (Bend::LongLease, trial) => {
                 grant.lease_ms = grant.lease_ms.saturating_mul(40);
--- a/crates/fault-injection/src/memory.rs
+++ b/crates/fault-injection/src/memory.rs
@@ -12,7 +12,10 @@
 use rand_xoshiro::Xoshiro256PlusPlus;
 use slipreel_consensus::policy_state::Proposal;
 use slipreel_consensus::wire::OperatorRequest;
-use slipreel_consensus::{ByView, Consensus, Cut, Made, Member, Permit, PolicyHandle, ProposalStatus, Start};
+use slipreel_consensus::{
+    Consensus, Made, Member, MembershipDirectory, PartitionMode, Permit, PolicyHandle, ProposalStatus,
+    Startup,
+};
 use slipreel_gateway::{Front, Sharing};
 use slipreel_invariants::policy::Said;
 use slipreel_membership::{Board, Fleet, Kept, Peers, Settings};
@@ -165,26 +168,26 @@
         }
         let text = self.own_text(r);
         let policy = slipreel_settings::policy_of(&text, "own").map(|p| p.text).unwrap_or_default();
-        let settings = slipreel_consensus::Settings {
+        let settings = slipreel_consensus::ConsensusConfig {
             fleet: "ground".into(),
             name: format!("r{r}"),
             founders: (0..self.script.founders).map(|f| format!("r{f}")).collect(),
             policy,
-            cut: self.script.cut,
-            datagram: self.script.datagram,
+            partition_mode: self.script.cut,
+            max_datagram_len: self.script.datagram,
         };
         let attempt = move |policy: &str| match slipreel_settings::join(&text, "own", policy) {
             Ok(daemon) => Ok(Arc::new(daemon.site) as Made),
             Err(faults) => Err(faults.iter().map(ToString::to_string).collect::<Vec<_>>().join("; ")),
         };
         let router = &self.routers[r];
-        let start = Start {
-            found: Some(slipreel_consensus::storage::read(&router.platter.found())),
+        let start = Startup {
+            stored: Some(slipreel_consensus::storage::read(&router.platter.found())),
             disk: Box::new(router.platter.clone()),
-            attempt: Box::new(attempt),
-            others: Box::new(ByView(view.clone())),
+            compiler: Box::new(attempt),
+            directory: Box::new(MembershipDirectory(view.clone())),
             seed: self.rng.next_u64(),
-            wall_ahead: WALL,
+            unix_time_at_zero: WALL,
             handle: router.policy.clone(),
         };
         Some(Consensus::new(settings, start, now))
@@ -194,7 +197,12 @@
     fn misled(&mut self, r: usize, now: Duration) {
         let made = slipreel_settings::parse(&self.own_text(r), "own").ok().map(|d| Arc::new(d.site) as Made);
         let board = Arc::new(PolicyHandle::default());
-        board.allow(Permit { epoch: 1, until: now + Duration::from_secs(3_600), made, cut: Cut::Refuse });
+        board.set_permit(Permit {
+            epoch: 1,
+            until: now + Duration::from_secs(3_600),
+            policy: made,
+            partition_mode: PartitionMode::Refuse,
+        });
         self.world.news(self.routers[r].front, &board);
     }
 
@@ -213,7 +221,7 @@
                     self.routers[r].goes_back = Some((at, old));
                 } else {
                     let board = Arc::new(PolicyHandle::default());
-                    board.allow(Permit { until: now + Duration::from_secs(3_600), ..old });
+                    board.set_permit(Permit { until: now + Duration::from_secs(3_600), ..old });
                     self.world.news(self.routers[r].front, &board);
                 }
             }
@@ -383,14 +391,14 @@
     }
 
     fn policy_sight(&mut self, r: usize) -> Option<PolicySight> {
-        let (shown, permit) = (self.routers[r].policy.shown(), self.routers[r].policy.permit());
+        let (shown, permit) = (self.routers[r].policy.status(), self.routers[r].policy.permit());
         Some(PolicySight {
             epoch: shown.epoch,
             digest: format!("{:016x}", shown.digest),
             serving: permit.holds(self.world.now()),
             pending: shown.pending.as_ref().map(|(id, _)| id.clone()),
             voters: shown.voters.clone(),
-            stuck: crate::history::is_stuck(shown.trouble.iter().map(String::as_str)),
+            stuck: crate::history::is_stuck(shown.faults.iter().map(String::as_str)),
         })
     }
 
@@ -399,25 +407,30 @@
         let board = &self.routers[propose.to].policy;
         let word = match propose.wish {
             Wish::Replace(r) => OperatorRequest::Replace { old: format!("r{r}"), new: None },
-            Wish::Back(epoch) => match board.shown().back_to(epoch, id, 0) {
+            Wish::Back(epoch) => match board.status().rollback_proposal(epoch, id, 0) {
                 Some(p) => OperatorRequest::Propose(p),
                 None => return false,
             },
             Wish::Change | Wish::Bad => match own::policy(self.script, propose) {
-                Some(text) => {
-                    OperatorRequest::Propose(Proposal { id, text, from, wall: 0, on: 0, back: None })
-                }
+                Some(text) => OperatorRequest::Propose(Proposal {
+                    id,
+                    text,
+                    from,
+                    submitted_unix_s: 0,
+                    base_epoch: 0,
+                    restores_epoch: None,
+                }),
                 None => return false,
             },
         };
-        board.say(word)
+        board.submit(word)
     }
 
     fn heard(&mut self, r: usize, id: &str) -> Option<Said> {
-        let said = match self.routers[r].policy.shown().stands(id) {
+        let said = match self.routers[r].policy.status().proposal_status(id) {
             ProposalStatus::InForce(epoch) => Said::InForce(epoch),
             ProposalStatus::Dropped(_) if self.bend(r) == Some(Bend::Liar) => Said::InForce(99),
-            ProposalStatus::Dropped(o) => Said::Dropped(format!("{:?}", o.noes)),
+            ProposalStatus::Dropped(o) => Said::Dropped(format!("{:?}", o.rejections)),
             ProposalStatus::Pending(_) => Said::Pending,
             ProposalStatus::Unknown => Said::Unknown,
         };
--- a/crates/fault-injection/src/own.rs
+++ b/crates/fault-injection/src/own.rs
@@ -34,7 +34,7 @@
     );
     if script.founders > 0 {
         let founders: Vec<String> = (0..script.founders).map(|f| format!("r{f}")).collect();
-        let cut = if script.cut == slipreel_consensus::Cut::Serve { "serve" } else { "refuse" };
+        let cut = if script.cut == slipreel_consensus::PartitionMode::Serve { "serve" } else { "refuse" };
         let _ = writeln!(text, "founders = {}\ncut = {cut}", founders.join(", "));
     }
     if let Some(book) = own.book {
--- a/crates/fault-injection/src/platter.rs
+++ b/crates/fault-injection/src/platter.rs
@@ -2,7 +2,7 @@
 
 use slipreel_consensus::log::frame;
 use slipreel_consensus::policy_state::PolicyState;
-use slipreel_consensus::storage::{file_of, read, Found};
+use slipreel_consensus::storage::{file_of, read, StoredState};
 use slipreel_consensus::{Configuration, Disk};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
@@ -71,7 +71,7 @@
 /// A file without the state that its configuration begins on.
 fn emptied(file: &[u8]) -> Vec<u8> {
     match read(file) {
-        Ok(Found { disk: Some(disk), configuration: Some((configuration, _)), .. }) => {
+        Ok(StoredState { disk: Some(disk), configuration: Some((configuration, _)), .. }) => {
             file_of(disk, &Configuration { initial_state: PolicyState::default(), ..configuration })
         }
         _ => file.to_vec(),
--- a/crates/fault-injection/src/policy.rs
+++ b/crates/fault-injection/src/policy.rs
@@ -76,9 +76,9 @@
     script: &Script, history: &History, records: &[Record], tracks: &[Track], up: &[usize],
 ) -> PolicyOutcome {
     let overlap = match script.cut {
-        slipreel_consensus::Cut::Refuse => timing::surely(timing::SHORT) + WIRE,
+        slipreel_consensus::PartitionMode::Refuse => timing::with_clock_drift(timing::SHORT_LEASE) + WIRE,
         // They go on by the old one for as long as they are cut off: that is what was chosen.
-        slipreel_consensus::Cut::Serve => Duration::MAX,
+        slipreel_consensus::PartitionMode::Serve => Duration::MAX,
     };
     let verdict = slipreel_invariants::policy::judge(records, overlap, true);
     let mut outcome = PolicyOutcome { verdict, ..PolicyOutcome::default() };
--- a/crates/fault-injection/src/script.rs
+++ b/crates/fault-injection/src/script.rs
@@ -5,7 +5,7 @@
 
 use rand_xoshiro::rand_core::{RngCore, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
-use slipreel_consensus::Cut;
+use slipreel_consensus::PartitionMode;
 use slipreel_scenario::{read_day_parts, Day, DAY_SECTIONS};
 use slipreel_settings::{Doc, Fault as Wrong, Value};
 use std::time::Duration;
@@ -204,7 +204,7 @@
     /// How many of the first routers found a policy; 0: none is agreed on.
     pub founders: usize,
     /// What a router does that can't know whether its policy holds.
-    pub cut: Cut,
+    pub cut: PartitionMode,
     /// A router that lists one reader and one writer alone.
     pub poor: Option<usize>,
     /// What operators do about the policy, in order.
@@ -305,8 +305,8 @@
         datagram: doc.or(at, "datagram", 1_200usize),
         faults: Vec::new(),
         traffic: doc.or(at, "traffic", true),
-        founders: doc.or(at, "founders", 0usize).min(routers).min(slipreel_consensus::timing::VOTERS),
-        cut: doc.or(at, "cut", Cut::Refuse),
+        founders: doc.or(at, "founders", 0usize).min(routers).min(slipreel_consensus::timing::MAX_VOTERS),
+        cut: doc.or(at, "cut", PartitionMode::Refuse),
         poor: doc.or(at, "poor", Whom(Vec::new())).0.first().copied(),
         proposals: read_proposals(&mut doc, routers),
         site_text: site_of(&whole),
--- a/crates/gateway/src/policy.rs
+++ b/crates/gateway/src/policy.rs
@@ -43,7 +43,7 @@
             ErrorKind::Unavailable,
             "this router can't know at present which policy is in force; another may",
         );
-        let (s, ms) = retry_after(timing::COME_BACK);
+        let (s, ms) = retry_after(timing::RETRY_AFTER);
         let fields = [("retry-after", s.as_str()), ("retry-after-ms", &ms), ("x-should-retry", "true")];
         self.turn(conn, fault.kind.status(), &fault, &fields, out);
     }
@@ -55,7 +55,7 @@
             return;
         }
         let permit = handle.permit();
-        let Some(site) = permit.made.clone().and_then(|made| made.downcast::<Site>().ok()) else { return };
+        let Some(site) = permit.policy.clone().and_then(|made| made.downcast::<Site>().ok()) else { return };
         let mut site = (*site).clone();
         // Each thread has a name of its own, and reloads may have changed what is the router's own.
         site.name.clone_from(&self.site.name);
@@ -107,7 +107,7 @@
     /// What is published of the policy, in the Prometheus text format.
     pub(crate) fn policy_metrics(&self) -> Option<String> {
         let handle = self.policy.as_ref()?;
-        let shown = handle.shown();
+        let shown = handle.status();
         let gauges = [
             ("epoch", "The epoch by which requests are taken.", self.acts_by),
             ("serving", "Whether requests are taken by it now.", u64::from(self.may_take())),
@@ -117,7 +117,7 @@
                 u64::from(shown.pending.is_some()),
             ),
             ("votes", "Whether this router votes.", u64::from(shown.votes)),
-            ("trouble", "Troubles that `policy status` names.", shown.trouble.len() as u64),
+            ("trouble", "Troubles that `policy status` names.", shown.faults.len() as u64),
             (
                 "roles_frozen",
                 "Whether operators want no engine to change its role.",
@@ -139,11 +139,11 @@
         let (method, path) = (received.method(), received.path());
         let (what, name) =
             path["/policy/".len()..].split_once('/').unwrap_or((&path["/policy/".len()..], ""));
-        let shown = handle.shown();
+        let shown = handle.status();
         let answer: Result<(u16, Value), Fault> = match (method, what, name) {
-            ("GET", "status", "") => Ok((200, shown.status(self.may_take()))),
-            ("GET", "status", id) => Ok((200, shown.outcome(id))),
-            ("GET", "history", "") => Ok((200, shown.history())),
+            ("GET", "status", "") => Ok((200, shown.status_json(self.may_take()))),
+            ("GET", "status", id) => Ok((200, shown.proposal_json(id))),
+            ("GET", "history", "") => Ok((200, shown.history_json())),
             ("GET", "text", "") => Ok((200, json!({"epoch": shown.epoch, "text": shown.text}))),
             ("POST", "propose", id) => self.propose(&handle, id, &received.body),
             ("POST", "rollback", name) => self.roll_back(&handle, name),
@@ -151,7 +151,7 @@
                 let (old, new) = name.split_once('/').map_or((name, None), |(o, n)| (o, Some(n.to_owned())));
                 if shown.voters.iter().any(|v| v == old) {
                     said(
-                        handle.say(OperatorRequest::Replace { old: old.into(), new }),
+                        handle.submit(OperatorRequest::Replace { old: old.into(), new }),
                         json!({"replaced": old}),
                     )
                 } else {
@@ -182,17 +182,23 @@
         let bad = |what: String| Fault::new(ErrorKind::InvalidRequest, what);
         check_id(id)?;
         let text = std::str::from_utf8(body).map_err(|e| bad(format!("the policy: expected UTF-8: {e}")))?;
-        if text.is_empty() || text.len() > timing::TEXT {
+        if text.is_empty() || text.len() > timing::MAX_POLICY_LEN {
             return Err(bad(format!(
                 "{} bytes: expected a policy of 1 to {} bytes",
                 text.len(),
-                timing::TEXT
+                timing::MAX_POLICY_LEN
             )));
         }
-        let from = handle.shown().name.clone();
-        let proposal =
-            Proposal { id: id.into(), text: text.into(), from, wall: self.wall(), on: 0, back: None };
-        said(handle.say(OperatorRequest::Propose(proposal)), json!({"id": id}))
+        let from = handle.status().name.clone();
+        let proposal = Proposal {
+            id: id.into(),
+            text: text.into(),
+            from,
+            submitted_unix_s: self.wall(),
+            base_epoch: 0,
+            restores_epoch: None,
+        };
+        said(handle.submit(OperatorRequest::Propose(proposal)), json!({"id": id}))
     }
 
     fn roll_back(&self, handle: &PolicyHandle, name: &str) -> Result<(u16, Value), Fault> {
@@ -201,8 +207,8 @@
         check_id(id)?;
         let epoch: u64 =
             epoch.parse().map_err(|_| bad(format!("{epoch:?}: expected the number of an epoch")))?;
-        let shown = handle.shown();
-        let proposal = shown.back_to(epoch, id.into(), self.wall()).ok_or_else(|| {
+        let shown = handle.status();
+        let proposal = shown.rollback_proposal(epoch, id.into(), self.wall()).ok_or_else(|| {
             let kept: Vec<String> = shown.texts.iter().map(|(e, _)| e.to_string()).collect();
             let who = if shown.votes {
                 "this router keeps"
@@ -211,7 +217,7 @@
             };
             bad(format!("epoch {epoch}: expected one that is kept: {who}: {}", kept.join(", ")))
         })?;
-        said(handle.say(OperatorRequest::Propose(proposal)), json!({"id": id}))
+        said(handle.submit(OperatorRequest::Propose(proposal)), json!({"id": id}))
     }
 }
 
--- a/crates/settings/src/fleet.rs
+++ b/crates/settings/src/fleet.rs
@@ -2,7 +2,7 @@
 
 use crate::doc::{Doc, Fault};
 use crate::values::{Loopback, Name, Value};
-use slipreel_consensus::Cut;
+use slipreel_consensus::PartitionMode;
 use slipreel_membership::Peers;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -26,15 +26,15 @@
     /// Who founds the fleet's policy, by name; none: each router acts by its own file.
     pub founders: Vec<String>,
     /// What a router does that can't know whether its policy still holds.
-    pub cut: Cut,
+    pub cut: PartitionMode,
 }
 
-impl Value for Cut {
+impl Value for PartitionMode {
     const EXPECTED: &'static str = "refuse or serve";
     fn read(text: &str) -> Result<Self, String> {
         match text {
-            "refuse" => Ok(Cut::Refuse),
-            "serve" => Ok(Cut::Serve),
+            "refuse" => Ok(PartitionMode::Refuse),
+            "serve" => Ok(PartitionMode::Serve),
             _ => Err(Self::EXPECTED.into()),
         }
     }
@@ -50,7 +50,7 @@
         let all: Result<Vec<String>, String> = words.map(|n| Name::read(n).map(|n| n.0)).collect();
         let all = all.map_err(|_| Self::EXPECTED.to_owned())?;
         let once = all.iter().enumerate().all(|(at, name)| !all[..at].contains(name));
-        if all.is_empty() || all.len() > slipreel_consensus::timing::VOTERS || !once {
+        if all.is_empty() || all.len() > slipreel_consensus::timing::MAX_VOTERS || !once {
             return Err(Self::EXPECTED.into());
         }
         Ok(Names(all))
@@ -120,7 +120,7 @@
         book: doc.get::<String>(at, "book").map(PathBuf::from),
         datagram: doc.or(Some(at), "datagram", Datagram(DATAGRAM)).0,
         founders: doc.or(Some(at), "founders", Names(Vec::new())).0,
-        cut: doc.or(Some(at), "cut", Cut::Refuse),
+        cut: doc.or(Some(at), "cut", PartitionMode::Refuse),
     };
     if !site.founders.is_empty() && site.folder.is_none() {
         doc.say(at, "founders", "expected a folder, too: what a voter has promised must outlive it");
