--- a/crates/cli/src/member.rs
+++ b/crates/cli/src/member.rs
@@ -6,7 +6,7 @@
 use slipreel_consensus::{ByView, Consensus, Disk, Made, Member as Machine, PolicyHandle, Start, Try};
 use slipreel_event_loop::{Clock, Command, Handle, Loop, NodeId};
 use slipreel_gateway::{Front, Sharing};
-use slipreel_membership::{Board, Fleet, Kept, Peers, Settings};
+use slipreel_membership::{Membership, MembershipSettings, Peers, SavedState, SharedView};
 use slipreel_settings::{changes, join, policy_of, Daemon, FleetSite};
 use std::io::Write;
 use std::path::{Path, PathBuf};
@@ -80,7 +80,7 @@
 
 /// What a router needs to take part in the policy, where its settings want that.
 fn consensus(
-    site: &FleetSite, name: &str, config: &Path, clock: Clock, view: &Arc<Board>,
+    site: &FleetSite, name: &str, config: &Path, clock: Clock, view: &Arc<SharedView>,
 ) -> Result<Option<(Consensus, Policy)>, Failure> {
     if site.founders.is_empty() {
         return Ok(None);
@@ -134,7 +134,7 @@
 
 /// The member of this process.
 pub(crate) struct Member {
-    board: Arc<Board>,
+    board: Arc<SharedView>,
     handle: Handle<Machine>,
     policy: Option<Policy>,
     thread: JoinHandle<()>,
@@ -142,7 +142,7 @@
     peers: Peers,
     /// The book as it was last read, to see whether it has changed.
     book: Option<String>,
-    kept: Arc<Kept>,
+    kept: Arc<SavedState>,
     written: Instant,
     failing: bool,
     routers: u32,
@@ -153,24 +153,24 @@
 }
 
 /// What the last life left; nothing if there is none, or if it can't be read, which is said.
-fn read_kept(folder: Option<&Path>) -> Kept {
-    let Some(file) = folder.map(file_of) else { return Kept::default() };
+fn read_kept(folder: Option<&Path>) -> SavedState {
+    let Some(file) = folder.map(file_of) else { return SavedState::default() };
     let text = match std::fs::read_to_string(&file) {
         Ok(text) => text,
-        Err(e) if e.kind() == std::io::ErrorKind::NotFound => return Kept::default(),
+        Err(e) if e.kind() == std::io::ErrorKind::NotFound => return SavedState::default(),
         Err(e) => {
             tracing::warn!(file = %file.display(), why = %e, "what the last life left can't be read; starts without it");
-            return Kept::default();
+            return SavedState::default();
         }
     };
-    Kept::decode(&text).unwrap_or_else(|why| {
+    SavedState::decode(&text).unwrap_or_else(|why| {
         tracing::warn!(file = %file.display(), %why, "what the last life left is not taken; starts without it");
-        Kept::default()
+        SavedState::default()
     })
 }
 
 /// Writes the file so that it is never half there: another file, synced, takes its place, and the folder is synced.
-fn write_kept(folder: &Path, kept: &Kept) -> std::io::Result<()> {
+fn write_kept(folder: &Path, kept: &SavedState) -> std::io::Result<()> {
     std::fs::create_dir_all(folder)?;
     let (file, new) = (file_of(folder), folder.join("fleet.new"));
     let mut out = std::fs::File::create(&new)?;
@@ -195,18 +195,18 @@
         let Some(site) = daemon.fleet.clone() else { return Ok(None) };
         let run = |e: std::io::Error| Failure::Run(e.to_string());
         let peers = peers(&site)?;
-        let settings = Settings {
+        let settings = MembershipSettings {
             fleet: site.fleet.clone(),
             name: daemon.site.name.clone(),
             address: site.listen,
             routers: daemon.threads as u32,
-            floor: daemon.site.settings.router_count,
-            datagram: site.datagram,
+            min_routers: daemon.site.settings.router_count,
+            max_datagram: site.datagram,
         };
-        let board = Arc::new(Board::default());
+        let board = Arc::new(SharedView::default());
         let before = read_kept(site.folder.as_deref());
         let machine =
-            Fleet::new(settings, peers.clone(), &before, rand::random(), clock.now(), board.clone());
+            Membership::new(settings, peers.clone(), &before, rand::random(), clock.now(), board.clone());
         let (consensus, policy) = consensus(&site, &daemon.site.name, config, clock, &board)?.unzip();
         let machine = Machine::new(machine, consensus);
         let mut looped = Loop::new(clock).map_err(run)?;
@@ -217,7 +217,7 @@
         looped.listen_datagrams(node, site.listen).map_err(listen)?;
         let handle = looped.handle();
         let mut member = Member {
-            kept: board.kept(),
+            kept: board.saved_state(),
             book: book_text(&site),
             site,
             peers,
@@ -242,10 +242,10 @@
 
     /// Hands the view to the routers of this process.
     pub(crate) fn introduce(&self, handles: &[Handle<Front>]) {
-        let board: Arc<Arc<Board>> = Arc::new(self.board.clone());
+        let board: Arc<Arc<SharedView>> = Arc::new(self.board.clone());
         handles.iter().for_each(|h| {
             h.tell(Command::News(NodeId(0), board.clone()));
-            h.tell(Command::News(NodeId(0), Arc::new(Sharing(self.board.view().routers))));
+            h.tell(Command::News(NodeId(0), Arc::new(Sharing(self.board.view().router_count))));
             if let Some(policy) = &self.policy {
                 let handle: Arc<Arc<PolicyHandle>> = Arc::new(policy.handle.clone());
                 h.tell(Command::News(NodeId(0), handle));
@@ -280,14 +280,14 @@
         if let Some(policy) = &mut self.policy {
             policy.look();
         }
-        let routers = self.board.view().routers;
+        let routers = self.board.view().router_count;
         if routers != std::mem::replace(&mut self.routers, routers) {
             tracing::info!(routers, "the fleet counts another number of routers");
             handles.iter().for_each(|h| {
                 h.tell(Command::News(NodeId(0), Arc::new(Sharing(routers))));
             });
         }
-        let kept = self.board.kept();
+        let kept = self.board.saved_state();
         if kept != self.kept {
             // A new incarnation is written at once, as it is in use already; contacts may wait.
             if kept.incarnation != self.kept.incarnation || self.written.elapsed() >= WRITE {
--- a/crates/consensus/src/member.rs
+++ b/crates/consensus/src/member.rs
@@ -3,7 +3,7 @@
 use crate::consensus::{Consensus, Others};
 use crate::peer_connections::PeerConnections;
 use crate::wire::MAGIC;
-use slipreel_membership::{Board as ViewBoard, Fleet};
+use slipreel_membership::{Membership, SharedView as ViewBoard};
 use slipreel_state_machine::{ConnId, Input, ListenerId, Machine, Output};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -16,7 +16,7 @@
 
 /// A member of a fleet: its view, and its part in the policy where that is on.
 pub struct Member {
-    fleet: Fleet,
+    fleet: Membership,
     consensus: Option<Consensus>,
     fresh: BTreeMap<ConnId, (ListenerId, Duration, Vec<u8>)>,
     ours: BTreeSet<ConnId>,
@@ -37,12 +37,12 @@
 
 impl Member {
     /// Both behind one address.
-    pub fn new(fleet: Fleet, consensus: Option<Consensus>) -> Member {
+    pub fn new(fleet: Membership, consensus: Option<Consensus>) -> Member {
         Member { fleet, consensus, fresh: BTreeMap::new(), ours: BTreeSet::new() }
     }
 
     /// The view's machine.
-    pub fn fleet(&self) -> &Fleet {
+    pub fn fleet(&self) -> &Membership {
         &self.fleet
     }
 
--- a/crates/fault-injection/src/history.rs
+++ b/crates/fault-injection/src/history.rs
@@ -2,7 +2,7 @@
 
 use crate::script::Kind;
 use slipreel_invariants::policy::Said;
-use slipreel_membership::{State, View};
+use slipreel_membership::{MemberState, MembershipView};
 use std::collections::BTreeMap;
 use std::io::Write;
 use std::path::Path;
@@ -27,14 +27,14 @@
 
 impl Sight {
     /// Of a view in this process.
-    pub fn of_view(view: &View) -> Sight {
-        let state = |s: State| s.to_string();
+    pub fn of_view(view: &MembershipView) -> Sight {
+        let state = |s: MemberState| s.to_string();
         Sight {
-            standing: format!("{:?}", view.standing).to_lowercase(),
-            settled: view.settled,
+            standing: format!("{:?}", view.status).to_lowercase(),
+            settled: view.is_settled,
             digest: format!("{:016x}", view.digest),
             incarnation: view.incarnation,
-            routers: u64::from(view.routers),
+            routers: u64::from(view.router_count),
             members: view.members.iter().map(|m| (m.name.clone(), (state(m.state), m.incarnation))).collect(),
         }
     }
--- a/crates/fault-injection/src/memory.rs
+++ b/crates/fault-injection/src/memory.rs
@@ -15,7 +15,7 @@
 use slipreel_consensus::{ByView, Consensus, Cut, Made, Member, Permit, PolicyHandle, ProposalStatus, Start};
 use slipreel_gateway::{Front, Sharing};
 use slipreel_invariants::policy::Said;
-use slipreel_membership::{Board, Fleet, Kept, Peers, Settings};
+use slipreel_membership::{Membership, MembershipSettings, Peers, SavedState, SharedView};
 use slipreel_state_machine::{Input, Machine, Output};
 use slipreel_test_servers::client::Clients;
 use slipreel_test_servers::engine::Engine;
@@ -80,13 +80,13 @@
 struct Router {
     fleet: usize,
     front: usize,
-    board: Arc<Board>,
-    folder: Kept,
+    board: Arc<SharedView>,
+    folder: SavedState,
     folder_gone: bool,
     routers: u32,
     up: bool,
     odd_seeds: bool,
-    twin: Option<(usize, Arc<Board>)>,
+    twin: Option<(usize, Arc<SharedView>)>,
     platter: Platter,
     policy: Arc<PolicyHandle>,
     /// When it is to act by the epoch before again, if it is broken so.
@@ -125,17 +125,17 @@
         }
         let book: BTreeMap<String, SocketAddr> =
             (0..n).filter(others).map(|to| (format!("r{to}"), wire_addr(r, to))).collect();
-        Peers { seeds, book }
+        Peers { seeds, address_table: book }
     }
 
-    fn settings(&self, r: usize, address: SocketAddr) -> Settings {
-        Settings {
+    fn settings(&self, r: usize, address: SocketAddr) -> MembershipSettings {
+        MembershipSettings {
             fleet: "ground".into(),
             name: format!("r{r}"),
             address,
             routers: 1,
-            floor: self.script.floor,
-            datagram: self.script.datagram,
+            min_routers: self.script.floor,
+            max_datagram: self.script.datagram,
         }
     }
 
@@ -159,7 +159,7 @@
     }
 
     /// A router's part in the policy, from what stands on its disk.
-    fn consensus(&mut self, r: usize, view: &Arc<Board>, now: Duration) -> Option<Consensus> {
+    fn consensus(&mut self, r: usize, view: &Arc<SharedView>, now: Duration) -> Option<Consensus> {
         if self.script.founders == 0 {
             return None;
         }
@@ -233,13 +233,13 @@
                 continue;
             }
             if !router.folder_gone {
-                router.folder = (*router.board.kept()).clone();
+                router.folder = (*router.board.saved_state()).clone();
             }
             if self.bend.is_some() {
                 self.bend_now(r);
             }
             let router = &mut self.routers[r];
-            let routers = router.board.view().routers;
+            let routers = router.board.view().router_count;
             if routers != router.routers {
                 router.routers = routers;
                 let front = router.front;
@@ -266,16 +266,17 @@
     fn start(&mut self, r: usize, fresh: bool) -> Result<(), String> {
         let now = self.world.now();
         if fresh {
-            self.routers[r].folder = Kept::default();
+            self.routers[r].folder = SavedState::default();
             self.routers[r].platter.lose();
         }
         self.routers[r].policy = Arc::default();
         self.routers[r].starts += 1;
-        let board = Arc::new(Board::default());
+        let board = Arc::new(SharedView::default());
         let seed = self.rng.next_u64();
         let peers = self.peers(r);
         let kept = self.routers[r].folder.clone();
-        let member = Fleet::new(self.settings(r, member_addr(r)), peers, &kept, seed, now, board.clone());
+        let member =
+            Membership::new(self.settings(r, member_addr(r)), peers, &kept, seed, now, board.clone());
         let member = Member::new(member, self.consensus(r, &board, now));
         let bend = self.bend(r);
         let mut site = self.script.day.router_site(r, &self.engines);
@@ -288,9 +289,9 @@
         site.name = format!("r{r}");
         let front = Front::new(Arc::new(site), self.rng.next_u64(), now, WALL + now);
         let router = &mut self.routers[r];
-        (router.board, router.up, router.routers) = (board.clone(), true, board.view().routers);
+        (router.board, router.up, router.routers) = (board.clone(), true, board.view().router_count);
         if !router.folder_gone {
-            router.folder = (*board.kept()).clone();
+            router.folder = (*board.saved_state()).clone();
         }
         let (fleet_at, front_at, routers) = (router.fleet, router.front, router.routers);
         for (at, node) in
@@ -336,13 +337,13 @@
         if runs {
             self.twins += 1;
             let address = SocketAddr::from(([127, 4, 0, 1], 7000 + self.twins));
-            let board = Arc::new(Board::default());
+            let board = Arc::new(SharedView::default());
             let seeds = (0..self.script.routers).filter(|o| *o != r).map(member_addr).collect();
-            let peers = Peers { seeds, book: BTreeMap::new() };
+            let peers = Peers { seeds, address_table: BTreeMap::new() };
             let seed = self.rng.next_u64();
             let now = self.world.now();
             let settings = self.settings(r, address);
-            let member = Fleet::new(settings, peers, &Kept::default(), seed, now, board.clone());
+            let member = Membership::new(settings, peers, &SavedState::default(), seed, now, board.clone());
             let member = Member::new(member, None);
             let node = self.world.add(Node::Fleet(Box::new(member), None), &[address]);
             self.world.open_mailboxes(node, &[address]);
@@ -356,7 +357,7 @@
         self.routers[r].platter.fill(gone);
         if gone {
             self.routers[r].platter.lose();
-            self.routers[r].folder = Kept::default();
+            self.routers[r].folder = SavedState::default();
         }
     }
 
@@ -478,7 +479,7 @@
             fleet,
             front,
             board: Arc::default(),
-            folder: Kept::default(),
+            folder: SavedState::default(),
             folder_gone: false,
             routers: 0,
             up: false,
--- a/crates/gateway/src/front.rs
+++ b/crates/gateway/src/front.rs
@@ -9,7 +9,7 @@
 use slipreel::{Action, EngineId, EngineState, Event, Listing, RequestId, Router, TimerId};
 use slipreel_connections::{Client, Due, Pool, ReleaseId, ReleaseQueue, State as ClientState, Wheel};
 use slipreel_consensus::PolicyHandle;
-use slipreel_membership::{Board, Standing};
+use slipreel_membership::{MemberStatus, SharedView};
 use slipreel_state_machine::{ConnId, ConnectionLoss, Input, Machine, Output};
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::sync::Arc;
@@ -96,7 +96,7 @@
     /// By class name, as names outlive reloads.
     pub(crate) gauges: Gauges,
     /// The view of the fleet, where this process is a member of one.
-    pub(crate) fleet: Option<Arc<Board>>,
+    pub(crate) fleet: Option<Arc<SharedView>>,
     /// The fleet's policy, where this process takes part in agreeing on one, and the epoch that this front acts by.
     pub(crate) policy: Option<Arc<PolicyHandle>>,
     pub(crate) acts_by: u64,
@@ -184,12 +184,12 @@
 
     /// Whether another process holds this one's name in the fleet, or is not yet known not to.
     pub(crate) fn outside(&self) -> Option<&'static str> {
-        match self.fleet.as_ref()?.view().standing {
-            Standing::Ready => None,
-            Standing::Joining => Some("joining"),
-            Standing::Challenged => Some("challenged"),
-            Standing::Yielded => Some("yielded"),
-            Standing::Left => Some("left"),
+        match self.fleet.as_ref()?.view().status {
+            MemberStatus::Ready => None,
+            MemberStatus::Joining => Some("joining"),
+            MemberStatus::Challenged => Some("challenged"),
+            MemberStatus::Yielded => Some("yielded"),
+            MemberStatus::Left => Some("left"),
         }
     }
 
@@ -493,7 +493,7 @@
                     self.take_list(list, out);
                 } else if let Some(site) = news.downcast_ref::<Arc<Site>>() {
                     self.take_site(site, out);
-                } else if let Some(board) = news.downcast_ref::<Arc<Board>>() {
+                } else if let Some(board) = news.downcast_ref::<Arc<SharedView>>() {
                     self.fleet = Some(board.clone());
                 } else if let Some(handle) = news.downcast_ref::<Arc<PolicyHandle>>() {
                     self.policy = Some(handle.clone());
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -141,11 +141,11 @@
         let (status, text) = match (method, what, name) {
             ("GET", "status", "") => (200, board.view().json(self.now)),
             ("POST", "leave", "") => {
-                board.ask_to_leave();
+                board.request_leave();
                 (202, done)
             }
             ("POST", "forget", name) if board.view().members.iter().any(|m| m.name == name) => {
-                let room = board.ask_to_forget(name);
+                let room = board.request_forget(name);
                 (if room { 202 } else { 503 }, done)
             }
             ("POST", "forget", name) => {
--- a/crates/membership/benches/size.rs
+++ b/crates/membership/benches/size.rs
@@ -5,7 +5,9 @@
 
 use rand_xoshiro::rand_core::{RngCore, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
-use slipreel_membership::{pace, Board, Fleet, Kept, Peers, Settings, State};
+use slipreel_membership::{
+    timing, MemberState, Membership, MembershipSettings, Peers, SavedState, SharedView,
+};
 use slipreel_state_machine::{Input, ListenerId, Machine, Output};
 use slipreel_test_servers::memory::{Delays, World};
 use std::collections::{BTreeMap, HashMap};
@@ -41,25 +43,25 @@
 /// Each tells all others five times a second that it lives; gone after as much silence as in the view. Everybody is known from a list.
 struct Beats {
     me: usize,
-    heard: Vec<Duration>,
+    last_heard: Vec<Duration>,
     next: Duration,
 }
 
 impl Beats {
     fn handle(&mut self, now: Duration, input: &Input<'_>, out: &mut Vec<Output>) {
         if let Input::Datagram(_, from, _) = input {
-            self.heard[number(*from)] = now;
+            self.last_heard[number(*from)] = now;
         }
         while now >= self.next {
-            self.next += pace::ROUND;
-            for to in (0..self.heard.len()).filter(|&to| to != self.me) {
+            self.next += timing::ROUND_INTERVAL;
+            for to in (0..self.last_heard.len()).filter(|&to| to != self.me) {
                 out.push(Output::Datagram(ListenerId(0), addr(to), vec![0; 16]));
             }
         }
     }
 
     fn sees(&self, now: Duration, n: usize) -> bool {
-        n == self.me || now < self.heard[n] + pace::gone_after(0)
+        n == self.me || now < self.last_heard[n] + timing::gone_after(0)
     }
 }
 
@@ -146,7 +148,7 @@
         out.push(Output::Datagram(ListenerId(0), addr(to), bytes));
     }
 
-    fn learn(&mut self, now: Duration, n: usize, incarnation: u32, health: Health) {
+    fn merge_record(&mut self, now: Duration, n: usize, incarnation: u32, health: Health) {
         if n == self.me {
             if health != Health::Alive && incarnation >= self.incarnation {
                 self.incarnation = incarnation + 1;
@@ -174,10 +176,10 @@
         if let Input::Datagram(_, from, bytes) = input {
             let from = number(*from);
             let word = |at: usize| u32::from_le_bytes(bytes[at..at + 4].try_into().expect("four bytes"));
-            self.learn(now, from, word(5), Health::Alive);
+            self.merge_record(now, from, word(5), Health::Alive);
             for at in (9..bytes.len()).step_by(NEWS) {
                 let health = [Health::Alive, Health::Suspect, Health::Dead][word(at + 8) as usize];
-                self.learn(now, word(at) as usize, word(at + 4), health);
+                self.merge_record(now, word(at) as usize, word(at + 4), health);
             }
             let about = word(1) as usize;
             match bytes[0] {
@@ -213,7 +215,7 @@
         }
         if let Some((probed, false, _)) = self.probed {
             if let Some(k) = self.known.get(&probed).copied().filter(|k| k.health == Health::Alive) {
-                self.learn(now, probed, k.incarnation, Health::Suspect);
+                self.merge_record(now, probed, k.incarnation, Health::Suspect);
             }
         }
         self.next = now + PERIOD;
@@ -223,7 +225,7 @@
         let dead: Vec<(usize, u32)> =
             self.known.iter().filter(|(_, k)| due(k)).map(|(&n, k)| (n, k.incarnation)).collect();
         for (n, incarnation) in dead {
-            self.learn(now, n, incarnation, Health::Dead);
+            self.merge_record(now, n, incarnation, Health::Dead);
         }
         if self.known.is_empty() {
             return self.send(0, Kind::Join, self.me, out);
@@ -255,7 +257,7 @@
 // ---- The run ------------------------------------------------------------------------------------
 
 enum Which {
-    View(Box<Fleet>),
+    Gossip(Box<Membership>),
     Swim(Box<Swim>),
     Beats(Beats),
 }
@@ -276,7 +278,7 @@
         let input = if lost { Input::Wake } else { input };
         let from = out.len();
         match &mut self.kind {
-            Which::View(m) => m.handle(now, input, out),
+            Which::Gossip(m) => m.handle(now, input, out),
             Which::Swim(m) => m.handle(now, &input, out),
             Which::Beats(m) => m.handle(now, &input, out),
         }
@@ -291,7 +293,7 @@
 
     fn wake_at(&self) -> Option<Duration> {
         match &self.kind {
-            Which::View(m) => m.wake_at(),
+            Which::Gossip(m) => m.wake_at(),
             Which::Swim(m) => Some(m.due()),
             Which::Beats(m) => Some(m.next),
         }
@@ -302,7 +304,7 @@
     /// Whether it believes that another one is there.
     fn sees(&self, now: Duration, n: usize) -> bool {
         match &self.kind {
-            Which::View(m) => m.table().get(&name(n)).is_some_and(|e| e.state != State::Gone),
+            Which::Gossip(m) => m.table().get(&name(n)).is_some_and(|e| e.state != MemberState::Gone),
             Which::Swim(m) => n == m.me || m.known.get(&n).is_some_and(|k| k.health != Health::Dead),
             Which::Beats(m) => m.sees(now, n),
         }
@@ -315,7 +317,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Protocol {
-    View,
+    MembershipView,
     Swim,
     Beats,
 }
@@ -325,18 +327,25 @@
 ) -> Which {
     let first = now + Duration::from_micros(rng.next_u64() % 200_000);
     match protocol {
-        Protocol::View => {
-            let settings = Settings {
+        Protocol::MembershipView => {
+            let settings = MembershipSettings {
                 fleet: "size".into(),
                 name: name(n),
                 address: addr(n),
                 routers: 1,
-                floor: 1,
-                datagram: 1_400,
+                min_routers: 1,
+                max_datagram: 1_400,
             };
-            let peers = Peers { seeds: vec![addr(0)], book: BTreeMap::new() };
-            let board = Arc::new(Board::default());
-            Which::View(Box::new(Fleet::new(settings, peers, &Kept::default(), rng.next_u64(), now, board)))
+            let peers = Peers { seeds: vec![addr(0)], address_table: BTreeMap::new() };
+            let board = Arc::new(SharedView::default());
+            Which::Gossip(Box::new(Membership::new(
+                settings,
+                peers,
+                &SavedState::default(),
+                rng.next_u64(),
+                now,
+                board,
+            )))
         }
         Protocol::Swim => Which::Swim(Box::new(Swim {
             me: n,
@@ -348,7 +357,7 @@
             asked: HashMap::new(),
             rng: Xoshiro256PlusPlus::seed_from_u64(rng.next_u64()),
         })),
-        Protocol::Beats => Which::Beats(Beats { me: n, heard: vec![now; members], next: first }),
+        Protocol::Beats => Which::Beats(Beats { me: n, last_heard: vec![now; members], next: first }),
     }
 }
 
@@ -438,7 +447,7 @@
 fn main() {
     let words: Vec<String> = std::env::args().skip(1).collect();
     let sizes: Vec<usize> = words.iter().filter_map(|a| a.parse().ok()).collect();
-    let all = [("view", Protocol::View), ("swim", Protocol::Swim), ("beats", Protocol::Beats)];
+    let all = [("view", Protocol::MembershipView), ("swim", Protocol::Swim), ("beats", Protocol::Beats)];
     let named = |name: &str| words.iter().any(|w| w == name);
     let some = all.iter().any(|(name, _)| named(name));
     let sizes = if sizes.is_empty() { vec![10, 100, 500, 2_000] } else { sizes };
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,32 +1,36 @@
-//! A view of the fleet that the routers keep among themselves: who is there, as far as one process can know.
+//! Membership of the fleet by gossip: which routers are there, as far as one process can know.
 //!
-//! Every member counts its own rounds and tells a few others, five times a second, how far each life that it knows had come and how long
-//! ago it first heard of that ([`slipreel_protocol::membership`]). Who has not moved on for a while is suspect, then gone. Nobody decides for
-//! others: each works out the states by itself, from ages that need no clock in common. `docs/design-fleet.md` weighs this against others.
+//! Every member counts its own rounds (its heartbeat) and five times a second sends a few others the latest round that it knows of each
+//! member, with the time since it first heard of that round ([`slipreel_protocol::membership`]). A member whose round does not advance
+//! becomes suspect and then gone. Nobody decides for others: each process works out the states by itself, from ages that need no common
+//! clock. `docs/design-fleet.md` compares this with other designs, SWIM among them.
 //!
-//! What a state claims:
+//! What each [`MemberState`] means:
 //!
-//! - `alive`: a round of this life was heard of, here or through others, less than [`pace::SUSPECT`] ago;
-//! - `suspect`: not for that long. It proves nothing, and nothing follows from it;
-//! - `gone`: not for [`pace::gone_after`], or it said goodbye. A goodbye proves that it takes no new work. Silence does not prove that the
-//!   process has ended: a crash, a cut that no third member bridges, and a process that does not run look the same from here.
+//! - `alive`: a new round of this incarnation was heard of, directly or through others, less than [`timing::suspect_after`] ago;
+//! - `suspect`: not for that long. This proves nothing, and nothing follows from it;
+//! - `gone`: not for [`timing::gone_after`], or the member has left. Leaving proves that it takes no new work. Silence does not prove
+//!   that the process has ended: a crash, a partition that no third member bridges, and a process that is not scheduled look the same.
 //!
-//! [`Fleet`] is the machine; [`Table`] holds what is known of whom; [`count`] decides how many routers to reckon with; [`rival`] settles two
-//! processes of one name; [`View`] and [`Board`] are what the rest of the process sees; [`Kept`] outlives the process.
+//! [`Membership`] is the state machine; [`MemberTable`] holds what is known of each other member; [`router_count`] decides how many routers
+//! quotas are divided by; [`name_conflict`] decides between two processes of one name; [`MembershipView`] and [`SharedView`] are what the
+//! rest of the process sees; [`SavedState`] outlives the process.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-pub mod count;
-mod fleet;
-mod kept;
-pub mod pace;
-pub mod rival;
-mod sync;
+mod membership;
+pub mod name_conflict;
+pub mod router_count;
+mod saved_state;
+mod shared_view;
+mod state_sync;
 mod table;
+pub mod timing;
 mod view;
 
-pub use fleet::{Fleet, Peers, Settings, Tally};
-pub use kept::{Kept, KeptFault};
-pub use table::{Change, Entry, Learnt, State, Table};
-pub use view::{Board, MemberView, Standing, View};
+pub use membership::{Counters, Membership, MembershipSettings, Peers};
+pub use saved_state::{SavedState, SavedStateError};
+pub use shared_view::SharedView;
+pub use table::{MemberChange, MemberEntry, MemberState, MemberTable, MergeOutcome};
+pub use view::{MemberStatus, MemberView, MembershipView};
--- a/crates/membership/src/rival.rs
+++ b/crates/membership/src/name_conflict.rs
@@ -9,24 +9,24 @@
 //! run is the operators' affair. If it stays silent for as long as makes a member gone, it was a predecessor, and this one takes the
 //! next incarnation.
 
-use crate::pace;
+use crate::timing;
 use slipreel_protocol::membership::MemberRecord;
 use std::time::Duration;
 
 /// Another process of this one's name that holds it.
 #[derive(Clone, Debug)]
-pub struct Rival {
+pub struct NameConflict {
     /// Its life.
-    pub life: MemberRecord,
+    pub record: MemberRecord,
     /// The furthest round heard of.
     pub round: u32,
     /// When it was last heard to have moved on, on this process's clock.
-    pub heard: Duration,
+    pub last_heard: Duration,
 }
 
 /// What follows from news of one's own name.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum ConflictOutcome {
     /// Nothing: the other has to yield and will be told so.
     Holds,
     /// Wait: it may be dead or alive.
@@ -37,9 +37,9 @@
 
 /// A life and how far it has come.
 #[derive(Clone, Copy, Debug)]
-pub struct Claim<'a> {
+pub struct NameClaim<'a> {
     /// The life.
-    pub life: &'a MemberRecord,
+    pub record: &'a MemberRecord,
     /// Its rounds; of another's those that were heard of, which are never more than it has counted.
     pub round: u32,
 }
@@ -50,45 +50,47 @@
 const AHEAD: u32 = 25;
 
 /// Whether one's own claim stands against another's.
-fn stands(own: Claim<'_>, other: Claim<'_>) -> bool {
-    if own.life.incarnation != other.life.incarnation {
-        return own.life.incarnation > other.life.incarnation;
+fn takes_precedence(own: NameClaim<'_>, other: NameClaim<'_>) -> bool {
+    if own.record.incarnation != other.record.incarnation {
+        return own.record.incarnation > other.record.incarnation;
     }
     if own.round.abs_diff(other.round) > AHEAD {
         return own.round > other.round;
     }
-    own.life.nonce > other.life.nonce
+    own.record.nonce > other.record.nonce
 }
 
 /// Weighs news of another life of one's own name; keeps what is known of it in `rival`.
-pub fn weigh(
-    now: Duration, started: Duration, own: Claim<'_>, rival: &mut Option<Rival>, told: Claim<'_>,
-    age: Duration,
-) -> Verdict {
-    if stands(own, told) {
-        return Verdict::Holds;
+pub fn evaluate_claim(
+    now: Duration, started: Duration, own: NameClaim<'_>, conflict: &mut Option<NameConflict>,
+    told: NameClaim<'_>, age: Duration,
+) -> ConflictOutcome {
+    if takes_precedence(own, told) {
+        return ConflictOutcome::Holds;
     }
-    let heard = now.saturating_sub(age);
-    match rival {
-        Some(known) if known.life.id() == told.life.id() => {
-            known.heard = known.heard.max(heard);
+    let last_heard = now.saturating_sub(age);
+    match conflict {
+        Some(known) if known.record.id() == told.record.id() => {
+            known.last_heard = known.last_heard.max(last_heard);
             known.round = known.round.max(told.round);
-            known.life.has_left |= told.life.has_left;
+            known.record.has_left |= told.record.has_left;
         }
-        Some(known) if known.life.incarnation > told.life.incarnation => {}
-        _ => *rival = Some(Rival { life: told.life.clone(), round: told.round, heard }),
+        Some(known) if known.record.incarnation > told.record.incarnation => {}
+        _ => *conflict = Some(NameConflict { record: told.record.clone(), round: told.round, last_heard }),
     }
-    let records = rival.as_ref().is_some_and(|r| !r.life.has_left && r.heard > started + pace::LATE_NEWS);
-    if records {
-        Verdict::Yields
+    let is_alive = conflict
+        .as_ref()
+        .is_some_and(|r| !r.record.has_left && r.last_heard > started + timing::DELAYED_MESSAGE_MARGIN);
+    if is_alive {
+        ConflictOutcome::Yields
     } else {
-        Verdict::Challenged
+        ConflictOutcome::Challenged
     }
 }
 
 /// Whether a rival has been silent for so long that the name is free, in a fleet of so many.
-pub fn is_over(now: Duration, rival: &Rival, members: usize) -> bool {
-    rival.life.has_left || now.saturating_sub(rival.heard) >= pace::gone_after(members)
+pub fn is_resolved(now: Duration, conflict: &NameConflict, members: usize) -> bool {
+    conflict.record.has_left || now.saturating_sub(conflict.last_heard) >= timing::gone_after(members)
 }
 
 #[cfg(test)]
--- a/crates/membership/src/count.rs
+++ b/crates/membership/src/router_count.rs
@@ -12,7 +12,7 @@
 //!   `slipreel fleet forget`;
 //! - at its start a router reckons with at least what its settings say, or what it knew before, until it has seen the fleet for [`HOLD`].
 
-use crate::table::{State, Table};
+use crate::table::{MemberState, MemberTable};
 use std::time::Duration;
 
 /// How long one that fell silent goes on counting.
@@ -20,36 +20,36 @@
 
 /// What a count is worked out from beside the table.
 #[derive(Clone, Copy, Debug)]
-pub struct Own {
+pub struct LocalRouters {
     /// Routers that this process runs.
     pub routers: u32,
     /// What the settings say, or was known before the start, whichever is more.
-    pub floor: u32,
+    pub min_routers: u32,
     /// Since when this process has seen the fleet.
     pub since: Duration,
 }
 
 /// The number of routers to reckon with, this process's own counted.
-pub fn believe(now: Duration, own: Own, table: &Table) -> u32 {
-    let silent = |e: &&crate::table::Entry| e.state == State::Gone && !e.life.has_left;
+pub fn router_count(now: Duration, own: LocalRouters, table: &MemberTable) -> u32 {
+    let silent = |e: &&crate::table::MemberEntry| e.state == MemberState::Gone && !e.record.has_left;
     let sum = |weights: u64| u32::try_from(weights).unwrap_or(u32::MAX);
-    let weight = |e: &crate::table::Entry| u64::from(e.life.routers);
-    let present =
-        u64::from(own.routers) + table.iter().filter(|e| e.state != State::Gone).map(weight).sum::<u64>();
+    let weight = |e: &crate::table::MemberEntry| u64::from(e.record.routers);
+    let present = u64::from(own.routers)
+        + table.iter().filter(|e| e.state != MemberState::Gone).map(weight).sum::<u64>();
     let fresh = table.iter().filter(silent).filter(|e| now < e.since + HOLD).map(weight).sum::<u64>();
     let old = table.iter().filter(silent).filter(|e| now >= e.since + HOLD).map(weight).sum::<u64>();
     let all = present + fresh + old;
     let counted = if present * 2 > all { present + fresh } else { all };
-    let floor = if now < own.since + HOLD { own.floor } else { 0 };
-    sum(counted).max(floor).max(1)
+    let min_routers = if now < own.since + HOLD { own.min_routers } else { 0 };
+    sum(counted).max(min_routers).max(1)
 }
 
 /// Whether those that fell silent are so many that they go on counting whatever time passes: then they are not forgotten.
-pub fn holds(own: Own, table: &Table) -> bool {
+pub fn silent_outweigh_present(own: LocalRouters, table: &MemberTable) -> bool {
     let (mut present, mut silent) = (u64::from(own.routers), 0);
-    for entry in table.iter().filter(|e| !e.life.has_left || e.state != State::Gone) {
-        let side = if entry.state == State::Gone { &mut silent } else { &mut present };
-        *side += u64::from(entry.life.routers);
+    for entry in table.iter().filter(|e| !e.record.has_left || e.state != MemberState::Gone) {
+        let side = if entry.state == MemberState::Gone { &mut silent } else { &mut present };
+        *side += u64::from(entry.record.routers);
     }
     silent >= present
 }
--- a/crates/membership/src/sync.rs
+++ b/crates/membership/src/state_sync.rs
@@ -1,29 +1,29 @@
-//! Exchanges over TCP: each side tells all that it knows, where that does not fit a datagram. Bounded in number, size and time, so that a
+//! StateSync over TCP: each side tells all that it knows, where that does not fit a datagram. Bounded in number, size and time, so that a
 //! peer that trickles or never answers costs a connection for two seconds and nothing else.
 
-use crate::pace;
+use crate::timing;
 use slipreel_protocol::membership::{unframe, DecodeError, Message, MAX_MESSAGE_LEN};
 use slipreel_state_machine::{ConnId, Output};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-struct Exchange {
+struct SyncConnection {
     since: Duration,
     got: Vec<u8>,
 }
 
 /// The exchanges that are under way.
 #[derive(Default)]
-pub(crate) struct Exchanges {
+pub(crate) struct StateSync {
     /// The one that this member has asked for.
-    asked: Option<(ConnId, Exchange)>,
-    taken: BTreeMap<ConnId, Exchange>,
+    asked: Option<(ConnId, SyncConnection)>,
+    taken: BTreeMap<ConnId, SyncConnection>,
     opened: u64,
 }
 
 /// What bytes of an exchange came to.
-pub(crate) enum Came {
+pub(crate) enum SyncProgress {
     /// Nothing whole yet.
     Part,
     /// The other side's message; `answer`: ours is still owed.
@@ -32,42 +32,42 @@
     DecodeError(DecodeError),
 }
 
-impl Exchanges {
+impl StateSync {
     /// Asks a member, unless one is being asked.
     pub(crate) fn ask(&mut self, now: Duration, to: SocketAddr, out: &mut Vec<Output>) {
         if self.asked.is_none() {
             self.opened += 1;
             let conn = ConnId::opened(self.opened);
-            self.asked = Some((conn, Exchange { since: now, got: Vec::new() }));
+            self.asked = Some((conn, SyncConnection { since: now, got: Vec::new() }));
             out.push(Output::Connect(conn, to));
         }
     }
 
     /// A member asks.
     pub(crate) fn accept(&mut self, now: Duration, conn: ConnId, out: &mut Vec<Output>) {
-        if self.taken.len() >= pace::EXCHANGES {
+        if self.taken.len() >= timing::MAX_ACCEPTED_SYNCS {
             return out.push(Output::Abort(conn));
         }
-        self.taken.insert(conn, Exchange { since: now, got: Vec::new() });
+        self.taken.insert(conn, SyncConnection { since: now, got: Vec::new() });
     }
 
-    pub(crate) fn data(&mut self, conn: ConnId, bytes: &[u8], out: &mut Vec<Output>) -> Came {
+    pub(crate) fn data(&mut self, conn: ConnId, bytes: &[u8], out: &mut Vec<Output>) -> SyncProgress {
         let asked = self.asked.as_mut().filter(|(c, _)| *c == conn).map(|(_, e)| e);
         let answer = asked.is_none();
-        let Some(exchange) = asked.or(self.taken.get_mut(&conn)) else { return Came::Part };
+        let Some(exchange) = asked.or(self.taken.get_mut(&conn)) else { return SyncProgress::Part };
         exchange.got.extend(bytes);
         let came = match unframe(&exchange.got) {
-            Ok(None) if exchange.got.len() <= MAX_MESSAGE_LEN + 4 => return Came::Part,
-            Ok(None) => Came::DecodeError(DecodeError::TooLong(exchange.got.len())),
-            Ok(Some(message)) => Came::Whole { message: Box::new(message), answer },
-            Err(bad) => Came::DecodeError(bad),
+            Ok(None) if exchange.got.len() <= MAX_MESSAGE_LEN + 4 => return SyncProgress::Part,
+            Ok(None) => SyncProgress::DecodeError(DecodeError::TooLong(exchange.got.len())),
+            Ok(Some(message)) => SyncProgress::Whole { message: Box::new(message), answer },
+            Err(bad) => SyncProgress::DecodeError(bad),
         };
         match &came {
             // The answer follows on it, and ends it.
-            Came::Whole { answer: true, .. } => {
+            SyncProgress::Whole { answer: true, .. } => {
                 self.taken.remove(&conn);
             }
-            Came::Whole { .. } => self.end(conn, out),
+            SyncProgress::Whole { .. } => self.end(conn, out),
             _ => {
                 self.lost(conn);
                 out.push(Output::Abort(conn));
@@ -98,7 +98,7 @@
 
     /// Ends those that have taken too long.
     pub(crate) fn late(&mut self, now: Duration, out: &mut Vec<Output>) {
-        let is_late = |e: &Exchange| now >= e.since + pace::EXCHANGE;
+        let is_late = |e: &SyncConnection| now >= e.since + timing::SYNC_TIMEOUT;
         let asked = self.asked.iter().filter(|(_, e)| is_late(e)).map(|(c, _)| *c);
         let taken = self.taken.iter().filter(|(_, e)| is_late(e)).map(|(c, _)| *c);
         for conn in asked.chain(taken).collect::<Vec<_>>() {
--- a/crates/membership/tests/stored_data.rs
+++ b/crates/membership/tests/stored_data.rs
@@ -1,16 +1,16 @@
 //! The file in which a member saves its state is the same for builds before and after: one that an earlier build wrote
 //! is read, and the same state is written as the same bytes.
 
-use slipreel_membership::Kept;
+use slipreel_membership::SavedState;
 
 /// Written by the build before the types of this crate were renamed.
 const STORED: &str = include_str!("data/fleet");
 
-fn state() -> Kept {
+fn state() -> SavedState {
     let contact = |name: &str, address: &str| (name.to_owned(), address.parse().expect("a socket address"));
-    Kept {
+    SavedState {
         incarnation: 42,
-        routers: 12,
+        router_count: 12,
         contacts: vec![
             contact("router-a", "127.0.0.1:7946"),
             contact("router-b", "10.0.0.2:7946"),
@@ -21,7 +21,7 @@
 
 #[test]
 fn a_file_of_an_earlier_build_is_read_to_the_same_state() {
-    assert_eq!(Kept::decode(STORED), Ok(state()));
+    assert_eq!(SavedState::decode(STORED), Ok(state()));
 }
 
 #[test]
--- a/crates/settings/src/fleet.rs
+++ b/crates/settings/src/fleet.rs
@@ -148,7 +148,7 @@
             }
             None => BTreeMap::new(),
         };
-        Ok(Peers { seeds: self.seeds.clone(), book })
+        Ok(Peers { seeds: self.seeds.clone(), address_table: book })
     }
 }
 
