--- /dev/null
+++ b/crates/protocol/src/messages/answer.rs
@@ -0,0 +1,195 @@
+//! Answers of the Messages API: a stream of events, or one body.
+
+use super::error::Fault;
+use crate::sse;
+use serde::Serialize;
+use serde_json::{json, Value};
+
+/// Tokens used by a request.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
+pub struct Usage {
+    /// Prompt tokens that were read.
+    pub input_tokens: u64,
+    /// Prompt tokens that were written to a cache.
+    pub cache_creation_input_tokens: u64,
+    /// Prompt tokens that were found kept.
+    pub cache_read_input_tokens: u64,
+    /// Tokens of the answer.
+    pub output_tokens: u64,
+}
+
+/// A content block of an answer that is not streamed.
+enum Block {
+    Text(String),
+    ToolUse { id: String, name: String, json: String },
+}
+
+impl Block {
+    fn content(self) -> Value {
+        match self {
+            Block::Text(text) => json!({"type": "text", "text": text}),
+            Block::ToolUse { id, name, json } => {
+                let input: Value = serde_json::from_str(&json).unwrap_or_else(|_| json!({}));
+                json!({"type": "tool_use", "id": id, "name": name, "input": input})
+            }
+        }
+    }
+}
+
+/// What a content block holds.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum BlockKind {
+    Text,
+    ToolUse,
+}
+
+/// Builds one answer: as a stream of events, or whole. The order of events is kept whatever it is given.
+pub struct Answer {
+    id: String,
+    model: String,
+    stream: bool,
+    blocks: Vec<Block>,
+    /// Blocks begun so far.
+    block_count: usize,
+    /// The kind of the last block, while it is open.
+    open_block: Option<BlockKind>,
+    started: bool,
+}
+
+/// More of the last block.
+#[derive(Serialize)]
+struct BlockDelta<'a> {
+    r#type: &'static str,
+    index: usize,
+    delta: Delta<'a>,
+}
+
+#[derive(Serialize)]
+#[serde(tag = "type", rename_all = "snake_case")]
+enum Delta<'a> {
+    TextDelta { text: &'a str },
+    InputJsonDelta { partial_json: &'a str },
+}
+
+impl Answer {
+    /// An answer that has not begun. A streamed one holds nothing; a whole one holds its text.
+    pub fn new(id: String, model: String, stream: bool) -> Self {
+        Answer { id, model, stream, blocks: Vec::new(), block_count: 0, open_block: None, started: false }
+    }
+
+    fn event(&self, name: &str, data: &impl Serialize, out: &mut Vec<u8>) {
+        if self.stream {
+            sse::write(name, &serde_json::to_string(data).unwrap_or_default(), out);
+        }
+    }
+
+    /// Whether the answer has begun.
+    pub fn started(&self) -> bool {
+        self.started
+    }
+
+    /// The beginning of the message.
+    pub fn start(&mut self, usage: Usage, out: &mut Vec<u8>) {
+        if std::mem::replace(&mut self.started, true) {
+            return;
+        }
+        let message = json!({"id": self.id, "type": "message", "role": "assistant", "model": self.model, "content": [],
+                             "stop_reason": null, "stop_sequence": null, "usage": usage});
+        self.event("message_start", &json!({"type": "message_start", "message": message}), out);
+    }
+
+    /// A sign of life.
+    pub fn ping(&self, out: &mut Vec<u8>) {
+        self.event("ping", &json!({"type": "ping"}), out);
+    }
+
+    fn close_block(&mut self, out: &mut Vec<u8>) {
+        if self.open_block.take().is_some() {
+            let data = json!({"type": "content_block_stop", "index": self.block_count - 1});
+            self.event("content_block_stop", &data, out);
+        }
+    }
+
+    fn begin_block(&mut self, kind: BlockKind, content: Value, out: &mut Vec<u8>) {
+        self.close_block(out);
+        self.open_block = Some(kind);
+        self.block_count += 1;
+        let data =
+            json!({"type": "content_block_start", "index": self.block_count - 1, "content_block": content});
+        self.event("content_block_start", &data, out);
+    }
+
+    /// More text.
+    pub fn text(&mut self, text: &str, out: &mut Vec<u8>) {
+        if self.open_block != Some(BlockKind::Text) {
+            self.begin_block(BlockKind::Text, json!({"type": "text", "text": ""}), out);
+            if !self.stream {
+                self.blocks.push(Block::Text(String::new()));
+            }
+        }
+        if let Some(Block::Text(whole)) = self.blocks.last_mut() {
+            whole.push_str(text);
+        }
+        let delta = BlockDelta {
+            r#type: "content_block_delta",
+            index: self.block_count - 1,
+            delta: Delta::TextDelta { text },
+        };
+        self.event("content_block_delta", &delta, out);
+    }
+
+    /// A call of a tool begins.
+    pub fn tool(&mut self, id: &str, name: &str, out: &mut Vec<u8>) {
+        self.begin_block(
+            BlockKind::ToolUse,
+            json!({"type": "tool_use", "id": id, "name": name, "input": {}}),
+            out,
+        );
+        if !self.stream {
+            self.blocks.push(Block::ToolUse { id: id.into(), name: name.into(), json: String::new() });
+        }
+    }
+
+    /// More of the arguments of the call that was begun last.
+    pub fn tool_json(&mut self, json: &str, out: &mut Vec<u8>) {
+        if self.open_block != Some(BlockKind::ToolUse) || json.is_empty() {
+            return;
+        }
+        if let Some(Block::ToolUse { json: whole, .. }) = self.blocks.last_mut() {
+            whole.push_str(json);
+        }
+        let delta = BlockDelta {
+            r#type: "content_block_delta",
+            index: self.block_count - 1,
+            delta: Delta::InputJsonDelta { partial_json: json },
+        };
+        self.event("content_block_delta", &delta, out);
+    }
+
+    /// The end. A whole answer is written here.
+    pub fn finish(&mut self, reason: &str, sequence: Option<&str>, usage: Usage, out: &mut Vec<u8>) {
+        self.start(usage, out);
+        self.close_block(out);
+        if self.stream {
+            let delta = json!({"stop_reason": reason, "stop_sequence": sequence});
+            self.event(
+                "message_delta",
+                &json!({"type": "message_delta", "delta": delta, "usage": usage}),
+                out,
+            );
+            self.event("message_stop", &json!({"type": "message_stop"}), out);
+            return;
+        }
+        let content: Vec<Value> = std::mem::take(&mut self.blocks).into_iter().map(Block::content).collect();
+        let whole = json!({"id": self.id, "type": "message", "role": "assistant", "model": self.model,
+                           "content": content, "stop_reason": reason, "stop_sequence": sequence, "usage": usage});
+        out.extend_from_slice(whole.to_string().as_bytes());
+    }
+
+    /// A failure after the beginning of a stream.
+    pub fn error(&self, fault: &Fault, request_id: &str, out: &mut Vec<u8>) {
+        if self.stream {
+            sse::write("error", &fault.body(request_id), out);
+        }
+    }
+}
--- /dev/null
+++ b/crates/protocol/src/messages/error.rs
@@ -0,0 +1,104 @@
+//! Errors of the Messages API: types, statuses and bodies.
+
+use serde_json::json;
+
+/// The types of error that the API knows.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ErrorKind {
+    /// 400: the request is wrong.
+    InvalidRequest,
+    /// 401: no key, or a wrong one.
+    Authentication,
+    /// 403: the key may not do this.
+    Permission,
+    /// 404: no such path or model.
+    NotFound,
+    /// 413: the body is too large.
+    TooLarge,
+    /// 429: the tenant is over its share.
+    RateLimit,
+    /// 500: failed.
+    Api,
+    /// 504: not in time.
+    Timeout,
+    /// 503: this router can't take requests at present; another may.
+    Unavailable,
+    /// 529: the fleet is overloaded.
+    Overloaded,
+}
+
+impl ErrorKind {
+    /// The status of an answer of this type.
+    pub fn status(self) -> u16 {
+        match self {
+            ErrorKind::InvalidRequest => 400,
+            ErrorKind::Authentication => 401,
+            ErrorKind::Permission => 403,
+            ErrorKind::NotFound => 404,
+            ErrorKind::TooLarge => 413,
+            ErrorKind::RateLimit => 429,
+            ErrorKind::Api => 500,
+            ErrorKind::Timeout => 504,
+            ErrorKind::Unavailable => 503,
+            ErrorKind::Overloaded => 529,
+        }
+    }
+
+    /// The name in the `type` field.
+    pub fn name(self) -> &'static str {
+        match self {
+            ErrorKind::InvalidRequest => "invalid_request_error",
+            ErrorKind::Authentication => "authentication_error",
+            ErrorKind::Permission => "permission_error",
+            ErrorKind::NotFound => "not_found_error",
+            ErrorKind::TooLarge => "request_too_large",
+            ErrorKind::RateLimit => "rate_limit_error",
+            ErrorKind::Api => "api_error",
+            ErrorKind::Timeout => "timeout_error",
+            ErrorKind::Unavailable => "unavailable_error",
+            ErrorKind::Overloaded => "overloaded_error",
+        }
+    }
+
+    /// The type for a status that HTTP itself asks for.
+    pub fn of_status(status: u16) -> Self {
+        match status {
+            401 => ErrorKind::Authentication,
+            403 => ErrorKind::Permission,
+            404 => ErrorKind::NotFound,
+            413 => ErrorKind::TooLarge,
+            429 => ErrorKind::RateLimit,
+            504 => ErrorKind::Timeout,
+            529 => ErrorKind::Overloaded,
+            400..=499 => ErrorKind::InvalidRequest,
+            _ => ErrorKind::Api,
+        }
+    }
+}
+
+/// An error as the API words it.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Fault {
+    /// Its type.
+    pub kind: ErrorKind,
+    /// Names the place, the value and what was expected.
+    pub message: String,
+}
+
+impl Fault {
+    /// A fault of this kind.
+    pub fn new(kind: ErrorKind, message: impl Into<String>) -> Self {
+        Fault { kind, message: message.into() }
+    }
+
+    /// The body of the answer, and the data of an `error` event.
+    pub fn body(&self, request_id: &str) -> String {
+        json!({"type": "error", "error": {"type": self.kind.name(), "message": self.message}, "request_id": request_id})
+            .to_string()
+    }
+}
+
+/// The error of a request that can't be taken.
+pub(super) fn invalid<T>(message: impl Into<String>) -> Result<T, Fault> {
+    Err(Fault::new(ErrorKind::InvalidRequest, message))
+}
--- /dev/null
+++ b/crates/protocol/src/messages/request.rs
@@ -0,0 +1,179 @@
+//! Requests of the Messages API, parsed and checked.
+
+use super::error::{invalid, Fault};
+use serde_json::{Map, Value};
+
+/// A `POST /v1/messages`, checked.
+#[derive(Clone, Debug)]
+pub struct Ask {
+    /// The model asked for.
+    pub model: String,
+    /// The most tokens of the answer; 0 in a count.
+    pub max_tokens: u32,
+    /// Whether the answer streams.
+    pub stream: bool,
+    /// `metadata.user_id`.
+    pub user: Option<String>,
+    /// `system`, as sent.
+    pub system: Option<Value>,
+    /// `tools`, as sent.
+    pub tools: Option<Value>,
+    /// `messages`, as sent, each with a role and content of known shape.
+    pub messages: Vec<Value>,
+    /// `stop_sequences`.
+    pub stop: Vec<String>,
+    /// What else was sent.
+    pub(super) rest: Map<String, Value>,
+}
+
+/// Bytes of a model's name.
+const MAX_MODEL_NAME: usize = 256;
+/// Stop sequences of a request.
+const MAX_STOP_SEQUENCES: usize = 64;
+/// Messages of a request.
+const MAX_MESSAGES: usize = 100_000;
+
+type Fields = Map<String, Value>;
+
+impl Ask {
+    /// Parses and checks a body. `counting`: for `count_tokens`, where `max_tokens` is not needed.
+    ///
+    /// # Errors
+    /// A fault that names the field, as the API does.
+    pub fn parse(body: &[u8], counting: bool) -> Result<Self, Fault> {
+        let value: Value =
+            serde_json::from_slice(body).or_else(|why| invalid(format!("body: not JSON: {why}")))?;
+        let Value::Object(mut rest) = value else { return invalid("body: expected an object") };
+        let model = take_model(&mut rest)?;
+        let max_tokens = take_max_tokens(&mut rest, counting)?;
+        let messages = take_messages(&mut rest)?;
+        let stream = take_stream(&mut rest)?;
+        let system = take_system(&mut rest)?;
+        let tools = take_tools(&mut rest)?;
+        let stop = take_stop_sequences(&mut rest)?;
+        for (name, most) in [("temperature", 1.0), ("top_p", 1.0)] {
+            check_number(&rest, name, most)?;
+        }
+        let metadata = rest.get("metadata");
+        let user = metadata.and_then(|metadata| metadata.get("user_id")).and_then(Value::as_str);
+        let user = user.map(str::to_owned);
+        Ok(Ask { model, max_tokens, stream, user, system, tools, messages, stop, rest })
+    }
+}
+
+fn take_model(fields: &mut Fields) -> Result<String, Fault> {
+    match fields.remove("model") {
+        Some(Value::String(model)) if !model.is_empty() && model.len() <= MAX_MODEL_NAME => Ok(model),
+        Some(_) => invalid("model: expected a name of 1 to 256 bytes"),
+        None => invalid("model: Field required"),
+    }
+}
+
+fn take_max_tokens(fields: &mut Fields, counting: bool) -> Result<u32, Fault> {
+    let value = match fields.remove("max_tokens") {
+        None if counting => return Ok(0),
+        None => return invalid("max_tokens: Field required"),
+        Some(value) => value,
+    };
+    match value.as_u64().and_then(|count| u32::try_from(count).ok()).filter(|count| *count > 0) {
+        Some(count) => Ok(count),
+        None => invalid(format!("max_tokens: {value}: expected a whole number of 1 or more")),
+    }
+}
+
+fn take_messages(fields: &mut Fields) -> Result<Vec<Value>, Fault> {
+    let messages = match fields.remove("messages") {
+        Some(Value::Array(messages)) if !messages.is_empty() && messages.len() <= MAX_MESSAGES => messages,
+        Some(_) => return invalid("messages: expected a list of 1 to 100000 messages"),
+        None => return invalid("messages: Field required"),
+    };
+    for (at, message) in messages.iter().enumerate() {
+        check_message(at, message)?;
+    }
+    Ok(messages)
+}
+
+fn take_stream(fields: &mut Fields) -> Result<bool, Fault> {
+    match fields.remove("stream") {
+        None | Some(Value::Null) => Ok(false),
+        Some(Value::Bool(stream)) => Ok(stream),
+        Some(value) => invalid(format!("stream: {value}: expected true or false")),
+    }
+}
+
+fn take_system(fields: &mut Fields) -> Result<Option<Value>, Fault> {
+    let system = fields.remove("system").filter(|system| !system.is_null());
+    match &system {
+        None | Some(Value::String(_)) => {}
+        Some(Value::Array(blocks)) => {
+            for (at, block) in blocks.iter().enumerate() {
+                check_block(&format!("system.{at}"), block)?;
+            }
+        }
+        Some(_) => return invalid("system: expected text or a list of text blocks"),
+    }
+    Ok(system)
+}
+
+fn take_tools(fields: &mut Fields) -> Result<Option<Value>, Fault> {
+    let tools = fields.remove("tools").filter(|tools| !tools.is_null());
+    let has_name = |tool: &Value| tool.get("name").is_some_and(Value::is_string);
+    let are_named = |tools: &Value| tools.as_array().is_some_and(|tools| tools.iter().all(has_name));
+    if tools.as_ref().is_some_and(|tools| !are_named(tools)) {
+        return invalid("tools: expected a list of tools, each with a name");
+    }
+    Ok(tools)
+}
+
+fn take_stop_sequences(fields: &mut Fields) -> Result<Vec<String>, Fault> {
+    match fields.remove("stop_sequences") {
+        None | Some(Value::Null) => Ok(Vec::new()),
+        Some(Value::Array(list)) if list.len() <= MAX_STOP_SEQUENCES => {
+            list.into_iter().map(stop_sequence).collect()
+        }
+        Some(_) => invalid("stop_sequences: expected a list of at most 64 texts"),
+    }
+}
+
+fn stop_sequence(value: Value) -> Result<String, Fault> {
+    match value {
+        Value::String(text) if !text.trim().is_empty() => Ok(text),
+        _ => invalid("stop_sequences: expected texts that are not blank"),
+    }
+}
+
+/// Checks that a field, if there is one, is a number from 0 to `most`.
+fn check_number(fields: &Fields, name: &str, most: f64) -> Result<(), Fault> {
+    let Some(value) = fields.get(name).filter(|value| !value.is_null()) else { return Ok(()) };
+    if value.as_f64().is_some_and(|number| (0.0..=most).contains(&number)) {
+        Ok(())
+    } else {
+        invalid(format!("{name}: {value}: expected a number from 0 to {most}"))
+    }
+}
+
+fn check_message(at: usize, message: &Value) -> Result<(), Fault> {
+    let place = format!("messages.{at}");
+    match message.get("role").and_then(Value::as_str) {
+        Some("user" | "assistant") => {}
+        _ => return invalid(format!("{place}.role: expected 'user' or 'assistant'")),
+    }
+    match message.get("content") {
+        Some(Value::String(_)) => Ok(()),
+        Some(Value::Array(blocks)) => {
+            let check = |(at, block)| check_block(&format!("{place}.content.{at}"), block);
+            blocks.iter().enumerate().try_for_each(check)
+        }
+        _ => invalid(format!("{place}.content: expected text or a list of content blocks")),
+    }
+}
+
+fn check_block(place: &str, block: &Value) -> Result<(), Fault> {
+    match block.get("type").and_then(Value::as_str) {
+        Some("text") if !block.get("text").is_some_and(Value::is_string) => {
+            invalid(format!("{place}.text: Field required"))
+        }
+        Some(_) => Ok(()),
+        None => invalid(format!("{place}.type: Field required")),
+    }
+}
