--- a/crates/platform/src/dispatch.rs
+++ b/crates/platform/src/dispatch.rs
@@ -1,6 +1,6 @@
 //! Carries out what the module decides: attempts, probes, final answers.
 
-use crate::engine_connection::{ConnectionPurpose, EngineConnection, State};
+use crate::engine_connection::{ConnectionPurpose, EngineConnection, Exchange, State};
 use crate::proof::{AttemptEnd, NeverRan};
 use crate::router::PlatformRouter;
 use crate::timer::Timer;
@@ -8,7 +8,6 @@
 use slipreel_connections::Slot;
 use slipreel_protocol::http::{self, Framing};
 use slipreel_state_machine::{ConnId, Output};
-use std::net::SocketAddr;
 use std::time::Duration;
 
 /// Connections for releases beyond the bound of those to engines.
@@ -65,7 +64,8 @@
         self.counters.attempts += 1;
         self.requests.record_forwarded(now, id);
         let purpose = ConnectionPurpose::Attempt { request: id, attempt };
-        let Some(conn) = self.open_for_attempt(engine, addr, purpose, bytes, holds_last_byte, out) else {
+        let exchange = Exchange { engine, addr, purpose, request: bytes, holds_last_byte };
+        let Some(conn) = self.open_for_attempt(exchange, out) else {
             return self.ended(id, attempt, AttemptEnd::never_ran(NeverRan::NotTried));
         };
         if let Some(attempt) = self.requests.get_mut(id).and_then(|request| request.attempts.get_mut(attempt))
@@ -82,58 +82,50 @@
     /// An attempt goes out on a connection that carried nothing before. Answers name no request: on a kept connection a
     /// second answer to the exchange before, however late, can't be told from the answer to the present one. Taken for that,
     /// it would prove that an attempt never ran which is at work, or leave a copy of it out at its engine.
-    fn open_for_attempt(
-        &mut self, engine: EngineId, addr: SocketAddr, purpose: ConnectionPurpose, bytes: Vec<u8>,
-        holds_last_byte: bool, out: &mut Vec<Output>,
-    ) -> Option<ConnId> {
-        if !self.free_connection_slot(&purpose, out) {
+    fn open_for_attempt(&mut self, exchange: Exchange, out: &mut Vec<Output>) -> Option<ConnId> {
+        if !self.free_connection_slot(exchange.purpose, out) {
             return None;
         }
-        self.engines.reserve_new(engine);
-        let conn = self.engines.next_id();
-        let connection = EngineConnection::new(conn, engine, addr, purpose, self.now, bytes);
-        let connection = if holds_last_byte { connection.holding_last_byte() } else { connection };
-        self.open(connection, out);
-        Some(conn)
+        self.engines.reserve_new(exchange.engine);
+        Some(self.open(exchange, out))
     }
 
-    /// Puts a probe or a release on an idle connection or on a new one. False if there is no room for one.
-    pub(crate) fn exchange(
-        &mut self, engine: EngineId, addr: SocketAddr, purpose: ConnectionPurpose, bytes: Vec<u8>,
-        out: &mut Vec<Output>,
-    ) -> bool {
+    /// Puts a health check or a release on an idle connection or on a new one. False if there is no slot for one.
+    pub(crate) fn exchange(&mut self, exchange: Exchange, out: &mut Vec<Output>) -> bool {
         let now = self.now;
-        match self.engines.reserve(engine, purpose, now) {
+        match self.engines.reserve(exchange.engine, exchange.purpose, now) {
             Slot::Idle(conn) => {
                 if let Some(connection) = self.engines.get_mut(conn) {
-                    out.push(Output::Write(conn, connection.begin(purpose, now, bytes)));
+                    out.push(Output::Write(conn, connection.reuse(exchange, now)));
                 }
                 self.arm_engine_timer(conn);
                 true
             }
-            Slot::Open if self.free_connection_slot(&purpose, out) => {
-                let conn = self.engines.next_id();
-                self.open(EngineConnection::new(conn, engine, addr, purpose, now, bytes), out);
+            Slot::Open if self.free_connection_slot(exchange.purpose, out) => {
+                self.open(exchange, out);
                 true
             }
             Slot::Open | Slot::Full => {
-                self.engines.cancel_reservation(engine);
+                self.engines.cancel_reservation(exchange.engine);
                 false
             }
         }
     }
 
-    fn open(&mut self, connection: EngineConnection, out: &mut Vec<Output>) {
-        let (conn, addr) = (connection.conn, connection.addr);
+    /// Opens a connection for an exchange.
+    fn open(&mut self, exchange: Exchange, out: &mut Vec<Output>) -> ConnId {
+        let conn = self.engines.next_id();
+        let addr = exchange.addr;
         self.counters.engine_connections_opened += 1;
-        self.engines.insert(connection);
+        self.engines.insert(EngineConnection::new(conn, exchange, self.now));
         out.push(Output::Connect(conn, addr));
         self.arm_engine_timer(conn);
+        conn
     }
 
     /// Whether one more connection to an engine may be opened: at the bound the one that stands idle longest makes room.
     /// Releases have a few beyond it: they must not wait until an attempt ends.
-    fn free_connection_slot(&mut self, purpose: &ConnectionPurpose, out: &mut Vec<Output>) -> bool {
+    fn free_connection_slot(&mut self, purpose: ConnectionPurpose, out: &mut Vec<Output>) -> bool {
         let extra =
             if matches!(purpose, ConnectionPurpose::Release(_)) { EXTRA_RELEASE_CONNECTIONS } else { 0 };
         self.engines.len() < self.resource_limits.engine_connections + extra || self.close_oldest_idle(out)
@@ -263,9 +255,11 @@
         let reports =
             self.profile.settings.report_source != ReportSource::None && !self.report_layout.is_empty();
         let path = if reports { "/-/load" } else { "/-/healthy" };
-        let bytes = http::request_head("GET", path, &[("host", &addr.to_string())], Framing::Length(0));
+        let request = http::request_head("GET", path, &[("host", &addr.to_string())], Framing::Length(0));
         self.counters.probes += 1;
-        if !self.exchange(engine, addr, ConnectionPurpose::Probe, bytes, out) {
+        let purpose = ConnectionPurpose::Probe;
+        let exchange = Exchange { engine, addr, purpose, request, holds_last_byte: false };
+        if !self.exchange(exchange, out) {
             self.probe_ended(engine, Outcome::NotSent, LoadReport::default());
         }
     }
--- a/crates/platform/src/engine_connections.rs
+++ b/crates/platform/src/engine_connections.rs
@@ -143,7 +143,7 @@
 
     /// A connection broke: if it was reused and had not answered yet, reuse is worth less.
     pub(crate) fn record_loss(&mut self, connection: &EngineConnection) {
-        if connection.reuse_unproven && connection.state == State::Busy {
+        if connection.is_reuse_unproven() {
             self.reuse_history.used(connection.engine, true);
         }
     }
--- a/crates/platform/src/engines.rs
+++ b/crates/platform/src/engines.rs
@@ -1,17 +1,19 @@
-//! What the engines say and do: it becomes events for the module and the client's answer.
+//! The engines' side: responses become events for the decision module, and the events of one stream the client's answer.
 
-use crate::engine_connection::{Answer, ConnectionPurpose, EngineConnection, ResponseEvent, State};
-use crate::parse_request;
+use crate::engine_connection::{ConnectionPurpose, EngineConnection, State};
+use crate::parse_request::MAX_TOKENS;
 use crate::proof::{AttemptEnd, NeverRan};
 use crate::request::Attempt;
+use crate::response::{Answer, ResponseError, ResponseEvent};
 use crate::router::PlatformRouter;
-use slipreel::{Event, LoadReport, Outcome, RequestId};
+use slipreel::{EngineId, Event, LoadReport, Outcome, RequestId};
+use slipreel_connections::ReleaseId;
 use slipreel_state_machine::{ConnId, ConnectionLoss, Output};
 
 /// Bytes that may wait for a client before its engine's connection is paused.
 const MAX_UNSENT_BYTES: usize = 64 << 10;
-/// The status with which a reader says that it has read a prompt.
-const READ: u16 = 202;
+/// The status with which a prefill engine says that it has prefilled a prompt.
+const PREFILLED: u16 = 202;
 /// The status with which an engine acknowledges a release.
 const RELEASED: u16 = 204;
 
@@ -26,10 +28,10 @@
         };
         if let ConnectionPurpose::Attempt { request, .. } = connection.purpose {
             if let Some(request) = self.requests.get(request) {
-                connection.replace_pending(request.message(now, connection.addr));
+                connection.replace_request(request.message(now, connection.addr));
             }
         }
-        out.push(Output::Write(conn, connection.stands(now)));
+        out.push(Output::Write(conn, connection.connected(now)));
         self.arm_engine_timer(conn);
     }
 
@@ -44,9 +46,9 @@
         }
     }
 
-    pub(crate) fn engine_sent(&mut self, conn: ConnId, n: usize) {
+    pub(crate) fn engine_sent(&mut self, conn: ConnId, sent: usize) {
         if let Some(connection) = self.engines.get_mut(conn) {
-            connection.unsent = connection.unsent.saturating_sub(n);
+            connection.bytes_sent(sent);
         }
     }
 
@@ -57,27 +59,28 @@
             // Bytes that nobody asked for: what follows could be taken for the next answer.
             return self.abort_connection(conn, AttemptEnd::may_have_run(Outcome::Error), out);
         }
-        connection.since = now;
         let engine = connection.engine;
-        let is_first_of_reuse = std::mem::take(&mut connection.reuse_unproven);
-        let mut said = Vec::new();
-        let early = connection.is_holding_last_byte();
-        connection.feed(bytes, &self.report_layout, &mut said);
-        self.counters.malformed_load_reports += std::mem::take(&mut connection.odd_reports);
-        if is_first_of_reuse {
+        let was_holding_last_byte = connection.is_holding_last_byte();
+        let proves_reuse = connection.prove_reuse();
+        let mut events = Vec::new();
+        connection.feed(now, bytes, &self.report_layout, &mut events);
+        self.counters.malformed_load_reports += connection.take_malformed_reports();
+        if proves_reuse {
             self.engines.record_reuse_success(engine);
         }
         self.endpoints.record_contact(engine, now);
-        // Before its last byte was written nothing can be the answer to a request, but that it is turned away: guards
-        // against a late second answer of the exchange before, taken for a stream or a proof that this one never ran.
-        if early && !matches!(&said[..], [ResponseEvent::Answer(answer)] if answer.not_run) {
+        // Before its last byte was written nothing can be the answer to a request, but that it is rejected: guards against
+        // a late second answer of the exchange before, taken for a stream or a proof that this one never ran.
+        if was_holding_last_byte && !matches!(&events[..], [ResponseEvent::Answer(answer)] if answer.not_run)
+        {
             self.counters.malformed_responses += 1;
             return self.abort_connection(conn, AttemptEnd::never_ran(NeverRan::LastByteHeld), out);
         }
-        for said in said {
-            self.heard(conn, said, out);
+        for event in events {
+            self.handle_response(conn, event, out);
         }
-        if let Some(ConnectionPurpose::Attempt { request, .. }) = self.engines.get(conn).map(|l| l.purpose) {
+        let purpose = self.engines.get(conn).map(|connection| connection.purpose);
+        if let Some(ConnectionPurpose::Attempt { request, .. }) = purpose {
             self.check_pace(request, out);
         }
     }
@@ -101,32 +104,33 @@
         }
     }
 
-    /// Its time is up, by its state.
+    /// A connection has timed out, by its state.
     pub(crate) fn engine_timed_out(&mut self, conn: ConnId, out: &mut Vec<Output>) {
-        if self.engines.get(conn).is_some_and(EngineConnection::is_holding_last_byte)
-            && self.request_is_over(conn)
-        {
-            return self.cancel_connection(conn, Outcome::Cancelled, out);
-        }
-        if let Some(connection) = self.engines.get_mut(conn).filter(|l| l.is_holding_last_byte()) {
-            out.push(Output::Write(conn, std::mem::take(&mut connection.pending)));
-            return self.arm_engine_timer(conn);
-        }
-        match self.engines.get(conn).map(|l| l.state) {
-            Some(State::Connecting) => {
+        let Some(connection) = self.engines.get(conn) else { return };
+        match connection.state {
+            State::Connecting => {
                 self.abort_connection(conn, AttemptEnd::never_ran(NeverRan::NotConnected), out);
             }
-            Some(State::Busy) => {
-                self.abort_connection(conn, AttemptEnd::may_have_run(Outcome::TimedOut), out);
-            }
-            Some(State::Idle) => {
+            State::Busy if connection.is_holding_last_byte() => self.write_last_byte(conn, out),
+            State::Busy => self.abort_connection(conn, AttemptEnd::may_have_run(Outcome::TimedOut), out),
+            State::Idle => {
                 self.engines.remove(conn, &mut self.timers);
                 out.push(Output::CloseWhenSent(conn));
             }
-            None => {}
         }
     }
 
+    /// Completes a request whose last byte was held back, unless nobody waits for it any more.
+    fn write_last_byte(&mut self, conn: ConnId, out: &mut Vec<Output>) {
+        if self.request_is_over(conn) {
+            return self.cancel_connection(conn, Outcome::Cancelled, out);
+        }
+        if let Some(connection) = self.engines.get_mut(conn) {
+            out.push(Output::Write(conn, connection.take_last_byte()));
+        }
+        self.arm_engine_timer(conn);
+    }
+
     pub(crate) fn attempt_timed_out(&mut self, id: RequestId, attempt: usize, out: &mut Vec<Output>) {
         let Some(request) = self.requests.get(id).filter(|c| c.streaming_attempt.is_none()) else { return };
         let conn = request.attempts.get(attempt).filter(|a| a.out).and_then(|a| a.conn);
@@ -135,12 +139,14 @@
         }
     }
 
-    fn heard(&mut self, conn: ConnId, said: ResponseEvent, out: &mut Vec<Output>) {
+    /// A response, or a part of one, by what its connection is used for.
+    fn handle_response(&mut self, conn: ConnId, event: ResponseEvent, out: &mut Vec<Output>) {
         let Some(connection) = self.engines.get(conn) else { return };
-        let (engine, purpose) = (connection.engine, connection.purpose);
-        match (said, purpose) {
-            (ResponseEvent::Events(bytes), ConnectionPurpose::Attempt { request, attempt }) => {
-                if !self.forward_events(request, attempt, &bytes, out) {
+        let engine = connection.engine;
+        match (event, connection.purpose) {
+            (ResponseEvent::Malformed(error), _) => self.malformed_response(conn, engine, &error, out),
+            (ResponseEvent::Events(events), ConnectionPurpose::Attempt { request, attempt }) => {
+                if !self.forward_events(request, attempt, &events, out) {
                     self.abort_connection(conn, AttemptEnd::may_have_run(Outcome::Cancelled), out);
                 }
             }
@@ -149,40 +155,48 @@
                 self.stream_ended(request, attempt, report.unwrap_or_default(), out);
             }
             (ResponseEvent::Answer(answer), ConnectionPurpose::Attempt { request, attempt }) => {
-                self.answered(conn, request, attempt, &answer, out);
+                self.attempt_answered(conn, request, attempt, &answer, out);
             }
             (ResponseEvent::Answer(answer), ConnectionPurpose::Probe) => {
-                self.exchange_finished(conn, out);
-                let body =
-                    std::str::from_utf8(&answer.body).ok().and_then(|text| self.report_layout.read(text));
-                let report = answer.report.or(body).unwrap_or_default();
-                let outcome = if answer.status == 200 { Outcome::Completed } else { Outcome::Error };
-                self.probe_ended(engine, outcome, report);
-            }
-            // Any other status is none that a release is answered with: guards against a late second answer of the exchange
-            // before, taken for an acknowledgement.
-            (ResponseEvent::Answer(answer), ConnectionPurpose::Release(_)) if answer.status != RELEASED => {
-                self.counters.malformed_responses += 1;
-                self.abort_connection(conn, AttemptEnd::may_have_run(Outcome::Error), out);
-            }
-            (ResponseEvent::Answer(_), ConnectionPurpose::Release(id)) => {
-                self.releases.acknowledged(id, self.now);
-                self.exchange_finished(conn, out);
+                self.probe_answered(conn, engine, &answer, out);
             }
-            (ResponseEvent::Spoilt(why), _) => {
-                self.counters.malformed_responses += 1;
-                let name =
-                    self.endpoints.get(engine).map_or_else(|| format!("{:x}", engine.0), |m| m.name.clone());
-                self.log_limited(|| format!("engine {name}: {why}"), out);
-                self.abort_connection(conn, AttemptEnd::may_have_run(Outcome::Error), out);
+            (ResponseEvent::Answer(answer), ConnectionPurpose::Release(release)) => {
+                self.release_answered(conn, release, &answer, out);
             }
             (
                 ResponseEvent::Events(_) | ResponseEvent::End(_),
                 ConnectionPurpose::Probe | ConnectionPurpose::Release(_),
-            ) => {
-                self.abort_connection(conn, AttemptEnd::may_have_run(Outcome::Error), out);
-            }
+            ) => self.abort_connection(conn, AttemptEnd::may_have_run(Outcome::Error), out),
+        }
+    }
+
+    fn malformed_response(
+        &mut self, conn: ConnId, engine: EngineId, error: &ResponseError, out: &mut Vec<Output>,
+    ) {
+        self.counters.malformed_responses += 1;
+        let endpoint = self.endpoints.get(engine);
+        let name = endpoint.map_or_else(|| format!("{:x}", engine.0), |endpoint| endpoint.name.clone());
+        self.log_limited(|| format!("engine {name}: {error}"), out);
+        self.abort_connection(conn, AttemptEnd::may_have_run(Outcome::Error), out);
+    }
+
+    fn probe_answered(&mut self, conn: ConnId, engine: EngineId, answer: &Answer, out: &mut Vec<Output>) {
+        self.exchange_finished(conn, out);
+        let body = std::str::from_utf8(&answer.body).ok();
+        let report = answer.report.or_else(|| self.report_layout.read(body?));
+        let outcome = if answer.status == 200 { Outcome::Completed } else { Outcome::Error };
+        self.probe_ended(engine, outcome, report.unwrap_or_default());
+    }
+
+    fn release_answered(&mut self, conn: ConnId, release: ReleaseId, answer: &Answer, out: &mut Vec<Output>) {
+        // Any other status is none that a release is answered with: guards against a late second answer of the exchange
+        // before, taken for an acknowledgement.
+        if answer.status != RELEASED {
+            self.counters.malformed_responses += 1;
+            return self.abort_connection(conn, AttemptEnd::may_have_run(Outcome::Error), out);
         }
+        self.releases.acknowledged(release, self.now);
+        self.exchange_finished(conn, out);
     }
 
     /// An exchange has ended in order: its connection is kept for the next, or closed.
@@ -190,12 +204,11 @@
         let now = self.now;
         let Some(connection) = self.engines.get_mut(conn) else { return };
         let engine = connection.engine;
-        (connection.state, connection.since) = (State::Idle, now);
-        if std::mem::take(&mut connection.paused) {
+        if connection.become_idle(now) {
             out.push(Output::Resume(conn));
         }
         let stays = self.endpoints.get(engine).is_some_and(|m| m.addr == connection.addr);
-        if !stays || !connection.reusable {
+        if !stays || !connection.is_reusable() {
             return self.close_connection(conn, out);
         }
         // Each attempt opens one. For probes and releases the one that answered last is kept: it is the likeliest to stand.
@@ -214,11 +227,11 @@
     }
 
     /// An answer that is no stream, by the protocol's table.
-    fn answered(
+    fn attempt_answered(
         &mut self, conn: ConnId, id: RequestId, attempt: usize, answer: &Answer, out: &mut Vec<Output>,
     ) {
         let Some(connection) = self.engines.get(conn) else { return };
-        let (proof, since) = (connection.turned_away(answer), connection.since);
+        let (proof, since) = (connection.proof_of_rejection(answer), connection.since);
         let reads = self
             .requests
             .get(id)
@@ -226,14 +239,14 @@
             .is_some_and(|attempt| attempt.reads);
         let end = match proof {
             Some(proof) => AttemptEnd::never_ran(proof),
-            None if answer.status == READ && reads => AttemptEnd::read(kept_tokens(&answer.body)),
+            None if answer.status == PREFILLED && reads => AttemptEnd::read(cached_tokens(&answer.body)),
             None => AttemptEnd::may_have_run(Outcome::Error),
         };
         let end = end.with_report(answer.report.unwrap_or_default());
         if let Some(proof) = proof {
             self.log_never_ran(id, attempt, proof, since, out);
         }
-        if answer.status == READ && !reads {
+        if answer.status == PREFILLED && !reads {
             self.log_limited(
                 || "an answer 202 to a write ends its connection: it may have run".to_owned(),
                 out,
@@ -304,10 +317,10 @@
         let now = self.now;
         let Some(connection) = self.engines.get_mut(conn) else { return };
         // Some hysteresis, so that a peer of steady pace does not make it change with each write.
-        let pauses =
-            if connection.paused { unsent > MAX_UNSENT_BYTES / 2 } else { unsent > MAX_UNSENT_BYTES };
-        if pauses != connection.paused {
-            (connection.paused, connection.since) = (pauses, now);
+        let limit = if connection.is_paused() { MAX_UNSENT_BYTES / 2 } else { MAX_UNSENT_BYTES };
+        let pauses = unsent > limit;
+        if pauses != connection.is_paused() {
+            connection.set_paused(pauses, now);
             out.push(if pauses { Output::Pause(conn) } else { Output::Resume(conn) });
             self.arm_engine_timer(conn);
             self.arm_client_timer(client);
@@ -315,11 +328,11 @@
     }
 }
 
-/// What a read found kept, tokens; none if its body does not say.
-fn kept_tokens(body: &[u8]) -> f64 {
+/// Prompt tokens that a prefill found cached; none if its body does not say.
+fn cached_tokens(body: &[u8]) -> f64 {
     let value = serde_json::from_slice::<serde_json::Value>(body).ok();
-    let kept = value.as_ref().and_then(|v| v.get("cached_tokens")?.as_f64());
-    kept.filter(|n| (0.0..=parse_request::MAX_TOKENS).contains(n)).unwrap_or(0.0)
+    let tokens = value.as_ref().and_then(|value| value.get("cached_tokens")?.as_f64());
+    tokens.filter(|tokens| (0.0..=MAX_TOKENS).contains(tokens)).unwrap_or(0.0)
 }
 
 /// How what a connection carried ends as the connection is lost. What had not been written completely never ran.
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -9,7 +9,7 @@
 //!    module is told, and `request_error` says why a request is rejected before that;
 //! 2. `dispatch`: the module's actions become attempts on connections (`engine_connection`), health checks, and
 //!    releases of held state (`release`);
-//! 3. `engines`: responses of engines become events for the module, and the events of one stream the client's answer;
+//! 3. `engines`: responses of engines (parsed by `response`) become events for the module, and the events of one stream the client's answer;
 //! 4. `clients`: the one final answer is written.
 //!
 //! The router composes types that own their state, each with one job: `client_connections` and `engine_connections`
@@ -48,6 +48,7 @@
 mod request;
 mod request_error;
 mod resource_limits;
+mod response;
 mod router;
 mod shutdown;
 mod timer;
--- a/crates/platform/src/release.rs
+++ b/crates/platform/src/release.rs
@@ -4,7 +4,7 @@
 //! from last, on a connection that stands; to another one each time it is sent again; and to any connection that has just
 //! answered something else.
 
-use crate::engine_connection::ConnectionPurpose;
+use crate::engine_connection::{ConnectionPurpose, Exchange};
 use crate::router::PlatformRouter;
 use crate::timer::Timer;
 use slipreel::{EngineId, RequestId, Settings};
@@ -107,10 +107,12 @@
     fn send_release(&mut self, id: ReleaseId, release: &Release, engine: EngineId, out: &mut Vec<Output>) {
         let Some(addr) = self.endpoints.get(engine).map(|m| m.addr) else { return };
         let target = format!("/v1/holds/{}", release.name);
-        let bytes = http::request_head("DELETE", &target, &[("host", &addr.to_string())], Framing::Length(0));
+        let request =
+            http::request_head("DELETE", &target, &[("host", &addr.to_string())], Framing::Length(0));
         self.counters.releases += 1;
         self.releases.sent(id, engine, self.now);
-        self.exchange(engine, addr, ConnectionPurpose::Release(id), bytes, out);
+        let purpose = ConnectionPurpose::Release(id);
+        self.exchange(Exchange { engine, addr, purpose, request, holds_last_byte: false }, out);
     }
 
     /// A connection has answered and fallen idle: it takes the oldest release that waits, so that many of them follow each
