--- a/crates/platform/src/active_requests.rs
+++ b/crates/platform/src/active_requests.rs
@@ -43,12 +43,12 @@
 
     /// A request that has not had its final answer.
     pub(crate) fn get_open(&self, id: RequestId) -> Option<&ActiveRequest> {
-        self.get(id).filter(|request| !request.over)
+        self.get(id).filter(|request| !request.is_closed)
     }
 
     /// The requests that have not had their final answer, in the order of their ids.
     pub(crate) fn open(&self) -> impl Iterator<Item = (RequestId, &ActiveRequest)> {
-        self.by_id.iter().filter(|(_, request)| !request.over).map(|(&id, request)| (id, request))
+        self.by_id.iter().filter(|(_, request)| !request.is_closed).map(|(&id, request)| (id, request))
     }
 
     /// Whether this attempt's stream is being forwarded to the client.
@@ -102,7 +102,7 @@
     /// A request has its final answer, or needs none any more.
     pub(crate) fn close(&mut self, id: RequestId) {
         let Some(request) = self.by_id.get_mut(&id) else { return };
-        if std::mem::replace(&mut request.over, true) {
+        if std::mem::replace(&mut request.is_closed, true) {
             return;
         }
         if request.streaming_attempt.is_none() {
--- a/crates/platform/src/clients.rs
+++ b/crates/platform/src/clients.rs
@@ -1,4 +1,4 @@
-//! The clients' side: whole requests come in, one final answer goes out.
+//! The clients' side: complete requests come in, and each gets one final answer.
 
 use crate::parse_request::{self, ParsedRequest};
 use crate::proof::AttemptEnd;
@@ -16,9 +16,11 @@
 const MAX_REQUEST_BODY_BYTES: u64 = 256 << 10;
 /// Bytes of pipelined requests that may wait while one is being answered.
 const MAX_PIPELINED_BYTES: usize = 16 << 10;
+
 impl PlatformRouter {
     // ---- In -----------------------------------------------------------------------------------
 
+    /// A client has connected. Without a slot for it, another is evicted, or it is closed.
     pub(crate) fn accepted(&mut self, conn: ConnId, out: &mut Vec<Output>) {
         if self.clients.len() >= self.resource_limits.client_connections && !self.evict(out) {
             self.counters.rejected_before_admission += 1;
@@ -54,6 +56,7 @@
         true
     }
 
+    /// Bytes of a client have come.
     pub(crate) fn client_data(&mut self, conn: ConnId, bytes: &[u8], out: &mut Vec<Output>) {
         let now = self.now;
         let Some(client) = self.clients.get_mut(conn) else { return };
@@ -84,6 +87,7 @@
         }
     }
 
+    /// Answers what is asked of this router itself; all else is to be forwarded.
     fn route(&mut self, conn: ConnId, received: Received, out: &mut Vec<Output>) {
         match (received.method(), received.path()) {
             ("GET", "/-/ready") => {
@@ -95,11 +99,12 @@
         }
     }
 
+    /// Takes a request, or rejects it before the decision module is told of it.
     fn admit(&mut self, conn: ConnId, received: Received, out: &mut Vec<Output>) {
         match self.check_admissible(&received) {
             Ok(parsed) => self.start_request(conn, parsed, received),
             Err(error) => {
-                // Counted here and by `reject` as well.
+                // One for want of memory is counted here and by `reject` as well.
                 self.counters.rejected_before_admission += u64::from(error == RequestError::OutOfMemory);
                 self.reject(conn, &error, out);
             }
@@ -153,6 +158,7 @@
         self.queue_event(Event::Request(request));
     }
 
+    /// A client has closed its sending side.
     pub(crate) fn client_eof(&mut self, conn: ConnId, out: &mut Vec<Output>) {
         // A client that closes its connection has gone away, whatever it still waits for.
         if self.clients.contains(conn) {
@@ -161,6 +167,7 @@
         }
     }
 
+    /// A client has gone: its request needs no answer any more.
     pub(crate) fn client_gone(&mut self, conn: ConnId, out: &mut Vec<Output>) {
         let request = match self.clients.get(conn).map(|c| c.state) {
             Some(State::Serving(Some(request))) => Some(RequestId(request)),
@@ -173,24 +180,24 @@
             u64::from(self.requests.get(id).is_some_and(|c| c.streaming_attempt.is_none()));
         self.requests.close(id);
         self.queue_event(Event::ClientDisconnected(id));
-        let streaming_attempt = self.requests.get(id).and_then(|c| c.attempts[c.streaming_attempt?].conn);
-        if let Some(connection) = streaming_attempt {
-            // A stream that nobody reads.
-            self.abort_connection(connection, AttemptEnd::may_have_run(Outcome::Cancelled), out);
+        if let Some(conn) = self.requests.get(id).and_then(ActiveRequest::streaming_connection) {
+            // The client is gone; stop reading from the engine.
+            self.abort_connection(conn, AttemptEnd::may_have_run(Outcome::Cancelled), out);
         }
     }
 
-    pub(crate) fn client_sent(&mut self, conn: ConnId, n: usize, out: &mut Vec<Output>) {
+    /// Bytes for a client have left the driver.
+    pub(crate) fn client_sent(&mut self, conn: ConnId, sent: usize, out: &mut Vec<Output>) {
         let now = self.now;
         let Some(client) = self.clients.get_mut(conn) else { return };
-        client.unsent = client.unsent.saturating_sub(n);
+        client.unsent = client.unsent.saturating_sub(sent);
         client.moved = now;
         if let State::Serving(Some(request)) = client.state {
             self.check_pace(RequestId(request), out);
         }
     }
 
-    /// Its time is up, by its state.
+    /// A client connection has timed out, by its state.
     pub(crate) fn client_timed_out(&mut self, conn: ConnId, out: &mut Vec<Output>) {
         let Some(client) = self.clients.get_mut(conn) else { return };
         match client.state {
@@ -219,18 +226,20 @@
         self.answer(conn, error.status(), &[], body.as_bytes(), out);
     }
 
+    /// Writes a complete answer.
     fn answer(
         &mut self, conn: ConnId, status: u16, fields: &[(&str, &str)], body: &[u8], out: &mut Vec<Output>,
     ) {
-        let stopping = self.shutdown.has_begun();
+        let is_last = self.shutdown.has_begun();
         let Some(client) = self.clients.get_mut(conn) else { return };
-        if stopping {
+        if is_last {
             client.last_answer();
         }
         client.answer(status, fields, body, out);
         self.client_done(conn, out);
     }
 
+    /// An answer is written: the connection goes on, or ends.
     fn client_done(&mut self, conn: ConnId, out: &mut Vec<Output>) {
         let now = self.now;
         let Some(client) = self.clients.get_mut(conn) else { return };
@@ -241,34 +250,36 @@
         }
     }
 
-    /// Writes a final answer that is no stream, and goes on with what the client has sent ahead.
+    /// Writes a final answer that is not a stream, and goes on with pipelined requests.
     fn answer_request(
         &mut self, id: RequestId, status: u16, fields: &[(&str, &str)], why: &str, out: &mut Vec<Output>,
     ) {
-        let Some(conn) = self.requests.get_open(id).map(|c| c.client) else { return };
+        let Some(conn) = self.requests.get_open(id).map(|request| request.client) else { return };
         self.requests.close(id);
         let body = serde_json::json!({ "error": why }).to_string();
         self.answer(conn, status, fields, body.as_bytes(), out);
         self.read_requests(conn, out);
     }
 
+    /// The decision module rejects a request.
     pub(crate) fn reject_request(
-        &mut self, id: RequestId, after: Option<Duration>, over_share: bool, out: &mut Vec<Output>,
+        &mut self, id: RequestId, retry_after: Option<Duration>, over_quota: bool, out: &mut Vec<Output>,
     ) {
         self.counters.rejected += 1;
-        let tried = self.requests.get(id).is_some_and(|c| !c.attempts.is_empty());
-        *(if tried {
-            &mut self.counters.ended_without_event
+        if self.requests.get(id).is_some_and(|request| !request.attempts.is_empty()) {
+            self.counters.ended_without_event += 1;
         } else {
-            &mut self.counters.rejected_without_attempt
-        }) += 1;
+            self.counters.rejected_without_attempt += 1;
+        }
         self.log_request_end("refused", id, out);
-        let after = after.map(|after| format!("{:.3}", after.as_secs_f64()));
-        let fields: Vec<(&str, &str)> = after.iter().map(|after| ("retry-after", after.as_str())).collect();
-        let status = if over_share { 429 } else { 503 };
+        let seconds = retry_after.map(|time| format!("{:.3}", time.as_secs_f64()));
+        let fields: Vec<(&str, &str)> =
+            seconds.iter().map(|seconds| ("retry-after", seconds.as_str())).collect();
+        let status = if over_quota { 429 } else { 503 };
         self.answer_request(id, status, &fields, "turned away; trying again is harmless", out);
     }
 
+    /// A request has failed, and no attempt is left for it.
     pub(crate) fn fail_request(&mut self, id: RequestId, out: &mut Vec<Output>) {
         self.counters.failed += 1;
         self.counters.ended_without_event += 1;
@@ -276,14 +287,15 @@
         self.answer_request(id, 502, &[], "failed; it may have run", out);
     }
 
-    /// How a request came to its end, for the staff.
+    /// Logs how a request came to its end. `slipreel losses` reads these lines.
     fn log_request_end(&mut self, what: &str, id: RequestId, out: &mut Vec<Output>) {
         let Some(trace) = self.requests.get(id).map(|c| c.trace(self.now)) else { return };
         self.log_limited(|| format!("{what}: {trace}"), out);
     }
 
+    /// Writes the head of a streamed answer.
     pub(crate) fn begin_stream(&mut self, id: RequestId, out: &mut Vec<Output>) {
-        let Some(client) = self.requests.get(id).map(|c| c.client) else { return };
+        let Some(client) = self.requests.get(id).map(|request| request.client) else { return };
         if let Some(client) = self.clients.get_mut(client) {
             if self.shutdown.has_begun() {
                 client.last_answer();
@@ -292,16 +304,17 @@
         }
     }
 
+    /// Writes events of a stream.
     pub(crate) fn write_events(&mut self, id: RequestId, events: &[u8], out: &mut Vec<Output>) {
-        let Some(client) = self.requests.get(id).map(|c| c.client) else { return };
+        let Some(client) = self.requests.get(id).map(|request| request.client) else { return };
         if let Some(client) = self.clients.get_mut(client) {
             client.write(http::chunk(events), out);
         }
     }
 
-    /// A stream has come whole.
+    /// A stream has come to its end.
     pub(crate) fn complete_stream(&mut self, id: RequestId, out: &mut Vec<Output>) {
-        let Some(conn) = self.requests.get_open(id).map(|c| c.client) else { return };
+        let Some(conn) = self.requests.get_open(id).map(|request| request.client) else { return };
         self.requests.close(id);
         self.counters.completed += 1;
         if let Some(client) = self.clients.get_mut(conn) {
@@ -313,7 +326,7 @@
 
     /// A stream has broken: the client's connection ends in order, without the last chunk.
     pub(crate) fn abort_stream(&mut self, id: RequestId, out: &mut Vec<Output>) {
-        let Some(conn) = self.requests.get_open(id).map(|c| c.client) else { return };
+        let Some(conn) = self.requests.get_open(id).map(|request| request.client) else { return };
         self.log_request_end("broke off", id, out);
         self.requests.close(id);
         self.counters.failed += 1;
@@ -324,10 +337,9 @@
         }
     }
 
-    /// A stream is moved: it ends where it stands, and its client asks for the rest.
+    /// A stream is migrated: it ends where it stands, and its client asks for the rest at another router.
     pub(crate) fn migrate_stream(&mut self, id: RequestId, out: &mut Vec<Output>) {
-        let Some(conn) = self.requests.get_open(id).and_then(|c| c.attempts[c.streaming_attempt?].conn)
-        else {
+        let Some(conn) = self.requests.get_open(id).and_then(ActiveRequest::streaming_connection) else {
             return;
         };
         self.abort_stream(id, out);
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -1,25 +1,62 @@
-//! What a node is started with: the platform's configuration file.
+//! What a router is started with: the platform's configuration file.
 
-use crate::endpoint_list::{self, EndpointList};
+use crate::endpoint_list::{self, EndpointList, EndpointListError};
 use crate::resource_limits::ResourceLimits;
 use serde_json::Value;
-use slipreel_platform_settings::Profile;
-use std::fmt;
+use slipreel_platform_settings::{BadSetting, Profile};
 use std::net::SocketAddr;
 
-/// A configuration that can't be used: place, what was found, what was expected.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct ConfigError(pub String);
-
-impl fmt::Display for ConfigError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(&self.0)
-    }
+/// Why a configuration cannot be used. `Display` gives the place of the fault, what stands there and what was expected.
+#[derive(Debug, thiserror::Error)]
+pub enum ConfigError {
+    /// The file is no JSON.
+    #[error("no JSON: {0}")]
+    NotJson(#[from] serde_json::Error),
+    /// A field is missing.
+    #[error("{field}: missing")]
+    Missing {
+        /// The path of the field.
+        field: String,
+    },
+    /// A field holds something other than text.
+    #[error("{field}: {found}: expected text")]
+    NotText {
+        /// The path of the field.
+        field: String,
+        /// What stands there.
+        found: Value,
+    },
+    /// A field holds no address.
+    #[error("{field}: {found:?}: expected IP:PORT")]
+    InvalidAddress {
+        /// The path of the field.
+        field: String,
+        /// What stands there.
+        found: String,
+    },
+    /// A limit is no number, or out of range.
+    #[error("{field}: {found}: expected a number of 1 or more")]
+    InvalidLimit {
+        /// The path of the field.
+        field: String,
+        /// What stands there.
+        found: Value,
+    },
+    /// The seed is no number in hex.
+    #[error("seed: {0:?}: expected 1 to 16 hex digits")]
+    InvalidSeed(String),
+    /// The cached endpoint list cannot be read.
+    #[error("known.{0}")]
+    InvalidEndpointList(#[source] EndpointListError),
+    /// The settings cannot be read.
+    #[error("settings: {}", .0.0)]
+    InvalidSettings(BadSetting),
 }
 
-impl std::error::Error for ConfigError {}
+/// Limits from here on are taken for mistakes.
+const MAX_LIMIT: f64 = 1e9;
 
-/// The configuration of a node.
+/// The configuration of a router.
 #[derive(Clone, Debug)]
 pub struct Config {
     /// Its name, the same after a restart.
@@ -28,11 +65,11 @@
     pub listen: SocketAddr,
     /// Where discovery is.
     pub discovery: SocketAddr,
-    /// For its chances; new at each start.
+    /// Seed of its random draws; new at each start.
     pub seed: u64,
     /// What its process may hold.
     pub resource_limits: ResourceLimits,
-    /// The list as this router last held it.
+    /// The endpoint list as this router last held it.
     pub known: Option<EndpointList>,
     /// The settings.
     pub profile: Profile,
@@ -44,41 +81,51 @@
     /// # Errors
     /// The first field that is missing or can't be read.
     pub fn parse(text: &str) -> Result<Config, ConfigError> {
-        let value: Value = serde_json::from_str(text).map_err(|e| ConfigError(format!("no JSON: {e}")))?;
-        let field = |name: &str| value.get(name).ok_or_else(|| ConfigError(format!("{name}: missing")));
-        let text = |name: &str| {
-            let found = field(name)?;
-            found.as_str().ok_or_else(|| ConfigError(format!("{name}: {found}: expected text")))
-        };
-        let address = |name: &str| {
-            let found = text(name)?;
-            found.parse().map_err(|_| ConfigError(format!("{name}: {found:?}: expected IP:PORT")))
-        };
-        let seed = text("seed")?;
-        let limits = field("limits")?;
-        let limit = |name: &str| {
-            let found = limits.get(name).ok_or_else(|| ConfigError(format!("limits.{name}: missing")))?;
-            let number = found.as_f64().filter(|n| (1.0..1e9).contains(n));
-            number
-                .map(|n| n as usize)
-                .ok_or_else(|| ConfigError(format!("limits.{name}: {found}: expected a number of 1 or more")))
-        };
-        let resource_limits = ResourceLimits::new(limit("sockets")?, limit("memory_mb")?);
-        let known = value.get("known").filter(|k| !k.is_null());
-        let known = known
-            .map(endpoint_list::read)
-            .transpose()
-            .map_err(|error| ConfigError(format!("known.{error}")))?;
-        let profile = slipreel_platform_settings::from_json(field("settings")?);
+        let value: Value = serde_json::from_str(text)?;
+        let seed = get_text(&value, "seed")?;
+        let limits = get(&value, "limits")?;
+        let resource_limits =
+            ResourceLimits::new(get_limit(limits, "sockets")?, get_limit(limits, "memory_mb")?);
+        let known = value.get("known").filter(|known| !known.is_null());
+        let known = known.map(endpoint_list::read).transpose().map_err(ConfigError::InvalidEndpointList)?;
+        let profile = slipreel_platform_settings::from_json(get(&value, "settings")?);
         Ok(Config {
-            name: text("name")?.to_owned(),
-            listen: address("listen")?,
-            discovery: address("discovery")?,
-            seed: u64::from_str_radix(seed, 16)
-                .map_err(|_| ConfigError(format!("seed: {seed:?}: expected 1 to 16 hex digits")))?,
+            name: get_text(&value, "name")?.to_owned(),
+            listen: get_address(&value, "listen")?,
+            discovery: get_address(&value, "discovery")?,
+            seed: u64::from_str_radix(seed, 16).map_err(|_| ConfigError::InvalidSeed(seed.to_owned()))?,
             resource_limits,
             known,
-            profile: profile.map_err(|bad| ConfigError(format!("settings: {}", bad.0)))?,
+            profile: profile.map_err(ConfigError::InvalidSettings)?,
         })
     }
 }
+
+fn get<'a>(value: &'a Value, field: &str) -> Result<&'a Value, ConfigError> {
+    value.get(field).ok_or_else(|| ConfigError::Missing { field: field.to_owned() })
+}
+
+fn get_text<'a>(value: &'a Value, field: &str) -> Result<&'a str, ConfigError> {
+    let found = get(value, field)?;
+    found.as_str().ok_or_else(|| ConfigError::NotText { field: field.to_owned(), found: found.clone() })
+}
+
+fn get_address(value: &Value, field: &str) -> Result<SocketAddr, ConfigError> {
+    let found = get_text(value, field)?;
+    found
+        .parse()
+        .map_err(|_| ConfigError::InvalidAddress { field: field.to_owned(), found: found.to_owned() })
+}
+
+/// A limit of the object `limits`.
+fn get_limit(limits: &Value, name: &str) -> Result<usize, ConfigError> {
+    let field = format!("limits.{name}");
+    let Some(found) = limits.get(name) else { return Err(ConfigError::Missing { field }) };
+    match found.as_f64() {
+        Some(number) if (1.0..MAX_LIMIT).contains(&number) => Ok(number as usize),
+        _ => Err(ConfigError::InvalidLimit { field, found: found.clone() }),
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/platform/src/config/tests.rs
@@ -0,0 +1,25 @@
+use super::*;
+
+fn fault_of(text: &str) -> String {
+    Config::parse(text).map(|_| ()).expect_err("a configuration that cannot be used").to_string()
+}
+
+/// The texts are shown to operators as the process starts or the file is replaced.
+#[test]
+fn a_fault_is_reported_with_its_place_what_stands_there_and_what_was_expected() {
+    let good = r#"{"name":"n0","listen":"127.0.0.2:5000","discovery":"127.0.0.9:8500","seed":"8c1f",
+        "limits":{"memory_mb":64,"sockets":256},"known":null,"settings":{}}"#;
+    assert!(fault_of("{").starts_with("no JSON: "));
+    for (from, to, fault) in [
+        (r#""seed":"8c1f","#, "", "seed: missing"),
+        (r#""8c1f""#, "17", "seed: 17: expected text"),
+        (r#""memory_mb":64,"#, "", "limits.memory_mb: missing"),
+        (r#""sockets":256"#, r#""sockets":0"#, "limits.sockets: 0: expected a number of 1 or more"),
+        (r#""known":null"#, r#""known":{"index":1}"#, "known.endpoints: missing"),
+        (r#""127.0.0.2:5000""#, r#""localhost""#, r#"listen: "localhost": expected IP:PORT"#),
+        ("8c1f", "seed", r#"seed: "seed": expected 1 to 16 hex digits"#),
+    ] {
+        assert_eq!(fault_of(&good.replace(from, to)), fault);
+    }
+    assert!(fault_of(good).starts_with("settings: "), "{}", fault_of(good));
+}
--- a/crates/platform/src/dispatch.rs
+++ b/crates/platform/src/dispatch.rs
@@ -145,7 +145,9 @@
         if request.streaming_attempt == Some(attempt) {
             return;
         }
-        let Some(conn) = request.attempts.get(attempt).filter(|a| a.out).and_then(|a| a.conn) else { return };
+        let Some(conn) = request.attempts.get(attempt).filter(|a| a.in_flight).and_then(|a| a.conn) else {
+            return;
+        };
         self.cancel_connection(conn, Outcome::Cancelled, out);
     }
 
@@ -188,7 +190,7 @@
         &mut self, id: RequestId, attempt: usize, proof: NeverRan, since: Duration, out: &mut Vec<Output>,
     ) {
         let Some(request) = self.requests.get(id).filter(|c| c.terms.runs_once) else { return };
-        if request.attempts.get(attempt).is_none_or(|a| a.reads) || !self.never_ran_log.take() {
+        if request.attempts.get(attempt).is_none_or(|a| a.is_prefill) || !self.never_ran_log.take() {
             return;
         }
         let ago = self.now.saturating_sub(since).as_micros();
@@ -208,22 +210,22 @@
 
     /// Tells the module how an attempt ended, once.
     pub(crate) fn ended(&mut self, id: RequestId, attempt: usize, end: AttemptEnd) {
-        let (now, outcome, kept_tokens) = (self.now, end.outcome(), end.kept_tokens());
+        let (now, outcome, cached_tokens) = (self.now, end.outcome(), end.cached_tokens());
         let Some(request) = self.requests.get_mut(id) else { return };
-        let Some(a) = request.attempts.get(attempt).filter(|a| a.out) else { return };
+        let Some(a) = request.attempts.get(attempt).filter(|a| a.in_flight) else { return };
         let latency = now.saturating_sub(a.sent);
         request.ended(now, attempt, &end);
         match outcome {
             Outcome::Prefilled => {
                 self.counters.prefilled_tokens += request.terms.prompt_tokens;
-                self.counters.cached_tokens += kept_tokens as u64;
+                self.counters.cached_tokens += cached_tokens as u64;
             }
             Outcome::Error | Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled => {
                 self.counters.wasted_attempts += 1;
             }
             _ => {}
         }
-        let finished = request.over;
+        let finished = request.is_closed;
         self.requests.check_when_settled(id);
         let report = self.allowed(end.report());
         self.counters.load_reports += u64::from(report != LoadReport::default());
@@ -233,7 +235,7 @@
             outcome,
             latency,
             request_finished: finished,
-            cached_tokens: kept_tokens,
+            cached_tokens,
             report,
         }));
     }
--- a/crates/platform/src/endpoint_list.rs
+++ b/crates/platform/src/endpoint_list.rs
@@ -11,30 +11,56 @@
 
 /// Why a list cannot be read. `Display` gives the place of the fault, what stands there and what was expected.
 #[derive(Debug, thiserror::Error)]
-pub(crate) enum EndpointListError {
+pub enum EndpointListError {
+    /// What stands there is no JSON.
     #[error("no JSON: {0}")]
     NotJson(#[from] serde_json::Error),
+    /// A field is missing.
     #[error("{field}: missing")]
-    Missing { field: &'static str },
+    Missing {
+        /// Its name.
+        field: &'static str,
+    },
+    /// A field holds something other than text.
     #[error("{field}: {found}: expected text")]
-    NotText { field: &'static str, found: Value },
+    NotText {
+        /// Its name.
+        field: &'static str,
+        /// What stands there.
+        found: Value,
+    },
+    /// A field holds something other than a whole number of 0 or more.
     #[error("{field}: {found}: expected a whole number of 0 or more")]
-    NotWholeNumber { field: &'static str, found: Value },
+    NotWholeNumber {
+        /// Its name.
+        field: &'static str,
+        /// What stands there.
+        found: Value,
+    },
+    /// A status that is not known.
     #[error("status: {0:?}: expected Ready, Terminating or Gone")]
     UnknownStatus(String),
+    /// An address that cannot be read.
     #[error("address: {0:?}: expected IP:PORT")]
     InvalidAddress(String),
+    /// A group beyond 32 bits.
     #[error("group: {0}: too large")]
     GroupTooLarge(u64),
+    /// The endpoints are no list.
     #[error("endpoints: expected a list")]
     NotAList,
+    /// The list is too long.
     #[error("endpoints: {0} entries: expected at most {MAX_ENTRIES}")]
     TooManyEntries(usize),
+    /// Whether the list is complete cannot be read.
     #[error("snapshot: expected true or false")]
     InvalidSnapshot,
+    /// An entry cannot be read.
     #[error("endpoints.{index}.{error}")]
     Entry {
+        /// Its place in the list.
         index: usize,
+        /// What is wrong with it.
         #[source]
         error: Box<EndpointListError>,
     },
--- a/crates/platform/src/engine_connection.rs
+++ b/crates/platform/src/engine_connection.rs
@@ -230,7 +230,7 @@
     /// may be late, and a write that fails may have arrived.
     pub(crate) fn proof_of_never_written(&self) -> Option<NeverRan> {
         match self.state {
-            State::Connecting => Some(NeverRan::GivenUp),
+            State::Connecting => Some(NeverRan::Cancelled),
             State::Busy if self.is_holding_last_byte() => Some(NeverRan::LastByteHeld),
             State::Busy | State::Idle => None,
         }
@@ -244,7 +244,7 @@
     /// Proof by an answer which says that nothing ran: the first on its connection, which can be to nothing else.
     pub(crate) fn proof_of_rejection(&self, answer: &Answer) -> Option<NeverRan> {
         let is_proof = answer.says_never_ran() && !self.is_reused;
-        is_proof.then(|| NeverRan::TurnedAway { no_state: answer.says_state_missing() })
+        is_proof.then(|| NeverRan::Rejected { state_missing: answer.says_state_missing() })
     }
 
     /// Whether it was reused and broke before anything of the answer came.
--- a/crates/platform/src/engines.rs
+++ b/crates/platform/src/engines.rs
@@ -40,7 +40,7 @@
     fn request_is_over(&self, conn: ConnId) -> bool {
         match self.engines.get(conn).map(|connection| connection.purpose) {
             Some(ConnectionPurpose::Attempt { request, .. }) => {
-                self.requests.get(request).is_none_or(|request| request.over)
+                self.requests.get(request).is_none_or(|request| request.is_closed)
             }
             _ => false,
         }
@@ -133,7 +133,7 @@
 
     pub(crate) fn attempt_timed_out(&mut self, id: RequestId, attempt: usize, out: &mut Vec<Output>) {
         let Some(request) = self.requests.get(id).filter(|c| c.streaming_attempt.is_none()) else { return };
-        let conn = request.attempts.get(attempt).filter(|a| a.out).and_then(|a| a.conn);
+        let conn = request.attempts.get(attempt).filter(|a| a.in_flight).and_then(|a| a.conn);
         if let Some(conn) = conn {
             self.cancel_connection(conn, Outcome::TimedOut, out);
         }
@@ -236,10 +236,10 @@
             .requests
             .get(id)
             .and_then(|request| request.attempts.get(attempt))
-            .is_some_and(|attempt| attempt.reads);
+            .is_some_and(|attempt| attempt.is_prefill);
         let end = match proof {
             Some(proof) => AttemptEnd::never_ran(proof),
-            None if answer.status == PREFILLED && reads => AttemptEnd::read(cached_tokens(&answer.body)),
+            None if answer.status == PREFILLED && reads => AttemptEnd::prefilled(cached_tokens(&answer.body)),
             None => AttemptEnd::may_have_run(Outcome::Error),
         };
         let end = end.with_report(answer.report.unwrap_or_default());
@@ -265,7 +265,7 @@
     pub(crate) fn attempt_broke(
         &mut self, id: RequestId, attempt: usize, end: AttemptEnd, out: &mut Vec<Output>,
     ) {
-        if self.requests.get(id).is_some_and(|c| c.streaming_attempt == Some(attempt) && !c.over) {
+        if self.requests.get(id).is_some_and(|c| c.streaming_attempt == Some(attempt) && !c.is_closed) {
             self.abort_stream(id, out);
         }
         self.ended(id, attempt, end);
@@ -300,7 +300,7 @@
     fn stream_ended(&mut self, id: RequestId, attempt: usize, report: LoadReport, out: &mut Vec<Output>) {
         if self.requests.get(id).is_some_and(|c| c.streaming_attempt == Some(attempt)) {
             self.complete_stream(id, out);
-            self.ended(id, attempt, AttemptEnd::served().with_report(report));
+            self.ended(id, attempt, AttemptEnd::completed().with_report(report));
         } else {
             // A stream without an event serves nobody.
             let end = AttemptEnd::may_have_run(Outcome::Error).with_report(report);
@@ -311,7 +311,7 @@
     /// Pauses or resumes the engine's connection by what waits for the client.
     pub(crate) fn check_pace(&mut self, id: RequestId, out: &mut Vec<Output>) {
         let Some(request) = self.requests.get(id) else { return };
-        let Some(conn) = request.streaming_attempt.and_then(|a| request.attempts[a].conn) else { return };
+        let Some(conn) = request.streaming_connection() else { return };
         let client = request.client;
         let Some(unsent) = self.clients.get(client).map(|c| c.unsent) else { return };
         let now = self.now;
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -56,6 +56,7 @@
 
 pub use config::{Config, ConfigError};
 pub use counters::Counters;
+pub use endpoint_list::EndpointListError;
 pub use endpoints::engine_id;
 pub use resource_limits::ResourceLimits;
 pub use router::{HeldState, PlatformRouter};
--- a/crates/platform/src/proof.rs
+++ b/crates/platform/src/proof.rs
@@ -1,35 +1,35 @@
-//! How attempts end, and proof that one never ran. Whoever tells the module so has to hold a [`NeverRan`]; all else may have
-//! run.
+//! How attempts end, and proof that one never ran. Whoever tells the decision module so has to hold a [`NeverRan`]; all
+//! else may have run.
 
 use slipreel::{LoadReport, Outcome};
 use std::fmt;
 
-/// What it rests on that an attempt never ran.
+/// Evidence that an attempt never ran.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum NeverRan {
-    /// The engine has left the list, or there is no room for a connection: nothing was tried.
+    /// The engine has left the list, or there is no slot for a connection: nothing was tried.
     NotTried,
-    /// The connection never stood, so that nothing was written to it.
+    /// The connection was never established, so that nothing was written to it.
     NotConnected,
-    /// The connection was given up before it stood.
-    GivenUp,
+    /// The connection was given up before it was established.
+    Cancelled,
     /// The last byte of the request is still held back here. A write that failed, or that was not reported yet, is no such
     /// proof: the engine may have all of it.
     LastByteHeld,
     /// The engine said so, on a connection that carried no exchange before, so that the answer can be to no other request.
-    TurnedAway {
+    Rejected {
         /// There was no state to fetch.
-        no_state: bool,
+        state_missing: bool,
     },
 }
 
 impl NeverRan {
-    /// What the module is told.
+    /// What the decision module is told.
     pub(crate) fn outcome(self) -> Outcome {
         match self {
             NeverRan::NotConnected => Outcome::ConnectFailed,
-            NeverRan::NotTried | NeverRan::GivenUp | NeverRan::LastByteHeld => Outcome::NotSent,
-            NeverRan::TurnedAway { no_state } => Outcome::Rejected { state_missing: no_state },
+            NeverRan::NotTried | NeverRan::Cancelled | NeverRan::LastByteHeld => Outcome::NotSent,
+            NeverRan::Rejected { state_missing } => Outcome::Rejected { state_missing },
         }
     }
 }
@@ -39,9 +39,9 @@
         f.write_str(match self {
             NeverRan::NotTried => "it was not tried",
             NeverRan::NotConnected => "its connection never stood",
-            NeverRan::GivenUp => "its connection was given up before it stood",
+            NeverRan::Cancelled => "its connection was given up before it stood",
             NeverRan::LastByteHeld => "its last byte was held back here",
-            NeverRan::TurnedAway { .. } => "its engine turned it away",
+            NeverRan::Rejected { .. } => "its engine turned it away",
         })
     }
 }
@@ -51,13 +51,13 @@
 pub(crate) struct AttemptEnd {
     outcome: Outcome,
     proof: Option<NeverRan>,
-    kept_tokens: f64,
+    cached_tokens: f64,
     report: LoadReport,
 }
 
 impl AttemptEnd {
     fn new(outcome: Outcome, proof: Option<NeverRan>) -> Self {
-        AttemptEnd { outcome, proof, kept_tokens: 0.0, report: LoadReport::default() }
+        AttemptEnd { outcome, proof, cached_tokens: 0.0, report: LoadReport::default() }
     }
 
     /// It provably never ran.
@@ -70,14 +70,15 @@
         AttemptEnd::new(if outcome.proves_not_run() { Outcome::Error } else { outcome }, None)
     }
 
-    /// A stream came whole.
-    pub(crate) fn served() -> Self {
+    /// A stream came to its end.
+    pub(crate) fn completed() -> Self {
         AttemptEnd::new(Outcome::Completed, None)
     }
 
-    /// A reader has read the prompt, of which it had kept so many tokens. Only for attempts at readers, which have no effect.
-    pub(crate) fn read(kept_tokens: f64) -> Self {
-        AttemptEnd { kept_tokens, ..AttemptEnd::new(Outcome::Prefilled, None) }
+    /// A prefill engine has prefilled the prompt, of which it had so many tokens cached. Only for attempts at prefill
+    /// engines, which have no effect.
+    pub(crate) fn prefilled(cached_tokens: f64) -> Self {
+        AttemptEnd { cached_tokens, ..AttemptEnd::new(Outcome::Prefilled, None) }
     }
 
     /// The same with the engine's load.
@@ -86,7 +87,7 @@
         AttemptEnd { report, ..self }
     }
 
-    /// What the module is told.
+    /// What the decision module is told.
     pub(crate) fn outcome(&self) -> Outcome {
         self.outcome
     }
@@ -96,9 +97,9 @@
         self.proof
     }
 
-    /// Prompt tokens that a read found kept.
-    pub(crate) fn kept_tokens(&self) -> f64 {
-        self.kept_tokens
+    /// Prompt tokens that a prefill found cached.
+    pub(crate) fn cached_tokens(&self) -> f64 {
+        self.cached_tokens
     }
 
     /// The engine's load, where told.
--- a/crates/platform/src/request.rs
+++ b/crates/platform/src/request.rs
@@ -1,4 +1,4 @@
-//! One request that was taken: who asked, what goes on to engines, its attempts, and the state that may be held for it.
+//! One request in progress: its client, what is forwarded to engines, its attempts, and the state that may be held for it.
 
 use crate::proof::AttemptEnd;
 use slipreel::{EngineId, Outcome};
@@ -8,12 +8,12 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Fields of a request that an engine goes by: what its body is, and the key by which it drops repeats.
-const FORWARDED: [&str; 2] = ["content-type", "idempotency-key"];
+/// The fields of a request that are forwarded to engines: what its body is, and its idempotency key.
+const FORWARDED_FIELDS: [&str; 2] = ["content-type", "idempotency-key"];
 
-fn forwarded(received: &Received) -> Vec<(&'static str, String)> {
+fn forwarded_fields(received: &Received) -> Vec<(&'static str, String)> {
     let field = |name: &'static str| Some((name, received.head.get(name)?.to_owned()));
-    FORWARDED.into_iter().filter_map(field).collect()
+    FORWARDED_FIELDS.into_iter().filter_map(field).collect()
 }
 
 /// An outcome as it is written in the log. `slipreel losses` groups requests by these words.
@@ -29,22 +29,33 @@
     }
 }
 
-/// An attempt, as far as the wire goes.
+/// One attempt, as far as the wire goes.
 #[derive(Debug)]
 pub(crate) struct Attempt {
     pub(crate) engine: EngineId,
-    /// The connection that carries it, while it is out.
+    /// The connection that carries it, while it is in flight.
     pub(crate) conn: Option<ConnId>,
+    /// When it was sent.
     pub(crate) sent: Duration,
     /// When it ended.
     ended: Duration,
     /// Has no outcome yet.
-    pub(crate) out: bool,
-    /// Whether state may be held for it: it was a read that has come to an engine.
-    holds: bool,
+    pub(crate) in_flight: bool,
+    /// Whether its engine may hold state for it: it was a prefill that may have come there.
+    may_hold_state: bool,
     /// How it ended.
     outcome: Option<Outcome>,
-    pub(crate) reads: bool,
+    /// Whether its engine prefills the prompt for another that decodes.
+    pub(crate) is_prefill: bool,
+}
+
+impl Attempt {
+    fn trace(&self, now: Duration) -> String {
+        let kind = if self.is_prefill { "read" } else { "write" };
+        let age = now.saturating_sub(self.sent).as_millis();
+        let end = self.outcome.map_or_else(|| "out".to_owned(), outcome_name);
+        format!("{kind} {age} ms ago {end}")
+    }
 }
 
 /// What a request asks of its router, beside its bytes.
@@ -74,13 +85,13 @@
     forwarded: Vec<(&'static str, String)>,
     body: Vec<u8>,
     pub(crate) attempts: Vec<Attempt>,
-    /// The attempt whose first event was passed on.
+    /// The attempt whose stream is forwarded to the client.
     pub(crate) streaming_attempt: Option<usize>,
     /// It has its final answer, or its client has left.
-    pub(crate) over: bool,
-    /// The release of its state that is not over.
+    pub(crate) is_closed: bool,
+    /// The release of its state that is not acknowledged.
     pub(crate) release: Option<ReleaseId>,
-    /// The holder of state whose release was withdrawn as another attempt was sent.
+    /// The engine whose release was withdrawn as another attempt was sent, and is still owed.
     withdrawn_from: Option<EngineId>,
 }
 
@@ -92,11 +103,11 @@
             terms,
             method: received.method().to_owned(),
             target: received.target().to_owned(),
-            forwarded: forwarded(&received),
+            forwarded: forwarded_fields(&received),
             body: received.body,
             attempts: Vec::new(),
             streaming_attempt: None,
-            over: false,
+            is_closed: false,
             release: None,
             withdrawn_from: None,
         }
@@ -104,31 +115,36 @@
 
     /// The prefill engine whose state its next decode fetches.
     pub(crate) fn prefill_engine(&self) -> Option<EngineId> {
-        self.attempts.iter().rev().find(|a| a.reads).map(|a| a.engine)
+        self.attempts.iter().rev().find(|a| a.is_prefill).map(|a| a.engine)
     }
 
-    /// Bytes that it holds.
+    /// The connection on which the stream comes that is forwarded to the client, while it comes.
+    pub(crate) fn streaming_connection(&self) -> Option<ConnId> {
+        self.attempts.get(self.streaming_attempt?)?.conn
+    }
+
+    /// Bytes that it holds for further attempts.
     pub(crate) fn held_bytes(&self) -> usize {
         self.body.len()
     }
 
-    /// Adds an attempt and gives its number.
-    pub(crate) fn begin_attempt(&mut self, now: Duration, engine: EngineId, reads: bool) -> usize {
+    /// Adds an attempt and returns its number.
+    pub(crate) fn begin_attempt(&mut self, now: Duration, engine: EngineId, is_prefill: bool) -> usize {
         self.attempts.push(Attempt {
             engine,
             conn: None,
             sent: now,
             ended: now,
-            out: true,
-            holds: reads,
+            in_flight: true,
+            may_hold_state: is_prefill,
             outcome: None,
-            reads,
+            is_prefill,
         });
         self.attempts.len() - 1
     }
 
-    /// The request to write to an engine. It tells what is left of the deadline as it is written: a connection may take long
-    /// to come up.
+    /// The bytes of the request to an engine. They hold what is left of the deadline at `now`: a connection may take long to
+    /// be established.
     pub(crate) fn message(&self, now: Duration, addr: SocketAddr) -> Vec<u8> {
         let left = self.terms.deadline.saturating_sub(now).as_micros();
         let (host, left) = (addr.to_string(), format!("{left}u"));
@@ -141,70 +157,65 @@
         bytes
     }
 
-    /// An attempt has ended so. One that provably never ran holds nothing.
+    /// An attempt has ended. One that provably never ran holds nothing.
     pub(crate) fn ended(&mut self, now: Duration, attempt: usize, end: &AttemptEnd) {
         let Some(a) = self.attempts.get_mut(attempt) else { return };
-        (a.out, a.conn, a.ended) = (false, None, now);
+        (a.in_flight, a.conn, a.ended) = (false, None, now);
         a.outcome = Some(end.outcome());
-        a.holds &= end.proof().is_none();
+        a.may_hold_state &= end.proof().is_none();
     }
 
-    /// A stream has begun: it has fetched the state that the last read left.
+    /// An attempt's stream has begun: it has fetched the state that the last prefill left.
     pub(crate) fn begin_stream(&mut self, attempt: usize) {
         self.streaming_attempt = Some(attempt);
-        // What a client has been passed on is never sent again.
+        // A request whose client has had some of the answer is never sent again.
         self.body = Vec::new();
-        if let Some(read) = self.attempts[..attempt].iter_mut().rfind(|a| a.holds) {
-            read.holds = false;
+        if let Some(prefill) = self.attempts[..attempt].iter_mut().rfind(|a| a.may_hold_state) {
+            prefill.may_hold_state = false;
         }
     }
 
-    /// Who may hold state for it that no attempt is reading now; the last one first.
+    /// The engines that may hold state for it that no attempt in flight uses; the last one first.
     pub(crate) fn state_holders(&self) -> Vec<EngineId> {
-        let held = self.attempts.iter().rev().filter(|a| a.holds && !a.out).map(|a| a.engine);
+        let held = self.attempts.iter().rev().filter(|a| a.may_hold_state && !a.in_flight).map(|a| a.engine);
         held.chain(self.withdrawn_from).collect()
     }
 
-    /// Attempts after whose end state may still come to be held: they were given up or broke off, and while its engine has
-    /// not seen that, a read may still leave its state there, and a write that waits for state may still keep it from being
-    /// released. A read whose answer could not be read was given up, too.
+    /// Attempts after whose end state may still come to be held: they were cancelled or broke off, and while its engine has
+    /// not seen that, a prefill may still leave its state there, and a decode that waits for state may still keep it from
+    /// being released. A prefill whose answer could not be parsed was cancelled, too.
     pub(crate) fn unsure(&self) -> Vec<UnsureAttempt> {
         let unsure = |a: &&Attempt| match a.outcome {
             Some(Outcome::Reset | Outcome::TimedOut | Outcome::Cancelled) => true,
-            Some(Outcome::Error) => a.reads,
+            Some(Outcome::Error) => a.is_prefill,
             _ => false,
         };
         let unsure = self.attempts.iter().filter(unsure);
         unsure.map(|a| UnsureAttempt { engine: a.engine, ended: a.ended }).collect()
     }
 
-    /// Its state is being released so.
+    /// Its state is being released.
     pub(crate) fn begin_release(&mut self, release: ReleaseId) {
         (self.release, self.withdrawn_from) = (Some(release), None);
-        self.attempts.iter_mut().filter(|a| !a.out).for_each(|a| a.holds = false);
+        self.attempts.iter_mut().filter(|a| !a.in_flight).for_each(|a| a.may_hold_state = false);
     }
 
-    /// A release that is not over is withdrawn: sent again later it could release what a new attempt reads. It is owed then.
+    /// A release that is not acknowledged is withdrawn: sent again later it could release what a new attempt uses. It is owed
+    /// then.
     pub(crate) fn release_withdrawn(&mut self, holder: EngineId) {
         (self.release, self.withdrawn_from) = (None, Some(holder));
     }
 
-    /// What became of it so far, for the staff.
+    /// Its attempts so far, as they are written in the log. `slipreel losses` groups requests by these words.
     pub(crate) fn trace(&self, now: Duration) -> String {
-        let attempts = self.attempts.iter().map(|a| {
-            let (kind, age) =
-                (if a.reads { "read" } else { "write" }, now.saturating_sub(a.sent).as_millis());
-            let end = a.outcome.map_or_else(|| "out".to_owned(), outcome_name);
-            format!("{kind} {age} ms ago {end}")
-        });
-        let attempts: Vec<String> = attempts.collect();
+        let attempts: Vec<String> = self.attempts.iter().map(|attempt| attempt.trace(now)).collect();
         let kind = if self.terms.runs_once { "runs once" } else { "repeatable" };
         let left = self.terms.deadline.saturating_sub(now).as_millis();
         format!("{kind}, {left} ms left: {}", attempts.join(", "))
     }
 
-    /// Nothing more can come of it.
+    /// Whether nothing more can come of it.
     pub(crate) fn is_done(&self) -> bool {
-        self.over && self.attempts.iter().all(|a| !a.out)
+        self.is_closed && self.attempts.iter().all(|a| !a.in_flight)
     }
 }
