--- a/crates/connections/src/client.rs
+++ b/crates/connections/src/client.rs
@@ -1,15 +1,14 @@
 //! A connection of a client: the server side of HTTP, one request at a time.
 //!
-//! States and their time-outs: `Idle` (`client_idle`), `Receiving` head and body (`receive` each), `Serving` (the
-//! request's own deadlines), `Closing`. Pipelined requests wait in the decoder until the one before is answered.
+//! Its owner sets the timeouts by its state. Pipelined requests wait in the decoder until the one before is answered.
 
 use slipreel_protocol::http::{self, Decoder, Framing, Head, Item, Limits, Malformed, Side, Start};
 use slipreel_state_machine::{ConnId, ListenerId, Output};
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Times of arrival that are kept apart for bytes that wait; later ones count as of the last of these.
-const MOST_ARRIVALS: usize = 64;
+/// Times of arrival that are kept apart for bytes that wait; later bytes count as of the last of these.
+const MAX_ARRIVALS: usize = 64;
 
 /// Where a connection stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -18,11 +17,11 @@
     Idle,
     /// Some of a request has come.
     Receiving,
-    /// A request is whole and not answered. The number is that of its call, if it became one.
+    /// A request is complete and not answered. The number is its owner's, if it was admitted.
     Serving(Option<u64>),
 }
 
-/// A whole request.
+/// A complete request.
 #[derive(Debug)]
 pub struct Received {
     /// Its head.
@@ -62,52 +61,54 @@
 /// One client connection.
 #[derive(Debug)]
 pub struct Client {
-    /// Its number.
+    /// Its id.
     pub conn: ConnId,
-    /// Where it came in.
-    pub door: ListenerId,
+    /// The listener that accepted it.
+    pub listener: ListenerId,
     /// Where it stands.
     pub state: State,
     decoder: Decoder,
     head: Option<Head>,
     body: Vec<u8>,
     /// Whether the connection stays open after the present answer.
-    keep: bool,
-    /// Written and not yet gone.
+    keeps_alive: bool,
+    /// Bytes that were written and have not left the driver.
     pub unsent: usize,
-    /// When some of it last went.
-    pub moved: Duration,
+    /// When some of them last left.
+    pub last_sent_at: Duration,
     /// Since when the present state lasts: its time-out counts from here.
     pub since: Duration,
-    /// It sends no more.
-    pub eof: bool,
-    /// No more data is wanted: pipelined requests fill the buffer.
+    /// The client has closed its sending side.
+    pub is_closed_by_peer: bool,
+    /// Reading is paused: pipelined requests fill the buffer.
     paused: bool,
-    most_ahead: usize,
-    /// Bytes that came so far.
-    fed: u64,
+    max_pipelined_bytes: usize,
+    /// Bytes that have come so far.
+    received_bytes: u64,
     /// When bytes that may still wait came: how many had come in all by then, and the time.
     arrivals: VecDeque<(u64, Duration)>,
 }
 
 impl Client {
-    /// A connection that has just been accepted. `most_ahead`: bytes of pipelined requests that may wait.
-    pub fn new(conn: ConnId, door: ListenerId, now: Duration, limits: Limits, most_ahead: usize) -> Self {
+    /// A connection that has just been accepted. `max_pipelined_bytes`: bytes of pipelined requests that may wait.
+    pub fn new(
+        conn: ConnId, listener: ListenerId, now: Duration, limits: Limits, max_pipelined_bytes: usize,
+    ) -> Self {
         Client {
             conn,
-            door,
+            listener,
             state: State::Idle,
             decoder: Decoder::new(Side::Server, limits),
             head: None,
             body: Vec::new(),
-            keep: true,
+            keeps_alive: true,
             unsent: 0,
-            moved: now,
+            last_sent_at: now,
             since: now,
-            eof: false,
+            is_closed_by_peer: false,
             paused: false,
-            most_ahead,
-            fed: 0,
+            max_pipelined_bytes,
+            received_bytes: 0,
             arrivals: VecDeque::new(),
         }
     }
@@ -115,36 +116,36 @@
     /// Takes bytes. While a request is served they wait, up to a bound; then the connection is paused.
     pub fn feed(&mut self, now: Duration, bytes: &[u8], out: &mut Vec<Output>) {
         self.decoder.feed(bytes);
-        self.note_arrival(now, bytes.len());
+        self.record_arrival(now, bytes.len());
         if self.state == State::Idle {
             (self.state, self.since) = (State::Receiving, now);
         }
         let serving = matches!(self.state, State::Serving(_));
-        if serving && !self.paused && self.decoder.buffered() > self.most_ahead {
+        if serving && !self.paused && self.decoder.buffered() > self.max_pipelined_bytes {
             self.paused = true;
             out.push(Output::Pause(self.conn));
         }
     }
 
-    fn note_arrival(&mut self, now: Duration, length: usize) {
-        self.fed += length as u64;
-        let is_full = self.arrivals.len() >= MOST_ARRIVALS;
+    fn record_arrival(&mut self, now: Duration, length: usize) {
+        self.received_bytes += length as u64;
+        let is_full = self.arrivals.len() >= MAX_ARRIVALS;
         match self.arrivals.back_mut().filter(|_| is_full) {
-            Some((so_far, _)) => *so_far = self.fed,
-            None => self.arrivals.push_back((self.fed, now)),
+            Some((received_so_far, _)) => *received_so_far = self.received_bytes,
+            None => self.arrivals.push_back((self.received_bytes, now)),
         }
     }
 
     /// When the last byte came of what the decoder has taken so far.
-    fn taken_arrived(&mut self) -> Option<Duration> {
-        let taken = self.fed - self.decoder.buffered() as u64;
-        while self.arrivals.front().is_some_and(|&(so_far, _)| so_far < taken) {
+    fn last_taken_arrival(&mut self) -> Option<Duration> {
+        let taken = self.received_bytes - self.decoder.buffered() as u64;
+        while self.arrivals.front().is_some_and(|&(received_so_far, _)| received_so_far < taken) {
             self.arrivals.pop_front();
         }
         self.arrivals.front().map(|&(_, at)| at)
     }
 
-    /// The next whole request, if the bytes so far hold one and none is being served.
+    /// The next complete request, if the bytes so far hold one and none is being served.
     ///
     /// # Errors
     /// What has come is no request of HTTP/1.1, or over a limit.
@@ -156,7 +157,7 @@
             match item {
                 Item::Head(head) => {
                     (self.state, self.since) = (State::Receiving, now);
-                    self.keep = head.keep_alive;
+                    self.keeps_alive = head.keep_alive;
                     if head.expects_continue && head.http11 && self.decoder.buffered() == 0 {
                         self.write(http::CONTINUE.to_vec(), out);
                     }
@@ -166,7 +167,7 @@
                 Item::End => {
                     let Some(head) = self.head.take() else { continue };
                     (self.state, self.since) = (State::Serving(None), now);
-                    let arrived = self.taken_arrived().unwrap_or(now);
+                    let arrived = self.last_taken_arrival().unwrap_or(now);
                     return Ok(Some(Received { head, body: std::mem::take(&mut self.body), arrived }));
                 }
             }
@@ -182,9 +183,9 @@
         }
     }
 
-    /// Writes a whole answer. `done` has to follow.
+    /// Writes a complete answer. [`Client::finish_answer`] has to follow.
     pub fn answer(&mut self, status: u16, fields: &[(&str, &str)], body: &[u8], out: &mut Vec<Output>) {
-        let connection = if self.keep { "keep-alive" } else { "close" };
+        let connection = if self.keeps_alive { "keep-alive" } else { "close" };
         let mut all = vec![("connection", connection)];
         if !fields.iter().any(|(name, _)| *name == "content-type") {
             all.push(("content-type", "application/json"));
@@ -197,7 +198,7 @@
 
     /// Writes the head of a streamed answer.
     pub fn begin_stream(&mut self, fields: &[(&str, &str)], out: &mut Vec<Output>) {
-        let connection = if self.keep { "keep-alive" } else { "close" };
+        let connection = if self.keeps_alive { "keep-alive" } else { "close" };
         let mut all = vec![
             ("content-type", "text/event-stream"),
             ("cache-control", "no-cache"),
@@ -208,13 +209,13 @@
     }
 
     /// The present answer is the last on this connection.
-    pub fn last_answer(&mut self) {
-        self.keep = false;
+    pub fn close_after_answer(&mut self) {
+        self.keeps_alive = false;
     }
 
     /// The answer is written: the next request may be read, or the connection ends. Whether it goes on.
-    pub fn done(&mut self, now: Duration, out: &mut Vec<Output>) -> bool {
-        if !self.keep || (self.eof && self.decoder.idle()) {
+    pub fn finish_answer(&mut self, now: Duration, out: &mut Vec<Output>) -> bool {
+        if !self.keeps_alive || (self.is_closed_by_peer && self.decoder.idle()) {
             out.push(Output::CloseWhenSent(self.conn));
             return false;
         }
--- a/crates/connections/src/due.rs
+++ b/crates/connections/src/connection_timers.rs
@@ -1,17 +1,17 @@
 //! One timer for each connection: when it has to have moved on.
 
-use crate::wheel::{TimerKey, Wheel};
+use crate::timer_wheel::{TimerKey, TimerWheel};
 use slipreel_state_machine::ConnId;
 use std::collections::HashMap;
 use std::time::Duration;
 
 /// The timers of connections of one kind.
 #[derive(Debug, Default)]
-pub struct Due(HashMap<ConnId, TimerKey>);
+pub struct ConnectionTimers(HashMap<ConnId, TimerKey>);
 
-impl Due {
+impl ConnectionTimers {
     /// Sets a connection's timer in place of the one that it had; none if nothing is due.
-    pub fn arm<T>(&mut self, wheel: &mut Wheel<T>, conn: ConnId, due: Option<Duration>, item: T) {
+    pub fn arm<T>(&mut self, wheel: &mut TimerWheel<T>, conn: ConnId, due: Option<Duration>, item: T) {
         self.cancel(wheel, conn);
         if let Some(at) = due {
             self.0.insert(conn, wheel.set(at, item));
@@ -19,7 +19,7 @@
     }
 
     /// Takes a connection's timer back.
-    pub fn cancel<T>(&mut self, wheel: &mut Wheel<T>, conn: ConnId) {
+    pub fn cancel<T>(&mut self, wheel: &mut TimerWheel<T>, conn: ConnId) {
         if let Some(key) = self.0.remove(&conn) {
             wheel.cancel(key);
         }
--- a/crates/connections/src/lib.rs
+++ b/crates/connections/src/lib.rs
@@ -1,20 +1,24 @@
-//! What every router over HTTP needs, whatever its clients and engines speak: timers ([`Wheel`], [`Due`]), the server side of a
-//! client's connection ([`Client`]), which connection carries the next exchange with an engine ([`Pool`]), what engines
-//! still have to release ([`ReleaseQueue`]), and whether kept connections can be used again ([`Trust`]). No I/O, no clock.
+//! What every router over HTTP needs, whatever its clients and engines speak. No I/O, no clock.
+//!
+//! - [`TimerWheel`] and [`ConnectionTimers`]: timers, and one for each connection;
+//! - [`Client`]: the server side of a client's connection;
+//! - [`Pool`]: which connection carries the next exchange with an engine;
+//! - [`ReuseHistory`]: whether idle connections can be reused;
+//! - [`ReleaseQueue`]: state that engines still have to release.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
 mod client;
-mod due;
+mod connection_timers;
 mod pool;
 mod releases;
-mod trust;
-mod wheel;
+mod reuse_history;
+mod timer_wheel;
 
 pub use client::{Client, Received, State};
-pub use due::Due;
-pub use pool::{Errand, Pool, Slot};
-pub use releases::{Release, ReleaseId, ReleaseQueue, ReleaseStep, ReleaseTiming, UnsureAttempt};
-pub use trust::Trust;
-pub use wheel::{TimerKey, Wheel};
+pub use connection_timers::ConnectionTimers;
+pub use pool::{Pool, Purpose, Slot};
+pub use releases::{Release, ReleaseId, ReleaseQueue, ReleaseStep, ReleaseTiming, UnconfirmedAttempt};
+pub use reuse_history::ReuseHistory;
+pub use timer_wheel::{TimerKey, TimerWheel};
--- a/crates/connections/src/releases.rs
+++ b/crates/connections/src/releases.rs
@@ -1,4 +1,4 @@
-//! The queue of releases: read state that engines hold and that has to be released, until an engine acknowledges it.
+//! The queue of releases: prefilled state that engines hold and that has to be released, until an engine acknowledges it.
 //!
 //! The rule on held state leaves a release some hundred milliseconds, and a new connection may take longer than that to
 //! come up. So while an engine holds state one connection that stands is kept back from attempts ([`crate::Pool`]), and a
@@ -17,16 +17,16 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ReleaseId(pub u64);
 
-/// An attempt that was given up or broke off: its engine may go on with it until it has seen that.
+/// An attempt that was cancelled or broke off: its engine may go on with it until it has seen that.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct UnsureAttempt {
+pub struct UnconfirmedAttempt {
     /// The engine.
     pub engine: EngineId,
     /// When the attempt ended here.
     pub ended: Duration,
 }
 
-/// Read state that an engine is to release.
+/// Prefilled state that an engine is to release.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Release {
     /// The engine that holds it.
@@ -44,7 +44,7 @@
     /// It was acknowledged, and is sent again at this time.
     repeat_at: Option<Duration>,
     /// Attempts that may leave state after the release, so that it has to be repeated.
-    pub unsure: Vec<UnsureAttempt>,
+    pub unconfirmed: Vec<UnconfirmedAttempt>,
     /// Until then it is repeated, unless it turns out before that nothing more can come to be held.
     repeat_until: Option<Duration>,
     /// It has been acknowledged before.
@@ -68,12 +68,13 @@
     /// A release that was not acknowledged is sent again after this.
     pub retry: Duration,
     /// Time from one repeat to the next, while state may still come to be held. The first repeat comes after `retry`: most
-    /// reads that were given up end at once or not at all.
+    /// prefills that were cancelled end at once or not at all.
     pub repeat: Duration,
     /// A release that nobody has acknowledged for so long is given up: engines free by then what nobody asks for.
     pub give_up: Duration,
 }
 
+/// An engine with releases that are not over.
 #[derive(Debug, Default)]
 struct Holder {
     releases: BTreeSet<ReleaseId>,
@@ -87,13 +88,13 @@
     timing: ReleaseTiming,
     releases: BTreeMap<ReleaseId, Release>,
     holders: BTreeMap<EngineId, Holder>,
-    last: u64,
+    last_id: u64,
 }
 
 impl ReleaseQueue {
     /// An empty queue.
     pub fn new(timing: ReleaseTiming) -> Self {
-        ReleaseQueue { timing, releases: BTreeMap::new(), holders: BTreeMap::new(), last: 0 }
+        ReleaseQueue { timing, releases: BTreeMap::new(), holders: BTreeMap::new(), last_id: 0 }
     }
 
     /// Adds state that `holder` is to release.
@@ -102,8 +103,8 @@
             let oldest = self.releases.keys().next().copied();
             oldest.into_iter().for_each(|id| self.remove(id));
         }
-        self.last += 1;
-        let id = ReleaseId(self.last);
+        self.last_id += 1;
+        let id = ReleaseId(self.last_id);
         self.holders.entry(holder).or_default().releases.insert(id);
         let release = Release {
             holder,
@@ -113,7 +114,7 @@
             since: now,
             sent: None,
             repeat_at: None,
-            unsure: Vec::new(),
+            unconfirmed: Vec::new(),
             repeat_until: None,
             repeats: false,
         };
@@ -123,14 +124,14 @@
 
     /// State may still come to be held until then, as these attempts were given up and may yet end well: the release is
     /// repeated once at least after it was acknowledged, and up to that time.
-    pub fn repeat_until(&mut self, id: ReleaseId, until: Duration, unsure: Vec<UnsureAttempt>) {
+    pub fn repeat_until(&mut self, id: ReleaseId, until: Duration, unconfirmed: Vec<UnconfirmedAttempt>) {
         if let Some(release) = self.releases.get_mut(&id) {
-            (release.repeat_until, release.unsure) = (Some(until), unsure);
+            (release.repeat_until, release.unconfirmed) = (Some(until), unconfirmed);
         }
     }
 
     /// Nothing more can come to be held: the next acknowledgement is the last.
-    pub fn repeat_no_more(&mut self, id: ReleaseId) {
+    pub fn stop_repeating(&mut self, id: ReleaseId) {
         if let Some(release) = self.releases.get_mut(&id) {
             release.repeat_until = None;
         }
@@ -159,7 +160,7 @@
     }
 
     /// It was sent to this engine.
-    pub fn sent(&mut self, id: ReleaseId, engine: EngineId, now: Duration) {
+    pub fn record_sent(&mut self, id: ReleaseId, engine: EngineId, now: Duration) {
         if let Some(release) = self.releases.get_mut(&id) {
             release.sent = Some(now);
             release.asked.push(engine);
@@ -167,14 +168,14 @@
     }
 
     /// All engines were asked: any of them may be asked again.
-    pub fn ask_all_again(&mut self, id: ReleaseId) {
+    pub fn clear_asked(&mut self, id: ReleaseId) {
         if let Some(release) = self.releases.get_mut(&id) {
             release.asked.clear();
         }
     }
 
     /// An engine has acknowledged it. It is over, unless state may still come to be held.
-    pub fn acknowledged(&mut self, id: ReleaseId, now: Duration) {
+    pub fn record_acknowledged(&mut self, id: ReleaseId, now: Duration) {
         let timing = self.timing;
         let Some(release) = self.releases.get_mut(&id) else { return };
         if release.repeat_at.is_some() {
@@ -217,14 +218,14 @@
     }
 
     /// The oldest release for an engine that is not under way, to be sent on a connection to it that has just fallen idle.
-    pub fn waiting_for(&self, holder: EngineId) -> Option<ReleaseId> {
+    pub fn oldest_waiting_for(&self, holder: EngineId) -> Option<ReleaseId> {
         let waits = |id: &&ReleaseId| self.releases.get(id).is_some_and(|r| r.waits(None));
         self.holders.get(&holder)?.releases.iter().find(waits).copied()
     }
 
     /// The oldest release, whoever holds its state, that is not under way, or was sent at `stale` or before and not
     /// acknowledged since: to be sent on a connection that has just answered.
-    pub fn waiting(&self, stale: Duration) -> Option<ReleaseId> {
+    pub fn oldest_waiting(&self, stale: Duration) -> Option<ReleaseId> {
         self.releases.iter().find(|(_, release)| release.waits(Some(stale))).map(|(&id, _)| id)
     }
 
--- a/crates/connections/src/wheel.rs
+++ b/crates/connections/src/timer_wheel.rs
@@ -28,7 +28,7 @@
 }
 
 /// Timers that carry items.
-pub struct Wheel<T> {
+pub struct TimerWheel<T> {
     now: u64,
     slots: Vec<Vec<u32>>,
     occupied: [u64; LEVELS],
@@ -39,9 +39,9 @@
     sets: u64,
 }
 
-impl<T> Default for Wheel<T> {
+impl<T> Default for TimerWheel<T> {
     fn default() -> Self {
-        Wheel {
+        TimerWheel {
             now: 0,
             slots: (0..LEVELS * SLOTS).map(|_| Vec::new()).collect(),
             occupied: [0; LEVELS],
@@ -54,7 +54,7 @@
     }
 }
 
-impl<T> Wheel<T> {
+impl<T> TimerWheel<T> {
     /// Timers that are set and have not fired.
     pub fn len(&self) -> usize {
         self.live
--- a/crates/connections/src/wheel/tests.rs
+++ b/crates/connections/src/timer_wheel/tests.rs
@@ -10,9 +10,9 @@
 
 /// Against an ordered map: the same timers fire in the same order, at most one tick late, never early.
 #[test]
-fn fires_what_an_ordered_map_fires() {
+fn timers_fire_as_from_an_ordered_map() {
     for seed in 1..40u64 {
-        let (mut wheel, mut plain) = (Wheel::default(), BTreeSet::new());
+        let (mut wheel, mut plain) = (TimerWheel::default(), BTreeSet::new());
         let (mut state, mut now, mut keys) = (seed * 0x9e37_79b9, 0u64, Vec::new());
         for n in 0..3000u64 {
             match draw(&mut state) % 4 {
@@ -51,8 +51,8 @@
 }
 
 #[test]
-fn a_fraction_of_a_tick_is_not_early() {
-    let mut wheel = Wheel::default();
+fn a_timer_within_a_tick_does_not_fire_early() {
+    let mut wheel = TimerWheel::default();
     wheel.set(Duration::from_micros(1_500), 'a');
     assert_eq!(wheel.pop(Duration::from_micros(1_900)), None);
     assert_eq!(wheel.pop(Duration::from_micros(2_000)), Some('a'));
--- a/crates/connections/tests/releases.rs
+++ b/crates/connections/tests/releases.rs
@@ -1,7 +1,9 @@
 //! The queue of releases, driven by hand.
 
 use slipreel::EngineId;
-use slipreel_connections::{Release, ReleaseId, ReleaseQueue, ReleaseStep, ReleaseTiming, UnsureAttempt};
+use slipreel_connections::{
+    Release, ReleaseId, ReleaseQueue, ReleaseStep, ReleaseTiming, UnconfirmedAttempt,
+};
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -36,10 +38,10 @@
     for n in 0..500 {
         let now = ms(100 * n);
         assert!(to_send(queue.step(id, now)).is_some(), "at {now:?}");
-        queue.sent(id, HOLDER, now);
+        queue.record_sent(id, HOLDER, now);
         assert_eq!(queue.step(id, now + ms(1)), ReleaseStep::Wait(now + TIMING.retry));
     }
-    queue.acknowledged(id, ms(50_001));
+    queue.record_acknowledged(id, ms(50_001));
     assert_eq!(queue.step(id, ms(50_200)), ReleaseStep::Over);
     assert!(queue.is_empty());
 }
@@ -63,11 +65,11 @@
     loop {
         match queue.step(id, now) {
             ReleaseStep::Send(_) => {
-                queue.sent(id, HOLDER, now);
+                queue.record_sent(id, HOLDER, now);
                 sent.push(now);
-                queue.acknowledged(id, now);
+                queue.record_acknowledged(id, now);
                 // The same exchange can't count for the repeat.
-                queue.acknowledged(id, now);
+                queue.record_acknowledged(id, now);
             }
             ReleaseStep::Wait(at) => now = at,
             ReleaseStep::Over => break,
@@ -82,11 +84,11 @@
     let mut queue = queue();
     let id = add(&mut queue, "a");
     queue.repeat_until(id, ms(0), Vec::new());
-    queue.sent(id, HOLDER, ms(10));
-    queue.acknowledged(id, ms(10));
+    queue.record_sent(id, HOLDER, ms(10));
+    queue.record_acknowledged(id, ms(10));
     assert_eq!(queue.step(id, ms(10)), ReleaseStep::Wait(ms(110)));
     assert!(to_send(queue.step(id, ms(110))).is_some());
-    queue.acknowledged(id, ms(111));
+    queue.record_acknowledged(id, ms(111));
     assert!(queue.is_empty());
 }
 
@@ -94,13 +96,13 @@
 fn a_release_is_repeated_no_more_once_nothing_can_come_to_be_held() {
     let mut queue = queue();
     let id = add(&mut queue, "a");
-    let unsure = UnsureAttempt { engine: OTHER, ended: ms(0) };
-    queue.repeat_until(id, ms(8_000), vec![unsure]);
-    queue.acknowledged(id, ms(1));
+    let unconfirmed = UnconfirmedAttempt { engine: OTHER, ended: ms(0) };
+    queue.repeat_until(id, ms(8_000), vec![unconfirmed]);
+    queue.record_acknowledged(id, ms(1));
     let repeat = to_send(queue.step(id, ms(101))).expect("the repeat");
-    assert_eq!((repeat.repeats, repeat.unsure), (true, vec![unsure]));
-    queue.repeat_no_more(id);
-    queue.acknowledged(id, ms(102));
+    assert_eq!((repeat.repeats, repeat.unconfirmed), (true, vec![unconfirmed]));
+    queue.stop_repeating(id);
+    queue.record_acknowledged(id, ms(102));
     assert!(queue.is_empty());
 }
 
@@ -108,28 +110,28 @@
 fn the_oldest_release_that_waits_or_has_gone_stale_is_the_next() {
     let mut queue = queue();
     let (first, second) = (add(&mut queue, "a"), add(&mut queue, "b"));
-    assert_eq!(queue.waiting(ms(0)), Some(first));
-    assert_eq!(queue.waiting_for(HOLDER), Some(first));
-    assert_eq!(queue.waiting_for(OTHER), None);
-    queue.sent(first, HOLDER, ms(30));
-    assert_eq!(queue.waiting(ms(29)), Some(second), "the first is under way");
-    assert_eq!(queue.waiting(ms(30)), Some(first), "it has gone stale");
-    assert_eq!(queue.waiting_for(HOLDER), Some(second));
+    assert_eq!(queue.oldest_waiting(ms(0)), Some(first));
+    assert_eq!(queue.oldest_waiting_for(HOLDER), Some(first));
+    assert_eq!(queue.oldest_waiting_for(OTHER), None);
+    queue.record_sent(first, HOLDER, ms(30));
+    assert_eq!(queue.oldest_waiting(ms(29)), Some(second), "the first is under way");
+    assert_eq!(queue.oldest_waiting(ms(30)), Some(first), "it has gone stale");
+    assert_eq!(queue.oldest_waiting_for(HOLDER), Some(second));
     queue.repeat_until(first, ms(9_000), Vec::new());
-    queue.acknowledged(first, ms(31));
-    assert_eq!(queue.waiting(ms(90)), Some(second), "one that waits for its repeat is not due");
-    queue.acknowledged(second, ms(32));
-    assert_eq!(queue.waiting(ms(90)), None);
+    queue.record_acknowledged(first, ms(31));
+    assert_eq!(queue.oldest_waiting(ms(90)), Some(second), "one that waits for its repeat is not due");
+    queue.record_acknowledged(second, ms(32));
+    assert_eq!(queue.oldest_waiting(ms(90)), None);
 }
 
 #[test]
 fn an_engine_that_was_asked_is_noted_until_all_may_be_asked_again() {
     let mut queue = queue();
     let id = add(&mut queue, "a");
-    queue.sent(id, HOLDER, ms(0));
-    queue.sent(id, OTHER, ms(100));
+    queue.record_sent(id, HOLDER, ms(0));
+    queue.record_sent(id, OTHER, ms(100));
     assert_eq!(queue.get(id).map(|r| r.asked.clone()), Some(vec![HOLDER, OTHER]));
-    queue.ask_all_again(id);
+    queue.clear_asked(id);
     assert_eq!(queue.get(id).map(|r| r.asked.len()), Some(0));
 }
 
@@ -139,7 +141,7 @@
     let id = add(&mut queue, "a");
     assert_eq!(queue.withdraw(id), Some(HOLDER));
     assert_eq!(queue.withdraw(id), None);
-    assert_eq!((queue.step(id, ms(0)), queue.waiting(ms(0))), (ReleaseStep::Over, None));
+    assert_eq!((queue.step(id, ms(0)), queue.oldest_waiting(ms(0))), (ReleaseStep::Over, None));
 }
 
 #[test]
--- a/crates/gateway/benches/front.rs
+++ b/crates/gateway/benches/front.rs
@@ -1,7 +1,7 @@
 //! What the front costs on one thread, fed by hand: requests, streamed events, memory of open streams, its timer wheel
 //! against a heap, and the module's part of it. No sockets: the system's part is not in these figures.
 
-use slipreel_connections::Wheel;
+use slipreel_connections::TimerWheel;
 use slipreel_gateway::site::{
     starting_class, starting_settings, Bounds, ClassSite, EngineSite, ModelSite, KINDS,
 };
@@ -288,7 +288,7 @@
         (*x >> 33) % 10_000
     };
     let (mut x, began) = (7, Instant::now());
-    let mut wheel = Wheel::default();
+    let mut wheel = TimerWheel::default();
     let mut last = None;
     let mut fired = 0u64;
     for n in 0..N {
--- a/crates/gateway/src/carry.rs
+++ b/crates/gateway/src/carry.rs
@@ -5,7 +5,7 @@
 use crate::limits;
 use crate::link::{Link, State, Use};
 use slipreel::{Action, EngineId, Event, Idempotency, LoadReport, Outcome, ReportSource, RequestId};
-use slipreel_connections::{Errand, Release, ReleaseId, ReleaseStep, Slot};
+use slipreel_connections::{Purpose, Release, ReleaseId, ReleaseStep, Slot};
 use slipreel_protocol::engine::{self, Load};
 use slipreel_protocol::http::{self, Framing};
 use slipreel_state_machine::{ConnId, Output};
@@ -55,7 +55,7 @@
         self.tally.attempts += 1;
         let read = role == slipreel::Role::Prefill;
         if read {
-            self.pool.holds(engine);
+            self.pool.state_held(engine);
         }
         let used_for = Use::Attempt { call: id.0, attempt, read };
         let connection = if read || !call_runs_once { Wanted::Any } else { Wanted::New };
@@ -88,17 +88,17 @@
         out: &mut Vec<Output>,
     ) -> Option<ConnId> {
         let errand = match used_for {
-            Use::Attempt { .. } => Errand::Attempt,
-            Use::Probe => Errand::Probe,
-            Use::Abort(_) => Errand::Release,
+            Use::Attempt { .. } => Purpose::Attempt,
+            Use::Probe => Purpose::Probe,
+            Use::Abort(_) => Purpose::Release,
         };
         let most = self.site.bounds.per_engine;
         let slot = match connection {
-            Wanted::Any => self.pool.take(engine, most, errand, self.now),
+            Wanted::Any => self.pool.reserve(engine, most, errand, self.now),
             Wanted::New => {
                 self.make_room_at(engine, most, out);
                 // None has rested for long enough.
-                self.pool.take(engine, most, errand, Duration::ZERO)
+                self.pool.reserve(engine, most, errand, Duration::ZERO)
             }
         };
         let conn = match slot {
@@ -122,7 +122,7 @@
 
     /// Where an engine may have no more connections, an idle one makes room for a new one.
     fn make_room_at(&mut self, engine: EngineId, most: usize, out: &mut Vec<Output>) {
-        if self.pool.open_to(engine) < most {
+        if self.pool.open_count(engine) < most {
             return;
         }
         if let Some(&idle) = self.pool.idle(engine).first() {
@@ -165,7 +165,7 @@
     fn release(&mut self, id: RequestId, out: &mut Vec<Output>) {
         let Some(call) = self.calls.get_mut(&id) else { return };
         for (engine, addr, name) in call.release() {
-            self.pool.freed(Some(engine));
+            self.pool.state_released(Some(engine));
             let id = self.releases.add(self.now, engine, addr, name);
             self.release_due(id, out);
         }
@@ -202,7 +202,7 @@
         if self.exchange(release.holder, release.addr, Use::Abort(id), bytes, Wanted::Any, out).is_some()
             && stands
         {
-            self.releases.sent(id, release.holder, self.now);
+            self.releases.record_sent(id, release.holder, self.now);
         }
     }
 
@@ -244,7 +244,7 @@
         let latency = now.saturating_sub(a.sent);
         self.gauges.attempt(a.read, outcome);
         call.worked(latency);
-        self.pool.freed(call.holds_nothing(attempt, outcome));
+        self.pool.state_released(call.holds_nothing(attempt, outcome));
         let ended = slipreel::AttemptEnded {
             request: id,
             attempt,
--- a/crates/gateway/src/engines.rs
+++ b/crates/gateway/src/engines.rs
@@ -62,7 +62,7 @@
         match link.state {
             State::Connecting => self.drop_link(conn, out, Outcome::ConnectFailed),
             State::Busy => self.drop_link(conn, out, Outcome::TimedOut),
-            State::Idle if self.pool.keeps(link.engine) => {
+            State::Idle if self.pool.keeps_last_idle(link.engine) => {
                 if let Some(link) = self.links.get_mut(&conn) {
                     link.since = self.now;
                 }
@@ -154,7 +154,7 @@
                     self.drop_link(conn, out, Outcome::Error);
                 }
                 (_, Use::Abort(n)) => {
-                    self.releases.acknowledged(n, self.now);
+                    self.releases.record_acknowledged(n, self.now);
                     self.exchange_over(conn, out);
                 }
                 (_, Use::Probe) => {
@@ -192,9 +192,9 @@
             out.push(Output::Resume(conn));
         }
         let reusable = link.reusable;
-        if reusable && self.pool.put(engine, conn, most, now) {
+        if reusable && self.pool.put_idle(engine, conn, most, now) {
             self.arm_link(conn);
-            let waiting = self.releases.waiting_for(engine);
+            let waiting = self.releases.oldest_waiting_for(engine);
             if let Some((id, release)) = waiting.and_then(|id| Some((id, self.releases.get(id)?.clone()))) {
                 self.send_release(id, &release, out);
             }
@@ -226,7 +226,7 @@
             if !call.has_begun_before() {
                 self.gauges.first_token(name, now, call);
             }
-            self.pool.freed(taken);
+            self.pool.state_released(taken);
             let latency = now.saturating_sub(call.attempts[attempt].sent);
             let (generation, conn, stream, whole_by) =
                 (call.generation, call.attempts[attempt].conn, call.stream, call.whole_by);
--- a/crates/gateway/src/front.rs
+++ b/crates/gateway/src/front.rs
@@ -7,7 +7,9 @@
 use crate::members::Members;
 use crate::site::{EngineSite, Site};
 use slipreel::{Action, EngineId, EngineState, Event, Listing, RequestId, Router, TimerId};
-use slipreel_connections::{Client, Due, Pool, ReleaseId, ReleaseQueue, State as ClientState, Wheel};
+use slipreel_connections::{
+    Client, ConnectionTimers, Pool, ReleaseId, ReleaseQueue, State as ClientState, TimerWheel,
+};
 use slipreel_consensus::PolicyHandle;
 use slipreel_membership::{Board, Standing};
 use slipreel_state_machine::{ConnId, ConnectionLoss, Input, Machine, Output};
@@ -75,12 +77,12 @@
     pub(crate) brains: Vec<Brain>,
     pub(crate) members: Members,
     pub(crate) clients: HashMap<ConnId, Client>,
-    client_alarms: Due,
+    client_alarms: ConnectionTimers,
     pub(crate) links: HashMap<ConnId, Link>,
-    link_alarms: Due,
+    link_alarms: ConnectionTimers,
     pub(crate) pool: Pool,
     pub(crate) calls: BTreeMap<RequestId, Call>,
-    pub(crate) wheel: Wheel<Alarm>,
+    pub(crate) wheel: TimerWheel<Alarm>,
     /// What the module is to be told, and by whose router; `None`: all.
     pub(crate) events: VecDeque<(Option<u64>, Event)>,
     pub(crate) reap: Vec<RequestId>,
@@ -117,12 +119,12 @@
             brains: Vec::new(),
             members: Members::default(),
             clients: HashMap::new(),
-            client_alarms: Due::default(),
+            client_alarms: ConnectionTimers::default(),
             links: HashMap::new(),
-            link_alarms: Due::default(),
+            link_alarms: ConnectionTimers::default(),
             pool: Pool::default(),
             calls: BTreeMap::new(),
-            wheel: Wheel::default(),
+            wheel: TimerWheel::default(),
             events: VecDeque::new(),
             reap: Vec::new(),
             releases: ReleaseQueue::new(limits::RELEASES),
@@ -236,7 +238,7 @@
         for id in std::mem::take(&mut self.reap) {
             if self.calls.get(&id).is_some_and(Call::is_done) {
                 let held = self.calls.remove(&id).map(super::call::Call::holding).unwrap_or_default();
-                held.into_iter().for_each(|engine| self.pool.freed(Some(engine)));
+                held.into_iter().for_each(|engine| self.pool.state_released(Some(engine)));
             }
         }
         if self.brains.len() > 1 {
@@ -257,7 +259,7 @@
     /// When a connection of a client has to have moved on, by its state.
     fn client_due(&self, client: &Client) -> Option<Duration> {
         let bounds = &self.site.bounds;
-        let stalled = (client.unsent > 0).then(|| client.moved + bounds.stalled_peer);
+        let stalled = (client.unsent > 0).then(|| client.last_sent_at + bounds.stalled_peer);
         let due = match client.state {
             ClientState::Idle => Some(client.since + bounds.client_idle),
             ClientState::Receiving => Some(client.since + bounds.receive),
@@ -396,7 +398,7 @@
                     out.push(Output::CloseWhenSent(conn));
                     self.forget_client(conn);
                 }
-                _ => client.last_answer(),
+                _ => client.close_after_answer(),
             }
         }
         self.wheel.set(self.now + self.site.bounds.stop, Alarm::StopBy);
@@ -410,7 +412,7 @@
     pub(crate) fn forget_link(&mut self, conn: ConnId) -> Option<Link> {
         self.link_alarms.cancel(&mut self.wheel, conn);
         let link = self.links.remove(&conn)?;
-        self.pool.gone(link.engine, conn);
+        self.pool.remove(link.engine, conn);
         Some(link)
     }
 
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -46,7 +46,7 @@
     fn malformed(&mut self, conn: ConnId, why: &Malformed, out: &mut Vec<Output>) {
         let fault = Fault::new(ErrorKind::of_status(why.status), why.why.clone());
         if let Some(client) = self.clients.get_mut(&conn) {
-            client.last_answer();
+            client.close_after_answer();
         }
         self.turn(conn, why.status, &fault, &[], out);
     }
@@ -71,7 +71,7 @@
         let epoch = self.epoch_of(conn);
         let Some(client) = self.clients.get_mut(&conn) else { return };
         if stopping {
-            client.last_answer();
+            client.close_after_answer();
         }
         match &epoch {
             Some(epoch) => client.answer(status, &[fields, &[(POLICY, epoch.as_str())]].concat(), body, out),
@@ -83,7 +83,7 @@
     fn client_done(&mut self, conn: ConnId, out: &mut Vec<Output>) {
         let now = self.now;
         let Some(client) = self.clients.get_mut(&conn) else { return };
-        if client.done(now, out) {
+        if client.finish_answer(now, out) {
             self.arm_client(conn);
         } else {
             self.forget_client(conn);
@@ -97,7 +97,7 @@
 
     fn route(&mut self, conn: ConnId, received: &Received, out: &mut Vec<Output>) {
         let (method, path) = (received.method(), received.path());
-        if self.clients.get(&conn).is_some_and(|c| c.door == OPERATORS) {
+        if self.clients.get(&conn).is_some_and(|c| c.listener == OPERATORS) {
             return self.operate(conn, received, out);
         }
         if path != "/health" && !self.may_take() {
@@ -290,7 +290,7 @@
     pub(crate) fn client_eof(&mut self, conn: ConnId, out: &mut Vec<Output>) {
         let half_close = self.site.bounds.half_close;
         let Some(client) = self.clients.get_mut(&conn) else { return };
-        client.eof = true;
+        client.is_closed_by_peer = true;
         match client.state {
             State::Serving(_) if half_close => {}
             // Between requests, or in the midst of one that can't be ended any more.
@@ -326,7 +326,7 @@
         let now = self.now;
         let Some(client) = self.clients.get_mut(&conn) else { return };
         client.unsent = client.unsent.saturating_sub(n);
-        client.moved = now;
+        client.last_sent_at = now;
         if let State::Serving(Some(id)) = client.state {
             self.check_pace(RequestId(id), out);
         }
@@ -358,7 +358,7 @@
         let now = self.now;
         let Some(call) = self.calls.get(&id) else { return };
         let Some(client) = self.clients.get_mut(&call.client) else { return };
-        client.moved = now;
+        client.last_sent_at = now;
         let epoch = call.epoch.map(|e| e.to_string());
         let mut fields = vec![("request-id", call.request_id.as_str())];
         fields.extend(epoch.as_ref().map(|e| (POLICY, e.as_str())));
@@ -375,7 +375,7 @@
         let Some(client) = self.clients.get_mut(&call.client) else { return };
         let (conn, idle) = (client.conn, client.unsent == 0);
         if idle {
-            client.moved = now;
+            client.last_sent_at = now;
         }
         client.write(http::chunk(&piece), out);
         if idle {
@@ -420,7 +420,7 @@
             last.extend_from_slice(http::LAST_CHUNK);
             self.final_of(id, end);
             if let Some(client) = self.clients.get_mut(&conn) {
-                client.last_answer();
+                client.close_after_answer();
                 client.write(last, out);
             }
             return self.client_done(conn, out);
--- a/crates/platform/src/client_connections.rs
+++ b/crates/platform/src/client_connections.rs
@@ -2,7 +2,7 @@
 
 use crate::resource_limits::ResourceLimits;
 use crate::timer::{Timer, Timers};
-use slipreel_connections::{Client, Due, State};
+use slipreel_connections::{Client, ConnectionTimers, State};
 use slipreel_state_machine::ConnId;
 use std::collections::HashMap;
 use std::time::Duration;
@@ -41,7 +41,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct ClientConnections {
     by_id: HashMap<ConnId, Client>,
-    timers: Due,
+    timers: ConnectionTimers,
     /// Connections whose first request has not come in whole, and since when they stand.
     awaiting_first_request: HashMap<ConnId, Duration>,
 }
@@ -96,7 +96,7 @@
 
     /// Each answer from now on says that its connection ends.
     pub(crate) fn close_after_next_answer(&mut self) {
-        self.by_id.values_mut().for_each(Client::last_answer);
+        self.by_id.values_mut().for_each(Client::close_after_answer);
     }
 
     /// The connections between requests, in the order of their ids.
@@ -137,7 +137,7 @@
     pub(crate) fn deadline(&self, conn: ConnId, limits: &ResourceLimits) -> Option<Duration> {
         let client = self.by_id.get(&conn)?;
         let awaited_since = self.awaiting_first_request.get(&conn).copied();
-        let stalled = (client.unsent > 0).then(|| client.moved + STALL_TIMEOUT);
+        let stalled = (client.unsent > 0).then(|| client.last_sent_at + STALL_TIMEOUT);
         let by_state = match client.state {
             State::Idle if awaited_since.is_some() => Some(client.since + FIRST_REQUEST_TIMEOUT),
             State::Idle => Some(client.since + limits.client_idle_timeout(self.by_id.len())),
--- a/crates/platform/src/clients.rs
+++ b/crates/platform/src/clients.rs
@@ -30,7 +30,7 @@
         let mut client =
             Client::new(conn, slipreel_state_machine::ListenerId(0), self.now, limits, MAX_PIPELINED_BYTES);
         if self.shutdown.has_begun() {
-            client.last_answer();
+            client.close_after_answer();
         }
         self.clients.insert(client, self.now);
         self.arm_client_timer(conn);
@@ -43,7 +43,7 @@
         let Some(client) = self.clients.get_mut(conn) else { return false };
         if client.state == State::Receiving {
             // Its last byte may be on its way: no request is read in part and then closed without an answer.
-            client.last_answer();
+            client.close_after_answer();
             self.reject(conn, &RequestError::Evicted, out);
             return true;
         }
@@ -80,7 +80,7 @@
                     self.route(conn, received, out);
                 }
                 Err(malformed) => {
-                    client.last_answer();
+                    client.close_after_answer();
                     return self.reject(conn, &RequestError::Malformed(malformed), out);
                 }
             }
@@ -191,7 +191,7 @@
         let now = self.now;
         let Some(client) = self.clients.get_mut(conn) else { return };
         client.unsent = client.unsent.saturating_sub(sent);
-        client.moved = now;
+        client.last_sent_at = now;
         if let State::Serving(Some(request)) = client.state {
             self.check_pace(RequestId(request), out);
         }
@@ -202,7 +202,7 @@
         let Some(client) = self.clients.get_mut(conn) else { return };
         match client.state {
             State::Receiving => {
-                client.last_answer();
+                client.close_after_answer();
                 self.reject(conn, &RequestError::ReceiveTimeout, out);
             }
             State::Idle => {
@@ -233,7 +233,7 @@
         let is_last = self.shutdown.has_begun();
         let Some(client) = self.clients.get_mut(conn) else { return };
         if is_last {
-            client.last_answer();
+            client.close_after_answer();
         }
         client.answer(status, fields, body, out);
         self.client_done(conn, out);
@@ -243,7 +243,7 @@
     fn client_done(&mut self, conn: ConnId, out: &mut Vec<Output>) {
         let now = self.now;
         let Some(client) = self.clients.get_mut(conn) else { return };
-        if client.done(now, out) {
+        if client.finish_answer(now, out) {
             self.arm_client_timer(conn);
         } else {
             self.clients.remove(conn, &mut self.timers);
@@ -298,7 +298,7 @@
         let Some(client) = self.requests.get(id).map(|request| request.client) else { return };
         if let Some(client) = self.clients.get_mut(client) {
             if self.shutdown.has_begun() {
-                client.last_answer();
+                client.close_after_answer();
             }
             client.begin_stream(&[], out);
         }
--- a/crates/platform/src/engine_connections.rs
+++ b/crates/platform/src/engine_connections.rs
@@ -3,7 +3,7 @@
 use crate::engine_connection::{ConnectionPurpose, EngineConnection, State};
 use crate::timer::{Timer, Timers};
 use slipreel::EngineId;
-use slipreel_connections::{Due, Errand, Pool, Slot, Trust};
+use slipreel_connections::{ConnectionTimers, Pool, Purpose, ReuseHistory, Slot};
 use slipreel_state_machine::ConnId;
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
@@ -21,9 +21,9 @@
 #[derive(Debug, Default)]
 pub(crate) struct EngineConnections {
     by_id: HashMap<ConnId, EngineConnection>,
-    timers: Due,
+    timers: ConnectionTimers,
     pool: Pool,
-    reuse_history: Trust,
+    reuse_history: ReuseHistory,
     last_id: u64,
 }
 
@@ -50,7 +50,7 @@
     pub(crate) fn remove(&mut self, conn: ConnId, timers: &mut Timers) -> Option<EngineConnection> {
         self.timers.cancel(timers, conn);
         let connection = self.by_id.remove(&conn)?;
-        self.pool.gone(connection.engine, conn);
+        self.pool.remove(connection.engine, conn);
         Some(connection)
     }
 
@@ -111,40 +111,42 @@
 
     /// Takes a place in the pool for an attempt, which always opens a connection of its own.
     pub(crate) fn reserve_new(&mut self, engine: EngineId) {
-        self.pool.opens(engine);
+        self.pool.reserve_new(engine);
     }
 
     /// Takes a place in the pool for a health check or a release: an idle connection, or one to be opened.
     pub(crate) fn reserve(&mut self, engine: EngineId, purpose: ConnectionPurpose, now: Duration) -> Slot {
         // A release is sent again if it breaks, and goes out as soon as it can.
         let (errand, idle_since) = match purpose {
-            ConnectionPurpose::Release(_) => (Errand::Release, now),
-            _ if self.reuse_history.may_use(engine) => (Errand::Probe, now.saturating_sub(IDLE_BEFORE_REUSE)),
-            _ => (Errand::Probe, Duration::ZERO),
+            ConnectionPurpose::Release(_) => (Purpose::Release, now),
+            _ if self.reuse_history.allows_reuse(engine) => {
+                (Purpose::Probe, now.saturating_sub(IDLE_BEFORE_REUSE))
+            }
+            _ => (Purpose::Probe, Duration::ZERO),
         };
-        self.pool.take(engine, MAX_CONNECTIONS_PER_ENGINE, errand, idle_since)
+        self.pool.reserve(engine, MAX_CONNECTIONS_PER_ENGINE, errand, idle_since)
     }
 
     /// Gives back a place for which no connection could be opened.
     pub(crate) fn cancel_reservation(&mut self, engine: EngineId) {
         // The id is none of a connection.
-        self.pool.gone(engine, ConnId::opened(0));
+        self.pool.remove(engine, ConnId::opened(0));
     }
 
     /// Makes a connection available for further exchanges.
     pub(crate) fn keep_idle(&mut self, engine: EngineId, conn: ConnId, now: Duration) {
-        self.pool.put(engine, conn, MAX_IDLE_PER_ENGINE, now);
+        self.pool.put_idle(engine, conn, MAX_IDLE_PER_ENGINE, now);
     }
 
     /// A reused connection has answered.
     pub(crate) fn record_reuse_success(&mut self, engine: EngineId) {
-        self.reuse_history.used(engine, false);
+        self.reuse_history.record(engine, false);
     }
 
     /// A connection broke: if it was reused and had not answered yet, reuse is worth less.
     pub(crate) fn record_loss(&mut self, connection: &EngineConnection) {
         if connection.is_reuse_unproven() {
-            self.reuse_history.used(connection.engine, true);
+            self.reuse_history.record(connection.engine, true);
         }
     }
 
--- a/crates/platform/src/engines.rs
+++ b/crates/platform/src/engines.rs
@@ -195,7 +195,7 @@
             self.counters.malformed_responses += 1;
             return self.abort_connection(conn, AttemptEnd::may_have_run(Outcome::Error), out);
         }
-        self.releases.acknowledged(release, self.now);
+        self.releases.record_acknowledged(release, self.now);
         self.exchange_finished(conn, out);
     }
 
--- a/crates/platform/src/release.rs
+++ b/crates/platform/src/release.rs
@@ -67,7 +67,7 @@
             ReleaseStep::Send(release) => {
                 self.timers.set(self.now + RELEASE_RETRY_INTERVAL, Timer::Release(id));
                 if release.repeats && self.is_sure(&release) {
-                    self.releases.repeat_no_more(id);
+                    self.releases.stop_repeating(id);
                 }
                 for engine in self.release_targets(id, &release) {
                     self.send_release(id, &release, engine, out);
@@ -79,7 +79,7 @@
     /// Whether every engine with an attempt that was given up or broke off has been heard from long enough after that to
     /// have seen it.
     fn is_sure(&self, release: &Release) -> bool {
-        release.unsure.iter().all(|attempt| {
+        release.unconfirmed.iter().all(|attempt| {
             self.endpoints.last_contact(attempt.engine) >= attempt.ended + CANCELLATION_SEEN_AFTER
         })
     }
@@ -92,7 +92,7 @@
         let mut candidates: Vec<EngineId> =
             engines.iter().copied().filter(|engine| !release.asked.contains(engine)).collect();
         if candidates.is_empty() {
-            self.releases.ask_all_again(id);
+            self.releases.clear_asked(id);
             candidates = engines;
         }
         let standing = candidates.iter().position(|&engine| self.engines.has_idle_to(engine));
@@ -110,7 +110,7 @@
         let request =
             http::request_head("DELETE", &target, &[("host", &addr.to_string())], Framing::Length(0));
         self.counters.releases += 1;
-        self.releases.sent(id, engine, self.now);
+        self.releases.record_sent(id, engine, self.now);
         let purpose = ConnectionPurpose::Release(id);
         self.exchange(Exchange { engine, addr, purpose, request, holds_last_byte: false }, out);
     }
@@ -120,7 +120,7 @@
     pub(crate) fn send_waiting_release(&mut self, conn: ConnId, out: &mut Vec<Output>) {
         let Some(engine) = self.engines.get(conn).map(|l| l.engine) else { return };
         let stale = self.now.saturating_sub(RELEASE_STALE_AFTER);
-        let Some(id) = self.releases.waiting(stale) else { return };
+        let Some(id) = self.releases.oldest_waiting(stale) else { return };
         let Some(release) = self.releases.get(id).cloned() else { return };
         self.send_release(id, &release, engine, out);
     }
--- a/crates/platform/src/request.rs
+++ b/crates/platform/src/request.rs
@@ -2,7 +2,7 @@
 
 use crate::proof::AttemptEnd;
 use slipreel::{EngineId, Outcome};
-use slipreel_connections::{Received, ReleaseId, UnsureAttempt};
+use slipreel_connections::{Received, ReleaseId, UnconfirmedAttempt};
 use slipreel_protocol::http::{self, Framing};
 use slipreel_state_machine::ConnId;
 use std::net::SocketAddr;
@@ -184,14 +184,14 @@
     /// Attempts after whose end state may still come to be held: they were cancelled or broke off, and while its engine has
     /// not seen that, a prefill may still leave its state there, and a decode that waits for state may still keep it from
     /// being released. A prefill whose answer could not be parsed was cancelled, too.
-    pub(crate) fn unsure(&self) -> Vec<UnsureAttempt> {
+    pub(crate) fn unsure(&self) -> Vec<UnconfirmedAttempt> {
         let unsure = |a: &&Attempt| match a.outcome {
             Some(Outcome::Reset | Outcome::TimedOut | Outcome::Cancelled) => true,
             Some(Outcome::Error) => a.is_prefill,
             _ => false,
         };
         let unsure = self.attempts.iter().filter(unsure);
-        unsure.map(|a| UnsureAttempt { engine: a.engine, ended: a.ended }).collect()
+        unsure.map(|a| UnconfirmedAttempt { engine: a.engine, ended: a.ended }).collect()
     }
 
     /// Its state is being released.
--- a/crates/platform/src/timer.rs
+++ b/crates/platform/src/timer.rs
@@ -1,11 +1,11 @@
 //! What the timers of a router are for.
 
 use slipreel::{RequestId, TimerId};
-use slipreel_connections::{ReleaseId, Wheel};
+use slipreel_connections::{ReleaseId, TimerWheel};
 use slipreel_state_machine::ConnId;
 
 /// All timers of a router.
-pub(crate) type Timers = Wheel<Timer>;
+pub(crate) type Timers = TimerWheel<Timer>;
 
 /// Why a timer was set.
 #[derive(Clone, Copy, Debug)]
--- a/crates/test-servers/src/platform/engine.rs
+++ b/crates/test-servers/src/platform/engine.rs
@@ -3,7 +3,7 @@
 use super::{look, Shared};
 use rand_xoshiro::rand_core::{RngCore, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
-use slipreel_connections::{Client, Received, State, Wheel};
+use slipreel_connections::{Client, Received, State, TimerWheel};
 use slipreel_invariants::terms::Seen;
 use slipreel_protocol::http::{self, Limits, LAST_CHUNK};
 use slipreel_state_machine::{ConnId, Input, Machine, Output};
@@ -59,7 +59,7 @@
     rng: Xoshiro256PlusPlus,
     clients: BTreeMap<ConnId, Client>,
     work: BTreeMap<u64, Work>,
-    wheel: Wheel<u64>,
+    wheel: TimerWheel<u64>,
     next: u64,
 }
 
@@ -77,7 +77,7 @@
             rng: Xoshiro256PlusPlus::seed_from_u64(seed),
             clients: BTreeMap::new(),
             work: BTreeMap::new(),
-            wheel: Wheel::default(),
+            wheel: TimerWheel::default(),
             next: 0,
         }
     }
@@ -96,7 +96,7 @@
         let now = self.now;
         let Some(client) = self.clients.get_mut(&conn) else { return };
         client.answer(status, fields, body, out);
-        if !client.done(now, out) {
+        if !client.finish_answer(now, out) {
             self.clients.remove(&conn);
         }
     }
@@ -240,7 +240,7 @@
         self.work.remove(&n);
         let now = self.now;
         if let Some(client) = self.clients.get_mut(&conn) {
-            if !client.done(now, out) {
+            if !client.finish_answer(now, out) {
                 self.clients.remove(&conn);
             }
         }
--- a/crates/test-servers/src/platform/hostile_engine.rs
+++ b/crates/test-servers/src/platform/hostile_engine.rs
@@ -1,7 +1,7 @@
 //! An engine that fails at each step of an exchange, and notes what it received for the judge of repeats.
 
 use super::Random;
-use slipreel_connections::{Client, Received, Wheel};
+use slipreel_connections::{Client, Received, TimerWheel};
 use slipreel_invariants::repeats::{AttemptId, Fact, Place, Seen};
 use slipreel_protocol::http::{self, Limits, LAST_CHUNK};
 use slipreel_state_machine::{ConnId, Input, Machine, Output};
@@ -156,7 +156,7 @@
     random: Random,
     connections: BTreeMap<ConnId, Client>,
     work: BTreeMap<u64, Work>,
-    wheel: Wheel<u64>,
+    wheel: TimerWheel<u64>,
     due: BTreeMap<u64, Due>,
     next: u64,
 }
@@ -173,7 +173,7 @@
             now: Duration::ZERO,
             connections: BTreeMap::new(),
             work: BTreeMap::new(),
-            wheel: Wheel::default(),
+            wheel: TimerWheel::default(),
             due: BTreeMap::new(),
             next: 0,
         }
@@ -199,7 +199,7 @@
         let Some(connection) = self.connections.get_mut(&conn) else { return };
         let fields: &[(&str, &str)] = if not_run { &[("x-not-run", "1")] } else { &[] };
         connection.answer(status, fields, b"", out);
-        if !connection.done(now, out) {
+        if !connection.finish_answer(now, out) {
             self.connections.remove(&conn);
         }
     }
@@ -305,7 +305,7 @@
         }
         connection.write(http::chunk(b"data: [DONE]\n\n"), out);
         connection.write(LAST_CHUNK.to_vec(), out);
-        if !connection.done(now, out) {
+        if !connection.finish_answer(now, out) {
             self.connections.remove(&conn);
         }
     }
