--- a/crates/cli/src/disk.rs
+++ b/crates/cli/src/disk.rs
@@ -80,15 +80,15 @@
 }
 
 impl Disk for Folder {
-    fn append(&mut self, bytes: &[u8], sync: bool) -> Result<(), String> {
+    fn append(&mut self, bytes: &[u8], sync: bool) -> std::io::Result<()> {
         let result = self.try_append(bytes, sync);
         if result.is_err() {
             self.file = None;
         }
-        result.map_err(|e| e.to_string())
+        result
     }
 
-    fn replace(&mut self, bytes: &[u8]) -> Result<(), String> {
-        self.try_replace(bytes).map_err(|e| e.to_string())
+    fn replace(&mut self, bytes: &[u8]) -> std::io::Result<()> {
+        self.try_replace(bytes)
     }
 }
--- a/crates/cli/src/member.rs
+++ b/crates/cli/src/member.rs
@@ -60,10 +60,10 @@
 struct NoDisk;
 
 impl Disk for NoDisk {
-    fn append(&mut self, _: &[u8], _: bool) -> Result<(), String> {
+    fn append(&mut self, _: &[u8], _: bool) -> std::io::Result<()> {
         Ok(())
     }
-    fn replace(&mut self, _: &[u8]) -> Result<(), String> {
+    fn replace(&mut self, _: &[u8]) -> std::io::Result<()> {
         Ok(())
     }
 }
--- /dev/null
+++ b/crates/consensus/src/consensus/leading.rs
@@ -0,0 +1,112 @@
+//! What follows from what has come: the disk first, then messages, then what a leader does.
+
+use super::Consensus;
+use crate::leadership::{AddressedGrant, LeaderAction};
+use crate::voter::Heartbeat;
+use crate::wire::Body;
+use slipreel_state_machine::Output;
+use std::time::Duration;
+
+/// Steps of [`Consensus::progress`] for one input; each follows from the one before, and a few are enough.
+const MAX_STEPS_PER_INPUT: usize = 16;
+
+impl Consensus {
+    /// Does what follows from what has come, until nothing more does.
+    pub(super) fn progress(&mut self, now: Duration, out: &mut Vec<Output>) {
+        for _ in 0..MAX_STEPS_PER_INPUT {
+            if !self.progress_once(now, out) {
+                break;
+            }
+        }
+        if now >= self.lease_holder.due() {
+            self.request_lease(now, out);
+            // A leader grants its own request as soon as it is confirmed.
+            if self.durable_file.is_healthy() {
+                self.lead(now, out);
+            }
+        }
+    }
+
+    /// One step: writes what is to be stored, applies what is decided, sends messages, leads. Whether another step may follow from it.
+    fn progress_once(&mut self, now: Duration, out: &mut Vec<Output>) -> bool {
+        if !self.persist(now, out) {
+            return false;
+        }
+        let Some(voter) = &mut self.voter else { return false };
+        let (entries, next) = voter.apply();
+        let (number, messages) = (voter.configuration.number, voter.messages());
+        for (to, message) in messages {
+            self.send(now, &to, Body::Vote(number, message), out);
+        }
+        if let Some(configuration) = next {
+            let old = self.voter.as_ref().map(|v| v.configuration.voters.clone()).unwrap_or_default();
+            self.enter(now, configuration.clone(), out);
+            // New voters are told at once; the others apply the same entry by themselves, or ask.
+            let joined = configuration.voters.iter().filter(|voter| !old.contains(voter));
+            for voter in joined.filter(|voter| voter.name != self.me.name).cloned().collect::<Vec<_>>() {
+                self.send(now, &voter.name, Body::Configuration(configuration.clone()), out);
+            }
+            return true;
+        }
+        self.lead(now, out) || !entries.is_empty()
+    }
+
+    /// What a leader does. Whether it appended to the log.
+    fn lead(&mut self, now: Duration, out: &mut Vec<Output>) -> bool {
+        let Some(voter) = &mut self.voter else { return false };
+        if !self.leadership.mind(now, voter) {
+            if !voter.leads() {
+                voter.forget_round();
+            }
+            return false;
+        }
+        let changed_grants = self.leadership.news(now, voter);
+        let action = self.leadership.step(now, voter);
+        let begins = action.is_none() && self.leadership.begins_round(voter);
+        let heartbeat = if begins { voter.ask_to_confirm(now) } else { voter.ask_again(now) };
+        let appended = action.is_some();
+        match action {
+            Some(LeaderAction::Append(entry)) => voter.append(entry),
+            Some(LeaderAction::Reconfigure(voters)) => voter.hand_over(&voters),
+            None => {}
+        }
+        let confirmed = voter.has_confirmed();
+        let names: Vec<String> = voter.configuration.voters.iter().map(|v| v.name.clone()).collect();
+        self.send_grants(now, changed_grants, out);
+        if let Some(heartbeat) = heartbeat {
+            self.send_heartbeat(now, &names, heartbeat, out);
+        }
+        if confirmed {
+            self.grant_confirmed(now, out);
+        }
+        appended
+    }
+
+    fn send_heartbeat(
+        &mut self, now: Duration, voters: &[String], heartbeat: Heartbeat, out: &mut Vec<Output>,
+    ) {
+        for name in voters {
+            if *name != self.me.name {
+                self.send(now, name, Body::Heartbeat(heartbeat), out);
+            }
+        }
+    }
+
+    /// A majority has confirmed that this router leads: it grants the leases that were asked for before.
+    pub(super) fn grant_confirmed(&mut self, now: Duration, out: &mut Vec<Output>) {
+        if let Some(voter) = &self.voter {
+            let grants = self.leadership.confirmed(now, voter);
+            self.send_grants(now, grants, out);
+        }
+    }
+
+    fn send_grants(&mut self, now: Duration, grants: Vec<AddressedGrant>, out: &mut Vec<Output>) {
+        for AddressedGrant { peer, forwarder, grant } in grants {
+            match forwarder {
+                _ if peer == self.me => self.receive_grant(now, grant, out),
+                Some(voter) => self.send(now, &voter, Body::ForwardedGrant(peer.name, grant), out),
+                None => self.send(now, &peer.name, Body::Grant(grant), out),
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/consensus/src/consensus/status.rs
@@ -0,0 +1,168 @@
+//! What the rest of the process is shown: the permit, and the status for operators.
+
+use super::Consensus;
+use crate::handle::{PendingChange, Permit, PolicyHandle, RouterStatus};
+use crate::lease_holder::Lease;
+use crate::policy_state::{digest, ProposalOutcome};
+use crate::voter::Voter;
+use crate::wire::OperatorRequest;
+use std::collections::VecDeque;
+use std::sync::Arc;
+
+/// The parts of a status by which a change of it is noticed: the status as a whole holds long histories.
+#[derive(PartialEq, Eq)]
+struct StatusFingerprint {
+    configuration: u32,
+    epoch: u64,
+    last_outcome_digest: u64,
+    pending: Option<PendingChange>,
+    leader: Option<String>,
+    faults: Vec<String>,
+    outcomes: usize,
+}
+
+/// How changes ended, as far as this router remembers.
+struct History {
+    outcomes: Vec<ProposalOutcome>,
+    forgotten: u64,
+    texts: Vec<(u64, String)>,
+}
+
+/// The process's side of the machine, and what it was shown last.
+pub(super) struct StatusPublisher {
+    handle: Arc<PolicyHandle>,
+    shown: Option<StatusFingerprint>,
+    permitted: Option<Lease>,
+}
+
+impl StatusPublisher {
+    pub(super) fn new(handle: Arc<PolicyHandle>) -> StatusPublisher {
+        StatusPublisher { handle, shown: None, permitted: None }
+    }
+
+    /// Requests that operators have made since the last call.
+    pub(super) fn take_requests(&self) -> VecDeque<OperatorRequest> {
+        self.handle.take_requests()
+    }
+}
+
+impl Consensus {
+    /// Publishes the permit and the status where they have changed.
+    pub(super) fn publish(&mut self) {
+        self.publish_permit();
+        let fingerprint = self.fingerprint();
+        if self.publisher.shown.as_ref() == Some(&fingerprint) {
+            return;
+        }
+        let status = self.status(&fingerprint);
+        self.publisher.shown = Some(fingerprint);
+        self.publisher.handle.set_status(status);
+    }
+
+    fn publish_permit(&mut self) {
+        let lease = self.current_lease();
+        if self.publisher.permitted == Some(lease) {
+            return;
+        }
+        self.publisher.permitted = Some(lease);
+        self.publisher.handle.set_permit(Permit {
+            epoch: lease.epoch,
+            until: lease.until,
+            policy: self.lease_holder.made().cloned(),
+            partition_mode: self.config.partition_mode,
+        });
+    }
+
+    fn fingerprint(&self) -> StatusFingerprint {
+        let outcomes = match self.policy_state() {
+            Some(state) => state.outcomes.len() + state.forgotten as usize,
+            None => self.lease_holder.recent().len(),
+        };
+        StatusFingerprint {
+            configuration: self.configuration_number(),
+            epoch: self.lease_holder.epoch(),
+            last_outcome_digest: self.lease_holder.recent().last().map_or(0, |outcome| outcome.digest),
+            pending: self.pending(),
+            leader: self.leader().map(str::to_owned),
+            faults: self.faults(),
+            outcomes,
+        }
+    }
+
+    fn status(&self, fingerprint: &StatusFingerprint) -> RouterStatus {
+        let (epoch, text) = (fingerprint.epoch, self.lease_holder.text().to_owned());
+        let History { outcomes, forgotten, texts } = self.history();
+        RouterStatus {
+            name: self.me.name.clone(),
+            epoch,
+            digest: if epoch == 0 { 0 } else { digest(&text) },
+            text,
+            pending: fingerprint.pending.clone(),
+            leader: fingerprint.leader.clone(),
+            voters: self.voters(),
+            votes: self.votes(),
+            outcomes,
+            forgotten,
+            texts,
+            faults: fingerprint.faults.clone(),
+        }
+    }
+
+    /// Why this router does not act by the epoch in force, or does not vote.
+    fn faults(&self) -> Vec<String> {
+        let mut faults: Vec<String> = self.log_refused.iter().cloned().collect();
+        if let Some(why) = self.durable_file.error() {
+            faults.push(format!("does not vote: the folder can't be written: {why}"));
+        }
+        if let Some(why) = self.lease_holder.stuck() {
+            faults.push(format!("can't take the policy in force: {why}"));
+        }
+        if self.bootstrap.is_some() {
+            let founders = self.config.founders.join(", ");
+            faults.push(format!("no policy is in force yet: waits for all founders: {founders}"));
+        }
+        faults
+    }
+
+    fn voters(&self) -> Vec<String> {
+        match &self.voter {
+            Some(voter) => voter.configuration.voters.iter().map(|v| v.name.clone()).collect(),
+            None => self.lease_holder.voters().to_vec(),
+        }
+    }
+
+    fn history(&self) -> History {
+        match self.policy_state() {
+            Some(state) => History {
+                outcomes: state.outcomes.iter().cloned().collect(),
+                forgotten: state.forgotten,
+                texts: state.kept_texts(),
+            },
+            None => {
+                History { outcomes: self.lease_holder.recent().to_vec(), forgotten: 0, texts: Vec::new() }
+            }
+        }
+    }
+
+    fn leader(&self) -> Option<&str> {
+        if self.leads() {
+            return Some(&self.me.name);
+        }
+        self.lease_holder.leader()
+    }
+
+    fn pending(&self) -> Option<PendingChange> {
+        if let Some(change) = self.lease_holder.trial() {
+            return Some(change.clone());
+        }
+        let state = self.voter.as_ref().filter(|voter| self.has_caught_up(voter)).map(Voter::policy_state)?;
+        let id = state.pending.as_ref()?.id.clone();
+        Some(PendingChange { id, waits_for: Vec::new() })
+    }
+
+    /// Whether a voter knows all that its leader has told of: one that has just started may lack what the others have decided since.
+    fn has_caught_up(&self, voter: &Voter) -> bool {
+        let own = (voter.configuration.number, voter.applied() as u64);
+        self.lease_holder.leader().is_some() && self.lease_holder.version() <= own
+    }
+}
--- a/crates/consensus/src/handle.rs
+++ b/crates/consensus/src/handle.rs
@@ -41,6 +41,15 @@
     }
 }
 
+/// A change under way.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct PendingChange {
+    /// The proposal's id.
+    pub id: String,
+    /// The routers that have not prepared it yet.
+    pub waits_for: Vec<String>,
+}
+
 /// What operators see.
 #[derive(Clone, Debug, Default)]
 pub struct RouterStatus {
@@ -53,7 +62,7 @@
     /// Its policy.
     pub text: String,
     /// The change under way, and whom it waits for.
-    pub pending: Option<(String, Vec<String>)>,
+    pub pending: Option<PendingChange>,
     /// Who leads the voters, as far as this router knows.
     pub leader: Option<String>,
     /// Who votes.
@@ -151,7 +160,7 @@
             };
         }
         match &self.pending {
-            Some((pending, waits_for)) if pending == id => ProposalStatus::Pending(waits_for.clone()),
+            Some(change) if change.id == id => ProposalStatus::Pending(change.waits_for.clone()),
             _ => ProposalStatus::Unknown,
         }
     }
@@ -163,8 +172,8 @@
             "epoch": self.epoch,
             "digest": format!("{:016x}", self.digest),
             "serving": holds,
-            "pending": self.pending.as_ref().map(|(id, waits_for)| serde_json::json!({
-                "id": id, "epoch": self.epoch + 1, "waits_for": waits_for})),
+            "pending": self.pending.as_ref().map(|change| serde_json::json!({
+                "id": change.id, "epoch": self.epoch + 1, "waits_for": change.waits_for})),
             "leader": self.leader,
             "voters": self.voters,
             "votes": self.votes,
--- a/crates/consensus/src/leadership.rs
+++ b/crates/consensus/src/leadership.rs
@@ -59,8 +59,16 @@
     told_at: usize,
 }
 
-/// An answer, to whom, and by way of whom.
-pub type AddressedGrant = (Peer, Option<String>, Grant);
+/// A grant, and where it is sent.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct AddressedGrant {
+    /// The router that asked.
+    pub peer: Peer,
+    /// The voter that forwarded the request; `None`: it came directly.
+    pub forwarder: Option<String>,
+    /// The answer.
+    pub grant: Grant,
+}
 
 /// What a leader wants of the voters.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -188,7 +196,7 @@
             recent: (held.ask.version != version).then(|| policy_state.recent()),
             voters: voter.configuration.voters.iter().map(|s| s.name.clone()).collect(),
         };
-        Some((peer.clone(), held.via.clone(), grant))
+        Some(AddressedGrant { peer: peer.clone(), forwarder: held.via.clone(), grant })
     }
 
     /// What has been decided since the last call is told to all at once, as further answers to their last questions.
--- a/crates/consensus/src/lease_holder.rs
+++ b/crates/consensus/src/lease_holder.rs
@@ -4,6 +4,7 @@
 //! its epoch still holds, and does not take requests by it. While a change is under way it tries the new policy, gives up its long lease for
 //! one of [`timing::SHORT_LEASE`], and says both in one question: what was answered to earlier questions counts no more.
 
+use crate::handle::PendingChange;
 use crate::policy_state::{digest, ProposalOutcome};
 use crate::timing;
 use crate::voter::Term;
@@ -31,6 +32,15 @@
     since: u64,
 }
 
+/// The right to take requests by an epoch.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Lease {
+    /// The epoch; 0: none is known yet.
+    pub epoch: u64,
+    /// When the lease ends, on the router's own clock.
+    pub until: Duration,
+}
+
 /// A router as one that holds a lease.
 pub struct LeaseHolder {
     attempt: Try,
@@ -44,7 +54,7 @@
     recent: Vec<ProposalOutcome>,
     leader: Option<String>,
     voters: Vec<String>,
-    trial: Option<(String, Vec<String>)>,
+    trial: Option<PendingChange>,
     tried: Option<PreparedPolicy>,
     asks: VecDeque<(u64, Duration)>,
     nonce: u64,
@@ -109,6 +119,11 @@
         self.until
     }
 
+    /// The lease that it holds or held last.
+    pub fn lease(&self) -> Lease {
+        Lease { epoch: self.epoch, until: self.until }
+    }
+
     /// The leader that answered last.
     pub fn leader(&self) -> Option<&str> {
         self.leader.as_deref()
@@ -125,7 +140,7 @@
     }
 
     /// The change under way, and whom it waits for.
-    pub fn trial(&self) -> Option<&(String, Vec<String>)> {
+    pub fn trial(&self) -> Option<&PendingChange> {
         self.trial.as_ref()
     }
 
@@ -238,7 +253,7 @@
                 (came.ask, self.next) = (true, now);
             }
         }
-        self.trial = grant.trial.map(|t| (t.id, t.waits_for));
+        self.trial = grant.trial.map(|t| PendingChange { id: t.id, waits_for: t.waits_for });
         let asked = self.asks.iter().find(|(nonce, _)| *nonce == grant.nonce).map(|(_, at)| *at);
         let counts =
             self.tried.as_ref().is_none_or(|t| t.made.is_err() || t.since != 0 && t.since <= grant.nonce);
--- a/crates/consensus/src/member.rs
+++ b/crates/consensus/src/member.rs
@@ -1,7 +1,8 @@
 //! One address for the view of the fleet and the agreement on policy: each datagram and connection goes to the one that its first bytes name.
 
-use crate::consensus::{Consensus, PeerDirectory};
+use crate::consensus::Consensus;
 use crate::peer_connections::PeerConnections;
+use crate::startup::PeerDirectory;
 use crate::wire::MAGIC;
 use slipreel_membership::{Board as ViewBoard, Fleet};
 use slipreel_state_machine::{ConnId, Input, ListenerId, Machine, Output};
--- a/crates/consensus/tests/common/mod.rs
+++ b/crates/consensus/tests/common/mod.rs
@@ -111,10 +111,10 @@
         self.inside().full = full;
     }
 
-    fn write(&self, whole: bool, bytes: &[u8], sync: bool) -> Result<(), String> {
+    fn write(&self, whole: bool, bytes: &[u8], sync: bool) -> std::io::Result<()> {
         let mut inside = self.inside();
         if inside.full {
-            return Err("no space left".into());
+            return Err(std::io::Error::other("no space left"));
         }
         if !self.1.lock().expect("no panic under it").write() {
             return Ok(()); // Its process is dead: nobody hears that.
@@ -131,11 +131,11 @@
 }
 
 impl Disk for Platter {
-    fn append(&mut self, bytes: &[u8], sync: bool) -> Result<(), String> {
+    fn append(&mut self, bytes: &[u8], sync: bool) -> std::io::Result<()> {
         self.write(false, bytes, sync)
     }
 
-    fn replace(&mut self, bytes: &[u8]) -> Result<(), String> {
+    fn replace(&mut self, bytes: &[u8]) -> std::io::Result<()> {
         self.write(true, bytes, true)
     }
 }
--- a/crates/consensus/tests/explore.rs
+++ b/crates/consensus/tests/explore.rs
@@ -38,11 +38,11 @@
 struct Plate(Arc<Mutex<Vec<u8>>>);
 
 impl Disk for Plate {
-    fn append(&mut self, bytes: &[u8], _: bool) -> Result<(), String> {
+    fn append(&mut self, bytes: &[u8], _: bool) -> std::io::Result<()> {
         self.0.lock().expect("no panic under it").extend(bytes);
         Ok(())
     }
-    fn replace(&mut self, bytes: &[u8]) -> Result<(), String> {
+    fn replace(&mut self, bytes: &[u8]) -> std::io::Result<()> {
         *self.0.lock().expect("no panic under it") = bytes.to_vec();
         Ok(())
     }
--- a/crates/fault-injection/src/memory.rs
+++ b/crates/fault-injection/src/memory.rs
@@ -396,7 +396,7 @@
             epoch: shown.epoch,
             digest: format!("{:016x}", shown.digest),
             serving: permit.holds(self.world.now()),
-            pending: shown.pending.as_ref().map(|(id, _)| id.clone()),
+            pending: shown.pending.as_ref().map(|change| change.id.clone()),
             voters: shown.voters.clone(),
             stuck: crate::history::is_stuck(shown.faults.iter().map(String::as_str)),
         })
--- a/crates/fault-injection/src/platter.rs
+++ b/crates/fault-injection/src/platter.rs
@@ -79,10 +79,10 @@
 }
 
 impl Disk for Platter {
-    fn append(&mut self, bytes: &[u8], sync: bool) -> Result<(), String> {
+    fn append(&mut self, bytes: &[u8], sync: bool) -> std::io::Result<()> {
         let mut inside = self.inside();
         if inside.full {
-            return Err("no space left on device".into());
+            return Err(std::io::Error::other("no space left on device"));
         }
         inside.written.extend(bytes);
         if sync && !inside.lies && !inside.stuck {
@@ -91,10 +91,10 @@
         Ok(())
     }
 
-    fn replace(&mut self, bytes: &[u8]) -> Result<(), String> {
+    fn replace(&mut self, bytes: &[u8]) -> std::io::Result<()> {
         let mut inside = self.inside();
         if inside.full {
-            return Err("no space left on device".into());
+            return Err(std::io::Error::other("no space left on device"));
         }
         let bytes = &if inside.blank { emptied(bytes) } else { bytes.to_vec() };
         inside.written = bytes.clone();
