--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -19,6 +19,10 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
+mod config;
+mod counters;
+mod departure;
+mod log_limiter;
 mod membership;
 pub mod name_conflict;
 pub mod router_count;
@@ -29,8 +33,10 @@
 pub mod timing;
 mod view;
 
-pub use membership::{Counters, Membership, MembershipSettings, Peers};
-pub use saved_state::{SavedState, SavedStateError};
+pub use config::{MembershipSettings, Peers};
+pub use counters::Counters;
+pub use membership::Membership;
+pub use saved_state::{Contact, SavedState, SavedStateError};
 pub use shared_view::SharedView;
-pub use table::{MemberChange, MemberEntry, MemberState, MemberTable, MergeOutcome};
+pub use table::{Gossip, MemberChange, MemberEntry, MemberState, MemberTable, MergeOutcome};
 pub use view::{MemberStatus, MemberView, MembershipView};
--- a/crates/membership/src/router_count.rs
+++ b/crates/membership/src/router_count.rs
@@ -1,58 +1,68 @@
-//! How many routers to reckon with: what the module divides quotas and cold budgets by.
+//! The number of routers to reckon with, by which the decisions divide quotas and the load budgets of engines in slow start.
 //!
-//! Too high a count makes each router take less than its part, which costs service; too low a one lets all together push a cold engine over
-//! or grant a tenant more than its quota. The second is worse and can't be undone, so growth counts at once and shrinking late:
+//! Too high a count makes each router take less than its part, which costs service; too low a one lets all routers together overload an
+//! engine in slow start or grant a tenant more than its quota. The second is worse and can't be undone, so growth counts at once and
+//! shrinking late:
 //!
-//! - who is alive or suspect counts;
-//! - who said goodbye, or was declared gone by an operator, counts no more at once: it takes no new work;
-//! - who fell silent goes on counting for [`HOLD`], as it may be cut off and serving;
-//! - after that it stops counting only where those in sight are more than half of all that count. At most one side of a cut is that, so
-//!   that both sides together reckon with more than the true number however long the cut lasts: the larger side divides by itself, every
-//!   other one by all. The smaller side of a crash of most serves with its old parts until the others return or an operator says
-//!   `slipreel fleet forget`;
-//! - at its start a router reckons with at least what its settings say, or what it knew before, until it has seen the fleet for [`HOLD`].
-
-use crate::table::{MemberState, MemberTable};
+//! - members that are alive or suspect count;
+//! - a member that has left, or was declared gone by an operator, stops counting at once: it takes no new work;
+//! - a member that fell silent still counts for [`SILENT_MEMBER_HOLD`], as it may be partitioned and serving;
+//! - after that it stops counting only where the members in view are more than half of all that count. At most one side of a partition
+//!   is, so both sides together reckon with more than the true number however long the partition lasts: the larger side divides by itself,
+//!   every other one by all. After a crash of most members the smaller side serves with its former parts until the others return or an
+//!   operator runs `slipreel fleet forget`;
+//! - after its start a router reckons with at least the number of its settings or its saved state, until it has seen the fleet for
+//!   [`SILENT_MEMBER_HOLD`].
+
+use crate::table::{MemberEntry, MemberState, MemberTable};
 use std::time::Duration;
 
-/// How long one that fell silent goes on counting.
-pub const HOLD: Duration = Duration::from_secs(60);
+/// How long a member that fell silent still counts.
+pub const SILENT_MEMBER_HOLD: Duration = Duration::from_secs(60);
 
-/// What a count is worked out from beside the table.
+/// What a count depends on beside the table.
 #[derive(Clone, Copy, Debug)]
 pub struct LocalRouters {
-    /// Routers that this process runs.
+    /// The number of routers that this process runs.
     pub routers: u32,
-    /// What the settings say, or was known before the start, whichever is more.
+    /// The number of the settings or of the saved state, whichever is more.
     pub min_routers: u32,
-    /// Since when this process has seen the fleet.
+    /// When this process began to see the fleet.
     pub since: Duration,
 }
 
-/// The number of routers to reckon with, this process's own counted.
+/// The number of routers to reckon with, this process's own included.
 pub fn router_count(now: Duration, own: LocalRouters, table: &MemberTable) -> u32 {
-    let silent = |e: &&crate::table::MemberEntry| e.state == MemberState::Gone && !e.record.has_left;
-    let sum = |weights: u64| u32::try_from(weights).unwrap_or(u32::MAX);
-    let weight = |e: &crate::table::MemberEntry| u64::from(e.record.routers);
-    let present = u64::from(own.routers)
-        + table.iter().filter(|e| e.state != MemberState::Gone).map(weight).sum::<u64>();
-    let fresh = table.iter().filter(silent).filter(|e| now < e.since + HOLD).map(weight).sum::<u64>();
-    let old = table.iter().filter(silent).filter(|e| now >= e.since + HOLD).map(weight).sum::<u64>();
-    let all = present + fresh + old;
-    let counted = if present * 2 > all { present + fresh } else { all };
-    let min_routers = if now < own.since + HOLD { own.min_routers } else { 0 };
-    sum(counted).max(min_routers).max(1)
+    let present = u64::from(own.routers) + table.present().map(routers_of).sum::<u64>();
+    let mut recently_silent = 0;
+    let mut long_silent = 0;
+    for entry in table.iter().filter(|entry| is_silent(entry)) {
+        let is_recent = now < entry.state_since + SILENT_MEMBER_HOLD;
+        let sum = if is_recent { &mut recently_silent } else { &mut long_silent };
+        *sum += routers_of(entry);
+    }
+    let all = present + recently_silent + long_silent;
+    let has_majority = present * 2 > all;
+    let counted = if has_majority { present + recently_silent } else { all };
+    let min_routers = if now < own.since + SILENT_MEMBER_HOLD { own.min_routers } else { 0 };
+    u32::try_from(counted).unwrap_or(u32::MAX).max(min_routers).max(1)
 }
 
-/// Whether those that fell silent are so many that they go on counting whatever time passes: then they are not forgotten.
+/// Whether the silent members run at least as many routers as the members in view, so that they count without a time limit and are
+/// not forgotten.
 pub fn silent_outweigh_present(own: LocalRouters, table: &MemberTable) -> bool {
-    let (mut present, mut silent) = (u64::from(own.routers), 0);
-    for entry in table.iter().filter(|e| !e.record.has_left || e.state != MemberState::Gone) {
-        let side = if entry.state == MemberState::Gone { &mut silent } else { &mut present };
-        *side += u64::from(entry.record.routers);
-    }
+    let present = u64::from(own.routers) + table.present().map(routers_of).sum::<u64>();
+    let silent = table.iter().filter(|entry| is_silent(entry)).map(routers_of).sum::<u64>();
     silent >= present
 }
 
+fn is_silent(entry: &MemberEntry) -> bool {
+    entry.state == MemberState::Gone && !entry.record.has_left
+}
+
+fn routers_of(entry: &MemberEntry) -> u64 {
+    u64::from(entry.record.routers)
+}
+
 #[cfg(test)]
 mod tests;
--- a/crates/membership/src/router_count/tests.rs
+++ b/crates/membership/src/router_count/tests.rs
@@ -58,7 +58,7 @@
     assert_eq!((t.present_count(), router_count(s(4_000), OWN, &t)), (4, 10));
     assert!(silent_outweigh_present(OWN, &t), "and they are not forgotten");
     // An operator says that two of them are gone for good: now five of eight are in sight.
-    assert!(t.declare_left("r8", "an operator") && t.declare_left("r7", "an operator"));
+    assert!(t.mark_left("r8", "an operator") && t.mark_left("r7", "an operator"));
     t.update_states(s(4_001), |_| true);
     assert_eq!(router_count(s(4_001), OWN, &t), 5);
 }
--- a/crates/membership/src/saved_state.rs
+++ b/crates/membership/src/saved_state.rs
@@ -1,33 +1,43 @@
-//! What outlives the process, as the bytes of one small file: its incarnation, how many routers it reckoned with, and where it had
-//! met others. Lines of text, for people, under a version and a checksum; a file that is cut short or changed is refused whole.
+//! What outlives the process, as one small file: its incarnation, the number of routers that it divided quotas by, and the addresses
+//! of other members. Lines of text under a version and a checksum; a file that is truncated or changed is rejected.
 
 use std::fmt;
 use std::net::SocketAddr;
 use xxhash_rust::xxh3::xxh3_64;
 
+/// The first line of the file.
 const HEAD: &str = "slipreel fleet 1";
-/// Contacts that are kept.
-pub(crate) const CONTACTS: usize = 64;
+/// The most contacts that are saved.
+pub(crate) const MAX_CONTACTS: usize = 64;
 
-/// What a member knew at its end.
+/// The address at which another member was last known.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct Contact {
+    /// The member's name.
+    pub name: String,
+    /// Its address.
+    pub address: SocketAddr,
+}
+
+/// The state that a member passes on to its next start.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SavedState {
-    /// The incarnation of the life that wrote it; 0 if there was none.
+    /// The incarnation that saved it; 0 if there was none.
     pub incarnation: u64,
     /// The number of routers that it divided quotas by.
     pub router_count: u32,
-    /// Members that it saw, with their addresses, by name.
-    pub contacts: Vec<(String, SocketAddr)>,
+    /// Other members that it knew, sorted by name.
+    pub contacts: Vec<Contact>,
 }
 
-/// Why a file is not taken.
+/// Why a file was rejected.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SavedStateError {
-    /// It is not such a file, or of another version: its first line.
+    /// It is not a saved state, or of another version: its first line.
     Version(String),
-    /// The checksum does not fit: it is cut short or was changed.
+    /// The checksum does not match: it is truncated or was changed.
     Checksum,
-    /// A line can't be read.
+    /// A line is malformed: its number, from 1, and the line.
     Line(usize, String),
 }
 
@@ -44,19 +54,19 @@
 impl std::error::Error for SavedStateError {}
 
 impl SavedState {
-    /// The file's text.
+    /// Encodes the file's text.
     pub fn encode(&self) -> String {
         let mut body = format!("incarnation {}\nrouters {}\n", self.incarnation, self.router_count);
-        for (name, address) in &self.contacts {
+        for Contact { name, address } in &self.contacts {
             body += &format!("member {name} {address}\n");
         }
         format!("{HEAD}\nchecksum {:016x}\n{body}", xxh3_64(body.as_bytes()))
     }
 
-    /// Reads a file's text.
+    /// Decodes a file's text.
     ///
     /// # Errors
-    /// Why it is not taken.
+    /// It is of another version, does not match its checksum, or has a malformed line.
     pub fn decode(text: &str) -> Result<SavedState, SavedStateError> {
         let (head, rest) = text.split_once('\n').unwrap_or((text, ""));
         if head != HEAD {
@@ -76,8 +86,8 @@
                 Some("routers") => kept.router_count = value.parse().map_err(|_| fault())?,
                 Some("member") => {
                     let address = words.next().and_then(|a| a.parse().ok()).ok_or_else(fault)?;
-                    if kept.contacts.len() < CONTACTS {
-                        kept.contacts.push((value.to_owned(), address));
+                    if kept.contacts.len() < MAX_CONTACTS {
+                        kept.contacts.push(Contact { name: value.to_owned(), address });
                     }
                 }
                 _ => return Err(fault()),
--- a/crates/membership/src/saved_state/tests.rs
+++ b/crates/membership/src/saved_state/tests.rs
@@ -3,7 +3,8 @@
 #[test]
 fn a_file_comes_back_and_a_torn_or_foreign_one_is_named() {
     let address = SocketAddr::from(([127, 0, 0, 1], 9));
-    let kept = SavedState { incarnation: 7, router_count: 3, contacts: vec![("a".into(), address)] };
+    let kept =
+        SavedState { incarnation: 7, router_count: 3, contacts: vec![Contact { name: "a".into(), address }] };
     let text = kept.encode();
     assert_eq!(SavedState::decode(&text), Ok(kept));
     for cut in 0..text.len() {
--- a/crates/membership/src/state_sync.rs
+++ b/crates/membership/src/state_sync.rs
@@ -1,5 +1,7 @@
-//! StateSync over TCP: each side tells all that it knows, where that does not fit a datagram. Bounded in number, size and time, so that a
-//! peer that trickles or never answers costs a connection for two seconds and nothing else.
+//! State synchronisation over TCP (anti-entropy): two members exchange their full states where those do not fit in a datagram.
+//!
+//! The connections are bounded in number, size and time, so that a peer that trickles bytes or never answers costs one connection
+//! for [`timing::SYNC_TIMEOUT`] and nothing else.
 
 use crate::timing;
 use slipreel_protocol::membership::{unframe, DecodeError, Message, MAX_MESSAGE_LEN};
@@ -8,101 +10,119 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
+/// Bytes of the length before a message on TCP.
+const LENGTH_PREFIX_LEN: usize = 4;
+
+/// What one connection has received.
 struct SyncConnection {
-    since: Duration,
-    got: Vec<u8>,
+    opened_at: Duration,
+    received: Vec<u8>,
+}
+
+impl SyncConnection {
+    fn new(now: Duration) -> Self {
+        SyncConnection { opened_at: now, received: Vec::new() }
+    }
+
+    fn has_timed_out(&self, now: Duration) -> bool {
+        now >= self.opened_at + timing::SYNC_TIMEOUT
+    }
 }
 
-/// The exchanges that are under way.
+/// The synchronisation that this member has begun.
+struct OutgoingSync {
+    conn: ConnId,
+    connection: SyncConnection,
+}
+
+/// The synchronisations in progress.
 #[derive(Default)]
 pub(crate) struct StateSync {
-    /// The one that this member has asked for.
-    asked: Option<(ConnId, SyncConnection)>,
-    taken: BTreeMap<ConnId, SyncConnection>,
-    opened: u64,
+    outgoing: Option<OutgoingSync>,
+    accepted: BTreeMap<ConnId, SyncConnection>,
+    opened_count: u64,
 }
 
-/// What bytes of an exchange came to.
+/// What received bytes have completed.
 pub(crate) enum SyncProgress {
-    /// Nothing whole yet.
-    Part,
-    /// The other side's message; `answer`: ours is still owed.
-    Whole { message: Box<Message>, answer: bool },
-    /// No message.
-    DecodeError(DecodeError),
+    /// The message is not complete yet.
+    Incomplete,
+    /// The peer's message; `reply_owed`: it has not received ours yet.
+    Complete { message: Box<Message>, reply_owed: bool },
+    /// The bytes are not a message.
+    Invalid(DecodeError),
 }
 
 impl StateSync {
-    /// Asks a member, unless one is being asked.
-    pub(crate) fn ask(&mut self, now: Duration, to: SocketAddr, out: &mut Vec<Output>) {
-        if self.asked.is_none() {
-            self.opened += 1;
-            let conn = ConnId::opened(self.opened);
-            self.asked = Some((conn, SyncConnection { since: now, got: Vec::new() }));
+    /// Begins a synchronisation with a member, unless one that this member began is in progress.
+    pub(crate) fn begin(&mut self, now: Duration, to: SocketAddr, out: &mut Vec<Output>) {
+        if self.outgoing.is_none() {
+            self.opened_count += 1;
+            let conn = ConnId::opened(self.opened_count);
+            self.outgoing = Some(OutgoingSync { conn, connection: SyncConnection::new(now) });
             out.push(Output::Connect(conn, to));
         }
     }
 
-    /// A member asks.
+    /// Accepts a connection of a member that begins one, up to [`timing::MAX_ACCEPTED_SYNCS`].
     pub(crate) fn accept(&mut self, now: Duration, conn: ConnId, out: &mut Vec<Output>) {
-        if self.taken.len() >= timing::MAX_ACCEPTED_SYNCS {
+        if self.accepted.len() >= timing::MAX_ACCEPTED_SYNCS {
             return out.push(Output::Abort(conn));
         }
-        self.taken.insert(conn, SyncConnection { since: now, got: Vec::new() });
+        self.accepted.insert(conn, SyncConnection::new(now));
     }
 
-    pub(crate) fn data(&mut self, conn: ConnId, bytes: &[u8], out: &mut Vec<Output>) -> SyncProgress {
-        let asked = self.asked.as_mut().filter(|(c, _)| *c == conn).map(|(_, e)| e);
-        let answer = asked.is_none();
-        let Some(exchange) = asked.or(self.taken.get_mut(&conn)) else { return SyncProgress::Part };
-        exchange.got.extend(bytes);
-        let came = match unframe(&exchange.got) {
-            Ok(None) if exchange.got.len() <= MAX_MESSAGE_LEN + 4 => return SyncProgress::Part,
-            Ok(None) => SyncProgress::DecodeError(DecodeError::TooLong(exchange.got.len())),
-            Ok(Some(message)) => SyncProgress::Whole { message: Box::new(message), answer },
-            Err(bad) => SyncProgress::DecodeError(bad),
+    /// Takes received bytes. A connection that has received a complete or invalid message is in progress no longer.
+    pub(crate) fn receive(&mut self, conn: ConnId, bytes: &[u8], out: &mut Vec<Output>) -> SyncProgress {
+        let outgoing = self.outgoing.as_mut().filter(|outgoing| outgoing.conn == conn);
+        let outgoing = outgoing.map(|outgoing| &mut outgoing.connection);
+        let reply_owed = outgoing.is_none();
+        let Some(connection) = outgoing.or(self.accepted.get_mut(&conn)) else {
+            return SyncProgress::Incomplete;
         };
-        match &came {
-            // The answer follows on it, and ends it.
-            SyncProgress::Whole { answer: true, .. } => {
-                self.taken.remove(&conn);
-            }
-            SyncProgress::Whole { .. } => self.end(conn, out),
-            _ => {
-                self.lost(conn);
-                out.push(Output::Abort(conn));
+        connection.received.extend(bytes);
+        let received_len = connection.received.len();
+        let progress = match unframe(&connection.received) {
+            Ok(None) if received_len <= MAX_MESSAGE_LEN + LENGTH_PREFIX_LEN => {
+                return SyncProgress::Incomplete;
             }
+            Ok(None) => SyncProgress::Invalid(DecodeError::TooLong(received_len)),
+            Ok(Some(message)) => SyncProgress::Complete { message: Box::new(message), reply_owed },
+            Err(error) => SyncProgress::Invalid(error),
+        };
+        self.remove(conn);
+        match &progress {
+            // The caller sends the reply, then closes the connection.
+            SyncProgress::Complete { reply_owed: true, .. } => {}
+            SyncProgress::Complete { .. } => out.push(Output::CloseWhenSent(conn)),
+            _ => out.push(Output::Abort(conn)),
         }
-        came
-    }
-
-    fn end(&mut self, conn: ConnId, out: &mut Vec<Output>) {
-        self.lost(conn);
-        out.push(Output::CloseWhenSent(conn));
+        progress
     }
 
-    /// A connection is over.
-    pub(crate) fn lost(&mut self, conn: ConnId) {
-        self.taken.remove(&conn);
-        self.asked = self.asked.take().filter(|(c, _)| *c != conn);
+    /// Removes a connection that is over.
+    pub(crate) fn remove(&mut self, conn: ConnId) {
+        self.accepted.remove(&conn);
+        self.outgoing = self.outgoing.take().filter(|outgoing| outgoing.conn != conn);
     }
 
-    /// The peer sends no more: what is not whole by now never will be.
-    pub(crate) fn eof(&mut self, conn: ConnId, out: &mut Vec<Output>) {
-        let known = self.taken.contains_key(&conn) || self.asked.as_ref().is_some_and(|(c, _)| *c == conn);
-        if known {
-            self.lost(conn);
+    /// The peer sends no more: a message that is not complete by now never will be.
+    pub(crate) fn end_of_stream(&mut self, conn: ConnId, out: &mut Vec<Output>) {
+        let is_outgoing = self.outgoing.as_ref().is_some_and(|outgoing| outgoing.conn == conn);
+        if is_outgoing || self.accepted.contains_key(&conn) {
+            self.remove(conn);
             out.push(Output::Abort(conn));
         }
     }
 
-    /// Ends those that have taken too long.
-    pub(crate) fn late(&mut self, now: Duration, out: &mut Vec<Output>) {
-        let is_late = |e: &SyncConnection| now >= e.since + timing::SYNC_TIMEOUT;
-        let asked = self.asked.iter().filter(|(_, e)| is_late(e)).map(|(c, _)| *c);
-        let taken = self.taken.iter().filter(|(_, e)| is_late(e)).map(|(c, _)| *c);
-        for conn in asked.chain(taken).collect::<Vec<_>>() {
-            self.lost(conn);
+    /// Aborts the connections that have taken longer than [`timing::SYNC_TIMEOUT`].
+    pub(crate) fn abort_timed_out(&mut self, now: Duration, out: &mut Vec<Output>) {
+        let outgoing = self.outgoing.iter().map(|outgoing| (outgoing.conn, &outgoing.connection));
+        let accepted = self.accepted.iter().map(|(conn, connection)| (*conn, connection));
+        let timed_out = outgoing.chain(accepted).filter(|(_, connection)| connection.has_timed_out(now));
+        let timed_out: Vec<ConnId> = timed_out.map(|(conn, _)| conn).collect();
+        for conn in timed_out {
+            self.remove(conn);
             out.push(Output::Abort(conn));
         }
     }
--- a/crates/membership/tests/stored_data.rs
+++ b/crates/membership/tests/stored_data.rs
@@ -1,13 +1,16 @@
 //! The file in which a member saves its state is the same for builds before and after: one that an earlier build wrote
 //! is read, and the same state is written as the same bytes.
 
-use slipreel_membership::SavedState;
+use slipreel_membership::{Contact, SavedState};
 
 /// Written by the build before the types of this crate were renamed.
 const STORED: &str = include_str!("data/fleet");
 
 fn state() -> SavedState {
-    let contact = |name: &str, address: &str| (name.to_owned(), address.parse().expect("a socket address"));
+    let contact = |name: &str, address: &str| Contact {
+        name: name.to_owned(),
+        address: address.parse().expect("a socket address"),
+    };
     SavedState {
         incarnation: 42,
         router_count: 12,
