--- a/crates/cli/src/roles/tests.rs
+++ b/crates/cli/src/roles/tests.rs
@@ -21,7 +21,7 @@
         phase,
         since: Duration::ZERO,
         busy: 0.0,
-        kept_tokens: 0.0,
+        cached_tokens: 0.0,
     }
 }
 
--- a/crates/emulator/src/roles.rs
+++ b/crates/emulator/src/roles.rs
@@ -4,7 +4,8 @@
 use crate::engine::Engine;
 use slipreel::{CellId, Role, ZoneId};
 use slipreel_roles::{
-    Costs, Demand, EngineView, Limits, Order, Phase, Planner, Policy, Speeds, View, KEPT_AT_FULL,
+    ChangeCosts, Demand, EngineThroughput, EngineView, Order, Phase, Planner, PlannerLimits, PlannerView,
+    PlanningPolicy, CACHED_TOKENS_AT_FULL_MEMORY,
 };
 use slipreel_scenario::Day;
 use slipreel_test_servers::engine::Role as SpecRole;
@@ -25,7 +26,7 @@
 pub(crate) struct Roles {
     planner: Planner,
     demand: Demand,
-    speeds: Speeds,
+    speeds: EngineThroughput,
     pub(crate) counts: BTreeMap<String, Counts>,
     /// The orders that engines took: when, and why.
     pub(crate) orders: Vec<(Duration, String)>,
@@ -34,28 +35,28 @@
 
 impl Roles {
     /// A planner with the limits and costs of the day's own conductor.
-    pub(crate) fn new(day: &Day, policy: Policy) -> Option<Roles> {
+    pub(crate) fn new(day: &Day, policy: PlanningPolicy) -> Option<Roles> {
         let spec = |role| day.engines.iter().map(|e| &e.spec).find(|s| s.role == role);
         let (reader, writer) = (spec(SpecRole::Read)?, spec(SpecRole::Write)?);
-        let limits = Limits {
+        let limits = PlannerLimits {
             // A fleet of hundreds changes more than two engines at a time.
-            in_flight: (day.engines.len() / 20).max(2),
-            readers_in_cell: 1,
-            writers_in_cell: 1,
-            in_zone: 1,
-            least_time: reader.cold_time,
+            max_concurrent_changes: (day.engines.len() / 20).max(2),
+            min_prefill_per_cell: 1,
+            min_decode_per_cell: 1,
+            min_per_zone: 1,
+            min_time_in_role: reader.cold_time,
             frozen: false,
         };
-        let costs = Costs {
+        let costs = ChangeCosts {
             drain: Duration::from_secs(2),
-            cold: reader.cold_time,
-            cold_share: reader.cold_share,
-            read_per_s: reader.read_per_s,
+            slow_start: reader.cold_time,
+            slow_start_speed: reader.cold_share,
+            prefill_tokens_per_s: reader.read_per_s,
         };
         Some(Roles {
             planner: Planner::new(limits, costs, policy),
             demand: Demand::default(),
-            speeds: Speeds { read: reader.read_per_s, write: writer.write_per_s() },
+            speeds: EngineThroughput { prefill: reader.read_per_s, decode: writer.write_per_s() },
             counts: BTreeMap::new(),
             orders: Vec::new(),
             cold: reader.cold_time,
@@ -79,7 +80,7 @@
         }
         self.demand.hear(0, &text);
         let Some(mix) = self.demand.take(now, self.speeds) else { return false };
-        let view = View { now, engines: self.see(now, engines, places), mix };
+        let view = PlannerView { now, engines: self.see(now, engines, places), mix };
         let plan = self.planner.plan(&view);
         let mut taken = false;
         for change in &plan.changes {
@@ -114,7 +115,7 @@
                 phase,
                 since: state.started,
                 busy: held / e.spec.slots.max(1) as f64,
-                kept_tokens: load.memory.unwrap_or(0.0) * KEPT_AT_FULL,
+                cached_tokens: load.memory.unwrap_or(0.0) * CACHED_TOKENS_AT_FULL_MEMORY,
             }
         };
         engines.iter().zip(places).filter(|(e, _)| e.alive).map(view).collect()
--- a/crates/emulator/tests/fidelity.rs
+++ b/crates/emulator/tests/fidelity.rs
@@ -2,10 +2,10 @@
 
 use slipreel_emulator::play;
 use slipreel_invariants::Ending;
-use slipreel_roles::Policy;
+use slipreel_roles::PlanningPolicy;
 use slipreel_scenario::{play_in_memory, read_day, Day};
 
-fn shift(roles: Option<Policy>) -> Day {
+fn shift(roles: Option<PlanningPolicy>) -> Day {
     let text = include_str!("../../../deploy/days/shift.ini");
     let mut day = read_day(text, "shift.ini").unwrap_or_else(|faults| panic!("{faults:?}"));
     day.roles = roles;
@@ -36,13 +36,13 @@
     let sum = |all: &[(String, usize, usize, usize)]| {
         all.iter().fold((0, 0, 0), |s, (_, asked, bytes, model)| (s.0 + asked, s.1 + bytes, s.2 + model))
     };
-    let (asked, bytes, model) = sum(&both(&shift(Some(Policy::Greedy))));
+    let (asked, bytes, model) = sum(&both(&shift(Some(PlanningPolicy::Greedy))));
     let apart = bytes.abs_diff(model) as f64 / asked as f64;
     assert!(apart < 0.05, "{bytes} in bytes and {model} in the model, of {asked}");
 }
 
 #[test]
 fn the_same_day_gives_the_same_figures() {
-    let day = shift(Some(Policy::Greedy));
+    let day = shift(Some(PlanningPolicy::Greedy));
     assert_eq!(play(&day), play(&day));
 }
--- a/crates/roles/benches/plan.rs
+++ b/crates/roles/benches/plan.rs
@@ -5,19 +5,19 @@
 mod fluid;
 
 use fluid::{day, oracle, s, square, Fluid, COSTS, LIMITS};
-use slipreel_roles::{Mix, Planner, Policy, View};
+use slipreel_roles::{Planner, PlannerView, PlanningPolicy, StageLoad};
 use std::time::Instant;
 
 fn main() {
     println!("planning time, one plan with an imbalance that pays (aim: under 50 ms at 2,000 engines)");
     for n in [20, 200, 2_000] {
-        for policy in [Policy::Greedy, Policy::Forecast, Policy::Program] {
+        for policy in [PlanningPolicy::Greedy, PlanningPolicy::Forecast, PlanningPolicy::Program] {
             let mut planner = Planner::new(LIMITS, COSTS, policy);
             let half = n as f64 / 2.0;
-            let view = |t: f64| View {
+            let view = |t: f64| PlannerView {
                 now: s(t),
                 engines: Fluid::new(n).engines,
-                mix: Mix { read: half * 1.2, write: half * 0.3 },
+                mix: StageLoad { prefill: half * 1.2, decode: half * 0.3 },
             };
             (0..100).for_each(|i| {
                 planner.plan(&view(f64::from(i) * 0.5));
@@ -39,7 +39,12 @@
     );
     for period in [2.0, 5.0, 10.0, 20.0, 60.0, 300.0, 1200.0] {
         let mut row = format!("{:<12}", format!("every {period} s"));
-        for policy in [None, Some(Policy::Greedy), Some(Policy::Forecast), Some(Policy::Program)] {
+        for policy in [
+            None,
+            Some(PlanningPolicy::Greedy),
+            Some(PlanningPolicy::Forecast),
+            Some(PlanningPolicy::Program),
+        ] {
             let (share, changes) = day(40, policy, square(period), 1200.0);
             row += &format!("{:>16}", format!("{share:.3} ({changes})"));
         }
--- a/crates/roles/src/conductor.rs
+++ b/crates/roles/src/conductor.rs
@@ -3,9 +3,12 @@
 //! It holds nothing that matters: any number may run, and one that dies leaves engines that end their change by themselves.
 //! Who does not answer in time is not in the view, and so is neither counted on nor changed.
 
-use crate::demand::{Demand, Speeds};
-use crate::mix::Mix;
-use crate::planner::{Costs, EngineView, Limits, Phase, Plan, Planner, Policy, View};
+use crate::config::{ChangeCosts, PlannerLimits, PlanningPolicy};
+use crate::demand::{Demand, EngineThroughput};
+use crate::load_history::StageLoad;
+use crate::plan::RolePlan;
+use crate::planner::Planner;
+use crate::view::{EngineView, Phase, PlannerView};
 use serde_json::{json, Value};
 use slipreel::{CellId, EngineId, Role, ZoneId};
 use slipreel_protocol::engine::{self, Load};
@@ -20,7 +23,7 @@
 /// In this part of a round an engine answers, or is not in the view; no unit.
 const ANSWER_PART: f64 = 0.6;
 /// Prompt tokens that an engine is taken to keep for each share of its memory in use. No report tells them.
-pub const KEPT_AT_FULL: f64 = 50_000.0;
+pub const CACHED_TOKENS_AT_FULL_MEMORY: f64 = 50_000.0;
 
 /// Most work that an engine is taken to have; no unit. Its queue tells that it has too much, not how much.
 const MOST_BUSY: f64 = 1.25;
@@ -40,11 +43,11 @@
 
 /// Requests that keep an engine wholly busy, by what it does. Operators know them; no report tells them.
 #[derive(Clone, Copy, Debug)]
-pub struct Places {
+pub struct FullLoadRequests {
     /// When reading.
-    pub read: f64,
+    pub prefill: f64,
     /// When writing.
-    pub write: f64,
+    pub decode: f64,
 }
 
 /// News for a [`Conductor`]: stop ordering changes, or go on.
@@ -89,12 +92,12 @@
 pub struct Conductor {
     engines: Vec<Watched>,
     planner: Planner,
-    places: Places,
+    full_load_requests: FullLoadRequests,
     /// The routers, whose asks are the demand; without any, what engines hold stands for it.
     routers: Vec<SocketAddr>,
-    speeds: Speeds,
+    speeds: EngineThroughput,
     demand: Demand,
-    costs: Costs,
+    costs: ChangeCosts,
     /// Plans are logged and nothing is ordered.
     dry: bool,
     /// An operator has frozen changes here; routers whose policy says so, too.
@@ -105,7 +108,7 @@
     next_conn: u64,
     round_at: Duration,
     plan_at: Option<Duration>,
-    last: Plan,
+    last: RolePlan,
     seen: Vec<EngineView>,
     orders: usize,
     turned: usize,
@@ -115,16 +118,16 @@
 impl Conductor {
     /// A conductor that begins its first round at `now`.
     pub fn new(
-        engines: Vec<Watched>, limits: Limits, costs: Costs, policy: Policy, places: Places, dry: bool,
-        now: Duration,
+        engines: Vec<Watched>, limits: PlannerLimits, costs: ChangeCosts, policy: PlanningPolicy,
+        full_load_requests: FullLoadRequests, dry: bool, now: Duration,
     ) -> Self {
         let known = engines.iter().map(|_| Known::default()).collect();
         Conductor {
             engines,
             planner: Planner::new(limits, costs, policy),
-            places,
+            full_load_requests,
             routers: Vec::new(),
-            speeds: Speeds { read: 1.0, write: 1.0 },
+            speeds: EngineThroughput { prefill: 1.0, decode: 1.0 },
             demand: Demand::default(),
             costs,
             dry,
@@ -135,7 +138,7 @@
             next_conn: 0,
             round_at: now,
             plan_at: None,
-            last: Plan::default(),
+            last: RolePlan::default(),
             seen: Vec::new(),
             orders: 0,
             turned: 0,
@@ -144,13 +147,13 @@
     }
 
     /// Reads the demand from what these routers publish, given what an engine does a second.
-    pub fn with_routers(mut self, routers: Vec<SocketAddr>, speeds: Speeds) -> Self {
+    pub fn with_routers(mut self, routers: Vec<SocketAddr>, speeds: EngineThroughput) -> Self {
         (self.routers, self.speeds) = (routers, speeds);
         self
     }
 
     /// The last plan.
-    pub fn last_plan(&self) -> &Plan {
+    pub fn last_plan(&self) -> &RolePlan {
         &self.last
     }
 
@@ -239,31 +242,33 @@
     }
 
     /// The engines that answered, as the planner sees them, and the work that they hold.
-    fn view(&mut self, now: Duration) -> View {
-        let (mut engines, mut mix) = (Vec::new(), Mix::default());
+    fn view(&mut self, now: Duration) -> PlannerView {
+        let (mut engines, mut mix) = (Vec::new(), StageLoad::default());
         for (watched, known) in self.engines.iter().zip(&mut self.known) {
             let (Some(load), Some(told)) = (known.load, known.told) else { continue };
             let held = load.running.unwrap_or(0.0) + load.waiting.unwrap_or(0.0);
             let reads = told.role == Role::Prefill;
-            let busy =
-                (held / if reads { self.places.read } else { self.places.write }.max(1.0)).min(MOST_BUSY);
+            let busy = (held
+                / if reads { self.full_load_requests.prefill } else { self.full_load_requests.decode }
+                    .max(1.0))
+            .min(MOST_BUSY);
             if reads {
-                mix.read += busy;
+                mix.prefill += busy;
             } else {
-                mix.write += busy;
+                mix.decode += busy;
             }
             let first = *known.first_seen.get_or_insert(now);
             // An epoch that was there when it was first seen may be old; one that came since is as old as its sight.
             let since = match known.epoch {
                 Some((epoch, since)) if epoch == told.epoch => since,
                 Some(_) => now,
-                None => first.saturating_sub(self.costs.cold * 4),
+                None => first.saturating_sub(self.costs.slow_start * 4),
             };
             known.epoch = Some((told.epoch, since));
             let other = if reads { Role::Decode } else { Role::Prefill };
             let phase = match told.serving {
                 false => Phase::Changing(other),
-                true if now < since + self.costs.cold => Phase::Warming,
+                true if now < since + self.costs.slow_start => Phase::Warming,
                 true => Phase::Serving,
             };
             engines.push(EngineView {
@@ -275,10 +280,10 @@
                 phase,
                 since,
                 busy,
-                kept_tokens: load.memory.unwrap_or(0.0) * KEPT_AT_FULL,
+                cached_tokens: load.memory.unwrap_or(0.0) * CACHED_TOKENS_AT_FULL_MEMORY,
             });
         }
-        View { now, engines, mix }
+        PlannerView { now, engines, mix }
     }
 
     fn plan(&mut self, now: Duration, out: &mut Vec<Output>) {
--- a/crates/roles/src/demand.rs
+++ b/crates/roles/src/demand.rs
@@ -3,17 +3,17 @@
 //! Engines tell only what they hold. What is refused at the door never reaches them, and it is refused just when engines
 //! are short: demand has to be read where it arrives.
 
-use crate::mix::Mix;
+use crate::load_history::StageLoad;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 /// What an engine does a second when wholly busy, by what it does. Operators know it.
 #[derive(Clone, Copy, Debug)]
-pub struct Speeds {
+pub struct EngineThroughput {
     /// Prompt tokens.
-    pub read: f64,
+    pub prefill: f64,
     /// Answer tokens.
-    pub write: f64,
+    pub decode: f64,
 }
 
 /// After this what an ask took weighs half in the mean: a few times what a change takes, as classes' lengths shift too.
@@ -105,20 +105,20 @@
     }
 
     /// The work asked for since the last call, in engines kept busy; `None` if no router was heard, or at the first call.
-    pub fn take(&mut self, now: Duration, speeds: Speeds) -> Option<Mix> {
+    pub fn take(&mut self, now: Duration, speeds: EngineThroughput) -> Option<StageLoad> {
         let (round, heard) = (std::mem::take(&mut self.round), std::mem::take(&mut self.heard));
         let since = self.at.replace(now)?;
         let seconds = now.saturating_sub(since).as_secs_f64();
         if heard == 0 || seconds <= 0.0 {
             return None;
         }
-        let mut mix = Mix::default();
+        let mut mix = StageLoad::default();
         for (class, asked) in round {
             let late = self.late.get(&class).copied().unwrap_or_default();
             let rate = asked / seconds;
             let mean = |tokens: f64, n: f64| if n > 0.0 { tokens / n } else { 0.0 };
-            mix.read += rate * mean(late.read_tokens, late.reads) / speeds.read.max(1.0);
-            mix.write += rate * mean(late.answer_tokens, late.answers) / speeds.write.max(1.0);
+            mix.prefill += rate * mean(late.read_tokens, late.reads) / speeds.prefill.max(1.0);
+            mix.decode += rate * mean(late.answer_tokens, late.answers) / speeds.decode.max(1.0);
         }
         // Both parts of a mean fade alike: a class that nobody asks for keeps its mean until it is asked for again.
         let fade = 0.5f64.powf(seconds / HALF_LIFE.as_secs_f64());
--- a/crates/roles/src/demand/tests.rs
+++ b/crates/roles/src/demand/tests.rs
@@ -12,11 +12,14 @@
     .concat()
 }
 
-const SPEEDS: Speeds = Speeds { read: 10_000.0, write: 500.0 };
+const SPEEDS: EngineThroughput = EngineThroughput { prefill: 10_000.0, decode: 500.0 };
 
-fn assert_near(mix: Option<Mix>, read: f64, write: f64) {
+fn assert_near(mix: Option<StageLoad>, prefill: f64, decode: f64) {
     let near = |a: f64, b: f64| (a - b).abs() < 1e-9;
-    assert!(mix.is_some_and(|m| near(m.read, read) && near(m.write, write)), "{mix:?}: {read}, {write}");
+    assert!(
+        mix.is_some_and(|m| near(m.prefill, prefill) && near(m.decode, decode)),
+        "{mix:?}: {prefill}, {decode}"
+    );
 }
 
 #[test]
@@ -34,7 +37,7 @@
     assert_eq!(demand.take(s(6), SPEEDS), None, "no router was heard");
     demand
         .hear(0, "slipreel_class_asked_total{class=\"x\"} NaN\nslipreel_class_asked_total{class=\"\nbroken");
-    assert_eq!(demand.take(s(7), SPEEDS), Some(Mix::default()));
+    assert_eq!(demand.take(s(7), SPEEDS), Some(StageLoad::default()));
 }
 
 /// A class whose asks become ten times as long: its mean follows within seconds, whatever came in the hours before.
@@ -51,7 +54,7 @@
         reads += 10;
         tokens += if t < 3_970 { 10 * 100 } else { 10 * 1_000 };
         demand.hear(0, &told(reads, tokens));
-        mean = demand.take(s(t), SPEEDS).map_or(0.0, |m| m.read * SPEEDS.read / 10.0);
+        mean = demand.take(s(t), SPEEDS).map_or(0.0, |m| m.prefill * SPEEDS.prefill / 10.0);
     }
     assert!((800.0..1_000.0).contains(&mean), "{mean} after 30 s");
 }
--- a/crates/roles/src/lib.rs
+++ b/crates/roles/src/lib.rs
@@ -11,15 +11,22 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
+mod capacity;
 mod conductor;
+mod config;
 mod demand;
-mod mix;
+mod integer_program;
+mod load_history;
+mod plan;
 mod planner;
-mod program;
 mod record;
+mod view;
 
-pub use conductor::{Conductor, Freeze, Places, Watched, KEPT_AT_FULL};
-pub use demand::{Demand, Speeds};
-pub use mix::{Mix, MixHistory};
-pub use planner::{Change, Costs, EngineView, Limits, Phase, Plan, Planner, Policy, View};
+pub use conductor::{Conductor, Freeze, FullLoadRequests, Watched, CACHED_TOKENS_AT_FULL_MEMORY};
+pub use config::{ChangeCosts, PlannerLimits, PlanningPolicy};
+pub use demand::{Demand, EngineThroughput};
+pub use load_history::{LoadHistory, StageLoad};
+pub use plan::{RoleChange, RolePlan};
+pub use planner::Planner;
 pub use record::{Order, Rejected, RoleRecord, RoleState, Step};
+pub use view::{EngineView, Phase, PlannerView};
--- a/crates/roles/src/mix.rs
+++ b/crates/roles/src/load_history.rs
@@ -24,21 +24,21 @@
 
 /// Work that arrives, in engines kept busy by it: 2.5 means that two and a half engines do nothing else.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Mix {
+pub struct StageLoad {
     /// Reading.
-    pub read: f64,
+    pub prefill: f64,
     /// Writing.
-    pub write: f64,
+    pub decode: f64,
 }
 
 /// What was seen of the mix.
 #[derive(Clone, Debug, Default)]
-pub struct MixHistory {
-    mean: Option<Mix>,
-    slow: Mix,
+pub struct LoadHistory {
+    mean: Option<StageLoad>,
+    slow: StageLoad,
     /// Since when the slow mean is taken.
     from: Duration,
-    trend: Mix,
+    trend: StageLoad,
     at: Duration,
     /// Which stage is short of engines: below 0 reading, above 0 writing, 0 none.
     side: i8,
@@ -51,24 +51,26 @@
 /// How the mix swings between two sides, of more reading and of more writing than usual.
 #[derive(Clone, Debug, Default)]
 struct Swings {
-    quick: Option<Mix>,
+    quick: Option<StageLoad>,
     /// Reading is 0, writing 1.
     side: Option<usize>,
     since: Duration,
     /// How long the last swings to each side lasted, and their mix.
     lasted: [Vec<Duration>; 2],
-    mix: [Mix; 2],
+    mix: [StageLoad; 2],
 }
 
 impl Swings {
-    fn see(&mut self, now: Duration, step: f64, mix: Mix, usual: Mix) {
+    fn see(&mut self, now: Duration, step: f64, mix: StageLoad, usual: StageLoad) {
         let before = self.quick.unwrap_or(mix);
         let weight = 1.0 - (1.0 - QUICK_WEIGHT_PER_S).powf(step);
         let near = |mean: f64, new: f64, weight: f64| mean + weight * (new - mean);
-        let quick =
-            Mix { read: near(before.read, mix.read, weight), write: near(before.write, mix.write, weight) };
+        let quick = StageLoad {
+            prefill: near(before.prefill, mix.prefill, weight),
+            decode: near(before.decode, mix.decode, weight),
+        };
         self.quick = Some(quick);
-        let quotient = |m: Mix| (m.read.max(1e-6) / m.write.max(1e-6)).ln();
+        let quotient = |m: StageLoad| (m.prefill.max(1e-6) / m.decode.max(1e-6)).ln();
         let leans = quotient(quick) - quotient(usual);
         let side = if leans.abs() < LEANS { self.side } else { Some(usize::from(leans < 0.0)) };
         if side != self.side {
@@ -85,10 +87,10 @@
             // The mix of a side is that of its latter part: its beginning is still on its way from the other.
             let weight = 1.0 - (1.0 - WEIGHT_PER_S).powf(step);
             let held = self.mix[side];
-            let held = if held == Mix::default() { quick } else { held };
-            self.mix[side] = Mix {
-                read: near(held.read, quick.read, weight),
-                write: near(held.write, quick.write, weight),
+            let held = if held == StageLoad::default() { quick } else { held };
+            self.mix[side] = StageLoad {
+                prefill: near(held.prefill, quick.prefill, weight),
+                decode: near(held.decode, quick.decode, weight),
             };
         }
     }
@@ -104,9 +106,9 @@
     }
 }
 
-impl MixHistory {
+impl LoadHistory {
     /// Takes one sample.
-    pub fn see(&mut self, now: Duration, mix: Mix) {
+    pub fn see(&mut self, now: Duration, mix: StageLoad) {
         let step = now.saturating_sub(self.at).as_secs_f64();
         self.at = now;
         self.swings.see(now, step, mix, if self.mean.is_some() { self.slow } else { mix });
@@ -119,13 +121,14 @@
         // A plain mean until there is enough of it, so that the first sample does not colour it for minutes.
         let seen = now.saturating_sub(self.from).as_secs_f64().max(f64::EPSILON);
         let slow = (1.0 - (1.0 - SLOW_WEIGHT_PER_S).powf(step)).max(step / seen);
-        self.slow.read += slow * (mix.read - self.slow.read);
-        self.slow.write += slow * (mix.write - self.slow.write);
-        let mean = Mix { read: near(before.read, mix.read), write: near(before.write, mix.write) };
+        self.slow.prefill += slow * (mix.prefill - self.slow.prefill);
+        self.slow.decode += slow * (mix.decode - self.slow.decode);
+        let mean =
+            StageLoad { prefill: near(before.prefill, mix.prefill), decode: near(before.decode, mix.decode) };
         if step > 0.0 {
             // Holt's trend, of the same weight.
-            self.trend.read = near(self.trend.read, (mean.read - before.read) / step);
-            self.trend.write = near(self.trend.write, (mean.write - before.write) / step);
+            self.trend.prefill = near(self.trend.prefill, (mean.prefill - before.prefill) / step);
+            self.trend.decode = near(self.trend.decode, (mean.decode - before.decode) / step);
         }
         self.mean = Some(mean);
     }
@@ -136,19 +139,19 @@
     }
 
     /// The mean of late.
-    pub fn mean(&self) -> Mix {
+    pub fn mean(&self) -> StageLoad {
         self.mean.unwrap_or_default()
     }
 
     /// The mean over many swings, and for how long it holds: about as long as it was taken over. `None` until enough
     /// swings were seen.
-    pub fn slow(&self) -> Option<(Mix, Duration)> {
-        self.comes_and_goes().then(|| (self.slow, Duration::from_secs_f64(1.0 / SLOW_WEIGHT_PER_S)))
+    pub fn slow(&self) -> Option<(StageLoad, Duration)> {
+        self.is_recurring().then(|| (self.slow, Duration::from_secs_f64(1.0 / SLOW_WEIGHT_PER_S)))
     }
 
     /// What is to come where the mix swings in a rhythm: the present side's mix for as long as it has left, then the
     /// other's for as long as that lasts. `None` without a rhythm, or once the present swing is well over its time.
-    pub fn rhythm(&self, now: Duration) -> Option<[(Mix, Duration); 2]> {
+    pub fn rhythm(&self, now: Duration) -> Option<[(StageLoad, Duration); 2]> {
         let side = self.swings.side?;
         let (here, there) = (self.swings.beat(side)?, self.swings.beat(1 - side)?);
         let age = now.saturating_sub(self.swings.since);
@@ -158,16 +161,16 @@
     }
 
     /// The mean as it would be after `ahead` if its trend went on.
-    pub fn ahead(&self, ahead: Duration) -> Mix {
+    pub fn ahead(&self, ahead: Duration) -> StageLoad {
         let (mean, s) = (self.mean(), ahead.as_secs_f64());
-        Mix {
-            read: (mean.read + self.trend.read * s).max(0.0),
-            write: (mean.write + self.trend.write * s).max(0.0),
+        StageLoad {
+            prefill: (mean.prefill + self.trend.prefill * s).max(0.0),
+            decode: (mean.decode + self.trend.decode * s).max(0.0),
         }
     }
 
     /// Notes which stage is short: -1 reading, 1 writing, 0 none.
-    pub fn note_short(&mut self, now: Duration, side: i8) {
+    pub fn record_short_stage(&mut self, now: Duration, side: i8) {
         if side == self.side {
             return;
         }
@@ -185,12 +188,12 @@
     /// How much longer the present imbalance is likely to last. Until two swings were seen, as long again as it has
     /// lasted; then what is left of the mean of those that ended, and once it has outlived them, as long again as
     /// it has outlived them.
-    pub fn likely_left(&self, now: Duration) -> Duration {
+    pub fn expected_remaining(&self, now: Duration) -> Duration {
         if self.side == 0 {
             return Duration::ZERO;
         }
         let age = now.saturating_sub(self.since);
-        if !self.comes_and_goes() {
+        if !self.is_recurring() {
             return age;
         }
         let mean = self.runs.iter().sum::<Duration>() / self.runs.len() as u32;
@@ -207,7 +210,7 @@
     }
 
     /// Whether imbalances have come and gone, so that a change will have to be undone.
-    pub fn comes_and_goes(&self) -> bool {
+    pub fn is_recurring(&self) -> bool {
         self.runs.len() >= SWINGS
     }
 }
--- a/crates/roles/tests/fluid/mod.rs
+++ b/crates/roles/tests/fluid/mod.rs
@@ -3,26 +3,29 @@
 #![allow(dead_code)]
 
 use slipreel::{CellId, EngineId, Role, ZoneId};
-use slipreel_roles::{Change, Costs, EngineView, Limits, Mix, Phase, Plan, Planner, Policy, View};
+use slipreel_roles::{
+    ChangeCosts, EngineView, Phase, Planner, PlannerLimits, PlannerView, PlanningPolicy, RoleChange,
+    RolePlan, StageLoad,
+};
 use std::time::Duration;
 
 pub fn s(n: f64) -> Duration {
     Duration::from_secs_f64(n)
 }
 
-pub const LIMITS: Limits = Limits {
-    in_flight: 2,
-    readers_in_cell: 1,
-    writers_in_cell: 1,
-    in_zone: 1,
-    least_time: Duration::from_secs(15),
+pub const LIMITS: PlannerLimits = PlannerLimits {
+    max_concurrent_changes: 2,
+    min_prefill_per_cell: 1,
+    min_decode_per_cell: 1,
+    min_per_zone: 1,
+    min_time_in_role: Duration::from_secs(15),
     frozen: false,
 };
-pub const COSTS: Costs = Costs {
+pub const COSTS: ChangeCosts = ChangeCosts {
     drain: Duration::from_secs(2),
-    cold: Duration::from_secs(10),
-    cold_share: 0.3,
-    read_per_s: 20_000.0,
+    slow_start: Duration::from_secs(10),
+    slow_start_speed: 0.3,
+    prefill_tokens_per_s: 20_000.0,
 };
 
 pub struct Fluid {
@@ -42,7 +45,7 @@
             phase: Phase::Serving,
             since: Duration::ZERO,
             busy: 0.6,
-            kept_tokens: 10_000.0,
+            cached_tokens: 10_000.0,
         };
         Fluid { engines: (0..n).map(engine).collect(), leaving: Vec::new(), changes: 0 }
     }
@@ -53,14 +56,14 @@
             Phase::Changing(_) | Phase::Leaving => 0.0,
             _ if e.epoch == 0 => 1.0,
             _ => {
-                let age = now.saturating_sub(e.since).as_secs_f64() / COSTS.cold.as_secs_f64();
-                (COSTS.cold_share + (1.0 - COSTS.cold_share) * age).min(1.0)
+                let age = now.saturating_sub(e.since).as_secs_f64() / COSTS.slow_start.as_secs_f64();
+                (COSTS.slow_start_speed + (1.0 - COSTS.slow_start_speed) * age).min(1.0)
             }
         };
         self.engines.iter().filter(|e| e.role == role).map(speed).sum()
     }
 
-    fn apply(&mut self, now: Duration, plan: &Plan) {
+    fn apply(&mut self, now: Duration, plan: &RolePlan) {
         for change in &plan.changes {
             let i = change.engine.0 as usize;
             self.engines[i].phase = Phase::Changing(change.to);
@@ -71,25 +74,28 @@
         self.leaving.retain(|l| l.1 > now);
         for (i, _, to) in done {
             let e = &mut self.engines[i];
-            (e.role, e.phase, e.since, e.epoch, e.kept_tokens) = (to, Phase::Serving, now, e.epoch + 1, 0.0);
+            (e.role, e.phase, e.since, e.epoch, e.cached_tokens) =
+                (to, Phase::Serving, now, e.epoch + 1, 0.0);
         }
     }
 }
 
 /// Share of the work that was done at once over the day, and the changes made. A request needs both stages, so the weaker
 /// stage counts.
-pub fn day(n: usize, policy: Option<Policy>, mix: impl Fn(f64) -> Mix, seconds: f64) -> (f64, usize) {
+pub fn day(
+    n: usize, policy: Option<PlanningPolicy>, mix: impl Fn(f64) -> StageLoad, seconds: f64,
+) -> (f64, usize) {
     let mut fluid = Fluid::new(n);
-    let mut planner = Planner::new(LIMITS, COSTS, policy.unwrap_or(Policy::Greedy));
+    let mut planner = Planner::new(LIMITS, COSTS, policy.unwrap_or(PlanningPolicy::Greedy));
     let (mut done, mut asked, mut t) = (0.0, 0.0, 0.0);
     while t < seconds {
         let (now, mix) = (s(t), mix(t));
         let served = |need: f64, can: f64| if need > 0.0 { (can / need).min(1.0) } else { 1.0 };
-        done += served(mix.read, fluid.can(now, Role::Prefill))
-            .min(served(mix.write, fluid.can(now, Role::Decode)));
+        done += served(mix.prefill, fluid.can(now, Role::Prefill))
+            .min(served(mix.decode, fluid.can(now, Role::Decode)));
         asked += 1.0;
         if policy.is_some() {
-            let plan = planner.plan(&View { now, engines: fluid.engines.clone(), mix });
+            let plan = planner.plan(&PlannerView { now, engines: fluid.engines.clone(), mix });
             fluid.apply(now, &plan);
         }
         t += 0.5;
@@ -99,7 +105,7 @@
 
 /// An oracle of the same limits that knows each flip ahead: it moves `k` engines to the stage that will be short, begun
 /// `lead` seconds before the flip, and back before the next. The best of all k and leads, which may be to do nothing.
-pub fn oracle(n: usize, mix: impl Fn(f64) -> Mix + Copy, seconds: f64) -> (f64, usize) {
+pub fn oracle(n: usize, mix: impl Fn(f64) -> StageLoad + Copy, seconds: f64) -> (f64, usize) {
     let mut best = (0.0, 0);
     for k in 0..=n / 4 {
         for lead in [0.0, 1.0, 2.0, 3.0, 4.0, 6.0, 8.0, 10.0, 12.0] {
@@ -108,20 +114,20 @@
             while t < seconds {
                 let (now, at) = (s(t), mix(t));
                 let served = |need: f64, can: f64| if need > 0.0 { (can / need).min(1.0) } else { 1.0 };
-                done += served(at.read, fluid.can(now, Role::Prefill))
-                    .min(served(at.write, fluid.can(now, Role::Decode)));
+                done += served(at.prefill, fluid.can(now, Role::Prefill))
+                    .min(served(at.decode, fluid.can(now, Role::Decode)));
                 asked += 1.0;
                 // The side that will be short once a change begun now has worked.
                 let ahead = mix(t + lead);
-                let goal = if ahead.read > ahead.write { n / 2 + k } else { n / 2 - k };
+                let goal = if ahead.prefill > ahead.decode { n / 2 + k } else { n / 2 - k };
                 let mut readers = fluid.engines.iter().filter(|e| role_to_be(e) == Role::Prefill).count();
                 let mut changes = Vec::new();
-                while fluid.leaving.len() + changes.len() < LIMITS.in_flight && readers != goal {
+                while fluid.leaving.len() + changes.len() < LIMITS.max_concurrent_changes && readers != goal {
                     let to = if readers < goal { Role::Prefill } else { Role::Decode };
                     let free = |e: &&EngineView| {
                         e.role != to
                             && e.phase == Phase::Serving
-                            && !changes.iter().any(|c: &Change| c.engine == e.id)
+                            && !changes.iter().any(|c: &RoleChange| c.engine == e.id)
                     };
                     let Some(e) =
                         fluid.engines.iter().filter(free).max_by_key(|e| now.saturating_sub(e.since))
@@ -129,7 +135,7 @@
                         break;
                     };
                     let (served, cost, gain, likely) = ((0.0, 0.0), 0.0, 0.0, Duration::ZERO);
-                    changes.push(Change {
+                    changes.push(RoleChange {
                         engine: e.id,
                         from: e.role,
                         to,
@@ -141,7 +147,7 @@
                     });
                     readers = if to == Role::Prefill { readers + 1 } else { readers - 1 };
                 }
-                fluid.apply(now, &Plan { changes, because: String::new() });
+                fluid.apply(now, &RolePlan { changes, because: String::new() });
                 t += 0.5;
             }
             if done / asked > best.0 + 1e-9 {
@@ -161,10 +167,10 @@
 }
 
 /// Reading and writing in turn, each for half a period: 22 engines' work of one and 8 of the other.
-pub fn square(period: f64) -> impl Fn(f64) -> Mix + Copy {
+pub fn square(period: f64) -> impl Fn(f64) -> StageLoad + Copy {
     move |t: f64| {
         let reading = (t / period * 2.0) as u64 % 2 == 0;
         let (read, write) = if reading { (22.0, 8.0) } else { (8.0, 22.0) };
-        Mix { read, write }
+        StageLoad { prefill: read, decode: write }
     }
 }
--- a/crates/roles/tests/roles.rs
+++ b/crates/roles/tests/roles.rs
@@ -7,50 +7,51 @@
 use slipreel_roles::*;
 use std::time::Duration;
 
-const LIMITS: Limits = Limits {
-    in_flight: 2,
-    readers_in_cell: 1,
-    writers_in_cell: 1,
-    in_zone: 1,
-    least_time: s(15),
+const LIMITS: PlannerLimits = PlannerLimits {
+    max_concurrent_changes: 2,
+    min_prefill_per_cell: 1,
+    min_decode_per_cell: 1,
+    min_per_zone: 1,
+    min_time_in_role: s(15),
     frozen: false,
 };
-const COSTS: Costs = Costs { drain: s(2), cold: s(10), cold_share: 0.3, read_per_s: 20_000.0 };
+const COSTS: ChangeCosts =
+    ChangeCosts { drain: s(2), slow_start: s(10), slow_start_speed: 0.3, prefill_tokens_per_s: 20_000.0 };
 
 const fn s(n: u64) -> Duration {
     Duration::from_secs(n)
 }
 
-fn engines(readers: u64, writers: u64, cells: u64) -> Vec<EngineView> {
+fn engines(prefill: u64, decode: u64, cells: u64) -> Vec<EngineView> {
     let engine = |n: u64| EngineView {
         id: EngineId(n),
-        role: if n < readers { Role::Prefill } else { Role::Decode },
+        role: if n < prefill { Role::Prefill } else { Role::Decode },
         epoch: n,
         cell: CellId((n % cells) as u32),
         zone: ZoneId(0),
         phase: Phase::Serving,
         since: s(0),
         busy: 0.5,
-        kept_tokens: 1000.0 * n as f64,
+        cached_tokens: 1000.0 * n as f64,
     };
-    (0..readers + writers).map(engine).collect()
+    (0..prefill + decode).map(engine).collect()
 }
 
-fn mix(read: f64, write: f64) -> Mix {
-    Mix { read, write }
+fn mix(prefill: f64, decode: f64) -> StageLoad {
+    StageLoad { prefill, decode }
 }
 
 /// Shows a planner the same view each second until a time; gives its last plan.
-fn settled(planner: &mut Planner, engines: &[EngineView], mix: Mix, until: u64) -> Plan {
+fn settled(planner: &mut Planner, engines: &[EngineView], mix: StageLoad, until: u64) -> RolePlan {
     (100..=until)
-        .map(|t| planner.plan(&View { now: s(t), engines: engines.to_vec(), mix }))
+        .map(|t| planner.plan(&PlannerView { now: s(t), engines: engines.to_vec(), mix }))
         .last()
         .expect("a plan")
 }
 
 #[test]
 fn an_imbalance_that_lasts_is_answered_cheapest_first_and_explained() {
-    for policy in [Policy::Greedy, Policy::Forecast, Policy::Program] {
+    for policy in [PlanningPolicy::Greedy, PlanningPolicy::Forecast, PlanningPolicy::Program] {
         let mut planner = Planner::new(LIMITS, COSTS, policy);
         let plan = settled(&mut planner, &engines(10, 10, 2), mix(14.0, 3.0), 160);
         let changed: Vec<u64> = plan.changes.iter().map(|c| c.engine.0).collect();
@@ -66,10 +67,10 @@
 
 #[test]
 fn nothing_is_changed_without_need_or_too_soon() {
-    let mut planner = Planner::new(LIMITS, COSTS, Policy::Greedy);
+    let mut planner = Planner::new(LIMITS, COSTS, PlanningPolicy::Greedy);
     let plan = settled(&mut planner, &engines(10, 10, 2), mix(8.0, 8.0), 160);
     assert_eq!((plan.changes.len(), plan.because.as_str()), (0, "no change would serve more"));
-    let mut planner = Planner::new(LIMITS, COSTS, Policy::Greedy);
+    let mut planner = Planner::new(LIMITS, COSTS, PlanningPolicy::Greedy);
     let plan = settled(&mut planner, &engines(10, 10, 2), mix(14.0, 3.0), 102);
     assert_eq!(plan.because, "the imbalance is too young");
     let plan = settled(&mut planner, &engines(10, 10, 2), mix(14.0, 3.0), 106);
@@ -78,7 +79,7 @@
 
 #[test]
 fn freeze_stops_all_changes() {
-    let mut planner = Planner::new(LIMITS, COSTS, Policy::Greedy);
+    let mut planner = Planner::new(LIMITS, COSTS, PlanningPolicy::Greedy);
     planner.freeze(true);
     assert_eq!(settled(&mut planner, &engines(10, 10, 2), mix(14.0, 3.0), 160).because, "changes are frozen");
     planner.freeze(false);
@@ -88,13 +89,13 @@
 #[test]
 fn cells_keep_their_least() {
     // Each of ten cells has one reader and one writer: none may change.
-    let mut planner = Planner::new(LIMITS, COSTS, Policy::Greedy);
+    let mut planner = Planner::new(LIMITS, COSTS, PlanningPolicy::Greedy);
     let plan = settled(&mut planner, &engines(10, 10, 10), mix(14.0, 3.0), 160);
     assert!(plan.changes.is_empty() && plan.because.contains("limits"), "{plan:?}");
     // A cell with one engine, which is its last reader.
     let mut one = engines(1, 1, 1);
     one[1].cell = CellId(7);
-    let mut planner = Planner::new(LIMITS, COSTS, Policy::Greedy);
+    let mut planner = Planner::new(LIMITS, COSTS, PlanningPolicy::Greedy);
     assert!(settled(&mut planner, &one, mix(0.1, 3.0), 200).changes.is_empty());
 }
 
@@ -102,23 +103,24 @@
 fn changes_under_way_count_for_their_new_role() {
     let mut all = engines(10, 10, 2);
     all[10..14].iter_mut().for_each(|e| e.phase = Phase::Changing(Role::Prefill));
-    let limits = Limits { in_flight: 9, ..LIMITS };
-    let mut planner = Planner::new(limits, COSTS, Policy::Greedy);
+    let limits = PlannerLimits { max_concurrent_changes: 9, ..LIMITS };
+    let mut planner = Planner::new(limits, COSTS, PlanningPolicy::Greedy);
     let plan = settled(&mut planner, &all, mix(12.0, 3.0), 160);
     assert_eq!(plan.because, "no change would serve more");
-    let mut planner = Planner::new(Limits { in_flight: 4, ..LIMITS }, COSTS, Policy::Greedy);
+    let mut planner =
+        Planner::new(PlannerLimits { max_concurrent_changes: 4, ..LIMITS }, COSTS, PlanningPolicy::Greedy);
     assert!(settled(&mut planner, &all, mix(16.0, 3.0), 160).because.contains("under way"));
 }
 
 #[test]
 fn a_mix_that_swings_faster_than_a_change_pays_changes_nothing() {
     for period in [2, 5, 10, 20] {
-        let mut planner = Planner::new(LIMITS, COSTS, Policy::Greedy);
+        let mut planner = Planner::new(LIMITS, COSTS, PlanningPolicy::Greedy);
         let mut changes = 0;
         for t in 100..1300u64 {
             let reading = t * 2 / period % 2 == 0;
             let mix = if reading { mix(11.0, 4.0) } else { mix(4.0, 11.0) };
-            let plan = planner.plan(&View { now: s(t), engines: engines(10, 10, 2), mix });
+            let plan = planner.plan(&PlannerView { now: s(t), engines: engines(10, 10, 2), mix });
             // The first two swings can't be told from lasting shifts.
             changes += if t < 100 + 2 * period { 0 } else { plan.changes.len() };
         }
@@ -133,7 +135,7 @@
         let mix = fluid::square(period);
         let (fixed, _) = fluid::day(40, None, mix, 1200.0);
         let (oracle, _) = fluid::oracle(40, mix, 1200.0);
-        for policy in [Policy::Greedy, Policy::Forecast, Policy::Program] {
+        for policy in [PlanningPolicy::Greedy, PlanningPolicy::Forecast, PlanningPolicy::Program] {
             let (share, changes) = fluid::day(40, Some(policy), mix, 1200.0);
             let part = (share - fixed) / (oracle - fixed).max(1e-6);
             assert!(
--- a/crates/scenario/src/fleet.rs
+++ b/crates/scenario/src/fleet.rs
@@ -7,7 +7,7 @@
 use slipreel::EngineState;
 use slipreel_gateway::site::{EngineSite, Site};
 use slipreel_invariants::Effect;
-use slipreel_roles::Policy;
+use slipreel_roles::PlanningPolicy;
 use slipreel_test_servers::client::{Habit, Plan};
 use slipreel_test_servers::engine::EngineSpec;
 use std::net::SocketAddr;
@@ -97,7 +97,7 @@
     /// How late the list tells of what happened.
     pub notice: Duration,
     /// A conductor changes the engines' roles as the mix shifts, by this policy.
-    pub roles: Option<Policy>,
+    pub roles: Option<PlanningPolicy>,
     /// The routers are broken on purpose, to try the rule checker.
     pub sabotage: Option<Sabotage>,
 }
--- a/crates/scenario/src/script.rs
+++ b/crates/scenario/src/script.rs
@@ -4,7 +4,7 @@
 use crate::fleet::{spread_traffic, Day, EnginePlan, Traffic};
 use crate::trouble::{Kind, Trouble, KINDS};
 use slipreel::Role;
-use slipreel_roles::Policy;
+use slipreel_roles::PlanningPolicy;
 use slipreel_settings::{read_site, Daemon, Doc, Fault, Name, Value};
 use slipreel_test_servers::engine::{EngineSpec, Role as SpecRole};
 use std::net::SocketAddr;
@@ -28,16 +28,16 @@
 }
 
 /// Who changes roles: nobody, or a conductor by a policy.
-struct PolicyName(Option<Policy>);
+struct PolicyName(Option<PlanningPolicy>);
 
 impl Value for PolicyName {
     const EXPECTED: &'static str = "fixed, greedy, forecast or program";
     fn read(text: &str) -> Result<Self, String> {
         match text {
             "fixed" => Ok(PolicyName(None)),
-            "greedy" => Ok(PolicyName(Some(Policy::Greedy))),
-            "forecast" => Ok(PolicyName(Some(Policy::Forecast))),
-            "program" => Ok(PolicyName(Some(Policy::Program))),
+            "greedy" => Ok(PolicyName(Some(PlanningPolicy::Greedy))),
+            "forecast" => Ok(PolicyName(Some(PlanningPolicy::Forecast))),
+            "program" => Ok(PolicyName(Some(PlanningPolicy::Program))),
             _ => Err(Self::EXPECTED.into()),
         }
     }
--- a/crates/scenario/src/stage.rs
+++ b/crates/scenario/src/stage.rs
@@ -11,7 +11,7 @@
 use slipreel_gateway::site::EngineSite;
 use slipreel_gateway::{engine_id, Front, Tally};
 use slipreel_invariants::{judge, Break, Record, Seen};
-use slipreel_roles::{Conductor, Costs, Limits, Places, Speeds, Watched};
+use slipreel_roles::{ChangeCosts, Conductor, EngineThroughput, FullLoadRequests, PlannerLimits, Watched};
 use slipreel_test_servers::client::{Clients, Result as TryResult};
 use slipreel_test_servers::engine::{Engine, Role};
 use slipreel_test_servers::gate::{Cut, Gate};
@@ -168,28 +168,28 @@
         let engines: Vec<Watched> = self.day.engines.iter().zip(&self.addrs).map(watched).collect();
         let spec = |role| self.day.engines.iter().map(|e| &e.spec).find(|s| s.role == role);
         let (reader, writer) = (spec(Role::Read), spec(Role::Write));
-        let places = Places {
-            read: reader.map_or(1.0, |s| s.slots as f64),
-            write: writer.map_or(1.0, |s| s.slots as f64),
+        let places = FullLoadRequests {
+            prefill: reader.map_or(1.0, |s| s.slots as f64),
+            decode: writer.map_or(1.0, |s| s.slots as f64),
         };
         let first = &self.day.engines.first()?.spec;
-        let costs = Costs {
+        let costs = ChangeCosts {
             drain: Duration::from_secs(2),
-            cold: first.cold_time,
-            cold_share: first.cold_share,
-            read_per_s: reader.map_or(1.0, |s| s.read_per_s),
+            slow_start: first.cold_time,
+            slow_start_speed: first.cold_share,
+            prefill_tokens_per_s: reader.map_or(1.0, |s| s.read_per_s),
         };
-        let limits = Limits {
-            in_flight: 2,
-            readers_in_cell: 1,
-            writers_in_cell: 1,
-            in_zone: 1,
-            least_time: first.cold_time,
+        let limits = PlannerLimits {
+            max_concurrent_changes: 2,
+            min_prefill_per_cell: 1,
+            min_decode_per_cell: 1,
+            min_per_zone: 1,
+            min_time_in_role: first.cold_time,
             frozen: false,
         };
-        let speeds = Speeds {
-            read: reader.map_or(1.0, |s| s.read_per_s),
-            write: writer.map_or(1.0, slipreel_test_servers::engine::EngineSpec::write_per_s),
+        let speeds = EngineThroughput {
+            prefill: reader.map_or(1.0, |s| s.read_per_s),
+            decode: writer.map_or(1.0, slipreel_test_servers::engine::EngineSpec::write_per_s),
         };
         let conductor = Conductor::new(engines, limits, costs, policy, places, false, now);
         Some(conductor.with_routers(routers.to_vec(), speeds))
--- a/crates/settings/src/roles.rs
+++ b/crates/settings/src/roles.rs
@@ -4,7 +4,7 @@
 use crate::site::{read_site, SITE_SECTIONS};
 use crate::values::{Loopback, Value};
 use crate::Daemon;
-use slipreel_roles::{Costs, Limits, Places, Policy, Speeds};
+use slipreel_roles::{ChangeCosts, EngineThroughput, FullLoadRequests, PlannerLimits, PlanningPolicy};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
@@ -12,15 +12,15 @@
 #[derive(Clone, Debug)]
 pub struct RolesSite {
     /// How changes are chosen.
-    pub policy: Policy,
+    pub policy: PlanningPolicy,
     /// What operators allow.
-    pub limits: Limits,
+    pub limits: PlannerLimits,
     /// What a change costs.
-    pub costs: Costs,
+    pub costs: ChangeCosts,
     /// What an engine does a second.
-    pub speeds: Speeds,
+    pub speeds: EngineThroughput,
     /// Requests that keep an engine wholly busy.
-    pub places: Places,
+    pub places: FullLoadRequests,
     /// The operators' ports of all routers: what is asked of them is the demand.
     pub routers: Vec<SocketAddr>,
     /// Nothing is changed while this file is there.
@@ -29,13 +29,13 @@
     pub list: Option<PathBuf>,
 }
 
-impl Value for Policy {
+impl Value for PlanningPolicy {
     const EXPECTED: &'static str = "greedy, forecast or program";
     fn read(text: &str) -> Result<Self, String> {
         match text {
-            "greedy" => Ok(Policy::Greedy),
-            "forecast" => Ok(Policy::Forecast),
-            "program" => Ok(Policy::Program),
+            "greedy" => Ok(PlanningPolicy::Greedy),
+            "forecast" => Ok(PlanningPolicy::Forecast),
+            "program" => Ok(PlanningPolicy::Program),
             _ => Err(Self::EXPECTED.into()),
         }
     }
@@ -84,25 +84,25 @@
 
 fn read_roles(doc: &mut Doc, at: usize, daemon: &Daemon) -> Option<RolesSite> {
     let here = Some(at);
-    let start = Limits::default();
+    let start = PlannerLimits::default();
     let settings = &daemon.site.settings;
-    let limits = Limits {
-        in_flight: doc.or(here, "in_flight", start.in_flight),
-        readers_in_cell: doc.or(here, "readers_in_cell", start.readers_in_cell),
-        writers_in_cell: doc.or(here, "writers_in_cell", start.writers_in_cell),
-        in_zone: doc.or(here, "in_zone", start.in_zone),
-        least_time: doc.or(here, "least_time", start.least_time),
+    let limits = PlannerLimits {
+        max_concurrent_changes: doc.or(here, "in_flight", start.max_concurrent_changes),
+        min_prefill_per_cell: doc.or(here, "readers_in_cell", start.min_prefill_per_cell),
+        min_decode_per_cell: doc.or(here, "writers_in_cell", start.min_decode_per_cell),
+        min_per_zone: doc.or(here, "in_zone", start.min_per_zone),
+        min_time_in_role: doc.or(here, "least_time", start.min_time_in_role),
         frozen: false,
     };
     let speeds = (doc.need::<Over0>(at, "read_per_s"), doc.need::<Over0>(at, "write_per_s"));
     let places = (doc.need::<Over0>(at, "read_places"), doc.need::<Over0>(at, "write_places"));
-    let costs = Costs {
-        drain: doc.or(here, "drain", Costs::DRAIN),
-        cold: settings.warmup_time,
-        cold_share: settings.warmup_initial_share,
-        read_per_s: speeds.0.as_ref().map_or(1.0, |n| n.0),
+    let costs = ChangeCosts {
+        drain: doc.or(here, "drain", ChangeCosts::DRAIN),
+        slow_start: settings.warmup_time,
+        slow_start_speed: settings.warmup_initial_share,
+        prefill_tokens_per_s: speeds.0.as_ref().map_or(1.0, |n| n.0),
     };
-    let policy = doc.or(here, "policy", Policy::Greedy);
+    let policy = doc.or(here, "policy", PlanningPolicy::Greedy);
     let routers = doc.need::<Addresses>(at, "routers");
     let freeze = doc.get::<String>(at, "freeze").map(PathBuf::from);
     let list = doc.get::<String>(at, "list").map(PathBuf::from);
@@ -118,8 +118,8 @@
         policy,
         limits,
         costs,
-        speeds: Speeds { read, write },
-        places: Places { read: read_places, write: write_places },
+        speeds: EngineThroughput { prefill: read, decode: write },
+        places: FullLoadRequests { prefill: read_places, decode: write_places },
         routers: routers?.0,
         freeze,
         list,
--- a/crates/settings/tests/faults.rs
+++ b/crates/settings/tests/faults.rs
@@ -29,8 +29,11 @@
 #[test]
 fn roles_are_read_beside_the_site_and_checked() {
     let (_, roles) = parse_roles(SAMPLE, "f.ini").unwrap_or_else(|f| panic!("{f:?}"));
-    assert_eq!((roles.routers.len(), roles.limits.in_flight, roles.limits.frozen), (1, 2, false));
-    assert_eq!((roles.costs.read_per_s, roles.places.write), (20_000.0, 64.0));
+    assert_eq!(
+        (roles.routers.len(), roles.limits.max_concurrent_changes, roles.limits.frozen),
+        (1, 2, false)
+    );
+    assert_eq!((roles.costs.prefill_tokens_per_s, roles.places.decode), (20_000.0, 64.0));
     let one = |from: &str, to: &str, part: &str| {
         assert!(SAMPLE.contains(from), "{from}");
         let found = parse_roles(&SAMPLE.replacen(from, to, 1), "f.ini").expect_err("faults");
