--- a/crates/membership/benches/size.rs
+++ b/crates/membership/benches/size.rs
@@ -317,7 +317,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Protocol {
-    MembershipView,
+    View,
     Swim,
     Beats,
 }
@@ -327,7 +327,7 @@
 ) -> Which {
     let first = now + Duration::from_micros(rng.next_u64() % 200_000);
     match protocol {
-        Protocol::MembershipView => {
+        Protocol::View => {
             let settings = MembershipSettings {
                 fleet: "size".into(),
                 name: name(n),
@@ -447,7 +447,7 @@
 fn main() {
     let words: Vec<String> = std::env::args().skip(1).collect();
     let sizes: Vec<usize> = words.iter().filter_map(|a| a.parse().ok()).collect();
-    let all = [("view", Protocol::MembershipView), ("swim", Protocol::Swim), ("beats", Protocol::Beats)];
+    let all = [("view", Protocol::View), ("swim", Protocol::Swim), ("beats", Protocol::Beats)];
     let named = |name: &str| words.iter().any(|w| w == name);
     let some = all.iter().any(|(name, _)| named(name));
     let sizes = if sizes.is_empty() { vec![10, 100, 500, 2_000] } else { sizes };
--- a/crates/roles/src/capacity.rs
+++ b/crates/roles/src/capacity.rs
@@ -1,6 +1,6 @@
 //! The engines of each stage, and the share of the load that they can serve.
 
-use crate::load_history::StageLoad;
+use crate::stage_load::StageLoad;
 use crate::view::{Phase, PlannerView};
 use slipreel::Role;
 
--- a/crates/roles/src/conductor.rs
+++ b/crates/roles/src/conductor.rs
@@ -5,9 +5,9 @@
 
 use crate::config::{ChangeCosts, PlannerLimits, PlanningPolicy};
 use crate::demand::{Demand, EngineThroughput};
-use crate::load_history::StageLoad;
 use crate::plan::RolePlan;
 use crate::planner::Planner;
+use crate::stage_load::StageLoad;
 use crate::view::{EngineView, Phase, PlannerView};
 use serde_json::{json, Value};
 use slipreel::{CellId, EngineId, Role, ZoneId};
--- a/crates/roles/src/config.rs
+++ b/crates/roles/src/config.rs
@@ -49,6 +49,11 @@
 impl ChangeCosts {
     /// The time of a drain where operators set none.
     pub const DRAIN: Duration = Duration::from_secs(5);
+
+    /// What an engine lacks in slow start, as time in which it would not work at all.
+    pub(crate) fn slow_start_loss(&self) -> Duration {
+        self.slow_start.mul_f64((1.0 - self.slow_start_speed) / 2.0)
+    }
 }
 
 /// How the changes are chosen.
--- a/crates/roles/src/demand.rs
+++ b/crates/roles/src/demand.rs
@@ -3,7 +3,7 @@
 //! Engines tell only what they hold. What is refused at the door never reaches them, and it is refused just when engines
 //! are short: demand has to be read where it arrives.
 
-use crate::load_history::StageLoad;
+use crate::stage_load::StageLoad;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
--- a/crates/roles/src/integer_program.rs
+++ b/crates/roles/src/integer_program.rs
@@ -2,7 +2,7 @@
 //! which the changes work, less what they cost, is most.
 
 use crate::capacity::{StageCapacity, MAX_UTILIZATION, MIN_GAIN_PER_COST};
-use crate::load_history::StageLoad;
+use crate::stage_load::StageLoad;
 use microlp::{ComparisonOp, OptimizationDirection, Problem};
 use slipreel::Role;
 
--- a/crates/roles/src/lib.rs
+++ b/crates/roles/src/lib.rs
@@ -20,13 +20,15 @@
 mod plan;
 mod planner;
 mod record;
+mod stage_load;
 mod view;
 
 pub use conductor::{Conductor, Freeze, FullLoadRequests, Watched, CACHED_TOKENS_AT_FULL_MEMORY};
 pub use config::{ChangeCosts, PlannerLimits, PlanningPolicy};
 pub use demand::{Demand, EngineThroughput};
-pub use load_history::{LoadHistory, StageLoad};
+pub use load_history::LoadHistory;
 pub use plan::{RoleChange, RolePlan};
 pub use planner::Planner;
 pub use record::{Order, Rejected, RoleRecord, RoleState, Step};
+pub use stage_load::{ExpectedLoad, StageLoad};
 pub use view::{EngineView, Phase, PlannerView};
--- a/crates/roles/src/plan.rs
+++ b/crates/roles/src/plan.rs
@@ -4,22 +4,24 @@
 use std::fmt;
 use std::time::Duration;
 
-/// One change, explained.
+/// A change of one engine's role, with what it follows from.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RoleChange {
-    /// Which engine.
+    /// The engine.
     pub engine: EngineId,
     /// Its role.
     pub from: Role,
     /// The role to take.
     pub to: Role,
-    /// The epoch that it replaces.
+    /// The epoch of its present role, which the change replaces.
     pub replaces: u64,
-    /// Share of requests that can be served before it, and once it has worked.
-    pub served: (f64, f64),
-    /// What it costs, seconds of full service.
+    /// The share of requests that can be served without the planned changes; from 0 to 1.
+    pub served_before: f64,
+    /// The same once the planned changes work.
+    pub served_after: f64,
+    /// What it costs, in seconds of full service.
     pub cost: f64,
-    /// What it gains, seconds of full service.
+    /// What it gains, in seconds of full service.
     pub gain: f64,
     /// How long the imbalance is likely to last.
     pub likely: Duration,
@@ -30,17 +32,24 @@
         write!(
             f,
             "{:x}: {:?} to {:?} (epoch {}): serves {:.1}% in place of {:.1}%, likely for {:.0} s; costs {:.2}, gains {:.2} s of full service",
-            self.engine.0, self.from, self.to, self.replaces, 100.0 * self.served.1, 100.0 * self.served.0,
+            self.engine.0, self.from, self.to, self.replaces, 100.0 * self.served_after, 100.0 * self.served_before,
             self.likely.as_secs_f64(), self.cost, self.gain
         )
     }
 }
 
-/// What is to be done, and why nothing more.
+/// The changes to begin now, and why there are no more.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RolePlan {
-    /// The changes, first things first.
+    /// The changes, in order.
     pub changes: Vec<RoleChange>,
-    /// Why it holds no more, or none.
+    /// Why there are no more, or none; shown to operators.
     pub because: String,
 }
+
+impl RolePlan {
+    /// A plan without changes.
+    pub(crate) fn none(because: &str) -> RolePlan {
+        RolePlan { changes: Vec::new(), because: because.into() }
+    }
+}
--- a/crates/roles/src/view.rs
+++ b/crates/roles/src/view.rs
@@ -1,6 +1,6 @@
 //! What the planner sees: the engines and the load at one moment.
 
-use crate::load_history::StageLoad;
+use crate::stage_load::StageLoad;
 use slipreel::{CellId, EngineId, Role, ZoneId};
 use std::time::Duration;
 
--- a/crates/roles/tests/fluid/mod.rs
+++ b/crates/roles/tests/fluid/mod.rs
@@ -134,16 +134,16 @@
                     else {
                         break;
                     };
-                    let (served, cost, gain, likely) = ((0.0, 0.0), 0.0, 0.0, Duration::ZERO);
                     changes.push(RoleChange {
                         engine: e.id,
                         from: e.role,
                         to,
                         replaces: e.epoch,
-                        served,
-                        cost,
-                        gain,
-                        likely,
+                        served_before: 0.0,
+                        served_after: 0.0,
+                        cost: 0.0,
+                        gain: 0.0,
+                        likely: Duration::ZERO,
                     });
                     readers = if to == Role::Prefill { readers + 1 } else { readers - 1 };
                 }
