--- a/crates/adapter/src/main.rs
+++ b/crates/adapter/src/main.rs
@@ -45,7 +45,7 @@
                         };
                         self.instances.insert(router, instance);
                     }
-                    Err(bad) => reply.fault(router, &format!("bad setting {}", bad.0)),
+                    Err(bad) => reply.fault(router, &format!("bad setting {}", bad.fault())),
                 },
                 Input::Stop(router) => {
                     self.instances.remove(&router);
--- a/crates/platform-settings/src/lib.rs
+++ b/crates/platform-settings/src/lib.rs
@@ -5,16 +5,25 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
+mod error;
+mod pairs;
+
+pub use error::{SettingFault, SettingsError};
+
+use pairs::{flatten, Pairs};
 use slipreel::{
     Class, DeduplicationScope, Idempotency, Limits, ReportSource, Role, Settings, Tenant, ZoneId,
 };
 use std::collections::BTreeMap;
 use std::time::Duration;
 
+/// The key of the latency objectives by prompt length: microseconds for each 1,000 prompt tokens, by class.
+const OBJECTIVE_PER_TOKENS: &str = "extra.aim_us_per_1000_prompt_tokens";
+
 /// What one column of a load report holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Column {
-    /// Requests in hand.
+    /// Requests in flight.
     InFlight,
     /// Requests that wait.
     Queued,
@@ -24,14 +33,14 @@
     MemoryShare,
     /// Thousands of prompt tokens that wait.
     WaitingThousands,
-    /// Something that the module does not use.
+    /// Something that the decision module does not use.
     Other,
 }
 
 /// An instance's settings and how its load reports are laid out.
 #[derive(Clone, Debug)]
 pub struct Profile {
-    /// What the module is handed.
+    /// What the decision module is handed.
     pub settings: Settings,
     /// The meaning of each report value, in order.
     pub columns: Vec<Column>,
@@ -58,175 +67,72 @@
     name.replace([' ', ','], "_")
 }
 
-/// A value that is missing where none is safe, or that can't be read: the key's name and why.
-#[derive(Debug, PartialEq, Eq)]
-pub struct BadSetting(pub String);
-
-impl std::fmt::Display for BadSetting {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "setting {}", self.0)
-    }
-}
-
-impl std::error::Error for BadSetting {}
-
-struct Pairs<'a>(BTreeMap<&'a str, &'a str>);
-
-impl<'a> Pairs<'a> {
-    fn get(&self, key: &str) -> Option<&'a str> {
-        self.0.get(key).copied().filter(|v| !v.is_empty())
-    }
-
-    fn number(&self, key: &str, default: Option<f64>) -> Result<f64, BadSetting> {
-        match self.get(key) {
-            Some(text) => match text.parse::<f64>() {
-                Ok(n) if n.is_finite() && n >= 0.0 => Ok(n),
-                _ => Err(BadSetting(format!("{key}: '{text}' is no number of 0 or more"))),
-            },
-            None => default.ok_or_else(|| BadSetting(format!("{key}: missing"))),
-        }
-    }
-
-    fn millis(&self, key: &str, default: Option<f64>) -> Result<Duration, BadSetting> {
-        let ms = self.number(key, default)?;
-        Duration::try_from_secs_f64(ms / 1e3).map_err(|_| BadSetting(format!("{key}: {ms} is too long")))
-    }
-
-    fn count(&self, key: &str, default: Option<f64>) -> Result<u32, BadSetting> {
-        let n = self.number(key, default)?;
-        if n.fract() != 0.0 || n > 65_536.0 {
-            return Err(BadSetting(format!("{key}: {n} is no count")));
-        }
-        Ok(n as u32)
-    }
-
-    fn flag(&self, key: &str) -> Result<bool, BadSetting> {
-        self.word(key, &[("true", true), ("false", false)], Some(false))
-    }
-
-    fn word<T: Copy>(&self, key: &str, words: &[(&str, T)], default: Option<T>) -> Result<T, BadSetting> {
-        let Some(text) = self.get(key) else {
-            return default.ok_or_else(|| BadSetting(format!("{key}: missing")));
-        };
-        let known = words.iter().find(|(word, _)| *word == text);
-        let expected = || words.iter().map(|(word, _)| *word).collect::<Vec<_>>().join(", ");
-        known.map(|&(_, v)| v).ok_or_else(|| {
-            BadSetting(format!("{key}: '{text}' is not known: expected one of {}", expected()))
-        })
-    }
-
-    fn list(&self, key: &str) -> Vec<&'a str> {
-        self.get(key).map(|v| v.split(',').collect()).unwrap_or_default()
-    }
-
-    fn numbers(&self, key: &str) -> Result<Vec<f64>, BadSetting> {
-        let read = |text: &str| text.parse().ok().filter(|n: &f64| n.is_finite() && *n >= 0.0);
-        self.list(key)
-            .into_iter()
-            .map(|text| read(text).ok_or_else(|| BadSetting(format!("{key}: '{text}' is no number"))))
-            .collect()
-    }
-}
-
 /// Reads the settings. Keys that are not known are skipped. A missing key gets a neutral value (no
 /// permission, no limit, no share) except where none is safe: the classes and the engines' roles.
 ///
 /// # Errors
 /// A value that is missing where none is safe, or can't be read.
-pub fn parse(text: &str) -> Result<Profile, BadSetting> {
-    read(&Pairs(text.lines().filter_map(|line| line.trim_end().split_once('=')).collect()))
+pub fn parse(text: &str) -> Result<Profile, SettingsError> {
+    let pairs: Pairs<'_> = text.lines().filter_map(|line| line.trim_end().split_once('=')).collect();
+    Ok(read(&pairs)?)
 }
 
 /// Reads the settings from nested JSON: the same names and units, each level a part of the path.
 ///
 /// # Errors
 /// As [`parse`]; or it is no object.
-pub fn from_json(value: &serde_json::Value) -> Result<Profile, BadSetting> {
+pub fn from_json(value: &serde_json::Value) -> Result<Profile, SettingsError> {
     if !value.is_object() {
-        return Err(BadSetting("settings: expected an object".into()));
+        return Err(SettingFault::NotAnObject.into());
     }
-    let mut lines = Vec::new();
-    flatten("", value, &mut lines);
-    read(&Pairs(lines.iter().map(|(path, value)| (path.as_str(), value.as_str())).collect()))
+    let mut flat = Vec::new();
+    flatten("", value, &mut flat);
+    let pairs: Pairs<'_> = flat.iter().map(|(path, value)| (path.as_str(), value.as_str())).collect();
+    Ok(read(&pairs)?)
 }
 
-/// Appends the pairs of a value: lists of plain values joined by commas, lists of objects counted and numbered.
-fn flatten(path: &str, value: &serde_json::Value, out: &mut Vec<(String, String)>) {
-    use serde_json::Value;
-    let under = |name: &str| if path.is_empty() { name.to_owned() } else { format!("{path}.{name}") };
-    let plain = |value: &Value| match value {
-        Value::String(text) => as_named(text),
-        Value::Null => String::new(),
-        other => other.to_string(),
-    };
-    match value {
-        Value::Object(fields) => fields.iter().for_each(|(name, v)| flatten(&under(name), v, out)),
-        Value::Array(items) if items.iter().any(Value::is_object) => {
-            out.push((under("count"), items.len().to_string()));
-            items.iter().enumerate().for_each(|(i, v)| flatten(&under(&i.to_string()), v, out));
-        }
-        Value::Array(items) => {
-            out.push((path.to_owned(), items.iter().map(plain).collect::<Vec<_>>().join(",")));
-        }
-        one => out.push((path.to_owned(), plain(one))),
-    }
+fn read(pairs: &Pairs<'_>) -> Result<Profile, SettingFault> {
+    let classes = classes(pairs)?;
+    check_class_names(pairs, &classes)?;
+    let tenants = tenants(pairs)?;
+    let kind_roles = kind_roles(pairs)?;
+    let settings = settings(pairs, classes, tenants, kind_roles)?;
+    let column_names = pairs.names("report.columns");
+    Ok(Profile {
+        longest_wait: longest_wait(pairs, settings.classes.len())?,
+        resumes: pairs.flag("extra.resume")?,
+        columns: column_names.iter().map(|name| column(pairs, name)).collect(),
+        column_names,
+        classes: numbered_names(pairs, "classes", settings.classes.len()),
+        tenants: numbered_names(pairs, "customers", settings.tenants.len()),
+        kinds: pairs.names("host_types"),
+        zones: pairs.names("azs"),
+        idle_close: pairs.optional_millis("limits.idle_close")?,
+        settings,
+    })
 }
 
-fn read(pairs: &Pairs) -> Result<Profile, BadSetting> {
-    let stretch = pairs.numbers("extra.aim_us_per_1000_prompt_tokens")?;
-    let classes = (0..pairs.count("classes.count", None)?)
-        .map(|i| class(pairs, i as usize, &stretch))
-        .collect::<Result<Vec<_>, _>>()?;
-    check_class_names(pairs, &classes)?;
-    let tenants = (0..pairs.count("customers.count", Some(0.0))?)
-        .map(|i| {
-            let key = format!("customers.{i}.quota_per_s");
-            let quota_per_s = pairs.get(&key).map(|_| pairs.number(&key, None)).transpose()?;
-            Ok(Tenant { quota_per_s })
-        })
-        .collect::<Result<Vec<_>, _>>()?;
-    let kinds = pairs
-        .list("extra.role_by_kind")
-        .into_iter()
-        .map(|role| match role {
-            "read" => Ok(Role::Prefill),
-            "write" => Ok(Role::Decode),
-            "both" => Ok(Role::Mixed),
-            other => Err(BadSetting(format!("extra.role_by_kind: '{other}' is not known"))),
-        })
-        .collect::<Result<Vec<_>, _>>()?;
-    if kinds.is_empty() {
-        return Err(BadSetting("extra.role_by_kind: missing".into()));
-    }
+fn settings(
+    pairs: &Pairs<'_>, classes: Vec<Class>, tenants: Vec<Tenant>, kind_roles: Vec<Role>,
+) -> Result<Settings, SettingFault> {
     let sources = [
         ("piggyback", ReportSource::Answers),
         ("pull", ReportSource::Probes),
         ("silent", ReportSource::None),
     ];
-    let hears = pairs.flag("limits.retry_after")?;
-    let limits = Limits {
-        max_attempts: pairs.count("limits.send_cap", Some(2.0))? as usize,
-        cancellation: pairs.flag("limits.cancelling")?,
-        probes: pairs.flag("limits.may_probe")?,
-        hedged_requests: pairs.flag("limits.second_copies")?,
-        max_retry_after: hears.then(|| pairs.millis("limits.max_retry_after", Some(0.0))).transpose()?,
-        connect_timeout: pairs.millis("limits.connect_timeout", Some(250.0))?,
-    };
-    let settings = Settings {
+    let discovery = [("automatic", false), ("subscribe", true)];
+    let limits = limits(pairs)?;
+    Ok(Settings {
         router_count: pairs.count("balancers", Some(1.0))?.max(1),
         zone: ZoneId(pairs.count("zone", Some(0.0))?),
         tick: pairs.millis("tick", Some(1.0))?,
         classes,
         tenants,
         over_quota_weight: pairs.number("over_share_worth", Some(1.0))?,
-        kind_roles: kinds,
+        kind_roles,
         memory_tokens: pairs.numbers("extra.tokens_by_kind")?,
         decode_engines_prefill: pairs.flag("extra.local_read")?,
-        polls_engine_list: pairs.word(
-            "discovery",
-            &[("automatic", false), ("subscribe", true)],
-            Some(false),
-        )?,
+        polls_engine_list: pairs.word("discovery", &discovery, Some(false))?,
         report_source: pairs.word("report.source", &sources, Some(ReportSource::None))?,
         limits,
         warmup_initial_share: pairs.number("rules.cold_share", Some(0.0))?.min(1.0),
@@ -235,85 +141,129 @@
             .millis("rules.fall", Some(0.0))?
             .mul_f64(pairs.number("rules.fall_multiple", Some(0.0))?.clamp(0.0, 1e3)),
         held_state_limit: pairs.millis("extra.let_go_by", Some(0.0))?,
+    })
+}
+
+fn limits(pairs: &Pairs<'_>) -> Result<Limits, SettingFault> {
+    let max_retry_after = if pairs.flag("limits.retry_after")? {
+        Some(pairs.millis("limits.max_retry_after", Some(0.0)))
+    } else {
+        None
     };
-    let names = |key: &str| pairs.list(key).into_iter().map(str::to_owned).collect::<Vec<_>>();
-    let column_names = names("report.columns");
-    let named = |list: &str, n: usize| {
-        (0..n).map(|i| pairs.get(&format!("{list}.{i}.name")).unwrap_or("").to_owned()).collect::<Vec<_>>()
-    };
-    let waits = (0..settings.classes.len()).map(|i| format!("classes.{i}.deadline"));
-    let waits = waits.filter(|key| pairs.get(key).is_some()).map(|key| pairs.millis(&key, None));
-    let longest_wait = waits.collect::<Result<Vec<_>, _>>()?.into_iter().max();
-    Ok(Profile {
-        resumes: pairs.flag("extra.resume")?,
-        longest_wait,
-        columns: column_names.iter().map(|name| column(pairs, name)).collect(),
-        column_names,
-        classes: named("classes", settings.classes.len()),
-        tenants: named("customers", settings.tenants.len()),
-        kinds: names("host_types"),
-        zones: names("azs"),
-        idle_close: pairs
-            .get("limits.idle_close")
-            .map(|_| pairs.millis("limits.idle_close", None))
-            .transpose()?,
-        settings,
+    Ok(Limits {
+        max_attempts: pairs.count("limits.send_cap", Some(2.0))? as usize,
+        cancellation: pairs.flag("limits.cancelling")?,
+        probes: pairs.flag("limits.may_probe")?,
+        hedged_requests: pairs.flag("limits.second_copies")?,
+        max_retry_after: max_retry_after.transpose()?,
+        connect_timeout: pairs.millis("limits.connect_timeout", Some(250.0))?,
     })
 }
 
+fn classes(pairs: &Pairs<'_>) -> Result<Vec<Class>, SettingFault> {
+    let per_1000_tokens = pairs.numbers(OBJECTIVE_PER_TOKENS)?;
+    let count = pairs.count("classes.count", None)?;
+    (0..count as usize).map(|index| class(pairs, index, &per_1000_tokens)).collect()
+}
+
+fn tenants(pairs: &Pairs<'_>) -> Result<Vec<Tenant>, SettingFault> {
+    let tenant = |index| {
+        let key = format!("customers.{index}.quota_per_s");
+        let quota_per_s = pairs.get(&key).map(|_| pairs.number(&key, None)).transpose()?;
+        Ok(Tenant { quota_per_s })
+    };
+    (0..pairs.count("customers.count", Some(0.0))?).map(tenant).collect()
+}
+
+/// The roles of the kinds of engine; there has to be one.
+fn kind_roles(pairs: &Pairs<'_>) -> Result<Vec<Role>, SettingFault> {
+    let key = "extra.role_by_kind".to_owned();
+    let role = |word: &str| match word {
+        "read" => Ok(Role::Prefill),
+        "write" => Ok(Role::Decode),
+        "both" => Ok(Role::Mixed),
+        other => Err(SettingFault::UnknownRole { key: key.clone(), value: other.to_owned() }),
+    };
+    let roles = pairs.list(&key).into_iter().map(role).collect::<Result<Vec<_>, _>>()?;
+    if roles.is_empty() {
+        return Err(SettingFault::Missing { key });
+    }
+    Ok(roles)
+}
+
+/// The names of the objects of a list, in order; empty where none is told.
+fn numbered_names(pairs: &Pairs<'_>, list: &str, count: usize) -> Vec<String> {
+    let name = |index| pairs.get(&format!("{list}.{index}.name")).unwrap_or("").to_owned();
+    (0..count).map(name).collect()
+}
+
+/// The longest deadline of a class, of those that are told.
+fn longest_wait(pairs: &Pairs<'_>, class_count: usize) -> Result<Option<Duration>, SettingFault> {
+    let deadline = |index| pairs.optional_millis(&format!("classes.{index}.deadline"));
+    let deadlines = (0..class_count).map(deadline).collect::<Result<Vec<_>, _>>()?;
+    Ok(deadlines.into_iter().flatten().max())
+}
+
 /// Two classes of one name that may be repeated differently leave open which of them a request is of.
-fn check_class_names(pairs: &Pairs, classes: &[Class]) -> Result<(), BadSetting> {
-    let mut effects: BTreeMap<&str, (usize, Idempotency)> = BTreeMap::new();
-    for (i, class) in classes.iter().enumerate() {
-        let name = pairs.get(&format!("classes.{i}.name")).unwrap_or_default();
-        let &mut (first, effect) = effects.entry(name).or_insert((i, class.idempotency));
-        if effect != class.idempotency {
-            return Err(BadSetting(format!(
-                "classes.{i}.name: '{name}' is also the name of classes.{first}, which may be repeated differently: \
-                 expected a name of its own, or the same idempotency, group and window"
-            )));
+fn check_class_names(pairs: &Pairs<'_>, classes: &[Class]) -> Result<(), SettingFault> {
+    let mut first_by_name: BTreeMap<&str, (usize, Idempotency)> = BTreeMap::new();
+    for (index, class) in classes.iter().enumerate() {
+        let name = pairs.get(&format!("classes.{index}.name")).unwrap_or_default();
+        let &mut (first, idempotency) = first_by_name.entry(name).or_insert((index, class.idempotency));
+        if idempotency != class.idempotency {
+            return Err(SettingFault::AmbiguousClassName { index, first, name: name.to_owned() });
         }
     }
     Ok(())
 }
 
-/// How often a request of a class may run. What is not told gets the strictest meaning: unsafe; the group of one cell; a
-/// window of nothing.
-fn effect(pairs: &Pairs, i: usize) -> Result<Idempotency, BadSetting> {
-    let key = |field: &str| format!("classes.{i}.{field}");
-    let groups = [
+/// How often a request of a class may run. What is not told gets the strictest meaning: not idempotent; the scope of one
+/// cell; a window of nothing.
+fn idempotency(pairs: &Pairs<'_>, index: usize) -> Result<Idempotency, SettingFault> {
+    let key = |field: &str| format!("classes.{index}.{field}");
+    let scopes = [
         ("all", DeduplicationScope::All),
         ("zone", DeduplicationScope::Zone),
         ("cell", DeduplicationScope::Cell),
     ];
-    let kinds = [("safe", 0), ("keyed", 1), ("unsafe", 2)];
-    Ok(match pairs.word(&key("idempotency"), &kinds, Some(2))? {
-        0 => Idempotency::Idempotent,
-        1 => Idempotency::WithKey {
-            scope: pairs.word(&key("group"), &groups, Some(DeduplicationScope::Cell))?,
+    let kinds = [("safe", RepeatRule::Safe), ("keyed", RepeatRule::Keyed), ("unsafe", RepeatRule::Unsafe)];
+    Ok(match pairs.word(&key("idempotency"), &kinds, Some(RepeatRule::Unsafe))? {
+        RepeatRule::Safe => Idempotency::Idempotent,
+        RepeatRule::Keyed => Idempotency::WithKey {
+            scope: pairs.word(&key("group"), &scopes, Some(DeduplicationScope::Cell))?,
             window: pairs.millis(&key("window"), Some(0.0))?,
         },
-        _ => Idempotency::NotIdempotent,
+        RepeatRule::Unsafe => Idempotency::NotIdempotent,
     })
 }
 
-fn class(pairs: &Pairs, i: usize, stretch: &[f64]) -> Result<Class, BadSetting> {
-    let key = |field: &str| format!("classes.{i}.{field}");
+/// The words of the settings on how a class may be repeated.
+#[derive(Clone, Copy)]
+enum RepeatRule {
+    Safe,
+    Keyed,
+    Unsafe,
+}
+
+fn class(pairs: &Pairs<'_>, index: usize, per_1000_tokens: &[f64]) -> Result<Class, SettingFault> {
+    let key = |field: &str| format!("classes.{index}.{field}");
     let name = pairs.get(&key("name")).unwrap_or_default();
-    let effect = effect(pairs, i).map_err(|bad| BadSetting(format!("{} (of class '{name}')", bad.0)))?;
+    let idempotency = idempotency(pairs, index)
+        .map_err(|fault| SettingFault::OfClass { name: name.to_owned(), fault: Box::new(fault) })?;
+    let latency_objective = pairs.millis(&key("target"), None)?;
+    let microseconds = per_1000_tokens.get(index).copied().unwrap_or(0.0);
+    let latency_objective_per_1000_tokens = Duration::try_from_secs_f64(microseconds / 1e6)
+        .map_err(|_| SettingFault::ListTimeTooLong { key: OBJECTIVE_PER_TOKENS.to_owned() })?;
     Ok(Class {
-        latency_objective: pairs.millis(&key("target"), None)?,
-        latency_objective_per_1000_tokens: Duration::try_from_secs_f64(
-            stretch.get(i).copied().unwrap_or(0.0) / 1e6,
-        )
-        .map_err(|_| BadSetting("extra.aim_us_per_1000_prompt_tokens: too long".into()))?,
+        latency_objective,
+        latency_objective_per_1000_tokens,
         priority_weight: pairs.number(&key("worth"), None)?,
-        idempotency: effect,
+        idempotency,
         streams: pairs.flag(&key("streaming"))?,
     })
 }
 
-fn column(pairs: &Pairs, name: &str) -> Column {
+fn column(pairs: &Pairs<'_>, name: &str) -> Column {
     let meaning = match name {
         "x0" => pairs.get("extra.report_x0").unwrap_or(""),
         "x1" => pairs.get("extra.report_x1").unwrap_or(""),
--- a/crates/platform-settings/src/tests.rs
+++ b/crates/platform-settings/src/tests.rs
@@ -55,7 +55,7 @@
         ("classes.count=1e99", "classes.count"),
         ("classes.count=0", "extra.role_by_kind"),
     ] {
-        assert!(parse(text).unwrap_err().0.starts_with(key), "{text}");
+        assert!(parse(text).unwrap_err().fault().to_string().starts_with(key), "{text}");
     }
     for bad in [
         "extra.tokens_by_kind=9,x",
@@ -64,7 +64,7 @@
         "limits.cancelling=maybe",
         "extra.role_by_kind=read,sing",
     ] {
-        let err = parse(&format!("{LEAST}{bad}\n")).unwrap_err().0;
+        let err = parse(&format!("{LEAST}{bad}\n")).unwrap_err().fault().to_string();
         assert!(err.starts_with(bad.split('=').next().unwrap()), "{err}");
     }
 }
@@ -95,12 +95,12 @@
             ["classes.0.window", "'soon'", "number of 0 or more", "'order'"],
         ),
     ] {
-        let err = parse(&format!("{LEAST}{tail}")).unwrap_err().0;
+        let err = parse(&format!("{LEAST}{tail}")).unwrap_err().fault().to_string();
         assert!(said.iter().all(|part| err.contains(part)), "{err}");
     }
     let two = "classes.count=2\nclasses.0.target=800\nclasses.0.worth=2\nclasses.1.target=800\nclasses.1.worth=2\n\
                extra.role_by_kind=read,write\nclasses.0.name=order\nclasses.1.name=order\nclasses.0.idempotency=safe\n";
-    let err = parse(two).unwrap_err().0;
+    let err = parse(two).unwrap_err().fault().to_string();
     assert!(err.contains("classes.1.name") && err.contains("'order'") && err.contains("classes.0"), "{err}");
     assert!(
         parse(&format!("{two}classes.1.idempotency=safe\n")).is_ok(),
@@ -115,3 +115,24 @@
     let strictest = Idempotency::WithKey { scope: DeduplicationScope::Cell, window: Duration::ZERO };
     assert_eq!(effect("classes.0.idempotency=keyed\n"), strictest);
 }
+
+/// The texts are shown to operators.
+#[test]
+fn an_error_is_printed_with_its_key_what_stands_there_and_what_was_expected() {
+    for (line, text) in [
+        ("classes.0.worth=x", "setting classes.0.worth: 'x' is no number of 0 or more"),
+        ("customers.count=1.5", "setting customers.count: 1.5 is no count"),
+        ("extra.tokens_by_kind=9,x", "setting extra.tokens_by_kind: 'x' is no number"),
+        ("extra.role_by_kind=sing", "setting extra.role_by_kind: 'sing' is not known"),
+        ("tick=1e300", "setting tick: 1000000000000000000000"),
+        (
+            "limits.cancelling=maybe",
+            "setting limits.cancelling: 'maybe' is not known: expected one of true, false",
+        ),
+    ] {
+        let error = parse(&format!("{LEAST}{line}\n")).unwrap_err().to_string();
+        assert!(error.starts_with(text), "{error}");
+    }
+    let not_an_object = from_json(&serde_json::json!([])).unwrap_err();
+    assert_eq!(not_an_object.to_string(), "setting settings: expected an object");
+}
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -3,7 +3,7 @@
 use crate::endpoint_list::{self, EndpointList, EndpointListError};
 use crate::resource_limits::ResourceLimits;
 use serde_json::Value;
-use slipreel_platform_settings::{BadSetting, Profile};
+use slipreel_platform_settings::{Profile, SettingsError};
 use std::net::SocketAddr;
 
 /// Why a configuration cannot be used. `Display` gives the place of the fault, what stands there and what was expected.
@@ -49,8 +49,8 @@
     #[error("known.{0}")]
     InvalidEndpointList(#[source] EndpointListError),
     /// The settings cannot be read.
-    #[error("settings: {}", .0.0)]
-    InvalidSettings(BadSetting),
+    #[error("settings: {}", .0.fault())]
+    InvalidSettings(SettingsError),
 }
 
 /// Limits from here on are taken for mistakes.
