--- a/crates/adapter/src/host.rs
+++ b/crates/adapter/src/host.rs
@@ -53,7 +53,7 @@
                     Instance { router: Router::new(profile.settings, seed), columns: profile.columns };
                 self.instances.insert(router, instance);
             }
-            Err(bad) => reply.add_fault(router, &format!("bad setting {}", bad.0)),
+            Err(bad) => reply.add_fault(router, &format!("bad setting {}", bad.fault())),
         }
     }
 
