--- a/crates/cli/src/member.rs
+++ b/crates/cli/src/member.rs
@@ -2,9 +2,10 @@
 
 use crate::disk::Folder;
 use crate::{lines, Failure};
-use slipreel_consensus::log::LogError;
+use slipreel_consensus::storage::{read, StorageError};
 use slipreel_consensus::{
-    Consensus, Disk, Made, Member as Machine, MembershipDirectory, PolicyHandle, Startup, Try,
+    CompiledPolicy, Consensus, Disk, InvalidPolicy, Member as Machine, MembershipDirectory, PolicyCompiler,
+    PolicyHandle, Startup,
 };
 use slipreel_event_loop::{Clock, Command, Handle, Loop, NodeId};
 use slipreel_gateway::{Front, Sharing};
@@ -101,11 +102,11 @@
         max_datagram_len: site.datagram,
     };
     let (of, with) = (file.clone(), own.clone());
-    let attempt: Try = Box::new(move |policy: &str| {
+    let compiler: Box<dyn PolicyCompiler> = Box::new(move |policy: &str| {
         let own = with.lock().unwrap_or_else(PoisonError::into_inner).clone();
         match join(&own, &of, policy) {
-            Ok(daemon) => Ok(Arc::new(daemon.site) as Made),
-            Err(faults) => Err(lines(&faults)),
+            Ok(daemon) => Ok(Arc::new(daemon.site) as CompiledPolicy),
+            Err(faults) => Err(InvalidPolicy::new(lines(&faults))),
         }
     });
     let (found, disk, lock): (_, Box<dyn Disk>, _) = match &site.folder {
@@ -114,8 +115,8 @@
             let lock = lock(folder)?;
             // What can't be read may hold promises: the router serves by what the others agree on, and does not vote.
             let found = match Folder::read(folder) {
-                Ok(stands) => slipreel_consensus::storage::read(&stands),
-                Err(why) => Err(LogError::Record(0, why.to_string())),
+                Ok(stands) => read(&stands).map_err(StorageError::Log),
+                Err(error) => Err(StorageError::Unreadable(error)),
             };
             (Some(found), Box::new(Folder::new(folder)), lock)
         }
@@ -124,7 +125,7 @@
     let start = Startup {
         stored: found,
         disk,
-        compiler: attempt,
+        compiler,
         directory: Box::new(MembershipDirectory(view.clone())),
         seed: rand::random(),
         unix_time_at_zero: wall.saturating_sub(clock.now()),
--- a/crates/consensus/src/consensus/receive.rs
+++ b/crates/consensus/src/consensus/receive.rs
@@ -93,14 +93,14 @@
     }
 
     pub(super) fn receive_grant(&mut self, now: Duration, grant: Grant, out: &mut Vec<Output>) {
-        let error_before = self.lease_holder.stuck().map(str::to_owned);
+        let error_before = self.lease_holder.stuck().cloned();
         let effect = self.lease_holder.answer(now, grant);
         if effect.epoch {
             let (epoch, digest) = (self.lease_holder.epoch(), digest(self.lease_holder.text()));
             out.push(Output::Log(format!("policy: acts by epoch {epoch}, digest {digest:016x}")));
             self.bootstrap = None;
         }
-        let error = self.lease_holder.stuck().map(str::to_owned);
+        let error = self.lease_holder.stuck().cloned();
         if let Some(why) = error.filter(|why| Some(why) != error_before.as_ref()) {
             out.push(Output::Log(format!("policy: the policy in force can't be taken here: {why}")));
         }
--- a/crates/consensus/src/consensus/status.rs
+++ b/crates/consensus/src/consensus/status.rs
@@ -162,7 +162,6 @@
 
     /// Whether a voter knows all that its leader has told of: one that has just started may lack what the others have decided since.
     fn has_caught_up(&self, voter: &Voter) -> bool {
-        let own = (voter.configuration.number, voter.applied() as u64);
-        self.lease_holder.leader().is_some() && self.lease_holder.version() <= own
+        self.lease_holder.leader().is_some() && self.lease_holder.version() <= voter.version()
     }
 }
--- a/crates/consensus/src/handle.rs
+++ b/crates/consensus/src/handle.rs
@@ -1,6 +1,6 @@
 //! Where the machine and the rest of the process meet: by what a request may be taken, what operators see, what they say.
 
-use crate::lease_holder::Made;
+use crate::lease_holder::CompiledPolicy;
 use crate::policy_state::{Proposal, ProposalOutcome};
 use crate::timing;
 use crate::wire::OperatorRequest;
@@ -29,7 +29,7 @@
     /// Until when it is certain, on the process's clock.
     pub until: Duration,
     /// What was made of its policy.
-    pub policy: Option<Made>,
+    pub policy: Option<CompiledPolicy>,
     /// What holds without certainty.
     pub partition_mode: PartitionMode,
 }
--- a/crates/consensus/src/leadership.rs
+++ b/crates/consensus/src/leadership.rs
@@ -176,10 +176,10 @@
         if lease > timing::SHORT_LEASE {
             held.long = held.ask.nonce;
         }
-        let version = (voter.configuration.number, voter.applied() as u64);
+        let version = voter.version();
         let trial = begun.map(|p| Trial {
             id: p.id.clone(),
-            text: (held.ask.tried.as_ref().map(|(id, _)| id) != Some(&p.id)).then(|| p.text.clone()),
+            text: (held.ask.tried.as_ref().map(|tried| &tried.id) != Some(&p.id)).then(|| p.text.clone()),
             waits_for: waits_for.to_vec(),
         });
         let grant = Grant {
@@ -354,7 +354,7 @@
 pub const PREVIOUS_LEADER_LEASES: &str = "(leases of the last leader)";
 
 fn has_tried(ask: &LeaseRequest, id: &str) -> bool {
-    ask.tried.as_ref().is_some_and(|(tried, no)| tried == id && no.is_none())
+    ask.tried.as_ref().is_some_and(|tried| tried.id == id && tried.rejection.is_none())
 }
 
 /// Whether it has tried the policy in force as a change a moment ago, so that it has its text.
@@ -363,7 +363,6 @@
 }
 
 fn no_of(peer: &Peer, held: &HolderRecord, id: &str) -> Option<Rejection> {
-    let (tried, no) = held.ask.tried.as_ref()?;
-    let why = no.clone().filter(|_| tried == id)?;
-    Some(Rejection { router: peer.name.clone(), reason: why })
+    let tried = held.ask.tried.as_ref().filter(|tried| tried.id == id)?;
+    Some(Rejection { router: peer.name.clone(), reason: tried.rejection.clone()? })
 }
--- a/crates/consensus/src/lease_holder.rs
+++ b/crates/consensus/src/lease_holder.rs
@@ -8,17 +8,44 @@
 use crate::policy_state::{digest, ProposalOutcome};
 use crate::timing;
 use crate::voter::Term;
-use crate::wire::{Grant, LeaseRequest};
+use crate::wire::{Grant, LeaseRequest, StateVersion, TriedChange};
 use std::any::Any;
 use std::collections::VecDeque;
 use std::sync::Arc;
 use std::time::Duration;
 
-/// What a router makes of a policy; the host knows what it is.
-pub type Made = Arc<dyn Any + Send + Sync>;
+/// What a router builds from a policy; the process that hosts the router knows its type.
+pub type CompiledPolicy = Arc<dyn Any + Send + Sync>;
 
-/// Tries a policy: reads it and builds from it.
-pub type Try = Box<dyn FnMut(&str) -> Result<Made, String> + Send>;
+/// Why a router can't act by a policy. Its text is sent to the leader and shown to operators.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("{0}")]
+pub struct InvalidPolicy(String);
+
+impl InvalidPolicy {
+    /// `reason`: place, value and what was expected.
+    pub fn new(reason: impl Into<String>) -> InvalidPolicy {
+        InvalidPolicy(reason.into())
+    }
+}
+
+/// Compiles policies; the process that hosts the router implements it, for example as a closure.
+pub trait PolicyCompiler: Send {
+    /// Reads a policy and builds from it what requests are served by, without putting it in force.
+    ///
+    /// # Errors
+    /// What is wrong with the policy on this router.
+    fn compile(&mut self, text: &str) -> Result<CompiledPolicy, InvalidPolicy>;
+}
+
+impl<F> PolicyCompiler for F
+where
+    F: FnMut(&str) -> Result<CompiledPolicy, InvalidPolicy> + Send,
+{
+    fn compile(&mut self, text: &str) -> Result<CompiledPolicy, InvalidPolicy> {
+        self(text)
+    }
+}
 
 /// Questions that may be under way.
 const MAX_OPEN_REQUESTS: usize = 256;
@@ -27,7 +54,7 @@
     id: String,
     text: String,
     digest: u64,
-    made: Result<Made, String>,
+    compiled: Result<CompiledPolicy, InvalidPolicy>,
     /// The first question that said so: answers to earlier ones count no more.
     since: u64,
 }
@@ -43,14 +70,14 @@
 
 /// A router as one that holds a lease.
 pub struct LeaseHolder {
-    attempt: Try,
+    compiler: Box<dyn PolicyCompiler>,
     epoch: u64,
     digest: u64,
     text: String,
-    made: Option<Made>,
+    made: Option<CompiledPolicy>,
     until: Duration,
     term: Term,
-    version: (u32, u64),
+    version: StateVersion,
     recent: Vec<ProposalOutcome>,
     leader: Option<String>,
     voters: Vec<String>,
@@ -62,7 +89,7 @@
     answered: u64,
     next: Duration,
     /// Why the policy in force can't be taken here, if it can't.
-    stuck: Option<String>,
+    stuck: Option<InvalidPolicy>,
 }
 
 /// What an answer changed.
@@ -76,16 +103,16 @@
 
 impl LeaseHolder {
     /// A router at its start: it knows no epoch.
-    pub fn new(attempt: Try) -> LeaseHolder {
+    pub fn new(compiler: Box<dyn PolicyCompiler>) -> LeaseHolder {
         LeaseHolder {
-            attempt,
+            compiler,
             epoch: 0,
             digest: 0,
             text: String::new(),
             made: None,
             until: Duration::ZERO,
             term: Term::default(),
-            version: (0, 0),
+            version: StateVersion::default(),
             recent: Vec::new(),
             leader: None,
             voters: Vec::new(),
@@ -110,7 +137,7 @@
     }
 
     /// What it made of it.
-    pub fn made(&self) -> Option<&Made> {
+    pub fn made(&self) -> Option<&CompiledPolicy> {
         self.made.as_ref()
     }
 
@@ -135,7 +162,7 @@
     }
 
     /// The state that the leader told of last: the configuration and the entries in it.
-    pub fn version(&self) -> (u32, u64) {
+    pub fn version(&self) -> StateVersion {
         self.version
     }
 
@@ -150,16 +177,8 @@
     }
 
     /// Why the policy in force can't be taken here.
-    pub fn stuck(&self) -> Option<&str> {
-        self.stuck.as_deref()
-    }
-
-    /// Tries a policy without taking it.
-    ///
-    /// # Errors
-    /// What is wrong with it, with its place.
-    pub fn attempt(&mut self, text: &str) -> Result<Made, String> {
-        (self.attempt)(text)
+    pub fn stuck(&self) -> Option<&InvalidPolicy> {
+        self.stuck.as_ref()
     }
 
     /// Whether the leader has not answered the last questions: another is to be asked.
@@ -175,7 +194,7 @@
     /// The question, now.
     pub fn ask(&mut self, now: Duration) -> LeaseRequest {
         self.nonce += 1;
-        if let Some(tried) = self.tried.as_mut().filter(|t| t.made.is_ok()) {
+        if let Some(tried) = self.tried.as_mut().filter(|t| t.compiled.is_ok()) {
             if tried.since == 0 {
                 tried.since = self.nonce;
                 // Late answers to what was asked before must not bring a long lease back, now or after the trial.
@@ -188,7 +207,7 @@
         if self.asks.len() > MAX_OPEN_REQUESTS {
             self.asks.pop_front();
         }
-        let short = self.tried.as_ref().is_some_and(|t| t.made.is_ok());
+        let short = self.tried.as_ref().is_some_and(|t| t.compiled.is_ok());
         self.next = now
             + match () {
                 () if short => timing::SHORT_RENEW_INTERVAL,
@@ -200,8 +219,11 @@
             epoch: self.epoch,
             digest: self.digest,
             version: self.version,
-            tried: self.tried.as_ref().map(|t| (t.id.clone(), t.made.as_ref().err().cloned())),
-            short_leases_since: self.tried.as_ref().filter(|t| t.made.is_ok()).map_or(0, |t| t.since),
+            tried: self.tried.as_ref().map(|t| TriedChange {
+                id: t.id.clone(),
+                rejection: t.compiled.as_ref().err().map(ToString::to_string),
+            }),
+            short_leases_since: self.tried.as_ref().filter(|t| t.compiled.is_ok()).map_or(0, |t| t.since),
             released: false,
         }
     }
@@ -247,16 +269,16 @@
         if let Some(trial) = &grant.trial {
             let known = self.tried.as_ref().is_some_and(|t| t.id == trial.id);
             if let (false, Some(text)) = (known, &trial.text) {
-                let made = (self.attempt)(text);
+                let compiled = self.compiler.compile(text);
                 let (id, digest) = (trial.id.clone(), digest(text));
-                self.tried = Some(PreparedPolicy { id, text: text.clone(), digest, made, since: 0 });
+                self.tried = Some(PreparedPolicy { id, text: text.clone(), digest, compiled, since: 0 });
                 (came.ask, self.next) = (true, now);
             }
         }
         self.trial = grant.trial.map(|t| PendingChange { id: t.id, waits_for: t.waits_for });
         let asked = self.asks.iter().find(|(nonce, _)| *nonce == grant.nonce).map(|(_, at)| *at);
         let counts =
-            self.tried.as_ref().is_none_or(|t| t.made.is_err() || t.since != 0 && t.since <= grant.nonce);
+            self.tried.as_ref().is_none_or(|t| t.compiled.is_err() || t.since != 0 && t.since <= grant.nonce);
         if let (Some(asked), true, true) = (asked, counts, grant.epoch == self.epoch) {
             let lease = Duration::from_millis(u64::from(grant.lease_ms));
             self.until = self.until.max(asked + lease);
@@ -271,9 +293,9 @@
     fn move_on(&mut self, epoch: u64, wanted: u64, sent: Option<String>, came: &mut GrantEffect) {
         let tried = self.tried.take().filter(|t| t.digest == wanted);
         let (text, made) = match (tried, sent) {
-            (Some(tried), _) => (tried.text, tried.made),
+            (Some(tried), _) => (tried.text, tried.compiled),
             (None, Some(text)) if digest(&text) == wanted => {
-                let made = (self.attempt)(&text);
+                let made = self.compiler.compile(&text);
                 (text, made)
             }
             // The next question tells the leader that the policy is missing here.
--- a/crates/consensus/src/lease_holder/tests.rs
+++ b/crates/consensus/src/lease_holder/tests.rs
@@ -4,12 +4,16 @@
 const MS: fn(u64) -> Duration = Duration::from_millis;
 
 fn lease_holder() -> LeaseHolder {
-    LeaseHolder::new(Box::new(|text| match text {
-        "bad" => Err("line 1: bad".into()),
-        text => Ok(Arc::new(text.to_owned())),
+    LeaseHolder::new(Box::new(|text: &str| match text {
+        "bad" => Err(InvalidPolicy::new("line 1: bad")),
+        text => Ok(Arc::new(text.to_owned()) as CompiledPolicy),
     }))
 }
 
+fn tried(id: &str, rejection: Option<&str>) -> TriedChange {
+    TriedChange { id: id.into(), rejection: rejection.map(str::to_owned) }
+}
+
 fn grant(nonce: u64, epoch: u64, text: &str, lease_ms: u32) -> Grant {
     let text_of = Some(text.to_owned());
     Grant { nonce, epoch, digest: digest(text), lease_ms, text: text_of, ..Grant::default() }
@@ -38,7 +42,7 @@
     let told = Grant { trial: Some(trial("x", "two")), lease_ms: 0, ..grant(0, 1, "one", 0) };
     assert!(h.answer(MS(110), told.clone()).ask);
     let short = h.ask(MS(111));
-    assert!(short.short_leases_since == short.nonce && short.tried == Some(("x".into(), None)));
+    assert!(short.short_leases_since == short.nonce && short.tried == Some(tried("x", None)));
     assert_eq!(h.until(), MS(111) + timing::SHORT_LEASE);
     h.answer(MS(112), Grant { trial: told.trial.clone(), ..grant(before.nonce, 1, "one", 3_000) });
     assert_eq!(h.until(), MS(111) + timing::SHORT_LEASE, "granted before the trial");
@@ -59,7 +63,7 @@
     let bad = Grant { trial: Some(trial("x", "bad")), ..grant(0, 1, "one", 0) };
     h.answer(MS(10), bad);
     let ask = h.ask(MS(11));
-    assert_eq!((ask.tried, ask.short_leases_since), (Some(("x".into(), Some("line 1: bad".into()))), 0));
+    assert_eq!((ask.tried, ask.short_leases_since), (Some(tried("x", Some("line 1: bad"))), 0));
     assert_eq!(h.until(), MS(3_000));
     let came = h.answer(MS(20), Grant { text: Some("bad".into()), ..grant(ask.nonce, 2, "bad", 3_000) });
     assert!(!came.epoch && h.stuck().is_some() && h.until() == Duration::ZERO, "it can't act by it");
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -35,7 +35,7 @@
 pub use consensus::Consensus;
 pub use disk::Disk;
 pub use handle::{PartitionMode, PendingChange, Permit, PolicyHandle, ProposalStatus, RouterStatus};
-pub use lease_holder::{Lease, Made, Try};
+pub use lease_holder::{CompiledPolicy, InvalidPolicy, Lease, PolicyCompiler};
 pub use member::{Member, MembershipDirectory};
 pub use startup::{ConsensusConfig, PeerDirectory, Startup};
 pub use voter::{Heartbeat, Term};
--- a/crates/consensus/src/log.rs
+++ b/crates/consensus/src/log.rs
@@ -4,7 +4,6 @@
 //! not whole was never acknowledged to anybody, and is dropped; a frame that is not whole with others behind it is damage, and the whole file
 //! is refused, as a voter that has forgotten a promise must not vote.
 
-use std::fmt;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 /// The first line of a file that this build writes.
@@ -13,31 +12,37 @@
 /// The longest frame.
 pub const MAX_FRAME_LEN: usize = 64 << 20;
 
-/// Why a file is not taken.
-#[derive(Clone, Debug, PartialEq, Eq)]
+/// Why a log file is refused.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum LogError {
-    /// It is of another version: its first line.
-    Version(String),
-    /// A frame is damaged with others behind it: where, in bytes from the start.
-    Frame(usize),
-    /// A whole frame can't be read as a record: where, and what was expected.
-    Record(usize, String),
+    /// The file is of another version.
+    #[error("{0:?}: expected {expected:?}", expected = String::from_utf8_lossy(FILE_HEADER).trim_end())]
+    Version(
+        /// Its first line.
+        String,
+    ),
+    /// A frame is damaged with others behind it.
+    #[error("byte {0}: a damaged frame with others behind it")]
+    DamagedFrame(
+        /// Where it begins, bytes from the start of the file.
+        usize,
+    ),
+    /// The content of a complete frame is no record.
+    #[error("byte {offset}: a whole frame that is no record: {source}")]
+    NotARecord {
+        /// Where the frame begins, bytes from the start of the file.
+        offset: usize,
+        /// What was wrong with its content.
+        source: postcard::Error,
+    },
+    /// A record of writes stands before that of the configuration which they belong to.
+    #[error("byte {offset}: notes before a configuration: expected its terms first")]
+    WritesBeforeConfiguration {
+        /// Where its frame begins, bytes from the start of the file.
+        offset: usize,
+    },
 }
 
-impl fmt::Display for LogError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            LogError::Version(found) => {
-                write!(f, "{found:?}: expected {:?}", String::from_utf8_lossy(FILE_HEADER).trim_end())
-            }
-            LogError::Frame(at) => write!(f, "byte {at}: a damaged frame with others behind it"),
-            LogError::Record(at, what) => write!(f, "byte {at}: {what}"),
-        }
-    }
-}
-
-impl std::error::Error for LogError {}
-
 fn sum(len: u32, content: &[u8]) -> u64 {
     xxh3_64_with_seed(content, u64::from(len))
 }
@@ -74,7 +79,7 @@
                 all.push((at, content));
                 at += FRAME_HEADER_LEN + content.len();
             }
-            None if followed(&file[at..]) => return Err(LogError::Frame(at)),
+            None if followed(&file[at..]) => return Err(LogError::DamagedFrame(at)),
             None => break,
         }
     }
--- a/crates/consensus/src/policy_state.rs
+++ b/crates/consensus/src/policy_state.rs
@@ -92,6 +92,25 @@
     texts: VecDeque<(u64, String)>,
 }
 
+/// Why a change can't begin. The text reaches operators as the reason of a rejection.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum ProposalConflict {
+    /// Another change is under way.
+    #[error("change {id} is under way: expected one at a time")]
+    ChangePending {
+        /// The id of that change.
+        id: String,
+    },
+    /// It was made on top of an epoch that is not in force.
+    #[error("made for epoch {base_epoch}: expected {in_force}, which is in force")]
+    OtherEpoch {
+        /// The epoch on top of which it was made.
+        base_epoch: u64,
+        /// The epoch in force.
+        in_force: u64,
+    },
+}
+
 /// A policy's name by its content.
 pub fn digest(text: &str) -> u64 {
     xxh3_64(text.as_bytes())
@@ -132,21 +151,19 @@
         self.texts.iter().cloned().collect()
     }
 
-    /// Why a change can't begin now, if it can't.
-    pub fn refuses(&self, proposal: &Proposal) -> Option<String> {
-        match &self.pending {
-            Some(other) if other.id != proposal.id => {
-                return Some(format!("change {} is under way: expected one at a time", other.id))
-            }
-            _ => {}
+    /// Whether a change can begin now.
+    ///
+    /// # Errors
+    /// Why it can't.
+    pub fn check(&self, proposal: &Proposal) -> Result<(), ProposalConflict> {
+        if let Some(other) = self.pending.as_ref().filter(|other| other.id != proposal.id) {
+            return Err(ProposalConflict::ChangePending { id: other.id.clone() });
         }
         if proposal.base_epoch != 0 && proposal.base_epoch != self.epoch {
-            return Some(format!(
-                "made for epoch {}: expected {}, which is in force",
-                proposal.base_epoch, self.epoch
-            ));
+            let (base_epoch, in_force) = (proposal.base_epoch, self.epoch);
+            return Err(ProposalConflict::OtherEpoch { base_epoch, in_force });
         }
-        None
+        Ok(())
     }
 
     /// Takes one step.
@@ -158,12 +175,13 @@
                 if known {
                     return;
                 }
-                match self.refuses(proposal) {
-                    Some(why) => {
-                        let no = Rejection { router: proposal.from.clone(), reason: why };
-                        self.end(proposal, Decision::Dropped(vec![no]));
+                match self.check(proposal) {
+                    Ok(()) => self.pending = Some(proposal.clone()),
+                    Err(conflict) => {
+                        let reason = conflict.to_string();
+                        let rejection = Rejection { router: proposal.from.clone(), reason };
+                        self.end(proposal, Decision::Dropped(vec![rejection]));
                     }
-                    None => self.pending = Some(proposal.clone()),
                 }
             }
             Entry::Reconfigure(_) => {}
--- a/crates/consensus/src/policy_state/tests.rs
+++ b/crates/consensus/src/policy_state/tests.rs
@@ -64,3 +64,15 @@
     );
     assert!(policy_state.outcome("3").is_none() && policy_state.text_of(2).is_none());
 }
+
+#[test]
+fn a_proposal_that_conflicts_is_dropped_with_the_reason_in_words() {
+    let mut state = PolicyState::founded("one", "a", 0);
+    let late = Proposal { id: "late".into(), base_epoch: 7, ..book_proposal() };
+    state.apply(&Entry::Propose(late));
+    state.apply(&propose("x", "two"));
+    state.apply(&propose("y", "three"));
+    let reason = |id: &str| state.outcome(id).map(|outcome| outcome.rejections[0].reason.clone());
+    assert_eq!(reason("late").as_deref(), Some("made for epoch 7: expected 1, which is in force"));
+    assert_eq!(reason("y").as_deref(), Some("change x is under way: expected one at a time"));
+}
--- a/crates/consensus/src/startup.rs
+++ b/crates/consensus/src/startup.rs
@@ -2,9 +2,8 @@
 
 use crate::disk::Disk;
 use crate::handle::{PartitionMode, PolicyHandle};
-use crate::lease_holder::Try;
-use crate::log::LogError;
-use crate::storage::StoredState;
+use crate::lease_holder::PolicyCompiler;
+use crate::storage::{StorageError, StoredState};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
@@ -37,11 +36,11 @@
 /// What a router is given at its start.
 pub struct Startup {
     /// What its disk held; `None`: it has no disk, and does not vote.
-    pub stored: Option<Result<StoredState, LogError>>,
+    pub stored: Option<Result<StoredState, StorageError>>,
     /// Its disk.
     pub disk: Box<dyn Disk>,
     /// Compiles policies.
-    pub compiler: Try,
+    pub compiler: Box<dyn PolicyCompiler>,
     /// Finds other routers.
     pub directory: Box<dyn PeerDirectory>,
     /// A random number, another at each start.
--- a/crates/consensus/src/storage.rs
+++ b/crates/consensus/src/storage.rs
@@ -151,6 +151,17 @@
     pub valid_len: usize,
 }
 
+/// Why the state that a voter stored can't be used.
+#[derive(Debug, thiserror::Error)]
+pub enum StorageError {
+    /// The file can't be read.
+    #[error("byte 0: {0}")]
+    Unreadable(#[source] std::io::Error),
+    /// Its content is refused.
+    #[error(transparent)]
+    Log(#[from] LogError),
+}
+
 /// Reads a file.
 ///
 /// # Errors
@@ -159,8 +170,8 @@
     let (all, held) = frames(file)?;
     let mut found = StoredState { valid_len: held, ..StoredState::default() };
     for (at, content) in all {
-        let record: Record = postcard::from_bytes(content)
-            .map_err(|e| LogError::Record(at, format!("a whole frame that is no record: {e}")))?;
+        let record: Record =
+            postcard::from_bytes(content).map_err(|source| LogError::NotARecord { offset: at, source })?;
         match record {
             Record::Disk(id) => found.disk = Some(id),
             Record::Configuration(configuration) => {
@@ -168,12 +179,7 @@
             }
             Record::Writes(ops) => match &mut found.configuration {
                 Some((_, noted)) => ops.iter().for_each(|op| noted.take(op)),
-                None => {
-                    return Err(LogError::Record(
-                        at,
-                        "notes before a configuration: expected its terms first".into(),
-                    ))
-                }
+                None => return Err(LogError::WritesBeforeConfiguration { offset: at }),
             },
         }
     }
--- a/crates/consensus/src/voter.rs
+++ b/crates/consensus/src/voter.rs
@@ -10,6 +10,7 @@
 use crate::storage::{PersistedState, VoterStorage};
 use crate::timing;
 use crate::voter_identity::VoterIdentity;
+use crate::wire::StateVersion;
 use omnipaxos::messages::Message;
 use omnipaxos::util::NodeId;
 use omnipaxos::{ClusterConfig, OmniPaxos, OmniPaxosConfig, ServerConfig};
@@ -126,6 +127,11 @@
         self.applied
     }
 
+    /// The version of that state.
+    pub(crate) fn version(&self) -> StateVersion {
+        StateVersion { configuration: self.configuration.number, applied: self.applied as u64 }
+    }
+
     fn member(&self, at: NodeId) -> Option<&VoterIdentity> {
         self.configuration.voters.get((at as usize).checked_sub(1)?)
     }
--- a/crates/consensus/src/wire.rs
+++ b/crates/consensus/src/wire.rs
@@ -9,7 +9,6 @@
 use crate::{policy_state::Entry, timing};
 use omnipaxos::messages::Message;
 use serde::{Deserialize, Serialize};
-use std::fmt;
 use xxhash_rust::xxh3::xxh3_64;
 
 /// How frames begin, on connections and in datagrams.
@@ -31,6 +30,24 @@
     pub incarnation: u64,
 }
 
+/// A state of the agreement, in an order in which later states are greater.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
+pub struct StateVersion {
+    /// The configuration's number.
+    pub configuration: u32,
+    /// Entries applied in it.
+    pub applied: u64,
+}
+
+/// A change that a router has tried.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct TriedChange {
+    /// The proposal's id.
+    pub id: String,
+    /// Why the router can't take it; `None`: it can.
+    pub rejection: Option<String>,
+}
+
 /// A router asks whether it may take requests by its epoch, and says how it stands.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseRequest {
@@ -41,9 +58,9 @@
     /// Of the policy that it has.
     pub digest: u64,
     /// What it knows, as [`Grant::version`].
-    pub version: (u32, u64),
+    pub version: StateVersion,
     /// The change that it has tried, and why it can't take it, if it can't.
-    pub tried: Option<(String, Option<String>)>,
+    pub tried: Option<TriedChange>,
     /// It has given up whatever was answered to questions before this one, and wants short leases alone; 0: it has not.
     pub short_leases_since: u64,
     /// It takes no requests any more, and wants no answer.
@@ -81,7 +98,7 @@
     /// The change under way.
     pub trial: Option<Trial>,
     /// The configuration and the entries in it that this is the state after.
-    pub version: (u32, u64),
+    pub version: StateVersion,
     /// How the last changes ended, where the router's version is another.
     pub recent: Option<Vec<ProposalOutcome>>,
     /// Who votes.
@@ -141,34 +158,25 @@
 }
 
 /// Why bytes are not a frame.
-#[derive(Clone, Debug, PartialEq, Eq)]
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FrameError {
-    /// They don't begin as one.
+    /// They don't begin as a frame does.
+    #[error("not a frame about policy")]
     NotAFrame,
-    /// Another version.
+    /// The frame is of another version.
+    #[error("version {0}: expected {VERSION}")]
     Version(u8),
-    /// Longer than is taken.
+    /// The frame is longer than this build takes: its length in bytes.
+    #[error("{0} bytes: expected {MAX_FRAME_LEN} at most")]
     TooLong(usize),
-    /// Changed or cut short on the way.
+    /// The frame was changed or cut short on the way.
+    #[error("changed or cut short on the way")]
     Checksum,
-    /// The checksum is right and the content is not.
+    /// The checksum is right and the content can't be read.
+    #[error("a whole frame that can't be read")]
     Malformed,
 }
 
-impl fmt::Display for FrameError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            FrameError::NotAFrame => f.write_str("not a frame about policy"),
-            FrameError::Version(found) => write!(f, "version {found}: expected {VERSION}"),
-            FrameError::TooLong(n) => write!(f, "{n} bytes: expected {MAX_FRAME_LEN} at most"),
-            FrameError::Checksum => f.write_str("changed or cut short on the way"),
-            FrameError::Malformed => f.write_str("a whole frame that can't be read"),
-        }
-    }
-}
-
-impl std::error::Error for FrameError {}
-
 impl Frame {
     /// The bytes.
     pub fn encode(&self) -> Vec<u8> {
--- a/crates/consensus/src/wire/tests.rs
+++ b/crates/consensus/src/wire/tests.rs
@@ -4,7 +4,11 @@
 #[test]
 fn a_frame_comes_back_from_any_pieces_and_changed_bytes_are_refused() {
     let from = Peer { name: "a".into(), disk: 3, incarnation: 4 };
-    let ask = LeaseRequest { nonce: 7, tried: Some(("x".into(), None)), ..LeaseRequest::default() };
+    let ask = LeaseRequest {
+        nonce: 7,
+        tried: Some(TriedChange { id: "x".into(), rejection: None }),
+        ..LeaseRequest::default()
+    };
     let bytes =
         Frame { fleet: "f".into(), from: from.clone(), body: Body::LeaseRequest(ask.clone()) }.encode();
     for cut in 0..bytes.len() {
@@ -52,8 +56,8 @@
         nonce: 1,
         epoch: 2,
         digest: 3,
-        version: (4, 5),
-        tried: Some(("x".into(), Some("expected a time".into()))),
+        version: StateVersion { configuration: 4, applied: 5 },
+        tried: Some(TriedChange { id: "x".into(), rejection: Some("expected a time".into()) }),
         short_leases_since: 6,
         released: true,
     }
@@ -78,7 +82,7 @@
         lease_ms: 3_000,
         text: Some("policy".into()),
         trial: Some(Trial { id: "x".into(), text: Some("next".into()), waits_for: vec!["router-c".into()] }),
-        version: (4, 5),
+        version: StateVersion { configuration: 4, applied: 5 },
         recent: Some(vec![outcome]),
         voters: vec!["router-a".into(), "router-b".into()],
     }
--- a/crates/consensus/tests/common/mod.rs
+++ b/crates/consensus/tests/common/mod.rs
@@ -3,7 +3,8 @@
 #![allow(dead_code)]
 
 use slipreel_consensus::{
-    storage, Consensus, ConsensusConfig, Disk, PartitionMode, PeerDirectory, PolicyHandle, Startup,
+    storage, Consensus, ConsensusConfig, Disk, InvalidPolicy, PartitionMode, PeerDirectory, PolicyHandle,
+    Startup,
 };
 use slipreel_state_machine::{Input, Machine, Output};
 use slipreel_test_servers::memory::{Delays, World};
@@ -233,13 +234,13 @@
         let bad = format!("bad for r{r}");
         let attempt = move |text: &str| {
             if text.contains(&bad) {
-                Err(format!("[limits] attempts: {text:?}: expected 1 or more"))
+                Err(InvalidPolicy::new(format!("[limits] attempts: {text:?}: expected 1 or more")))
             } else {
-                Ok(Arc::new(text.to_owned()) as slipreel_consensus::Made)
+                Ok(Arc::new(text.to_owned()) as slipreel_consensus::CompiledPolicy)
             }
         };
         let start = Startup {
-            stored: Some(storage::read(&self.disks[r].after_crash())),
+            stored: Some(storage::read(&self.disks[r].after_crash()).map_err(Into::into)),
             disk: Box::new(self.disks[r].clone()),
             compiler: Box::new(attempt),
             directory: Box::new(Fixed(self.len())),
--- a/crates/consensus/tests/explore.rs
+++ b/crates/consensus/tests/explore.rs
@@ -165,9 +165,11 @@
         };
         let found = read(&self.plates[r].0.lock().expect("no panic under it"));
         let start = Startup {
-            stored: Some(found),
+            stored: Some(found.map_err(Into::into)),
             disk: Box::new(self.plates[r].clone()),
-            compiler: Box::new(|text| Ok(Arc::new(text.to_owned()) as slipreel_consensus::Made)),
+            compiler: Box::new(|text: &str| {
+                Ok(Arc::new(text.to_owned()) as slipreel_consensus::CompiledPolicy)
+            }),
             directory: Box::new(All),
             seed: self.lives.wrapping_mul(0x9e37_79b9_7f4a_7c15),
             unix_time_at_zero: Duration::ZERO,
--- a/crates/fault-injection/src/memory.rs
+++ b/crates/fault-injection/src/memory.rs
@@ -13,8 +13,8 @@
 use slipreel_consensus::policy_state::Proposal;
 use slipreel_consensus::wire::OperatorRequest;
 use slipreel_consensus::{
-    Consensus, Made, Member, MembershipDirectory, PartitionMode, Permit, PolicyHandle, ProposalStatus,
-    Startup,
+    CompiledPolicy, Consensus, InvalidPolicy, Member, MembershipDirectory, PartitionMode, Permit,
+    PolicyHandle, ProposalStatus, Startup,
 };
 use slipreel_gateway::{Front, Sharing};
 use slipreel_invariants::policy::Said;
@@ -177,12 +177,15 @@
             max_datagram_len: self.script.datagram,
         };
         let attempt = move |policy: &str| match slipreel_settings::join(&text, "own", policy) {
-            Ok(daemon) => Ok(Arc::new(daemon.site) as Made),
-            Err(faults) => Err(faults.iter().map(ToString::to_string).collect::<Vec<_>>().join("; ")),
+            Ok(daemon) => Ok(Arc::new(daemon.site) as CompiledPolicy),
+            Err(faults) => {
+                let reasons: Vec<String> = faults.iter().map(ToString::to_string).collect();
+                Err(InvalidPolicy::new(reasons.join("; ")))
+            }
         };
         let router = &self.routers[r];
         let start = Startup {
-            stored: Some(slipreel_consensus::storage::read(&router.platter.found())),
+            stored: Some(slipreel_consensus::storage::read(&router.platter.found()).map_err(Into::into)),
             disk: Box::new(router.platter.clone()),
             compiler: Box::new(attempt),
             directory: Box::new(MembershipDirectory(view.clone())),
@@ -195,7 +198,9 @@
 
     /// What a broken router's front looks at in place of what the machine says.
     fn misled(&mut self, r: usize, now: Duration) {
-        let made = slipreel_settings::parse(&self.own_text(r), "own").ok().map(|d| Arc::new(d.site) as Made);
+        let made = slipreel_settings::parse(&self.own_text(r), "own")
+            .ok()
+            .map(|d| Arc::new(d.site) as CompiledPolicy);
         let board = Arc::new(PolicyHandle::default());
         board.set_permit(Permit {
             epoch: 1,
