--- a/crates/consensus/src/consensus.rs
+++ b/crates/consensus/src/consensus.rs
@@ -169,7 +169,7 @@
     /// Frames to a peer may be lost: the voters agree anew on where they stand.
     fn resynchronise(&mut self, peer: &str) {
         if let Some(voter) = &mut self.voter {
-            voter.broke_off(peer);
+            voter.resynchronise(peer);
         }
     }
 
@@ -183,7 +183,7 @@
             _ => None,
         };
         let leader = leader.or(self.lease_holder.leader()).filter(|leader| *leader != self.me.name);
-        if let (Some(leader), false) = (leader, self.lease_holder.is_lost()) {
+        if let (Some(leader), false) = (leader, self.lease_holder.leader_is_silent()) {
             return Some(leader.to_owned());
         }
         let voters = self.lease_holder.voters().iter().chain(&self.config.founders).cloned();
@@ -195,10 +195,12 @@
     }
 
     fn request_lease(&mut self, now: Duration, out: &mut Vec<Output>) {
-        let request = self.lease_holder.ask(now);
+        let request = self.lease_holder.next_request(now);
         self.next_candidate = self.next_candidate.wrapping_add(1);
         match self.lease_request_target() {
-            Some(to) if to == self.me.name => self.leadership.ask(now, self.me.clone(), None, request),
+            Some(to) if to == self.me.name => {
+                self.leadership.record_request(now, self.me.clone(), None, request)
+            }
             Some(to) => self.send(now, &to, Body::LeaseRequest(request), out),
             None => {}
         }
@@ -261,7 +263,7 @@
 
     /// Gives its lease back, so that no change waits for it, and does nothing more.
     fn stop(&mut self, now: Duration, out: &mut Vec<Output>) {
-        let request = self.lease_holder.give_up();
+        let request = self.lease_holder.release();
         self.publish();
         match self.lease_request_target() {
             Some(to) if to == self.me.name => {}
@@ -313,12 +315,13 @@
         self.tick(now, out);
         self.progress(now, out);
         let leading = self.voter.as_ref().filter(|_| self.leads());
-        self.timers.leader_due = leading.and_then(|voter| self.leadership.due(now, voter));
+        self.timers.leader_due = leading.and_then(|voter| self.leadership.next_due(now, voter));
         self.publish();
     }
 
     fn wake_at(&self) -> Option<Duration> {
         let leader_due = self.timers.leader_due.unwrap_or(Duration::MAX);
-        (!self.stopped).then(|| self.timers.next_tick.min(self.lease_holder.due()).min(leader_due))
+        (!self.stopped)
+            .then(|| self.timers.next_tick.min(self.lease_holder.next_request_at()).min(leader_due))
     }
 }
--- a/crates/consensus/src/consensus/leading.rs
+++ b/crates/consensus/src/consensus/leading.rs
@@ -18,7 +18,7 @@
                 break;
             }
         }
-        if now >= self.lease_holder.due() {
+        if now >= self.lease_holder.next_request_at() {
             self.request_lease(now, out);
             // A leader grants its own request as soon as it is confirmed.
             if self.durable_file.is_healthy() {
@@ -54,23 +54,23 @@
     /// What a leader does. Whether it appended to the log.
     fn lead(&mut self, now: Duration, out: &mut Vec<Output>) -> bool {
         let Some(voter) = &mut self.voter else { return false };
-        if !self.leadership.mind(now, voter) {
+        if !self.leadership.sync_term(now, voter) {
             if !voter.leads() {
-                voter.forget_round();
+                voter.abandon_round();
             }
             return false;
         }
-        let changed_grants = self.leadership.news(now, voter);
-        let action = self.leadership.step(now, voter);
-        let begins = action.is_none() && self.leadership.begins_round(voter);
-        let heartbeat = if begins { voter.ask_to_confirm(now) } else { voter.ask_again(now) };
+        let changed_grants = self.leadership.changed_grants(now, voter);
+        let action = self.leadership.next_action(now, voter);
+        let begins = action.is_none() && self.leadership.begin_round(voter);
+        let heartbeat = if begins { voter.begin_heartbeat_round(now) } else { voter.resend_heartbeat(now) };
         let appended = action.is_some();
         match action {
             Some(LeaderAction::Append(entry)) => voter.append(entry),
-            Some(LeaderAction::Reconfigure(voters)) => voter.hand_over(&voters),
+            Some(LeaderAction::Reconfigure(voters)) => voter.end_configuration(&voters),
             None => {}
         }
-        let confirmed = voter.has_confirmed();
+        let confirmed = voter.finish_confirmed_round();
         let names: Vec<String> = voter.configuration.voters.iter().map(|v| v.name.clone()).collect();
         self.send_grants(now, changed_grants, out);
         if let Some(heartbeat) = heartbeat {
@@ -95,7 +95,7 @@
     /// A majority has confirmed that this router leads: it grants the leases that were asked for before.
     pub(super) fn grant_confirmed(&mut self, now: Duration, out: &mut Vec<Output>) {
         if let Some(voter) = &self.voter {
-            let grants = self.leadership.confirmed(now, voter);
+            let grants = self.leadership.round_confirmed(now, voter);
             self.send_grants(now, grants, out);
         }
     }
--- a/crates/consensus/src/consensus/operators.rs
+++ b/crates/consensus/src/consensus/operators.rs
@@ -35,7 +35,7 @@
         for pending in requests.iter_mut().filter(|pending| pending.is_due(now)) {
             if self.leads() {
                 pending.sent_at = Some(now);
-                self.leadership.say(pending.request.clone());
+                self.leadership.queue_request(pending.request.clone());
             } else if let Some(to) = self.lease_request_target() {
                 pending.sent_at = Some(now);
                 self.send(now, &to, Body::OperatorRequest(pending.request.clone()), out);
@@ -56,8 +56,8 @@
     }
 
     fn knows_proposal(&self, id: &str) -> bool {
-        let learnt = self.lease_holder.recent().iter().any(|outcome| outcome.id == id)
-            || self.lease_holder.trial().is_some_and(|change| change.id == id);
+        let learnt = self.lease_holder.recent_outcomes().iter().any(|outcome| outcome.id == id)
+            || self.lease_holder.pending_change().is_some_and(|change| change.id == id);
         learnt
             || self.policy_state().is_some_and(|state| {
                 state.outcome(id).is_some() || state.pending.as_ref().is_some_and(|p| p.id == id)
--- a/crates/consensus/src/consensus/receive.rs
+++ b/crates/consensus/src/consensus/receive.rs
@@ -24,13 +24,13 @@
             Body::Heartbeat(heartbeat) => self.receive_heartbeat(now, &from, heartbeat, out),
             Body::HeartbeatAck(term, round) => {
                 let voter = identity_of(&from);
-                if self.voter.as_mut().is_some_and(|v| v.confirmed(&voter, term, round)) {
+                if self.voter.as_mut().is_some_and(|v| v.record_ack(&voter, term, round)) {
                     self.grant_confirmed(now, out);
                 }
             }
             Body::LeaseRequest(request) => self.receive_lease_request(now, from, request, out),
             Body::ForwardedLeaseRequest(origin, request) if self.leads() => {
-                self.leadership.ask(now, origin, Some(from.name), request);
+                self.leadership.record_request(now, origin, Some(from.name), request);
             }
             Body::ForwardedLeaseRequest(..) => {}
             Body::Grant(grant) => self.receive_grant(now, grant, out),
@@ -38,7 +38,7 @@
             Body::ForwardedGrant(to, grant) => self.send(now, &to, Body::Grant(grant), out),
             Body::OperatorRequest(request) => {
                 if self.leads() && request.fits() {
-                    self.leadership.say(request);
+                    self.leadership.queue_request(request);
                 }
             }
             Body::Bootstrap(policy) => {
@@ -63,7 +63,7 @@
         };
         let own_number = voter.configuration.number;
         match number.cmp(&own_number) {
-            Ordering::Equal => voter.take(&identity_of(from), message),
+            Ordering::Equal => voter.receive(&identity_of(from), message),
             Ordering::Less => self.send_configuration(now, from, number, out),
             Ordering::Greater => self.request_configuration(now, from, own_number, out),
         }
@@ -72,7 +72,7 @@
     /// A leader asks the voters whether it still leads.
     fn receive_heartbeat(&mut self, now: Duration, from: &Peer, heartbeat: Heartbeat, out: &mut Vec<Output>) {
         let confirms = self.durable_file.is_healthy()
-            && self.voter.as_mut().is_some_and(|voter| voter.asked(now, &heartbeat));
+            && self.voter.as_mut().is_some_and(|voter| voter.acknowledges(now, &heartbeat));
         if confirms {
             self.send(now, &from.name, Body::HeartbeatAck(heartbeat.term, heartbeat.round), out);
         }
@@ -82,7 +82,7 @@
         &mut self, now: Duration, from: Peer, request: LeaseRequest, out: &mut Vec<Output>,
     ) {
         if self.leads() {
-            return self.leadership.ask(now, from, None, request);
+            return self.leadership.record_request(now, from, None, request);
         }
         // The router may not reach the leader itself: the request is forwarded.
         let leader = self.voter.as_ref().and_then(Voter::leader).or(self.lease_holder.leader());
@@ -93,18 +93,18 @@
     }
 
     pub(super) fn receive_grant(&mut self, now: Duration, grant: Grant, out: &mut Vec<Output>) {
-        let error_before = self.lease_holder.stuck().cloned();
-        let effect = self.lease_holder.answer(now, grant);
-        if effect.epoch {
+        let error_before = self.lease_holder.policy_error().cloned();
+        let effect = self.lease_holder.apply_grant(now, grant);
+        if effect.epoch_changed {
             let (epoch, digest) = (self.lease_holder.epoch(), digest(self.lease_holder.text()));
             out.push(Output::Log(format!("policy: acts by epoch {epoch}, digest {digest:016x}")));
             self.bootstrap = None;
         }
-        let error = self.lease_holder.stuck().cloned();
+        let error = self.lease_holder.policy_error().cloned();
         if let Some(why) = error.filter(|why| Some(why) != error_before.as_ref()) {
             out.push(Output::Log(format!("policy: the policy in force can't be taken here: {why}")));
         }
-        if effect.ask {
+        if effect.request_due {
             self.request_lease(now, out);
         }
     }
--- a/crates/consensus/src/consensus/status.rs
+++ b/crates/consensus/src/consensus/status.rs
@@ -68,7 +68,7 @@
         self.publisher.handle.set_permit(Permit {
             epoch: lease.epoch,
             until: lease.until,
-            policy: self.lease_holder.made().cloned(),
+            policy: self.lease_holder.policy().cloned(),
             partition_mode: self.config.partition_mode,
         });
     }
@@ -76,12 +76,16 @@
     fn fingerprint(&self) -> StatusFingerprint {
         let outcomes = match self.policy_state() {
             Some(state) => state.outcomes.len() + state.forgotten as usize,
-            None => self.lease_holder.recent().len(),
+            None => self.lease_holder.recent_outcomes().len(),
         };
         StatusFingerprint {
             configuration: self.configuration_number(),
             epoch: self.lease_holder.epoch(),
-            last_outcome_digest: self.lease_holder.recent().last().map_or(0, |outcome| outcome.digest),
+            last_outcome_digest: self
+                .lease_holder
+                .recent_outcomes()
+                .last()
+                .map_or(0, |outcome| outcome.digest),
             pending: self.pending(),
             leader: self.leader().map(str::to_owned),
             faults: self.faults(),
@@ -114,7 +118,7 @@
         if let Some(why) = self.durable_file.error() {
             faults.push(format!("does not vote: the folder can't be written: {why}"));
         }
-        if let Some(why) = self.lease_holder.stuck() {
+        if let Some(why) = self.lease_holder.policy_error() {
             faults.push(format!("can't take the policy in force: {why}"));
         }
         if self.bootstrap.is_some() {
@@ -138,9 +142,11 @@
                 forgotten: state.forgotten,
                 texts: state.kept_texts(),
             },
-            None => {
-                History { outcomes: self.lease_holder.recent().to_vec(), forgotten: 0, texts: Vec::new() }
-            }
+            None => History {
+                outcomes: self.lease_holder.recent_outcomes().to_vec(),
+                forgotten: 0,
+                texts: Vec::new(),
+            },
         }
     }
 
@@ -152,7 +158,7 @@
     }
 
     fn pending(&self) -> Option<PendingChange> {
-        if let Some(change) = self.lease_holder.trial() {
+        if let Some(change) = self.lease_holder.pending_change() {
             return Some(change.clone());
         }
         let state = self.voter.as_ref().filter(|voter| self.has_caught_up(voter)).map(Voter::policy_state)?;
--- a/crates/consensus/src/leadership.rs
+++ b/crates/consensus/src/leadership.rs
@@ -19,44 +19,58 @@
 struct HolderRecord {
     /// Since when it has held leases without a gap.
     since: Duration,
-    heard: Duration,
+    last_request_at: Duration,
     /// Until when it may hold one, on the leader's clock.
     until: Duration,
-    ask: LeaseRequest,
+    request: LeaseRequest,
     /// The last question that was answered with a long lease.
-    long: u64,
+    last_long_grant: u64,
     /// The voter that hands its questions on.
-    via: Option<String>,
+    forwarder: Option<String>,
 }
 
 impl HolderRecord {
     /// Whether it has tried a change and holds no more than a short lease.
-    fn is_armed(&self, id: &str) -> bool {
-        has_tried(&self.ask, id) && self.long < self.ask.short_leases_since
+    fn is_prepared(&self, id: &str) -> bool {
+        has_tried(&self.request, id) && self.last_long_grant < self.request.short_leases_since
     }
 }
 
 /// A question that waits for a majority to confirm.
 type Waiting = BTreeSet<Peer>;
 
+/// What all routers are told at once when it changes.
+#[derive(Default, PartialEq, Eq)]
+struct Announcement {
+    epoch: u64,
+    /// The change under way, once it can be decided.
+    pending_id: Option<String>,
+}
+
+/// A change that waits to be decided.
+struct WaitingChange {
+    id: String,
+    since: Duration,
+}
+
 /// What a leader keeps.
 #[derive(Default)]
 pub struct Leadership {
     term: Term,
     /// Since when it has led with all that it holds decided.
-    since: Option<Duration>,
+    leading_since: Option<Duration>,
     holders: BTreeMap<Peer, HolderRecord>,
     waiting: Waiting,
     confirming: Waiting,
     requests: Vec<OperatorRequest>,
     /// The change that is being settled.
-    settling: Option<String>,
-    pending_since: Option<(String, Duration)>,
-    seats_at: Duration,
+    deciding: Option<String>,
+    waiting_change: Option<WaitingChange>,
+    reconfigured_at: Duration,
     /// What the last answers told of: a change of it is told at once.
-    told: (u64, Option<String>),
+    announced: Announcement,
     /// Entries that were applied when it was told.
-    told_at: usize,
+    announced_at: usize,
 }
 
 /// A grant, and where it is sent.
@@ -81,38 +95,42 @@
 
 impl Leadership {
     /// Begins anew if another term has begun; nothing of an earlier one counts.
-    pub fn mind(&mut self, now: Duration, voter: &Voter) -> bool {
+    pub fn sync_term(&mut self, now: Duration, voter: &Voter) -> bool {
         let leads = voter.leads();
         if !leads || voter.term() != self.term {
             let requests = std::mem::take(&mut self.requests);
-            *self = Leadership { term: voter.term(), requests, seats_at: now, ..Leadership::default() };
+            *self =
+                Leadership { term: voter.term(), requests, reconfigured_at: now, ..Leadership::default() };
         }
-        if leads && self.since.is_none() && voter.is_settled() {
-            self.since = Some(now);
-            (self.told, self.told_at) = (self.tells(now, voter.policy_state()), voter.applied());
+        if leads && self.leading_since.is_none() && voter.is_settled() {
+            self.leading_since = Some(now);
+            (self.announced, self.announced_at) =
+                (self.announcement(now, voter.policy_state()), voter.applied());
         }
-        leads && self.since.is_some()
+        leads && self.leading_since.is_some()
     }
 
     /// A router asks. Its question waits for the next round.
-    pub fn ask(&mut self, now: Duration, from: Peer, via: Option<String>, ask: LeaseRequest) {
+    pub fn record_request(
+        &mut self, now: Duration, from: Peer, forwarder: Option<String>, request: LeaseRequest,
+    ) {
         if self.holders.len() >= MAX_HOLDERS && !self.holders.contains_key(&from) {
             return;
         }
         let held = self.holders.entry(from.clone()).or_insert_with(|| HolderRecord {
             since: now,
-            heard: now,
+            last_request_at: now,
             until: Duration::ZERO,
-            ask: LeaseRequest::default(),
-            long: 0,
-            via: None,
+            request: LeaseRequest::default(),
+            last_long_grant: 0,
+            forwarder: None,
         });
-        if ask.nonce <= held.ask.nonce {
+        if request.nonce <= held.request.nonce {
             return; // Late: a newer one was taken already.
         }
-        if ask.released {
+        if request.released {
             // It has given up all, and what is still on its way to it counts no more there.
-            (held.until, held.heard, held.ask) = (now, now, ask);
+            (held.until, held.last_request_at, held.request) = (now, now, request);
             self.waiting.remove(&from);
             self.confirming.remove(&from);
             return;
@@ -120,17 +138,20 @@
         if now > held.until {
             held.since = now;
         }
-        if held.long < ask.short_leases_since {
+        if held.last_long_grant < request.short_leases_since {
             // Whatever it held ends with this question. A long lease that was granted after it gave those up is not among it.
             held.until = now + timing::with_clock_drift(timing::SHORT_LEASE);
         }
-        (held.heard, held.ask, held.via) = (now, ask, via);
+        (held.last_request_at, held.request, held.forwarder) = (now, request, forwarder);
         self.waiting.insert(from);
     }
 
     /// Whether a round is wanted; the questions that wait are then those that it answers.
-    pub fn begins_round(&mut self, voter: &Voter) -> bool {
-        if self.settling.is_some() || voter.stops() || !self.confirming.is_empty() || self.waiting.is_empty()
+    pub fn begin_round(&mut self, voter: &Voter) -> bool {
+        if self.deciding.is_some()
+            || voter.is_ending()
+            || !self.confirming.is_empty()
+            || self.waiting.is_empty()
         {
             return false;
         }
@@ -139,8 +160,8 @@
     }
 
     /// The round is over: the answers.
-    pub fn confirmed(&mut self, now: Duration, voter: &Voter) -> Vec<AddressedGrant> {
-        if self.settling.is_some() || voter.stops() {
+    pub fn round_confirmed(&mut self, now: Duration, voter: &Voter) -> Vec<AddressedGrant> {
+        if self.deciding.is_some() || voter.is_ending() {
             // What is being settled may end the epoch at any moment: they are answered after it. And where the configuration ends, the next one's
             // leader may count on it that nothing is granted here any more: their majorities need not share a voter.
             let confirming = std::mem::take(&mut self.confirming);
@@ -161,63 +182,63 @@
         &mut self, now: Duration, peer: &Peer, voter: &Voter, waits_for: &[String], confirmed: bool,
     ) -> Option<AddressedGrant> {
         let policy_state = voter.policy_state();
-        let begun = policy_state.pending.as_ref().filter(|_| self.may_settle(now));
+        let begun = policy_state.pending.as_ref().filter(|_| self.can_decide(now));
         let held = self.holders.get_mut(peer)?;
         let lease = match begun {
             _ if !confirmed => Duration::ZERO,
             None => timing::LEASE,
             // While a change is under way nothing long is granted, and something short to those that have tried it.
-            Some(p) if held.is_armed(&p.id) => timing::SHORT_LEASE,
+            Some(p) if held.is_prepared(&p.id) => timing::SHORT_LEASE,
             Some(_) => Duration::ZERO,
         };
         if !lease.is_zero() {
             held.until = held.until.max(now + timing::with_clock_drift(lease));
         }
         if lease > timing::SHORT_LEASE {
-            held.long = held.ask.nonce;
+            held.last_long_grant = held.request.nonce;
         }
         let version = voter.version();
         let trial = begun.map(|p| Trial {
             id: p.id.clone(),
-            text: (held.ask.tried.as_ref().map(|tried| &tried.id) != Some(&p.id)).then(|| p.text.clone()),
+            text: (held.request.tried.as_ref().map(|tried| &tried.id) != Some(&p.id)).then(|| p.text.clone()),
             waits_for: waits_for.to_vec(),
         });
         let grant = Grant {
-            nonce: held.ask.nonce,
+            nonce: held.request.nonce,
             term: self.term,
             leader: voter.leader().unwrap_or_default().to_owned(),
             epoch: policy_state.epoch,
             digest: policy_state.digest,
             lease_ms: lease.as_millis() as u32,
-            text: (held.ask.digest != policy_state.digest && !just_tried(&held.ask, policy_state))
+            text: (held.request.digest != policy_state.digest && !just_tried(&held.request, policy_state))
                 .then(|| policy_state.text.clone()),
             trial,
             version,
-            recent: (held.ask.version != version).then(|| policy_state.recent()),
+            recent: (held.request.version != version).then(|| policy_state.recent()),
             voters: voter.configuration.voters.iter().map(|s| s.name.clone()).collect(),
         };
-        Some(AddressedGrant { peer: peer.clone(), forwarder: held.via.clone(), grant })
+        Some(AddressedGrant { peer: peer.clone(), forwarder: held.forwarder.clone(), grant })
     }
 
     /// What has been decided since the last call is told to all at once, as further answers to their last questions.
-    pub fn news(&mut self, now: Duration, voter: &Voter) -> Vec<AddressedGrant> {
+    pub fn changed_grants(&mut self, now: Duration, voter: &Voter) -> Vec<AddressedGrant> {
         let policy_state = voter.policy_state();
-        if self.settling.as_ref().is_some_and(|id| policy_state.pending.as_ref().is_none_or(|p| p.id != *id))
+        if self.deciding.as_ref().is_some_and(|id| policy_state.pending.as_ref().is_none_or(|p| p.id != *id))
         {
-            self.settling = None;
+            self.deciding = None;
         }
-        let told = self.tells(now, policy_state);
-        if self.since.is_none() || self.settling.is_some() || self.told == told {
+        let told = self.announcement(now, policy_state);
+        if self.leading_since.is_none() || self.deciding.is_some() || self.announced == told {
             return Vec::new();
         }
         // What was decided since, was in this leader's own term, by a majority, after those questions: that confirms them as a round does.
         // Where a change begins by time alone nothing does, and nothing is granted.
-        let decided = voter.applied() > std::mem::replace(&mut self.told_at, voter.applied());
-        self.told = told;
+        let decided = voter.applied() > std::mem::replace(&mut self.announced_at, voter.applied());
+        self.announced = told;
         let all: Vec<Peer> = self
             .holders
             .iter()
-            .filter(|(_, h)| now < h.heard + timing::LEASE && !h.ask.released)
+            .filter(|(_, h)| now < h.last_request_at + timing::LEASE && !h.request.released)
             .map(|(p, _)| p.clone())
             .collect();
         self.grants(now, &all, voter, decided)
@@ -226,10 +247,10 @@
     /// Routers that a change waits for: they may act by the old epoch for longer than a short lease.
     fn waits_for(&self, now: Duration, policy_state: &PolicyState) -> Vec<String> {
         let Some(pending) = &policy_state.pending else { return Vec::new() };
-        let waits = |h: &HolderRecord| now < h.until && !h.is_armed(&pending.id);
+        let waits = |h: &HolderRecord| now < h.until && !h.is_prepared(&pending.id);
         let named = self.holders.iter().filter(|(_, h)| waits(h)).map(|(p, _)| p.name.clone());
         let mut names: Vec<String> = named.take(timing::RECENT_OUTCOMES).collect();
-        if !self.may_settle(now) {
+        if !self.can_decide(now) {
             names.push(PREVIOUS_LEADER_LEASES.into());
         }
         names
@@ -237,18 +258,18 @@
 
     /// What is told to all at once when it changes: the epoch, and the change under way. It is not begun, and no lease is shortened for it,
     /// before it can be settled.
-    fn tells(&self, now: Duration, policy_state: &PolicyState) -> (u64, Option<String>) {
-        let begun = policy_state.pending.as_ref().filter(|_| self.may_settle(now));
-        (policy_state.epoch, begun.map(|p| p.id.clone()))
+    fn announcement(&self, now: Duration, policy_state: &PolicyState) -> Announcement {
+        let begun = policy_state.pending.as_ref().filter(|_| self.can_decide(now));
+        Announcement { epoch: policy_state.epoch, pending_id: begun.map(|p| p.id.clone()) }
     }
 
     /// Whether no lease of an earlier leader can hold any more.
-    fn may_settle(&self, now: Duration) -> bool {
-        self.since.is_some_and(|since| now >= since + timing::with_clock_drift(timing::LEASE))
+    fn can_decide(&self, now: Duration) -> bool {
+        self.leading_since.is_some_and(|since| now >= since + timing::with_clock_drift(timing::LEASE))
     }
 
     /// An operator's word has come. False if there is no room for it.
-    pub fn say(&mut self, request: OperatorRequest) -> bool {
+    pub fn queue_request(&mut self, request: OperatorRequest) -> bool {
         let known = self.requests.iter().any(|w| w.key() == request.key());
         let room = known || self.requests.len() < timing::MAX_OPERATOR_REQUESTS;
         if room && !known {
@@ -258,22 +279,23 @@
     }
 
     /// What is to be done now.
-    pub fn step(&mut self, now: Duration, voter: &Voter) -> Option<LeaderAction> {
-        if self.since.is_none() || self.settling.is_some() || voter.stops() || !voter.is_settled() {
+    pub fn next_action(&mut self, now: Duration, voter: &Voter) -> Option<LeaderAction> {
+        if self.leading_since.is_none() || self.deciding.is_some() || voter.is_ending() || !voter.is_settled()
+        {
             return None;
         }
-        self.holders.retain(|_, h| now < h.until.max(h.heard + timing::HOLDER_EXPIRY));
+        self.holders.retain(|_, h| now < h.until.max(h.last_request_at + timing::HOLDER_EXPIRY));
         let policy_state = voter.policy_state();
         if let Some(pending) = &policy_state.pending {
-            let step = self.settle(now, policy_state, &pending.clone())?;
-            self.settling = Some(pending.id.clone());
+            let step = self.decide_pending(now, policy_state, &pending.clone())?;
+            self.deciding = Some(pending.id.clone());
             return Some(step);
         }
-        self.pending_since = None;
+        self.waiting_change = None;
         if let Some(proposal) = self.next_proposal(policy_state) {
             return Some(LeaderAction::Append(Entry::Propose(proposal)));
         }
-        self.next_council(now, voter)
+        self.next_reconfiguration(now, voter)
     }
 
     fn next_proposal(&mut self, policy_state: &PolicyState) -> Option<Proposal> {
@@ -284,23 +306,23 @@
         }
     }
 
-    fn settle(
+    fn decide_pending(
         &mut self, now: Duration, policy_state: &PolicyState, pending: &Proposal,
     ) -> Option<LeaderAction> {
-        let noes: Vec<Rejection> =
-            self.holders.iter().filter_map(|(p, h)| no_of(p, h, &pending.id)).collect();
+        let rejections: Vec<Rejection> =
+            self.holders.iter().filter_map(|(p, h)| rejection_of(p, h, &pending.id)).collect();
         let verdict = |v: Decision| Some(LeaderAction::Append(Entry::Decide(pending.id.clone(), v)));
-        if !noes.is_empty() && self.may_settle(now) {
-            return verdict(Decision::Dropped(noes));
+        if !rejections.is_empty() && self.can_decide(now) {
+            return verdict(Decision::Dropped(rejections));
         }
         let waits_for = self.waits_for(now, policy_state);
         if waits_for.is_empty() {
             return verdict(Decision::InForce);
         }
-        let since = match &self.pending_since {
-            Some((id, since)) if *id == pending.id => *since,
+        let since = match &self.waiting_change {
+            Some(waiting) if waiting.id == pending.id => waiting.since,
             _ => {
-                self.pending_since = Some((pending.id.clone(), now));
+                self.waiting_change = Some(WaitingChange { id: pending.id.clone(), since: now });
                 now
             }
         };
@@ -312,8 +334,8 @@
         verdict(Decision::Dropped(waits_for.into_iter().map(late).collect()))
     }
 
-    fn next_council(&mut self, now: Duration, voter: &Voter) -> Option<LeaderAction> {
-        if now < self.seats_at + timing::RECONFIGURATION_INTERVAL {
+    fn next_reconfiguration(&mut self, now: Duration, voter: &Voter) -> Option<LeaderAction> {
+        if now < self.reconfigured_at + timing::RECONFIGURATION_INTERVAL {
             return None;
         }
         let live: Vec<LiveRouter> = self
@@ -338,14 +360,14 @@
             reconfiguration::next(&voter.configuration.voters, &live, replacing.as_ref()).or_else(|| {
                 (voter.applied() >= timing::MAX_LOG_ENTRIES).then(|| voter.configuration.voters.clone())
             })?;
-        self.seats_at = now;
+        self.reconfigured_at = now;
         Some(LeaderAction::Reconfigure(next))
     }
 
     /// When something is due next by time alone: never a time that has passed, which would be due again at once.
-    pub fn due(&self, now: Duration, voter: &Voter) -> Option<Duration> {
+    pub fn next_due(&self, now: Duration, voter: &Voter) -> Option<Duration> {
         voter.policy_state().pending.as_ref()?;
-        let begins = self.since? + timing::with_clock_drift(timing::LEASE);
+        let begins = self.leading_since? + timing::with_clock_drift(timing::LEASE);
         self.holders.values().map(|h| h.until).chain([begins]).filter(|at| *at > now).min()
     }
 }
@@ -353,16 +375,19 @@
 /// What stands among the names that a change waits for while leases of an earlier leader may hold.
 pub const PREVIOUS_LEADER_LEASES: &str = "(leases of the last leader)";
 
-fn has_tried(ask: &LeaseRequest, id: &str) -> bool {
-    ask.tried.as_ref().is_some_and(|tried| tried.id == id && tried.rejection.is_none())
+fn has_tried(request: &LeaseRequest, id: &str) -> bool {
+    request.tried.as_ref().is_some_and(|tried| tried.id == id && tried.rejection.is_none())
 }
 
 /// Whether it has tried the policy in force as a change a moment ago, so that it has its text.
-fn just_tried(ask: &LeaseRequest, policy_state: &PolicyState) -> bool {
-    policy_state.outcomes.back().is_some_and(|o| o.epoch == Some(policy_state.epoch) && has_tried(ask, &o.id))
+fn just_tried(request: &LeaseRequest, policy_state: &PolicyState) -> bool {
+    policy_state
+        .outcomes
+        .back()
+        .is_some_and(|o| o.epoch == Some(policy_state.epoch) && has_tried(request, &o.id))
 }
 
-fn no_of(peer: &Peer, held: &HolderRecord, id: &str) -> Option<Rejection> {
-    let tried = held.ask.tried.as_ref().filter(|tried| tried.id == id)?;
+fn rejection_of(peer: &Peer, held: &HolderRecord, id: &str) -> Option<Rejection> {
+    let tried = held.request.tried.as_ref().filter(|tried| tried.id == id)?;
     Some(Rejection { router: peer.name.clone(), reason: tried.rejection.clone()? })
 }
--- a/crates/consensus/src/lease_holder.rs
+++ b/crates/consensus/src/lease_holder.rs
@@ -1,14 +1,15 @@
-//! Every router's side: by which epoch it may take requests, and until when that is certain.
+//! The lease of one router: by which epoch it may take requests, and until when.
 //!
-//! A router asks the leader and counts the answer from the moment at which it asked, on its own clock. Without a valid answer it can't know whether
-//! its epoch still holds, and does not take requests by it. While a change is under way it tries the new policy, gives up its long lease for
-//! one of [`timing::SHORT_LEASE`], and says both in one question: what was answered to earlier questions counts no more.
+//! A router requests leases from the leader. A granted lease counts from the moment at which the request was sent, on the router's own clock.
+//! Without a valid lease the router can't know whether its epoch still holds, and takes no requests by it. While a change is under way the
+//! router compiles the new policy, gives up its long lease for one of [`timing::SHORT_LEASE`], and reports both in one request: grants for
+//! earlier requests do not count any more.
 
 use crate::handle::PendingChange;
 use crate::policy_state::{digest, ProposalOutcome};
 use crate::timing;
 use crate::voter::Term;
-use crate::wire::{Grant, LeaseRequest, StateVersion, TriedChange};
+use crate::wire::{Grant, LeaseRequest, StateVersion, Trial, TriedChange};
 use std::any::Any;
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -59,6 +60,13 @@
     since: u64,
 }
 
+/// A request that the leader has not answered yet.
+struct OpenRequest {
+    nonce: u64,
+    /// A lease that is granted for it counts from this moment.
+    sent_at: Duration,
+}
+
 /// The right to take requests by an epoch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Lease {
@@ -74,31 +82,31 @@
     epoch: u64,
     digest: u64,
     text: String,
-    made: Option<CompiledPolicy>,
+    policy: Option<CompiledPolicy>,
     until: Duration,
     term: Term,
     version: StateVersion,
-    recent: Vec<ProposalOutcome>,
+    recent_outcomes: Vec<ProposalOutcome>,
     leader: Option<String>,
     voters: Vec<String>,
-    trial: Option<PendingChange>,
-    tried: Option<PreparedPolicy>,
-    asks: VecDeque<(u64, Duration)>,
+    pending_change: Option<PendingChange>,
+    prepared: Option<PreparedPolicy>,
+    open_requests: VecDeque<OpenRequest>,
     nonce: u64,
     /// The last question that was answered.
-    answered: u64,
-    next: Duration,
+    last_answered: u64,
+    next_request_at: Duration,
     /// Why the policy in force can't be taken here, if it can't.
-    stuck: Option<InvalidPolicy>,
+    policy_error: Option<InvalidPolicy>,
 }
 
 /// What an answer changed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct GrantEffect {
     /// The epoch that the router acts by is another.
-    pub epoch: bool,
+    pub epoch_changed: bool,
     /// A question is due at once.
-    pub ask: bool,
+    pub request_due: bool,
 }
 
 impl LeaseHolder {
@@ -109,20 +117,20 @@
             epoch: 0,
             digest: 0,
             text: String::new(),
-            made: None,
+            policy: None,
             until: Duration::ZERO,
             term: Term::default(),
             version: StateVersion::default(),
-            recent: Vec::new(),
+            recent_outcomes: Vec::new(),
             leader: None,
             voters: Vec::new(),
-            trial: None,
-            tried: None,
-            asks: VecDeque::new(),
+            pending_change: None,
+            prepared: None,
+            open_requests: VecDeque::new(),
             nonce: 0,
-            answered: 0,
-            next: Duration::ZERO,
-            stuck: None,
+            last_answered: 0,
+            next_request_at: Duration::ZERO,
+            policy_error: None,
         }
     }
 
@@ -137,8 +145,8 @@
     }
 
     /// What it made of it.
-    pub fn made(&self) -> Option<&CompiledPolicy> {
-        self.made.as_ref()
+    pub fn policy(&self) -> Option<&CompiledPolicy> {
+        self.policy.as_ref()
     }
 
     /// Until when that epoch is certain, on its own clock.
@@ -167,48 +175,48 @@
     }
 
     /// The change under way, and whom it waits for.
-    pub fn trial(&self) -> Option<&PendingChange> {
-        self.trial.as_ref()
+    pub fn pending_change(&self) -> Option<&PendingChange> {
+        self.pending_change.as_ref()
     }
 
     /// How the last changes ended.
-    pub fn recent(&self) -> &[ProposalOutcome] {
-        &self.recent
+    pub fn recent_outcomes(&self) -> &[ProposalOutcome] {
+        &self.recent_outcomes
     }
 
     /// Why the policy in force can't be taken here.
-    pub fn stuck(&self) -> Option<&InvalidPolicy> {
-        self.stuck.as_ref()
+    pub fn policy_error(&self) -> Option<&InvalidPolicy> {
+        self.policy_error.as_ref()
     }
 
     /// Whether the leader has not answered the last questions: another is to be asked.
-    pub fn is_lost(&self) -> bool {
-        self.nonce > self.answered + 2
+    pub fn leader_is_silent(&self) -> bool {
+        self.nonce > self.last_answered + 2
     }
 
     /// When the next question is due.
-    pub fn due(&self) -> Duration {
-        self.next
+    pub fn next_request_at(&self) -> Duration {
+        self.next_request_at
     }
 
     /// The question, now.
-    pub fn ask(&mut self, now: Duration) -> LeaseRequest {
+    pub fn next_request(&mut self, now: Duration) -> LeaseRequest {
         self.nonce += 1;
-        if let Some(tried) = self.tried.as_mut().filter(|t| t.compiled.is_ok()) {
+        if let Some(tried) = self.prepared.as_mut().filter(|t| t.compiled.is_ok()) {
             if tried.since == 0 {
                 tried.since = self.nonce;
                 // Late answers to what was asked before must not bring a long lease back, now or after the trial.
-                self.asks.clear();
+                self.open_requests.clear();
             }
             // The long lease ends with this question, whether it is answered or not.
             self.until = self.until.min(now + timing::SHORT_LEASE);
         }
-        self.asks.push_back((self.nonce, now));
-        if self.asks.len() > MAX_OPEN_REQUESTS {
-            self.asks.pop_front();
+        self.open_requests.push_back(OpenRequest { nonce: self.nonce, sent_at: now });
+        if self.open_requests.len() > MAX_OPEN_REQUESTS {
+            self.open_requests.pop_front();
         }
-        let short = self.tried.as_ref().is_some_and(|t| t.compiled.is_ok());
-        self.next = now
+        let short = self.prepared.as_ref().is_some_and(|t| t.compiled.is_ok());
+        self.next_request_at = now
             + match () {
                 () if short => timing::SHORT_RENEW_INTERVAL,
                 () if now < self.until => timing::RENEW_INTERVAL,
@@ -219,19 +227,19 @@
             epoch: self.epoch,
             digest: self.digest,
             version: self.version,
-            tried: self.tried.as_ref().map(|t| TriedChange {
+            tried: self.prepared.as_ref().map(|t| TriedChange {
                 id: t.id.clone(),
                 rejection: t.compiled.as_ref().err().map(ToString::to_string),
             }),
-            short_leases_since: self.tried.as_ref().filter(|t| t.compiled.is_ok()).map_or(0, |t| t.since),
+            short_leases_since: self.prepared.as_ref().filter(|t| t.compiled.is_ok()).map_or(0, |t| t.since),
             released: false,
         }
     }
 
     /// It takes no requests any more; the leader is told, so that no change waits for its lease.
-    pub fn give_up(&mut self) -> LeaseRequest {
+    pub fn release(&mut self) -> LeaseRequest {
         self.nonce += 1;
-        self.asks.clear();
+        self.open_requests.clear();
         self.until = Duration::ZERO;
         LeaseRequest {
             nonce: self.nonce,
@@ -242,56 +250,72 @@
         }
     }
 
-    /// Takes an answer.
-    pub fn answer(&mut self, now: Duration, grant: Grant) -> GrantEffect {
-        let mut came = GrantEffect::default();
+    /// Applies an answer of the leader. An answer of an earlier term or epoch changes nothing.
+    pub fn apply_grant(&mut self, now: Duration, grant: Grant) -> GrantEffect {
+        let mut effect = GrantEffect::default();
         if grant.term < self.term || grant.epoch < self.epoch {
-            return came; // Of a leader that was replaced, or late.
+            return effect;
         }
         self.term = grant.term;
         self.leader = Some(grant.leader);
         self.voters = grant.voters;
-        self.answered = self.answered.max(grant.nonce);
+        self.last_answered = self.last_answered.max(grant.nonce);
         if grant.version > self.version {
             if let Some(recent) = grant.recent {
-                self.recent = recent;
+                self.recent_outcomes = recent;
                 self.version = grant.version;
             }
         }
         if grant.epoch > self.epoch {
-            self.move_on(grant.epoch, grant.digest, grant.text, &mut came);
+            self.enter_epoch(grant.epoch, grant.digest, grant.text, &mut effect);
         }
-        // A trial that is no more the leader's is over: the long lease may come back.
-        let id = grant.trial.as_ref().map(|t| &t.id);
-        if self.tried.as_ref().is_some_and(|t| Some(&t.id) != id) {
-            self.tried = None;
+        self.prepare_change(now, grant.trial, &mut effect);
+        if grant.epoch == self.epoch {
+            self.extend_lease(now, grant.nonce, grant.lease_ms, effect);
+        }
+        effect
+    }
+
+    /// Compiles the policy of the change under way, once, and forgets that of a change which is over.
+    fn prepare_change(&mut self, now: Duration, trial: Option<Trial>, effect: &mut GrantEffect) {
+        // A change that the leader does not name any more is over: the long lease may come back.
+        let id = trial.as_ref().map(|trial| &trial.id);
+        if self.prepared.as_ref().is_some_and(|prepared| Some(&prepared.id) != id) {
+            self.prepared = None;
         }
-        if let Some(trial) = &grant.trial {
-            let known = self.tried.as_ref().is_some_and(|t| t.id == trial.id);
+        if let Some(trial) = &trial {
+            let known = self.prepared.as_ref().is_some_and(|prepared| prepared.id == trial.id);
             if let (false, Some(text)) = (known, &trial.text) {
                 let compiled = self.compiler.compile(text);
                 let (id, digest) = (trial.id.clone(), digest(text));
-                self.tried = Some(PreparedPolicy { id, text: text.clone(), digest, compiled, since: 0 });
-                (came.ask, self.next) = (true, now);
+                self.prepared = Some(PreparedPolicy { id, text: text.clone(), digest, compiled, since: 0 });
+                effect.request_due = true;
+                self.next_request_at = now;
             }
         }
-        self.trial = grant.trial.map(|t| PendingChange { id: t.id, waits_for: t.waits_for });
-        let asked = self.asks.iter().find(|(nonce, _)| *nonce == grant.nonce).map(|(_, at)| *at);
-        let counts =
-            self.tried.as_ref().is_none_or(|t| t.compiled.is_err() || t.since != 0 && t.since <= grant.nonce);
-        if let (Some(asked), true, true) = (asked, counts, grant.epoch == self.epoch) {
-            let lease = Duration::from_millis(u64::from(grant.lease_ms));
-            self.until = self.until.max(asked + lease);
-            if !came.ask && self.tried.is_none() && now < self.until {
-                self.next = self.next.max(asked + timing::RENEW_INTERVAL);
-            }
+        self.pending_change = trial.map(|trial| PendingChange { id: trial.id, waits_for: trial.waits_for });
+    }
+
+    /// The lease counts from the moment at which the request was sent. Nothing counts that was granted before a prepared change shortened
+    /// the lease.
+    fn extend_lease(&mut self, now: Duration, nonce: u64, lease_ms: u32, effect: GrantEffect) {
+        let open = self.open_requests.iter().find(|open| open.nonce == nonce);
+        let Some(sent_at) = open.map(|open| open.sent_at) else { return };
+        let counts = self.prepared.as_ref().is_none_or(|prepared| {
+            prepared.compiled.is_err() || prepared.since != 0 && prepared.since <= nonce
+        });
+        if !counts {
+            return;
+        }
+        self.until = self.until.max(sent_at + Duration::from_millis(u64::from(lease_ms)));
+        if !effect.request_due && self.prepared.is_none() && now < self.until {
+            self.next_request_at = self.next_request_at.max(sent_at + timing::RENEW_INTERVAL);
         }
-        came
     }
 
     /// Another epoch is in force: the policy that was tried for it, or the one that was sent along.
-    fn move_on(&mut self, epoch: u64, wanted: u64, sent: Option<String>, came: &mut GrantEffect) {
-        let tried = self.tried.take().filter(|t| t.digest == wanted);
+    fn enter_epoch(&mut self, epoch: u64, wanted: u64, sent: Option<String>, effect: &mut GrantEffect) {
+        let tried = self.prepared.take().filter(|t| t.digest == wanted);
         let (text, made) = match (tried, sent) {
             (Some(tried), _) => (tried.text, tried.compiled),
             (None, Some(text)) if digest(&text) == wanted => {
@@ -299,16 +323,16 @@
                 (text, made)
             }
             // The next question tells the leader that the policy is missing here.
-            _ => return came.ask = true,
+            _ => return effect.request_due = true,
         };
         // An epoch that is over holds here no more, even if the new one can't be taken.
         self.until = Duration::ZERO;
         match made {
             Ok(made) => {
                 (self.epoch, self.digest, self.text) = (epoch, wanted, text);
-                (self.made, self.stuck, came.epoch) = (Some(made), None, true);
+                (self.policy, self.policy_error, effect.epoch_changed) = (Some(made), None, true);
             }
-            Err(why) => self.stuck = Some(why),
+            Err(why) => self.policy_error = Some(why),
         }
     }
 }
--- a/crates/consensus/src/storage.rs
+++ b/crates/consensus/src/storage.rs
@@ -119,13 +119,13 @@
     }
 
     /// Whether it holds entries that are not decided.
-    pub(crate) fn has_open(&self) -> bool {
+    pub(crate) fn has_undecided(&self) -> bool {
         let noted = self.noted();
         noted.entries.len() > noted.decided
     }
 
     /// Whether the configuration is to end, decided or not.
-    pub(crate) fn stops(&self) -> bool {
+    pub(crate) fn is_ending(&self) -> bool {
         self.noted().entries.iter().any(|e| matches!(e, Entry::Reconfigure(_)))
     }
 }
--- a/crates/consensus/src/storage/tests.rs
+++ b/crates/consensus/src/storage/tests.rs
@@ -32,7 +32,7 @@
     assert_eq!((read_configuration, noted.entries.len(), noted.decided), (configuration, 2, 1));
     assert_eq!(noted.entries[1], settle("z"));
     assert_eq!(storage.decided_from(0), [settle("x")]);
-    assert!(storage.has_open());
+    assert!(storage.has_undecided());
 }
 
 /// Files of a voter as the build before issue 50 wrote them: one appended to, and the same state written whole. Never generated again.
--- a/crates/consensus/src/voter.rs
+++ b/crates/consensus/src/voter.rs
@@ -30,7 +30,7 @@
     pub voter: u64,
 }
 
-/// A leader's question to the voters, and how far it is, so that those who lag see it.
+/// A leader's heartbeat to the voters, and how far it is, so that those who lag see it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Heartbeat {
     /// Its term.
@@ -60,15 +60,15 @@
 pub struct Voter {
     pub(crate) configuration: Configuration,
     me: NodeId,
-    way: Replication,
+    replication: Replication,
     storage: VoterStorage,
     policy_state: PolicyState,
     applied: usize,
     /// The round that is under way, as leader.
     round: Option<HeartbeatRound>,
-    rounds: u64,
+    rounds_begun: u64,
     /// Since when it lags behind what its leader says, as a follower.
-    lags: Option<Duration>,
+    lagging_since: Option<Duration>,
 }
 
 impl Voter {
@@ -78,7 +78,7 @@
     ) -> Option<Voter> {
         let me = configuration.voters.iter().position(|s| s == member)? as NodeId + 1;
         let storage = VoterStorage::new(noted);
-        let way = if configuration.voters.len() == 1 {
+        let replication = if configuration.voters.len() == 1 {
             Replication::SingleVoter
         } else {
             let config = OmniPaxosConfig {
@@ -101,13 +101,13 @@
         let mut voter = Voter {
             configuration,
             me,
-            way,
+            replication,
             storage,
             policy_state,
             applied: 0,
             round: None,
-            rounds: 0,
-            lags: None,
+            rounds_begun: 0,
+            lagging_since: None,
         };
         voter.apply();
         Some(voter)
@@ -132,11 +132,11 @@
         StateVersion { configuration: self.configuration.number, applied: self.applied as u64 }
     }
 
-    fn member(&self, at: NodeId) -> Option<&VoterIdentity> {
+    fn voter(&self, at: NodeId) -> Option<&VoterIdentity> {
         self.configuration.voters.get((at as usize).checked_sub(1)?)
     }
 
-    fn number(&self, member: &VoterIdentity) -> Option<NodeId> {
+    fn node_id(&self, member: &VoterIdentity) -> Option<NodeId> {
         self.configuration.voters.iter().position(|s| s == member).map(|at| at as NodeId + 1)
     }
 
@@ -147,7 +147,7 @@
     /// The leader that this voter has promised to follow.
     pub(crate) fn term(&self) -> Term {
         let configuration = self.configuration.number;
-        match &self.way {
+        match &self.replication {
             Replication::SingleVoter => Term { configuration, ballot: 1, voter: self.me },
             Replication::Replicated(p) => {
                 let promise = p.get_promise();
@@ -158,12 +158,12 @@
 
     /// The name of that leader.
     pub(crate) fn leader(&self) -> Option<&str> {
-        self.member(self.term().voter).map(|s| s.name.as_str())
+        self.voter(self.term().voter).map(|s| s.name.as_str())
     }
 
     /// Whether this voter leads, as far as it knows, and holds all that was ever decided.
     pub(crate) fn leads(&self) -> bool {
-        match &self.way {
+        match &self.replication {
             Replication::SingleVoter => true,
             Replication::Replicated(p) => p.get_current_leader() == Some((self.me, true)),
         }
@@ -171,17 +171,17 @@
 
     /// Whether all that it holds is decided.
     pub(crate) fn is_settled(&self) -> bool {
-        !self.storage.has_open()
+        !self.storage.has_undecided()
     }
 
     /// Whether the configuration is about to end.
-    pub(crate) fn stops(&self) -> bool {
-        self.storage.stops()
+    pub(crate) fn is_ending(&self) -> bool {
+        self.storage.is_ending()
     }
 
     /// Asks for an entry, as leader.
     pub(crate) fn append(&mut self, entry: Entry) {
-        match &mut self.way {
+        match &mut self.replication {
             Replication::SingleVoter => {
                 use omnipaxos::storage::Storage;
                 let n = self.storage.get_log_len().unwrap_or_default() + 1;
@@ -196,20 +196,20 @@
     }
 
     /// Ends the configuration in favour of one with these members.
-    pub(crate) fn hand_over(&mut self, members: &[VoterIdentity]) {
+    pub(crate) fn end_configuration(&mut self, members: &[VoterIdentity]) {
         self.append(Entry::Reconfigure(members.to_vec()));
     }
 
     pub(crate) fn tick(&mut self) {
-        if let Replication::Replicated(p) = &mut self.way {
+        if let Replication::Replicated(p) = &mut self.replication {
             p.tick();
         }
     }
 
     /// Takes a message of the agreement. One from a membership that this configuration does not have is not taken.
-    pub(crate) fn take(&mut self, from: &VoterIdentity, message: Message<Entry>) {
-        let known = self.number(from) == Some(message.get_sender()) && message.get_receiver() == self.me;
-        if let (true, Replication::Replicated(p)) = (known, &mut self.way) {
+    pub(crate) fn receive(&mut self, from: &VoterIdentity, message: Message<Entry>) {
+        let known = self.node_id(from) == Some(message.get_sender()) && message.get_receiver() == self.me;
+        if let (true, Replication::Replicated(p)) = (known, &mut self.replication) {
             p.handle_incoming(message);
         }
     }
@@ -217,17 +217,18 @@
     /// Messages that wait to be sent, with whom to: to be taken after what was noted is on the disk.
     pub(crate) fn messages(&mut self) -> Vec<(String, Message<Entry>)> {
         let mut all = Vec::new();
-        if let Replication::Replicated(p) = &mut self.way {
+        if let Replication::Replicated(p) = &mut self.replication {
             p.take_outgoing_messages(&mut all);
         }
-        let named = |m: Message<Entry>| Some((self.member(m.get_receiver())?.name.clone(), m));
+        let named = |m: Message<Entry>| Some((self.voter(m.get_receiver())?.name.clone(), m));
         all.into_iter().filter_map(named).collect()
     }
 
     /// What was sent to a voter in order may not have come: the library agrees with it anew on where they stand.
-    pub(crate) fn broke_off(&mut self, name: &str) {
+    pub(crate) fn resynchronise(&mut self, name: &str) {
         let number = self.configuration.voters.iter().position(|s| s.name == name).map(|at| at as NodeId + 1);
-        if let (Some(number), Replication::Replicated(p)) = (number.filter(|n| *n != self.me), &mut self.way)
+        if let (Some(number), Replication::Replicated(p)) =
+            (number.filter(|n| *n != self.me), &mut self.replication)
         {
             p.reconnected(number);
         }
@@ -257,70 +258,70 @@
     // ---- Confirming ------------------------------------------------------------------------------
 
     /// Begins a round, as leader; the message goes to all other voters. `None`: one is under way.
-    pub(crate) fn ask_to_confirm(&mut self, now: Duration) -> Option<Heartbeat> {
+    pub(crate) fn begin_heartbeat_round(&mut self, now: Duration) -> Option<Heartbeat> {
         if self.round.is_some() {
             return None;
         }
-        self.rounds += 1;
+        self.rounds_begun += 1;
         let confirmed = BTreeSet::from([self.me]);
-        self.round = Some(HeartbeatRound { number: self.rounds, sent: now, confirmed });
-        Some(self.question())
+        self.round = Some(HeartbeatRound { number: self.rounds_begun, sent: now, confirmed });
+        Some(self.heartbeat())
     }
 
-    /// The question of the round that is under way, if it is time to ask again.
-    pub(crate) fn ask_again(&mut self, now: Duration) -> Option<Heartbeat> {
+    /// The heartbeat of the round that is under way, if it is time to ask again.
+    pub(crate) fn resend_heartbeat(&mut self, now: Duration) -> Option<Heartbeat> {
         let round = self.round.as_mut().filter(|r| now >= r.sent + timing::HEARTBEAT_RETRY)?;
         round.sent = now;
-        Some(self.question())
+        Some(self.heartbeat())
     }
 
-    fn question(&self) -> Heartbeat {
-        let (holds, decided) = self.reached();
-        Heartbeat { term: self.term(), round: self.rounds, log_len: holds, decided_len: decided }
+    fn heartbeat(&self) -> Heartbeat {
+        let (log_len, decided_len) = self.log_position();
+        Heartbeat { term: self.term(), round: self.rounds_begun, log_len, decided_len }
     }
 
-    fn reached(&self) -> (usize, usize) {
-        match &self.way {
+    fn log_position(&self) -> (usize, usize) {
+        match &self.replication {
             Replication::SingleVoter => (self.applied, self.applied),
             Replication::Replicated(p) => (p.get_accepted_idx(), p.get_decided_idx()),
         }
     }
 
     /// A leader asks: whether this voter has promised nobody newer.
-    pub(crate) fn asked(&mut self, now: Duration, question: &Heartbeat) -> bool {
-        if question.term != self.term() {
+    pub(crate) fn acknowledges(&mut self, now: Duration, heartbeat: &Heartbeat) -> bool {
+        if heartbeat.term != self.term() {
             return false;
         }
-        let (holds, decided) = self.reached();
-        let behind = holds < question.log_len
-            || decided < question.decided_len
-            || question.decided_len < question.log_len;
+        let (log_len, decided_len) = self.log_position();
+        let behind = log_len < heartbeat.log_len
+            || decided_len < heartbeat.decided_len
+            || heartbeat.decided_len < heartbeat.log_len;
         if !behind {
-            self.lags = None;
-        } else if now >= *self.lags.get_or_insert(now) + timing::LAG_TIMEOUT {
+            self.lagging_since = None;
+        } else if now >= *self.lagging_since.get_or_insert(now) + timing::LAG_TIMEOUT {
             // A message of the last exchange may have been lost for good, and nothing follows it that would show the gap.
-            self.lags = None;
+            self.lagging_since = None;
             let leader = self.leader().unwrap_or_default().to_owned();
-            self.broke_off(&leader);
+            self.resynchronise(&leader);
         }
         true
     }
 
     /// A voter confirms. True if that makes a majority: the round is over, and this voter led after it began.
-    pub(crate) fn confirmed(&mut self, from: &VoterIdentity, term: Term, number: u64) -> bool {
+    pub(crate) fn record_ack(&mut self, from: &VoterIdentity, term: Term, number: u64) -> bool {
         if term != self.term() || !self.leads() {
             self.round = None;
             return false;
         }
-        let voter = self.number(from);
+        let voter = self.node_id(from);
         if let (Some(round), Some(voter)) = (self.round.as_mut().filter(|r| r.number == number), voter) {
             round.confirmed.insert(voter);
         }
-        self.has_confirmed()
+        self.finish_confirmed_round()
     }
 
     /// Whether the round that is under way has a majority; it is over then.
-    pub(crate) fn has_confirmed(&mut self) -> bool {
+    pub(crate) fn finish_confirmed_round(&mut self) -> bool {
         let most = self.majority();
         let done = self.leads() && self.round.as_ref().is_some_and(|r| r.confirmed.len() >= most);
         if done {
@@ -330,7 +331,7 @@
     }
 
     /// This voter does not lead any more: its round says nothing.
-    pub(crate) fn forget_round(&mut self) {
+    pub(crate) fn abandon_round(&mut self) {
         self.round = None;
     }
 }
