--- a/crates/consensus/src/consensus.rs
+++ b/crates/consensus/src/consensus.rs
@@ -199,7 +199,7 @@
         self.next_candidate = self.next_candidate.wrapping_add(1);
         match self.lease_request_target() {
             Some(to) if to == self.me.name => {
-                self.leadership.record_request(now, self.me.clone(), None, request)
+                self.leadership.record_request(now, self.me.clone(), None, request);
             }
             Some(to) => self.send(now, &to, Body::LeaseRequest(request), out),
             None => {}
--- a/crates/consensus/src/handle.rs
+++ b/crates/consensus/src/handle.rs
@@ -110,7 +110,7 @@
         self.shown.load_full()
     }
 
-    /// An operator's word, for the machine to pass on. False if too many wait, or if it is too long.
+    /// Queues an operator's request for the machine. False if too many wait, or if it is too long.
     pub fn submit(&self, request: OperatorRequest) -> bool {
         let mut requests = self.requests.lock().unwrap_or_else(PoisonError::into_inner);
         let known = requests.iter().any(|w| w.key() == request.key());
@@ -125,7 +125,7 @@
         std::mem::take(&mut *self.requests.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
-    /// From now on requests are taken so. The machine says it; what plays a router may, too.
+    /// Sets by what requests are taken from now on. The machine calls it, and so do tests that simulate a router.
     pub fn set_permit(&self, permit: Permit) {
         let epoch = permit.epoch;
         self.permit.store(Arc::new(permit));
@@ -219,7 +219,7 @@
 }
 
 fn outcome_json(o: &ProposalOutcome) -> serde_json::Value {
-    let noes: Vec<serde_json::Value> =
+    let rejections: Vec<serde_json::Value> =
         o.rejections.iter().map(|n| serde_json::json!({"router": n.router, "why": n.reason})).collect();
     serde_json::json!({
         "id": o.id,
@@ -229,6 +229,6 @@
         "outcome": if o.epoch.is_some() { "in force" } else { "dropped" },
         "epoch": o.epoch,
         "back_to": o.restores_epoch,
-        "why": noes,
+        "why": rejections,
     })
 }
--- a/crates/consensus/src/leadership.rs
+++ b/crates/consensus/src/leadership.rs
@@ -1,6 +1,6 @@
-//! The leader's side: who holds a lease, when a change may be settled, and how.
+//! The leader's side: who holds a lease, when a change may be decided, and how.
 //!
-//! A leader answers a question only after a majority of the voters has confirmed that it led when the question was there. It puts a change in
+//! A leader grants a lease only after a majority of the voters has confirmed that it led when the request was there. It puts a change in
 //! force when every router that may still act by the old epoch has tried the new policy and holds no more than a short lease. What leases an
 //! earlier leader gave it can't know: it waits as long as the longest of them.
 
@@ -36,7 +36,7 @@
     }
 }
 
-/// A question that waits for a majority to confirm.
+/// Routers whose requests wait for a majority to confirm.
 type Waiting = BTreeSet<Peer>;
 
 /// What all routers are told at once when it changes.
@@ -67,9 +67,9 @@
     deciding: Option<String>,
     waiting_change: Option<WaitingChange>,
     reconfigured_at: Duration,
-    /// What the last answers told of: a change of it is told at once.
+    /// What the last grants told all routers.
     announced: Announcement,
-    /// Entries that were applied when it was told.
+    /// Entries that were applied then.
     announced_at: usize,
 }
 
@@ -227,14 +227,14 @@
         {
             self.deciding = None;
         }
-        let told = self.announcement(now, policy_state);
-        if self.leading_since.is_none() || self.deciding.is_some() || self.announced == told {
+        let announcement = self.announcement(now, policy_state);
+        if self.leading_since.is_none() || self.deciding.is_some() || self.announced == announcement {
             return Vec::new();
         }
         // What was decided since, was in this leader's own term, by a majority, after those questions: that confirms them as a round does.
         // Where a change begins by time alone nothing does, and nothing is granted.
         let decided = voter.applied() > std::mem::replace(&mut self.announced_at, voter.applied());
-        self.announced = told;
+        self.announced = announcement;
         let all: Vec<Peer> = self
             .holders
             .iter()
@@ -268,7 +268,7 @@
         self.leading_since.is_some_and(|since| now >= since + timing::with_clock_drift(timing::LEASE))
     }
 
-    /// An operator's word has come. False if there is no room for it.
+    /// Queues an operator's request. False if too many wait.
     pub fn queue_request(&mut self, request: OperatorRequest) -> bool {
         let known = self.requests.iter().any(|w| w.key() == request.key());
         let room = known || self.requests.len() < timing::MAX_OPERATOR_REQUESTS;
--- a/crates/consensus/src/log.rs
+++ b/crates/consensus/src/log.rs
@@ -88,11 +88,11 @@
 
 fn whole(rest: &[u8]) -> Option<&[u8]> {
     let len = u32::from_be_bytes(rest.get(..4)?.try_into().ok()?);
-    let told = u64::from_be_bytes(rest.get(4..FRAME_HEADER_LEN)?.try_into().ok()?);
+    let checksum = u64::from_be_bytes(rest.get(4..FRAME_HEADER_LEN)?.try_into().ok()?);
     let content = rest
         .get(FRAME_HEADER_LEN..FRAME_HEADER_LEN + len as usize)
         .filter(|_| len as usize <= MAX_FRAME_LEN)?;
-    (told == sum(len, content)).then_some(content)
+    (checksum == sum(len, content)).then_some(content)
 }
 
 /// Whether a whole frame stands anywhere behind a damaged one.
--- a/crates/consensus/src/policy_state.rs
+++ b/crates/consensus/src/policy_state.rs
@@ -1,6 +1,6 @@
 //! What the voters agree on, as a value that entries are applied to: the policy in force, the change under way, and how each one ended.
 //!
-//! Every voter applies the same entries in the same order and comes to the same book. Nothing here knows of voters, leases or time.
+//! Every voter applies the same entries in the same order and comes to the same state. Nothing here knows of voters, leases or time.
 
 use crate::timing;
 use crate::voter_identity::VoterIdentity;
@@ -8,10 +8,10 @@
 use std::collections::VecDeque;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// A change that somebody asks for.
+/// A proposed change of the policy.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Proposal {
-    /// Names it for ever: whoever sends it twice has sent it once.
+    /// Makes the proposal idempotent: one that is sent twice counts once.
     pub id: String,
     /// The policy, in its canonical form.
     pub text: String,
@@ -19,9 +19,9 @@
     pub from: String,
     /// What that router's wall clock said, seconds since 1970. Shown to operators, used for nothing.
     pub submitted_unix_s: u64,
-    /// It holds only on top of this epoch; 0: on any.
+    /// The epoch that must be in force; 0: any.
     pub base_epoch: u64,
-    /// It brings back the policy of this epoch.
+    /// The epoch whose policy it restores, in a rollback.
     pub restores_epoch: Option<u64>,
 }
 
@@ -43,12 +43,12 @@
     Dropped(Vec<Rejection>),
 }
 
-/// One step that the voters agree on.
+/// An entry of the replicated log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Entry {
     /// A change is under way; every router is to try it.
     Propose(Proposal),
-    /// The change of this id is over.
+    /// The change of this id is decided.
     Decide(String, Decision),
     /// The configuration ends here, in favour of one of these; what stands behind it counts for nobody.
     Reconfigure(Vec<VoterIdentity>),
@@ -185,21 +185,21 @@
                 }
             }
             Entry::Reconfigure(_) => {}
-            Entry::Decide(id, verdict) => {
+            Entry::Decide(id, decision) => {
                 if self.pending.as_ref().is_none_or(|p| p.id != *id) {
                     return;
                 }
                 if let Some(proposal) = self.pending.take() {
-                    self.end(&proposal, verdict.clone());
+                    self.end(&proposal, decision.clone());
                 }
             }
         }
     }
 
-    fn end(&mut self, proposal: &Proposal, verdict: Decision) {
-        let (epoch, noes) = match verdict {
+    fn end(&mut self, proposal: &Proposal, decision: Decision) {
+        let (epoch, rejections) = match decision {
             Decision::InForce => (Some(self.epoch + 1), Vec::new()),
-            Decision::Dropped(noes) => (None, noes),
+            Decision::Dropped(rejections) => (None, rejections),
         };
         if let Some(epoch) = epoch {
             if self.epoch > 0 {
@@ -219,7 +219,7 @@
             digest: digest(&proposal.text),
             epoch,
             restores_epoch: proposal.restores_epoch,
-            rejections: noes,
+            rejections,
         });
         while self.outcomes.len() > timing::MAX_OUTCOMES {
             self.outcomes.pop_front();
--- a/crates/consensus/src/reconfiguration.rs
+++ b/crates/consensus/src/reconfiguration.rs
@@ -17,7 +17,7 @@
     pub held: Duration,
 }
 
-/// An operator's word that a voter is gone for good.
+/// An operator's request to replace a voter that is gone for good.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct VoterReplacement {
     /// The voter.
--- a/crates/consensus/src/storage.rs
+++ b/crates/consensus/src/storage.rs
@@ -1,4 +1,4 @@
-//! What a voter must not forget, in memory and as records for its disk: the store that the agreement library writes through.
+//! The storage of a voter, in memory and as records for its disk: the consensus library writes through it.
 //!
 //! The library takes each write for done when its call returns. Here it is done in memory and noted; the machine writes what was noted, as one
 //! frame, before any message leaves that rests on it.
@@ -15,16 +15,16 @@
     type Snapshot = NoSnapshot;
 }
 
-/// What a voter notes.
+/// One write to the storage of a voter.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum StorageWrite {
-    /// It takes nothing from an older leader any more.
+    /// The ballot below which the voter accepts nothing.
     Promise(Ballot),
-    /// The leader from whom its last entries are.
+    /// The ballot of the leader that sent the last entries.
     Accepted(Ballot),
-    /// So many entries are decided.
+    /// The number of decided entries.
     Decided(usize),
-    /// From this place on its log holds these.
+    /// From this index on the log holds these entries.
     Entries(usize, Vec<Entry>),
 }
 
@@ -39,14 +39,14 @@
     Writes(Vec<StorageWrite>),
 }
 
-/// What a voter has noted in its present configuration.
+/// What a voter has stored in its present configuration.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PersistedState {
     promise: Option<Ballot>,
     accepted: Option<Ballot>,
     decided: usize,
     entries: Vec<Entry>,
-    /// What is not on the disk yet.
+    /// Writes that are not on the disk yet.
     ops: Vec<StorageWrite>,
 }
 
@@ -175,7 +175,7 @@
         match record {
             Record::Disk(id) => found.disk = Some(id),
             Record::Configuration(configuration) => {
-                found.configuration = Some((*configuration, PersistedState::default()))
+                found.configuration = Some((*configuration, PersistedState::default()));
             }
             Record::Writes(ops) => match &mut found.configuration {
                 Some((_, noted)) => ops.iter().for_each(|op| noted.take(op)),
--- a/crates/consensus/src/timing.rs
+++ b/crates/consensus/src/timing.rs
@@ -55,7 +55,7 @@
 pub const RETRY_AFTER: Duration = Duration::from_millis(500);
 /// A disk that could not be written is tried again after so long.
 pub const DISK_RETRY_INTERVAL: Duration = Duration::from_millis(1_000);
-/// A word of an operator that its leader has not acknowledged is said again after so long.
+/// An operator's request that the leader is not known to have taken is sent again after this time.
 pub const OPERATOR_REQUEST_RETRY: Duration = Duration::from_millis(200);
 /// And is given up after so long; it can be said again under the same id.
 pub const OPERATOR_REQUEST_TIMEOUT: Duration = Duration::from_secs(30);
--- a/crates/consensus/src/wire.rs
+++ b/crates/consensus/src/wire.rs
@@ -124,19 +124,19 @@
 pub enum Body {
     /// Between voters of one configuration.
     Vote(u32, Message<Entry>),
-    /// A leader asks the voters whether it leads.
+    /// A leader's heartbeat: it asks the voters whether it still leads.
     Heartbeat(Heartbeat),
     /// It does, as far as this voter has promised.
     HeartbeatAck(Term, u64),
-    /// A router asks.
+    /// A router requests a lease.
     LeaseRequest(LeaseRequest),
-    /// A voter that does not lead hands a question on.
+    /// A lease request, forwarded to the leader by another voter: the router that asked, and its request.
     ForwardedLeaseRequest(Peer, LeaseRequest),
     /// The leader answers.
     Grant(Grant),
-    /// The answer to a question that was handed on: to be handed back to the router of this name.
+    /// The answer to a forwarded request, for the router of this name.
     ForwardedGrant(String, Grant),
-    /// An operator's word.
+    /// An operator's request, on its way to the leader.
     OperatorRequest(OperatorRequest),
     /// A founder without a configuration, with the policy that its file has.
     Bootstrap(String),
@@ -204,13 +204,13 @@
             return Err(FrameError::Version(*version));
         }
         let Some(front) = bytes.get(5..FRAME_HEADER_LEN) else { return Ok(None) };
-        let (len, told) = front.split_at(4);
+        let (len, checksum) = front.split_at(4);
         let len = len.iter().fold(0_usize, |n, b| n << 8 | usize::from(*b));
         if len > MAX_FRAME_LEN {
             return Err(FrameError::TooLong(len));
         }
         let Some(content) = bytes.get(FRAME_HEADER_LEN..FRAME_HEADER_LEN + len) else { return Ok(None) };
-        if told != (xxh3_64(content) as u32).to_be_bytes() {
+        if checksum != (xxh3_64(content) as u32).to_be_bytes() {
             return Err(FrameError::Checksum);
         }
         let frame: Frame = postcard::from_bytes(content).map_err(|_| FrameError::Malformed)?;
