--- a/crates/consensus/src/consensus.rs
+++ b/crates/consensus/src/consensus.rs
@@ -213,7 +213,8 @@
         }
         bootstrap.next = now + timing::BOOTSTRAP_INTERVAL;
         let unix_s = (self.unix_time_at_zero + now).as_secs();
-        if let Some(configuration) = bootstrap.begin(now, &self.me, &self.config.policy, unix_s) {
+        if let Some(configuration) = bootstrap.first_configuration(now, &self.me, &self.config.policy, unix_s)
+        {
             return self.enter_first_configuration(now, configuration, out);
         }
         let others: Vec<String> = bootstrap.others(&self.me.name).cloned().collect();
--- a/crates/consensus/src/consensus/receive.rs
+++ b/crates/consensus/src/consensus/receive.rs
@@ -43,7 +43,7 @@
             }
             Body::Bootstrap(policy) => {
                 if let Some(bootstrap) = &mut self.bootstrap {
-                    bootstrap.hear(now, &from, policy);
+                    bootstrap.record_announcement(now, &from, policy);
                 }
                 self.send_configuration(now, &from, 0, out);
             }
