--- a/crates/roles/src/plan.rs
+++ b/crates/roles/src/plan.rs
@@ -31,13 +31,22 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
-            "{:x}: {:?} to {:?} (epoch {}): serves {:.1}% in place of {:.1}%, likely for {:.0} s; costs {:.2}, gains {:.2} s of full service",
-            self.engine.0, self.from, self.to, self.replaces, 100.0 * self.served_after, 100.0 * self.served_before,
+            "{:x}: {} to {} (epoch {}): serves {:.1}% in place of {:.1}%, likely for {:.0} s; costs {:.2}, gains {:.2} s of full service",
+            self.engine.0, logged_role(self.from), logged_role(self.to), self.replaces, 100.0 * self.served_after, 100.0 * self.served_before,
             self.likely.as_secs_f64(), self.cost, self.gain
         )
     }
 }
 
+/// The name of a role in log lines, which differs from the one in the code: operators' tools read it.
+fn logged_role(role: Role) -> &'static str {
+    match role {
+        Role::Prefill => "Read",
+        Role::Decode => "Write",
+        Role::Mixed => "Both",
+    }
+}
+
 /// The changes to begin now, and why there are no more.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RolePlan {
