--- a/crates/cli/src/roles.rs
+++ b/crates/cli/src/roles.rs
@@ -8,7 +8,7 @@
 use slipreel_event_loop::{Clock, Command, Handle, Loop, NodeId};
 use slipreel_gateway::engine_id;
 use slipreel_gateway::site::EngineSite;
-use slipreel_roles::{Conductor, EngineView, Freeze, Phase, Watched};
+use slipreel_roles::{EngineView, Freeze, Phase, RoleController, Watched};
 use slipreel_settings::{engines_from_slices, engines_to_slices, parse_roles, Daemon, RolesSite};
 use slipreel_state_machine::{Input, Machine, Output};
 use std::collections::BTreeMap;
@@ -55,7 +55,7 @@
 
 /// A conductor that shows what it sees.
 struct Shown {
-    conductor: Conductor,
+    conductor: RoleController,
     seen: Seen,
     /// Why nothing more was changed, as last told; kept quiet where changes are ordered.
     because: Option<String>,
@@ -157,7 +157,7 @@
         let mut limits = roles.limits;
         limits.frozen = is_frozen(roles);
         let conductor =
-            Conductor::new(watched, limits, roles.costs, roles.policy, roles.places, dry, clock.now())
+            RoleController::new(watched, limits, roles.costs, roles.policy, roles.places, dry, clock.now())
                 .with_routers(roles.routers.clone(), roles.speeds);
         let seen = Seen::default();
         let mut looped = Loop::new(clock).map_err(run)?;
--- a/crates/emulator/src/roles.rs
+++ b/crates/emulator/src/roles.rs
@@ -78,8 +78,8 @@
                 let _ = writeln!(text, "slipreel_class_{name}_total{{class=\"{class}\"}} {value}");
             }
         }
-        self.demand.hear(0, &text);
-        let Some(mix) = self.demand.take(now, self.speeds) else { return false };
+        self.demand.add_metrics(0, &text);
+        let Some(mix) = self.demand.take_load(now, self.speeds) else { return false };
         let view = PlannerView { now, engines: self.see(now, engines, places), mix };
         let plan = self.planner.plan(&view);
         let mut taken = false;
--- /dev/null
+++ b/crates/roles/src/controller.rs
@@ -0,0 +1,267 @@
+//! The role controller: asks engines for their load and role, plans by what they answer, and orders the changes that pay.
+//!
+//! It holds no state that matters: any number of controllers may run, and one that dies leaves engines that finish their change by
+//! themselves. An engine that does not answer in time is not in the view, and so is neither counted nor changed.
+
+mod observation;
+mod requests;
+
+use crate::config::{ChangeCosts, PlannerLimits, PlanningPolicy};
+use crate::demand::{Demand, EngineThroughput};
+use crate::plan::{RoleChange, RolePlan};
+use crate::planner::Planner;
+use crate::view::EngineView;
+use observation::EngineObservation;
+pub use observation::{FullLoadRequests, CACHED_TOKENS_AT_FULL_MEMORY};
+use requests::{Answer, Requests};
+use slipreel::{CellId, EngineId, ZoneId};
+use slipreel_state_machine::{Input, Machine, Output};
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+use std::time::Duration;
+
+/// Time between two rounds of requests to engines and routers.
+const POLL_INTERVAL: Duration = Duration::from_millis(1_000);
+/// The share of a round in which an engine has to answer to be in the view; no unit.
+const ANSWER_SHARE: f64 = 0.6;
+
+/// An engine to watch.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Watched {
+    /// Its id.
+    pub id: EngineId,
+    /// Its address.
+    pub addr: SocketAddr,
+    /// Its cell.
+    pub cell: CellId,
+    /// Its zone.
+    pub zone: ZoneId,
+}
+
+/// An [`Input::OwnerMessage`] for a [`RoleController`]: stop ordering changes, or go on.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Freeze(pub bool);
+
+/// The routers whose published requests are the demand. Without any, what engines have in progress stands for it.
+struct DemandSource {
+    routers: Vec<SocketAddr>,
+    throughput: EngineThroughput,
+    demand: Demand,
+}
+
+/// Who has frozen changes.
+#[derive(Default)]
+struct FrozenBy {
+    operator: bool,
+    /// By router, whether its policy freezes the roles.
+    policies: BTreeMap<usize, bool>,
+}
+
+/// Orders since the start, by how engines answered them.
+#[derive(Default)]
+struct OrderCounts {
+    accepted: usize,
+    rejected: usize,
+}
+
+/// When to poll and when to plan.
+struct Schedule {
+    next_poll: Duration,
+    next_plan: Option<Duration>,
+}
+
+/// Watches engines and orders changes of role. Takes [`Freeze`] and `Vec<Watched>` as [`Input::OwnerMessage`].
+pub struct RoleController {
+    engines: Vec<Watched>,
+    observations: Vec<EngineObservation>,
+    planner: Planner,
+    full_load_requests: FullLoadRequests,
+    costs: ChangeCosts,
+    source: DemandSource,
+    /// Plans are logged and nothing is ordered.
+    dry_run: bool,
+    frozen_by: FrozenBy,
+    requests: Requests,
+    schedule: Schedule,
+    last_plan: RolePlan,
+    last_view: Vec<EngineView>,
+    orders: OrderCounts,
+    stopped: bool,
+}
+
+impl RoleController {
+    /// A controller that begins its first round at `now`. With `dry_run` it logs its plans and orders nothing.
+    pub fn new(
+        engines: Vec<Watched>, limits: PlannerLimits, costs: ChangeCosts, policy: PlanningPolicy,
+        full_load_requests: FullLoadRequests, dry_run: bool, now: Duration,
+    ) -> Self {
+        let observations = engines.iter().map(|_| EngineObservation::default()).collect();
+        RoleController {
+            engines,
+            observations,
+            planner: Planner::new(limits, costs, policy),
+            full_load_requests,
+            costs,
+            source: DemandSource {
+                routers: Vec::new(),
+                throughput: EngineThroughput { prefill: 1.0, decode: 1.0 },
+                demand: Demand::default(),
+            },
+            dry_run,
+            frozen_by: FrozenBy::default(),
+            requests: Requests::default(),
+            schedule: Schedule { next_poll: now, next_plan: None },
+            last_plan: RolePlan::default(),
+            last_view: Vec::new(),
+            orders: OrderCounts::default(),
+            stopped: false,
+        }
+    }
+
+    /// Reads the demand from what these routers publish, given an engine's throughput.
+    pub fn with_routers(mut self, routers: Vec<SocketAddr>, throughput: EngineThroughput) -> Self {
+        self.source.routers = routers;
+        self.source.throughput = throughput;
+        self
+    }
+
+    /// The last plan.
+    pub fn last_plan(&self) -> &RolePlan {
+        &self.last_plan
+    }
+
+    /// The engines that answered in the last round, as they were then.
+    pub fn seen(&self) -> &[EngineView] {
+        &self.last_view
+    }
+
+    /// The numbers of orders that engines accepted and rejected since the start.
+    pub fn orders(&self) -> (usize, usize) {
+        (self.orders.accepted, self.orders.rejected)
+    }
+
+    fn begin_round(&mut self, now: Duration, out: &mut Vec<Output>) {
+        self.requests.abort_all(out);
+        for (engine, watched) in self.engines.iter().enumerate() {
+            self.observations[engine].begin_round();
+            self.requests.poll_engine(engine, watched.addr, out);
+        }
+        for (router, address) in self.source.routers.iter().enumerate() {
+            self.requests.poll_router(router, *address, out);
+        }
+        self.schedule.next_poll = now + POLL_INTERVAL;
+        self.schedule.next_plan = Some(now + POLL_INTERVAL.mul_f64(ANSWER_SHARE));
+    }
+
+    fn take_answer(&mut self, answer: Answer) {
+        match answer {
+            Answer::Router { router, metrics } => {
+                self.source.demand.add_metrics(router, &metrics);
+                if let Some(frozen) = frozen_by_policy(&metrics) {
+                    self.frozen_by.policies.insert(router, frozen);
+                }
+            }
+            Answer::Load { engine, load } => self.observations[engine].load = Some(load),
+            Answer::Role { engine, role } => self.observations[engine].role = role,
+            Answer::Order { accepted: true } => self.orders.accepted += 1,
+            Answer::Order { accepted: false } => self.orders.rejected += 1,
+        }
+    }
+
+    fn plan(&mut self, now: Duration, out: &mut Vec<Output>) {
+        let mut view = self.view(now);
+        self.last_view.clone_from(&view.engines);
+        match self.source.demand.take_load(now, self.source.throughput) {
+            Some(load) => view.mix = load,
+            // The demand of routers that do not answer is unknown: better no change than one by half a view.
+            None if !self.source.routers.is_empty() => return,
+            None => {}
+        }
+        // One router whose policy freezes roles is enough: a change can't be taken back.
+        let is_frozen = self.frozen_by.operator || self.frozen_by.policies.values().any(|frozen| *frozen);
+        self.planner.freeze(is_frozen);
+        let plan = self.planner.plan(&view);
+        for change in &plan.changes {
+            self.order(change, out);
+        }
+        self.last_plan = plan;
+    }
+
+    /// Logs a change and, unless this is a dry run, orders it.
+    fn order(&mut self, change: &RoleChange, out: &mut Vec<Output>) {
+        let verb = if self.dry_run { "would order" } else { "orders" };
+        out.push(Output::Log(format!("{verb} {change}")));
+        if self.dry_run {
+            return;
+        }
+        if let Some(engine) = self.engines.iter().find(|engine| engine.id == change.engine) {
+            self.requests.order(engine.addr, change, out);
+        }
+    }
+
+    fn watch(&mut self, engines: &[Watched]) {
+        self.engines = engines.to_vec();
+        self.observations = engines.iter().map(|_| EngineObservation::default()).collect();
+        self.requests.forget_all();
+    }
+}
+
+/// Whether a router publishes that its policy freezes the roles; `None`: it publishes nothing about that.
+fn frozen_by_policy(metrics: &str) -> Option<bool> {
+    let value = metrics.lines().find_map(|line| line.strip_prefix("slipreel_policy_roles_frozen "))?;
+    Some(value.trim() != "0")
+}
+
+impl Machine for RoleController {
+    fn handle(&mut self, now: Duration, input: Input<'_>, out: &mut Vec<Output>) {
+        match input {
+            Input::Connected(conn) => self.requests.send(conn, out),
+            Input::Data(conn, bytes) => {
+                // Without engines there is nothing to plan: answers of routers are dropped.
+                let takes_answers = !self.engines.is_empty();
+                for answer in self.requests.receive(conn, bytes, takes_answers, out) {
+                    self.take_answer(answer);
+                }
+            }
+            Input::Eof(conn) => {
+                self.requests.remove(conn);
+                out.push(Output::CloseWhenSent(conn));
+            }
+            Input::Lost(conn, _) => self.requests.remove(conn),
+            Input::OwnerMessage(message) => {
+                if let Some(Freeze(frozen)) = message.downcast_ref() {
+                    self.frozen_by.operator = *frozen;
+                    self.planner.freeze(*frozen);
+                } else if let Some(engines) = message.downcast_ref::<Vec<Watched>>() {
+                    self.watch(engines);
+                }
+            }
+            Input::Stop if !self.stopped => {
+                self.stopped = true;
+                out.push(Output::Stopped);
+            }
+            Input::Accepted(..)
+            | Input::Sent(..)
+            | Input::PeerClosedWhilePaused(_)
+            | Input::DescriptorsExhausted(_)
+            | Input::Wake
+            | Input::Datagram(..)
+            | Input::Stop => {}
+        }
+        if self.stopped {
+            return;
+        }
+        if self.schedule.next_plan.is_some_and(|at| at <= now) {
+            self.schedule.next_plan = None;
+            self.plan(now, out);
+        }
+        if self.schedule.next_poll <= now {
+            self.begin_round(now, out);
+        }
+    }
+
+    fn wake_at(&self) -> Option<Duration> {
+        let Schedule { next_poll, next_plan } = self.schedule;
+        (!self.stopped).then(|| next_plan.map_or(next_poll, |at| at.min(next_poll)))
+    }
+}
--- a/crates/roles/src/demand/tests.rs
+++ b/crates/roles/src/demand/tests.rs
@@ -26,18 +26,20 @@
 fn refused_asks_count_and_restarts_do_not_go_back() {
     let s = Duration::from_secs;
     let mut demand = Demand::default();
-    demand.hear(0, &text(1000, 10));
-    assert_eq!(demand.take(s(1), SPEEDS), None, "nothing to compare with");
-    demand.hear(0, &text(1040, 20));
+    demand.add_metrics(0, &text(1000, 10));
+    assert_eq!(demand.take_load(s(1), SPEEDS), None, "nothing to compare with");
+    demand.add_metrics(0, &text(1040, 20));
     // 40 asks in 2 s of 1,000 prompt and 50 answer tokens each, though ten were read.
-    assert_near(demand.take(s(3), SPEEDS), 2.0, 2.0);
+    assert_near(demand.take_load(s(3), SPEEDS), 2.0, 2.0);
     // It has started anew.
-    demand.hear(0, &text(20, 5));
-    assert_near(demand.take(s(5), SPEEDS), 1.0, 1.0);
-    assert_eq!(demand.take(s(6), SPEEDS), None, "no router was heard");
-    demand
-        .hear(0, "slipreel_class_asked_total{class=\"x\"} NaN\nslipreel_class_asked_total{class=\"\nbroken");
-    assert_eq!(demand.take(s(7), SPEEDS), Some(StageLoad::default()));
+    demand.add_metrics(0, &text(20, 5));
+    assert_near(demand.take_load(s(5), SPEEDS), 1.0, 1.0);
+    assert_eq!(demand.take_load(s(6), SPEEDS), None, "no router was heard");
+    demand.add_metrics(
+        0,
+        "slipreel_class_asked_total{class=\"x\"} NaN\nslipreel_class_asked_total{class=\"\nbroken",
+    );
+    assert_eq!(demand.take_load(s(7), SPEEDS), Some(StageLoad::default()));
 }
 
 /// A class whose asks become ten times as long: its mean follows within seconds, whatever came in the hours before.
@@ -53,8 +55,8 @@
     for t in 0..4_000 {
         reads += 10;
         tokens += if t < 3_970 { 10 * 100 } else { 10 * 1_000 };
-        demand.hear(0, &told(reads, tokens));
-        mean = demand.take(s(t), SPEEDS).map_or(0.0, |m| m.prefill * SPEEDS.prefill / 10.0);
+        demand.add_metrics(0, &told(reads, tokens));
+        mean = demand.take_load(s(t), SPEEDS).map_or(0.0, |m| m.prefill * SPEEDS.prefill / 10.0);
     }
     assert!((800.0..1_000.0).contains(&mean), "{mean} after 30 s");
 }
--- a/crates/roles/src/lib.rs
+++ b/crates/roles/src/lib.rs
@@ -1,19 +1,19 @@
-//! Which engines should read and which should write, as the mix of work shifts.
+//! Which engines should prefill and which should decode, as the ratio of the two loads shifts.
 //!
-//! - [`Planner`]: from what is seen it settles which engines to change, in which order, and explains each change: what
-//!   was seen, what it costs, what it gains. A change is paid only when its gain outweighs its cost.
-//! - [`RoleRecord`]: what an engine holds of its own role. A change names the epoch that it replaces, so that two
-//!   planners, or one that comes back from the dead, can't undo each other.
-//! - [`Conductor`]: a machine that asks engines how they are, plans, and orders the changes that pay.
+//! - [`Planner`]: decides from views which engines to change, in which order, and explains each change: its cause, cost and gain.
+//!   A change is planned only if its gain outweighs its cost.
+//! - [`RoleRecord`]: an engine's record of its own role. An order names the epoch that it replaces, so that two controllers, or one that
+//!   was suspended, can't undo each other's changes.
+//! - [`RoleController`]: a state machine that polls engines and routers, plans, and orders the changes.
 //!
-//! No I/O and no clock; the same views give the same plans. `docs/design-roles.md` weighs the options.
+//! No I/O and no clock; the same views give the same plans. `docs/design-roles.md` compares the options.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
 mod capacity;
-mod conductor;
 mod config;
+mod controller;
 mod demand;
 mod integer_program;
 mod load_history;
@@ -23,8 +23,8 @@
 mod stage_load;
 mod view;
 
-pub use conductor::{Conductor, Freeze, FullLoadRequests, Watched, CACHED_TOKENS_AT_FULL_MEMORY};
 pub use config::{ChangeCosts, PlannerLimits, PlanningPolicy};
+pub use controller::{Freeze, FullLoadRequests, RoleController, Watched, CACHED_TOKENS_AT_FULL_MEMORY};
 pub use demand::{Demand, EngineThroughput};
 pub use load_history::LoadHistory;
 pub use plan::{RoleChange, RolePlan};
--- a/crates/roles/src/record.rs
+++ b/crates/roles/src/record.rs
@@ -1,35 +1,35 @@
-//! An engine's own record of its role: the one place where a role is held, with the epoch in which it was taken.
+//! An engine's own record of its role: the only authority on that role, with the epoch in which it was taken.
 //!
-//! Routers share nothing and planners may be several or dead, so nobody else is the truth. An order names the epoch that
-//! it replaces; one for an older epoch is turned away with the present state, from which its planner can go on.
+//! Routers share no state and controllers may be several or dead, so no other record is authoritative. An order names the epoch that
+//! it replaces (compare and swap); an order for another epoch is rejected with the present state, from which its planner can go on.
 
 use slipreel::Role;
 use std::time::Duration;
 
-/// Where a change stands.
+/// The progress of a change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// It serves in its role.
+    /// The engine serves in its role.
     Serving,
-    /// It was told of another role and takes nothing new; what runs in the old one ends whole.
+    /// It was ordered to take another role: it takes no new work, and completes what it has in the old role.
     Draining {
         /// The role to come.
         to: Role,
-        /// When it was told.
+        /// When it was ordered.
         since: Duration,
     },
 }
 
-/// The role that an engine tells of itself.
+/// The role of an engine, as it reports it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RoleState {
-    /// The role it serves in, or ends its work in.
+    /// The role in which it serves or completes its work.
     pub role: Role,
     /// Grows by one with each role taken.
     pub epoch: u64,
-    /// When it started in this role: the start time that the list shows, a new one for each role.
+    /// When it started in this role: the start time in the endpoint list, a new one for each role.
     pub started: Duration,
-    /// Where a change stands.
+    /// The progress of a change.
     pub step: Step,
 }
 
@@ -42,44 +42,44 @@
     pub to: Role,
 }
 
-/// Why an order was not taken. Nothing has changed.
+/// Why an order was rejected, with the state, which has not changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rejected {
     /// It names another epoch than the present one.
     OtherEpoch(RoleState),
-    /// Another change is under way.
+    /// Another change is in progress.
     Changing(RoleState),
-    /// It has that role.
+    /// The engine has that role.
     SameRole(RoleState),
 }
 
-/// What an engine holds of its role.
+/// An engine's record of its role.
 #[derive(Clone, Debug)]
 pub struct RoleRecord {
     state: RoleState,
 }
 
 impl RoleRecord {
-    /// An engine that has started in a role. After a restart it passes the epoch that it had, or 0 if it knows none:
-    /// its start time tells routers that whatever they knew is void.
+    /// The record of an engine that has started in a role. After a restart `epoch` is the one that it had, or 0 if it knows none: its
+    /// new start time tells routers that what they knew of it no longer holds.
     pub fn started(role: Role, epoch: u64, now: Duration) -> Self {
         RoleRecord { state: RoleState { role, epoch, started: now, step: Step::Serving } }
     }
 
-    /// Its state, as it tells it.
+    /// The state, as the engine reports it.
     pub fn state(&self) -> RoleState {
         self.state
     }
 
-    /// Whether it takes new work.
+    /// Whether the engine takes new work.
     pub fn takes_work(&self) -> bool {
         self.state.step == Step::Serving
     }
 
-    /// Takes an order, or says why not. An order that is repeated while it is carried out is taken again.
+    /// Accepts an order. An order that is repeated while its change is in progress is accepted again.
     ///
     /// # Errors
-    /// The order replaces another epoch, another change is under way, or the role is the same.
+    /// The order replaces another epoch, another change is in progress, or the role is the same.
     pub fn order(&mut self, now: Duration, order: Order) -> Result<RoleState, Rejected> {
         if order.replaces != self.state.epoch {
             return Err(Rejected::OtherEpoch(self.state));
@@ -95,14 +95,14 @@
         }
     }
 
-    /// Tells it how much of its old role is left; gives the new state once it has taken the new role. The new role
-    /// comes only when no work and no held state is left, and with a start time that was never told before.
+    /// Reports how much work and how many reserved states are left in the old role; the new state once the engine has taken the new
+    /// role. It does so only when neither is left, and with a start time that was never reported before.
     pub fn left(&mut self, now: Duration, work: usize, held_states: usize) -> Option<RoleState> {
         let Step::Draining { to, .. } = self.state.step else { return None };
         if work > 0 || held_states > 0 {
             return None;
         }
-        // Start times are compared for change alone; two within one tick of a clock must still differ.
+        // Start times are compared for equality alone; two within one tick of the clock must still differ.
         let started = now.max(self.state.started + Duration::from_millis(1));
         self.state = RoleState { role: to, epoch: self.state.epoch + 1, started, step: Step::Serving };
         Some(self.state)
--- a/crates/scenario/src/actor.rs
+++ b/crates/scenario/src/actor.rs
@@ -2,7 +2,7 @@
 
 use slipreel_gateway::site::EngineSite;
 use slipreel_gateway::Front;
-use slipreel_roles::Conductor;
+use slipreel_roles::RoleController;
 use slipreel_state_machine::{Input, Machine, Output};
 use slipreel_test_servers::client::Clients;
 use slipreel_test_servers::engine::Engine;
@@ -20,7 +20,7 @@
     /// An engine.
     Engine(Box<Gate<Engine>>),
     /// Who changes roles.
-    Conductor(Box<Conductor>),
+    Conductor(Box<RoleController>),
     /// The clients.
     Clients(Box<Clients>),
 }
--- a/crates/scenario/src/stage.rs
+++ b/crates/scenario/src/stage.rs
@@ -11,7 +11,9 @@
 use slipreel_gateway::site::EngineSite;
 use slipreel_gateway::{engine_id, Front, Tally};
 use slipreel_invariants::{judge, Break, Record, Seen};
-use slipreel_roles::{ChangeCosts, Conductor, EngineThroughput, FullLoadRequests, PlannerLimits, Watched};
+use slipreel_roles::{
+    ChangeCosts, EngineThroughput, FullLoadRequests, PlannerLimits, RoleController, Watched,
+};
 use slipreel_test_servers::client::{Clients, Result as TryResult};
 use slipreel_test_servers::engine::{Engine, Role};
 use slipreel_test_servers::gate::{Cut, Gate};
@@ -150,7 +152,7 @@
     }
 
     /// A conductor over all engines, if the day has one.
-    fn conductor(&self, now: Duration, routers: &[SocketAddr]) -> Option<Conductor> {
+    fn conductor(&self, now: Duration, routers: &[SocketAddr]) -> Option<RoleController> {
         let policy = self.day.roles?;
         let mut cells: Vec<&String> = self.day.engines.iter().map(|e| &e.cell).collect();
         cells.sort_unstable();
@@ -191,7 +193,7 @@
             prefill: reader.map_or(1.0, |s| s.read_per_s),
             decode: writer.map_or(1.0, slipreel_test_servers::engine::EngineSpec::write_per_s),
         };
-        let conductor = Conductor::new(engines, limits, costs, policy, places, false, now);
+        let conductor = RoleController::new(engines, limits, costs, policy, places, false, now);
         Some(conductor.with_routers(routers.to_vec(), speeds))
     }
 
