--- a/crates/membership/src/name_conflict.rs
+++ b/crates/membership/src/name_conflict.rs
@@ -78,8 +78,8 @@
         }
         Some(known) if known.record.incarnation > reported.record.incarnation => {}
         _ => {
-            *conflict =
-                Some(NameConflict { record: reported.record.clone(), round: reported.round, last_heard })
+            let record = reported.record.clone();
+            *conflict = Some(NameConflict { record, round: reported.round, last_heard });
         }
     }
     let runs = |holder: &NameConflict| {
--- a/crates/membership/src/saved_state.rs
+++ b/crates/membership/src/saved_state.rs
@@ -1,7 +1,6 @@
 //! What outlives the process, as one small file: its incarnation, the number of routers that it divided quotas by, and the addresses
 //! of other members. Lines of text under a version and a checksum; a file that is truncated or changed is rejected.
 
-use std::fmt;
 use std::net::SocketAddr;
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -31,28 +30,19 @@
 }
 
 /// Why a file was rejected.
-#[derive(Clone, Debug, PartialEq, Eq)]
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SavedStateError {
     /// It is not a saved state, or of another version: its first line.
+    #[error("{0:?}: expected {HEAD:?}")]
     Version(String),
     /// The checksum does not match: it is truncated or was changed.
+    #[error("the checksum does not fit: cut short or changed")]
     Checksum,
     /// A line is malformed: its number, from 1, and the line.
+    #[error("line {0}: {1:?}: expected a key and its value")]
     Line(usize, String),
 }
 
-impl fmt::Display for SavedStateError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            SavedStateError::Version(found) => write!(f, "{found:?}: expected {HEAD:?}"),
-            SavedStateError::Checksum => f.write_str("the checksum does not fit: cut short or changed"),
-            SavedStateError::Line(n, found) => write!(f, "line {n}: {found:?}: expected a key and its value"),
-        }
-    }
-}
-
-impl std::error::Error for SavedStateError {}
-
 impl SavedState {
     /// Encodes the file's text.
     pub fn encode(&self) -> String {
--- a/crates/protocol/src/membership.rs
+++ b/crates/protocol/src/membership.rs
@@ -5,7 +5,6 @@
 //! Numbers are variable-length (seven bits a byte, least significant first) unless said otherwise. A claimed list length
 //! allocates nothing: a list ends where the bytes end. A message that can't be decoded completely is rejected.
 
-use std::fmt;
 use std::net::{IpAddr, Ipv4Addr, Ipv6Addr, SocketAddr};
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -107,34 +106,25 @@
 }
 
 /// Why bytes could not be decoded as a [`Message`].
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DecodeError {
     /// They do not begin with the magic bytes.
+    #[error("not a message of a fleet")]
     NotAMessage,
     /// Another protocol version: the one found.
+    #[error("version {0}: expected {VERSION}")]
     Version(u8),
     /// The checksum does not match: changed or truncated in transit.
+    #[error("changed or cut short on the way")]
     Checksum,
     /// The checksum matches but the content is malformed: what was expected.
+    #[error("expected {0}")]
     Content(&'static str),
     /// Longer than [`MAX_MESSAGE_LEN`]: the length found or claimed, in bytes.
+    #[error("{0} bytes: expected {MAX_MESSAGE_LEN} at most")]
     TooLong(usize),
 }
 
-impl fmt::Display for DecodeError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            DecodeError::NotAMessage => f.write_str("not a message of a fleet"),
-            DecodeError::Version(found) => write!(f, "version {found}: expected {VERSION}"),
-            DecodeError::Checksum => f.write_str("changed or cut short on the way"),
-            DecodeError::Content(expected) => write!(f, "expected {expected}"),
-            DecodeError::TooLong(n) => write!(f, "{n} bytes: expected {MAX_MESSAGE_LEN} at most"),
-        }
-    }
-}
-
-impl std::error::Error for DecodeError {}
-
 fn put_number(out: &mut Vec<u8>, mut n: u64) {
     while n >= 0x80 {
         out.push(n as u8 | 0x80);
--- a/crates/protocol/src/membership/tests.rs
+++ b/crates/protocol/src/membership/tests.rs
@@ -154,6 +154,21 @@
         heartbeats: vec![Heartbeat { record_id: 11, round: 5, age_ms: 1_500 }],
         requested_ids: vec![12, 13],
     };
-    let hex: String = message.encode().iter().map(|byte| format!("{byte:02x}")).collect();
-    assert_eq!(hex, BYTES);
+    let byte_at = |at: usize| u8::from_str_radix(&BYTES[at..at + 2], 16).expect("two hexadecimal digits");
+    let expected: Vec<u8> = (0..BYTES.len()).step_by(2).map(byte_at).collect();
+    assert_eq!(message.encode(), expected);
+}
+
+#[test]
+fn decode_errors_keep_the_texts_that_operators_read() {
+    let texts = [
+        (DecodeError::NotAMessage, "not a message of a fleet"),
+        (DecodeError::Version(2), "version 2: expected 1"),
+        (DecodeError::Checksum, "changed or cut short on the way"),
+        (DecodeError::Content("more bytes"), "expected more bytes"),
+        (DecodeError::TooLong(9), "9 bytes: expected 1048576 at most"),
+    ];
+    for (error, text) in texts {
+        assert_eq!(error.to_string(), text);
+    }
 }
--- a/crates/roles/src/record.rs
+++ b/crates/roles/src/record.rs
@@ -43,13 +43,16 @@
 }
 
 /// Why an order was rejected, with the state, which has not changed.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Rejected {
     /// It names another epoch than the present one.
+    #[error("the order replaces another epoch than the present one")]
     OtherEpoch(RoleState),
     /// Another change is in progress.
+    #[error("another change is in progress")]
     Changing(RoleState),
     /// The engine has that role.
+    #[error("the engine has that role")]
     SameRole(RoleState),
 }
 
