--- a/crates/platform/src/dispatch.rs
+++ b/crates/platform/src/dispatch.rs
@@ -1,4 +1,4 @@
-//! Carries out what the module decides: attempts, probes, final answers.
+//! Dispatches what the decision module decides: attempts, health checks, final answers.
 
 use crate::engine_connection::{ConnectionPurpose, EngineConnection, Exchange, State};
 use crate::proof::{AttemptEnd, NeverRan};
@@ -14,6 +14,7 @@
 const EXTRA_RELEASE_CONNECTIONS: usize = 4;
 
 impl PlatformRouter {
+    /// Carries out one action.
     pub(crate) fn dispatch(&mut self, action: Action, out: &mut Vec<Output>) {
         match action {
             Action::Send { request, engine, timeout: limit } => self.send(request, engine, limit, out),
@@ -40,6 +41,7 @@
 
     // ---- Attempts -----------------------------------------------------------------------------
 
+    /// Sends an attempt to an engine.
     fn send(&mut self, id: RequestId, engine: EngineId, timeout: Option<Duration>, out: &mut Vec<Output>) {
         let now = self.now;
         let Some(request) = self.requests.get_mut(id) else { return };
@@ -139,6 +141,7 @@
         true
     }
 
+    /// Cancels an attempt in flight.
     fn cancel(&mut self, id: RequestId, attempt: usize, out: &mut Vec<Output>) {
         let Some(request) = self.requests.get(id) else { return };
         // A stream that has begun is the client's; the module does not cancel it either.
@@ -184,8 +187,8 @@
         }
     }
 
-    /// For the staff: why a write that must not be repeated is taken as never run, and so may go out again. If an effect
-    /// is ever seen twice, this is where to look.
+    /// Logs why a decode that must not be repeated is taken as never run, and so may be sent again. If an effect is ever
+    /// seen twice, this is where to look.
     pub(crate) fn log_never_ran(
         &mut self, id: RequestId, attempt: usize, proof: NeverRan, since: Duration, out: &mut Vec<Output>,
     ) {
@@ -201,6 +204,7 @@
         )));
     }
 
+    /// Closes the idle connections to an engine.
     pub(crate) fn close_idle(&mut self, engine: EngineId, out: &mut Vec<Output>) {
         for conn in self.engines.idle_to(engine) {
             self.engines.remove(conn, &mut self.timers);
@@ -250,6 +254,7 @@
 
     // ---- Probes -------------------------------------------------------------------------------
 
+    /// Sends a health check to an engine.
     fn probe(&mut self, engine: EngineId, out: &mut Vec<Output>) {
         let Some(addr) = self.endpoints.get(engine).map(|m| m.addr) else {
             return self.probe_ended(engine, Outcome::NotSent, LoadReport::default());
@@ -266,6 +271,7 @@
         }
     }
 
+    /// Tells the module how a health check ended.
     pub(crate) fn probe_ended(&mut self, engine: EngineId, outcome: Outcome, report: LoadReport) {
         self.counters.load_reports += u64::from(report != LoadReport::default());
         self.queue_event(Event::ProbeEnded { engine, outcome, report });
--- a/crates/platform/src/engines.rs
+++ b/crates/platform/src/engines.rs
@@ -18,6 +18,7 @@
 const RELEASED: u16 = 204;
 
 impl PlatformRouter {
+    /// A connection to an engine is established.
     pub(crate) fn engine_connected(&mut self, conn: ConnId, out: &mut Vec<Output>) {
         let now = self.now;
         if self.request_is_over(conn) {
@@ -46,12 +47,14 @@
         }
     }
 
+    /// Bytes for an engine have left the driver.
     pub(crate) fn engine_sent(&mut self, conn: ConnId, sent: usize) {
         if let Some(connection) = self.engines.get_mut(conn) {
             connection.bytes_sent(sent);
         }
     }
 
+    /// Bytes of an engine have come.
     pub(crate) fn engine_data(&mut self, conn: ConnId, bytes: &[u8], out: &mut Vec<Output>) {
         let now = self.now;
         let Some(connection) = self.engines.get_mut(conn) else { return };
@@ -85,6 +88,7 @@
         }
     }
 
+    /// A connection to an engine is lost, or could not be opened.
     pub(crate) fn engine_lost(&mut self, conn: ConnId, why: ConnectionLoss, out: &mut Vec<Output>) {
         if let Some(connection) = self.engines.remove(conn, &mut self.timers) {
             if why == ConnectionLoss::Exhausted {
@@ -96,6 +100,7 @@
         }
     }
 
+    /// An engine has closed its sending side.
     pub(crate) fn engine_eof(&mut self, conn: ConnId, out: &mut Vec<Output>) {
         if let Some(connection) = self.engines.remove(conn, &mut self.timers) {
             out.push(Output::Abort(conn));
@@ -131,6 +136,7 @@
         self.arm_engine_timer(conn);
     }
 
+    /// An attempt has timed out by the decision module, unless its stream has begun.
     pub(crate) fn attempt_timed_out(&mut self, id: RequestId, attempt: usize, out: &mut Vec<Output>) {
         let Some(request) = self.requests.get(id).filter(|c| c.streaming_attempt.is_none()) else { return };
         let conn = request.attempts.get(attempt).filter(|a| a.in_flight).and_then(|a| a.conn);
@@ -297,6 +303,7 @@
         }
     }
 
+    /// The last chunk of a stream has come.
     fn stream_ended(&mut self, id: RequestId, attempt: usize, report: LoadReport, out: &mut Vec<Output>) {
         if self.requests.get(id).is_some_and(|c| c.streaming_attempt == Some(attempt)) {
             self.complete_stream(id, out);
