--- a/crates/consensus/src/member.rs
+++ b/crates/consensus/src/member.rs
@@ -1,4 +1,4 @@
-//! One address for the view of the fleet and the agreement on policy: each datagram and connection goes to the one that its first bytes name.
+//! One address for membership and consensus: each datagram and connection goes to the machine that its first bytes name.
 
 use crate::consensus::Consensus;
 use crate::peer_connections::PeerConnections;
@@ -11,19 +11,34 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Connections that have not said whom they are for, at most, and how long they may take.
+/// Connections at once whose first bytes have not come yet.
 const MAX_UNIDENTIFIED_CONNECTIONS: usize = 64;
+/// How long the first bytes of a connection may take.
 const IDENTIFICATION_DEADLINE: Duration = Duration::from_secs(2);
 
-/// A member of a fleet: its view, and its part in the policy where that is on.
+/// A connection whose first bytes have not come yet: it is not known which machine it is for.
+struct UnidentifiedConnection {
+    listener: ListenerId,
+    accepted_at: Duration,
+    buffer: Vec<u8>,
+}
+
+impl UnidentifiedConnection {
+    fn deadline(&self) -> Duration {
+        self.accepted_at + IDENTIFICATION_DEADLINE
+    }
+}
+
+/// A member of a fleet: its membership, and its part in consensus where that is configured.
 pub struct Member {
     fleet: Fleet,
     consensus: Option<Consensus>,
-    fresh: BTreeMap<ConnId, (ListenerId, Duration, Vec<u8>)>,
-    ours: BTreeSet<ConnId>,
+    unidentified: BTreeMap<ConnId, UnidentifiedConnection>,
+    /// Connections from peers that are for consensus.
+    consensus_connections: BTreeSet<ConnId>,
 }
 
-/// Others as the view of the fleet has them.
+/// The peers that membership knows.
 pub struct MembershipDirectory(pub Arc<ViewBoard>);
 
 impl PeerDirectory for MembershipDirectory {
@@ -39,15 +54,15 @@
 impl Member {
     /// Both behind one address.
     pub fn new(fleet: Fleet, consensus: Option<Consensus>) -> Member {
-        Member { fleet, consensus, fresh: BTreeMap::new(), ours: BTreeSet::new() }
+        Member { fleet, consensus, unidentified: BTreeMap::new(), consensus_connections: BTreeSet::new() }
     }
 
-    /// The view's machine.
+    /// The membership machine.
     pub fn fleet(&self) -> &Fleet {
         &self.fleet
     }
 
-    /// The agreement's machine.
+    /// The consensus machine.
     pub fn consensus(&self) -> Option<&Consensus> {
         self.consensus.as_ref()
     }
@@ -58,38 +73,43 @@
         }
     }
 
-    fn is_ours(&self, conn: ConnId) -> bool {
-        self.ours.contains(&conn) || PeerConnections::is_ours(conn)
+    fn is_for_consensus(&self, conn: ConnId) -> bool {
+        self.consensus_connections.contains(&conn) || PeerConnections::is_ours(conn)
     }
 
     /// The first bytes of a connection: it goes to whom they name, with all that came.
     fn first_bytes(&mut self, now: Duration, conn: ConnId, bytes: &[u8], out: &mut Vec<Output>) {
-        let Some((door, _, got)) = self.fresh.get_mut(&conn) else { return };
-        got.extend(bytes);
-        if got.len() < MAGIC.len() {
+        let Some(unidentified) = self.unidentified.get_mut(&conn) else { return };
+        unidentified.buffer.extend(bytes);
+        if unidentified.buffer.len() < MAGIC.len() {
             return;
         }
-        let (door, got) = (*door, std::mem::take(got));
-        self.fresh.remove(&conn);
-        if got.starts_with(&MAGIC) {
-            self.ours.insert(conn);
-            self.pass_on(now, Input::Accepted(conn, door), out);
-            self.pass_on(now, Input::Data(conn, &got), out);
+        let (listener, buffer) = (unidentified.listener, std::mem::take(&mut unidentified.buffer));
+        self.unidentified.remove(&conn);
+        if buffer.starts_with(&MAGIC) {
+            self.consensus_connections.insert(conn);
+            self.pass_on(now, Input::Accepted(conn, listener), out);
+            self.pass_on(now, Input::Data(conn, &buffer), out);
         } else {
-            self.fleet.handle(now, Input::Accepted(conn, door), out);
-            self.fleet.handle(now, Input::Data(conn, &got), out);
+            self.fleet.handle(now, Input::Accepted(conn, listener), out);
+            self.fleet.handle(now, Input::Data(conn, &buffer), out);
         }
     }
 
-    fn drop_late(&mut self, now: Duration, out: &mut Vec<Output>) {
-        let late: Vec<ConnId> = self
-            .fresh
-            .iter()
-            .filter(|(_, (_, at, _))| now >= *at + IDENTIFICATION_DEADLINE)
-            .map(|(c, _)| *c)
-            .collect();
+    fn accept(&mut self, now: Duration, conn: ConnId, listener: ListenerId, out: &mut Vec<Output>) {
+        if self.unidentified.len() >= MAX_UNIDENTIFIED_CONNECTIONS {
+            return out.push(Output::Abort(conn));
+        }
+        let unidentified = UnidentifiedConnection { listener, accepted_at: now, buffer: Vec::new() };
+        self.unidentified.insert(conn, unidentified);
+    }
+
+    /// Closes connections whose first bytes did not come in time.
+    fn close_unidentified(&mut self, now: Duration, out: &mut Vec<Output>) {
+        let late = self.unidentified.iter().filter(|(_, unidentified)| now >= unidentified.deadline());
+        let late: Vec<ConnId> = late.map(|(conn, _)| *conn).collect();
         for conn in late {
-            self.fresh.remove(&conn);
+            self.unidentified.remove(&conn);
             out.push(Output::Abort(conn));
         }
     }
@@ -100,28 +120,22 @@
         if self.consensus.is_none() {
             return self.fleet.handle(now, input, out);
         }
-        self.drop_late(now, out);
+        self.close_unidentified(now, out);
         match input {
             Input::Datagram(_, _, bytes) if bytes.starts_with(&MAGIC) => self.pass_on(now, input, out),
-            Input::Accepted(conn, door) => {
-                if self.fresh.len() < MAX_UNIDENTIFIED_CONNECTIONS {
-                    self.fresh.insert(conn, (door, now, Vec::new()));
-                } else {
-                    out.push(Output::Abort(conn));
-                }
-            }
-            Input::Data(conn, bytes) if self.fresh.contains_key(&conn) => {
+            Input::Accepted(conn, listener) => self.accept(now, conn, listener, out),
+            Input::Data(conn, bytes) if self.unidentified.contains_key(&conn) => {
                 self.first_bytes(now, conn, bytes, out);
             }
-            Input::Eof(conn) if self.fresh.remove(&conn).is_some() => out.push(Output::Abort(conn)),
-            Input::Lost(conn, _) if self.fresh.remove(&conn).is_some() => {}
+            Input::Eof(conn) if self.unidentified.remove(&conn).is_some() => out.push(Output::Abort(conn)),
+            Input::Lost(conn, _) if self.unidentified.remove(&conn).is_some() => {}
             Input::Connected(conn) | Input::Data(conn, _) | Input::Eof(conn) | Input::Sent(conn, _)
-                if self.is_ours(conn) =>
+                if self.is_for_consensus(conn) =>
             {
                 self.pass_on(now, input, out);
             }
-            Input::Lost(conn, _) if self.is_ours(conn) => {
-                self.ours.remove(&conn);
+            Input::Lost(conn, _) if self.is_for_consensus(conn) => {
+                self.consensus_connections.remove(&conn);
                 self.pass_on(now, input, out);
             }
             Input::Wake | Input::Stop | Input::OwnerMessage(_) => {
@@ -130,17 +144,17 @@
             }
             _ => self.fleet.handle(now, input, out),
         }
-        // What either ends without hearing of it again is nobody's.
+        // A connection that a machine has ended brings no further input.
         for output in out.iter() {
             if let Output::Abort(conn) | Output::CloseWhenSent(conn) = output {
-                self.ours.remove(conn);
+                self.consensus_connections.remove(conn);
             }
         }
     }
 
     fn wake_at(&self) -> Option<Duration> {
-        let fresh = self.fresh.values().map(|(_, at, _)| *at + IDENTIFICATION_DEADLINE).min();
+        let unidentified = self.unidentified.values().map(UnidentifiedConnection::deadline).min();
         let consensus = self.consensus.as_ref().and_then(Machine::wake_at);
-        [self.fleet.wake_at(), consensus, fresh].into_iter().flatten().min()
+        [self.fleet.wake_at(), consensus, unidentified].into_iter().flatten().min()
     }
 }
