--- a/crates/cli/src/disk.rs
+++ b/crates/cli/src/disk.rs
@@ -8,8 +8,8 @@
 
 /// The file's name in the folder of `[fleet]`.
 const NAME: &str = "accord";
-/// A log is never that long; what is, is something else.
-const LONGEST: u64 = 1 << 30;
+/// Bytes from which on a file is refused: a log of this program is never that long.
+const MAX_FILE_LEN: u64 = 1 << 30;
 
 /// A voter's file.
 pub(crate) struct Folder {
@@ -40,9 +40,9 @@
             other => other?,
         };
         let mut bytes = Vec::new();
-        file.take(LONGEST).read_to_end(&mut bytes)?;
-        if bytes.len() as u64 == LONGEST {
-            return Err(std::io::Error::other(format!("{NAME}: expected fewer than {LONGEST} bytes")));
+        file.take(MAX_FILE_LEN).read_to_end(&mut bytes)?;
+        if bytes.len() as u64 == MAX_FILE_LEN {
+            return Err(std::io::Error::other(format!("{NAME}: expected fewer than {MAX_FILE_LEN} bytes")));
         }
         Ok(bytes)
     }
