--- a/crates/consensus/src/member.rs
+++ b/crates/consensus/src/member.rs
@@ -4,7 +4,7 @@
 use crate::peer_connections::PeerConnections;
 use crate::startup::PeerDirectory;
 use crate::wire::MAGIC;
-use slipreel_membership::{Membership, SharedView as ViewBoard};
+use slipreel_membership::{Membership, SharedView};
 use slipreel_state_machine::{ConnId, Input, ListenerId, Machine, Output};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -39,7 +39,7 @@
 }
 
 /// The peers that membership knows.
-pub struct MembershipDirectory(pub Arc<ViewBoard>);
+pub struct MembershipDirectory(pub Arc<SharedView>);
 
 impl PeerDirectory for MembershipDirectory {
     fn address(&self, name: &str) -> Option<SocketAddr> {
@@ -54,7 +54,12 @@
 impl Member {
     /// Both behind one address.
     pub fn new(membership: Membership, consensus: Option<Consensus>) -> Member {
-        Member { membership, consensus, unidentified: BTreeMap::new(), consensus_connections: BTreeSet::new() }
+        Member {
+            membership,
+            consensus,
+            unidentified: BTreeMap::new(),
+            consensus_connections: BTreeSet::new(),
+        }
     }
 
     /// The membership machine.
