--- a/crates/cli/src/engine.rs
+++ b/crates/cli/src/engine.rs
@@ -3,7 +3,7 @@
 use crate::signals::Signals;
 use crate::{Failure, Outcome};
 use clap::ValueEnum;
-use slipreel_event_loop::{check_loopback, Clock, Command, Loop, NodeId};
+use slipreel_event_loop::{check_loopback, Clock, Command, EventLoop, MachineId};
 use slipreel_test_servers::engine::{Engine, EngineSpec, Role};
 use slipreel_test_servers::ledger::Ledger;
 use std::net::SocketAddr;
@@ -55,7 +55,7 @@
     let clock = Clock::start();
     let wall = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
     let make = if args.warm { Engine::warm } else { Engine::new };
-    let mut looped = Loop::new(clock).map_err(|e| Failure::Run(e.to_string()))?;
+    let mut looped = EventLoop::new(clock).map_err(|e| Failure::Run(e.to_string()))?;
     let node = looped.add(make(spec, Ledger::default(), clock.now(), wall));
     let addr = looped.listen(node, args.listen).map_err(|e| Failure::Run(e.to_string()))?;
     println!("standin ready on {addr}");
@@ -64,7 +64,7 @@
     while !signals.stopped() && !thread.is_finished() {
         std::thread::sleep(Duration::from_millis(50));
     }
-    handle.tell(Command::Stop(NodeId(0)));
+    handle.send(Command::Stop(MachineId(0)));
     thread
         .join()
         .map_err(|_| Failure::Run("the engine's thread ended by a panic".into()))?
--- a/crates/cli/src/load.rs
+++ b/crates/cli/src/load.rs
@@ -6,7 +6,7 @@
 use rand::SeedableRng;
 use rand_xoshiro::rand_core::RngCore;
 use serde_json::json;
-use slipreel_event_loop::{check_loopback, Clock, Loop};
+use slipreel_event_loop::{check_loopback, Clock, EventLoop};
 use slipreel_invariants::{Effect, Ending};
 use slipreel_test_servers::client::{Clients, Habit, Plan};
 use slipreel_test_servers::ledger::Ledger;
@@ -88,7 +88,7 @@
         at += -(1.0 - chance()).ln() / args.rate;
     }
     let asked = plans.len();
-    let mut looped = Loop::new(clock).map_err(|e| Failure::Run(e.to_string()))?;
+    let mut looped = EventLoop::new(clock).map_err(|e| Failure::Run(e.to_string()))?;
     let node = looped.add(Clients::new(plans, vec![args.target], Ledger::default(), true));
     looped.run().map_err(|e| Failure::Run(e.to_string()))?;
     let clients = looped.machine(node);
--- a/crates/cli/src/member.rs
+++ b/crates/cli/src/member.rs
@@ -7,7 +7,7 @@
     CompiledPolicy, Consensus, Disk, InvalidPolicy, Member as Machine, MembershipDirectory, PolicyCompiler,
     PolicyHandle, Startup,
 };
-use slipreel_event_loop::{Clock, Command, Handle, Loop, NodeId};
+use slipreel_event_loop::{Clock, Command, EventLoop, EventLoopHandle, MachineId};
 use slipreel_gateway::{Front, Sharing};
 use slipreel_membership::{Membership, MembershipSettings, Peers, SavedState, SharedView};
 use slipreel_settings::{changes, join, policy_of, Daemon, FleetSite};
@@ -138,7 +138,7 @@
 /// The member of this process.
 pub(crate) struct Member {
     board: Arc<SharedView>,
-    handle: Handle<Machine>,
+    handle: EventLoopHandle<Machine>,
     policy: Option<Policy>,
     thread: JoinHandle<()>,
     site: FleetSite,
@@ -212,10 +212,10 @@
             Membership::new(settings, peers.clone(), &before, rand::random(), clock.now(), board.clone());
         let (consensus, policy) = consensus(&site, &daemon.site.name, config, clock, &board)?.unzip();
         let machine = Machine::new(machine, consensus);
-        let mut looped = Loop::new(clock).map_err(run)?;
+        let mut looped = EventLoop::new(clock).map_err(run)?;
         looped.on_log(|_, line| tracing::info!("{line}"));
         let node = looped.add(machine);
-        let listen = |e: slipreel_event_loop::NetError| Failure::Run(e.to_string());
+        let listen = |e: slipreel_event_loop::AddressError| Failure::Run(e.to_string());
         looped.listen_alone(node, site.listen).map_err(listen)?;
         looped.listen_datagrams(node, site.listen).map_err(listen)?;
         let handle = looped.handle();
@@ -244,14 +244,14 @@
     }
 
     /// Hands the view to the routers of this process.
-    pub(crate) fn introduce(&self, handles: &[Handle<Front>]) {
+    pub(crate) fn introduce(&self, handles: &[EventLoopHandle<Front>]) {
         let board: Arc<Arc<SharedView>> = Arc::new(self.board.clone());
         handles.iter().for_each(|h| {
-            h.tell(Command::News(NodeId(0), board.clone()));
-            h.tell(Command::News(NodeId(0), Arc::new(Sharing(self.board.view().router_count))));
+            h.send(Command::Message(MachineId(0), board.clone()));
+            h.send(Command::Message(MachineId(0), Arc::new(Sharing(self.board.view().router_count))));
             if let Some(policy) = &self.policy {
                 let handle: Arc<Arc<PolicyHandle>> = Arc::new(policy.handle.clone());
-                h.tell(Command::News(NodeId(0), handle));
+                h.send(Command::Message(MachineId(0), handle));
             }
         });
     }
@@ -279,7 +279,7 @@
     }
 
     /// Looks at what has changed: the view, what is to be kept, the book.
-    pub(crate) fn look(&mut self, handles: &[Handle<Front>]) {
+    pub(crate) fn look(&mut self, handles: &[EventLoopHandle<Front>]) {
         if let Some(policy) = &mut self.policy {
             policy.look();
         }
@@ -287,7 +287,7 @@
         if routers != std::mem::replace(&mut self.routers, routers) {
             tracing::info!(routers, "the fleet counts another number of routers");
             handles.iter().for_each(|h| {
-                h.tell(Command::News(NodeId(0), Arc::new(Sharing(routers))));
+                h.send(Command::Message(MachineId(0), Arc::new(Sharing(routers))));
             });
         }
         let kept = self.board.saved_state();
@@ -331,7 +331,7 @@
                 self.site = new;
                 if peers != self.peers {
                     self.peers = peers.clone();
-                    self.handle.tell(Command::News(NodeId(0), Arc::new(Arc::new(peers))));
+                    self.handle.send(Command::Message(MachineId(0), Arc::new(Arc::new(peers))));
                 }
             }
             Err(faults) => tracing::warn!(why = lines(&faults), "the book can't be read; it stays as it was"),
@@ -340,7 +340,7 @@
 
     /// Says goodbye.
     pub(crate) fn stop(&self) {
-        self.handle.tell(Command::Stop(NodeId(0)));
+        self.handle.send(Command::Stop(MachineId(0)));
     }
 
     /// Waits until the goodbye is said.
--- a/crates/cli/src/node.rs
+++ b/crates/cli/src/node.rs
@@ -5,7 +5,7 @@
 use crate::{logs, Failure, Outcome};
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use signal_hook::iterator::Signals;
-use slipreel_event_loop::{Clock, Command, Handle, Loop, NodeId};
+use slipreel_event_loop::{Clock, Command, EventLoop, EventLoopHandle, MachineId};
 use slipreel_platform::{Config, PlatformRouter};
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
@@ -33,7 +33,7 @@
     // Before the loop takes anything: a signal that comes early must not end the process.
     let signals = Signals::new([SIGHUP, SIGTERM, SIGINT]).map_err(|why| run(&why))?;
     let clock = Clock::start();
-    let mut looped = Loop::new(clock).map_err(|why| run(&why))?;
+    let mut looped = EventLoop::new(clock).map_err(|why| run(&why))?;
     looped.on_log(|_, line| tracing::info!("{line}"));
     // The platform gives every address; its network is the guard here.
     looped.allow_any_address();
@@ -51,18 +51,18 @@
 
 /// Tells the loop of signals: SIGHUP reads the file again, and a bad one changes nothing; SIGTERM ends in order.
 fn tell_signals(
-    mut signals: Signals, file: PathBuf, handle: Handle<PlatformRouter>, node: NodeId,
+    mut signals: Signals, file: PathBuf, handle: EventLoopHandle<PlatformRouter>, node: MachineId,
 ) -> std::io::Result<()> {
     let wait = move || {
         for signal in signals.forever() {
             if signal != SIGHUP {
                 tracing::info!("stopping: requests under way end first");
-                handle.tell(Command::Stop(node));
+                handle.send(Command::Stop(node));
                 continue;
             }
             match read(&file) {
                 Ok(config) => {
-                    handle.tell(Command::News(node, Arc::new(config)));
+                    handle.send(Command::Message(node, Arc::new(config)));
                 }
                 Err(Failure::Code(_)) => {}
                 Err(Failure::Input(why) | Failure::Run(why)) => {
--- a/crates/cli/src/roles.rs
+++ b/crates/cli/src/roles.rs
@@ -5,7 +5,7 @@
 use crate::{lines, logs, Failure, Outcome};
 use clap::{Args as ClapArgs, Subcommand};
 use slipreel::{CellId, EngineState, ZoneId};
-use slipreel_event_loop::{Clock, Command, Handle, Loop, NodeId};
+use slipreel_event_loop::{Clock, Command, EventLoop, EventLoopHandle, MachineId};
 use slipreel_gateway::engine_id;
 use slipreel_gateway::site::EngineSite;
 use slipreel_roles::{EngineView, Freeze, Phase, RoleController, Watched};
@@ -143,13 +143,14 @@
 /// A conductor at work on a thread of its own.
 struct AtWork {
     seen: Seen,
-    handle: Handle<Shown>,
+    handle: EventLoopHandle<Shown>,
     thread: std::thread::JoinHandle<std::io::Result<(usize, usize)>>,
 }
 
 impl AtWork {
     fn start(
-        roles: &RolesSite, engines: &[EngineSite], dry: bool, log: impl FnMut(NodeId, &str) + Send + 'static,
+        roles: &RolesSite, engines: &[EngineSite], dry: bool,
+        log: impl FnMut(MachineId, &str) + Send + 'static,
     ) -> Result<AtWork, Failure> {
         let run = |e: std::io::Error| Failure::Run(e.to_string());
         let clock = Clock::start();
@@ -160,7 +161,7 @@
             RoleController::new(watched, limits, roles.costs, roles.policy, roles.places, dry, clock.now())
                 .with_routers(roles.routers.clone(), roles.speeds);
         let seen = Seen::default();
-        let mut looped = Loop::new(clock).map_err(run)?;
+        let mut looped = EventLoop::new(clock).map_err(run)?;
         looped.on_log(log);
         let node = looped.add(Shown { conductor, seen: seen.clone(), because: dry.then(String::new) });
         let handle = looped.handle();
@@ -177,7 +178,7 @@
 
     /// Ends it; gives the orders that engines took, and those that they turned away.
     fn stop(self) -> Result<(usize, usize), Failure> {
-        self.handle.tell(Command::Stop(NodeId(0)));
+        self.handle.send(Command::Stop(MachineId(0)));
         let orders = self.thread.join().map_err(|_| Failure::Run("the conductor ended by a panic".into()))?;
         orders.map_err(|e| Failure::Run(e.to_string()))
     }
@@ -237,7 +238,7 @@
 fn follow_freeze(roles: &RolesSite, work: &AtWork, frozen: &mut bool) {
     let now = is_frozen(roles);
     if std::mem::replace(frozen, now) != now {
-        work.handle.tell(Command::News(NodeId(0), Arc::new(Freeze(now))));
+        work.handle.send(Command::Message(MachineId(0), Arc::new(Freeze(now))));
         tracing::info!(frozen = now, "changes are {}", if now { "frozen" } else { "allowed" });
     }
 }
@@ -259,7 +260,7 @@
             if let Some((now, others)) = now.and_then(|now| engines_from_slices(&now).ok().map(|e| (now, e)))
             {
                 tracing::info!(engines = others.len(), "the list of engines has changed");
-                work.handle.tell(Command::News(NodeId(0), Arc::new(watched(&others))));
+                work.handle.send(Command::Message(MachineId(0), Arc::new(watched(&others))));
                 (engines, last) = (others, now);
             }
         }
--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -4,7 +4,7 @@
 use crate::member::Member;
 use crate::signals::Signals;
 use crate::{logs, read_settings, Failure, Outcome};
-use slipreel_event_loop::{Clock, Command, Handle, Loop, NodeId};
+use slipreel_event_loop::{Clock, Command, EventLoop, EventLoopHandle, MachineId};
 use slipreel_gateway::site::EngineSite;
 use slipreel_gateway::Front;
 use slipreel_settings::{engines_from_slices, Daemon};
@@ -79,7 +79,7 @@
             daemon.site.engines.clone_from(&list);
             let list = Arc::new(list);
             handles.iter().for_each(|h| {
-                h.tell(Command::News(NodeId(0), list.clone()));
+                h.send(Command::Message(MachineId(0), list.clone()));
             });
         }
         if let Some(member) = &mut member {
@@ -93,7 +93,7 @@
     member.iter().for_each(Member::stop);
     tracing::info!("stopping: requests under way end first");
     handles.iter().for_each(|h| {
-        h.tell(Command::Stop(NodeId(0)));
+        h.send(Command::Stop(MachineId(0)));
     });
     for thread in threads {
         let tally = thread.join().map_err(|_| Failure::Run("a router's thread ended by a panic".into()))?;
@@ -112,7 +112,7 @@
     Ok(())
 }
 
-type Threads = (Vec<Handle<Front>>, Vec<JoinHandle<slipreel_gateway::Tally>>);
+type Threads = (Vec<EventLoopHandle<Front>>, Vec<JoinHandle<slipreel_gateway::Tally>>);
 
 fn start(daemon: &Daemon, clock: Clock) -> Result<Threads, Failure> {
     let run = |e: std::io::Error| Failure::Run(e.to_string());
@@ -123,7 +123,7 @@
         if daemon.threads > 1 {
             site.name = format!("{}-{n}", site.name);
         }
-        let mut looped = Loop::new(clock).map_err(run)?;
+        let mut looped = EventLoop::new(clock).map_err(run)?;
         looped.on_log(move |_, line| tracing::info!(router = n, "{line}"));
         let node = looped.add(Front::new(Arc::new(site), random_seed(), clock.now(), wall));
         looped.listen(node, daemon.listen).map_err(|e| Failure::Run(e.to_string()))?;
@@ -144,7 +144,9 @@
 }
 
 /// Reads the settings again. A bad file changes nothing; what needs a restart is named.
-fn reload(config: &Path, daemon: &mut Daemon, handles: &[Handle<Front>], member: Option<&mut Member>) {
+fn reload(
+    config: &Path, daemon: &mut Daemon, handles: &[EventLoopHandle<Front>], member: Option<&mut Member>,
+) {
     let mut new = match read_settings(config) {
         Ok(new) => new,
         Err(Failure::Input(why) | Failure::Run(why)) => {
@@ -181,6 +183,6 @@
         if daemon.threads > 1 {
             site.name = format!("{}-{n}", site.name);
         }
-        handle.tell(Command::News(NodeId(0), Arc::new(Arc::new(site))));
+        handle.send(Command::Message(MachineId(0), Arc::new(Arc::new(site))));
     }
 }
--- a/crates/cli/tests/node.rs
+++ b/crates/cli/tests/node.rs
@@ -6,7 +6,7 @@
 use platform::process::start;
 use platform::surroundings::Surroundings;
 use platform::{config, folder, is_ready, ms, wait_until_ready};
-use slipreel_event_loop::{Clock, Command as Tell, Loop};
+use slipreel_event_loop::{Clock, Command as Tell, EventLoop};
 use slipreel_test_servers::platform::{look, Clients, Ending, Faults};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -27,7 +27,7 @@
     let mut process = start(&file);
     wait_until_ready(listen);
 
-    let mut asking: Loop<Clients> = Loop::new(clock).expect("an event loop");
+    let mut asking: EventLoop<Clients> = EventLoop::new(clock).expect("an event loop");
     asking.add(Clients::new(listen, &["chat", "once"], ms(8), 300, clock.now() + ms(10), 3));
     let stop_asking = asking.handle();
     let asking = std::thread::spawn(move || {
@@ -41,7 +41,7 @@
     process.signal("-HUP");
     std::thread::sleep(ms(4_000));
     assert_eq!(process.ends_within(ms(1)), None, "a reload ends nothing");
-    stop_asking.tell(Tell::End);
+    stop_asking.send(Tell::End);
     let clients = asking.join().expect("the clients' thread");
     process.signal("-TERM");
     assert_eq!(process.ends_within(ms(5_000)), Some(0));
--- a/crates/cli/tests/platform/cluster.rs
+++ b/crates/cli/tests/platform/cluster.rs
@@ -3,7 +3,7 @@
 use super::ports::ReservedPort;
 use super::process::{start_with, Process};
 use super::{config, entry, folder, is_ready, ms};
-use slipreel_event_loop::{Clock, Command, Handle, Loop, NodeId};
+use slipreel_event_loop::{Clock, Command, EventLoop, EventLoopHandle, MachineId};
 use slipreel_invariants::terms::{judge, Break, Fact, Seen, Terms};
 use slipreel_state_machine::Machine;
 use slipreel_test_servers::platform::{
@@ -85,7 +85,7 @@
     port: ReservedPort,
     config: PathBuf,
     /// Its agent of discovery, in the loop of the stand-ins.
-    agent: NodeId,
+    agent: MachineId,
 }
 
 #[derive(Clone, Copy)]
@@ -98,8 +98,8 @@
 pub struct Cluster {
     clock: Clock,
     shared: Shared,
-    stand_ins: (Handle<StandIn>, JoinHandle<std::io::Result<()>>),
-    clients: (Handle<Clients>, JoinHandle<Vec<Clients>>),
+    stand_ins: (EventLoopHandle<StandIn>, JoinHandle<std::io::Result<()>>),
+    clients: (EventLoopHandle<Clients>, JoinHandle<Vec<Clients>>),
     engines: BTreeMap<String, ListedEngine>,
     places: Vec<RouterPlace>,
     descriptors: Option<u32>,
@@ -121,7 +121,7 @@
 }
 
 fn add_engines(
-    stand_ins: &mut Loop<StandIn>, plan: &ClusterPlan, shared: &Shared,
+    stand_ins: &mut EventLoop<StandIn>, plan: &ClusterPlan, shared: &Shared,
 ) -> (BTreeMap<String, ListedEngine>, Listing) {
     let (mut engines, mut entries) = (BTreeMap::new(), Vec::new());
     for n in 1..=plan.readers + plan.writers {
@@ -136,7 +136,7 @@
 }
 
 fn add_place(
-    stand_ins: &mut Loop<StandIn>, plan: &ClusterPlan, n: usize, listing: &Listing, shared: &Shared,
+    stand_ins: &mut EventLoop<StandIn>, plan: &ClusterPlan, n: usize, listing: &Listing, shared: &Shared,
     folder: &Path,
 ) -> RouterPlace {
     let agent = Discovery::new(listing).beside(&format!("n{n}"), shared);
@@ -158,8 +158,8 @@
 
 fn start_clients(
     plan: &ClusterPlan, places: &[RouterPlace], clock: Clock, shared: &Shared, begin: Duration,
-) -> (Handle<Clients>, JoinHandle<Vec<Clients>>) {
-    let mut event_loop: Loop<Clients> = Loop::new(clock).expect("an event loop");
+) -> (EventLoopHandle<Clients>, JoinHandle<Vec<Clients>>) {
+    let mut event_loop: EventLoop<Clients> = EventLoop::new(clock).expect("an event loop");
     for (n, place) in places.iter().enumerate() {
         let seed = plan.seed * 77 + n as u64;
         let classes = ["chat", "once"];
@@ -178,7 +178,7 @@
     /// Starts all, and waits until each router says that it is ready; then the clients begin.
     pub fn start(plan: &ClusterPlan) -> Cluster {
         let (clock, shared) = (Clock::start(), Shared::default());
-        let mut stand_ins: Loop<StandIn> = Loop::new(clock).expect("an event loop");
+        let mut stand_ins: EventLoop<StandIn> = EventLoop::new(clock).expect("an event loop");
         let (engines, listing) = add_engines(&mut stand_ins, plan, &shared);
         let folder = folder(&format!("cluster-{}", CLUSTERS.fetch_add(1, Ordering::Relaxed)));
         let places: Vec<RouterPlace> = (0..plan.routers)
@@ -215,7 +215,7 @@
 
     fn tell_agents(&self, news: &Arc<dyn Any + Send + Sync>) {
         for place in &self.places {
-            self.stand_ins.0.tell(Command::News(place.agent, news.clone()));
+            self.stand_ins.0.send(Command::Message(place.agent, news.clone()));
         }
     }
 
@@ -323,14 +323,14 @@
 
     /// Ends all; gives what was seen, and how the requests ended.
     pub fn end(self) -> (Facts, BTreeMap<Ending, u32>) {
-        self.clients.0.tell(Command::End);
+        self.clients.0.send(Command::End);
         let mut endings = BTreeMap::new();
         for clients in self.clients.1.join().expect("the clients' thread") {
             clients.endings.iter().for_each(|(&ending, n)| *endings.entry(ending).or_default() += n);
         }
         let end = self.clock.now();
         drop((self.processes, self.ending));
-        self.stand_ins.0.tell(Command::End);
+        self.stand_ins.0.send(Command::End);
         self.stand_ins.1.join().expect("the engines' thread").expect("a run of engines");
         self.watching.into_iter().for_each(|watch| watch.join().expect("a watching thread"));
         let _ = std::fs::remove_dir_all(self.folder);
--- a/crates/cli/tests/platform/surroundings.rs
+++ b/crates/cli/tests/platform/surroundings.rs
@@ -1,7 +1,7 @@
 //! Engines and two agents of discovery for one router process.
 
 use super::entry;
-use slipreel_event_loop::{Clock, Command, Handle, Loop};
+use slipreel_event_loop::{Clock, Command, EventLoop, EventLoopHandle};
 use slipreel_state_machine::Machine;
 use slipreel_test_servers::platform::{Discovery, Engine, Faults, Listing, Shared};
 use std::net::SocketAddr;
@@ -16,7 +16,7 @@
     pub known: String,
     /// Agents that serve the same list: a reload goes from one to the other.
     pub discoveries: [SocketAddr; 2],
-    handle: Handle<StandIn>,
+    handle: EventLoopHandle<StandIn>,
     thread: JoinHandle<std::io::Result<()>>,
 }
 
@@ -25,7 +25,7 @@
     pub fn start(clock: Clock, engines: u64, faults: Faults) -> Surroundings {
         let shared = Shared::default();
         let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
-        let mut stand_ins: Loop<StandIn> = Loop::new(clock).expect("an event loop");
+        let mut stand_ins: EventLoop<StandIn> = EventLoop::new(clock).expect("an event loop");
         let mut entries = Vec::new();
         for n in 0..engines {
             let (name, reads) = (format!("e{n}"), n < 2);
@@ -46,7 +46,7 @@
 
     /// Ends the engines and discovery.
     pub fn end(self) {
-        self.handle.tell(Command::End);
+        self.handle.send(Command::End);
         self.thread.join().expect("the engines' thread").expect("a run of engines");
     }
 }
--- a/crates/cli/tests/ports.rs
+++ b/crates/cli/tests/ports.rs
@@ -3,7 +3,7 @@
 mod platform;
 
 use platform::ports::ReservedPort;
-use slipreel_event_loop::{Clock, Loop};
+use slipreel_event_loop::{Clock, EventLoop};
 use slipreel_state_machine::{Input, Machine, Output};
 use std::collections::BTreeSet;
 use std::net::TcpListener;
@@ -35,7 +35,7 @@
 fn a_router_listens_where_its_port_is_reserved() {
     let port = ReservedPort::new();
     assert!(std::net::TcpStream::connect(port.address()).is_err(), "a reserved port takes no connections");
-    let mut event_loop = Loop::new(Clock::start()).expect("an event loop");
+    let mut event_loop = EventLoop::new(Clock::start()).expect("an event loop");
     let node = event_loop.add(Idle);
     assert_eq!(event_loop.listen(node, port.address()).expect("a listener"), port.address());
     assert!(std::net::TcpStream::connect(port.address()).is_ok());
--- a/crates/cli/tests/repeats.rs
+++ b/crates/cli/tests/repeats.rs
@@ -6,7 +6,7 @@
 use platform::ports::ReservedPort;
 use platform::process::{start, Process};
 use platform::{folder, is_ready, ms};
-use slipreel_event_loop::{Clock, Command as Tell, Handle, Loop, NodeId};
+use slipreel_event_loop::{Clock, Command as Tell, EventLoop, EventLoopHandle, MachineId};
 use slipreel_invariants::repeats::{judge, Break, Terms};
 use slipreel_state_machine::Machine;
 use slipreel_test_servers::platform::{
@@ -49,7 +49,7 @@
 }
 
 struct Engine {
-    node: NodeId,
+    node: MachineId,
     layout: EngineLayout,
     address: SocketAddr,
 }
@@ -61,9 +61,9 @@
     clock: Clock,
     ledger: SharedLedger,
     engines: Vec<Engine>,
-    agents: Vec<NodeId>,
+    agents: Vec<MachineId>,
     routers: Vec<Router>,
-    around: (Handle<Around>, JoinHandle<std::io::Result<()>>),
+    around: (EventLoopHandle<Around>, JoinHandle<std::io::Result<()>>),
     folder: PathBuf,
 }
 
@@ -72,7 +72,7 @@
         let mut random = Random::new(seed ^ 0x5eed_0004);
         let settings = DaySettings::draw(seed);
         let (clock, ledger) = (Clock::start(), SharedLedger::default());
-        let mut around: Loop<Around> = Loop::new(clock).expect("an event loop");
+        let mut around: EventLoop<Around> = EventLoop::new(clock).expect("an event loop");
         let here = SocketAddr::from(([127, 0, 0, 1], 0));
         let mut engines = Vec::new();
         for n in 0..ENGINES {
@@ -127,7 +127,7 @@
             leaving: 0.05,
             seed: self.seed * 77,
         };
-        let mut asking: Loop<RepeatingClients> = Loop::new(self.clock).expect("an event loop");
+        let mut asking: EventLoop<RepeatingClients> = EventLoop::new(self.clock).expect("an event loop");
         asking.add(RepeatingClients::new(layout, &self.ledger));
         let clients = asking.handle();
         let asking = std::thread::spawn(move || {
@@ -141,10 +141,10 @@
             self.change();
         }
         std::thread::sleep(AFTERMATH);
-        clients.tell(Tell::End);
+        clients.send(Tell::End);
         let served = asking.join().expect("the clients' thread").iter().map(|clients| clients.served).sum();
         self.routers.clear();
-        self.around.0.tell(Tell::End);
+        self.around.0.send(Tell::End);
         self.around.1.join().expect("the engines' thread").expect("a run of engines");
         let _ = std::fs::remove_dir_all(&self.folder);
         let terms = Terms { second_copies: self.settings.second_copies, wire: WIRE };
@@ -170,7 +170,7 @@
         let text = list_entry(layout, *address, status, Duration::ZERO);
         for &agent in &self.agents {
             let change = Listing(vec![(layout.name.clone(), text.clone())]);
-            self.around.0.tell(Tell::News(agent, Arc::new(change)));
+            self.around.0.send(Tell::Message(agent, Arc::new(change)));
         }
     }
 
@@ -183,12 +183,12 @@
         }
         layout.seed += 1;
         let (node, again) = (*node, HostileEngine::new(layout.clone(), &self.ledger));
-        self.around.0.tell(Tell::News(node, Arc::new(EngineDies)));
-        self.around.0.tell(Tell::Kill(node));
+        self.around.0.send(Tell::Message(node, Arc::new(EngineDies)));
+        self.around.0.send(Tell::Kill(node));
         self.tell(engine, "Ready");
         // Who has not heard of the new place yet finds nobody.
         std::thread::sleep(ms(50));
-        self.around.0.tell(Tell::Revive(node, Box::new(again)));
+        self.around.0.send(Tell::Revive(node, Box::new(again)));
     }
 
     fn stop(&mut self, router: usize) {
--- a/crates/event-loop/src/command.rs
+++ b/crates/event-loop/src/command.rs
@@ -6,45 +6,45 @@
 
 /// A machine in an event loop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct NodeId(pub usize);
+pub struct MachineId(pub usize);
 
 /// What an event loop is told from another thread.
 pub enum Command<M> {
     /// A message for a machine, handed over as [`OwnerMessage`](slipreel_state_machine::Input::OwnerMessage).
-    News(NodeId, Arc<dyn Any + Send + Sync>),
+    Message(MachineId, Arc<dyn Any + Send + Sync>),
     /// A machine is to shut down gracefully.
-    Stop(NodeId),
+    Stop(MachineId),
     /// A machine dies at once, as if its process were killed: its connections are reset and its state is lost.
-    Kill(NodeId),
+    Kill(MachineId),
     /// A machine takes the place of one that was killed, on the same addresses.
-    Revive(NodeId, M),
+    Revive(MachineId, M),
     /// A machine is not run until [`Thaw`](Command::Thaw); its connections stay open.
-    Freeze(NodeId),
+    Freeze(MachineId),
     /// Runs a frozen machine again.
-    Thaw(NodeId),
+    Thaw(MachineId),
     /// The event loop ends now.
     End,
 }
 
 /// Sends commands to an event loop from another thread.
-pub struct Handle<M> {
+pub struct EventLoopHandle<M> {
     commands: mpsc::Sender<Command<M>>,
     wake: Arc<OwnedFd>,
 }
 
-impl<M> Clone for Handle<M> {
+impl<M> Clone for EventLoopHandle<M> {
     fn clone(&self) -> Self {
-        Handle { commands: self.commands.clone(), wake: self.wake.clone() }
+        EventLoopHandle { commands: self.commands.clone(), wake: self.wake.clone() }
     }
 }
 
-impl<M> Handle<M> {
+impl<M> EventLoopHandle<M> {
     pub(crate) fn new(commands: mpsc::Sender<Command<M>>, wake: Arc<OwnedFd>) -> Self {
-        Handle { commands, wake }
+        EventLoopHandle { commands, wake }
     }
 
     /// Sends a command and wakes the event loop. False if the loop has ended.
-    pub fn tell(&self, command: Command<M>) -> bool {
+    pub fn send(&self, command: Command<M>) -> bool {
         let sent = self.commands.send(command).is_ok();
         let _ = rustix::io::write(&*self.wake, &1u64.to_ne_bytes());
         sent
--- a/crates/event-loop/src/event_loop.rs
+++ b/crates/event-loop/src/event_loop.rs
@@ -8,11 +8,11 @@
 mod tests;
 
 use crate::clock::Clock;
-use crate::command::{Command, Handle, NodeId};
+use crate::command::{Command, EventLoopHandle, MachineId};
 use crate::descriptor_reserve::DescriptorReserve;
 use crate::lingering::LingeringConnections;
 use crate::slot_table::{Readiness, Slot, SlotTable};
-use crate::{check_loopback, NetError};
+use crate::{check_loopback, AddressError};
 use rustix::event::{epoll, eventfd, EventfdFlags};
 use slipreel_state_machine::{ConnId, Input, Machine, Output};
 use std::collections::{HashMap, VecDeque};
@@ -74,10 +74,10 @@
     output: Output,
 }
 
-type LogSink = Box<dyn FnMut(NodeId, &str) + Send>;
+type LogSink = Box<dyn FnMut(MachineId, &str) + Send>;
 
 /// An event loop that drives machines over sockets, in one thread.
-pub struct Loop<M> {
+pub struct EventLoop<M> {
     clock: Clock,
     machines: Vec<HostedMachine<M>>,
     sockets: SlotTable,
@@ -88,7 +88,7 @@
     /// Outputs are being carried out: what they cause is queued, not nested.
     is_delivering: bool,
     commands: mpsc::Receiver<Command<M>>,
-    handle: Handle<M>,
+    handle: EventLoopHandle<M>,
     log: LogSink,
     ended: bool,
     /// Whether other addresses than those of loopback may be used.
@@ -97,7 +97,7 @@
     reserve: DescriptorReserve,
 }
 
-impl<M: Machine> Loop<M> {
+impl<M: Machine> EventLoop<M> {
     /// An event loop without machines.
     ///
     /// # Errors
@@ -106,7 +106,7 @@
         let wake = Arc::new(eventfd(0, EventfdFlags::CLOEXEC | EventfdFlags::NONBLOCK)?);
         let sockets = SlotTable::new(&wake)?;
         let (sender, commands) = mpsc::channel();
-        Ok(Loop {
+        Ok(EventLoop {
             clock,
             machines: Vec::new(),
             sockets,
@@ -115,7 +115,7 @@
             lingering: LingeringConnections::default(),
             is_delivering: false,
             commands,
-            handle: Handle::new(sender, wake),
+            handle: EventLoopHandle::new(sender, wake),
             log: Box::new(|_, _| {}),
             ended: false,
             any_address_allowed: false,
@@ -136,7 +136,7 @@
         self.max_connections = most;
     }
 
-    fn check_address(&self, address: SocketAddr) -> Result<(), NetError> {
+    fn check_address(&self, address: SocketAddr) -> Result<(), AddressError> {
         if self.any_address_allowed {
             Ok(())
         } else {
@@ -145,17 +145,17 @@
     }
 
     /// Where log lines of machines and of the event loop go.
-    pub fn on_log(&mut self, log: impl FnMut(NodeId, &str) + Send + 'static) {
+    pub fn on_log(&mut self, log: impl FnMut(MachineId, &str) + Send + 'static) {
         self.log = Box::new(log);
     }
 
     /// Sends commands to this event loop from another thread.
-    pub fn handle(&self) -> Handle<M> {
+    pub fn handle(&self) -> EventLoopHandle<M> {
         self.handle.clone()
     }
 
     /// Adds a machine.
-    pub fn add(&mut self, machine: M) -> NodeId {
+    pub fn add(&mut self, machine: M) -> MachineId {
         self.machines.push(HostedMachine {
             machine,
             listeners: Vec::new(),
@@ -165,17 +165,17 @@
             run_state: RunState::Running,
             stopped: false,
         });
-        NodeId(self.machines.len() - 1)
+        MachineId(self.machines.len() - 1)
     }
 
     /// The machine of this number.
-    pub fn machine(&self, node: NodeId) -> &M {
-        &self.machines[node.0].machine
+    pub fn machine(&self, machine_id: MachineId) -> &M {
+        &self.machines[machine_id.0].machine
     }
 
     /// The machine of this number, to be changed before the event loop runs.
-    pub fn machine_mut(&mut self, node: NodeId) -> &mut M {
-        &mut self.machines[node.0].machine
+    pub fn machine_mut(&mut self, machine_id: MachineId) -> &mut M {
+        &mut self.machines[machine_id.0].machine
     }
 
     /// The machines, after the event loop has ended.
@@ -254,12 +254,14 @@
 
     fn run_command(&mut self, command: Command<M>) {
         match command {
-            Command::News(node, message) => self.deliver(node.0, Input::OwnerMessage(&*message)),
-            Command::Stop(node) => self.deliver(node.0, Input::Stop),
-            Command::Kill(node) => self.kill(node.0),
-            Command::Revive(node, machine) => self.revive(node, machine),
-            Command::Freeze(node) => self.set_run_state(node.0, RunState::Frozen),
-            Command::Thaw(node) => self.set_run_state(node.0, RunState::Running),
+            Command::Message(machine_id, message) => {
+                self.deliver(machine_id.0, Input::OwnerMessage(&*message));
+            }
+            Command::Stop(machine_id) => self.deliver(machine_id.0, Input::Stop),
+            Command::Kill(machine_id) => self.kill(machine_id.0),
+            Command::Revive(machine_id, machine) => self.revive(machine_id, machine),
+            Command::Freeze(machine_id) => self.set_run_state(machine_id.0, RunState::Frozen),
+            Command::Thaw(machine_id) => self.set_run_state(machine_id.0, RunState::Running),
             Command::End => self.ended = true,
         }
     }
--- a/crates/event-loop/src/event_loop/lifecycle.rs
+++ b/crates/event-loop/src/event_loop/lifecycle.rs
@@ -1,10 +1,10 @@
 //! Machines that are killed, replaced, frozen and thawed, as tests and emulated faults ask for it.
 
-use super::{Loop, RunState};
-use crate::command::NodeId;
+use super::{EventLoop, RunState};
+use crate::command::MachineId;
 use slipreel_state_machine::Machine;
 
-impl<M: Machine> Loop<M> {
+impl<M: Machine> EventLoop<M> {
     /// Ends a machine as a kill of its process would: its connections are reset and its sockets closed.
     pub(super) fn kill(&mut self, machine: usize) {
         self.machines[machine].run_state = RunState::Dead;
@@ -18,21 +18,21 @@
     }
 
     /// Puts another machine in the place of one that was killed, on the same addresses.
-    pub(super) fn revive(&mut self, node: NodeId, machine: M) {
-        let hosted = &mut self.machines[node.0];
+    pub(super) fn revive(&mut self, machine_id: MachineId, machine: M) {
+        let hosted = &mut self.machines[machine_id.0];
         hosted.machine = machine;
         hosted.run_state = RunState::Running;
         hosted.stopped = false;
         let listeners = std::mem::take(&mut hosted.listeners);
         let datagram_sockets = std::mem::take(&mut hosted.datagram_sockets);
         for address in listeners {
-            if let Err(why) = self.listen(node, address) {
-                (self.log)(node, &format!("can't listen again: {why}"));
+            if let Err(why) = self.listen(machine_id, address) {
+                (self.log)(machine_id, &format!("can't listen again: {why}"));
             }
         }
         for socket in datagram_sockets {
-            if let Err(why) = self.listen_datagrams(node, socket.address) {
-                (self.log)(node, &format!("can't take datagrams again: {why}"));
+            if let Err(why) = self.listen_datagrams(machine_id, socket.address) {
+                (self.log)(machine_id, &format!("can't take datagrams again: {why}"));
             }
         }
     }
--- a/crates/event-loop/src/event_loop/listeners.rs
+++ b/crates/event-loop/src/event_loop/listeners.rs
@@ -1,11 +1,11 @@
 //! Listeners and datagram sockets: opening them, accepting connections, taking datagrams, and closing them in order.
 
 use super::outputs::family;
-use super::{BoundDatagramSocket, Loop};
-use crate::command::NodeId;
+use super::{BoundDatagramSocket, EventLoop};
+use crate::command::MachineId;
 use crate::connection::{Connection, Phase};
 use crate::slot_table::{DatagramSocket, Listener, Slot};
-use crate::NetError;
+use crate::AddressError;
 use rustix::fd::OwnedFd;
 use rustix::io::Errno;
 use rustix::net::{self, sockopt, RecvFlags, SocketFlags, SocketType};
@@ -86,13 +86,13 @@
     SocketAddr::try_from(net::getsockname(fd)?)
 }
 
-impl<M: Machine> Loop<M> {
+impl<M: Machine> EventLoop<M> {
     /// Listens for a machine; gives the address, with the port that the system chose if 0 was asked for.
     ///
     /// # Errors
     /// The address is not a loopback one, or in use.
-    pub fn listen(&mut self, node: NodeId, addr: SocketAddr) -> Result<SocketAddr, NetError> {
-        self.listen_with(node, addr, AddressUse::Shared)
+    pub fn listen(&mut self, machine_id: MachineId, addr: SocketAddr) -> Result<SocketAddr, AddressError> {
+        self.listen_with(machine_id, addr, AddressUse::Shared)
     }
 
     /// Listens for a machine at an address that no other listener has: two processes that are given the same one by mistake
@@ -100,21 +100,23 @@
     ///
     /// # Errors
     /// The address is not a loopback one, or in use.
-    pub fn listen_alone(&mut self, node: NodeId, addr: SocketAddr) -> Result<SocketAddr, NetError> {
-        self.listen_with(node, addr, AddressUse::Exclusive)
+    pub fn listen_alone(
+        &mut self, machine_id: MachineId, addr: SocketAddr,
+    ) -> Result<SocketAddr, AddressError> {
+        self.listen_with(machine_id, addr, AddressUse::Exclusive)
     }
 
     fn listen_with(
-        &mut self, node: NodeId, address: SocketAddr, address_use: AddressUse,
-    ) -> Result<SocketAddr, NetError> {
+        &mut self, machine_id: MachineId, address: SocketAddr, address_use: AddressUse,
+    ) -> Result<SocketAddr, AddressError> {
         self.check_address(address)?;
-        let failed = |why: Errno| NetError::System(address, why.into());
+        let failed = |why: Errno| AddressError::System(address, why.into());
         let fd = open_listener(address, address_use).map_err(failed)?;
         let bound = bound_address(&fd).map_err(failed)?;
-        let id = ListenerId(self.machines[node.0].listeners.len());
-        let listener = Listener { fd, machine: node.0, id, paused_until: None };
+        let id = ListenerId(self.machines[machine_id.0].listeners.len());
+        let listener = Listener { fd, machine: machine_id.0, id, paused_until: None };
         self.sockets.add_listener(listener).map_err(failed)?;
-        self.machines[node.0].listeners.push(bound);
+        self.machines[machine_id.0].listeners.push(bound);
         Ok(bound)
     }
 
@@ -122,15 +124,17 @@
     ///
     /// # Errors
     /// The address is not a loopback one, or in use.
-    pub fn listen_datagrams(&mut self, node: NodeId, addr: SocketAddr) -> Result<SocketAddr, NetError> {
+    pub fn listen_datagrams(
+        &mut self, machine_id: MachineId, addr: SocketAddr,
+    ) -> Result<SocketAddr, AddressError> {
         self.check_address(addr)?;
-        let failed = |why: Errno| NetError::System(addr, why.into());
+        let failed = |why: Errno| AddressError::System(addr, why.into());
         let fd = open_datagram_socket(addr).map_err(failed)?;
         let address = bound_address(&fd).map_err(failed)?;
-        let id = ListenerId(self.machines[node.0].datagram_sockets.len());
-        let socket = DatagramSocket { fd, machine: node.0, id };
+        let id = ListenerId(self.machines[machine_id.0].datagram_sockets.len());
+        let socket = DatagramSocket { fd, machine: machine_id.0, id };
         let slot = self.sockets.add_datagram_socket(socket).map_err(failed)?;
-        self.machines[node.0].datagram_sockets.push(BoundDatagramSocket { address, slot });
+        self.machines[machine_id.0].datagram_sockets.push(BoundDatagramSocket { address, slot });
         Ok(address)
     }
 
@@ -178,7 +182,7 @@
                     }
                     if self.sockets.listener(slot).is_some() {
                         self.pause_listener(slot);
-                        (self.log)(NodeId(machine), "no descriptors are left to accept connections");
+                        (self.log)(MachineId(machine), "no descriptors are left to accept connections");
                     }
                     return Backlog::Empty;
                 }
--- a/crates/event-loop/src/event_loop/outputs.rs
+++ b/crates/event-loop/src/event_loop/outputs.rs
@@ -1,7 +1,7 @@
 //! Carries out what machines ask for.
 
-use super::{Loop, RunState};
-use crate::command::NodeId;
+use super::{EventLoop, RunState};
+use crate::command::MachineId;
 use crate::connection::{Connection, Phase};
 use rustix::io::Errno;
 use rustix::net::{self, sockopt, AddressFamily, SendFlags, SocketFlags, SocketType};
@@ -17,7 +17,7 @@
     }
 }
 
-impl<M: Machine> Loop<M> {
+impl<M: Machine> EventLoop<M> {
     pub(super) fn carry_out(&mut self, machine: usize, output: Output) {
         match output {
             Output::Connect(id, address) => self.connect(machine, id, address),
@@ -34,7 +34,7 @@
             Output::Resume(id) => self.set_paused(machine, id, false),
             Output::StopListening => self.stop_listening(machine),
             Output::Stopped => self.mark_stopped(machine),
-            Output::Log(line) => (self.log)(NodeId(machine), &line),
+            Output::Log(line) => (self.log)(MachineId(machine), &line),
         }
     }
 
@@ -98,7 +98,7 @@
     fn connect(&mut self, machine: usize, id: ConnId, address: SocketAddr) {
         if self.check_address(address).is_err() {
             let line = format!("{address} is not a loopback address; not connected");
-            (self.log)(NodeId(machine), &line);
+            (self.log)(MachineId(machine), &line);
             return self.deliver(machine, Input::Lost(id, ConnectionLoss::NotConnected));
         }
         let flags = SocketFlags::NONBLOCK | SocketFlags::CLOEXEC;
--- a/crates/event-loop/src/event_loop/readiness.rs
+++ b/crates/event-loop/src/event_loop/readiness.rs
@@ -1,6 +1,6 @@
 //! What a ready connection calls for: connecting, reading, sending and closing.
 
-use super::Loop;
+use super::EventLoop;
 use crate::connection::{Flushed, Phase};
 use crate::slot_table::Slot;
 use rustix::event::epoll::EventFlags;
@@ -16,7 +16,7 @@
 /// Such reads before other connections have their turn.
 const DISCARDS_PER_TURN: usize = 4;
 
-impl<M: Machine> Loop<M> {
+impl<M: Machine> EventLoop<M> {
     /// Whether a slot holds a connection that a peer has opened.
     pub(super) fn is_accepted(&self, slot: usize) -> bool {
         self.sockets.connection(slot).is_some_and(|connection| !connection.id.is_opened())
--- a/crates/event-loop/src/event_loop/tests.rs
+++ b/crates/event-loop/src/event_loop/tests.rs
@@ -24,7 +24,7 @@
 fn small_writes_are_not_held_back_by_the_system_on_any_connection() {
     let peer = TcpListener::bind("127.0.0.1:0").expect("a port");
     let to = peer.local_addr().expect("an address");
-    let mut looped = Loop::new(Clock::start()).expect("a loop");
+    let mut looped = EventLoop::new(Clock::start()).expect("a loop");
     let node = looped.add(Connects { to: Some(to) });
     let listen = looped.listen(node, "127.0.0.1:0".parse().expect("an address")).expect("a port");
     let mut client = std::net::TcpStream::connect(listen).expect("accepted");
--- a/crates/event-loop/tests/closes.rs
+++ b/crates/event-loop/tests/closes.rs
@@ -2,7 +2,7 @@
 //! say in the same moment, and without a loop that turns round and round.
 
 use rustix::time::{clock_gettime, ClockId};
-use slipreel_event_loop::{Clock, Command, Loop};
+use slipreel_event_loop::{Clock, Command, EventLoop};
 use slipreel_state_machine::{ConnId, ConnectionLoss, Input, ListenerId, Machine, Output};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -93,7 +93,7 @@
     for resets in [false, true] {
         let noted = Seen::default();
         let notes = Notes { seen: noted.clone(), pauses: true, peer: None, resumes: None, client: None };
-        let mut turn = Loop::new(Clock::start()).expect("an event loop");
+        let mut turn = EventLoop::new(Clock::start()).expect("an event loop");
         let node = turn.add(notes);
         let addr = turn.listen(node, "127.0.0.1:0".parse().expect("an address")).expect("a port");
         let handle = turn.handle();
@@ -113,7 +113,7 @@
         wait_for(&noted, "hung up");
         wait_for(&noted, if resets { "reset" } else { "end" });
         std::thread::sleep(ms(300));
-        handle.tell(Command::End);
+        handle.send(Command::End);
         let cpu = running.join().expect("the loop's thread");
         let all = seen(&noted);
         assert_eq!(all.iter().filter(|s| *s == "hung up").count(), 1, "{all:?}");
@@ -136,7 +136,7 @@
         let noted = Seen::default();
         let peer = engine.local_addr().ok();
         let notes = Notes { seen: noted.clone(), pauses: false, peer, resumes: None, client: None };
-        let mut turn = Loop::new(Clock::start()).expect("an event loop");
+        let mut turn = EventLoop::new(Clock::start()).expect("an event loop");
         let node = turn.add(notes);
         let addr = turn.listen(node, "127.0.0.1:0".parse().expect("an address")).expect("a port");
         let handle = turn.handle();
@@ -144,15 +144,15 @@
         let client = TcpStream::connect(addr).expect("a connection");
         wait_for(&noted, "connected");
         let (mut answering, _) = engine.accept().expect("the machine's connection");
-        handle.tell(Command::Freeze(node));
+        handle.send(Command::Freeze(node));
         std::thread::sleep(ms(10));
         answering.write_all(b"an answer").expect("sent");
         drop(client);
         std::thread::sleep(ms(10));
-        handle.tell(Command::Thaw(node));
+        handle.send(Command::Thaw(node));
         wait_for(&noted, "answer");
         wait_for(&noted, "end");
-        handle.tell(Command::End);
+        handle.send(Command::End);
         running.join().expect("the loop's thread").expect("a run");
         let all = seen(&noted);
         let place = |what| all.iter().position(|s| s == what);
--- a/crates/event-loop/tests/order.rs
+++ b/crates/event-loop/tests/order.rs
@@ -1,6 +1,6 @@
 //! What a machine asks for on hearing that one connection's bytes were sent comes before the next connection's bytes go.
 
-use slipreel_event_loop::{Clock, Loop};
+use slipreel_event_loop::{Clock, EventLoop};
 use slipreel_state_machine::{ConnId, Input, Machine, Output};
 use std::io::Read;
 use std::net::{SocketAddr, TcpListener};
@@ -60,7 +60,7 @@
             bytes
         })
     });
-    let mut turn = Loop::new(Clock::start()).expect("an event loop");
+    let mut turn = EventLoop::new(Clock::start()).expect("an event loop");
     turn.add(Two { peers, stand: 0 });
     turn.run().expect("a run");
     drop(turn);
--- a/crates/event-loop/tests/stop_listening.rs
+++ b/crates/event-loop/tests/stop_listening.rs
@@ -1,6 +1,6 @@
 //! A machine that stops listening is handed those who have connected before.
 
-use slipreel_event_loop::{Clock, Loop};
+use slipreel_event_loop::{Clock, EventLoop};
 use slipreel_state_machine::{Input, Machine, Output};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -48,7 +48,7 @@
     let expected = 100;
     let clock = Clock::start();
     let until = clock.now() + Duration::from_secs(2);
-    let mut event_loop = Loop::new(clock).expect("an event loop");
+    let mut event_loop = EventLoop::new(clock).expect("an event loop");
     let node = event_loop.add(LastMoment { expected, has_stopped_listening: false, answered: 0, until });
     let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
     let address = event_loop.listen(node, any_port).expect("a listener");
--- a/crates/event-loop/tests/timers.rs
+++ b/crates/event-loop/tests/timers.rs
@@ -1,6 +1,6 @@
 //! The loop wakes machines in time: waits are not rounded up to whole milliseconds.
 
-use slipreel_event_loop::{Clock, Loop};
+use slipreel_event_loop::{Clock, EventLoop};
 use slipreel_state_machine::{Input, Machine, Output};
 use std::time::Duration;
 
@@ -32,7 +32,7 @@
 #[test]
 fn waits_are_finer_than_a_millisecond() {
     let clock = Clock::start();
-    let mut turn = Loop::new(clock).expect("an event loop");
+    let mut turn = EventLoop::new(clock).expect("an event loop");
     let node = turn.add(Ticker { due: clock.now() + STEP, late: Vec::new() });
     turn.run().expect("a run");
     let late = &turn.machine(node).late;
--- a/crates/event-loop/tests/turns.rs
+++ b/crates/event-loop/tests/turns.rs
@@ -1,6 +1,6 @@
 //! How much of one connection is taken before the others have their turn.
 
-use slipreel_event_loop::{Clock, Loop};
+use slipreel_event_loop::{Clock, EventLoop};
 use slipreel_state_machine::{ConnId, Input, Machine, Output};
 use std::collections::BTreeMap;
 use std::io::{ErrorKind, Write};
@@ -50,7 +50,7 @@
 
 #[test]
 fn a_connection_with_much_to_read_keeps_the_next_one_waiting_for_16_kb_at_most() {
-    let mut event_loop = Loop::new(Clock::start()).expect("an event loop");
+    let mut event_loop = EventLoop::new(Clock::start()).expect("an event loop");
     let node = event_loop.add(Counter::default());
     let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
     let address = event_loop.listen(node, any_port).expect("a listener");
--- a/crates/fault-injection/src/processes.rs
+++ b/crates/fault-injection/src/processes.rs
@@ -8,7 +8,7 @@
 use crate::script::{Propose, Script, Wish};
 use crate::wire::{Link, Links, Noise, Wire};
 use rustix::process::{kill_process, Pid, Signal};
-use slipreel_event_loop::{Clock, Command as Tell, Handle, Loop, NodeId};
+use slipreel_event_loop::{Clock, Command as Tell, EventLoop, EventLoopHandle, MachineId};
 use slipreel_invariants::policy::Said;
 use slipreel_state_machine::Machine;
 use slipreel_test_servers::client::Clients;
@@ -77,7 +77,7 @@
     twins: Vec<Option<Process>>,
     odd_seeds: Vec<bool>,
     engines: Vec<SocketAddr>,
-    wire: Handle<Wire>,
+    wire: EventLoopHandle<Wire>,
     clients: Option<JoinHandle<Vec<Clients>>>,
     interrupt: &'a Interrupt,
 }
@@ -272,11 +272,11 @@
     }
 
     fn links(&mut self, links: Vec<(usize, usize, Link)>) {
-        self.wire.tell(Tell::News(NodeId(0), Arc::new(Arc::new(Links(links)))));
+        self.wire.send(Tell::Message(MachineId(0), Arc::new(Arc::new(Links(links)))));
     }
 
     fn noise(&mut self, r: usize, bytes: Vec<u8>) {
-        self.wire.tell(Tell::News(NodeId(0), Arc::new(Noise(r, bytes))));
+        self.wire.send(Tell::Message(MachineId(0), Arc::new(Noise(r, bytes))));
     }
 
     fn sight(&mut self, r: usize) -> Option<Sight> {
@@ -336,7 +336,9 @@
     }
 }
 
-fn spawn<M: Machine + Send + 'static>(mut looped: Loop<M>, name: &str) -> Result<JoinHandle<Vec<M>>, String> {
+fn spawn<M: Machine + Send + 'static>(
+    mut looped: EventLoop<M>, name: &str,
+) -> Result<JoinHandle<Vec<M>>, String> {
     let thread = std::thread::Builder::new().name(name.into()).spawn(move || {
         // An error of epoll itself ends the thread, and its machines count as stopped.
         let _ = looped.run();
@@ -346,7 +348,7 @@
 }
 
 /// A wire between members in a block of addresses that nobody uses.
-fn wire(clock: Clock, script: &Script) -> Result<(u8, Loop<Wire>), String> {
+fn wire(clock: Clock, script: &Script) -> Result<(u8, EventLoop<Wire>), String> {
     let n = script.routers;
     let first = u64::from(std::process::id()) + RUNS.fetch_add(1, Ordering::Relaxed) * 7;
     let mut why = String::new();
@@ -356,7 +358,7 @@
         if !free {
             continue;
         }
-        let mut looped = Loop::new(clock).map_err(|e| e.to_string())?;
+        let mut looped = EventLoop::new(clock).map_err(|e| e.to_string())?;
         let node = looped.add(Wire::new((0..n).map(|r| addr(block, r, 7000)).collect(), script.seed));
         let all = Wire::ways(n).try_for_each(|(from, to)| {
             let at = wire_addr(block, from, to);
@@ -382,7 +384,7 @@
     let ledger = Ledger::default();
     let text = |e: std::io::Error| e.to_string();
     let wall = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
-    let mut engines = Loop::new(clock).map_err(text)?;
+    let mut engines = EventLoop::new(clock).map_err(text)?;
     let mut addrs = Vec::new();
     for plan in &script.day.engines {
         let node = engines.add(Engine::warm(plan.spec.clone(), ledger.clone(), clock.now(), wall));
@@ -406,7 +408,7 @@
         let mut plans = script.day.plans.clone();
         plans.iter_mut().for_each(|p| p.at += zero + LEAD);
         let targets = (0..script.routers).map(|r| addr(block, r, 8080)).collect();
-        let mut looped = Loop::new(clock).map_err(text)?;
+        let mut looped = EventLoop::new(clock).map_err(text)?;
         looped.add(Clients::new(plans, targets, ledger.clone(), true));
         clients_handle = Some(looped.handle());
         Some(spawn(looped, "clients")?)
@@ -436,14 +438,14 @@
     let clients = stage.clients.take();
     drop(stage);
     if let Some(handle) = clients_handle {
-        handle.tell(Tell::End);
+        handle.send(Tell::End);
     }
     let results = match clients.and_then(|t| t.join().ok()).as_deref() {
         Some([clients]) => clients.results().to_vec(),
         _ => Vec::new(),
     };
-    wire_handle.tell(Tell::End);
-    engines_handle.tell(Tell::End);
+    wire_handle.send(Tell::End);
+    engines_handle.send(Tell::End);
     let _ = (wire_thread.join(), engines_thread.join());
     if !played? {
         return Ok(None);
--- a/crates/scenario/benches/sockets.rs
+++ b/crates/scenario/benches/sockets.rs
@@ -2,7 +2,7 @@
 //! such an engine. Router, engines and clients each have a thread; machines are shared, so compare within one run.
 
 use hdrhistogram::Histogram;
-use slipreel_event_loop::{Clock, Command, Loop};
+use slipreel_event_loop::{Clock, Command, EventLoop};
 use slipreel_gateway::Front;
 use slipreel_invariants::{Effect, Ending};
 use slipreel_protocol::http::{chunk, Decoder, Item, Limits, Side, Start};
@@ -149,7 +149,7 @@
         heeds: true,
         habit: Habit::Plain,
     };
-    let mut looped = Loop::new(clock).expect("descriptors");
+    let mut looped = EventLoop::new(clock).expect("descriptors");
     let node = looped.add(Clients::new((0..n).map(plan).collect(), vec![target], Ledger::default(), true));
     looped.run().expect("a loop");
     let mut run = Run {
@@ -170,7 +170,7 @@
 
 fn main() {
     let clock = Clock::start();
-    let mut engines = Loop::new(clock).expect("descriptors");
+    let mut engines = EventLoop::new(clock).expect("descriptors");
     let addrs: Vec<SocketAddr> = (0..2)
         .map(|_| {
             let node = engines.add(Instantly::default());
@@ -178,7 +178,7 @@
         })
         .collect();
     let day = read_day(SITE, "bench").expect("a site");
-    let mut router = Loop::new(clock).expect("descriptors");
+    let mut router = EventLoop::new(clock).expect("descriptors");
     let node = router.add(Front::new(Arc::new(day.router_site(0, &addrs)), 5, clock.now(), clock.now()));
     let front = router.listen(node, ANY).expect("a port");
     let (engines_handle, router_handle) = (engines.handle(), router.handle());
@@ -200,7 +200,7 @@
             );
         }
     }
-    engines_handle.tell(Command::End);
-    router_handle.tell(Command::End);
+    engines_handle.send(Command::End);
+    router_handle.send(Command::End);
     let _ = (engines.join(), router.join());
 }
--- a/crates/scenario/src/stage.rs
+++ b/crates/scenario/src/stage.rs
@@ -7,7 +7,7 @@
 use rand_xoshiro::rand_core::SeedableRng;
 use rand_xoshiro::Xoshiro256PlusPlus;
 use slipreel::{CellId, EngineState, ZoneId};
-use slipreel_event_loop::{Clock, Command, Handle, Loop, NodeId};
+use slipreel_event_loop::{Clock, Command, EventLoop, EventLoopHandle, MachineId};
 use slipreel_gateway::site::EngineSite;
 use slipreel_gateway::{engine_id, Front, Tally};
 use slipreel_invariants::{judge, Break, Record, Seen};
@@ -497,9 +497,9 @@
 /// A fleet over loopback sockets: engines on one thread, each router on its own.
 pub struct LiveFleet {
     clock: Clock,
-    engines: Handle<Actor>,
-    engine_nodes: Vec<NodeId>,
-    routers: Vec<Handle<Actor>>,
+    engines: EventLoopHandle<Actor>,
+    engine_nodes: Vec<MachineId>,
+    routers: Vec<EventLoopHandle<Actor>>,
     threads: Vec<JoinHandle<Vec<Actor>>>,
     clients: Option<JoinHandle<Vec<Actor>>>,
     log: Arc<std::sync::Mutex<Vec<String>>>,
@@ -512,7 +512,7 @@
     ledger: Ledger,
 }
 
-fn spawn(mut looped: Loop<Actor>, name: &str) -> std::io::Result<JoinHandle<Vec<Actor>>> {
+fn spawn(mut looped: EventLoop<Actor>, name: &str) -> std::io::Result<JoinHandle<Vec<Actor>>> {
     std::thread::Builder::new().name(name.into()).spawn(move || {
         // An error of epoll itself ends the thread, and its machines count as stopped.
         let _ = looped.run();
@@ -532,8 +532,8 @@
         let log = Arc::new(std::sync::Mutex::new(Vec::new()));
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
         let text = |e: std::io::Error| e.to_string();
-        let new_loop = || -> Result<Loop<Actor>, String> {
-            let mut looped = Loop::new(clock).map_err(text)?;
+        let new_loop = || -> Result<EventLoop<Actor>, String> {
+            let mut looped = EventLoop::new(clock).map_err(text)?;
             let log = log.clone();
             looped.on_log(move |node, line| {
                 if let Ok(mut log) = log.lock() {
@@ -584,12 +584,12 @@
     /// Tells all routers to stop in good order, waits until they have, and ends the engines.
     pub fn stop(self) -> (Vec<Tally>, usize) {
         for router in &self.routers {
-            router.tell(Command::Stop(NodeId(0)));
+            router.send(Command::Stop(MachineId(0)));
         }
         let mut threads = self.threads.into_iter();
         let engines = threads.next();
         let actors: Vec<Actor> = threads.filter_map(|t| t.join().ok()).flatten().collect();
-        self.engines.tell(Command::End);
+        self.engines.send(Command::End);
         if let Some(engines) = engines {
             let _ = engines.join();
         }
@@ -607,27 +607,27 @@
     }
     fn kill(&mut self, who: Who) {
         match who {
-            Who::Engine(e) => self.engines.tell(Command::Kill(self.engine_nodes[e])),
-            Who::Router(r) => self.routers[r].tell(Command::Kill(NodeId(0))),
+            Who::Engine(e) => self.engines.send(Command::Kill(self.engine_nodes[e])),
+            Who::Router(r) => self.routers[r].send(Command::Kill(MachineId(0))),
         };
     }
     fn revive(&mut self, who: Who, actor: Actor) {
         match who {
-            Who::Engine(e) => self.engines.tell(Command::Revive(self.engine_nodes[e], actor)),
-            Who::Router(r) => self.routers[r].tell(Command::Revive(NodeId(0), actor)),
+            Who::Engine(e) => self.engines.send(Command::Revive(self.engine_nodes[e], actor)),
+            Who::Router(r) => self.routers[r].send(Command::Revive(MachineId(0), actor)),
         };
     }
     fn freeze(&mut self, who: Who, frozen: bool) {
         let command = |node| if frozen { Command::Freeze(node) } else { Command::Thaw(node) };
         match who {
-            Who::Engine(e) => self.engines.tell(command(self.engine_nodes[e])),
-            Who::Router(r) => self.routers[r].tell(command(NodeId(0))),
+            Who::Engine(e) => self.engines.send(command(self.engine_nodes[e])),
+            Who::Router(r) => self.routers[r].send(command(MachineId(0))),
         };
     }
     fn news(&mut self, who: Who, news: Arc<dyn Any + Send + Sync>) {
         match who {
-            Who::Engine(e) => self.engines.tell(Command::News(self.engine_nodes[e], news)),
-            Who::Router(r) => self.routers[r].tell(Command::News(NodeId(0), news)),
+            Who::Engine(e) => self.engines.send(Command::Message(self.engine_nodes[e], news)),
+            Who::Router(r) => self.routers[r].send(Command::Message(MachineId(0), news)),
         };
     }
     fn clients_done(&self) -> bool {
@@ -644,7 +644,7 @@
     let ledger = fleet.ledger.clone();
     let began = fleet.clock.now();
     let start = began + LEAD;
-    let mut looped = Loop::new(fleet.clock).map_err(|e| e.to_string())?;
+    let mut looped = EventLoop::new(fleet.clock).map_err(|e| e.to_string())?;
     looped.add(Actor::Clients(Box::new(clients(day, fleet.targets.clone(), ledger.clone(), start))));
     let handle = looped.handle();
     fleet.clients = Some(spawn(looped, "clients").map_err(|e| e.to_string())?);
@@ -652,7 +652,7 @@
     let conductor = match director.conductor(began, &fleet.operators) {
         None => None,
         Some(conductor) => {
-            let mut looped = Loop::new(fleet.clock).map_err(|e| e.to_string())?;
+            let mut looped = EventLoop::new(fleet.clock).map_err(|e| e.to_string())?;
             looped.add(Actor::Conductor(Box::new(conductor)));
             let handle = looped.handle();
             Some((handle, spawn(looped, "conductor").map_err(|e| e.to_string())?))
@@ -662,12 +662,12 @@
     let took = fleet.clock.now() - began;
     let mut orders = (0, 0);
     if let Some((handle, thread)) = conductor {
-        handle.tell(Command::End);
+        handle.send(Command::End);
         if let Ok([Actor::Conductor(c)]) = thread.join().as_deref() {
             orders = c.orders();
         }
     }
-    handle.tell(Command::End);
+    handle.send(Command::End);
     let results = match fleet.clients.take().and_then(|t| t.join().ok()).as_deref() {
         Some([Actor::Clients(c)]) => sorted(c.results().to_vec()),
         _ => Vec::new(),
