--- a/crates/cli/src/ground.rs
+++ b/crates/cli/src/ground.rs
@@ -35,25 +35,36 @@
     log: bool,
 }
 
-fn at(sorted: &[Duration], share: f64) -> u128 {
-    let at = (sorted.len() as f64 * share).ceil() as usize;
-    sorted.get(at.saturating_sub(1)).map_or(0, Duration::as_millis)
+/// How often the signals are looked at.
+const SIGNAL_POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Broken rules and promises that are printed of a run.
+const MAX_PRINTED_BREAKS: usize = 10;
+
+/// The value below which this share of the ascending times lies, milliseconds; 0 if there is none.
+fn quantile_ms(sorted: &[Duration], share: f64) -> u128 {
+    let rank = (sorted.len() as f64 * share).ceil() as usize;
+    sorted.get(rank.saturating_sub(1)).map_or(0, Duration::as_millis)
 }
 
-fn tell(script: &Script, played: &Played) {
-    let verdict = &played.verdict;
+/// How many requests ended how.
+fn count_endings(played: &Played) -> BTreeMap<String, usize> {
     let mut endings: BTreeMap<String, usize> = BTreeMap::new();
     for result in &played.results {
-        *endings
-            .entry(result.ending.map_or("left or cut off".into(), |e| format!("{e:?}").to_lowercase()))
-            .or_default() += 1;
+        let ending = result.ending.map(|ending| format!("{ending:?}").to_lowercase());
+        *endings.entry(ending.unwrap_or("left or cut off".into())).or_default() += 1;
     }
+    endings
+}
+
+/// Prints what came of one run.
+fn print_run(script: &Script, played: &Played) {
+    let verdict = &played.verdict;
     let settled = verdict
         .settled_in
-        .map_or("never".to_owned(), |t| format!("{} ms after the last fault", t.as_millis()));
+        .map_or("never".to_owned(), |time| format!("{} ms after the last fault", time.as_millis()));
     println!(
         "seed {}: {} routers, {} faults; one view {settled}; false alarms {}; suspicions {}; quota handed out at most {:.2}, \
-         at the end {:.2}; rules broken {}; requests {endings:?}",
+         at the end {:.2}; rules broken {}; requests {:?}",
         script.seed,
         script.routers,
         script.faults.len(),
@@ -61,40 +72,109 @@
         verdict.suspicions,
         verdict.handed_out,
         verdict.handed_out_last,
-        played.breaks.len()
+        played.breaks.len(),
+        count_endings(played)
+    );
+    print_policy(played);
+    if verdict.late > Duration::ZERO {
+        println!("  the schedule ran up to {} ms late: times are not judged", verdict.late.as_millis());
+    }
+    verdict.wrong.iter().for_each(|wrong| println!("  wrong: {wrong}"));
+    for rule_break in played.breaks.iter().take(MAX_PRINTED_BREAKS) {
+        println!("  rule broken: {}, at {:?}: {}", rule_break.rule, rule_break.at, rule_break.what);
+    }
+}
+
+/// Prints what came of the changes of policy, where the script has any.
+fn print_policy(played: &Played) {
+    let Some(policy) = &played.policy else { return };
+    let mut changed_in: Vec<Duration> = policy.changed_in.clone();
+    changed_in.sort_unstable();
+    println!(
+        "  policy: {} changes in force, {} dropped, epoch {} at the end; in force after p50 {} ms, at most {} ms; overlap {} ms; \
+         {} requests taken, {} answered that the policy is not known",
+        policy.ended.0,
+        policy.ended.1,
+        policy.epoch,
+        quantile_ms(&changed_in, 0.5),
+        quantile_ms(&changed_in, 1.0),
+        policy.verdict.overlap.as_millis(),
+        policy.verdict.taken.values().sum::<usize>(),
+        policy.verdict.uncertain
     );
-    if let Some(policy) = &played.policy {
-        let mut took: Vec<Duration> = policy.changed_in.clone();
-        took.sort_unstable();
+    policy.wrong.iter().for_each(|wrong| println!("  wrong: {wrong}"));
+    for broken in policy.verdict.broken.iter().take(MAX_PRINTED_BREAKS) {
+        println!("  promise broken: {:?}, at {:?}: {}", broken.promise, broken.at, broken.what);
+    }
+}
+
+/// What came of all runs together.
+#[derive(Default)]
+struct Totals {
+    settled_in: Vec<Duration>,
+    detected_in: Vec<Duration>,
+    changed_in: Vec<Duration>,
+    longest_overlap: Duration,
+    wrong_runs: usize,
+}
+
+impl Totals {
+    fn add(&mut self, played: &Played) {
+        self.settled_in.extend(played.verdict.settled_in);
+        self.detected_in.extend(played.verdict.detected_in.iter().copied());
+        if let Some(policy) = &played.policy {
+            self.changed_in.extend(policy.changed_in.iter().copied());
+            self.longest_overlap = self.longest_overlap.max(policy.verdict.overlap);
+        }
+        self.wrong_runs += usize::from(!played.is_well());
+    }
+
+    fn print(&mut self, runs: u64) {
+        self.settled_in.sort_unstable();
+        self.detected_in.sort_unstable();
         println!(
-            "  policy: {} changes in force, {} dropped, epoch {} at the end; in force after p50 {} ms, at most {} ms; overlap {} ms; \
-             {} requests taken, {} answered that the policy is not known",
-            policy.ended.0,
-            policy.ended.1,
-            policy.epoch,
-            at(&took, 0.5),
-            at(&took, 1.0),
-            policy.verdict.overlap.as_millis(),
-            policy.verdict.taken.values().sum::<usize>(),
-            policy.verdict.uncertain
+            "{runs} runs, {} with something wrong; one view after p50 {} ms, p99 {} ms; a kill seen after p50 {} ms, p99 {} ms, at most {} ms",
+            self.wrong_runs,
+            quantile_ms(&self.settled_in, 0.5),
+            quantile_ms(&self.settled_in, 0.99),
+            quantile_ms(&self.detected_in, 0.5),
+            quantile_ms(&self.detected_in, 0.99),
+            quantile_ms(&self.detected_in, 1.0)
         );
-        policy.wrong.iter().for_each(|w| println!("  wrong: {w}"));
-        policy
-            .verdict
-            .broken
-            .iter()
-            .take(10)
-            .for_each(|b| println!("  promise broken: {:?}, at {:?}: {}", b.promise, b.at, b.what));
+        self.changed_in.sort_unstable();
+        if !self.changed_in.is_empty() {
+            println!(
+                "{} changes in force after p50 {} ms, p99 {} ms, at most {} ms; two epochs overlapped by {} ms at most",
+                self.changed_in.len(),
+                quantile_ms(&self.changed_in, 0.5),
+                quantile_ms(&self.changed_in, 0.99),
+                quantile_ms(&self.changed_in, 1.0),
+                self.longest_overlap.as_millis()
+            );
+        }
     }
-    if verdict.late > Duration::ZERO {
-        println!("  the schedule ran up to {} ms late: times are not judged", verdict.late.as_millis());
+}
+
+/// Sets `interrupt` once the process is told to stop.
+fn watch_for_interrupt(interrupt: Interrupt) -> Result<(), Failure> {
+    let signals = Signals::watch()?;
+    std::thread::spawn(move || loop {
+        if signals.stopped() {
+            interrupt.store(true, Ordering::Relaxed);
+        }
+        std::thread::sleep(SIGNAL_POLL_INTERVAL);
+    });
+    Ok(())
+}
+
+/// Plays a script once, in virtual time or with processes.
+fn play(args: &Args, script: &Script, interrupt: &Interrupt) -> Result<Played, Failure> {
+    if args.memory {
+        return play_in_memory(script).map_err(Failure::Run);
     }
-    verdict.wrong.iter().for_each(|w| println!("  wrong: {w}"));
-    played
-        .breaks
-        .iter()
-        .take(10)
-        .for_each(|b| println!("  rule broken: {}, at {:?}: {}", b.rule, b.at, b.what));
+    let program = std::env::current_exe().map_err(|e| Failure::Run(e.to_string()))?;
+    let played = play_processes(script, &program, interrupt).map_err(Failure::Run)?;
+    played.ok_or_else(|| Failure::Run("interrupted; no process is left".into()))
 }
 
 pub(crate) fn run(args: &Args) -> Outcome {
@@ -102,68 +182,31 @@
     let text = std::fs::read_to_string(&args.file).map_err(|e| Failure::Input(format!("{name}: {e}")))?;
     let interrupt = Interrupt::default();
     if !args.memory {
-        let (signals, flag) = (Signals::watch()?, interrupt.clone());
-        std::thread::spawn(move || loop {
-            if signals.stopped() {
-                flag.store(true, Ordering::Relaxed);
-            }
-            std::thread::sleep(Duration::from_millis(50));
-        });
+        watch_for_interrupt(interrupt.clone())?;
     }
-    let (mut settled, mut detected, mut wrong) = (Vec::new(), Vec::new(), 0);
-    let (mut changed, mut overlap) = (Vec::new(), Duration::ZERO);
-    let mut first = 1;
-    for n in 0..args.seeds.max(1) {
-        let seed = (args.seed.is_some() || n > 0).then(|| args.seed.unwrap_or(first) + n);
+    let mut totals = Totals::default();
+    let runs = args.seeds.max(1);
+    let mut first_seed = 1;
+    for run in 0..runs {
+        let seed = (args.seed.is_some() || run > 0).then(|| args.seed.unwrap_or(first_seed) + run);
         let mut script = read_script(&text, &name, seed).map_err(|faults| Failure::Input(lines(&faults)))?;
-        first = if n == 0 { script.seed } else { first };
+        if run == 0 {
+            first_seed = script.seed;
+        }
         script.draw(args.random);
-        let played = if args.memory {
-            Some(play_in_memory(&script).map_err(Failure::Run)?)
-        } else {
-            let program = std::env::current_exe().map_err(|e| Failure::Run(e.to_string()))?;
-            play_processes(&script, &program, &interrupt).map_err(Failure::Run)?
-        };
-        let Some(played) = played else { return Err(Failure::Run("interrupted; no process is left".into())) };
-        tell(&script, &played);
+        let played = play(args, &script, &interrupt)?;
+        print_run(&script, &played);
         if args.log {
-            played.log.iter().for_each(|l| println!("  {l}"));
+            played.log.iter().for_each(|line| println!("  {line}"));
         }
         if let Some(file) = &args.history {
             played.history.write(file).map_err(|e| Failure::Run(format!("{}: {e}", file.display())))?;
         }
-        settled.extend(played.verdict.settled_in);
-        detected.extend(played.verdict.detected_in.iter().copied());
-        if let Some(policy) = &played.policy {
-            changed.extend(policy.changed_in.iter().copied());
-            overlap = overlap.max(policy.verdict.overlap);
-        }
-        wrong += usize::from(!played.is_well());
-    }
-    settled.sort_unstable();
-    detected.sort_unstable();
-    println!(
-        "{} runs, {wrong} with something wrong; one view after p50 {} ms, p99 {} ms; a kill seen after p50 {} ms, p99 {} ms, at most {} ms",
-        args.seeds.max(1),
-        at(&settled, 0.5),
-        at(&settled, 0.99),
-        at(&detected, 0.5),
-        at(&detected, 0.99),
-        at(&detected, 1.0)
-    );
-    changed.sort_unstable();
-    if !changed.is_empty() {
-        println!(
-            "{} changes in force after p50 {} ms, p99 {} ms, at most {} ms; two epochs overlapped by {} ms at most",
-            changed.len(),
-            at(&changed, 0.5),
-            at(&changed, 0.99),
-            at(&changed, 1.0),
-            overlap.as_millis()
-        );
+        totals.add(&played);
     }
-    if wrong > 0 {
-        return Err(Failure::Run(format!("{wrong} runs with something wrong")));
+    totals.print(runs);
+    if totals.wrong_runs > 0 {
+        return Err(Failure::Run(format!("{} runs with something wrong", totals.wrong_runs)));
     }
     Ok(())
 }
--- a/crates/cli/src/model.rs
+++ b/crates/cli/src/model.rs
@@ -2,10 +2,10 @@
 
 use crate::{lines, Failure, Outcome};
 use clap::Args as ClapArgs;
-use slipreel_emulator::play;
-use slipreel_scenario::read_day;
+use slipreel_emulator::{play, Figures};
+use slipreel_scenario::{read_day, Day};
 use std::path::PathBuf;
-use std::time::Instant;
+use std::time::{Duration, Instant};
 
 #[derive(ClapArgs)]
 pub(crate) struct Args {
@@ -27,6 +27,19 @@
     day.seed = args.seed.unwrap_or(day.seed);
     let began = Instant::now();
     let figures = play(&day);
+    print_scale(&day);
+    print_models(&figures);
+    print_totals(&figures, began.elapsed());
+    for (at, why) in figures.orders.iter().filter(|_| args.verbose) {
+        println!("{:>8.1} s  {why}", at.as_secs_f64());
+    }
+    if !figures.not_played.is_empty() {
+        println!("not played: {}", figures.not_played.join(", "));
+    }
+    Ok(())
+}
+
+fn print_scale(day: &Day) {
     println!(
         "{} engines, {} routers, {} requests in {:.0} s, in the model (no front, no connections)",
         day.engines.len(),
@@ -34,26 +47,29 @@
         day.plans.len(),
         day.length.as_secs_f64()
     );
+}
+
+/// Prints a row for each model that was asked for.
+fn print_models(figures: &Figures) {
     println!(
         "{:<16}{:>10}{:>10}{:>10}{:>10}{:>8}{:>10}{:>10}",
         "model", "asked", "served", "refused", "failed", "left", "p50 ms", "p99 ms"
     );
-    for (model, m) in &figures.models {
-        let at = |share: f64| {
-            let n = (m.waits.len() as f64 * share) as usize;
-            m.waits.get(n.min(m.waits.len().saturating_sub(1))).map_or(0.0, |w| w.as_secs_f64() * 1e3)
-        };
+    for (name, model) in &figures.models {
         println!(
-            "{model:<16}{:>10}{:>10}{:>10}{:>10}{:>8}{:>10.1}{:>10.1}",
-            m.asked,
-            m.served,
-            m.refused,
-            m.failed,
-            m.left,
-            at(0.5),
-            at(0.99)
+            "{name:<16}{:>10}{:>10}{:>10}{:>10}{:>8}{:>10.1}{:>10.1}",
+            model.asked,
+            model.served,
+            model.refused,
+            model.failed,
+            model.left,
+            quantile_ms(&model.waits, 0.5),
+            quantile_ms(&model.waits, 0.99)
         );
     }
+}
+
+fn print_totals(figures: &Figures, elapsed: Duration) {
     println!(
         "attempts {}, probes {}, changes of role {}, engines fallen over {}, still held {}, events {}, played in {:.1} s",
         figures.attempts,
@@ -62,13 +78,12 @@
         figures.fallen,
         figures.held,
         figures.events,
-        began.elapsed().as_secs_f64()
+        elapsed.as_secs_f64()
     );
-    for (at, why) in figures.orders.iter().filter(|_| args.verbose) {
-        println!("{:>8.1} s  {why}", at.as_secs_f64());
-    }
-    if !figures.not_played.is_empty() {
-        println!("not played: {}", figures.not_played.join(", "));
-    }
-    Ok(())
+}
+
+/// The value below which this share of the ascending times lies, milliseconds; 0 if there is none.
+fn quantile_ms(sorted: &[Duration], share: f64) -> f64 {
+    let rank = (sorted.len() as f64 * share) as usize;
+    sorted.get(rank.min(sorted.len().saturating_sub(1))).map_or(0.0, |time| time.as_secs_f64() * 1e3)
 }
