--- a/crates/platform/src/clients.rs
+++ b/crates/platform/src/clients.rs
@@ -1,5 +1,6 @@
 //! The clients' side: complete requests come in, and each gets one final answer.
 
+use crate::log_event::LogEvent;
 use crate::parse_request::{self, ParsedRequest};
 use crate::proof::AttemptEnd;
 use crate::request::{ActiveRequest, RequestTerms};
@@ -271,7 +272,7 @@
         } else {
             self.counters.rejected_without_attempt += 1;
         }
-        self.log_request_end("refused", id, out);
+        self.log_request_end(id, |trace| LogEvent::RequestRejected { trace }, out);
         let seconds = retry_after.map(|time| format!("{:.3}", time.as_secs_f64()));
         let fields: Vec<(&str, &str)> =
             seconds.iter().map(|seconds| ("retry-after", seconds.as_str())).collect();
@@ -283,14 +284,14 @@
     pub(crate) fn fail_request(&mut self, id: RequestId, out: &mut Vec<Output>) {
         self.counters.failed += 1;
         self.counters.ended_without_event += 1;
-        self.log_request_end("failed", id, out);
+        self.log_request_end(id, |trace| LogEvent::RequestFailed { trace }, out);
         self.answer_request(id, 502, &[], "failed; it may have run", out);
     }
 
-    /// Logs how a request came to its end. `slipreel losses` reads these lines.
-    fn log_request_end(&mut self, what: &str, id: RequestId, out: &mut Vec<Output>) {
-        let Some(trace) = self.requests.get(id).map(|c| c.trace(self.now)) else { return };
-        self.log_limited(|| format!("{what}: {trace}"), out);
+    /// Logs how a request came to its end.
+    fn log_request_end(&mut self, id: RequestId, event: fn(String) -> LogEvent, out: &mut Vec<Output>) {
+        let Some(trace) = self.requests.get(id).map(|request| request.trace(self.now)) else { return };
+        self.log_limited(|| event(trace), out);
     }
 
     /// Writes the head of a streamed answer.
@@ -327,7 +328,7 @@
     /// A stream has broken: the client's connection ends in order, without the last chunk.
     pub(crate) fn abort_stream(&mut self, id: RequestId, out: &mut Vec<Output>) {
         let Some(conn) = self.requests.get_open(id).map(|request| request.client) else { return };
-        self.log_request_end("broke off", id, out);
+        self.log_request_end(id, |trace| LogEvent::StreamBroke { trace }, out);
         self.requests.close(id);
         self.counters.failed += 1;
         self.counters.broken_streams += 1;
--- a/crates/platform/src/discovery.rs
+++ b/crates/platform/src/discovery.rs
@@ -2,8 +2,9 @@
 
 use crate::config::Config;
 use crate::endpoint_list::EndpointList;
+use crate::log_event::LogEvent;
 use crate::router::PlatformRouter;
-use crate::watch::DueStep;
+use crate::watch::{DueStep, WatchFailure};
 use slipreel::Outcome;
 use slipreel_state_machine::{ConnId, ConnectionLoss, Output};
 
@@ -18,9 +19,8 @@
                 out.push(Output::Connect(conn, self.watch.addr()));
             }
             Some(DueStep::GiveUp(timeout)) => {
-                let reopens_at_once = timeout.reopens_at_once();
-                self.watch_failed(&timeout.to_string(), reopens_at_once, out);
-                if reopens_at_once {
+                self.watch_failed(WatchFailure::TimedOut(timeout), out);
+                if timeout.reopens_at_once() {
                     return self.watch_due(out);
                 }
             }
@@ -37,11 +37,12 @@
     }
 
     /// The watch is given up and opened again, after a backoff or at once.
-    pub(crate) fn watch_failed(&mut self, why: &str, reopens_at_once: bool, out: &mut Vec<Output>) {
+    pub(crate) fn watch_failed(&mut self, failure: WatchFailure, out: &mut Vec<Output>) {
         if let Some(conn) = self.watch.conn() {
             out.push(Output::Abort(conn));
         }
-        self.log_limited(|| format!("the watch of the list ends: {why}"), out);
+        let reopens_at_once = failure.reopens_at_once();
+        self.log_limited(|| LogEvent::WatchFailed(failure), out);
         self.watch.failed(self.now, reopens_at_once);
         self.watch.arm_timer(&mut self.timers);
     }
@@ -49,13 +50,13 @@
     /// The watch's connection is lost. Without a descriptor for it, idle client connections and idle connections to
     /// engines are closed for the next: the list comes before them.
     pub(crate) fn watch_lost(&mut self, why: ConnectionLoss, out: &mut Vec<Output>) {
-        let why = if why == ConnectionLoss::Exhausted {
+        let failure = if why == ConnectionLoss::Exhausted {
             self.free_descriptor(out);
-            "no descriptor is left"
+            WatchFailure::NoDescriptor
         } else {
-            "its connection broke"
+            WatchFailure::ConnectionLost
         };
-        self.watch_failed(why, false, out);
+        self.watch_failed(failure, out);
     }
 
     /// Closes a connection so that the process has a descriptor for another: an idle client's, else an engine's.
@@ -76,14 +77,14 @@
         }
         match fed {
             Ok(()) => self.watch.arm_timer(&mut self.timers),
-            Err(error) => self.watch_failed(&error.to_string(), false, out),
+            Err(error) => self.watch_failed(WatchFailure::Unusable(error), out),
         }
     }
 
     fn apply_endpoint_list(&mut self, list: EndpointList, out: &mut Vec<Output>) {
         let changes = self.endpoints.apply(list, false);
-        for line in changes.skipped {
-            self.log_limited(|| line, out);
+        for event in changes.skipped {
+            self.log_limited(|| event, out);
         }
         self.queue_event(changes.event);
         // What has not left for an engine that drains or is gone goes elsewhere, also if only its last byte has not.
@@ -99,10 +100,8 @@
 
     /// The file was replaced: the watch goes over to the new address; the present list stays until that has sent one.
     pub(crate) fn reload(&mut self, config: &Config, out: &mut Vec<Output>) {
-        out.push(Output::Log(format!(
-            "the configuration was read again; discovery is at {}",
-            config.discovery
-        )));
+        let event = LogEvent::ConfigReloaded { discovery: config.discovery };
+        out.push(Output::Log(event.to_string()));
         if config.discovery != self.watch.addr() {
             if let Some(conn) = self.watch.conn() {
                 out.push(Output::Abort(conn));
--- a/crates/platform/src/dispatch.rs
+++ b/crates/platform/src/dispatch.rs
@@ -1,6 +1,7 @@
 //! Dispatches what the decision module decides: attempts, health checks, final answers.
 
 use crate::engine_connection::{ConnectionPurpose, EngineConnection, Exchange, State};
+use crate::log_event::LogEvent;
 use crate::proof::{AttemptEnd, NeverRan};
 use crate::router::PlatformRouter;
 use crate::timer::Timer;
@@ -30,7 +31,7 @@
             Action::Probe(engine) => self.probe(engine, out),
             Action::CloseIdleConnections(engine) => self.close_idle(engine, out),
             Action::MigrateStream(request) => self.migrate_stream(request, out),
-            Action::Log(line) => self.log_limited(|| line, out),
+            Action::Log(line) => self.log_limited(|| LogEvent::Decision(line), out),
             // The platform has no places to hold ahead and no way to talk to other routers, and its watch is always open.
             Action::Reserve { request, engine } => {
                 self.queue_event(Event::ReservationAnswered { request, engine, granted: false });
@@ -196,12 +197,14 @@
         if request.attempts.get(attempt).is_none_or(|a| a.is_prefill) || !self.never_ran_log.take() {
             return;
         }
-        let ago = self.now.saturating_sub(since).as_micros();
-        out.push(Output::Log(format!(
-            "never ran: {} attempt {attempt}: {proof}, {ago} us in this state; {}",
-            request.client_id,
-            request.trace(self.now)
-        )));
+        let event = LogEvent::NeverRan {
+            client_id: request.client_id.clone(),
+            attempt,
+            proof,
+            time_in_state: self.now.saturating_sub(since),
+            trace: request.trace(self.now),
+        };
+        out.push(Output::Log(event.to_string()));
     }
 
     /// Closes the idle connections to an engine.
--- a/crates/platform/src/endpoints.rs
+++ b/crates/platform/src/endpoints.rs
@@ -1,6 +1,7 @@
 //! The engines as discovery told of them. Names are the engines; addresses may change.
 
 use crate::endpoint_list::{EndpointEntry, EndpointList};
+use crate::log_event::LogEvent;
 use slipreel::{CellId, Engine, EngineId, EngineState, Event, KindId, Listing, Role, ZoneId};
 use slipreel_platform_settings::Profile;
 use std::collections::BTreeMap;
@@ -46,8 +47,8 @@
     pub(crate) closed: Vec<EngineId>,
     /// Engines that have another address or role than before.
     pub(crate) moved: Vec<EngineId>,
-    /// Log lines on entries that were skipped.
-    pub(crate) skipped: Vec<String>,
+    /// What to log on entries that were skipped.
+    pub(crate) skipped: Vec<LogEvent>,
 }
 
 impl Endpoints {
@@ -134,10 +135,7 @@
             }
             match self.update(id, &entry, &mut moved) {
                 Some(engine) => engines.push(engine),
-                None => skipped.push(format!(
-                    "engine {}: type {:?} is none of the settings; passed over",
-                    entry.name, entry.kind
-                )),
+                None => skipped.push(LogEvent::UnknownEngineKind { engine: entry.name, kind: entry.kind }),
             }
         }
         EndpointChanges { event: Event::Engines { listing, engines }, closed, moved, skipped }
--- a/crates/platform/src/engines.rs
+++ b/crates/platform/src/engines.rs
@@ -1,6 +1,7 @@
 //! The engines' side: responses become events for the decision module, and the events of one stream the client's answer.
 
 use crate::engine_connection::{ConnectionPurpose, EngineConnection, State};
+use crate::log_event::LogEvent;
 use crate::parse_request::MAX_TOKENS;
 use crate::proof::{AttemptEnd, NeverRan};
 use crate::request::Attempt;
@@ -150,7 +151,7 @@
         let Some(connection) = self.engines.get(conn) else { return };
         let engine = connection.engine;
         match (event, connection.purpose) {
-            (ResponseEvent::Malformed(error), _) => self.malformed_response(conn, engine, &error, out),
+            (ResponseEvent::Malformed(error), _) => self.malformed_response(conn, engine, error, out),
             (ResponseEvent::Events(events), ConnectionPurpose::Attempt { request, attempt }) => {
                 if !self.forward_events(request, attempt, &events, out) {
                     self.abort_connection(conn, AttemptEnd::may_have_run(Outcome::Cancelled), out);
@@ -177,12 +178,12 @@
     }
 
     fn malformed_response(
-        &mut self, conn: ConnId, engine: EngineId, error: &ResponseError, out: &mut Vec<Output>,
+        &mut self, conn: ConnId, engine: EngineId, error: ResponseError, out: &mut Vec<Output>,
     ) {
         self.counters.malformed_responses += 1;
         let endpoint = self.endpoints.get(engine);
         let name = endpoint.map_or_else(|| format!("{:x}", engine.0), |endpoint| endpoint.name.clone());
-        self.log_limited(|| format!("engine {name}: {error}"), out);
+        self.log_limited(|| LogEvent::MalformedResponse { engine: name, error }, out);
         self.abort_connection(conn, AttemptEnd::may_have_run(Outcome::Error), out);
     }
 
@@ -253,10 +254,7 @@
             self.log_never_ran(id, attempt, proof, since, out);
         }
         if answer.status == PREFILLED && !reads {
-            self.log_limited(
-                || "an answer 202 to a write ends its connection: it may have run".to_owned(),
-                out,
-            );
+            self.log_limited(|| LogEvent::PrefilledAnswerToDecode, out);
             self.close_connection(conn, out);
         } else {
             self.exchange_finished(conn, out);
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -16,7 +16,7 @@
 //! (connections with their timers, who is evicted, which connection is reused), `active_requests` (requests by id and by
 //! client id, the memory that they hold, ids that were forwarded lately), `endpoints` and `watch` (the listed engines, and
 //! how discovery is asked for them), `shutdown`, `decisions` (the module and its queue of events), `counters`,
-//! `log_limiter`, and `resource_limits`. `router` takes the inputs and fires the timers; `discovery` does for discovery
+//! `log_limiter` (what is logged is a `log_event`), and `resource_limits`. `router` takes the inputs and fires the timers; `discovery` does for discovery
 //! what `clients` and `engines` do for theirs.
 //!
 //! `request` is one request in progress, `endpoint_list` and `load_report` parse what discovery and engines send, `proof`
@@ -40,6 +40,7 @@
 mod engine_connections;
 mod engines;
 mod load_report;
+mod log_event;
 mod log_limiter;
 mod parse_request;
 mod proof;
--- /dev/null
+++ b/crates/platform/src/log_event.rs
@@ -0,0 +1,108 @@
+//! What a router logs. Operators' pages quote these texts and `slipreel losses` reads some of them, so they keep the words
+//! of earlier versions.
+
+use crate::counters::Counters;
+use crate::proof::NeverRan;
+use crate::response::ResponseError;
+use crate::router::HeldState;
+use crate::watch::WatchFailure;
+use slipreel::StateSizes;
+use std::fmt;
+use std::net::SocketAddr;
+use std::time::Duration;
+
+/// One event that is logged. `Display` gives the text of its line.
+#[derive(Debug)]
+pub(crate) enum LogEvent {
+    /// The decision module rejected a request. Its trace is that of
+    /// [`ActiveRequest::trace`](crate::request::ActiveRequest::trace), as in all events.
+    RequestRejected { trace: String },
+    /// A request failed, and no attempt is left for it.
+    RequestFailed { trace: String },
+    /// The stream of a request broke after its first event.
+    StreamBroke { trace: String },
+    /// An engine's response could not be parsed.
+    MalformedResponse { engine: String, error: ResponseError },
+    /// An engine answered a decode with the status of a prefill.
+    PrefilledAnswerToDecode,
+    /// An attempt that must not be repeated provably never ran.
+    NeverRan {
+        client_id: String,
+        attempt: usize,
+        proof: NeverRan,
+        /// How long its connection had been in its state.
+        time_in_state: Duration,
+        trace: String,
+    },
+    /// An entry of the endpoint list was skipped: the settings don't name its kind of engine.
+    UnknownEngineKind { engine: String, kind: String },
+    /// The watch of the endpoint list was given up; it is opened again.
+    WatchFailed(WatchFailure),
+    /// The configuration file was replaced.
+    ConfigReloaded { discovery: SocketAddr },
+    /// A line that the decision module put together.
+    Decision(String),
+    /// The periodic status.
+    Status(Box<Status>),
+}
+
+/// How much state a router holds, and its counters.
+#[derive(Debug)]
+pub(crate) struct Status {
+    pub(crate) held: HeldState,
+    /// Connections to engines that carry an exchange, or are being opened for one.
+    pub(crate) busy_engine_connections: usize,
+    pub(crate) engines: usize,
+    pub(crate) decision_module: StateSizes,
+    pub(crate) counters: Counters,
+}
+
+impl fmt::Display for LogEvent {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            LogEvent::RequestRejected { trace } => write!(f, "refused: {trace}"),
+            LogEvent::RequestFailed { trace } => write!(f, "failed: {trace}"),
+            LogEvent::StreamBroke { trace } => write!(f, "broke off: {trace}"),
+            LogEvent::MalformedResponse { engine, error } => write!(f, "engine {engine}: {error}"),
+            LogEvent::PrefilledAnswerToDecode => {
+                f.write_str("an answer 202 to a write ends its connection: it may have run")
+            }
+            LogEvent::NeverRan { client_id, attempt, proof, time_in_state, trace } => {
+                let micros = time_in_state.as_micros();
+                write!(
+                    f,
+                    "never ran: {client_id} attempt {attempt}: {proof}, {micros} us in this state; {trace}"
+                )
+            }
+            LogEvent::UnknownEngineKind { engine, kind } => {
+                write!(f, "engine {engine}: type {kind:?} is none of the settings; passed over")
+            }
+            LogEvent::WatchFailed(failure) => write!(f, "the watch of the list ends: {failure}"),
+            LogEvent::ConfigReloaded { discovery } => {
+                write!(f, "the configuration was read again; discovery is at {discovery}")
+            }
+            LogEvent::Decision(line) => f.write_str(line),
+            LogEvent::Status(status) => status.fmt(f),
+        }
+    }
+}
+
+impl fmt::Display for Status {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        let Status { held, busy_engine_connections, engines, decision_module, counters } = self;
+        write!(
+            f,
+            "clients {}, requests {}, connections to engines {} ({busy_engine_connections} busy), engines {engines}, \
+             timers {}, releases {}, module keeps {:?}; {counters}",
+            held.client_connections,
+            held.requests,
+            held.engine_connections,
+            held.timers,
+            held.releases,
+            (decision_module.requests, decision_module.timers, decision_module.engines),
+        )
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/platform/src/log_limiter.rs
+++ b/crates/platform/src/log_limiter.rs
@@ -1,5 +1,6 @@
 //! Limits how many log lines a router writes on faults of its peers and on attempts that never ran.
 
+use crate::log_event::LogEvent;
 use std::time::Duration;
 
 /// The least time between two lines.
@@ -17,17 +18,18 @@
 }
 
 impl LogLimiter {
-    /// The line to log now, with how many were suppressed before it; `None` if it is suppressed, and not put together then.
-    pub(crate) fn limit(&mut self, now: Duration, line: impl FnOnce() -> String) -> Option<String> {
+    /// The line to log now, with how many were suppressed before it; `None` if it is suppressed, and its event is not built
+    /// then.
+    pub(crate) fn limit(&mut self, now: Duration, event: impl FnOnce() -> LogEvent) -> Option<String> {
         if self.last_logged.is_some_and(|at| now < at + LOG_INTERVAL) {
             self.suppressed += 1;
             return None;
         }
         self.last_logged = Some(now);
-        let line = line();
+        let event = event();
         Some(match std::mem::take(&mut self.suppressed) {
-            0 => line,
-            suppressed => format!("{line} (and {suppressed} lines before it)"),
+            0 => event.to_string(),
+            suppressed => format!("{event} (and {suppressed} lines before it)"),
         })
     }
 }
--- a/crates/platform/src/router.rs
+++ b/crates/platform/src/router.rs
@@ -10,12 +10,13 @@
 use crate::engine_connection::EngineTimeouts;
 use crate::engine_connections::EngineConnections;
 use crate::load_report::ReportLayout;
+use crate::log_event::{LogEvent, Status};
 use crate::log_limiter::{LogLimiter, NeverRanLogBudget};
 use crate::release;
 use crate::resource_limits::ResourceLimits;
 use crate::shutdown::{FinalStep, Shutdown};
 use crate::timer::{Timer, Timers};
-use crate::watch::Watch;
+use crate::watch::{Watch, WatchFailure};
 use slipreel::{EngineId, Event, RequestId, StateSizes};
 use slipreel_connections::ReleaseQueue;
 use slipreel_platform_settings::Profile;
@@ -154,9 +155,9 @@
         self.end_when_done(out);
     }
 
-    /// Logs a line on a fault of a peer, at a limited rate.
-    pub(crate) fn log_limited(&mut self, line: impl FnOnce() -> String, out: &mut Vec<Output>) {
-        if let Some(line) = self.log.limit(self.now, line) {
+    /// Logs an event on a fault of a peer, at a limited rate.
+    pub(crate) fn log_limited(&mut self, event: impl FnOnce() -> LogEvent, out: &mut Vec<Output>) {
+        if let Some(line) = self.log.limit(self.now, event) {
             out.push(Output::Log(line));
         }
     }
@@ -226,21 +227,14 @@
     }
 
     fn log_status(&self, out: &mut Vec<Output>) {
-        let held = self.held_state();
-        let sizes = self.decisions.state_sizes();
-        out.push(Output::Log(format!(
-            "clients {}, requests {}, connections to engines {} ({} busy), engines {}, timers {}, \
-             releases {}, module keeps {:?}; {}",
-            held.client_connections,
-            held.requests,
-            held.engine_connections,
-            self.engines.busy_count(),
-            self.endpoints.len(),
-            held.timers,
-            held.releases,
-            (sizes.requests, sizes.timers, sizes.engines),
-            self.counters
-        )));
+        let status = Status {
+            held: self.held_state(),
+            busy_engine_connections: self.engines.busy_count(),
+            engines: self.endpoints.len(),
+            decision_module: self.decisions.state_sizes(),
+            counters: self.counters,
+        };
+        out.push(Output::Log(LogEvent::Status(Box::new(status)).to_string()));
     }
 
     // ---- Shutdown -----------------------------------------------------------------------------
@@ -318,7 +312,7 @@
         match *input {
             Input::Connected(conn) => self.watch_connected(conn, out),
             Input::Data(_, bytes) => self.watch_data(bytes, out),
-            Input::Eof(_) => self.watch_failed("it was closed", false, out),
+            Input::Eof(_) => self.watch_failed(WatchFailure::Closed, out),
             Input::Lost(_, why) => self.watch_lost(why, out),
             _ => {}
         }
--- a/crates/platform/src/watch.rs
+++ b/crates/platform/src/watch.rs
@@ -84,6 +84,33 @@
     ObjectTooLarge,
 }
 
+/// Why a watch is given up. `Display` gives the text of the log line.
+#[derive(Debug, thiserror::Error)]
+pub(crate) enum WatchFailure {
+    /// Discovery has closed its connection.
+    #[error("it was closed")]
+    Closed,
+    /// Its connection was lost.
+    #[error("its connection broke")]
+    ConnectionLost,
+    /// The process has no descriptor for its connection.
+    #[error("no descriptor is left")]
+    NoDescriptor,
+    /// It is overdue.
+    #[error(transparent)]
+    TimedOut(WatchTimeout),
+    /// What it has sent cannot be used.
+    #[error(transparent)]
+    Unusable(WatchError),
+}
+
+impl WatchFailure {
+    /// Whether the next watch is opened without a backoff.
+    pub(crate) fn reopens_at_once(&self) -> bool {
+        matches!(self, WatchFailure::TimedOut(timeout) if timeout.reopens_at_once())
+    }
+}
+
 /// What a watch calls for when it is due.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum DueStep {
