--- a/crates/platform/src/active_requests.rs
+++ b/crates/platform/src/active_requests.rs
@@ -1,4 +1,4 @@
-//! The requests in progress: by id and by client id, the memory that they hold, and which ids were forwarded lately.
+//! The requests in progress: by id and by client id, the memory that they hold, and which ids were forwarded recently.
 
 use crate::recent_ids::RecentIds;
 use crate::request::ActiveRequest;
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Whether a request of this client id was forwarded to an engine lately.
+    /// Whether a request of this client id was forwarded to an engine recently.
     pub(crate) fn was_forwarded(&mut self, now: Duration, client_id: &str) -> bool {
         self.recently_forwarded.contains(now, client_id)
     }
@@ -91,7 +91,7 @@
         self.held_bytes
     }
 
-    /// The stream of an attempt begins: its client has had some of it, so the body is not sent again and is dropped.
+    /// The stream of an attempt begins: the client receives some of it, so the body is not sent again and is dropped.
     pub(crate) fn begin_stream(&mut self, id: RequestId, attempt: usize) -> Option<&ActiveRequest> {
         let request = self.by_id.get_mut(&id)?;
         self.held_bytes = self.held_bytes.saturating_sub(request.held_bytes());
@@ -117,7 +117,7 @@
         self.maybe_done.push(id);
     }
 
-    /// Removes the requests of which nothing more can come.
+    /// Removes the requests that are done.
     pub(crate) fn remove_done(&mut self) {
         for id in std::mem::take(&mut self.maybe_done) {
             if self.get(id).is_some_and(ActiveRequest::is_done) {
--- a/crates/platform/src/client_connections.rs
+++ b/crates/platform/src/client_connections.rs
@@ -7,25 +7,25 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// A connection whose first request has not come in whole is closed after this: within the 3 s that the protocol allows.
+/// A connection whose first request is incomplete is closed after this: within the 3 s that the protocol allows.
 const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(2_400);
-/// From when something of a request has come it has to be complete within this; same reason.
+/// A request has to be complete within this after its first byte; for the same reason.
 const RECEIVE_TIMEOUT: Duration = Duration::from_millis(2_400);
-/// A client that takes nothing for so long while something waits for it is cut off.
+/// A client that reads nothing for so long while bytes wait for it is disconnected.
 const STALL_TIMEOUT: Duration = Duration::from_millis(10_000);
-/// A connection that has sent nothing for less is not closed to free a slot: its first request may be on its way.
+/// A connection that has sent nothing for less is not closed to free a slot: its first request may be in transit.
 const NEW_CONNECTION_GRACE: Duration = Duration::from_millis(400);
 
 /// Connections that may be closed to free a slot, in the order in which they are chosen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Eviction {
-    /// Its first request has not come in whole for a while.
+    /// Its first request has been incomplete for a while.
     LongAwaited,
     /// It was answered and is idle.
     Idle,
-    /// It came a moment ago and has sent nothing.
+    /// It has just been accepted and has sent nothing.
     JustAccepted,
-    /// It came a moment ago, and a part of its first request is here.
+    /// It has just been accepted, and a part of its first request was received.
     JustReceiving,
 }
 
@@ -33,7 +33,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct IdleClient {
     pub(crate) conn: ConnId,
-    /// Until then its first request may be on its way; `None` if it has had one.
+    /// Until then its first request may be in transit; `None` if it has had one.
     pub(crate) grace_until: Option<Duration>,
 }
 
@@ -42,7 +42,7 @@
 pub(crate) struct ClientConnections {
     by_id: HashMap<ConnId, Client>,
     timers: ConnectionTimers,
-    /// Connections whose first request has not come in whole, and since when they stand.
+    /// Connections whose first request is incomplete, and when they were accepted.
     awaiting_first_request: HashMap<ConnId, Duration>,
 }
 
@@ -80,7 +80,7 @@
         self.timers.cancel(timers, conn);
     }
 
-    /// A connection's first request, or a further one, has come in whole.
+    /// A connection's first request, or a further one, is complete.
     pub(crate) fn request_received(&mut self, conn: ConnId) {
         self.awaiting_first_request.remove(&conn);
     }
@@ -94,7 +94,7 @@
         self.awaiting_first_request.len()
     }
 
-    /// Each answer from now on says that its connection ends.
+    /// From now on each connection closes after its answer.
     pub(crate) fn close_after_next_answer(&mut self) {
         self.by_id.values_mut().for_each(Client::close_after_answer);
     }
@@ -111,8 +111,8 @@
         idle.into_iter().map(with_grace).collect()
     }
 
-    /// The connection to close so that a slot is free: one whose first request has not come in whole after a while, else
-    /// the one that is idle longest, else one that came a moment ago. `None` if all are at work.
+    /// The connection to close so that a slot is free: one whose first request is incomplete after a while, else the one
+    /// that is idle longest, else one that has just been accepted. `None` if all are serving requests.
     pub(crate) fn eviction_candidate(&self, now: Duration) -> Option<ConnId> {
         let ranked = self.by_id.values().filter_map(|client| {
             let rank = self.eviction_rank(client, now)?;
--- a/crates/platform/src/clients.rs
+++ b/crates/platform/src/clients.rs
@@ -1,4 +1,4 @@
-//! The clients' side: complete requests come in, and each gets one final answer.
+//! The clients' side: complete requests are received, and each gets one final answer.
 
 use crate::log_event::LogEvent;
 use crate::parse_request::{self, ParsedRequest};
@@ -19,7 +19,7 @@
 const MAX_PIPELINED_BYTES: usize = 16 << 10;
 
 impl PlatformRouter {
-    // ---- In -----------------------------------------------------------------------------------
+    // ---- Requests -----------------------------------------------------------------------------------
 
     /// A client has connected. Without a slot for it, another is evicted, or it is closed.
     pub(crate) fn accepted(&mut self, conn: ConnId, out: &mut Vec<Output>) {
@@ -37,39 +37,39 @@
         self.arm_client_timer(conn);
     }
 
-    /// Frees a slot for one more client by closing one whose first request has not come in whole after a while, else the one
-    /// that stands idle longest, else one that came a moment ago. False if all are at work.
+    /// Frees a slot for one more client by closing one whose first request is incomplete after a while, else the one that is
+    /// idle longest, else one that has just connected. False if all are serving requests.
     pub(crate) fn evict(&mut self, out: &mut Vec<Output>) -> bool {
         let Some(conn) = self.clients.eviction_candidate(self.now) else { return false };
         let Some(client) = self.clients.get_mut(conn) else { return false };
         if client.state == State::Receiving {
-            // Its last byte may be on its way: no request is read in part and then closed without an answer.
+            // Its last byte may be in transit: a request that was received in part is answered before the connection is closed.
             client.close_after_answer();
             self.reject(conn, &RequestError::Evicted, out);
             return true;
         }
         self.counters.rejected_before_admission += 1;
-        // One that was answered ends in order: a reset would take the answer with it if that is still on its way, and a
-        // request that comes in just now is one that was never read.
+        // A connection that had an answer is closed in order: a reset would discard the answer if it is still in transit. A
+        // request that arrives just now was never read.
         let awaits_first_request = self.clients.awaits_first_request(conn);
         out.push(if awaits_first_request { Output::Abort(conn) } else { Output::CloseWhenSent(conn) });
         self.clients.remove(conn, &mut self.timers);
         true
     }
 
-    /// Bytes of a client have come.
+    /// Bytes of a client were received.
     pub(crate) fn client_data(&mut self, conn: ConnId, bytes: &[u8], out: &mut Vec<Output>) {
         let now = self.now;
         let Some(client) = self.clients.get_mut(conn) else { return };
         let before = client.state;
         client.feed(now, bytes, out);
         self.read_requests(conn, out);
-        if self.clients.get(conn).is_some_and(|c| c.state != before) {
+        if self.clients.get(conn).is_some_and(|client| client.state != before) {
             self.arm_client_timer(conn);
         }
     }
 
-    /// Takes the requests that have come in whole, one after another as each is answered.
+    /// Handles the complete requests that were received, each once the one before is answered.
     fn read_requests(&mut self, conn: ConnId, out: &mut Vec<Output>) {
         loop {
             let now = self.now;
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Answers what is asked of this router itself; all else is to be forwarded.
+    /// Answers requests to the router itself; all others are to be forwarded.
     fn route(&mut self, conn: ConnId, received: Received, out: &mut Vec<Output>) {
         match (received.method(), received.path()) {
             ("GET", "/-/ready") => {
@@ -100,12 +100,12 @@
         }
     }
 
-    /// Takes a request, or rejects it before the decision module is told of it.
+    /// Admits a request, or rejects it without the decision module.
     fn admit(&mut self, conn: ConnId, received: Received, out: &mut Vec<Output>) {
         match self.check_admissible(&received) {
             Ok(parsed) => self.start_request(conn, parsed, received),
             Err(error) => {
-                // One for want of memory is counted here and by `reject` as well.
+                // Out of memory is counted here and by `reject` as well.
                 self.counters.rejected_before_admission += u64::from(error == RequestError::OutOfMemory);
                 self.reject(conn, &error, out);
             }
@@ -119,7 +119,7 @@
             return Err(RequestError::ShuttingDown);
         }
         if self.requests.is_id_in_use(&parsed.client_id) {
-            // The other one's attempts and answer go on unharmed.
+            // The attempts and the answer of the open request are not affected.
             return Err(RequestError::IdInUse);
         }
         if self.requests.was_forwarded(self.now, &parsed.client_id) {
@@ -131,12 +131,12 @@
         Ok(parsed)
     }
 
-    /// Records an admitted request and tells the decision module of it.
+    /// Records an admitted request and queues it for the decision module.
     fn start_request(&mut self, conn: ConnId, parsed: ParsedRequest, received: Received) {
         let ParsedRequest { client_id, mut request } = parsed;
         let id = self.requests.next_id();
         request.id = id;
-        // Its client's time runs from its last byte, also while it waits behind the request before it.
+        // The deadline counts from its last byte, also while it is queued behind the request before it.
         let deadline = received.arrived.saturating_add(request.client_timeout);
         request.client_timeout = deadline.saturating_sub(self.now);
         let class = self.profile.settings.classes.get(request.class.0);
@@ -161,16 +161,16 @@
 
     /// A client has closed its sending side.
     pub(crate) fn client_eof(&mut self, conn: ConnId, out: &mut Vec<Output>) {
-        // A client that closes its connection has gone away, whatever it still waits for.
+        // A client that closes its sending side counts as gone, whatever answer is still due.
         if self.clients.contains(conn) {
             out.push(Output::CloseWhenSent(conn));
             self.client_gone(conn, out);
         }
     }
 
-    /// A client has gone: its request needs no answer any more.
+    /// A client has disconnected: its request needs no answer any more.
     pub(crate) fn client_gone(&mut self, conn: ConnId, out: &mut Vec<Output>) {
-        let request = match self.clients.get(conn).map(|c| c.state) {
+        let request = match self.clients.get(conn).map(|client| client.state) {
             Some(State::Serving(Some(request))) => Some(RequestId(request)),
             _ => None,
         };
@@ -178,7 +178,7 @@
         let Some(id) = request.filter(|&id| self.requests.get_open(id).is_some()) else { return };
         self.counters.disconnected += 1;
         self.counters.ended_without_event +=
-            u64::from(self.requests.get(id).is_some_and(|c| c.streaming_attempt.is_none()));
+            u64::from(self.requests.get(id).is_some_and(|request| request.streaming_attempt.is_none()));
         self.requests.close(id);
         self.queue_event(Event::ClientDisconnected(id));
         if let Some(conn) = self.requests.get(id).and_then(ActiveRequest::streaming_connection) {
@@ -210,7 +210,7 @@
                 out.push(Output::CloseWhenSent(conn));
                 self.clients.remove(conn, &mut self.timers);
             }
-            // It takes nothing of what waits for it.
+            // It reads nothing of what was written to it.
             State::Serving(_) => {
                 out.push(Output::Abort(conn));
                 self.client_gone(conn, out);
@@ -218,9 +218,9 @@
         }
     }
 
-    // ---- Out ----------------------------------------------------------------------------------
+    // ---- Answers ----------------------------------------------------------------------------------
 
-    /// Answers a request that the decision module is not told of.
+    /// Answers a request that does not reach the decision module.
     fn reject(&mut self, conn: ConnId, error: &RequestError, out: &mut Vec<Output>) {
         self.counters.rejected_before_admission += 1;
         let body = serde_json::json!({ "error": error.to_string() }).to_string();
@@ -240,7 +240,7 @@
         self.client_done(conn, out);
     }
 
-    /// An answer is written: the connection goes on, or ends.
+    /// An answer is written: the connection is kept or closed.
     fn client_done(&mut self, conn: ConnId, out: &mut Vec<Output>) {
         let now = self.now;
         let Some(client) = self.clients.get_mut(conn) else { return };
@@ -251,7 +251,7 @@
         }
     }
 
-    /// Writes a final answer that is not a stream, and goes on with pipelined requests.
+    /// Writes a final answer that is not a stream, then handles pipelined requests.
     fn answer_request(
         &mut self, id: RequestId, status: u16, fields: &[(&str, &str)], why: &str, out: &mut Vec<Output>,
     ) {
@@ -313,7 +313,7 @@
         }
     }
 
-    /// A stream has come to its end.
+    /// A stream is complete.
     pub(crate) fn complete_stream(&mut self, id: RequestId, out: &mut Vec<Output>) {
         let Some(conn) = self.requests.get_open(id).map(|request| request.client) else { return };
         self.requests.close(id);
@@ -338,7 +338,7 @@
         }
     }
 
-    /// A stream is migrated: it ends where it stands, and its client asks for the rest at another router.
+    /// A stream is migrated: it is cut off, and its client resumes it at another router.
     pub(crate) fn migrate_stream(&mut self, id: RequestId, out: &mut Vec<Output>) {
         let Some(conn) = self.requests.get_open(id).and_then(ActiveRequest::streaming_connection) else {
             return;
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -6,7 +6,7 @@
 use slipreel_platform_settings::{Profile, SettingsError};
 use std::net::SocketAddr;
 
-/// Why a configuration cannot be used. `Display` gives the place of the fault, what stands there and what was expected.
+/// Why a configuration cannot be used. `Display` names the field, the value found and what was expected.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
     /// The file is no JSON.
@@ -23,7 +23,7 @@
     NotText {
         /// The path of the field.
         field: String,
-        /// What stands there.
+        /// The value found.
         found: Value,
     },
     /// A field holds no address.
@@ -31,7 +31,7 @@
     InvalidAddress {
         /// The path of the field.
         field: String,
-        /// What stands there.
+        /// The value found.
         found: String,
     },
     /// A limit is no number, or out of range.
@@ -39,7 +39,7 @@
     InvalidLimit {
         /// The path of the field.
         field: String,
-        /// What stands there.
+        /// The value found.
         found: Value,
     },
     /// The seed is no number in hex.
@@ -53,7 +53,7 @@
     InvalidSettings(SettingsError),
 }
 
-/// Limits from here on are taken for mistakes.
+/// Limits from here on are rejected as mistakes.
 const MAX_LIMIT: f64 = 1e9;
 
 /// The configuration of a router.
--- a/crates/platform/src/counters.rs
+++ b/crates/platform/src/counters.rs
@@ -1,11 +1,11 @@
-//! What a router counts of its work, and the words under which its log says so.
+//! The counters of a router, and the keys by which the log lists them.
 
 use std::fmt;
 
 /// Counters of requests, attempts and connections since the start of the process. They only grow.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
-    /// Requests that the decision module was told of.
+    /// Requests that reached the decision module.
     pub admitted: u64,
     /// Complete streams that were forwarded.
     pub completed: u64,
--- a/crates/platform/src/discovery.rs
+++ b/crates/platform/src/discovery.rs
@@ -9,7 +9,7 @@
 use slipreel_state_machine::{ConnId, ConnectionLoss, Output};
 
 impl PlatformRouter {
-    /// The watch's timer has fired: it is opened, or given up if it has timed out.
+    /// The watch's timer has fired: it is opened, or closed if it has timed out.
     pub(crate) fn watch_due(&mut self, out: &mut Vec<Output>) {
         self.watch.timer_fired();
         match self.watch.due_step(self.now) {
@@ -36,7 +36,7 @@
         self.watch.arm_timer(&mut self.timers);
     }
 
-    /// The watch is given up and opened again, after a backoff or at once.
+    /// The watch has failed: it is opened again, after a backoff or at once.
     pub(crate) fn watch_failed(&mut self, failure: WatchFailure, out: &mut Vec<Output>) {
         if let Some(conn) = self.watch.conn() {
             out.push(Output::Abort(conn));
@@ -48,7 +48,7 @@
     }
 
     /// The watch's connection is lost. Without a descriptor for it, idle client connections and idle connections to
-    /// engines are closed for the next: the list comes before them.
+    /// engines are closed for the next: the list takes precedence.
     pub(crate) fn watch_lost(&mut self, why: ConnectionLoss, out: &mut Vec<Output>) {
         let failure = if why == ConnectionLoss::Exhausted {
             self.free_descriptor(out);
@@ -66,13 +66,13 @@
         }
     }
 
-    /// Bytes of the watch: applies the lists that they complete.
+    /// Bytes of the watch were received: applies the lists that they complete.
     pub(crate) fn watch_data(&mut self, bytes: &[u8], out: &mut Vec<Output>) {
         let mut lists = Vec::new();
         let fed = self.watch.feed(self.now, bytes, &mut lists);
         for list in lists {
             self.apply_endpoint_list(list, out);
-            // What one list makes the module decide is carried out by that list, not by the next.
+            // The actions that follow from one list are dispatched by that list, not by the next.
             self.run_decisions(out);
         }
         match fed {
@@ -87,7 +87,8 @@
             self.log_limited(|| event, out);
         }
         self.queue_event(changes.event);
-        // What has not left for an engine that drains or is gone goes elsewhere, also if only its last byte has not.
+        // Attempts to an engine that drains or is gone are cancelled unless they were written to their last byte, and so can be
+        // retried elsewhere.
         let is_affected = |engine| changes.closed.contains(&engine) || changes.moved.contains(&engine);
         for conn in self.engines.unwritten_attempts(is_affected) {
             self.cancel_connection(conn, Outcome::Cancelled, out);
@@ -98,7 +99,8 @@
         }
     }
 
-    /// The file was replaced: the watch goes over to the new address; the present list stays until that has sent one.
+    /// The configuration file was replaced: the watch is opened at the new address; the current list stays until one comes from
+    /// there.
     pub(crate) fn reload(&mut self, config: &Config, out: &mut Vec<Output>) {
         let event = LogEvent::ConfigReloaded { discovery: config.discovery };
         out.push(Output::Log(event.to_string()));
--- a/crates/platform/src/dispatch.rs
+++ b/crates/platform/src/dispatch.rs
@@ -15,13 +15,13 @@
 const EXTRA_RELEASE_CONNECTIONS: usize = 4;
 
 impl PlatformRouter {
-    /// Carries out one action.
+    /// Dispatches one action.
     pub(crate) fn dispatch(&mut self, action: Action, out: &mut Vec<Output>) {
         match action {
-            Action::Send { request, engine, timeout: limit } => self.send(request, engine, limit, out),
+            Action::Send { request, engine, timeout } => self.send(request, engine, timeout, out),
             Action::Cancel { request, attempt } => self.cancel(request, attempt, out),
-            Action::Reject { request, retry_after, over_quota: over_share } => {
-                self.reject_request(request, retry_after, over_share, out);
+            Action::Reject { request, retry_after, over_quota } => {
+                self.reject_request(request, retry_after, over_quota, out);
             }
             Action::Fail(request) => self.fail_request(request, out),
             Action::Release(request) => self.release(request, out),
@@ -32,7 +32,7 @@
             Action::CloseIdleConnections(engine) => self.close_idle(engine, out),
             Action::MigrateStream(request) => self.migrate_stream(request, out),
             Action::Log(line) => self.log_limited(|| LogEvent::Decision(line), out),
-            // The platform has no places to hold ahead and no way to talk to other routers, and its watch is always open.
+            // The platform has no reservations and no messages between routers, and its watch is always open.
             Action::Reserve { request, engine } => {
                 self.queue_event(Event::ReservationAnswered { request, engine, granted: false });
             }
@@ -50,7 +50,7 @@
             request.release_withdrawn(holder);
         }
         let Some(endpoint) = self.endpoints.get(engine) else {
-            // It has left the list in this very moment.
+            // It has just left the list.
             let attempt = request.begin_attempt(now, engine, false);
             return self.ended(id, attempt, AttemptEnd::never_ran(NeverRan::NotTried));
         };
@@ -59,7 +59,8 @@
         let bytes = request.message(now, addr);
         let holds_last_byte = request.terms.runs_once && !is_prefill;
         let prefill_engine = request.prefill_engine().filter(|_| !is_prefill);
-        let prefill_cell = prefill_engine.and_then(|engine| self.endpoints.get(engine)).map(|e| e.cell);
+        let prefill_cell =
+            prefill_engine.and_then(|engine| self.endpoints.get(engine)).map(|endpoint| endpoint.cell);
         if prefill_cell.is_some_and(|cell| cell != endpoint.cell) {
             self.counters.transferred_tokens += request.terms.prompt_tokens;
         }
@@ -80,11 +81,11 @@
         }
     }
 
-    /// Opens a connection for an attempt. `None` if there is no room for one.
+    /// Opens a connection for an attempt. `None` if there is no slot for one.
     ///
-    /// An attempt goes out on a connection that carried nothing before. Answers name no request: on a kept connection a
-    /// second answer to the exchange before, however late, can't be told from the answer to the present one. Taken for that,
-    /// it would prove that an attempt never ran which is at work, or leave a copy of it out at its engine.
+    /// An attempt always gets a new connection. Answers name no request: on a reused connection a second answer to the
+    /// exchange before, however late, cannot be distinguished from the answer to the present one. Mistaken for it, it would
+    /// prove that a running attempt never ran, or leave a duplicate of it in flight at its engine.
     fn open_for_attempt(&mut self, exchange: Exchange, out: &mut Vec<Output>) -> Option<ConnId> {
         if !self.free_connection_slot(exchange.purpose, out) {
             return None;
@@ -126,15 +127,15 @@
         conn
     }
 
-    /// Whether one more connection to an engine may be opened: at the bound the one that stands idle longest makes room.
-    /// Releases have a few beyond it: they must not wait until an attempt ends.
+    /// Whether one more connection to an engine may be opened: at the bound the one that is idle longest is closed.
+    /// Releases may have a few beyond it: they must not wait until an attempt ends.
     fn free_connection_slot(&mut self, purpose: ConnectionPurpose, out: &mut Vec<Output>) -> bool {
         let extra =
             if matches!(purpose, ConnectionPurpose::Release(_)) { EXTRA_RELEASE_CONNECTIONS } else { 0 };
         self.engines.len() < self.resource_limits.engine_connections + extra || self.close_oldest_idle(out)
     }
 
-    /// Closes the connection to an engine that stands idle longest. False if none does.
+    /// Closes the connection to an engine that is idle longest. False if none is idle.
     pub(crate) fn close_oldest_idle(&mut self, out: &mut Vec<Output>) -> bool {
         let Some(oldest) = self.engines.oldest_idle() else { return false };
         self.engines.remove(oldest, &mut self.timers);
@@ -145,36 +146,41 @@
     /// Cancels an attempt in flight.
     fn cancel(&mut self, id: RequestId, attempt: usize, out: &mut Vec<Output>) {
         let Some(request) = self.requests.get(id) else { return };
-        // A stream that has begun is the client's; the module does not cancel it either.
+        // A stream that has begun is being forwarded to the client; the decision module does not cancel it either.
         if request.streaming_attempt == Some(attempt) {
             return;
         }
-        let Some(conn) = request.attempts.get(attempt).filter(|a| a.in_flight).and_then(|a| a.conn) else {
+        let Some(conn) = request
+            .attempts
+            .get(attempt)
+            .filter(|attempt| attempt.in_flight)
+            .and_then(|attempt| attempt.conn)
+        else {
             return;
         };
         self.cancel_connection(conn, Outcome::Cancelled, out);
     }
 
-    /// Closes a connection at once; what it carried ends as given up, or as never run if that is proven.
+    /// Closes a connection at once; its exchange ends with `outcome`, or as never run if that is proven.
     pub(crate) fn cancel_connection(&mut self, conn: ConnId, outcome: Outcome, out: &mut Vec<Output>) {
         if let Some(end) = self.engines.get(conn).map(|connection| connection.given_up(outcome)) {
             self.abort_connection(conn, end, out);
         }
     }
 
-    /// Closes a connection at once; what it carried ends so.
+    /// Closes a connection at once; its exchange ends with `end`.
     pub(crate) fn abort_connection(&mut self, conn: ConnId, end: AttemptEnd, out: &mut Vec<Output>) {
         let Some(connection) = self.engines.remove(conn, &mut self.timers) else { return };
         out.push(Output::Abort(conn));
         self.exchange_ended(&connection, end, out);
     }
 
-    /// What a connection carried is over.
+    /// The exchange of a connection is over.
     pub(crate) fn exchange_ended(
         &mut self, connection: &EngineConnection, end: AttemptEnd, out: &mut Vec<Output>,
     ) {
         match (connection.state, connection.purpose) {
-            // A word is said again when its time comes.
+            // A release is retried by its own timer.
             (State::Idle, _) | (_, ConnectionPurpose::Release(_)) => {}
             (_, ConnectionPurpose::Probe) => {
                 self.probe_ended(connection.engine, end.outcome(), LoadReport::default());
@@ -188,13 +194,15 @@
         }
     }
 
-    /// Logs why a decode that must not be repeated is taken as never run, and so may be sent again. If an effect is ever
-    /// seen twice, this is where to look.
+    /// Logs why a decode that must not be repeated counts as never run, and so may be retried. These lines explain an effect
+    /// that occurs twice.
     pub(crate) fn log_never_ran(
         &mut self, id: RequestId, attempt: usize, proof: NeverRan, since: Duration, out: &mut Vec<Output>,
     ) {
-        let Some(request) = self.requests.get(id).filter(|c| c.terms.runs_once) else { return };
-        if request.attempts.get(attempt).is_none_or(|a| a.is_prefill) || !self.never_ran_log.take() {
+        let Some(request) = self.requests.get(id).filter(|request| request.terms.runs_once) else { return };
+        if request.attempts.get(attempt).is_none_or(|attempt| attempt.is_prefill)
+            || !self.never_ran_log.take()
+        {
             return;
         }
         let event = LogEvent::NeverRan {
@@ -215,12 +223,12 @@
         }
     }
 
-    /// Tells the module how an attempt ended, once.
+    /// Reports to the decision module how an attempt ended, once.
     pub(crate) fn ended(&mut self, id: RequestId, attempt: usize, end: AttemptEnd) {
         let (now, outcome, cached_tokens) = (self.now, end.outcome(), end.cached_tokens());
         let Some(request) = self.requests.get_mut(id) else { return };
-        let Some(a) = request.attempts.get(attempt).filter(|a| a.in_flight) else { return };
-        let latency = now.saturating_sub(a.sent);
+        let Some(ended) = request.attempts.get(attempt).filter(|attempt| attempt.in_flight) else { return };
+        let latency = now.saturating_sub(ended.sent);
         request.ended(now, attempt, &end);
         match outcome {
             Outcome::Prefilled => {
@@ -232,23 +240,23 @@
             }
             _ => {}
         }
-        let finished = request.is_closed;
+        let request_finished = request.is_closed;
         self.requests.check_when_settled(id);
-        let report = self.allowed(end.report());
+        let report = self.report_from_answer(end.report());
         self.counters.load_reports += u64::from(report != LoadReport::default());
         self.queue_event(Event::AttemptEnded(AttemptEnded {
             request: id,
             attempt,
             outcome,
             latency,
-            request_finished: finished,
+            request_finished,
             cached_tokens,
             report,
         }));
     }
 
-    /// A report in an answer; none where the settings say that answers hold none.
-    fn allowed(&self, report: LoadReport) -> LoadReport {
+    /// The report of an answer; empty if by the settings answers hold none.
+    fn report_from_answer(&self, report: LoadReport) -> LoadReport {
         match self.profile.settings.report_source {
             ReportSource::Answers => report,
             ReportSource::Probes | ReportSource::None => LoadReport::default(),
@@ -259,7 +267,7 @@
 
     /// Sends a health check to an engine.
     fn probe(&mut self, engine: EngineId, out: &mut Vec<Output>) {
-        let Some(addr) = self.endpoints.get(engine).map(|m| m.addr) else {
+        let Some(addr) = self.endpoints.get(engine).map(|endpoint| endpoint.addr) else {
             return self.probe_ended(engine, Outcome::NotSent, LoadReport::default());
         };
         let reports =
@@ -274,7 +282,7 @@
         }
     }
 
-    /// Tells the module how a health check ended.
+    /// Reports to the decision module how a health check ended.
     pub(crate) fn probe_ended(&mut self, engine: EngineId, outcome: Outcome, report: LoadReport) {
         self.counters.load_reports += u64::from(report != LoadReport::default());
         self.queue_event(Event::ProbeEnded { engine, outcome, report });
--- a/crates/platform/src/endpoint_list.rs
+++ b/crates/platform/src/endpoint_list.rs
@@ -4,15 +4,15 @@
 use slipreel::EngineState;
 use std::net::SocketAddr;
 
-/// The most engines of a list: far over any fleet, so that a line can't ask for all the memory.
+/// The most engines of a list: far over any fleet, so that a line cannot exhaust memory.
 const MAX_ENTRIES: usize = 20_000;
 /// Whole numbers from here on are not exact in a float.
 const MAX_EXACT_FLOAT: f64 = 9e15;
 
-/// Why a list cannot be read. `Display` gives the place of the fault, what stands there and what was expected.
+/// Why a list cannot be read. `Display` names the field, the value found and what was expected.
 #[derive(Debug, thiserror::Error)]
 pub enum EndpointListError {
-    /// What stands there is no JSON.
+    /// The text is no JSON.
     #[error("no JSON: {0}")]
     NotJson(#[from] serde_json::Error),
     /// A field is missing.
@@ -26,7 +26,7 @@
     NotText {
         /// Its name.
         field: &'static str,
-        /// What stands there.
+        /// The value found.
         found: Value,
     },
     /// A field holds something other than a whole number of 0 or more.
@@ -34,7 +34,7 @@
     NotWholeNumber {
         /// Its name.
         field: &'static str,
-        /// What stands there.
+        /// The value found.
         found: Value,
     },
     /// A status that is not known.
@@ -150,7 +150,7 @@
 /// Reads one object.
 ///
 /// # Errors
-/// What can't be read, with its place. Nothing of the object is taken then.
+/// The first field that cannot be read. Nothing of the object counts then.
 pub(crate) fn read(value: &Value) -> Result<EndpointList, EndpointListError> {
     let entries = get(value, "endpoints")?.as_array().ok_or(EndpointListError::NotAList)?;
     if entries.len() > MAX_ENTRIES {
@@ -165,10 +165,10 @@
 }
 
 /// Takes the complete objects at the front of what a watch has sent so far, however they are spread over lines, hands
-/// each to `accept`, and leaves what has come in part.
+/// each to `accept`, and leaves an incomplete one.
 ///
 /// # Errors
-/// As [`read`], what stands there is no JSON, or `accept` fails. The objects before it have been taken.
+/// As [`read`], the text is no JSON, or `accept` fails. The objects before it have been accepted.
 pub(crate) fn take<E: From<EndpointListError>>(
     received: &mut Vec<u8>, accept: &mut impl FnMut(EndpointList) -> Result<(), E>,
 ) -> Result<(), E> {
--- a/crates/platform/src/endpoints.rs
+++ b/crates/platform/src/endpoints.rs
@@ -1,4 +1,4 @@
-//! The engines as discovery told of them. Names are the engines; addresses may change.
+//! The engines that discovery lists. An engine is identified by its name; its address may change.
 
 use crate::endpoint_list::{EndpointEntry, EndpointList};
 use crate::log_event::LogEvent;
@@ -17,7 +17,7 @@
     pub(crate) role: Role,
     pub(crate) zone: ZoneId,
     pub(crate) cell: CellId,
-    /// When it was last heard from on a connection; zero: never.
+    /// When bytes of it were last received; zero: never.
     pub(crate) last_contact: Duration,
     state: EngineState,
     since_ms: u64,
@@ -77,7 +77,7 @@
         self.by_id.len()
     }
 
-    /// The engines, the one that was heard from last first.
+    /// The engines, the one with the latest contact first.
     pub(crate) fn by_last_contact(&self) -> Vec<EngineId> {
         let contacts = self.by_id.iter().map(|(&id, endpoint)| (endpoint.last_contact, id));
         let mut contacts: Vec<(Duration, EngineId)> = contacts.collect();
@@ -85,20 +85,20 @@
         contacts.into_iter().map(|(_, id)| id).collect()
     }
 
-    /// When an engine was last heard from; zero if never, or if it is not listed.
+    /// When bytes of an engine were last received; zero if never, or if it is not listed.
     pub(crate) fn last_contact(&self, id: EngineId) -> Duration {
         self.get(id).map_or(Duration::ZERO, |endpoint| endpoint.last_contact)
     }
 
-    /// Bytes of an engine have come.
+    /// Bytes of an engine were received.
     pub(crate) fn record_contact(&mut self, id: EngineId, now: Duration) {
         if let Some(endpoint) = self.by_id.get_mut(&id) {
             endpoint.last_contact = now;
         }
     }
 
-    /// Of a list that is older than the one that is held: whether this entry may still count. One that has left since, or
-    /// drains, does not come back by it; a restart that the held one did not know does.
+    /// Whether an entry of a list older than the current one still counts. An engine that has left since, or drains, does
+    /// not come back by it; a restart that the current list did not contain does.
     fn may_count_from_older_list(&self, entry: &EndpointEntry) -> bool {
         let held = self.by_id.get(&engine_id(&entry.name));
         held.is_some_and(|held| held.state == EngineState::Ready || entry.since_ms > held.since_ms)
@@ -106,7 +106,7 @@
 
     /// Applies a list; `is_cached` if it is the one that the router was started with.
     ///
-    /// One that is older than what is held is not complete any more: who is absent there may have come since.
+    /// A list older than the current one does not count as complete: engines absent from it may have joined since.
     pub(crate) fn apply(&mut self, mut list: EndpointList, is_cached: bool) -> EndpointChanges {
         self.has_list = true;
         if list.is_older {
@@ -164,7 +164,7 @@
         }
         let endpoint = Endpoint {
             addr,
-            // The names of two engines may have one id; the first name stays, as all else is the last one's.
+            // Two names may have the same hash: the first name stays, all other fields are those of the last entry.
             name: previous.map_or_else(|| entry.name.clone(), |previous| previous.name.clone()),
             role,
             zone,
@@ -187,7 +187,7 @@
         ZoneId(index as u32)
     }
 
-    /// A wall time in milliseconds on this router's clock; `None` if it is before its zero, or not told.
+    /// A wall time in milliseconds on this router's clock; `None` if it is before its zero, or 0 (unknown).
     fn started_at(&self, since_ms: u64) -> Option<Duration> {
         let started_at = Duration::from_millis(since_ms).saturating_sub(self.clock_zero);
         (since_ms > 0 && !started_at.is_zero()).then_some(started_at)
--- a/crates/platform/src/engine_connection.rs
+++ b/crates/platform/src/engine_connection.rs
@@ -14,7 +14,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A stream that is silent for so long is given up: under the 5 s after which its client would be left waiting.
+/// A stream that is silent for so long is cancelled: under the 5 s after which its client would be left waiting.
 const STREAM_SILENCE_TIMEOUT: Duration = Duration::from_millis(4_200);
 /// A health check is answered within this, or counts as lost.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(250);
@@ -67,7 +67,7 @@
     }
 }
 
-/// Where a connection stands.
+/// The state of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum State {
     Connecting,
@@ -108,7 +108,8 @@
     /// Bytes of the request that have not left the driver.
     unsent: usize,
     paused: bool,
-    /// It has carried an exchange before: a late second answer to that can't be told from the answer to the present one.
+    /// It has carried an exchange before: a late second answer to that cannot be distinguished from the answer
+    /// to the present one.
     is_reused: bool,
     /// The same, and nothing of the answer to the present one has come.
     reuse_unproven: bool,
@@ -193,8 +194,8 @@
         self.since = now;
     }
 
-    /// When it times out; `None` if it does not in its present state. `is_streaming` tells of an attempt whether its stream
-    /// is being forwarded.
+    /// When it times out; `None` if it does not in its present state. `is_streaming` returns whether an attempt's
+    /// stream is being forwarded.
     pub(crate) fn deadline(
         &self, timeouts: &EngineTimeouts, is_streaming: impl Fn(RequestId, usize) -> bool,
     ) -> Option<Duration> {
@@ -226,8 +227,8 @@
         std::mem::take(&mut self.pending)
     }
 
-    /// Proof that its request never came to the engine in whole. That bytes were not reported as sent is none: the report
-    /// may be late, and a write that fails may have arrived.
+    /// Proof that its request never came to the engine completely. That bytes were not reported as sent proves nothing:
+    /// the report may be late, and a write that fails may have arrived.
     pub(crate) fn proof_of_never_written(&self) -> Option<NeverRan> {
         match self.state {
             State::Connecting => Some(NeverRan::Cancelled),
@@ -236,12 +237,12 @@
         }
     }
 
-    /// How what it carries ends as it is given up.
+    /// How the exchange ends if the connection is closed here.
     pub(crate) fn given_up(&self, outcome: Outcome) -> AttemptEnd {
         self.proof_of_never_written().map_or_else(|| AttemptEnd::may_have_run(outcome), AttemptEnd::never_ran)
     }
 
-    /// Proof by an answer which says that nothing ran: the first on its connection, which can be to nothing else.
+    /// Proof by an answer which states that nothing ran: the first on its connection, which can be to no other request.
     pub(crate) fn proof_of_rejection(&self, answer: &Answer) -> Option<NeverRan> {
         let is_proof = answer.says_never_ran() && !self.is_reused;
         is_proof.then(|| NeverRan::Rejected { state_missing: answer.says_state_missing() })
@@ -257,7 +258,7 @@
         std::mem::take(&mut self.reuse_unproven)
     }
 
-    /// Takes bytes of the engine; appends what they said. Nothing more is to be fed after [`ResponseEvent::Malformed`].
+    /// Parses bytes of the engine; appends the response events that they complete. Nothing more is to be fed after [`ResponseEvent::Malformed`].
     pub(crate) fn feed(
         &mut self, now: Duration, bytes: &[u8], layout: &ReportLayout, events: &mut Vec<ResponseEvent>,
     ) {
--- a/crates/platform/src/engine_connections.rs
+++ b/crates/platform/src/engine_connections.rs
@@ -116,20 +116,20 @@
 
     /// Takes a place in the pool for a health check or a release: an idle connection, or one to be opened.
     pub(crate) fn reserve(&mut self, engine: EngineId, purpose: ConnectionPurpose, now: Duration) -> Slot {
-        // A release is sent again if it breaks, and goes out as soon as it can.
-        let (errand, idle_since) = match purpose {
+        // A release is retried if its connection breaks, and is sent as soon as possible.
+        let (pool_purpose, idle_since) = match purpose {
             ConnectionPurpose::Release(_) => (Purpose::Release, now),
             _ if self.reuse_history.allows_reuse(engine) => {
                 (Purpose::Probe, now.saturating_sub(IDLE_BEFORE_REUSE))
             }
             _ => (Purpose::Probe, Duration::ZERO),
         };
-        self.pool.reserve(engine, MAX_CONNECTIONS_PER_ENGINE, errand, idle_since)
+        self.pool.reserve(engine, MAX_CONNECTIONS_PER_ENGINE, pool_purpose, idle_since)
     }
 
-    /// Gives back a place for which no connection could be opened.
+    /// Releases a place for which no connection could be opened.
     pub(crate) fn cancel_reservation(&mut self, engine: EngineId) {
-        // The id is none of a connection.
+        // No connection has this id.
         self.pool.remove(engine, ConnId::opened(0));
     }
 
@@ -143,7 +143,7 @@
         self.reuse_history.record(engine, false);
     }
 
-    /// A connection broke: if it was reused and had not answered yet, reuse is worth less.
+    /// A connection broke: if it was reused and had not answered yet, that counts against reuse.
     pub(crate) fn record_loss(&mut self, connection: &EngineConnection) {
         if connection.is_reuse_unproven() {
             self.reuse_history.record(connection.engine, true);
--- a/crates/platform/src/engines.rs
+++ b/crates/platform/src/engines.rs
@@ -13,7 +13,7 @@
 
 /// Bytes that may wait for a client before its engine's connection is paused.
 const MAX_UNSENT_BYTES: usize = 64 << 10;
-/// The status with which a prefill engine says that it has prefilled a prompt.
+/// The status by which a prefill engine confirms that it has prefilled a prompt.
 const PREFILLED: u16 = 202;
 /// The status with which an engine acknowledges a release.
 const RELEASED: u16 = 204;
@@ -25,7 +25,9 @@
         if self.request_is_over(conn) {
             return self.cancel_connection(conn, Outcome::Cancelled, out);
         }
-        let Some(connection) = self.engines.get_mut(conn).filter(|l| l.state == State::Connecting) else {
+        let Some(connection) =
+            self.engines.get_mut(conn).filter(|connection| connection.state == State::Connecting)
+        else {
             return;
         };
         if let ConnectionPurpose::Attempt { request, .. } = connection.purpose {
@@ -38,7 +40,7 @@
     }
 
     /// Whether a connection is to carry an attempt for a request that is over: its client has left, or it has its answer.
-    /// Where the module may not cancel, such an attempt stays out, but one that has not begun is not begun any more.
+    /// Where the decision module may not cancel attempts, those in flight go on, but those not sent yet are not sent any more.
     fn request_is_over(&self, conn: ConnId) -> bool {
         match self.engines.get(conn).map(|connection| connection.purpose) {
             Some(ConnectionPurpose::Attempt { request, .. }) => {
@@ -55,12 +57,12 @@
         }
     }
 
-    /// Bytes of an engine have come.
+    /// Bytes of an engine were received.
     pub(crate) fn engine_data(&mut self, conn: ConnId, bytes: &[u8], out: &mut Vec<Output>) {
         let now = self.now;
         let Some(connection) = self.engines.get_mut(conn) else { return };
         if connection.state != State::Busy {
-            // Bytes that nobody asked for: what follows could be taken for the next answer.
+            // Unsolicited bytes: what follows them could be mistaken for the next answer.
             return self.abort_connection(conn, AttemptEnd::may_have_run(Outcome::Error), out);
         }
         let engine = connection.engine;
@@ -73,8 +75,8 @@
             self.engines.record_reuse_success(engine);
         }
         self.endpoints.record_contact(engine, now);
-        // Before its last byte was written nothing can be the answer to a request, but that it is rejected: guards against
-        // a late second answer of the exchange before, taken for a stream or a proof that this one never ran.
+        // Before its last byte is written, a rejection alone can be the answer to a request. Guards against mistaking a late
+        // second answer of the exchange before for a stream, or for proof that this one never ran.
         if was_holding_last_byte && !matches!(&events[..], [ResponseEvent::Answer(answer)] if answer.not_run)
         {
             self.counters.malformed_responses += 1;
@@ -93,7 +95,7 @@
     pub(crate) fn engine_lost(&mut self, conn: ConnId, why: ConnectionLoss, out: &mut Vec<Output>) {
         if let Some(connection) = self.engines.remove(conn, &mut self.timers) {
             if why == ConnectionLoss::Exhausted {
-                // A slot for the next one: connections to engines come before idle clients.
+                // Frees a slot for the next one: connections to engines take precedence over idle clients.
                 self.evict(out);
             }
             self.engines.record_loss(&connection);
@@ -126,7 +128,7 @@
         }
     }
 
-    /// Completes a request whose last byte was held back, unless nobody waits for it any more.
+    /// Completes a request whose last byte was held back, unless it is over.
     fn write_last_byte(&mut self, conn: ConnId, out: &mut Vec<Output>) {
         if self.request_is_over(conn) {
             return self.cancel_connection(conn, Outcome::Cancelled, out);
@@ -139,14 +141,17 @@
 
     /// An attempt has timed out by the decision module, unless its stream has begun.
     pub(crate) fn attempt_timed_out(&mut self, id: RequestId, attempt: usize, out: &mut Vec<Output>) {
-        let Some(request) = self.requests.get(id).filter(|c| c.streaming_attempt.is_none()) else { return };
+        let Some(request) = self.requests.get(id).filter(|request| request.streaming_attempt.is_none())
+        else {
+            return;
+        };
         let conn = request.attempts.get(attempt).filter(|a| a.in_flight).and_then(|a| a.conn);
         if let Some(conn) = conn {
             self.cancel_connection(conn, Outcome::TimedOut, out);
         }
     }
 
-    /// A response, or a part of one, by what its connection is used for.
+    /// Handles a response, or a part of one, by the purpose of its connection.
     fn handle_response(&mut self, conn: ConnId, event: ResponseEvent, out: &mut Vec<Output>) {
         let Some(connection) = self.engines.get(conn) else { return };
         let engine = connection.engine;
@@ -196,8 +201,8 @@
     }
 
     fn release_answered(&mut self, conn: ConnId, release: ReleaseId, answer: &Answer, out: &mut Vec<Output>) {
-        // Any other status is none that a release is answered with: guards against a late second answer of the exchange
-        // before, taken for an acknowledgement.
+        // No other status answers a release. Guards against mistaking a late second answer of the exchange before for an
+        // acknowledgement.
         if answer.status != RELEASED {
             self.counters.malformed_responses += 1;
             return self.abort_connection(conn, AttemptEnd::may_have_run(Outcome::Error), out);
@@ -214,11 +219,12 @@
         if connection.become_idle(now) {
             out.push(Output::Resume(conn));
         }
-        let stays = self.endpoints.get(engine).is_some_and(|m| m.addr == connection.addr);
-        if !stays || !connection.is_reusable() {
+        let is_listed = self.endpoints.get(engine).is_some_and(|endpoint| endpoint.addr == connection.addr);
+        if !is_listed || !connection.is_reusable() {
             return self.close_connection(conn, out);
         }
-        // Each attempt opens one. For probes and releases the one that answered last is kept: it is the likeliest to stand.
+        // Each attempt opens a connection. For health checks and releases the one that answered last is kept: it is the
+        // likeliest to work.
         for older in self.engines.idle_to(engine) {
             self.close_connection(older, out);
         }
@@ -227,33 +233,36 @@
         self.send_waiting_release(conn, out);
     }
 
-    /// Closes a connection that carries nothing any more.
+    /// Closes a connection without an exchange.
     fn close_connection(&mut self, conn: ConnId, out: &mut Vec<Output>) {
         self.engines.remove(conn, &mut self.timers);
         out.push(Output::Abort(conn));
     }
 
-    /// An answer that is no stream, by the protocol's table.
+    /// An attempt was answered otherwise than by a stream: its outcome, by the protocol's table.
     fn attempt_answered(
         &mut self, conn: ConnId, id: RequestId, attempt: usize, answer: &Answer, out: &mut Vec<Output>,
     ) {
         let Some(connection) = self.engines.get(conn) else { return };
-        let (proof, since) = (connection.proof_of_rejection(answer), connection.since);
-        let reads = self
+        let proof = connection.proof_of_rejection(answer);
+        let since = connection.since;
+        let is_prefill = self
             .requests
             .get(id)
             .and_then(|request| request.attempts.get(attempt))
             .is_some_and(|attempt| attempt.is_prefill);
         let end = match proof {
             Some(proof) => AttemptEnd::never_ran(proof),
-            None if answer.status == PREFILLED && reads => AttemptEnd::prefilled(cached_tokens(&answer.body)),
+            None if answer.status == PREFILLED && is_prefill => {
+                AttemptEnd::prefilled(cached_tokens(&answer.body))
+            }
             None => AttemptEnd::may_have_run(Outcome::Error),
         };
         let end = end.with_report(answer.report.unwrap_or_default());
         if let Some(proof) = proof {
             self.log_never_ran(id, attempt, proof, since, out);
         }
-        if answer.status == PREFILLED && !reads {
+        if answer.status == PREFILLED && !is_prefill {
             self.log_limited(|| LogEvent::PrefilledAnswerToDecode, out);
             self.close_connection(conn, out);
         } else {
@@ -265,11 +274,15 @@
         self.ended(id, attempt, end);
     }
 
-    /// An attempt ended otherwise than in order. If its stream had begun, the request ends with it.
+    /// An attempt failed. If its stream had begun, the request fails with it.
     pub(crate) fn attempt_broke(
         &mut self, id: RequestId, attempt: usize, end: AttemptEnd, out: &mut Vec<Output>,
     ) {
-        if self.requests.get(id).is_some_and(|c| c.streaming_attempt == Some(attempt) && !c.is_closed) {
+        if self
+            .requests
+            .get(id)
+            .is_some_and(|request| request.streaming_attempt == Some(attempt) && !request.is_closed)
+        {
             self.abort_stream(id, out);
         }
         self.ended(id, attempt, end);
@@ -287,7 +300,7 @@
         true
     }
 
-    /// The first event of a request's stream has come.
+    /// The first event of a request's stream was received.
     fn first_event(&mut self, id: RequestId, attempt: usize, out: &mut Vec<Output>) {
         let now = self.now;
         let Some(request) = self.requests.begin_stream(id, attempt) else { return };
@@ -301,27 +314,27 @@
         }
     }
 
-    /// The last chunk of a stream has come.
+    /// The last chunk of a stream was received.
     fn stream_ended(&mut self, id: RequestId, attempt: usize, report: LoadReport, out: &mut Vec<Output>) {
-        if self.requests.get(id).is_some_and(|c| c.streaming_attempt == Some(attempt)) {
+        if self.requests.get(id).is_some_and(|request| request.streaming_attempt == Some(attempt)) {
             self.complete_stream(id, out);
             self.ended(id, attempt, AttemptEnd::completed().with_report(report));
         } else {
-            // A stream without an event serves nobody.
+            // A stream without an event is no answer.
             let end = AttemptEnd::may_have_run(Outcome::Error).with_report(report);
             self.attempt_broke(id, attempt, end, out);
         }
     }
 
-    /// Pauses or resumes the engine's connection by what waits for the client.
+    /// Pauses or resumes the engine's connection by how many bytes wait for the client.
     pub(crate) fn check_pace(&mut self, id: RequestId, out: &mut Vec<Output>) {
         let Some(request) = self.requests.get(id) else { return };
         let Some(conn) = request.streaming_connection() else { return };
         let client = request.client;
-        let Some(unsent) = self.clients.get(client).map(|c| c.unsent) else { return };
+        let Some(unsent) = self.clients.get(client).map(|client| client.unsent) else { return };
         let now = self.now;
         let Some(connection) = self.engines.get_mut(conn) else { return };
-        // Some hysteresis, so that a peer of steady pace does not make it change with each write.
+        // Hysteresis, so that a client that reads steadily does not toggle it with each write.
         let limit = if connection.is_paused() { MAX_UNSENT_BYTES / 2 } else { MAX_UNSENT_BYTES };
         let pauses = unsent > limit;
         if pauses != connection.is_paused() {
@@ -333,20 +346,20 @@
     }
 }
 
-/// Prompt tokens that a prefill found cached; none if its body does not say.
+/// Prompt tokens that a prefill found cached; 0 if its body holds no valid number.
 fn cached_tokens(body: &[u8]) -> f64 {
     let value = serde_json::from_slice::<serde_json::Value>(body).ok();
     let tokens = value.as_ref().and_then(|value| value.get("cached_tokens")?.as_f64());
     tokens.filter(|tokens| (0.0..=MAX_TOKENS).contains(tokens)).unwrap_or(0.0)
 }
 
-/// How what a connection carried ends as the connection is lost. What had not been written completely never ran.
+/// How an exchange ends if its connection is lost. A request that had not been written completely never ran.
 fn end_of_lost(why: ConnectionLoss, connection: &EngineConnection) -> AttemptEnd {
     match (why, connection.proof_of_never_written()) {
         (ConnectionLoss::NotConnected, Some(_)) => AttemptEnd::never_ran(NeverRan::NotConnected),
         (ConnectionLoss::Exhausted, Some(_)) => AttemptEnd::never_ran(NeverRan::NotTried),
-        // It was established, so its engine could be reached: told as a failure to connect, each such reset would have the
-        // engine left alone for a second.
+        // It was established, so its engine could be reached: reported as a failure to connect, each such reset would have
+        // the engine ejected for a second.
         (ConnectionLoss::Reset, Some(proof)) => AttemptEnd::never_ran(proof),
         (_, None) => AttemptEnd::may_have_run(Outcome::Reset),
     }
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -6,7 +6,7 @@
 //! decides. A request's way through the files:
 //!
 //! 1. `clients`: bytes of a client become one complete request; `parse_request` reads from its head what the decision
-//!    module is told, and `request_error` says why a request is rejected before that;
+//!    module gets, and `request_error` says why a request is rejected before that;
 //! 2. `dispatch`: the module's actions become attempts on connections (`engine_connection`), health checks, and
 //!    releases of held state (`release`);
 //! 3. `engines`: responses of engines (parsed by `response`) become events for the module, and the events of one stream the client's answer;
--- a/crates/platform/src/load_report.rs
+++ b/crates/platform/src/load_report.rs
@@ -3,24 +3,36 @@
 use slipreel::LoadReport;
 use slipreel_platform_settings::{Column, Profile};
 
-/// Where the values of a report go, by name.
+/// A field of load reports.
 #[derive(Clone, Debug)]
-pub(crate) struct ReportLayout(Vec<(String, Column)>);
+struct ReportField {
+    name: String,
+    column: Column,
+}
+
+/// Which fields load reports have, and what each means.
+#[derive(Clone, Debug)]
+pub(crate) struct ReportLayout {
+    fields: Vec<ReportField>,
+}
 
 impl ReportLayout {
+    /// The layout that the settings give.
     pub(crate) fn of(profile: &Profile) -> Self {
-        ReportLayout(profile.column_names.iter().cloned().zip(profile.columns.iter().copied()).collect())
+        let columns = profile.column_names.iter().zip(&profile.columns);
+        let fields = columns.map(|(name, &column)| ReportField { name: name.clone(), column }).collect();
+        ReportLayout { fields }
     }
 
-    /// Reads a report. `None` if it is none: a name without a value, or a value that is no number of 0 or more. Fields
-    /// that the settings don't name are skipped.
+    /// Parses a report. `None` if it is malformed (a name without a value, or a value that is no number of 0 or more) or
+    /// holds no known field. Fields that the settings don't name are skipped.
     pub(crate) fn read(&self, text: &str) -> Option<LoadReport> {
         let mut report = LoadReport::default();
         for field in text.trim().split(',') {
             let (name, value) = field.trim().split_once('=')?;
-            let value: f64 = value.parse().ok().filter(|v: &f64| v.is_finite() && *v >= 0.0)?;
-            let Some((_, column)) = self.0.iter().find(|(n, _)| n == name) else { continue };
-            match column {
+            let value: f64 = value.parse().ok().filter(|value: &f64| value.is_finite() && *value >= 0.0)?;
+            let Some(field) = self.fields.iter().find(|field| field.name == name) else { continue };
+            match field.column {
                 Column::InFlight => report.in_flight = Some(value),
                 Column::Queued => report.queued = Some(value),
                 Column::SlotShare => report.slot_share = Some(value),
@@ -32,9 +44,9 @@
         (report != LoadReport::default()).then_some(report)
     }
 
-    /// Whether engines report anything.
+    /// Whether the settings name no field: engines report nothing.
     pub(crate) fn is_empty(&self) -> bool {
-        self.0.is_empty()
+        self.fields.is_empty()
     }
 }
 
--- a/crates/platform/src/load_report/tests.rs
+++ b/crates/platform/src/load_report/tests.rs
@@ -2,7 +2,8 @@
 
 fn report_layout() -> ReportLayout {
     let columns = [("queue", Column::Queued), ("x0", Column::MemoryShare), ("x1", Column::WaitingThousands)];
-    ReportLayout(columns.map(|(n, c)| (n.to_owned(), c)).to_vec())
+    let fields = columns.map(|(name, column)| ReportField { name: name.to_owned(), column });
+    ReportLayout { fields: fields.to_vec() }
 }
 
 #[test]
--- a/crates/platform/src/parse_request.rs
+++ b/crates/platform/src/parse_request.rs
@@ -1,4 +1,4 @@
-//! Parses the head of a client's request into what the decision module is told.
+//! Parses the head of a client's request into the request that the decision module gets.
 
 use crate::request_error::RequestError;
 use slipreel::{ClassId, Request, TenantId};
@@ -14,7 +14,7 @@
 const MAX_REQUEST_ID_BYTES: usize = 128;
 /// The most digits, the decimal point included, of a deadline.
 const MAX_DEADLINE_DIGITS: usize = 15;
-/// Characters to a token, where a request does not say how long its prompt is.
+/// Characters to a token, where a request does not state the length of its prompt.
 const CHARACTERS_PER_TOKEN: f64 = 4.0;
 
 /// What a client asks for, and the id by which it knows its request.
@@ -25,7 +25,7 @@
     pub(crate) request: Request,
 }
 
-/// What the field `X-Extras` says. Names that are not known are checked and skipped.
+/// The contents of the field `X-Extras`. Names that are not known are checked and skipped.
 #[derive(Debug, Default)]
 struct Extras {
     shared_prefix: Option<u64>,
--- a/crates/platform/src/proof.rs
+++ b/crates/platform/src/proof.rs
@@ -1,5 +1,5 @@
-//! How attempts end, and proof that one never ran. Whoever tells the decision module so has to hold a [`NeverRan`]; all
-//! else may have run.
+//! How attempts end, and proof that one never ran. Only with a [`NeverRan`] can an attempt be reported to the decision module
+//! as not run; every other attempt may have run.
 
 use slipreel::{LoadReport, Outcome};
 use std::fmt;
@@ -11,12 +11,12 @@
     NotTried,
     /// The connection was never established, so that nothing was written to it.
     NotConnected,
-    /// The connection was given up before it was established.
+    /// The connection was closed here before it was established.
     Cancelled,
     /// The last byte of the request is still held back here. A write that failed, or that was not reported yet, is no such
     /// proof: the engine may have all of it.
     LastByteHeld,
-    /// The engine said so, on a connection that carried no exchange before, so that the answer can be to no other request.
+    /// The engine answered so, on a connection that carried no exchange before, so that the answer can be to no other request.
     Rejected {
         /// There was no state to fetch.
         state_missing: bool,
@@ -24,7 +24,7 @@
 }
 
 impl NeverRan {
-    /// What the decision module is told.
+    /// The outcome that is reported to the decision module.
     pub(crate) fn outcome(self) -> Outcome {
         match self {
             NeverRan::NotConnected => Outcome::ConnectFailed,
@@ -65,7 +65,7 @@
         AttemptEnd::new(proof.outcome(), Some(proof))
     }
 
-    /// It failed, broke off or was given up, and may have run. An outcome that would prove more counts as an error.
+    /// It failed, was interrupted or cancelled, and may have run. An outcome that would prove more counts as an error.
     pub(crate) fn may_have_run(outcome: Outcome) -> Self {
         AttemptEnd::new(if outcome.proves_not_run() { Outcome::Error } else { outcome }, None)
     }
@@ -87,7 +87,7 @@
         AttemptEnd { report, ..self }
     }
 
-    /// What the decision module is told.
+    /// The outcome that is reported to the decision module.
     pub(crate) fn outcome(&self) -> Outcome {
         self.outcome
     }
@@ -102,7 +102,7 @@
         self.cached_tokens
     }
 
-    /// The engine's load, where told.
+    /// The engine's load; empty if it was not reported.
     pub(crate) fn report(&self) -> LoadReport {
         self.report
     }
--- a/crates/platform/src/recent_ids/tests.rs
+++ b/crates/platform/src/recent_ids/tests.rs
@@ -5,12 +5,12 @@
     let mut ids = RecentIds::default();
     let start = Duration::from_secs(100);
     ids.add(start, "first");
-    assert!(ids.contains(start + MEMORY - Duration::from_millis(1), "first"));
-    assert!(!ids.contains(start + MEMORY, "first"));
+    assert!(ids.contains(start + RETENTION - Duration::from_millis(1), "first"));
+    assert!(!ids.contains(start + RETENTION, "first"));
     assert!(!ids.contains(start, "second"));
     for n in 0..2 * CAPACITY {
-        ids.add(start + MEMORY, &n.to_string());
+        ids.add(start + RETENTION, &n.to_string());
     }
     assert_eq!((ids.order.len(), ids.hashes.len()), (CAPACITY, CAPACITY));
-    assert!(ids.contains(start + MEMORY, &(2 * CAPACITY - 1).to_string()), "the last is known");
+    assert!(ids.contains(start + RETENTION, &(2 * CAPACITY - 1).to_string()), "the last is known");
 }
--- a/crates/platform/src/release.rs
+++ b/crates/platform/src/release.rs
@@ -1,8 +1,8 @@
 //! Releases: state that a request may have left at an engine is released until an engine acknowledges it.
 //!
-//! Any running engine takes a release for all. So it goes where it is likeliest to arrive: to the engine that was heard
-//! from last, on a connection that stands; to another one each time it is sent again; and to any connection that has just
-//! answered something else.
+//! Any running engine accepts a release for all engines. So it is sent where it is likeliest to arrive: to the engine with
+//! the latest contact, on an established connection; to another engine at each retry; and on any connection that has just
+//! been answered on.
 
 use crate::engine_connection::{ConnectionPurpose, Exchange};
 use crate::router::PlatformRouter;
@@ -14,20 +14,20 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The address of a holder that has left the list; nothing is sent there.
+/// Stands in for the address of a holder that has left the list; nothing is sent there.
 const NOWHERE: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::UNSPECIFIED), 0);
 
 /// A release that was not acknowledged is sent again after this, to another engine if possible: several times within the
 /// half second of the protocol's rule on held state.
 const RELEASE_RETRY_INTERVAL: Duration = Duration::from_millis(120);
-/// A release that no engine has acknowledged for so long is given up: longer than any outage on record.
+/// A release that no engine has acknowledged for so long expires: longer than any outage on record.
 const RELEASE_EXPIRY: Duration = Duration::from_millis(60_000);
 /// A release that was sent so long ago without an answer is sent on any connection that has just answered, too.
 const RELEASE_STALE_AFTER: Duration = Duration::from_millis(20);
-/// An engine that was heard from so long after an attempt at it had ended has seen that: what was on its way has come.
+/// An engine from which bytes came so long after the end of an attempt has seen that end: nothing of it is in transit.
 const CANCELLATION_SEEN_AFTER: Duration = Duration::from_millis(30);
-/// State may come to be held so long after its prefill was given up: an engine that hangs or is cut off for as long goes
-/// on with it before it sees that its connection was closed. Not every engine drops a prefill whose deadline has passed.
+/// State may appear so long after its prefill was cancelled: an engine that hangs or is cut off for as long continues the
+/// prefill before it sees that its connection was closed. Not every engine drops a prefill whose deadline has passed.
 const RELEASE_REPEAT_PERIOD: Duration = Duration::from_millis(8_000);
 
 /// How releases are retried. They are repeated at the pace of the rule on held state, whose slack covers a retry.
@@ -40,15 +40,15 @@
 }
 
 impl PlatformRouter {
-    /// Releases what is held for a request, in place of an earlier release of it that is not over.
+    /// Releases what is held for a request, in place of an earlier, unfinished release of it.
     pub(crate) fn release(&mut self, id: RequestId, out: &mut Vec<Output>) {
         let Some(request) = self.requests.get_mut(id) else { return };
         let Some(&holder) = request.state_holders().first() else { return };
-        let addr = self.endpoints.get(holder).map_or(NOWHERE, |m| m.addr);
+        let addr = self.endpoints.get(holder).map_or(NOWHERE, |endpoint| endpoint.addr);
         let release = self.releases.add(self.now, holder, addr, request.client_id.clone());
-        let unsure = request.unsure();
-        if !unsure.is_empty() {
-            self.releases.repeat_until(release, self.now + RELEASE_REPEAT_PERIOD, unsure);
+        let unconfirmed = request.unconfirmed_attempts();
+        if !unconfirmed.is_empty() {
+            self.releases.repeat_until(release, self.now + RELEASE_REPEAT_PERIOD, unconfirmed);
         }
         if let Some(earlier) = request.release {
             self.releases.withdraw(earlier);
@@ -57,7 +57,7 @@
         self.release_due(release, out);
     }
 
-    /// A release may be due: it is sent until it is over.
+    /// A release may be due: it is sent until it is acknowledged or has expired.
     pub(crate) fn release_due(&mut self, id: ReleaseId, out: &mut Vec<Output>) {
         match self.releases.step(id, self.now) {
             ReleaseStep::Over => {}
@@ -66,7 +66,7 @@
             }
             ReleaseStep::Send(release) => {
                 self.timers.set(self.now + RELEASE_RETRY_INTERVAL, Timer::Release(id));
-                if release.repeats && self.is_sure(&release) {
+                if release.repeats && self.is_confirmed(&release) {
                     self.releases.stop_repeating(id);
                 }
                 for engine in self.release_targets(id, &release) {
@@ -76,17 +76,17 @@
         }
     }
 
-    /// Whether every engine with an attempt that was given up or broke off has been heard from long enough after that to
-    /// have seen it.
-    fn is_sure(&self, release: &Release) -> bool {
+    /// Whether bytes of every engine with a cancelled or interrupted attempt came late enough after its end to show that the
+    /// engine has seen it.
+    fn is_confirmed(&self, release: &Release) -> bool {
         release.unconfirmed.iter().all(|attempt| {
             self.endpoints.last_contact(attempt.engine) >= attempt.ended + CANCELLATION_SEEN_AFTER
         })
     }
 
-    /// To which engines a release goes now. Of those that were not asked for it yet: the one heard from last among those
-    /// with a connection that stands; and, once a try has failed, one heard from later still, for which a connection has to
-    /// be opened.
+    /// To which engines a release is sent now. Of those to which it was not sent yet: the one with the latest contact that has
+    /// an idle connection; and, after a failed attempt, one with later contact still, to which a connection has to be
+    /// opened.
     fn release_targets(&mut self, id: ReleaseId, release: &Release) -> Vec<EngineId> {
         let engines = self.endpoints.by_last_contact();
         let mut candidates: Vec<EngineId> =
@@ -95,9 +95,9 @@
             self.releases.clear_asked(id);
             candidates = engines;
         }
-        let standing = candidates.iter().position(|&engine| self.engines.has_idle_to(engine));
-        let mut targets: Vec<EngineId> = standing.map(|at| candidates[at]).into_iter().collect();
-        let opens = standing.is_none() || (standing > Some(0) && !release.asked.is_empty());
+        let connected = candidates.iter().position(|&engine| self.engines.has_idle_to(engine));
+        let mut targets: Vec<EngineId> = connected.map(|at| candidates[at]).into_iter().collect();
+        let opens = connected.is_none() || (connected > Some(0) && !release.asked.is_empty());
         if opens && self.releases.may_open(release.holder, self.now, RELEASE_RETRY_INTERVAL) {
             targets.extend(candidates.first());
         }
@@ -105,7 +105,7 @@
     }
 
     fn send_release(&mut self, id: ReleaseId, release: &Release, engine: EngineId, out: &mut Vec<Output>) {
-        let Some(addr) = self.endpoints.get(engine).map(|m| m.addr) else { return };
+        let Some(addr) = self.endpoints.get(engine).map(|endpoint| endpoint.addr) else { return };
         let target = format!("/v1/holds/{}", release.name);
         let request =
             http::request_head("DELETE", &target, &[("host", &addr.to_string())], Framing::Length(0));
@@ -115,10 +115,10 @@
         self.exchange(Exchange { engine, addr, purpose, request, holds_last_byte: false }, out);
     }
 
-    /// A connection has answered and fallen idle: it takes the oldest release that waits, so that many of them follow each
-    /// other on one connection that works while all others are silent.
+    /// A connection was answered on and is idle: the oldest waiting release is sent on it, so that many can follow each other
+    /// on one working connection while all others are silent.
     pub(crate) fn send_waiting_release(&mut self, conn: ConnId, out: &mut Vec<Output>) {
-        let Some(engine) = self.engines.get(conn).map(|l| l.engine) else { return };
+        let Some(engine) = self.engines.get(conn).map(|connection| connection.engine) else { return };
         let stale = self.now.saturating_sub(RELEASE_STALE_AFTER);
         let Some(id) = self.releases.oldest_waiting(stale) else { return };
         let Some(release) = self.releases.get(id).cloned() else { return };
--- a/crates/platform/src/request.rs
+++ b/crates/platform/src/request.rs
@@ -58,12 +58,12 @@
     }
 }
 
-/// What a request asks of its router, beside its bytes.
+/// The terms on which a request is forwarded.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RequestTerms {
     /// It must not be repeated freely: it is not idempotent, or idempotent by its key alone.
     pub(crate) runs_once: bool,
-    /// When its client gives up waiting for the first event.
+    /// When its client stops waiting for the first event.
     pub(crate) deadline: Duration,
     /// When its first event is due by the latency objective of its class.
     pub(crate) first_event_due: Duration,
@@ -91,7 +91,7 @@
     pub(crate) is_closed: bool,
     /// The release of its state that is not acknowledged.
     pub(crate) release: Option<ReleaseId>,
-    /// The engine whose release was withdrawn as another attempt was sent, and is still owed.
+    /// The engine whose release was withdrawn as another attempt was sent, and is still to be sent.
     withdrawn_from: Option<EngineId>,
 }
 
@@ -115,7 +115,7 @@
 
     /// The prefill engine whose state its next decode fetches.
     pub(crate) fn prefill_engine(&self) -> Option<EngineId> {
-        self.attempts.iter().rev().find(|a| a.is_prefill).map(|a| a.engine)
+        self.attempts.iter().rev().find(|attempt| attempt.is_prefill).map(|attempt| attempt.engine)
     }
 
     /// The connection on which the stream comes that is forwarded to the client, while it comes.
@@ -159,51 +159,59 @@
 
     /// An attempt has ended. One that provably never ran holds nothing.
     pub(crate) fn ended(&mut self, now: Duration, attempt: usize, end: &AttemptEnd) {
-        let Some(a) = self.attempts.get_mut(attempt) else { return };
-        (a.in_flight, a.conn, a.ended) = (false, None, now);
-        a.outcome = Some(end.outcome());
-        a.may_hold_state &= end.proof().is_none();
+        let Some(attempt) = self.attempts.get_mut(attempt) else { return };
+        attempt.in_flight = false;
+        attempt.conn = None;
+        attempt.ended = now;
+        attempt.outcome = Some(end.outcome());
+        attempt.may_hold_state &= end.proof().is_none();
     }
 
     /// An attempt's stream has begun: it has fetched the state that the last prefill left.
     pub(crate) fn begin_stream(&mut self, attempt: usize) {
         self.streaming_attempt = Some(attempt);
-        // A request whose client has had some of the answer is never sent again.
+        // A request of which the client has received some of the answer is never retried.
         self.body = Vec::new();
-        if let Some(prefill) = self.attempts[..attempt].iter_mut().rfind(|a| a.may_hold_state) {
+        if let Some(prefill) = self.attempts[..attempt].iter_mut().rfind(|attempt| attempt.may_hold_state) {
             prefill.may_hold_state = false;
         }
     }
 
     /// The engines that may hold state for it that no attempt in flight uses; the last one first.
     pub(crate) fn state_holders(&self) -> Vec<EngineId> {
-        let held = self.attempts.iter().rev().filter(|a| a.may_hold_state && !a.in_flight).map(|a| a.engine);
-        held.chain(self.withdrawn_from).collect()
+        let holding =
+            self.attempts.iter().rev().filter(|attempt| attempt.may_hold_state && !attempt.in_flight);
+        holding.map(|attempt| attempt.engine).chain(self.withdrawn_from).collect()
     }
 
-    /// Attempts after whose end state may still come to be held: they were cancelled or broke off, and while its engine has
-    /// not seen that, a prefill may still leave its state there, and a decode that waits for state may still keep it from
-    /// being released. A prefill whose answer could not be parsed was cancelled, too.
-    pub(crate) fn unsure(&self) -> Vec<UnconfirmedAttempt> {
-        let unsure = |a: &&Attempt| match a.outcome {
+    /// Attempts after whose end state may still appear: they were cancelled or interrupted, and until its engine has seen
+    /// that, a prefill may still leave its state there, and a decode that waits for state may still keep it from being
+    /// released. A prefill whose answer could not be parsed was cancelled, too.
+    pub(crate) fn unconfirmed_attempts(&self) -> Vec<UnconfirmedAttempt> {
+        let is_unconfirmed = |attempt: &&Attempt| match attempt.outcome {
             Some(Outcome::Reset | Outcome::TimedOut | Outcome::Cancelled) => true,
-            Some(Outcome::Error) => a.is_prefill,
+            Some(Outcome::Error) => attempt.is_prefill,
             _ => false,
         };
-        let unsure = self.attempts.iter().filter(unsure);
-        unsure.map(|a| UnconfirmedAttempt { engine: a.engine, ended: a.ended }).collect()
+        let unconfirmed = self.attempts.iter().filter(is_unconfirmed);
+        unconfirmed
+            .map(|attempt| UnconfirmedAttempt { engine: attempt.engine, ended: attempt.ended })
+            .collect()
     }
 
     /// Its state is being released.
     pub(crate) fn begin_release(&mut self, release: ReleaseId) {
-        (self.release, self.withdrawn_from) = (Some(release), None);
-        self.attempts.iter_mut().filter(|a| !a.in_flight).for_each(|a| a.may_hold_state = false);
+        self.release = Some(release);
+        self.withdrawn_from = None;
+        let ended = self.attempts.iter_mut().filter(|attempt| !attempt.in_flight);
+        ended.for_each(|attempt| attempt.may_hold_state = false);
     }
 
-    /// A release that is not acknowledged is withdrawn: sent again later it could release what a new attempt uses. It is owed
-    /// then.
+    /// A release that is not acknowledged is withdrawn: sent again later it could release state that a new attempt uses. It
+    /// remains to be sent then.
     pub(crate) fn release_withdrawn(&mut self, holder: EngineId) {
-        (self.release, self.withdrawn_from) = (None, Some(holder));
+        self.release = None;
+        self.withdrawn_from = Some(holder);
     }
 
     /// Its attempts so far, as they are written in the log. `slipreel losses` groups requests by these words.
@@ -216,6 +224,6 @@
 
     /// Whether nothing more can come of it.
     pub(crate) fn is_done(&self) -> bool {
-        self.is_closed && self.attempts.iter().all(|a| !a.in_flight)
+        self.is_closed && self.attempts.iter().all(|attempt| !attempt.in_flight)
     }
 }
--- a/crates/platform/src/request_error.rs
+++ b/crates/platform/src/request_error.rs
@@ -1,4 +1,4 @@
-//! Why a request is rejected before the decision module is told of it.
+//! Why a request is rejected before it reaches the decision module.
 
 use crate::parse_request::MAX_TOKENS;
 use slipreel_protocol::http::Malformed;
@@ -9,7 +9,7 @@
     /// What has come is no request of HTTP/1.1, or exceeds a limit.
     #[error("{}", .0.why)]
     Malformed(Malformed),
-    /// The request did not come in whole before its timeout.
+    /// The request was incomplete at its timeout.
     #[error("the request did not come whole in time")]
     ReceiveTimeout,
     /// The connection was chosen to free a slot for another client.
@@ -17,7 +17,7 @@
     Evicted,
     #[error("no such path")]
     UnknownPath,
-    /// Everything that was taken before has its answer by now, and the process may be killed at any time.
+    /// Everything that was admitted before has its answer by now, and the process may be killed at any time.
     #[error("this router is about to end")]
     ShuttingDown,
     #[error("X-Request-Id: a request of this id is open")]
--- a/crates/platform/src/response.rs
+++ b/crates/platform/src/response.rs
@@ -5,12 +5,12 @@
 use slipreel::LoadReport;
 use slipreel_protocol::http::{Decoder, Head, Item, Limits, Malformed, Side, Start};
 
-/// The largest stream of an engine, in bytes: over what the protocol allows, far under what would hurt. A chunk that claims
+/// The largest stream of an engine, in bytes: over what the protocol allows, far under what would exhaust memory. A chunk that claims
 /// more is malformed as soon as its size is read.
 const MAX_STREAM_BYTES: u64 = 1 << 20;
 /// The largest event of a stream, and the largest answer that is not a stream, in bytes.
 const MAX_EVENT_BYTES: usize = 64 << 10;
-/// How much of a line that cannot stand in a stream is logged, in bytes.
+/// How much of an unexpected line of a stream is logged, in bytes.
 const MAX_LOGGED_LINE_BYTES: usize = 40;
 
 /// The statuses with which an engine rejects an attempt, each with `X-Not-Run: 1`.
@@ -23,25 +23,25 @@
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Answer {
     pub(crate) status: u16,
-    /// The engine says that nothing ran.
+    /// It carries `X-Not-Run: 1`: nothing ran.
     pub(crate) not_run: bool,
     pub(crate) body: Vec<u8>,
     pub(crate) report: Option<LoadReport>,
 }
 
 impl Answer {
-    /// Whether it says by the protocol that the attempt never ran.
+    /// Whether by the protocol it states that the attempt never ran.
     pub(crate) fn says_never_ran(&self) -> bool {
         self.not_run && matches!(self.status, UNAVAILABLE | DEADLINE_PASSED | STATE_MISSING)
     }
 
-    /// Whether it says that there was no state to fetch.
+    /// Whether it states that there was no state to fetch.
     pub(crate) fn says_state_missing(&self) -> bool {
         self.status == STATE_MISSING
     }
 }
 
-/// Why a response cannot be read, or cannot be meant. `Display` gives the text of the log line.
+/// Why a response cannot be parsed, or is not expected. `Display` gives the text of the log line.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub(crate) enum ResponseError {
     #[error("{}", .0.why)]
@@ -62,7 +62,7 @@
     UnfinishedEvent,
 }
 
-/// What the bytes of a response said.
+/// A part of a response that is complete.
 #[derive(Debug, PartialEq)]
 pub(crate) enum ResponseEvent {
     /// Complete events of a stream, as they came.
@@ -142,7 +142,7 @@
     }
 
     /// Whether the connection can carry another exchange after a response that has ended: the engine keeps it open, and has
-    /// sent nothing beyond the response. What would come next could not be told apart.
+    /// sent nothing beyond the response. Bytes beyond it could not be attributed to a response.
     pub(crate) fn allows_reuse(&self) -> bool {
         self.keeps_alive && self.decoder.buffered() == 0
     }
@@ -152,7 +152,7 @@
         std::mem::take(&mut self.reports.malformed)
     }
 
-    /// Takes bytes; appends what they said. Nothing more is to be fed after [`ResponseEvent::Malformed`].
+    /// Parses bytes; appends the events that they complete. Nothing more is to be fed after [`ResponseEvent::Malformed`].
     pub(crate) fn feed(&mut self, bytes: &[u8], layout: &ReportLayout, events: &mut Vec<ResponseEvent>) {
         self.decoder.feed(bytes);
         if let Err(error) = self.read_items(layout, events) {
@@ -182,7 +182,7 @@
         match status {
             // It would make it another protocol.
             101 => return Err(ResponseError::SwitchingProtocols),
-            // They only say that an answer is to come.
+            // Interim: the answer follows.
             ..200 => return Ok(()),
             _ => {}
         }
@@ -251,7 +251,7 @@
     }
 }
 
-/// Whether a line may stand in a stream of events.
+/// Whether a line is valid in a stream of events.
 fn is_event_line(line: &[u8]) -> bool {
     const STARTS: [&[u8]; 5] = [b":", b"data:", b"event:", b"id:", b"retry:"];
     line.is_empty() || STARTS.iter().any(|start| line.starts_with(start))
--- a/crates/platform/src/router.rs
+++ b/crates/platform/src/router.rs
@@ -24,7 +24,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The least time after which a machine is woken again rather than in the same moment.
+/// The shortest delay after which the router is woken by its driver rather than at the same time.
 const MIN_WAKE_DELAY: Duration = Duration::from_millis(1);
 /// The time between two status lines.
 const STATUS_INTERVAL: Duration = Duration::from_millis(10_000);
@@ -144,7 +144,7 @@
         self.decisions.queue(event);
     }
 
-    /// Lets the module decide until no event is left; then removes requests that are done.
+    /// Lets the decision module handle all queued events; then removes requests that are done.
     pub(crate) fn run_decisions(&mut self, out: &mut Vec<Output>) {
         while let Some(actions) = self.decisions.handle_next(self.now) {
             for action in actions {
@@ -298,7 +298,7 @@
         }
     }
 
-    /// Has the router woken once its driver has carried out all that was asked for.
+    /// Wakes the router once its driver has executed all outputs.
     fn await_end_of_listening(&mut self) {
         if self.shutdown.is_listener_closing() {
             self.timers.set(self.now + MIN_WAKE_DELAY, Timer::ListenerClosed);
@@ -334,13 +334,13 @@
 impl Machine for PlatformRouter {
     fn handle(&mut self, now: Duration, input: Input<'_>, out: &mut Vec<Output>) {
         self.now = self.now.max(now);
-        // The driver hands over who waits at the listener before it says that time has passed. Guards against an end
-        // between the two, whose connections nobody would serve.
+        // The driver hands over the connections that wait at the listener before it wakes the router. Guards against an end
+        // between the two, after which nothing would serve these connections.
         if matches!(input, Input::Wake) {
             self.shutdown.connections_handed_over();
         }
-        // What a client has sent was there before its idle time was up, or the end of a shutdown: it has been taken, and
-        // its connection is not to be closed as an idle one under it.
+        // A client's bytes were there before its idle timeout or the end of a shutdown: the driver has read them, so the
+        // connection must not be closed as idle first.
         if let Input::Data(conn, bytes) = input {
             if !conn.is_opened() {
                 self.client_data(conn, bytes, out);
@@ -348,7 +348,7 @@
                 return self.run_timers(out);
             }
         }
-        // Else what is due comes before what has just come in, whatever order the driver found them in.
+        // Otherwise timers that are due come before the input, whatever order the driver found them in.
         self.run_timers(out);
         match input {
             Input::Accepted(conn, _) => self.accepted(conn, out),
@@ -366,7 +366,7 @@
                 self.handle_engine_input(&input, out);
             }
             Input::Data(..) => {}
-            // Half-closed counts as closed: the protocol knows no client that asks and then only listens.
+            // Half-closed counts as closed: in the protocol no client closes its sending side and still reads.
             Input::Eof(conn) => self.client_eof(conn, out),
             Input::PeerClosedWhilePaused(conn) if !conn.is_opened() => self.client_eof(conn, out),
             Input::PeerClosedWhilePaused(_) => {}
--- a/crates/platform/src/shutdown.rs
+++ b/crates/platform/src/shutdown.rs
@@ -1,9 +1,8 @@
-//! The graceful shutdown of a router: from when it was told to stop until nothing is left to do.
+//! The graceful shutdown of a router: from the stop signal until nothing is left to do.
 
 use std::time::Duration;
 
-/// After it was told to stop, a router goes on taking requests for so long: who comes still has to be answered. From the
-/// protocol.
+/// After the stop signal a router still accepts requests for so long: new clients have to be answered. From the protocol.
 const GRACE: Duration = Duration::from_millis(700);
 /// So long after the start of a shutdown streams are migrated, where clients resume them: late enough for most to end by
 /// themselves, and early enough that the next router in a rolling restart is still up.
@@ -17,7 +16,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ListenerState {
     Open,
-    /// The driver was told to close it, and hands over the connections that wait at it.
+    /// The driver closes it, and hands over the connections that wait at it.
     Closing,
     Closed,
 }
@@ -25,7 +24,7 @@
 /// What a router does once nothing is left to do in a shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum FinalStep {
-    /// Close the listener, so that who has just connected is still answered.
+    /// Close the listener, so that clients which have just connected are still answered.
     StopListening,
     /// The listener is being closed.
     Wait,
@@ -90,8 +89,8 @@
         self.has_lasted(now, GRACE)
     }
 
-    /// Nothing is left to do: it ends in two steps. First it stops listening, so that who has just connected is still
-    /// answered, and it stops for good when nobody had, or all of them have left.
+    /// Nothing is left to do: the router ends in two steps. First it stops listening, so that clients which have just
+    /// connected are still answered; it stops for good when there were none, or all of them have left.
     pub(crate) fn next_final_step(&mut self) -> FinalStep {
         if self.is_stopped {
             return FinalStep::Stopped;
@@ -113,7 +112,7 @@
         self.listener == ListenerState::Closing
     }
 
-    /// The driver has handed over the connections that waited at the listener, if it was told to close it.
+    /// The driver has handed over the connections that waited at the listener, if that is being closed.
     pub(crate) fn connections_handed_over(&mut self) {
         if self.is_listener_closing() {
             self.listener = ListenerState::Closed;
--- a/crates/platform/src/timer.rs
+++ b/crates/platform/src/timer.rs
@@ -16,7 +16,7 @@
     Client(ConnId),
     /// A connection to an engine may have timed out.
     Engine(ConnId),
-    /// An attempt's timeout, where the decision module gives one.
+    /// The timeout of an attempt, if the decision module set one.
     Attempt(RequestId, usize),
     /// A release may be due again.
     Release(ReleaseId),
--- a/crates/platform/src/watch.rs
+++ b/crates/platform/src/watch.rs
@@ -1,8 +1,8 @@
-//! How discovery is asked: one watch at a time, opened again after a jittered backoff when it breaks, hangs or can't be read.
+//! The watch of the endpoint list at discovery: one at a time, opened again after a jittered backoff when it breaks, hangs or can't be read.
 //!
-//! Whatever a call came to, what discovery has and would tell has to be held 6 s later. So every stage of a call has an end,
-//! the back-off between two has one, and together they stay inside that (`tests::whatever_a_call_came_to_...`). After
-//! a call that failed the whole list is asked for: what its watch had missed need not be in the changes of the next.
+//! Whatever happens to a watch, the list that discovery would send has to be here 6 s later. So every stage of a watch has
+//! a timeout, the backoff between two is bounded, and their sum is below that. After a watch that failed the complete list
+//! is requested: what it missed need not be in the changes that the next one sends.
 
 use crate::endpoint_list::{self, EndpointList, EndpointListError};
 use crate::resource_limits::MAX_HEAD_BYTES;
@@ -21,21 +21,21 @@
 /// The fraction of `SILENCE_TIMEOUT` by which each call may wait less: hundreds of routers that lost discovery in one
 /// moment must not all reconnect in one.
 const SILENCE_TIMEOUT_JITTER: f64 = 0.2;
-/// The list that was asked for has to come within this after the head of the answer.
+/// The complete list has to arrive within this after the head of the answer.
 const FIRST_LIST_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// A head or an object of which only a part has come for so long is given up: what follows would be taken for its rest.
+/// A head or an object that is incomplete for so long fails the watch: what follows would be parsed as its rest.
 const PARTIAL_MESSAGE_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// The time in which the connection has to be established.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// The shortest wait before a watch is opened again after a failure.
 const MIN_BACKOFF: Duration = Duration::from_millis(100);
-/// The most that jitter adds to the backoff after a first failure, so that hundreds of routers don't come together; it
+/// The most that jitter adds to the backoff after a first failure, so that hundreds of routers don't reconnect together; it
 /// doubles with each further failure.
 const INITIAL_BACKOFF_JITTER: Duration = Duration::from_millis(700);
 /// The most that jitter adds to the backoff after any number of failures.
 const MAX_BACKOFF_JITTER: Duration = Duration::from_millis(1_900);
 
-/// Where the watch stands.
+/// The state of the watch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
     /// Not to be opened before this time.
@@ -46,7 +46,7 @@
     Open(ConnId, Duration),
 }
 
-/// Why a watch that is overdue is given up. `Display` gives the text of the log line.
+/// Which timeout of a watch has passed. `Display` gives the text of the log line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(crate) enum WatchTimeout {
     #[error("nothing was heard of it for too long")]
@@ -67,7 +67,7 @@
     }
 }
 
-/// Why what a watch has sent cannot be used, so that it has to be opened again. `Display` gives the text of the log line.
+/// Why the bytes of a watch cannot be used, so that it has to be opened again. `Display` gives the text of the log line.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum WatchError {
     #[error("{}", .0.why)]
@@ -84,7 +84,7 @@
     ObjectTooLarge,
 }
 
-/// Why a watch is given up. `Display` gives the text of the log line.
+/// Why a watch has failed. `Display` gives the text of the log line.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum WatchFailure {
     /// Discovery has closed its connection.
@@ -99,7 +99,7 @@
     /// It is overdue.
     #[error(transparent)]
     TimedOut(WatchTimeout),
-    /// What it has sent cannot be used.
+    /// The bytes received cannot be used.
     #[error(transparent)]
     Unusable(WatchError),
 }
@@ -126,9 +126,9 @@
     addr: SocketAddr,
     state: State,
     timer: Option<TimerKey>,
-    /// Version of the list that is held.
+    /// Version of the current list.
     index: u64,
-    /// The complete list is asked for, whatever its version: what came last could not be applied, or the last call failed.
+    /// The complete list is requested, whatever its version: the last one could not be applied, or the last watch failed.
     needs_complete_list: bool,
     /// Since when the head of its answer, a good one, has come and no object after it.
     answered: Option<Duration>,
@@ -139,12 +139,12 @@
     received: Vec<u8>,
     /// Since when a head or an object has been received in part.
     partial_since: Option<Duration>,
-    /// Calls that failed since a list last came.
+    /// Watches that failed in a row since the last list.
     failures: u32,
-    /// The last list was older than the one that is held. A complete one that comes again when asked for counts: discovery
-    /// has started over.
+    /// The last list was older than the current one. A complete one that is older again counts, if it was requested:
+    /// discovery has started over.
     last_list_was_older: bool,
-    /// How long this call may be silent; each draws its own, as hundreds of routers see the same silence.
+    /// How long this watch may be silent; jittered, as hundreds of routers see the same silence.
     silence_timeout: Duration,
     /// State of the generator of jitter, apart from that of the decision module.
     jitter_state: u64,
@@ -183,7 +183,8 @@
 
     /// The list that the router starts with is of this version.
     pub(crate) fn resume_from(&mut self, index: u64) {
-        (self.index, self.needs_complete_list) = (index, false);
+        self.index = index;
+        self.needs_complete_list = false;
     }
 
     pub(crate) fn addr(&self) -> SocketAddr {
@@ -203,19 +204,20 @@
         }
     }
 
-    /// When it has to be looked at again.
+    /// When its next step is due.
     fn due(&self) -> Duration {
         match self.state {
             State::Waiting(at) => at,
             State::Connecting(_, since) => since + CONNECT_TIMEOUT,
-            State::Open(_, heard) => {
-                let whole = self.partial_since.map_or(Duration::MAX, |since| since + PARTIAL_MESSAGE_TIMEOUT);
-                // Guards against a watch that says that it lives and never tells the list that it was asked for.
-                let first = self
+            State::Open(_, received_at) => {
+                let partial_message =
+                    self.partial_since.map_or(Duration::MAX, |since| since + PARTIAL_MESSAGE_TIMEOUT);
+                // Guards against a watch that sends its empty lines and never the complete list.
+                let first_list = self
                     .answered
                     .filter(|_| self.needs_complete_list)
                     .map_or(Duration::MAX, |at| at + FIRST_LIST_TIMEOUT);
-                whole.min(first).min(heard + self.silence_timeout)
+                partial_message.min(first_list).min(received_at + self.silence_timeout)
             }
         }
     }
@@ -231,10 +233,10 @@
         })
     }
 
-    /// Why it is given up when it is due.
+    /// Which timeout has passed when it is due.
     fn timeout(&self, now: Duration) -> WatchTimeout {
         match self.state {
-            State::Open(_, heard) if heard + self.silence_timeout <= now => WatchTimeout::Silent,
+            State::Open(_, received_at) if received_at + self.silence_timeout <= now => WatchTimeout::Silent,
             State::Open(..) if self.partial_since.is_some() => WatchTimeout::PartialMessage,
             State::Open(..) => WatchTimeout::NoList,
             State::Waiting(_) | State::Connecting(..) => WatchTimeout::NotConnected,
@@ -265,7 +267,7 @@
         self.timer = None;
     }
 
-    /// A call has failed at `now`. The next one asks for the whole list after a back-off, or at once.
+    /// It has failed at `now`. The next one requests the complete list after a backoff, or at once.
     pub(crate) fn failed(&mut self, now: Duration, reopens_at_once: bool) {
         self.needs_complete_list = true;
         self.failures = if reopens_at_once { 0 } else { self.failures.saturating_add(1) };
@@ -273,12 +275,14 @@
         self.reopen_at(if reopens_at_once { now } else { now + wait });
     }
 
-    /// It is over; the next one is opened at `at`. What it had said in part is dropped.
+    /// It is over; the next one is opened at `at`. An incomplete message is dropped.
     fn reopen_at(&mut self, at: Duration) {
         self.state = State::Waiting(at);
-        (self.has_head, self.answered) = (false, None);
+        self.has_head = false;
+        self.answered = None;
         self.decoder = decoder();
-        (self.received, self.partial_since) = (Vec::new(), None);
+        self.received = Vec::new();
+        self.partial_since = None;
     }
 
     /// Its connection is established. Returns the request to write.
@@ -286,31 +290,34 @@
         self.state = State::Open(conn, now);
         self.silence_timeout = SILENCE_TIMEOUT.mul_f64(1.0 - SILENCE_TIMEOUT_JITTER * self.next_jitter());
         let after = if self.needs_complete_list { 0 } else { self.index };
-        let (target, host) = (format!("/api/targets?watch=1&after={after}"), self.addr.to_string());
+        let target = format!("/api/targets?watch=1&after={after}");
+        let host = self.addr.to_string();
         http::request_head("GET", &target, &[("host", &host)], Framing::Length(0))
     }
 
-    /// Takes bytes; appends the lists that they complete.
+    /// Parses bytes; appends the lists that they complete.
     ///
     /// # Errors
-    /// What can't be read, or is older than what is held: the watch has to be opened again. The lists before it count.
+    /// What cannot be parsed, or is older than the current list: the watch has to be opened again. The lists before it count.
     pub(crate) fn feed(
         &mut self, now: Duration, bytes: &[u8], out: &mut Vec<EndpointList>,
     ) -> Result<(), WatchError> {
-        if let State::Open(_, heard) = &mut self.state {
-            *heard = now;
+        if let State::Open(_, received_at) = &mut self.state {
+            *received_at = now;
         }
         self.decoder.feed(bytes);
-        // What came before something that can't be read counts.
-        let (read, before) = (self.read_items(now), out.len());
+        // Lists before bytes that cannot be parsed count.
+        let read = self.read_items(now);
+        let count_before = out.len();
         self.take_lists(out)?;
-        let told = out.len() > before;
-        if told {
-            (self.answered, self.failures, self.partial_since) = (None, 0, None);
+        if out.len() > count_before {
+            self.answered = None;
+            self.failures = 0;
+            self.partial_since = None;
         }
-        // A head that drips keeps the connection alive as an object in part does.
-        let in_part = !self.received.is_empty() || !self.has_head || self.decoder.buffered() > 0;
-        self.partial_since = in_part.then(|| self.partial_since.unwrap_or(now));
+        // A head that arrives byte by byte keeps the connection alive just as an incomplete object does.
+        let is_partial = !self.received.is_empty() || !self.has_head || self.decoder.buffered() > 0;
+        self.partial_since = is_partial.then(|| self.partial_since.unwrap_or(now));
         read
     }
 
@@ -319,7 +326,9 @@
             match item {
                 Item::Head(head) => match head.start {
                     Start::Response { status: 200 } => {
-                        (self.has_head, self.answered, self.partial_since) = (true, Some(now), None);
+                        self.has_head = true;
+                        self.answered = Some(now);
+                        self.partial_since = None;
                     }
                     Start::Response { status: 100..=199 } => {}
                     _ => return Err(WatchError::UnexpectedAnswer(head.start)),
@@ -332,7 +341,7 @@
         Ok(())
     }
 
-    /// Takes the complete objects out of what has been received; the lists that they hold go to `out`.
+    /// Takes the complete objects off the received bytes; appends their lists to `out`.
     fn take_lists(&mut self, out: &mut Vec<EndpointList>) -> Result<(), WatchError> {
         let Watch { received, index, needs_complete_list, last_list_was_older, .. } = self;
         let mut accept = |mut list: EndpointList| {
