--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -6,7 +6,7 @@
 //! decides. A request's way through the files:
 //!
 //! 1. `clients`: bytes of a client become one complete request; `parse_request` reads from its head what the decision
-//!    module is told, and `request_error` says why a request is rejected before that;
+//!    module gets, and `request_error` says why a request is rejected before that;
 //! 2. `dispatch`: the module's actions become attempts on connections (`engine_connection`), health checks, and
 //!    releases of held state (`release`);
 //! 3. `engines`: responses of engines (parsed by `response`) become events for the module, and the events of one stream the client's answer;
@@ -16,7 +16,7 @@
 //! (connections with their timers, who is evicted, which connection is reused), `active_requests` (requests by id and by
 //! client id, the memory that they hold, ids that were forwarded lately), `endpoints` and `watch` (the listed engines, and
 //! how discovery is asked for them), `shutdown`, `decisions` (the module and its queue of events), `counters`,
-//! `log_limiter`, and `resource_limits`. `router` takes the inputs and fires the timers; `discovery` does for discovery
+//! `log_limiter` (what is logged is a `log_event`), and `resource_limits`. `router` takes the inputs and fires the timers; `discovery` does for discovery
 //! what `clients` and `engines` do for theirs.
 //!
 //! `request` is one request in progress, `endpoint_list` and `load_report` parse what discovery and engines send, `proof`
@@ -40,6 +40,7 @@
 mod engine_connections;
 mod engines;
 mod load_report;
+mod log_event;
 mod log_limiter;
 mod parse_request;
 mod proof;
--- a/crates/platform/src/router.rs
+++ b/crates/platform/src/router.rs
@@ -10,12 +10,13 @@
 use crate::engine_connection::EngineTimeouts;
 use crate::engine_connections::EngineConnections;
 use crate::load_report::ReportLayout;
+use crate::log_event::{LogEvent, Status};
 use crate::log_limiter::{LogLimiter, NeverRanLogBudget};
 use crate::release;
 use crate::resource_limits::ResourceLimits;
 use crate::shutdown::{FinalStep, Shutdown};
 use crate::timer::{Timer, Timers};
-use crate::watch::Watch;
+use crate::watch::{Watch, WatchFailure};
 use slipreel::{EngineId, Event, RequestId, StateSizes};
 use slipreel_connections::ReleaseQueue;
 use slipreel_platform_settings::Profile;
@@ -23,7 +24,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The least time after which a machine is woken again rather than in the same moment.
+/// The shortest delay after which the router is woken by its driver rather than at the same time.
 const MIN_WAKE_DELAY: Duration = Duration::from_millis(1);
 /// The time between two status lines.
 const STATUS_INTERVAL: Duration = Duration::from_millis(10_000);
@@ -143,7 +144,7 @@
         self.decisions.queue(event);
     }
 
-    /// Lets the module decide until no event is left; then removes requests that are done.
+    /// Lets the decision module handle all queued events; then removes requests that are done.
     pub(crate) fn run_decisions(&mut self, out: &mut Vec<Output>) {
         while let Some(actions) = self.decisions.handle_next(self.now) {
             for action in actions {
@@ -154,9 +155,9 @@
         self.end_when_done(out);
     }
 
-    /// Logs a line on a fault of a peer, at a limited rate.
-    pub(crate) fn log_limited(&mut self, line: impl FnOnce() -> String, out: &mut Vec<Output>) {
-        if let Some(line) = self.log.limit(self.now, line) {
+    /// Logs an event on a fault of a peer, at a limited rate.
+    pub(crate) fn log_limited(&mut self, event: impl FnOnce() -> LogEvent, out: &mut Vec<Output>) {
+        if let Some(line) = self.log.limit(self.now, event) {
             out.push(Output::Log(line));
         }
     }
@@ -226,21 +227,14 @@
     }
 
     fn log_status(&self, out: &mut Vec<Output>) {
-        let held = self.held_state();
-        let sizes = self.decisions.state_sizes();
-        out.push(Output::Log(format!(
-            "clients {}, requests {}, connections to engines {} ({} busy), engines {}, timers {}, \
-             releases {}, module keeps {:?}; {}",
-            held.client_connections,
-            held.requests,
-            held.engine_connections,
-            self.engines.busy_count(),
-            self.endpoints.len(),
-            held.timers,
-            held.releases,
-            (sizes.requests, sizes.timers, sizes.engines),
-            self.counters
-        )));
+        let status = Status {
+            held: self.held_state(),
+            busy_engine_connections: self.engines.busy_count(),
+            engines: self.endpoints.len(),
+            decision_module: self.decisions.state_sizes(),
+            counters: self.counters,
+        };
+        out.push(Output::Log(LogEvent::Status(Box::new(status)).to_string()));
     }
 
     // ---- Shutdown -----------------------------------------------------------------------------
@@ -304,7 +298,7 @@
         }
     }
 
-    /// Has the router woken once its driver has carried out all that was asked for.
+    /// Wakes the router once its driver has executed all outputs.
     fn await_end_of_listening(&mut self) {
         if self.shutdown.is_listener_closing() {
             self.timers.set(self.now + MIN_WAKE_DELAY, Timer::ListenerClosed);
@@ -318,7 +312,7 @@
         match *input {
             Input::Connected(conn) => self.watch_connected(conn, out),
             Input::Data(_, bytes) => self.watch_data(bytes, out),
-            Input::Eof(_) => self.watch_failed("it was closed", false, out),
+            Input::Eof(_) => self.watch_failed(WatchFailure::Closed, out),
             Input::Lost(_, why) => self.watch_lost(why, out),
             _ => {}
         }
@@ -340,13 +334,13 @@
 impl Machine for PlatformRouter {
     fn handle(&mut self, now: Duration, input: Input<'_>, out: &mut Vec<Output>) {
         self.now = self.now.max(now);
-        // The driver hands over who waits at the listener before it says that time has passed. Guards against an end
-        // between the two, whose connections nobody would serve.
+        // The driver hands over the connections that wait at the listener before it wakes the router. Guards against an end
+        // between the two, after which nothing would serve these connections.
         if matches!(input, Input::Wake) {
             self.shutdown.connections_handed_over();
         }
-        // What a client has sent was there before its idle time was up, or the end of a shutdown: it has been taken, and
-        // its connection is not to be closed as an idle one under it.
+        // A client's bytes were there before its idle timeout or the end of a shutdown: the driver has read them, so the
+        // connection must not be closed as idle first.
         if let Input::Data(conn, bytes) = input {
             if !conn.is_opened() {
                 self.client_data(conn, bytes, out);
@@ -354,7 +348,7 @@
                 return self.run_timers(out);
             }
         }
-        // Else what is due comes before what has just come in, whatever order the driver found them in.
+        // Otherwise timers that are due come before the input, whatever order the driver found them in.
         self.run_timers(out);
         match input {
             Input::Accepted(conn, _) => self.accepted(conn, out),
@@ -372,7 +366,7 @@
                 self.handle_engine_input(&input, out);
             }
             Input::Data(..) => {}
-            // Half-closed counts as closed: the protocol knows no client that asks and then only listens.
+            // Half-closed counts as closed: in the protocol no client closes its sending side and still reads.
             Input::Eof(conn) => self.client_eof(conn, out),
             Input::PeerClosedWhilePaused(conn) if !conn.is_opened() => self.client_eof(conn, out),
             Input::PeerClosedWhilePaused(_) => {}
