--- a/crates/fault-injection/src/memory.rs
+++ b/crates/fault-injection/src/memory.rs
@@ -10,7 +10,7 @@
 use crate::wire::{Link, Links, Noise, Wire};
 use rand_xoshiro::rand_core::{RngCore, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
-use slipreel_consensus::policy_state::Proposal;
+use slipreel_consensus::policy_state::{Proposal, Rejection};
 use slipreel_consensus::wire::OperatorRequest;
 use slipreel_consensus::{
     CompiledPolicy, Consensus, InvalidPolicy, Member, MembershipDirectory, PartitionMode, Permit,
@@ -436,7 +436,7 @@
         let said = match self.routers[r].policy.status().proposal_status(id) {
             ProposalStatus::InForce(epoch) => Said::InForce(epoch),
             ProposalStatus::Dropped(_) if self.bend(r) == Some(Bend::Liar) => Said::InForce(99),
-            ProposalStatus::Dropped(o) => Said::Dropped(format!("{:?}", o.rejections)),
+            ProposalStatus::Dropped(o) => Said::Dropped(rejections_text(&o.rejections)),
             ProposalStatus::Pending(_) => Said::Pending,
             ProposalStatus::Unknown => Said::Unknown,
         };
@@ -459,6 +459,14 @@
     }
 }
 
+/// The text of rejections in recorded histories, which keeps the names of earlier builds.
+fn rejections_text(rejections: &[Rejection]) -> String {
+    let text = |rejection: &Rejection| {
+        format!("No {{ router: {:?}, why: {:?} }}", rejection.router, rejection.reason)
+    };
+    format!("[{}]", rejections.iter().map(text).collect::<Vec<_>>().join(", "))
+}
+
 /// Plays a script in memory, in virtual time.
 ///
 /// # Errors
