--- a/crates/consensus/benches/policy.rs
+++ b/crates/consensus/benches/policy.rs
@@ -133,9 +133,9 @@
     let file = routers.disks[0].after_crash();
     most = most.max(file.len());
     let from = Instant::now();
-    let found = storage::read(&file).expect("a whole file");
+    let stored = storage::read(&file).expect("an undamaged file");
     let took = from.elapsed();
-    let (configuration, _) = found.configuration.expect("a configuration");
+    let configuration = stored.configuration.expect("a configuration").configuration;
     println!(
         "10,000 epochs of a policy of {} bytes: the log is {} KB at most; read in {:.1} ms (epoch {} at the configuration's beginning)",
         policy.len(),
--- a/crates/consensus/src/consensus.rs
+++ b/crates/consensus/src/consensus.rs
@@ -90,7 +90,7 @@
         let identity = identity_of(&self.me);
         self.voter = stored
             .configuration
-            .and_then(|(configuration, persisted)| Voter::new(configuration, &identity, persisted));
+            .and_then(|stored| Voter::new(stored.configuration, &identity, stored.persisted));
         // The whole file anew: it ends with a complete frame, and a folder that can't be written is known from the beginning.
         self.durable_file.rewrite(now, self.me.disk, self.voter.as_ref());
         if self.voter.is_none() && self.config.founders.contains(&self.me.name) {
--- a/crates/consensus/src/disk.rs
+++ b/crates/consensus/src/disk.rs
@@ -80,10 +80,10 @@
             self.rewrite(now, disk_id, voter);
             return if self.is_healthy() { Persisted::Recovered } else { Persisted::StillFailing };
         }
-        let Some((frame, sync)) = voter.and_then(|voter| voter.storage().drain()) else {
+        let Some(unwritten) = voter.and_then(|voter| voter.storage().take_unwritten()) else {
             return Persisted::Yes;
         };
-        match self.disk.append(&frame, sync) {
+        match self.disk.append(&unwritten.bytes, unwritten.must_sync) {
             Ok(()) => Persisted::Yes,
             Err(error) => {
                 self.failure = Some(WriteFailure { at: now, error });
--- a/crates/consensus/src/log.rs
+++ b/crates/consensus/src/log.rs
@@ -1,16 +1,18 @@
-//! The durable log as bytes: one frame for each write that has to be whole, so that a crash in the midst of one loses that one and no other.
+//! The format of the durable log: one frame for each atomic write, so that a crash during a write loses that write and no other.
 //!
-//! A file is a line that names its version, then frames: length, checksum (xxh3 of the length and the content), content. A last frame that is
-//! not whole was never acknowledged to anybody, and is dropped; a frame that is not whole with others behind it is damage, and the whole file
-//! is refused, as a voter that has forgotten a promise must not vote.
+//! A file is a line that names its version, then frames: length, checksum (xxh3 of the length and the content), content. An incomplete last
+//! frame was never acknowledged to anybody, and is dropped. An incomplete frame with others behind it is damage, and the file is refused: a
+//! voter that has lost a promise must not vote.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 /// The first line of a file that this build writes.
 pub const FILE_HEADER: &[u8] = b"slipreel accord 1\n";
 const FRAME_HEADER_LEN: usize = 12;
-/// The longest frame.
+/// The longest frame, bytes.
 pub const MAX_FRAME_LEN: usize = 64 << 20;
+/// Bytes of the first line that the error about another version shows.
+const MAX_SHOWN_VERSION_LEN: usize = 80;
 
 /// Why a log file is refused.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
@@ -43,62 +45,81 @@
     },
 }
 
-fn sum(len: u32, content: &[u8]) -> u64 {
+fn checksum_of(len: u32, content: &[u8]) -> u64 {
     xxh3_64_with_seed(content, u64::from(len))
 }
 
-/// The bytes of a frame.
-pub fn frame(content: &[u8]) -> Vec<u8> {
+/// Encodes a frame with this content.
+pub fn encode_frame(content: &[u8]) -> Vec<u8> {
     let len = content.len() as u32;
     let mut out = Vec::with_capacity(FRAME_HEADER_LEN + content.len());
     out.extend(len.to_be_bytes());
-    out.extend(sum(len, content).to_be_bytes());
+    out.extend(checksum_of(len, content).to_be_bytes());
     out.extend(content);
     out
 }
 
-/// The contents of frames, with where each begins.
-pub type Frames<'a> = Vec<(usize, &'a [u8])>;
+/// A complete frame of a file.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct StoredFrame<'a> {
+    /// Where the frame begins, bytes from the start of the file.
+    pub offset: usize,
+    /// The bytes that it carries.
+    pub content: &'a [u8],
+}
+
+/// The complete frames of a file.
+#[derive(Clone, Debug, Default, PartialEq, Eq)]
+pub struct StoredFrames<'a> {
+    /// The frames, in the order of the file.
+    pub frames: Vec<StoredFrame<'a>>,
+    /// Bytes of the file up to the end of the last complete frame: the process ended while it wrote what follows.
+    pub valid_len: usize,
+}
 
-/// Frames of a file, where each begins, and how many bytes of it hold: what is behind them was being written when the process ended.
+/// Reads the frames of a file.
 ///
 /// # Errors
-/// Why it is not taken.
-pub fn frames(file: &[u8]) -> Result<(Frames<'_>, usize), LogError> {
+/// The file is of another version, or a frame is damaged with others behind it.
+pub fn read_frames(file: &[u8]) -> Result<StoredFrames<'_>, LogError> {
     if file.len() < FILE_HEADER.len() && FILE_HEADER.starts_with(file) {
-        return Ok((Vec::new(), 0));
+        return Ok(StoredFrames::default());
     }
     if !file.starts_with(FILE_HEADER) {
         let line = file.split(|b| *b == b'\n').next().unwrap_or_default();
-        return Err(LogError::Version(String::from_utf8_lossy(&line[..line.len().min(80)]).into_owned()));
+        let shown = &line[..line.len().min(MAX_SHOWN_VERSION_LEN)];
+        return Err(LogError::Version(String::from_utf8_lossy(shown).into_owned()));
     }
-    let (mut all, mut at) = (Vec::new(), FILE_HEADER.len());
-    while at < file.len() {
-        match whole(&file[at..]) {
-            Some(content) => {
-                all.push((at, content));
-                at += FRAME_HEADER_LEN + content.len();
+    let mut frames = Vec::new();
+    let mut offset = FILE_HEADER.len();
+    while offset < file.len() {
+        let rest = &file[offset..];
+        let Some(content) = complete_frame(rest) else {
+            if complete_frame_follows(rest) {
+                return Err(LogError::DamagedFrame(offset));
             }
-            None if followed(&file[at..]) => return Err(LogError::DamagedFrame(at)),
-            None => break,
-        }
+            break;
+        };
+        frames.push(StoredFrame { offset, content });
+        offset += FRAME_HEADER_LEN + content.len();
     }
-    Ok((all, at))
+    Ok(StoredFrames { frames, valid_len: offset })
 }
 
-fn whole(rest: &[u8]) -> Option<&[u8]> {
+/// The content of the frame at the beginning of `rest`, if it is complete and its checksum is right.
+fn complete_frame(rest: &[u8]) -> Option<&[u8]> {
     let len = u32::from_be_bytes(rest.get(..4)?.try_into().ok()?);
     let checksum = u64::from_be_bytes(rest.get(4..FRAME_HEADER_LEN)?.try_into().ok()?);
     let content = rest
         .get(FRAME_HEADER_LEN..FRAME_HEADER_LEN + len as usize)
         .filter(|_| len as usize <= MAX_FRAME_LEN)?;
-    (checksum == sum(len, content)).then_some(content)
+    (checksum == checksum_of(len, content)).then_some(content)
 }
 
-/// Whether a whole frame stands anywhere behind a damaged one.
-fn followed(rest: &[u8]) -> bool {
+/// Whether a complete frame with content stands anywhere behind a damaged one.
+fn complete_frame_follows(rest: &[u8]) -> bool {
     (1..rest.len().saturating_sub(FRAME_HEADER_LEN))
-        .any(|at| whole(&rest[at..]).is_some_and(|c| !c.is_empty()))
+        .any(|offset| complete_frame(&rest[offset..]).is_some_and(|content| !content.is_empty()))
 }
 
 #[cfg(test)]
--- a/crates/consensus/src/log/tests.rs
+++ b/crates/consensus/src/log/tests.rs
@@ -1,36 +1,36 @@
 use super::*;
 
 #[test]
-fn a_torn_end_is_dropped_wherever_it_is_torn_and_damage_before_others_is_refused() {
+fn incomplete_last_frame_is_dropped_and_damaged_frame_before_others_is_refused() {
     let mut file = FILE_HEADER.to_vec();
-    let starts: Vec<usize> = [&b"one"[..], b"two two", b"three"]
+    let ends: Vec<usize> = [&b"one"[..], b"two two", b"three"]
         .iter()
         .map(|content| {
-            file.extend(frame(content));
+            file.extend(encode_frame(content));
             file.len()
         })
         .collect();
     for cut in 0..=file.len() {
-        let (all, held) = frames(&file[..cut]).expect("only the end is missing");
-        let whole = starts.iter().filter(|s| **s <= cut).count();
-        assert_eq!(all.len(), whole, "cut at {cut}");
-        assert!(held <= cut);
+        let read = read_frames(&file[..cut]).expect("only the end is missing");
+        let complete = ends.iter().filter(|end| **end <= cut).count();
+        assert_eq!(read.frames.len(), complete, "cut at {cut}");
+        assert!(read.valid_len <= cut);
     }
-    let begins = FILE_HEADER.len() + FRAME_HEADER_LEN + 3;
-    for at in begins..begins + FRAME_HEADER_LEN + 7 {
-        let mut bad = file.clone();
-        bad[at] ^= 0x20;
-        assert_eq!(frames(&bad), Err(LogError::DamagedFrame(begins)), "byte {at}");
+    let second_frame = FILE_HEADER.len() + FRAME_HEADER_LEN + 3;
+    for at in second_frame..second_frame + FRAME_HEADER_LEN + 7 {
+        let mut damaged = file.clone();
+        damaged[at] ^= 0x20;
+        assert_eq!(read_frames(&damaged), Err(LogError::DamagedFrame(second_frame)), "byte {at}");
     }
     let mut last = file.clone();
     *last.last_mut().expect("bytes") ^= 1;
-    assert_eq!(frames(&last).map(|(all, _)| all.len()), Ok(2), "the last one was being written");
+    assert_eq!(read_frames(&last).map(|read| read.frames.len()), Ok(2), "the last one was being written");
     let newer = [&b"slipreel accord 2\n"[..], &file[FILE_HEADER.len()..]].concat();
-    assert_eq!(frames(&newer), Err(LogError::Version("slipreel accord 2".into())));
+    assert_eq!(read_frames(&newer), Err(LogError::Version("slipreel accord 2".into())));
 }
 
 #[test]
-fn errors_are_shown_to_operators_in_these_words() {
+fn errors_keep_the_texts_that_operators_see() {
     let shown = [
         LogError::Version("slipreel accord 2".into()).to_string(),
         LogError::DamagedFrame(18).to_string(),
--- a/crates/consensus/src/storage.rs
+++ b/crates/consensus/src/storage.rs
@@ -1,10 +1,10 @@
 //! The storage of a voter, in memory and as records for its disk: the consensus library writes through it.
 //!
-//! The library takes each write for done when its call returns. Here it is done in memory and noted; the machine writes what was noted, as one
-//! frame, before any message leaves that rests on it.
+//! The library takes each write for done when its call returns. Here it is done in memory and recorded; the machine writes the recorded writes to
+//! the disk, as one frame, before it sends any message that depends on them.
 
 use crate::configuration::Configuration;
-use crate::log::{frame, frames, LogError, FILE_HEADER};
+use crate::log::{encode_frame, read_frames, LogError, StoredFrame, StoredFrames, FILE_HEADER};
 use crate::policy_state::Entry;
 use omnipaxos::ballot_leader_election::Ballot;
 use omnipaxos::storage::{NoSnapshot, StopSign, Storage, StorageOp, StorageResult};
@@ -35,7 +35,7 @@
     Disk(u64),
     /// A configuration begins; nothing before it counts.
     Configuration(Box<Configuration>),
-    /// What was noted together.
+    /// Writes that were recorded together.
     Writes(Vec<StorageWrite>),
 }
 
@@ -47,107 +47,130 @@
     decided: usize,
     entries: Vec<Entry>,
     /// Writes that are not on the disk yet.
-    ops: Vec<StorageWrite>,
+    unwritten: Vec<StorageWrite>,
 }
 
 impl PersistedState {
-    fn take(&mut self, op: &StorageWrite) {
-        match op {
-            StorageWrite::Promise(b) => self.promise = Some(*b),
-            StorageWrite::Accepted(b) => self.accepted = Some(*b),
-            StorageWrite::Decided(n) => self.decided = *n,
-            StorageWrite::Entries(at, entries) => {
-                self.entries.truncate(*at);
+    fn apply(&mut self, write: &StorageWrite) {
+        match write {
+            StorageWrite::Promise(ballot) => self.promise = Some(*ballot),
+            StorageWrite::Accepted(ballot) => self.accepted = Some(*ballot),
+            StorageWrite::Decided(decided) => self.decided = *decided,
+            StorageWrite::Entries(index, entries) => {
+                self.entries.truncate(*index);
                 self.entries.extend(entries.iter().cloned());
             }
         }
     }
 
-    fn note(&mut self, op: StorageWrite) {
-        self.take(&op);
-        self.ops.push(op);
+    /// Applies a write in memory and records it for the disk.
+    fn record(&mut self, write: StorageWrite) {
+        self.apply(&write);
+        self.unwritten.push(write);
     }
 
-    /// All of it, as notes.
-    fn whole(&self) -> Vec<StorageWrite> {
-        let mut ops: Vec<StorageWrite> = self.promise.map(StorageWrite::Promise).into_iter().collect();
-        ops.extend(self.accepted.map(StorageWrite::Accepted));
-        ops.push(StorageWrite::Entries(0, self.entries.clone()));
-        ops.push(StorageWrite::Decided(self.decided));
-        ops
+    /// The writes that lead from an empty state to this one.
+    fn as_writes(&self) -> Vec<StorageWrite> {
+        let mut writes = Vec::new();
+        writes.extend(self.promise.map(StorageWrite::Promise));
+        writes.extend(self.accepted.map(StorageWrite::Accepted));
+        writes.push(StorageWrite::Entries(0, self.entries.clone()));
+        writes.push(StorageWrite::Decided(self.decided));
+        writes
     }
 }
 
-/// The store of one configuration, shared by the library and the machine.
+/// Recorded writes as bytes that the file is extended by.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub(crate) struct UnwrittenFrame {
+    pub(crate) bytes: Vec<u8>,
+    /// Whether the bytes must be synced before a message that depends on them is sent. What is decided can be learnt again from the others.
+    pub(crate) must_sync: bool,
+}
+
+/// The storage of one configuration, shared by the library and the machine.
 #[derive(Clone, Debug, Default)]
 pub struct VoterStorage(Arc<Mutex<PersistedState>>);
 
 impl VoterStorage {
-    pub(crate) fn new(noted: PersistedState) -> VoterStorage {
-        VoterStorage(Arc::new(Mutex::new(noted)))
+    pub(crate) fn new(persisted: PersistedState) -> VoterStorage {
+        VoterStorage(Arc::new(Mutex::new(persisted)))
     }
 
-    fn noted(&self) -> MutexGuard<'_, PersistedState> {
+    fn state(&self) -> MutexGuard<'_, PersistedState> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// What is to be written now, and whether it must be synced before anybody hears of it: what is decided can be learnt again.
-    pub(crate) fn drain(&self) -> Option<(Vec<u8>, bool)> {
-        let ops = std::mem::take(&mut self.noted().ops);
-        let sync = ops.iter().any(|op| !matches!(op, StorageWrite::Decided(_)));
-        (!ops.is_empty()).then(|| (frame(&pack(&Record::Writes(ops))), sync))
+    /// Takes the writes that were recorded since the last call; `None`: there are none.
+    pub(crate) fn take_unwritten(&self) -> Option<UnwrittenFrame> {
+        let writes = std::mem::take(&mut self.state().unwritten);
+        if writes.is_empty() {
+            return None;
+        }
+        let must_sync = writes.iter().any(|write| !matches!(write, StorageWrite::Decided(_)));
+        let bytes = encode_frame(&serialize(&Record::Writes(writes)));
+        Some(UnwrittenFrame { bytes, must_sync })
     }
 
-    /// A whole file that says the same.
+    /// The bytes of a compacted file that holds this state. Recorded writes are part of it and need not be written any more.
     pub(crate) fn file(&self, disk: u64, configuration: Option<&Configuration>) -> Vec<u8> {
-        let mut noted = self.noted();
-        noted.ops.clear();
+        let mut state = self.state();
+        state.unwritten.clear();
         let mut file = FILE_HEADER.to_vec();
-        file.extend(frame(&pack(&Record::Disk(disk))));
+        file.extend(encode_frame(&serialize(&Record::Disk(disk))));
         if let Some(configuration) = configuration {
-            file.extend(frame(&pack(&Record::Configuration(Box::new(configuration.clone())))));
-            file.extend(frame(&pack(&Record::Writes(noted.whole()))));
+            file.extend(encode_frame(&serialize(&Record::Configuration(Box::new(configuration.clone())))));
+            file.extend(encode_frame(&serialize(&Record::Writes(state.as_writes()))));
         }
         file
     }
 
-    /// Entries that are decided from a place on.
-    pub(crate) fn decided_from(&self, at: usize) -> Vec<Entry> {
-        let noted = self.noted();
-        let upto = noted.decided.min(noted.entries.len());
-        noted.entries.get(at..upto).unwrap_or_default().to_vec()
+    /// The decided entries from an index on.
+    pub(crate) fn decided_from(&self, index: usize) -> Vec<Entry> {
+        let state = self.state();
+        let end = state.decided.min(state.entries.len());
+        state.entries.get(index..end).unwrap_or_default().to_vec()
     }
 
     /// Whether it holds entries that are not decided.
     pub(crate) fn has_undecided(&self) -> bool {
-        let noted = self.noted();
-        noted.entries.len() > noted.decided
+        let state = self.state();
+        state.entries.len() > state.decided
     }
 
     /// Whether the configuration is to end, decided or not.
     pub(crate) fn is_ending(&self) -> bool {
-        self.noted().entries.iter().any(|e| matches!(e, Entry::Reconfigure(_)))
+        self.state().entries.iter().any(|entry| matches!(entry, Entry::Reconfigure(_)))
     }
 }
 
-fn pack<T: Serialize>(value: &T) -> Vec<u8> {
+fn serialize<T: Serialize>(value: &T) -> Vec<u8> {
     // Writing into memory fails for types that say their length only later; there are none here.
     postcard::to_stdvec(value).unwrap_or_default()
 }
 
-/// The file of a voter at the beginning of a configuration.
-pub fn file_of(disk: u64, configuration: &Configuration) -> Vec<u8> {
+/// The bytes of a voter's file at the beginning of a configuration.
+pub fn initial_file(disk: u64, configuration: &Configuration) -> Vec<u8> {
     VoterStorage::default().file(disk, Some(configuration))
 }
 
-/// What a file says.
+/// A configuration, and what a voter had stored in it.
+#[derive(Clone, Debug, PartialEq)]
+pub struct StoredConfiguration {
+    /// The configuration.
+    pub configuration: Configuration,
+    /// The voter's state.
+    pub persisted: PersistedState,
+}
+
+/// The content of a voter's file.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct StoredState {
     /// Which disk it is; `None`: an empty one.
     pub disk: Option<u64>,
-    /// The configuration that it is of, and what was noted there.
-    pub configuration: Option<(Configuration, PersistedState)>,
-    /// Bytes of the file that hold.
+    /// The last configuration in the file, with the state in it.
+    pub configuration: Option<StoredConfiguration>,
+    /// Bytes of the file up to the end of its last complete frame.
     pub valid_len: usize,
 }
 
@@ -167,37 +190,38 @@
 /// # Errors
 /// Where it is damaged.
 pub fn read(file: &[u8]) -> Result<StoredState, LogError> {
-    let (all, held) = frames(file)?;
-    let mut found = StoredState { valid_len: held, ..StoredState::default() };
-    for (at, content) in all {
+    let StoredFrames { frames, valid_len } = read_frames(file)?;
+    let mut stored = StoredState { valid_len, ..StoredState::default() };
+    for StoredFrame { offset, content } in frames {
         let record: Record =
-            postcard::from_bytes(content).map_err(|source| LogError::NotARecord { offset: at, source })?;
+            postcard::from_bytes(content).map_err(|source| LogError::NotARecord { offset, source })?;
         match record {
-            Record::Disk(id) => found.disk = Some(id),
+            Record::Disk(id) => stored.disk = Some(id),
             Record::Configuration(configuration) => {
-                found.configuration = Some((*configuration, PersistedState::default()));
+                let persisted = PersistedState::default();
+                stored.configuration = Some(StoredConfiguration { configuration: *configuration, persisted });
             }
-            Record::Writes(ops) => match &mut found.configuration {
-                Some((_, noted)) => ops.iter().for_each(|op| noted.take(op)),
-                None => return Err(LogError::WritesBeforeConfiguration { offset: at }),
+            Record::Writes(writes) => match &mut stored.configuration {
+                Some(current) => writes.iter().for_each(|write| current.persisted.apply(write)),
+                None => return Err(LogError::WritesBeforeConfiguration { offset }),
             },
         }
     }
-    Ok(found)
+    Ok(stored)
 }
 
 impl Storage<Entry> for VoterStorage {
-    fn write_atomically(&mut self, ops: Vec<StorageOp<Entry>>) -> StorageResult<()> {
-        for op in ops {
-            match op {
+    fn write_atomically(&mut self, operations: Vec<StorageOp<Entry>>) -> StorageResult<()> {
+        for operation in operations {
+            match operation {
                 StorageOp::AppendEntry(entry) => self.append_entry(entry)?,
                 StorageOp::AppendEntries(entries) => self.append_entries(entries)?,
-                StorageOp::AppendOnPrefix(at, entries) => self.append_on_prefix(at, entries)?,
-                StorageOp::SetPromise(b) => self.set_promise(b)?,
-                StorageOp::SetDecidedIndex(n) => self.set_decided_idx(n)?,
-                StorageOp::SetAcceptedRound(b) => self.set_accepted_round(b)?,
+                StorageOp::AppendOnPrefix(index, entries) => self.append_on_prefix(index, entries)?,
+                StorageOp::SetPromise(ballot) => self.set_promise(ballot)?,
+                StorageOp::SetDecidedIndex(decided) => self.set_decided_idx(decided)?,
+                StorageOp::SetAcceptedRound(ballot) => self.set_accepted_round(ballot)?,
                 // A configuration's log is short and ends with the configuration: it is never trimmed. It ends by an entry of its own: the library's
-                // sign counts once more at each new exchange of logs, and voters then disagree for ever on how far they are.
+                // stop sign is counted again whenever logs are synchronised, and voters then disagree for ever on how far they are.
                 StorageOp::SetStopsign(_)
                 | StorageOp::SetCompactedIdx(_)
                 | StorageOp::Trim(_)
@@ -212,54 +236,54 @@
     }
 
     fn append_entries(&mut self, entries: Vec<Entry>) -> StorageResult<()> {
-        let mut noted = self.noted();
-        let at = noted.entries.len();
-        noted.note(StorageWrite::Entries(at, entries));
+        let mut state = self.state();
+        let index = state.entries.len();
+        state.record(StorageWrite::Entries(index, entries));
         Ok(())
     }
 
-    fn append_on_prefix(&mut self, at: usize, entries: Vec<Entry>) -> StorageResult<()> {
-        self.noted().note(StorageWrite::Entries(at, entries));
+    fn append_on_prefix(&mut self, index: usize, entries: Vec<Entry>) -> StorageResult<()> {
+        self.state().record(StorageWrite::Entries(index, entries));
         Ok(())
     }
 
     fn set_promise(&mut self, promise: Ballot) -> StorageResult<()> {
-        self.noted().note(StorageWrite::Promise(promise));
+        self.state().record(StorageWrite::Promise(promise));
         Ok(())
     }
 
-    fn set_decided_idx(&mut self, n: usize) -> StorageResult<()> {
-        self.noted().note(StorageWrite::Decided(n));
+    fn set_decided_idx(&mut self, decided: usize) -> StorageResult<()> {
+        self.state().record(StorageWrite::Decided(decided));
         Ok(())
     }
 
     fn get_decided_idx(&self) -> StorageResult<usize> {
-        Ok(self.noted().decided)
+        Ok(self.state().decided)
     }
 
     fn set_accepted_round(&mut self, round: Ballot) -> StorageResult<()> {
-        self.noted().note(StorageWrite::Accepted(round));
+        self.state().record(StorageWrite::Accepted(round));
         Ok(())
     }
 
     fn get_accepted_round(&self) -> StorageResult<Option<Ballot>> {
-        Ok(self.noted().accepted)
+        Ok(self.state().accepted)
     }
 
     fn get_entries(&self, from: usize, to: usize) -> StorageResult<Vec<Entry>> {
-        Ok(self.noted().entries.get(from..to).unwrap_or_default().to_vec())
+        Ok(self.state().entries.get(from..to).unwrap_or_default().to_vec())
     }
 
     fn get_log_len(&self) -> StorageResult<usize> {
-        Ok(self.noted().entries.len())
+        Ok(self.state().entries.len())
     }
 
     fn get_suffix(&self, from: usize) -> StorageResult<Vec<Entry>> {
-        Ok(self.noted().entries.get(from..).unwrap_or_default().to_vec())
+        Ok(self.state().entries.get(from..).unwrap_or_default().to_vec())
     }
 
     fn get_promise(&self) -> StorageResult<Option<Ballot>> {
-        Ok(self.noted().promise)
+        Ok(self.state().promise)
     }
 
     fn set_stopsign(&mut self, _: Option<StopSign>) -> StorageResult<()> {
--- a/crates/consensus/src/storage/tests.rs
+++ b/crates/consensus/src/storage/tests.rs
@@ -3,7 +3,7 @@
 use crate::voter_identity::VoterIdentity;
 
 #[test]
-fn a_file_says_what_was_noted_whether_in_pieces_or_whole() {
+fn appended_file_and_compacted_file_hold_the_same_state() {
     let configuration = Configuration {
         number: 3,
         voters: vec![VoterIdentity { name: "a".into(), disk: 9 }],
@@ -12,30 +12,31 @@
     let mut storage = VoterStorage::default();
     let mut file = storage.file(9, Some(&configuration));
     let ballot = Ballot::with(3, 2, 0, 1);
-    let settle = |id: &str| Entry::Decide(id.into(), crate::policy_state::Decision::InForce);
+    let decide = |id: &str| Entry::Decide(id.into(), crate::policy_state::Decision::InForce);
     storage.set_promise(ballot).expect("in memory");
-    storage.append_entries(vec![settle("x"), settle("y")]).expect("in memory");
-    let (bytes, sync) = storage.drain().expect("something was noted");
-    assert!(sync);
-    file.extend(bytes);
-    storage.append_on_prefix(1, vec![settle("z")]).expect("in memory");
-    file.extend(storage.drain().expect("something was noted").0);
+    storage.append_entries(vec![decide("x"), decide("y")]).expect("in memory");
+    let unwritten = storage.take_unwritten().expect("writes were recorded");
+    assert!(unwritten.must_sync);
+    file.extend(unwritten.bytes);
+    storage.append_on_prefix(1, vec![decide("z")]).expect("in memory");
+    file.extend(storage.take_unwritten().expect("writes were recorded").bytes);
     storage.set_decided_idx(1).expect("in memory");
-    let (bytes, sync) = storage.drain().expect("something was noted");
-    assert!(!sync, "what is decided can be learnt again");
-    file.extend(bytes);
-    let (pieces, whole) =
-        (read(&file).expect("whole"), read(&storage.file(9, Some(&configuration))).expect("whole"));
-    assert_eq!(pieces.disk, Some(9));
-    assert_eq!(pieces.configuration, whole.configuration);
-    let (read_configuration, noted) = pieces.configuration.expect("a configuration");
-    assert_eq!((read_configuration, noted.entries.len(), noted.decided), (configuration, 2, 1));
-    assert_eq!(noted.entries[1], settle("z"));
-    assert_eq!(storage.decided_from(0), [settle("x")]);
+    let unwritten = storage.take_unwritten().expect("writes were recorded");
+    assert!(!unwritten.must_sync, "what is decided can be learnt again");
+    file.extend(unwritten.bytes);
+    let appended = read(&file).expect("an undamaged file");
+    let compacted = read(&storage.file(9, Some(&configuration))).expect("an undamaged file");
+    assert_eq!(appended.disk, Some(9));
+    assert_eq!(appended.configuration, compacted.configuration);
+    let StoredConfiguration { configuration: read_configuration, persisted } =
+        appended.configuration.expect("a configuration");
+    assert_eq!((read_configuration, persisted.entries.len(), persisted.decided), (configuration, 2, 1));
+    assert_eq!(persisted.entries[1], decide("z"));
+    assert_eq!(storage.decided_from(0), [decide("x")]);
     assert!(storage.has_undecided());
 }
 
-/// Files of a voter as the build before issue 50 wrote them: one appended to, and the same state written whole. Never generated again.
+/// Files of a voter as the build before issue 50 wrote them: one appended to, and the same state compacted. Never generated again.
 const APPENDED_FILE: &[u8] = include_bytes!("../../tests/data/voter-file-appended.bin");
 const COMPACTED_FILE: &[u8] = include_bytes!("../../tests/data/voter-file-compacted.bin");
 
@@ -51,11 +52,11 @@
 }
 
 fn stored_rejection() -> crate::policy_state::Decision {
-    let no = crate::policy_state::Rejection {
+    let rejection = crate::policy_state::Rejection {
         router: "router-c".into(),
         reason: "line 3: expected a time".into(),
     };
-    crate::policy_state::Decision::Dropped(vec![no])
+    crate::policy_state::Decision::Dropped(vec![rejection])
 }
 
 /// The configuration of the fixture: three voters, on a state with two epochs, a dropped change and one under way.
@@ -82,36 +83,36 @@
     ]
 }
 
-/// The file that the fixture's writes give, in pieces, and the store after them.
-fn written_in_pieces() -> (Vec<u8>, VoterStorage) {
+/// A file to which the fixture's writes were appended, and the storage after them.
+fn appended_file() -> (Vec<u8>, VoterStorage) {
     let mut storage = VoterStorage::default();
     let mut file = storage.file(300, Some(&stored_configuration()));
     storage.set_promise(Ballot::with(7, 5, 1, 2)).expect("in memory");
     storage.set_accepted_round(Ballot::with(7, 4, 0, 3)).expect("in memory");
     storage.append_entries(stored_entries()).expect("in memory");
-    file.extend(storage.drain().expect("something was noted").0);
+    file.extend(storage.take_unwritten().expect("writes were recorded").bytes);
     storage.append_on_prefix(3, stored_entries()[3..].to_vec()).expect("in memory");
     storage.set_decided_idx(3).expect("in memory");
-    file.extend(storage.drain().expect("something was noted").0);
+    file.extend(storage.take_unwritten().expect("writes were recorded").bytes);
     (file, storage)
 }
 
 #[test]
-fn a_file_of_the_build_before_is_read_to_the_same_state() {
+fn files_of_an_earlier_build_are_read_to_the_same_state() {
     for (name, file) in [("appended", APPENDED_FILE), ("compacted", COMPACTED_FILE)] {
-        let found = read(file).expect("a file of the build before");
-        assert_eq!((found.disk, found.valid_len), (Some(300), file.len()), "{name}");
-        let (configuration, noted) = found.configuration.expect("a configuration");
+        let stored = read(file).expect("a file of the build before");
+        assert_eq!((stored.disk, stored.valid_len), (Some(300), file.len()), "{name}");
+        let StoredConfiguration { configuration, persisted } = stored.configuration.expect("a configuration");
         assert_eq!(configuration, stored_configuration(), "{name}");
-        assert_eq!(noted.promise, Some(Ballot::with(7, 5, 1, 2)), "{name}");
-        assert_eq!(noted.accepted, Some(Ballot::with(7, 4, 0, 3)), "{name}");
-        assert_eq!((noted.entries, noted.decided), (stored_entries(), 3), "{name}");
+        assert_eq!(persisted.promise, Some(Ballot::with(7, 5, 1, 2)), "{name}");
+        assert_eq!(persisted.accepted, Some(Ballot::with(7, 4, 0, 3)), "{name}");
+        assert_eq!((persisted.entries, persisted.decided), (stored_entries(), 3), "{name}");
     }
 }
 
 #[test]
-fn a_file_is_written_as_the_build_before_wrote_it() {
-    let (file, storage) = written_in_pieces();
+fn files_are_written_as_an_earlier_build_wrote_them() {
+    let (file, storage) = appended_file();
     assert_eq!(file, APPENDED_FILE);
     assert_eq!(storage.file(300, Some(&stored_configuration())), COMPACTED_FILE);
 }
--- a/crates/consensus/tests/explore.rs
+++ b/crates/consensus/tests/explore.rs
@@ -6,7 +6,7 @@
 //! one where each router has been told the same, the same messages are on their way and the same time has passed.
 
 use slipreel_consensus::policy_state::{PolicyState, Proposal};
-use slipreel_consensus::storage::{file_of, read};
+use slipreel_consensus::storage::{initial_file, read};
 use slipreel_consensus::wire::OperatorRequest;
 use slipreel_consensus::{
     Configuration, Consensus, ConsensusConfig, Disk, PartitionMode, PeerDirectory, PolicyHandle,
@@ -113,7 +113,7 @@
         let configuration =
             Configuration { number: 1, voters, initial_state: PolicyState::founded("one", "r0", 0) };
         let plates: Vec<Plate> =
-            (0..N).map(|r| Plate(Arc::new(Mutex::new(file_of(r as u64 + 1, &configuration))))).collect();
+            (0..N).map(|r| Plate(Arc::new(Mutex::new(initial_file(r as u64 + 1, &configuration))))).collect();
         let mut lab = Lab {
             now: Duration::from_secs(1),
             machines: Vec::new(),
--- a/crates/fault-injection/src/platter.rs
+++ b/crates/fault-injection/src/platter.rs
@@ -1,8 +1,8 @@
 //! A disk in memory: it keeps what was synced when its process is killed, and fails as disks do.
 
-use slipreel_consensus::log::frame;
+use slipreel_consensus::log::encode_frame;
 use slipreel_consensus::policy_state::PolicyState;
-use slipreel_consensus::storage::{file_of, read, StoredState};
+use slipreel_consensus::storage::{initial_file, read, StoredConfiguration, StoredState};
 use slipreel_consensus::{Configuration, Disk};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
@@ -48,7 +48,7 @@
 
     /// Its process has ended in the midst of a write.
     pub fn tear(&self) {
-        let half = frame(&[7; 40]);
+        let half = encode_frame(&[7; 40]);
         self.inside().synced.extend(&half[..29]);
     }
 
@@ -71,9 +71,11 @@
 /// A file without the state that its configuration begins on.
 fn emptied(file: &[u8]) -> Vec<u8> {
     match read(file) {
-        Ok(StoredState { disk: Some(disk), configuration: Some((configuration, _)), .. }) => {
-            file_of(disk, &Configuration { initial_state: PolicyState::default(), ..configuration })
-        }
+        Ok(StoredState {
+            disk: Some(disk),
+            configuration: Some(StoredConfiguration { configuration, .. }),
+            ..
+        }) => initial_file(disk, &Configuration { initial_state: PolicyState::default(), ..configuration }),
         _ => file.to_vec(),
     }
 }
--- a/crates/fault-injection/src/processes.rs
+++ b/crates/fault-injection/src/processes.rs
@@ -321,7 +321,7 @@
     fn tear(&mut self, r: usize) {
         let file = self.folder_of(r).join("kept").join("accord");
         // A frame that says more than follows it: the process ended in the midst of its write.
-        let half = &slipreel_consensus::log::frame(&[7; 40])[..29];
+        let half = &slipreel_consensus::log::encode_frame(&[7; 40])[..29];
         if let Ok(mut file) = std::fs::File::options().append(true).open(file) {
             let _ = file.write_all(half);
         }
