--- a/crates/gateway/src/classify.rs
+++ b/crates/gateway/src/classify.rs
@@ -5,7 +5,7 @@
 use serde_json::Value;
 use slipreel::{ClassId, Idempotency, TenantId};
 use slipreel_protocol::http::Head;
-use slipreel_protocol::messages::{Ask, ErrorKind, Fault};
+use slipreel_protocol::messages::{ApiError, ErrorKind, MessagesRequest};
 use std::time::Duration;
 use xxhash_rust::xxh3::{xxh3_64, Xxh3};
 
@@ -24,7 +24,7 @@
 }
 
 /// Finds the tenant of `x-api-key`, else of a bearer token.
-pub(crate) fn caller(site: &Site, head: &Head) -> Result<Caller, Fault> {
+pub(crate) fn caller(site: &Site, head: &Head) -> Result<Caller, ApiError> {
     if site.tenants.is_empty() {
         return Ok(Caller { tenant: TenantId(0), may_choose_class: true });
     }
@@ -34,11 +34,13 @@
         .filter(|(s, _)| s.eq_ignore_ascii_case("bearer"));
     let Some(key) = head.get("x-api-key").or(bearer.map(|(_, key)| key.trim())).filter(|k| !k.is_empty())
     else {
-        return Err(Fault::new(ErrorKind::Authentication, "x-api-key: expected a key, or a bearer token"));
+        return Err(ApiError::new(ErrorKind::Authentication, "x-api-key: expected a key, or a bearer token"));
     };
     let holds = |keys: &[String]| keys.iter().fold(false, |found, k| found | same_key(k, key));
     let found = site.tenants.iter().position(|t| holds(&t.keys));
-    let Some(tenant) = found else { return Err(Fault::new(ErrorKind::Authentication, "invalid x-api-key")) };
+    let Some(tenant) = found else {
+        return Err(ApiError::new(ErrorKind::Authentication, "invalid x-api-key"));
+    };
     Ok(Caller { tenant: TenantId(tenant), may_choose_class: site.tenants[tenant].may_choose_class })
 }
 
@@ -64,15 +66,15 @@
 
 /// Reads them off a message request.
 pub(crate) fn traits(
-    site: &Site, head: &Head, caller: Caller, ask: &Ask, body_len: usize,
-) -> Result<Traits, Fault> {
-    let Some(model) = site.models.iter().find(|m| m.name == ask.model) else {
-        return Err(Fault::new(ErrorKind::NotFound, format!("model: {}", ask.model)));
+    site: &Site, head: &Head, caller: Caller, request: &MessagesRequest, body_len: usize,
+) -> Result<Traits, ApiError> {
+    let Some(model) = site.models.iter().find(|m| m.name == request.model) else {
+        return Err(ApiError::new(ErrorKind::NotFound, format!("model: {}", request.model)));
     };
     let class = match head.get("x-slipreel-class") {
         None => model.class,
         Some(_) if !caller.may_choose_class => {
-            return Err(Fault::new(
+            return Err(ApiError::new(
                 ErrorKind::Permission,
                 "x-slipreel-class: this key may not choose a class",
             ));
@@ -83,22 +85,22 @@
             } else {
                 let known: Vec<&str> = site.classes.iter().map(|c| c.name.as_str()).collect();
                 let text = format!("x-slipreel-class: {name:?}: expected one of {}", known.join(", "));
-                return Err(Fault::new(ErrorKind::InvalidRequest, text));
+                return Err(ApiError::new(ErrorKind::InvalidRequest, text));
             }
         }
     };
     let keyed = matches!(site.settings.classes[class].idempotency, Idempotency::WithKey { .. });
     let idempotency_key = head.get("idempotency-key").filter(|_| keyed);
     if idempotency_key.is_some_and(|k| k.is_empty() || k.len() > LONGEST_KEY) {
-        return Err(Fault::new(ErrorKind::InvalidRequest, "idempotency-key: expected 1 to 256 bytes"));
+        return Err(ApiError::new(ErrorKind::InvalidRequest, "idempotency-key: expected 1 to 256 bytes"));
     }
     let told = told_timeout(head);
     Ok(Traits {
         class: ClassId(class),
         served_as: model.served_as.clone(),
-        session: session(head, ask),
-        shared_prefix: shared_prefix(ask),
-        prompt_tokens: prompt_tokens(ask, body_len),
+        session: session(head, request),
+        shared_prefix: shared_prefix(request),
+        prompt_tokens: prompt_tokens(request, body_len),
         time_left: told.map_or(site.classes[class].patience, |told| told.min(site.classes[class].patience)),
         told,
         // The public clients count their own retries in this field.
@@ -111,22 +113,22 @@
 }
 
 /// A header, else `metadata.user_id`, else the first message with the system text: later turns repeat both.
-fn session(head: &Head, ask: &Ask) -> u64 {
-    let named = head.get("x-session-id").or(ask.user.as_deref());
+fn session(head: &Head, request: &MessagesRequest) -> u64 {
+    let named = head.get("x-session-id").or(request.user.as_deref());
     named.map_or_else(
-        || hash_values([ask.system.as_ref(), ask.messages.first()]),
+        || hash_values([request.system.as_ref(), request.messages.first()]),
         |name| xxh3_64(name.as_bytes()),
     )
 }
 
 /// The beginning that other sessions share: tools and system, and the first message as far as its first
 /// `cache_control` mark, where the client itself says that a beginning ends. `None` if there is neither.
-fn shared_prefix(ask: &Ask) -> Option<u64> {
-    let marked = ask.messages.first().and_then(|m| m.get("content")?.as_array()).and_then(|blocks| {
+fn shared_prefix(request: &MessagesRequest) -> Option<u64> {
+    let marked = request.messages.first().and_then(|m| m.get("content")?.as_array()).and_then(|blocks| {
         let end = blocks.iter().position(|b| b.get("cache_control").is_some())?;
         Some(Value::Array(blocks[..=end].to_vec()))
     });
-    let parts = [ask.tools.as_ref(), ask.system.as_ref(), marked.as_ref()];
+    let parts = [request.tools.as_ref(), request.system.as_ref(), marked.as_ref()];
     parts.iter().any(Option::is_some).then(|| hash_values(parts))
 }
 
@@ -140,8 +142,8 @@
 }
 
 /// The length of the prompt, estimated from its bytes.
-pub(crate) fn prompt_tokens(ask: &Ask, body_len: usize) -> f64 {
-    (body_len as f64 / BYTES_PER_TOKEN + TOKENS_PER_MESSAGE * ask.messages.len() as f64).ceil()
+pub(crate) fn prompt_tokens(request: &MessagesRequest, body_len: usize) -> f64 {
+    (body_len as f64 / BYTES_PER_TOKEN + TOKENS_PER_MESSAGE * request.messages.len() as f64).ceil()
 }
 
 /// The client's own time-out. The public clients tell it in seconds.
--- a/crates/gateway/src/engines.rs
+++ b/crates/gateway/src/engines.rs
@@ -8,7 +8,7 @@
 use crate::translate::Writer;
 use slipreel::{Event, LoadReport, Outcome, RequestId};
 use slipreel_protocol::engine::Chunk;
-use slipreel_protocol::messages::{ErrorKind, Fault};
+use slipreel_protocol::messages::{ApiError, ErrorKind};
 use slipreel_state_machine::{ConnId, ConnectionLoss, Output};
 use std::time::Duration;
 
@@ -275,17 +275,17 @@
             }
             return self.ended(id, attempt, outcome, 0.0, None);
         }
-        let fault = match outcome {
-            Outcome::TimedOut => Fault::new(ErrorKind::Timeout, "the answer stopped coming"),
-            _ => Fault::new(ErrorKind::Api, "the answer broke off"),
+        let error = match outcome {
+            Outcome::TimedOut => ApiError::new(ErrorKind::Timeout, "the answer stopped coming"),
+            _ => ApiError::new(ErrorKind::Api, "the answer broke off"),
         };
-        self.answer_fault(id, &fault, None, Final::Failed, out);
+        self.answer_error(id, &error, None, Final::Failed, out);
         self.ended(id, attempt, outcome, 0.0, None);
     }
 
     fn wrong(&mut self, id: RequestId, attempt: usize, status: u16, message: String, out: &mut Vec<Output>) {
-        let fault = Fault::new(ErrorKind::of_status(status), message);
-        self.answer_fault(id, &fault, None, Final::Failed, out);
+        let error = ApiError::new(ErrorKind::of_status(status), message);
+        self.answer_error(id, &error, None, Final::Failed, out);
         self.ended(id, attempt, Outcome::Error, 0.0, None);
     }
 
--- a/crates/gateway/src/policy.rs
+++ b/crates/gateway/src/policy.rs
@@ -10,7 +10,7 @@
 use slipreel_consensus::policy_state::Proposal;
 use slipreel_consensus::wire::OperatorRequest;
 use slipreel_consensus::{timing, PolicyHandle};
-use slipreel_protocol::messages::{ErrorKind, Fault};
+use slipreel_protocol::messages::{ApiError, ErrorKind};
 use slipreel_state_machine::{ConnId, Output};
 use std::sync::Arc;
 
@@ -39,13 +39,13 @@
 
     /// It can't know whether its epoch still holds: answered at once, with when to come back.
     pub(crate) fn uncertain(&mut self, conn: ConnId, out: &mut Vec<Output>) {
-        let fault = Fault::new(
+        let error = ApiError::new(
             ErrorKind::Unavailable,
             "this router can't know at present which policy is in force; another may",
         );
         let (s, ms) = retry_after(timing::RETRY_AFTER);
         let fields = [("retry-after", s.as_str()), ("retry-after-ms", &ms), ("x-should-retry", "true")];
-        self.turn(conn, fault.kind.status(), &fault, &fields, out);
+        self.turn(conn, error.kind.status(), &error, &fields, out);
     }
 
     /// Takes on another epoch, if there is one: requests that were taken end by the settings under which they were.
@@ -140,7 +140,7 @@
         let (what, name) =
             path["/policy/".len()..].split_once('/').unwrap_or((&path["/policy/".len()..], ""));
         let shown = handle.status();
-        let answer: Result<(u16, Value), Fault> = match (method, what, name) {
+        let answer: Result<(u16, Value), ApiError> = match (method, what, name) {
             ("GET", "status", "") => Ok((200, shown.status_json(self.may_take()))),
             ("GET", "status", id) => Ok((200, shown.proposal_json(id))),
             ("GET", "history", "") => Ok((200, shown.history_json())),
@@ -157,7 +157,7 @@
                 } else {
                     let voters = shown.voters.join(", ");
                     let what = format!("{old:?}: expected one of those who vote: {voters}");
-                    Err(Fault::new(ErrorKind::InvalidRequest, what))
+                    Err(ApiError::new(ErrorKind::InvalidRequest, what))
                 }
             }
             _ => {
@@ -165,12 +165,12 @@
                     "{method} {path}: expected GET /policy/status, /policy/status/ID, /policy/history or /policy/text, \
                      POST /policy/propose/ID, /policy/rollback/ID/EPOCH or /policy/replace/OLD[/NEW]"
                 );
-                Err(Fault::new(ErrorKind::NotFound, what))
+                Err(ApiError::new(ErrorKind::NotFound, what))
             }
         };
         match answer {
             Ok((status, body)) => self.answer(conn, status, &[], body.to_string().as_bytes(), out),
-            Err(fault) => self.turn(conn, fault.kind.status(), &fault, &[], out),
+            Err(error) => self.turn(conn, error.kind.status(), &error, &[], out),
         }
     }
 
@@ -178,8 +178,8 @@
         (self.epoch_ahead + self.now).as_secs()
     }
 
-    fn propose(&self, handle: &PolicyHandle, id: &str, body: &[u8]) -> Result<(u16, Value), Fault> {
-        let bad = |what: String| Fault::new(ErrorKind::InvalidRequest, what);
+    fn propose(&self, handle: &PolicyHandle, id: &str, body: &[u8]) -> Result<(u16, Value), ApiError> {
+        let bad = |what: String| ApiError::new(ErrorKind::InvalidRequest, what);
         check_id(id)?;
         let text = std::str::from_utf8(body).map_err(|e| bad(format!("the policy: expected UTF-8: {e}")))?;
         if text.is_empty() || text.len() > timing::MAX_POLICY_LEN {
@@ -201,8 +201,8 @@
         said(handle.submit(OperatorRequest::Propose(proposal)), json!({"id": id}))
     }
 
-    fn roll_back(&self, handle: &PolicyHandle, name: &str) -> Result<(u16, Value), Fault> {
-        let bad = |what: String| Fault::new(ErrorKind::InvalidRequest, what);
+    fn roll_back(&self, handle: &PolicyHandle, name: &str) -> Result<(u16, Value), ApiError> {
+        let bad = |what: String| ApiError::new(ErrorKind::InvalidRequest, what);
         let (id, epoch) = name.split_once('/').ok_or_else(|| bad("expected ID/EPOCH".into()))?;
         check_id(id)?;
         let epoch: u64 =
@@ -221,20 +221,20 @@
     }
 }
 
-fn check_id(id: &str) -> Result<(), Fault> {
+fn check_id(id: &str) -> Result<(), ApiError> {
     let good = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
     if id.is_empty() || id.len() > 64 || !id.chars().all(good) {
         let what = format!("{id:?}: expected an id of 1 to 64 letters, digits, '-', '_' and '.'");
-        return Err(Fault::new(ErrorKind::InvalidRequest, what));
+        return Err(ApiError::new(ErrorKind::InvalidRequest, what));
     }
     Ok(())
 }
 
-fn said(room: bool, body: Value) -> Result<(u16, Value), Fault> {
+fn said(room: bool, body: Value) -> Result<(u16, Value), ApiError> {
     if room {
         Ok((202, body))
     } else {
-        Err(Fault::new(
+        Err(ApiError::new(
             ErrorKind::Overloaded,
             "too many words of operators wait here: expected fewer at once",
         ))
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -9,7 +9,7 @@
 use slipreel::{Event, Outcome, RequestId};
 use slipreel_connections::{Received, State};
 use slipreel_protocol::http::{self, Malformed};
-use slipreel_protocol::messages::{Ask, ErrorKind, Fault};
+use slipreel_protocol::messages::{ApiError, ErrorKind, MessagesRequest};
 use slipreel_state_machine::{ConnId, ListenerId, Output};
 use std::time::Duration;
 
@@ -44,21 +44,22 @@
     }
 
     fn malformed(&mut self, conn: ConnId, why: &Malformed, out: &mut Vec<Output>) {
-        let fault = Fault::new(ErrorKind::of_status(why.status), why.why.clone());
+        let error = ApiError::new(ErrorKind::of_status(why.status), why.why.clone());
         if let Some(client) = self.clients.get_mut(&conn) {
             client.close_after_answer();
         }
-        self.turn(conn, why.status, &fault, &[], out);
+        self.turn(conn, why.status, &error, &[], out);
     }
 
     /// An answer that needs no engine.
     pub(crate) fn turn(
-        &mut self, conn: ConnId, status: u16, fault: &Fault, fields: &[(&str, &str)], out: &mut Vec<Output>,
+        &mut self, conn: ConnId, status: u16, error: &ApiError, fields: &[(&str, &str)],
+        out: &mut Vec<Output>,
     ) {
         let request_id = self.request_id();
         self.tally.turned += 1;
         self.gauges.turned();
-        let body = fault.body(&request_id);
+        let body = error.body(&request_id);
         let mut all = vec![("request-id", request_id.as_str())];
         all.extend_from_slice(fields);
         self.answer(conn, status, &all, body.as_bytes(), out);
@@ -122,14 +123,15 @@
                 Ok(())
             }
             (_, "/v1/messages" | "/v1/messages/count_tokens" | "/v1/models" | "/health") => {
-                let fault = Fault::new(ErrorKind::InvalidRequest, format!("{path} does not take {method}"));
-                self.turn(conn, 405, &fault, &[], out);
+                let error =
+                    ApiError::new(ErrorKind::InvalidRequest, format!("{path} does not take {method}"));
+                self.turn(conn, 405, &error, &[], out);
                 Ok(())
             }
-            _ => Err(Fault::new(ErrorKind::NotFound, format!("no such path: {path}"))),
+            _ => Err(ApiError::new(ErrorKind::NotFound, format!("no such path: {path}"))),
         };
-        if let Err(fault) = answered {
-            self.turn(conn, fault.kind.status(), &fault, &[], out);
+        if let Err(error) = answered {
+            self.turn(conn, error.kind.status(), &error, &[], out);
         }
     }
 
@@ -149,15 +151,15 @@
                 (if room { 202 } else { 503 }, done)
             }
             ("POST", "forget", name) => {
-                let fault =
-                    Fault::new(ErrorKind::NotFound, format!("{name:?}: expected the name of a member"));
-                return self.turn(conn, 404, &fault, &[], out);
+                let error =
+                    ApiError::new(ErrorKind::NotFound, format!("{name:?}: expected the name of a member"));
+                return self.turn(conn, 404, &error, &[], out);
             }
             _ => {
                 let what = format!(
                     "{method} {path}: expected GET /fleet/status, POST /fleet/leave or /fleet/forget/NAME"
                 );
-                return self.turn(conn, 404, &Fault::new(ErrorKind::NotFound, what), &[], out);
+                return self.turn(conn, 404, &ApiError::new(ErrorKind::NotFound, what), &[], out);
             }
         };
         self.answer(conn, status, &[], text.as_bytes(), out);
@@ -174,8 +176,9 @@
                 self.answer(conn, 200, &[("content-type", gauges::MEDIA_TYPE)], text.as_bytes(), out);
             }
             (_, "/metrics") => {
-                let fault = Fault::new(ErrorKind::InvalidRequest, format!("{path} does not take {method}"));
-                self.turn(conn, 405, &fault, &[], out);
+                let error =
+                    ApiError::new(ErrorKind::InvalidRequest, format!("{path} does not take {method}"));
+                self.turn(conn, 405, &error, &[], out);
             }
             _ if path.starts_with("/policy/") && self.policy.is_some() => {
                 self.operate_policy(conn, received, out);
@@ -184,21 +187,21 @@
                 self.operate_fleet(conn, method, path, out);
             }
             _ => {
-                let fault = Fault::new(ErrorKind::NotFound, format!("no such path for operators: {path}"));
-                self.turn(conn, 404, &fault, &[], out);
+                let error = ApiError::new(ErrorKind::NotFound, format!("no such path for operators: {path}"));
+                self.turn(conn, 404, &error, &[], out);
             }
         }
     }
 
     fn models(
         &mut self, conn: ConnId, received: &Received, one: Option<&str>, out: &mut Vec<Output>,
-    ) -> Result<(), Fault> {
+    ) -> Result<(), ApiError> {
         classify::caller(&self.site, &received.head)?;
         let model = |name: &str| json!({"type": "model", "id": name, "display_name": name, "created_at": "1970-01-01T00:00:00Z"});
         let names: Vec<&str> = self.site.models.iter().map(|m| m.name.as_str()).collect();
         let body = match one {
             Some(name) if names.contains(&name) => model(name),
-            Some(name) => return Err(Fault::new(ErrorKind::NotFound, format!("model: {name}"))),
+            Some(name) => return Err(ApiError::new(ErrorKind::NotFound, format!("model: {name}"))),
             None => json!({"data": names.iter().map(|n| model(n)).collect::<Vec<_>>(), "has_more": false,
                            "first_id": names.first(), "last_id": names.last()}),
         };
@@ -209,13 +212,13 @@
 
     fn count_tokens(
         &mut self, conn: ConnId, received: &Received, out: &mut Vec<Output>,
-    ) -> Result<(), Fault> {
+    ) -> Result<(), ApiError> {
         classify::caller(&self.site, &received.head)?;
-        let ask = Ask::parse(&received.body, true)?;
-        if !self.site.models.iter().any(|m| m.name == ask.model) {
-            return Err(Fault::new(ErrorKind::NotFound, format!("model: {}", ask.model)));
+        let messages_request = MessagesRequest::parse(&received.body, true)?;
+        if !self.site.models.iter().any(|m| m.name == messages_request.model) {
+            return Err(ApiError::new(ErrorKind::NotFound, format!("model: {}", messages_request.model)));
         }
-        let tokens = classify::prompt_tokens(&ask, received.body.len()) as u64;
+        let tokens = classify::prompt_tokens(&messages_request, received.body.len()) as u64;
         let body = json!({"input_tokens": tokens}).to_string();
         let request_id = self.request_id();
         self.answer(conn, 200, &[("request-id", &request_id)], body.as_bytes(), out);
@@ -223,22 +226,23 @@
     }
 
     /// A message request: the module is told of it, unless it can't be taken at all.
-    fn ask(&mut self, conn: ConnId, received: &Received, out: &mut Vec<Output>) -> Result<(), Fault> {
+    fn ask(&mut self, conn: ConnId, received: &Received, out: &mut Vec<Output>) -> Result<(), ApiError> {
         let caller = classify::caller(&self.site, &received.head)?;
-        let mut ask = Ask::parse(&received.body, false)?;
-        let traits = classify::traits(&self.site, &received.head, caller, &ask, received.body.len())?;
-        let model = std::mem::replace(&mut ask.model, traits.served_as.clone());
-        let chat = ask.to_chat()?;
+        let mut messages_request = MessagesRequest::parse(&received.body, false)?;
+        let traits =
+            classify::traits(&self.site, &received.head, caller, &messages_request, received.body.len())?;
+        let model = std::mem::replace(&mut messages_request.model, traits.served_as.clone());
+        let chat = messages_request.to_chat()?;
         if let Err(turned) = limits::may_take(&self.site.bounds, self.calls.len(), self.stopping) {
             let (why, text) = match turned {
                 Turned::Requests => (Why::Bound, "too many requests are under way"),
                 Turned::Stopping => (Why::Stopping, "this router is stopping"),
             };
             self.gauges.refused(self.class_name(traits.class.0), why);
-            let fault = Fault::new(ErrorKind::Overloaded, text);
+            let error = ApiError::new(ErrorKind::Overloaded, text);
             let (s, ms) = retry_after(limits::COME_BACK);
             let fields = [("retry-after", s.as_str()), ("retry-after-ms", &ms), ("x-should-retry", "true")];
-            self.turn(conn, fault.kind.status(), &fault, &fields, out);
+            self.turn(conn, error.kind.status(), &error, &fields, out);
             return Ok(());
         }
         let request_id = self.request_id();
@@ -256,12 +260,12 @@
             epoch: self.epoch(),
             class: traits.class.0,
             effect: self.site.settings.classes[traits.class.0].idempotency,
-            stream: ask.stream,
+            stream: messages_request.stream,
             now: self.now,
             time_left: traits.time_left,
             whole_within: traits.told,
             chat,
-            max_tokens: ask.max_tokens,
+            max_tokens: messages_request.max_tokens,
             key: traits.idempotency_key,
             model,
         };
@@ -275,9 +279,10 @@
             session: traits.session,
             shared_prefix: traits.shared_prefix,
             prompt_tokens: traits.prompt_tokens,
-            max_output_tokens: f64::from(ask.max_tokens),
+            max_output_tokens: f64::from(messages_request.max_tokens),
             client_timeout: traits.time_left,
-            complete_answer_timeout: (!ask.stream).then(|| traits.told.unwrap_or(traits.time_left)),
+            complete_answer_timeout: (!messages_request.stream)
+                .then(|| traits.told.unwrap_or(traits.time_left)),
             is_retry: traits.repeat,
             is_resumption: false,
         };
@@ -406,8 +411,8 @@
     }
 
     /// The final answer of a request that gets no answer of an engine.
-    pub(crate) fn answer_fault(
-        &mut self, id: RequestId, fault: &Fault, come_back: Option<Duration>, end: Final,
+    pub(crate) fn answer_error(
+        &mut self, id: RequestId, error: &ApiError, come_back: Option<Duration>, end: Final,
         out: &mut Vec<Output>,
     ) {
         let Some(call) = self.calls.get_mut(&id).filter(|c| !c.over) else { return };
@@ -415,7 +420,7 @@
         let must_not_repeat = end == Final::Failed && call.must_not_repeat();
         if call.stream && call.begun.is_some() {
             let mut bytes = Vec::new();
-            call.writer.error(fault, &request_id, &mut bytes);
+            call.writer.error(error, &request_id, &mut bytes);
             let mut last = http::chunk(&bytes);
             last.extend_from_slice(http::LAST_CHUNK);
             self.final_of(id, end);
@@ -436,8 +441,8 @@
             _ if must_not_repeat => fields.push(("x-should-retry", "false")),
             _ => {}
         }
-        let body = fault.body(&request_id);
-        self.answer(conn, fault.kind.status(), &fields, body.as_bytes(), out);
+        let body = error.body(&request_id);
+        self.answer(conn, error.kind.status(), &fields, body.as_bytes(), out);
         self.read_requests(conn, out);
     }
 
@@ -445,10 +450,10 @@
     pub(crate) fn refuse(
         &mut self, id: RequestId, come_back: Option<Duration>, over_share: bool, out: &mut Vec<Output>,
     ) {
-        let fault = if over_share {
-            Fault::new(ErrorKind::RateLimit, "your share is used up and the fleet is busy")
+        let error = if over_share {
+            ApiError::new(ErrorKind::RateLimit, "your share is used up and the fleet is busy")
         } else {
-            Fault::new(ErrorKind::Overloaded, "Overloaded")
+            ApiError::new(ErrorKind::Overloaded, "Overloaded")
         };
         if let Some(call) = self.calls.get(&id).filter(|c| !c.over) {
             let why = match call.attempts.is_empty() {
@@ -458,29 +463,29 @@
             };
             self.gauges.refused(call.class_name(), why);
         }
-        self.answer_fault(id, &fault, come_back, Final::Refused, out);
+        self.answer_error(id, &error, come_back, Final::Refused, out);
     }
 
     /// The module fails a request: in time if its client still waits a while, else as a time-out.
     pub(crate) fn fail(&mut self, id: RequestId, out: &mut Vec<Output>) {
         let Some(call) = self.calls.get(&id) else { return };
         let margin = self.site.settings.tick * 4;
-        let fault = if self.now + margin >= call.deadline {
-            Fault::new(ErrorKind::Timeout, "no answer began in the time that this request has")
+        let error = if self.now + margin >= call.deadline {
+            ApiError::new(ErrorKind::Timeout, "no answer began in the time that this request has")
         } else {
-            Fault::new(ErrorKind::Api, "the request failed and may have run")
+            ApiError::new(ErrorKind::Api, "the request failed and may have run")
         };
-        self.answer_fault(id, &fault, None, Final::Failed, out);
+        self.answer_error(id, &error, None, Final::Failed, out);
     }
 
     /// A client that waits for a whole answer gives up now.
     pub(crate) fn whole_late(&mut self, id: RequestId, out: &mut Vec<Output>) {
         let Some(call) = self.calls.get(&id).filter(|c| !c.over) else { return };
         let conn = call.begun.and_then(|a| call.attempts[a].conn);
-        let fault =
-            Fault::new(ErrorKind::Timeout, "the answer was not whole in the time that this request has");
+        let error =
+            ApiError::new(ErrorKind::Timeout, "the answer was not whole in the time that this request has");
         let generation = call.generation;
-        self.answer_fault(id, &fault, None, Final::Failed, out);
+        self.answer_error(id, &error, None, Final::Failed, out);
         // To the module its client is as good as gone: no attempt follows, and what is held is let go of.
         self.tell(generation, Event::ClientDisconnected(id));
         if let Some(conn) = conn {
@@ -492,8 +497,8 @@
     pub(crate) fn stop_by(&mut self, out: &mut Vec<Output>) {
         let open: Vec<RequestId> = self.calls.values().filter(|c| !c.over).map(|c| c.id).collect();
         for id in open {
-            let fault = Fault::new(ErrorKind::Api, "this router has stopped");
-            self.answer_fault(id, &fault, None, Final::Failed, out);
+            let error = ApiError::new(ErrorKind::Api, "this router has stopped");
+            self.answer_error(id, &error, None, Final::Failed, out);
             let Some(call) = self.calls.get(&id) else { continue };
             let (generation, conn) = (call.generation, call.begun.and_then(|a| call.attempts[a].conn));
             // For the module the client is as good as gone: it cancels and lets go.
--- a/crates/gateway/src/translate.rs
+++ b/crates/gateway/src/translate.rs
@@ -1,12 +1,12 @@
 //! From an engine's chunks to a message: keeps block boundaries, tool calls in parts, usage and the stop reason.
 
 use slipreel_protocol::engine::{self, Chunk};
-use slipreel_protocol::messages::{Answer, Fault, Usage};
+use slipreel_protocol::messages::{AnswerBuilder, ApiError, Usage};
 
 /// Writes one message from chunks.
 pub(crate) struct Writer {
     name: (String, String, bool),
-    answer: Answer,
+    answer: AnswerBuilder,
     usage: Usage,
     /// Chunks with output: the count of tokens where the engine tells none.
     counted: u64,
@@ -18,7 +18,7 @@
 impl Writer {
     pub(crate) fn new(id: String, model: String, stream: bool) -> Self {
         let name = (id.clone(), model.clone(), stream);
-        let answer = Answer::new(id, model, stream);
+        let answer = AnswerBuilder::new(id, model, stream);
         Writer { name, answer, usage: Usage::default(), counted: 0, told: false, finish: None, tool: None }
     }
 
@@ -94,8 +94,8 @@
     }
 
     /// Writes an `error` event.
-    pub(crate) fn error(&self, fault: &Fault, request_id: &str, out: &mut Vec<u8>) {
-        self.answer.error(fault, request_id, out);
+    pub(crate) fn error(&self, error: &ApiError, request_id: &str, out: &mut Vec<u8>) {
+        self.answer.error(error, request_id, out);
     }
 
     /// What was used so far.
--- a/crates/protocol/src/messages.rs
+++ b/crates/protocol/src/messages.rs
@@ -5,7 +5,7 @@
 mod error;
 mod request;
 
-pub use answer::{Answer, Usage};
+pub use answer::{AnswerBuilder, Usage};
 pub use chat::text_of;
-pub use error::{ErrorKind, Fault};
-pub use request::Ask;
+pub use error::{ApiError, ErrorKind};
+pub use request::MessagesRequest;
--- a/crates/protocol/src/messages/answer.rs
+++ b/crates/protocol/src/messages/answer.rs
@@ -1,6 +1,6 @@
 //! Answers of the Messages API: a stream of events, or one body.
 
-use super::error::Fault;
+use super::error::ApiError;
 use crate::sse;
 use serde::Serialize;
 use serde_json::{json, Value};
@@ -44,7 +44,7 @@
 }
 
 /// Builds one answer: as a stream of events, or whole. The order of events is kept whatever it is given.
-pub struct Answer {
+pub struct AnswerBuilder {
     id: String,
     model: String,
     stream: bool,
@@ -71,10 +71,18 @@
     InputJsonDelta { partial_json: &'a str },
 }
 
-impl Answer {
+impl AnswerBuilder {
     /// An answer that has not begun. A streamed one holds nothing; a whole one holds its text.
     pub fn new(id: String, model: String, stream: bool) -> Self {
-        Answer { id, model, stream, blocks: Vec::new(), block_count: 0, open_block: None, started: false }
+        AnswerBuilder {
+            id,
+            model,
+            stream,
+            blocks: Vec::new(),
+            block_count: 0,
+            open_block: None,
+            started: false,
+        }
     }
 
     fn event(&self, name: &str, data: &impl Serialize, out: &mut Vec<u8>) {
@@ -187,9 +195,9 @@
     }
 
     /// A failure after the beginning of a stream.
-    pub fn error(&self, fault: &Fault, request_id: &str, out: &mut Vec<u8>) {
+    pub fn error(&self, error: &ApiError, request_id: &str, out: &mut Vec<u8>) {
         if self.stream {
-            sse::write("error", &fault.body(request_id), out);
+            sse::write("error", &error.body(request_id), out);
         }
     }
 }
--- a/crates/protocol/src/messages/chat.rs
+++ b/crates/protocol/src/messages/chat.rs
@@ -1,18 +1,18 @@
 //! A request of the Messages API as chat completions of the open engine.
 
-use super::error::{invalid, Fault};
-use super::request::Ask;
+use super::error::{invalid, ApiError};
+use super::request::MessagesRequest;
 use serde_json::{json, Map, Value};
 
 /// Fields that go to the engine as they came.
 const FORWARDED: [&str; 3] = ["temperature", "top_p", "top_k"];
 
-impl Ask {
+impl MessagesRequest {
     /// The request as chat completions of the open engine: the body without what a stage adds.
     ///
     /// # Errors
     /// A content block that has no counterpart there.
-    pub fn to_chat(&self) -> Result<Map<String, Value>, Fault> {
+    pub fn to_chat(&self) -> Result<Map<String, Value>, ApiError> {
         let mut messages = Vec::new();
         if let Some(system) = &self.system {
             messages.push(json!({"role": "system", "content": text_of(system)}));
@@ -73,7 +73,7 @@
 }
 
 /// Adds the chat messages of one message: results of tools are messages of their own.
-fn add_chat_messages(at: usize, message: &Value, chat: &mut Vec<Value>) -> Result<(), Fault> {
+fn add_chat_messages(at: usize, message: &Value, chat: &mut Vec<Value>) -> Result<(), ApiError> {
     let role = &message["role"];
     let Some(Value::Array(blocks)) = message.get("content") else {
         chat.push(json!({"role": role, "content": message["content"]}));
--- a/crates/protocol/src/messages/error.rs
+++ b/crates/protocol/src/messages/error.rs
@@ -78,17 +78,17 @@
 
 /// An error as the API words it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fault {
+pub struct ApiError {
     /// Its type.
     pub kind: ErrorKind,
     /// Names the place, the value and what was expected.
     pub message: String,
 }
 
-impl Fault {
-    /// A fault of this kind.
+impl ApiError {
+    /// An error of this kind.
     pub fn new(kind: ErrorKind, message: impl Into<String>) -> Self {
-        Fault { kind, message: message.into() }
+        ApiError { kind, message: message.into() }
     }
 
     /// The body of the answer, and the data of an `error` event.
@@ -99,6 +99,6 @@
 }
 
 /// The error of a request that can't be taken.
-pub(super) fn invalid<T>(message: impl Into<String>) -> Result<T, Fault> {
-    Err(Fault::new(ErrorKind::InvalidRequest, message))
+pub(super) fn invalid<T>(message: impl Into<String>) -> Result<T, ApiError> {
+    Err(ApiError::new(ErrorKind::InvalidRequest, message))
 }
--- a/crates/protocol/src/messages/request.rs
+++ b/crates/protocol/src/messages/request.rs
@@ -1,11 +1,11 @@
 //! Requests of the Messages API, parsed and checked.
 
-use super::error::{invalid, Fault};
+use super::error::{invalid, ApiError};
 use serde_json::{Map, Value};
 
 /// A `POST /v1/messages`, checked.
 #[derive(Clone, Debug)]
-pub struct Ask {
+pub struct MessagesRequest {
     /// The model asked for.
     pub model: String,
     /// The most tokens of the answer; 0 in a count.
@@ -35,12 +35,12 @@
 
 type Fields = Map<String, Value>;
 
-impl Ask {
+impl MessagesRequest {
     /// Parses and checks a body. `counting`: for `count_tokens`, where `max_tokens` is not needed.
     ///
     /// # Errors
-    /// A fault that names the field, as the API does.
-    pub fn parse(body: &[u8], counting: bool) -> Result<Self, Fault> {
+    /// An error that names the field, as the API does.
+    pub fn parse(body: &[u8], counting: bool) -> Result<Self, ApiError> {
         let value: Value =
             serde_json::from_slice(body).or_else(|why| invalid(format!("body: not JSON: {why}")))?;
         let Value::Object(mut rest) = value else { return invalid("body: expected an object") };
@@ -57,11 +57,11 @@
         let metadata = rest.get("metadata");
         let user = metadata.and_then(|metadata| metadata.get("user_id")).and_then(Value::as_str);
         let user = user.map(str::to_owned);
-        Ok(Ask { model, max_tokens, stream, user, system, tools, messages, stop, rest })
+        Ok(MessagesRequest { model, max_tokens, stream, user, system, tools, messages, stop, rest })
     }
 }
 
-fn take_model(fields: &mut Fields) -> Result<String, Fault> {
+fn take_model(fields: &mut Fields) -> Result<String, ApiError> {
     match fields.remove("model") {
         Some(Value::String(model)) if !model.is_empty() && model.len() <= MAX_MODEL_NAME => Ok(model),
         Some(_) => invalid("model: expected a name of 1 to 256 bytes"),
@@ -69,7 +69,7 @@
     }
 }
 
-fn take_max_tokens(fields: &mut Fields, counting: bool) -> Result<u32, Fault> {
+fn take_max_tokens(fields: &mut Fields, counting: bool) -> Result<u32, ApiError> {
     let value = match fields.remove("max_tokens") {
         None if counting => return Ok(0),
         None => return invalid("max_tokens: Field required"),
@@ -81,7 +81,7 @@
     }
 }
 
-fn take_messages(fields: &mut Fields) -> Result<Vec<Value>, Fault> {
+fn take_messages(fields: &mut Fields) -> Result<Vec<Value>, ApiError> {
     let messages = match fields.remove("messages") {
         Some(Value::Array(messages)) if !messages.is_empty() && messages.len() <= MAX_MESSAGES => messages,
         Some(_) => return invalid("messages: expected a list of 1 to 100000 messages"),
@@ -93,7 +93,7 @@
     Ok(messages)
 }
 
-fn take_stream(fields: &mut Fields) -> Result<bool, Fault> {
+fn take_stream(fields: &mut Fields) -> Result<bool, ApiError> {
     match fields.remove("stream") {
         None | Some(Value::Null) => Ok(false),
         Some(Value::Bool(stream)) => Ok(stream),
@@ -101,7 +101,7 @@
     }
 }
 
-fn take_system(fields: &mut Fields) -> Result<Option<Value>, Fault> {
+fn take_system(fields: &mut Fields) -> Result<Option<Value>, ApiError> {
     let system = fields.remove("system").filter(|system| !system.is_null());
     match &system {
         None | Some(Value::String(_)) => {}
@@ -115,7 +115,7 @@
     Ok(system)
 }
 
-fn take_tools(fields: &mut Fields) -> Result<Option<Value>, Fault> {
+fn take_tools(fields: &mut Fields) -> Result<Option<Value>, ApiError> {
     let tools = fields.remove("tools").filter(|tools| !tools.is_null());
     let has_name = |tool: &Value| tool.get("name").is_some_and(Value::is_string);
     let are_named = |tools: &Value| tools.as_array().is_some_and(|tools| tools.iter().all(has_name));
@@ -125,7 +125,7 @@
     Ok(tools)
 }
 
-fn take_stop_sequences(fields: &mut Fields) -> Result<Vec<String>, Fault> {
+fn take_stop_sequences(fields: &mut Fields) -> Result<Vec<String>, ApiError> {
     match fields.remove("stop_sequences") {
         None | Some(Value::Null) => Ok(Vec::new()),
         Some(Value::Array(list)) if list.len() <= MAX_STOP_SEQUENCES => {
@@ -135,7 +135,7 @@
     }
 }
 
-fn stop_sequence(value: Value) -> Result<String, Fault> {
+fn stop_sequence(value: Value) -> Result<String, ApiError> {
     match value {
         Value::String(text) if !text.trim().is_empty() => Ok(text),
         _ => invalid("stop_sequences: expected texts that are not blank"),
@@ -143,7 +143,7 @@
 }
 
 /// Checks that a field, if there is one, is a number from 0 to `most`.
-fn check_number(fields: &Fields, name: &str, most: f64) -> Result<(), Fault> {
+fn check_number(fields: &Fields, name: &str, most: f64) -> Result<(), ApiError> {
     let Some(value) = fields.get(name).filter(|value| !value.is_null()) else { return Ok(()) };
     if value.as_f64().is_some_and(|number| (0.0..=most).contains(&number)) {
         Ok(())
@@ -152,7 +152,7 @@
     }
 }
 
-fn check_message(at: usize, message: &Value) -> Result<(), Fault> {
+fn check_message(at: usize, message: &Value) -> Result<(), ApiError> {
     let place = format!("messages.{at}");
     match message.get("role").and_then(Value::as_str) {
         Some("user" | "assistant") => {}
@@ -168,7 +168,7 @@
     }
 }
 
-fn check_block(place: &str, block: &Value) -> Result<(), Fault> {
+fn check_block(place: &str, block: &Value) -> Result<(), ApiError> {
     match block.get("type").and_then(Value::as_str) {
         Some("text") if !block.get("text").is_some_and(Value::is_string) => {
             invalid(format!("{place}.text: Field required"))
--- a/crates/protocol/tests/codecs.rs
+++ b/crates/protocol/tests/codecs.rs
@@ -2,7 +2,7 @@
 
 use proptest::prelude::*;
 use serde_json::{json, Value};
-use slipreel_protocol::messages::{Answer, Ask, ErrorKind, Fault, Usage};
+use slipreel_protocol::messages::{AnswerBuilder, ApiError, ErrorKind, MessagesRequest, Usage};
 use slipreel_protocol::{endpoints, engine, sse};
 
 fn events(bytes: &[u8], cut: usize) -> Vec<sse::Event> {
@@ -35,7 +35,7 @@
 }
 
 fn fault(body: &str) -> String {
-    let fault = Ask::parse(body.as_bytes(), false).expect_err(body);
+    let fault = MessagesRequest::parse(body.as_bytes(), false).expect_err(body);
     assert_eq!(fault.kind, ErrorKind::InvalidRequest);
     fault.message
 }
@@ -43,7 +43,7 @@
 #[test]
 fn faults_name_the_place() {
     let ok = r#"{"model":"m","max_tokens":5,"messages":[{"role":"user","content":"x"}]}"#;
-    assert!(Ask::parse(ok.as_bytes(), false).is_ok());
+    assert!(MessagesRequest::parse(ok.as_bytes(), false).is_ok());
     let bad = |from: &str, to: &str| fault(&ok.replace(from, to));
     assert!(bad("\"m\"", "3").starts_with("model:"));
     assert!(bad("5", "0").starts_with("max_tokens: 0"));
@@ -69,7 +69,7 @@
         {"role": "assistant", "content": [{"type": "tool_use", "id": "t1", "name": "f", "input": {"a": 1}}]},
         {"role": "user", "content": [{"type": "tool_result", "tool_use_id": "t1", "content": "42"}]},
     ]});
-    let ask = Ask::parse(body.to_string().as_bytes(), false).expect("a good request");
+    let ask = MessagesRequest::parse(body.to_string().as_bytes(), false).expect("a good request");
     let chat = Value::Object(ask.to_chat().expect("a chat"));
     assert_eq!(chat["messages"][0], json!({"role": "system", "content": "be short"}));
     assert_eq!(chat["messages"][1]["content"][1]["image_url"]["url"], "data:image/png;base64,AA==");
@@ -84,7 +84,7 @@
 
 #[test]
 fn an_answer_keeps_the_order_of_events() {
-    let mut answer = Answer::new("msg_1".into(), "m".into(), true);
+    let mut answer = AnswerBuilder::new("msg_1".into(), "m".into(), true);
     let mut out = Vec::new();
     answer.start(Usage::default(), &mut out);
     answer.text("a", &mut out);
@@ -107,7 +107,7 @@
 
 #[test]
 fn a_whole_answer_holds_the_same() {
-    let mut answer = Answer::new("msg_1".into(), "m".into(), false);
+    let mut answer = AnswerBuilder::new("msg_1".into(), "m".into(), false);
     let mut out = Vec::new();
     answer.text("a", &mut out);
     answer.text("b", &mut out);
@@ -119,7 +119,7 @@
     assert_eq!(whole["content"][0], json!({"type": "text", "text": "ab"}));
     assert_eq!(whole["content"][1], json!({"type": "tool_use", "id": "t", "name": "f", "input": {"x": 1}}));
     let error: Value =
-        serde_json::from_str(&Fault::new(ErrorKind::Overloaded, "no").body("req_1")).expect("JSON");
+        serde_json::from_str(&ApiError::new(ErrorKind::Overloaded, "no").body("req_1")).expect("JSON");
     assert_eq!(
         (&error["error"]["type"], &error["request_id"]),
         (&json!("overloaded_error"), &json!("req_1"))
@@ -164,7 +164,7 @@
 proptest! {
     #[test]
     fn no_body_makes_it_panic(body in ".{0,120}", counting: bool) {
-        let _ = Ask::parse(body.as_bytes(), counting);
+        let _ = MessagesRequest::parse(body.as_bytes(), counting);
         let _ = engine::read_answer(body.as_bytes());
         let _ = engine::metrics(&body);
         let _ = engine::orca(&body);
