--- a/crates/cli/src/demo.rs
+++ b/crates/cli/src/demo.rs
@@ -154,14 +154,14 @@
         std::thread::sleep(Duration::from_millis(20));
     }
     let (tallies, leaks) = fleet.stop();
-    let sum = |f: fn(&slipreel_gateway::Tally) -> u64| tallies.iter().map(f).sum::<u64>();
+    let sum = |f: fn(&slipreel_gateway::Counters) -> u64| tallies.iter().map(f).sum::<u64>();
     eprintln!(
         "stopped: taken {}, served {}, refused {}, failed {}, left {}; still held {leaks}",
-        sum(|t| t.taken),
-        sum(|t| t.served),
-        sum(|t| t.refused),
+        sum(|t| t.admitted),
+        sum(|t| t.completed),
+        sum(|t| t.rejected),
         sum(|t| t.failed),
-        sum(|t| t.left)
+        sum(|t| t.disconnected)
     );
     if leaks == 0 {
         Ok(())
--- a/crates/cli/src/member.rs
+++ b/crates/cli/src/member.rs
@@ -8,7 +8,7 @@
     PolicyHandle, Startup,
 };
 use slipreel_event_loop::{Clock, Command, Handle, Loop, NodeId};
-use slipreel_gateway::{Front, Sharing};
+use slipreel_gateway::{Gateway, RouterCount};
 use slipreel_membership::{Membership, MembershipSettings, Peers, SavedState, SharedView};
 use slipreel_settings::{changes, join, policy_of, Daemon, FleetSite};
 use std::io::Write;
@@ -203,7 +203,7 @@
             name: daemon.site.name.clone(),
             address: site.listen,
             routers: daemon.threads as u32,
-            min_routers: daemon.site.settings.router_count,
+            min_routers: daemon.site.decisions.router_count,
             max_datagram: site.datagram,
         };
         let board = Arc::new(SharedView::default());
@@ -226,7 +226,7 @@
             peers,
             written: Instant::now(),
             failing: false,
-            routers: daemon.site.settings.router_count,
+            routers: daemon.site.decisions.router_count,
             board,
             handle,
             policy,
@@ -244,11 +244,11 @@
     }
 
     /// Hands the view to the routers of this process.
-    pub(crate) fn introduce(&self, handles: &[Handle<Front>]) {
+    pub(crate) fn introduce(&self, handles: &[Handle<Gateway>]) {
         let board: Arc<Arc<SharedView>> = Arc::new(self.board.clone());
         handles.iter().for_each(|h| {
             h.tell(Command::News(NodeId(0), board.clone()));
-            h.tell(Command::News(NodeId(0), Arc::new(Sharing(self.board.view().router_count))));
+            h.tell(Command::News(NodeId(0), Arc::new(RouterCount(self.board.view().router_count))));
             if let Some(policy) = &self.policy {
                 let handle: Arc<Arc<PolicyHandle>> = Arc::new(policy.handle.clone());
                 h.tell(Command::News(NodeId(0), handle));
@@ -279,7 +279,7 @@
     }
 
     /// Looks at what has changed: the view, what is to be kept, the book.
-    pub(crate) fn look(&mut self, handles: &[Handle<Front>]) {
+    pub(crate) fn look(&mut self, handles: &[Handle<Gateway>]) {
         if let Some(policy) = &mut self.policy {
             policy.look();
         }
@@ -287,7 +287,7 @@
         if routers != std::mem::replace(&mut self.routers, routers) {
             tracing::info!(routers, "the fleet counts another number of routers");
             handles.iter().for_each(|h| {
-                h.tell(Command::News(NodeId(0), Arc::new(Sharing(routers))));
+                h.tell(Command::News(NodeId(0), Arc::new(RouterCount(routers))));
             });
         }
         let kept = self.board.saved_state();
--- a/crates/cli/src/roles.rs
+++ b/crates/cli/src/roles.rs
@@ -7,7 +7,7 @@
 use slipreel::{CellId, EngineState, ZoneId};
 use slipreel_event_loop::{Clock, Command, Handle, Loop, NodeId};
 use slipreel_gateway::engine_id;
-use slipreel_gateway::site::EngineSite;
+use slipreel_gateway::settings::EngineSettings;
 use slipreel_roles::{EngineView, Freeze, Phase, RoleController, Watched};
 use slipreel_settings::{engines_from_slices, engines_to_slices, parse_roles, Daemon, RolesSite};
 use slipreel_state_machine::{Input, Machine, Output};
@@ -125,13 +125,13 @@
 }
 
 /// The engines as a conductor takes them, cells and zones by number.
-fn watched(engines: &[EngineSite]) -> Vec<Watched> {
+fn watched(engines: &[EngineSettings]) -> Vec<Watched> {
     let (mut cells, mut zones) = (BTreeMap::new(), BTreeMap::new());
     let number = |names: &mut BTreeMap<String, u32>, name: &str| {
         let next = names.len() as u32;
         *names.entry(name.to_owned()).or_insert(next)
     };
-    let mut one = |e: &EngineSite| Watched {
+    let mut one = |e: &EngineSettings| Watched {
         id: engine_id(e.addr),
         addr: e.addr,
         cell: CellId(number(&mut cells, &e.cell)),
@@ -149,7 +149,8 @@
 
 impl AtWork {
     fn start(
-        roles: &RolesSite, engines: &[EngineSite], dry: bool, log: impl FnMut(NodeId, &str) + Send + 'static,
+        roles: &RolesSite, engines: &[EngineSettings], dry: bool,
+        log: impl FnMut(NodeId, &str) + Send + 'static,
     ) -> Result<AtWork, Failure> {
         let run = |e: std::io::Error| Failure::Run(e.to_string());
         let clock = Clock::start();
@@ -183,7 +184,7 @@
     }
 }
 
-fn status(roles: &RolesSite, engines: &[EngineSite]) -> Outcome {
+fn status(roles: &RolesSite, engines: &[EngineSettings]) -> Outcome {
     let work = AtWork::start(roles, engines, true, |_, _| {})?;
     std::thread::sleep(ROUND);
     let seen = work.seen();
@@ -220,7 +221,7 @@
     }
 }
 
-fn plan(roles: &RolesSite, engines: &[EngineSite], time: Duration) -> Outcome {
+fn plan(roles: &RolesSite, engines: &[EngineSettings], time: Duration) -> Outcome {
     let signals = Signals::watch()?;
     println!("watching {} engines and {} routers; nothing is ordered", engines.len(), roles.routers.len());
     let began = std::time::Instant::now();
@@ -242,7 +243,7 @@
     }
 }
 
-fn apply(daemon: &Daemon, roles: &RolesSite, mut engines: Vec<EngineSite>) -> Outcome {
+fn apply(daemon: &Daemon, roles: &RolesSite, mut engines: Vec<EngineSettings>) -> Outcome {
     logs::start(daemon.log_format, &daemon.log_level);
     let signals = Signals::watch()?;
     let work = AtWork::start(roles, &engines, false, |_, line| tracing::info!("{line}"))?;
@@ -284,7 +285,7 @@
 }
 
 /// Takes over what engines tell of their roles. Whether the list has changed. Who does not answer stays as it was.
-fn follow_roles(engines: &mut [EngineSite], seen: &[EngineView]) -> bool {
+fn follow_roles(engines: &mut [EngineSettings], seen: &[EngineView]) -> bool {
     let mut changed = false;
     for e in engines.iter_mut() {
         let Some(s) = seen.iter().find(|s| s.id == engine_id(e.addr)) else { continue };
--- a/crates/cli/src/roles/tests.rs
+++ b/crates/cli/src/roles/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-fn engine(port: u16) -> EngineSite {
-    EngineSite {
+fn engine(port: u16) -> EngineSettings {
+    EngineSettings {
         name: port.to_string(),
         addr: ([127, 0, 0, 1], port).into(),
         role: slipreel::Role::Prefill,
--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -5,8 +5,8 @@
 use crate::signals::Signals;
 use crate::{logs, read_settings, Failure, Outcome};
 use slipreel_event_loop::{Clock, Command, Handle, Loop, NodeId};
-use slipreel_gateway::site::EngineSite;
-use slipreel_gateway::Front;
+use slipreel_gateway::settings::EngineSettings;
+use slipreel_gateway::Gateway;
 use slipreel_settings::{engines_from_slices, Daemon};
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
@@ -24,7 +24,7 @@
 
 impl Watched {
     /// The engines, if the file has changed and can be read.
-    fn look(&mut self) -> Option<Vec<EngineSite>> {
+    fn look(&mut self) -> Option<Vec<EngineSettings>> {
         let text = std::fs::read_to_string(&self.file).ok().filter(|t| *t != self.last)?;
         self.last = text;
         match engines_from_slices(&self.last) {
@@ -98,11 +98,11 @@
     for thread in threads {
         let tally = thread.join().map_err(|_| Failure::Run("a router's thread ended by a panic".into()))?;
         tracing::info!(
-            taken = tally.taken,
-            served = tally.served,
-            refused = tally.refused,
+            taken = tally.admitted,
+            served = tally.completed,
+            refused = tally.rejected,
             failed = tally.failed,
-            left = tally.left,
+            left = tally.disconnected,
             "stopped"
         );
     }
@@ -112,7 +112,7 @@
     Ok(())
 }
 
-type Threads = (Vec<Handle<Front>>, Vec<JoinHandle<slipreel_gateway::Tally>>);
+type Threads = (Vec<Handle<Gateway>>, Vec<JoinHandle<slipreel_gateway::Counters>>);
 
 fn start(daemon: &Daemon, clock: Clock) -> Result<Threads, Failure> {
     let run = |e: std::io::Error| Failure::Run(e.to_string());
@@ -125,7 +125,7 @@
         }
         let mut looped = Loop::new(clock).map_err(run)?;
         looped.on_log(move |_, line| tracing::info!(router = n, "{line}"));
-        let node = looped.add(Front::new(Arc::new(site), random_seed(), clock.now(), wall));
+        let node = looped.add(Gateway::new(Arc::new(site), random_seed(), clock.now(), wall));
         looped.listen(node, daemon.listen).map_err(|e| Failure::Run(e.to_string()))?;
         if let Some(first) = daemon.operators {
             let own = std::net::SocketAddr::new(first.ip(), first.port() + n as u16);
@@ -136,7 +136,7 @@
             if let Err(why) = looped.run() {
                 tracing::error!(%why, "the event loop failed");
             }
-            looped.machine(node).tally()
+            looped.machine(node).counters()
         });
         threads.push(thread.map_err(run)?);
     }
@@ -144,7 +144,7 @@
 }
 
 /// Reads the settings again. A bad file changes nothing; what needs a restart is named.
-fn reload(config: &Path, daemon: &mut Daemon, handles: &[Handle<Front>], member: Option<&mut Member>) {
+fn reload(config: &Path, daemon: &mut Daemon, handles: &[Handle<Gateway>], member: Option<&mut Member>) {
     let mut new = match read_settings(config) {
         Ok(new) => new,
         Err(Failure::Input(why) | Failure::Run(why)) => {
--- a/crates/emulator/src/play.rs
+++ b/crates/emulator/src/play.rs
@@ -155,7 +155,7 @@
         }
         let host = |r: usize| {
             let site = day.router_site(r, &[]);
-            let mut settings = site.settings;
+            let mut settings = site.decisions;
             settings.zone = ZoneId(zones.iter().position(|z| *z == site.zone).unwrap_or(0) as u32);
             let seed = day.seed.wrapping_mul(0x9e37_79b9).wrapping_add(r as u64 + 1000);
             Host {
@@ -350,7 +350,7 @@
     fn change(&mut self, how: Change) {
         for router in 0..self.hosts.len() {
             let site = self.day.router_site(router, &[]);
-            let mut settings = site.settings;
+            let mut settings = site.decisions;
             settings.zone = self.zone_of(&site.zone);
             let seed = self.day.seed.wrapping_mul(0x51ed_270b).wrapping_add(router as u64);
             let (now, last) = (self.now, self.next);
@@ -602,7 +602,7 @@
                     None => (!first).then_some(now),
                 };
                 self.hosts[router].starts.insert(n, (role, started));
-                let kind = self.day.site.settings.kind_roles.iter().position(|k| *k == role).unwrap_or(0);
+                let kind = self.day.site.decisions.kind_roles.iter().position(|k| *k == role).unwrap_or(0);
                 let state = if e.role.takes_work() { EngineState::Ready } else { EngineState::Draining };
                 let (zone, cell) = self.places[n];
                 entries.push(slipreel::Engine {
--- a/crates/fault-injection/src/memory.rs
+++ b/crates/fault-injection/src/memory.rs
@@ -16,7 +16,7 @@
     CompiledPolicy, Consensus, InvalidPolicy, Member, MembershipDirectory, PartitionMode, Permit,
     PolicyHandle, ProposalStatus, Startup,
 };
-use slipreel_gateway::{Front, Sharing};
+use slipreel_gateway::{Gateway, RouterCount};
 use slipreel_invariants::policy::Said;
 use slipreel_membership::{Membership, MembershipSettings, Peers, SavedState, SharedView};
 use slipreel_state_machine::{Input, Machine, Output};
@@ -40,7 +40,7 @@
 enum Node {
     Idle,
     Fleet(Box<Member>, Option<Bend>),
-    Front(Box<Front>, Option<Bend>),
+    Front(Box<Gateway>, Option<Bend>),
     Engine(Box<Engine>),
     Clients(Box<Clients>),
     Wire(Box<Wire>),
@@ -256,7 +256,7 @@
             if routers != router.routers {
                 router.routers = routers;
                 let front = router.front;
-                self.world.news(front, &Sharing(routers));
+                self.world.news(front, &RouterCount(routers));
             }
         }
     }
@@ -298,9 +298,9 @@
         {
             site = daemon.site;
         }
-        site.settings.router_count = self.script.floor;
+        site.decisions.router_count = self.script.floor;
         site.name = format!("r{r}");
-        let front = Front::new(Arc::new(site), self.rng.next_u64(), now, WALL + now);
+        let front = Gateway::new(Arc::new(site), self.rng.next_u64(), now, WALL + now);
         let router = &mut self.routers[r];
         (router.board, router.up, router.routers) = (board.clone(), true, board.view().router_count);
         if !router.folder_gone {
@@ -314,7 +314,7 @@
             self.world.revive(at, node);
         }
         self.world.news(front_at, &board);
-        self.world.news(front_at, &Sharing(routers));
+        self.world.news(front_at, &RouterCount(routers));
         if self.script.founders > 0 {
             let policy = self.routers[r].policy.clone();
             self.world.news(front_at, &policy);
--- a/crates/gateway/benches/front.rs
+++ b/crates/gateway/benches/gateway.rs
@@ -2,10 +2,10 @@
 //! against a heap, and the module's part of it. No sockets: the system's part is not in these figures.
 
 use slipreel_connections::TimerWheel;
-use slipreel_gateway::site::{
-    starting_class, starting_settings, Bounds, ClassSite, EngineSite, ModelSite, KINDS,
+use slipreel_gateway::settings::{
+    starting_class, starting_settings, Bounds, ClassSettings, EngineSettings, ModelSettings, KINDS,
 };
-use slipreel_gateway::{Front, Site};
+use slipreel_gateway::{Gateway, GatewaySettings};
 use slipreel_protocol::http::chunk;
 use slipreel_state_machine::{ConnId, Input, ListenerId, Machine, Output};
 use std::cmp::Reverse;
@@ -15,7 +15,7 @@
 
 const CLIENTS: ListenerId = ListenerId(0);
 
-fn site() -> Site {
+fn settings() -> GatewaySettings {
     let start = starting_class();
     let class = slipreel::Class {
         latency_objective: start.aim,
@@ -24,7 +24,7 @@
         idempotency: slipreel::Idempotency::Idempotent,
         streams: true,
     };
-    let engine = |port: u16, role| EngineSite {
+    let engine = |port: u16, role| EngineSettings {
         name: format!("e{port}"),
         addr: ([127, 0, 0, 1], port).into(),
         role,
@@ -33,10 +33,10 @@
         state: slipreel::EngineState::Ready,
     };
     let roles = [slipreel::Role::Prefill, slipreel::Role::Decode];
-    Site {
-        settings: slipreel::Settings { classes: vec![class], ..starting_settings() },
-        classes: vec![ClassSite { name: "chat".into(), patience: start.patience }],
-        models: vec![ModelSite { name: "m".into(), class: 0, served_as: "m".into() }],
+    GatewaySettings {
+        decisions: slipreel::Settings { classes: vec![class], ..starting_settings() },
+        classes: vec![ClassSettings { name: "chat".into(), patience: start.patience }],
+        models: vec![ModelSettings { name: "m".into(), class: 0, served_as: "m".into() }],
         tenants: Vec::new(),
         engines: (0..8u16).map(|n| engine(n + 1, roles[usize::from(n) % 2])).collect(),
         bounds: Bounds { requests: 1 << 20, connections: 1 << 20, per_engine: 1 << 20, ..Bounds::default() },
@@ -48,7 +48,7 @@
 }
 
 struct Host {
-    front: Front,
+    gateway: Gateway,
     now: Duration,
     out: Vec<Output>,
     read: Vec<u8>,
@@ -92,7 +92,7 @@
             body.len()
         );
         Host {
-            front: Front::new(Arc::new(site()), 5, now, now),
+            gateway: Gateway::new(Arc::new(settings()), 5, now, now),
             now,
             out: Vec::new(),
             read: read.into_bytes(),
@@ -100,7 +100,7 @@
     }
 
     fn tell(&mut self, input: Input<'_>) {
-        self.front.handle(self.now, input, &mut self.out);
+        self.gateway.handle(self.now, input, &mut self.out);
     }
 
     /// Asks and plays the engines until the answer has begun; gives the writer's connection.
@@ -131,7 +131,7 @@
                 return writer;
             }
         }
-        panic!("the answer did not begin: {:?}", self.front.tally())
+        panic!("the answer did not begin: {:?}", self.gateway.counters())
     }
 
     fn drain(&mut self) {
@@ -162,7 +162,7 @@
         "a request with read, write and 4 events: {:.1} us, {:.0} a second; served {}",
         each.as_secs_f64() * 1e6,
         1.0 / each.as_secs_f64(),
-        host.front.tally().served
+        host.gateway.counters().completed
     );
 }
 
@@ -215,15 +215,15 @@
     use slipreel::{
         Action, AttemptEnded, Engine, Event, KindId, Listing, LoadReport, Outcome, Request, RequestId, Router,
     };
-    let site = site();
-    let mut router = Router::new(site.settings.clone(), 5);
+    let settings = settings();
+    let mut router = Router::new(settings.decisions.clone(), 5);
     let (mut now, mut out) = (Duration::from_secs(1 << 20), Vec::new());
-    let entry = |e: &EngineSite| Engine {
+    let entry = |e: &EngineSettings| Engine {
         id: slipreel_gateway::engine_id(e.addr),
         kind: KindId(KINDS.iter().position(|k| *k == e.role).unwrap_or(0)),
         ..Engine::default()
     };
-    let engines = site.engines.iter().map(entry).collect();
+    let engines = settings.engines.iter().map(entry).collect();
     router.handle(now, Event::Engines { listing: Listing::Complete, engines }, &mut out);
     const N: u64 = 20_000;
     let report = LoadReport { queued: Some(0.0), memory_share: Some(0.2), ..LoadReport::default() };
--- a/crates/gateway/src/classify.rs
+++ b/crates/gateway/src/classify.rs
@@ -1,7 +1,7 @@
 //! What the module is told of a request: class, tenant, session, shared beginning, length, time left, repeat.
 //! Each is read from what the client sent; where a client says nothing, the rule is stated beside it.
 
-use crate::site::Site;
+use crate::settings::GatewaySettings;
 use serde_json::Value;
 use slipreel::{ClassId, Idempotency, TenantId};
 use slipreel_protocol::http::Head;
@@ -14,7 +14,7 @@
 /// Tokens that the frame of a message adds. What common chat templates add.
 const TOKENS_PER_MESSAGE: f64 = 4.0;
 /// Longest idempotency key that is passed on, bytes.
-const LONGEST_KEY: usize = 256;
+const MAX_IDEMPOTENCY_KEY: usize = 256;
 
 /// Who asks, as the key tells.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -24,8 +24,8 @@
 }
 
 /// Finds the tenant of `x-api-key`, else of a bearer token.
-pub(crate) fn caller(site: &Site, head: &Head) -> Result<Caller, ApiError> {
-    if site.tenants.is_empty() {
+pub(crate) fn caller(settings: &GatewaySettings, head: &Head) -> Result<Caller, ApiError> {
+    if settings.tenants.is_empty() {
         return Ok(Caller { tenant: TenantId(0), may_choose_class: true });
     }
     let bearer = head
@@ -37,11 +37,11 @@
         return Err(ApiError::new(ErrorKind::Authentication, "x-api-key: expected a key, or a bearer token"));
     };
     let holds = |keys: &[String]| keys.iter().fold(false, |found, k| found | same_key(k, key));
-    let found = site.tenants.iter().position(|t| holds(&t.keys));
+    let found = settings.tenants.iter().position(|t| holds(&t.keys));
     let Some(tenant) = found else {
         return Err(ApiError::new(ErrorKind::Authentication, "invalid x-api-key"));
     };
-    Ok(Caller { tenant: TenantId(tenant), may_choose_class: site.tenants[tenant].may_choose_class })
+    Ok(Caller { tenant: TenantId(tenant), may_choose_class: settings.tenants[tenant].may_choose_class })
 }
 
 /// Compares in a time that does not tell how much of the key was right.
@@ -51,7 +51,7 @@
 
 /// What was found out about one request.
 #[derive(Clone, Debug, PartialEq)]
-pub(crate) struct Traits {
+pub(crate) struct RequestAttributes {
     pub(crate) class: ClassId,
     pub(crate) served_as: String,
     pub(crate) session: u64,
@@ -66,9 +66,9 @@
 
 /// Reads them off a message request.
 pub(crate) fn traits(
-    site: &Site, head: &Head, caller: Caller, request: &MessagesRequest, body_len: usize,
-) -> Result<Traits, ApiError> {
-    let Some(model) = site.models.iter().find(|m| m.name == request.model) else {
+    settings: &GatewaySettings, head: &Head, caller: Caller, request: &MessagesRequest, body_len: usize,
+) -> Result<RequestAttributes, ApiError> {
+    let Some(model) = settings.models.iter().find(|m| m.name == request.model) else {
         return Err(ApiError::new(ErrorKind::NotFound, format!("model: {}", request.model)));
     };
     let class = match head.get("x-slipreel-class") {
@@ -80,28 +80,29 @@
             ));
         }
         Some(name) => {
-            if let Some(class) = site.classes.iter().position(|c| c.name == name) {
+            if let Some(class) = settings.classes.iter().position(|c| c.name == name) {
                 class
             } else {
-                let known: Vec<&str> = site.classes.iter().map(|c| c.name.as_str()).collect();
+                let known: Vec<&str> = settings.classes.iter().map(|c| c.name.as_str()).collect();
                 let text = format!("x-slipreel-class: {name:?}: expected one of {}", known.join(", "));
                 return Err(ApiError::new(ErrorKind::InvalidRequest, text));
             }
         }
     };
-    let keyed = matches!(site.settings.classes[class].idempotency, Idempotency::WithKey { .. });
+    let keyed = matches!(settings.decisions.classes[class].idempotency, Idempotency::WithKey { .. });
     let idempotency_key = head.get("idempotency-key").filter(|_| keyed);
-    if idempotency_key.is_some_and(|k| k.is_empty() || k.len() > LONGEST_KEY) {
+    if idempotency_key.is_some_and(|k| k.is_empty() || k.len() > MAX_IDEMPOTENCY_KEY) {
         return Err(ApiError::new(ErrorKind::InvalidRequest, "idempotency-key: expected 1 to 256 bytes"));
     }
-    let told = told_timeout(head);
-    Ok(Traits {
+    let told = client_timeout(head);
+    Ok(RequestAttributes {
         class: ClassId(class),
         served_as: model.served_as.clone(),
         session: session(head, request),
         shared_prefix: shared_prefix(request),
         prompt_tokens: prompt_tokens(request, body_len),
-        time_left: told.map_or(site.classes[class].patience, |told| told.min(site.classes[class].patience)),
+        time_left: told
+            .map_or(settings.classes[class].patience, |told| told.min(settings.classes[class].patience)),
         told,
         // The public clients count their own retries in this field.
         repeat: head
@@ -147,7 +148,7 @@
 }
 
 /// The client's own time-out. The public clients tell it in seconds.
-fn told_timeout(head: &Head) -> Option<Duration> {
+fn client_timeout(head: &Head) -> Option<Duration> {
     let told = head.get("x-stainless-timeout").and_then(|v| v.parse::<f64>().ok());
     told.filter(|s| s.is_finite() && *s > 0.0).and_then(|s| Duration::try_from_secs_f64(s).ok())
 }
--- a/crates/gateway/src/link.rs
+++ b/crates/gateway/src/engine_connection.rs
@@ -4,8 +4,8 @@
 //! patience for attempts, `probe` for probes, `silent_stream` once an answer has begun), `Idle` (`engine_idle`). An
 //! abort call has `limits::LET_GO_CALL` for both connecting and its answer.
 
-use crate::limits::LONGEST_BODY;
-use crate::verdict::{self, Verdict};
+use crate::engine_error::{self, EngineError};
+use crate::limits::MAX_ENGINE_BODY;
 use serde_json::Value;
 use slipreel::EngineId;
 use slipreel_connections::ReleaseId;
@@ -17,13 +17,13 @@
 
 /// What a connection is used for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Use {
+pub(crate) enum ConnectionPurpose {
     /// An attempt: of which call, which of its attempts, and whether it reads only.
-    Attempt { call: u64, attempt: usize, read: bool },
+    Attempt { request: u64, attempt: usize, is_prefill: bool },
     /// A probe of the engine's load.
     Probe,
     /// An abort call; the number is that of what it says.
-    Abort(ReleaseId),
+    Release(ReleaseId),
 }
 
 /// Where a connection stands.
@@ -36,21 +36,21 @@
 
 /// What the bytes of an exchange said.
 #[derive(Debug)]
-pub(crate) enum Said {
+pub(crate) enum EngineEvent {
     /// The head of an answer came, with a load report if there is one.
-    Report(Load),
+    LoadReport(Load),
     /// The prompt is read.
-    Read { transfer: Value, usage: Usage },
+    Prefilled { transfer: Value, usage: Usage },
     /// A part of a streamed answer.
     Chunk(Chunk),
     /// The stream's end mark.
     Done,
     /// A probe was answered.
-    Load(Load),
-    /// Turned away; it never ran.
-    Full { no_state: bool },
+    Metrics(Load),
+    /// Rejected; it never ran.
+    Rejected { state_missing: bool },
     /// The engine says that the request is wrong: status and message.
-    Wrong(u16, String),
+    InvalidRequest(u16, String),
     /// The engine failed, or what it said can't be read.
     Failed(String),
 }
@@ -64,11 +64,11 @@
 
 /// One connection to an engine.
 #[derive(Debug)]
-pub(crate) struct Link {
+pub(crate) struct EngineConnection {
     pub(crate) conn: ConnId,
     pub(crate) engine: EngineId,
     pub(crate) state: State,
-    pub(crate) used_for: Use,
+    pub(crate) purpose: ConnectionPurpose,
     /// Since when the state lasts; in an answer: when it last said something.
     pub(crate) since: Duration,
     /// Written when the connection stands.
@@ -88,54 +88,54 @@
     pub(crate) opened_for_release: bool,
 }
 
-impl Link {
+impl EngineConnection {
     pub(crate) fn new(
-        conn: ConnId, engine: EngineId, used_for: Use, now: Duration, pending: Vec<u8>,
+        conn: ConnId, engine: EngineId, purpose: ConnectionPurpose, now: Duration, pending: Vec<u8>,
     ) -> Self {
         let limits = Limits { body: u64::MAX, ..Limits::default() };
-        Link {
+        EngineConnection {
             conn,
             engine,
             state: State::Connecting,
-            used_for,
+            purpose,
             since: now,
             pending,
             paused: false,
             load: None,
             decoder: Decoder::new(Side::Client, limits),
-            events: sse::Decoder::new(LONGEST_BODY),
+            events: sse::Decoder::new(MAX_ENGINE_BODY),
             body: Body::None,
             held: Vec::new(),
             is_reused: false,
             reusable: false,
-            opened_for_release: matches!(used_for, Use::Abort(_)),
+            opened_for_release: matches!(purpose, ConnectionPurpose::Release(_)),
         }
     }
 
     /// Starts another exchange on an idle connection.
-    pub(crate) fn reuse(&mut self, used_for: Use, now: Duration) {
-        (self.used_for, self.state, self.since) = (used_for, State::Busy, now);
+    pub(crate) fn reuse(&mut self, purpose: ConnectionPurpose, now: Duration) {
+        (self.purpose, self.state, self.since) = (purpose, State::Busy, now);
         (self.reusable, self.is_reused) = (false, true);
-        (self.events, self.load) = (sse::Decoder::new(LONGEST_BODY), None);
+        (self.events, self.load) = (sse::Decoder::new(MAX_ENGINE_BODY), None);
     }
 
     /// Takes bytes and appends what they say. After `Failed` the connection is of no use.
-    pub(crate) fn feed(&mut self, bytes: &[u8], out: &mut Vec<Said>) {
+    pub(crate) fn feed(&mut self, bytes: &[u8], out: &mut Vec<EngineEvent>) {
         self.decoder.feed(bytes);
         loop {
             match self.decoder.next_item() {
                 Ok(None) => return,
                 Ok(Some(item)) => self.item(item, out),
-                Err(why) => return out.push(Said::Failed(why.to_string())),
+                Err(why) => return out.push(EngineEvent::Failed(why.to_string())),
             }
-            if matches!(out.last(), Some(Said::Failed(_))) {
+            if matches!(out.last(), Some(EngineEvent::Failed(_))) {
                 return;
             }
         }
     }
 
     /// The engine sends no more. Whether that ends the exchange in order.
-    pub(crate) fn eof(&mut self, out: &mut Vec<Said>) -> bool {
+    pub(crate) fn eof(&mut self, out: &mut Vec<EngineEvent>) -> bool {
         match self.decoder.eof() {
             Ok(Some(item)) => {
                 self.item(item, out);
@@ -146,7 +146,7 @@
         }
     }
 
-    fn item(&mut self, item: Item, out: &mut Vec<Said>) {
+    fn item(&mut self, item: Item, out: &mut Vec<EngineEvent>) {
         match item {
             Item::Head(head) => {
                 let Start::Response { status } = head.start else { return };
@@ -155,19 +155,19 @@
                     return;
                 }
                 if let Some(report) = head.get("endpoint-load-metrics") {
-                    out.push(Said::Report(engine::orca(report)));
+                    out.push(EngineEvent::LoadReport(engine::orca(report)));
                 }
                 self.reusable = head.keep_alive;
                 let streams = head.get("content-type").is_some_and(|t| t.starts_with("text/event-stream"));
-                let writes = matches!(self.used_for, Use::Attempt { read: false, .. });
+                let writes = matches!(self.purpose, ConnectionPurpose::Attempt { is_prefill: false, .. });
                 self.body =
                     if status == 200 && writes && streams { Body::Stream } else { Body::Whole(status) };
             }
             Item::Body(piece) if self.body == Body::Stream => self.stream(&piece, out),
             Item::Body(piece) => {
                 self.held.extend_from_slice(&piece);
-                if self.held.len() > LONGEST_BODY {
-                    out.push(Said::Failed(format!("an answer over {LONGEST_BODY} bytes")));
+                if self.held.len() > MAX_ENGINE_BODY {
+                    out.push(EngineEvent::Failed(format!("an answer over {MAX_ENGINE_BODY} bytes")));
                 }
             }
             Item::End => match std::mem::replace(&mut self.body, Body::None) {
@@ -176,44 +176,53 @@
                     out.push(self.whole(status, &body));
                 }
                 Body::Stream if self.events.inside() => {
-                    out.push(Said::Failed("a stream that ends in an event".into()));
+                    out.push(EngineEvent::Failed("a stream that ends in an event".into()));
                 }
-                Body::Stream => out.push(Said::Done),
+                Body::Stream => out.push(EngineEvent::Done),
                 Body::None => {}
             },
         }
     }
 
-    fn stream(&mut self, piece: &[u8], out: &mut Vec<Said>) {
+    fn stream(&mut self, piece: &[u8], out: &mut Vec<EngineEvent>) {
         let mut events = Vec::new();
         if self.events.feed(piece, &mut events).is_err() {
-            return out.push(Said::Failed(format!("an event over {LONGEST_BODY} bytes")));
+            return out.push(EngineEvent::Failed(format!("an event over {MAX_ENGINE_BODY} bytes")));
         }
         for event in events.iter().filter(|e| e.data != "[DONE]") {
             match serde_json::from_str::<Chunk>(&event.data) {
-                Ok(Chunk { error: Some(error), .. }) => return out.push(Said::Failed(error.to_string())),
-                Ok(chunk) => out.push(Said::Chunk(chunk)),
-                Err(why) => return out.push(Said::Failed(format!("an event that is no chunk: {why}"))),
+                Ok(Chunk { error: Some(error), .. }) => {
+                    return out.push(EngineEvent::Failed(error.to_string()))
+                }
+                Ok(chunk) => out.push(EngineEvent::Chunk(chunk)),
+                Err(why) => {
+                    return out.push(EngineEvent::Failed(format!("an event that is no chunk: {why}")))
+                }
             }
         }
     }
 
     /// What a whole answer says.
-    fn whole(&self, status: u16, body: &[u8]) -> Said {
-        match (status, self.used_for) {
-            (200, Use::Attempt { read: true, .. }) => match engine::read_answer(body) {
-                Ok(read) => {
-                    Said::Read { transfer: read.kv_transfer_params, usage: read.usage.unwrap_or_default() }
-                }
-                Err(why) => Said::Failed(why),
+    fn whole(&self, status: u16, body: &[u8]) -> EngineEvent {
+        match (status, self.purpose) {
+            (200, ConnectionPurpose::Attempt { is_prefill: true, .. }) => match engine::read_answer(body) {
+                Ok(read) => EngineEvent::Prefilled {
+                    transfer: read.kv_transfer_params,
+                    usage: read.usage.unwrap_or_default(),
+                },
+                Err(why) => EngineEvent::Failed(why),
             },
-            (200, Use::Probe) => Said::Load(engine::metrics(&String::from_utf8_lossy(body))),
-            (200, Use::Abort(_)) => Said::Done,
-            (200, Use::Attempt { .. }) => Said::Failed("no stream where one was asked for".into()),
-            _ => match verdict::judge(status, body) {
-                Verdict::Full { no_state } => Said::Full { no_state },
-                Verdict::Wrong(message) => Said::Wrong(status, message),
-                Verdict::Failed => Said::Failed(format!("status {status}")),
+            (200, ConnectionPurpose::Probe) => {
+                EngineEvent::Metrics(engine::metrics(&String::from_utf8_lossy(body)))
+            }
+            (200, ConnectionPurpose::Release(_)) => EngineEvent::Done,
+            (200, ConnectionPurpose::Attempt { .. }) => {
+                EngineEvent::Failed("no stream where one was asked for".into())
+            }
+            _ => match engine_error::classify(status, body) {
+                EngineError::Rejected { state_missing } => EngineEvent::Rejected { state_missing },
+                EngineError::InvalidRequest(message) => EngineEvent::InvalidRequest(status, message),
+                EngineError::Failed => EngineEvent::Failed(format!("status {status}")),
             },
         }
     }
--- a/crates/gateway/src/verdict.rs
+++ b/crates/gateway/src/engine_error.rs
@@ -6,22 +6,22 @@
 
 /// What an answer other than success means.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) enum Verdict {
-    /// Turned away; it never ran.
-    Full { no_state: bool },
+pub(crate) enum EngineError {
+    /// Rejected; it never ran.
+    Rejected { state_missing: bool },
     /// The request is wrong, and would be at every engine: its client is told.
-    Wrong(String),
+    InvalidRequest(String),
     /// It failed and may have run.
     Failed,
 }
 
 /// Judges an answer by its status and body.
-pub(crate) fn judge(status: u16, body: &[u8]) -> Verdict {
+pub(crate) fn classify(status: u16, body: &[u8]) -> EngineError {
     match engine::error_type(body) {
-        Some((kind, _)) if kind == engine::FULL => Verdict::Full { no_state: false },
-        Some((kind, _)) if kind == engine::NO_STATE => Verdict::Full { no_state: true },
-        Some((_, message)) if matches!(status, 400 | 413 | 422) => Verdict::Wrong(message),
-        _ => Verdict::Failed,
+        Some((kind, _)) if kind == engine::FULL => EngineError::Rejected { state_missing: false },
+        Some((kind, _)) if kind == engine::NO_STATE => EngineError::Rejected { state_missing: true },
+        Some((_, message)) if matches!(status, 400 | 413 | 422) => EngineError::InvalidRequest(message),
+        _ => EngineError::Failed,
     }
 }
 
--- a/crates/gateway/src/members.rs
+++ b/crates/gateway/src/engine_list.rs
@@ -3,7 +3,7 @@
 //! The list says who is there and who drains; it knows no start times. These come from the engines' metrics, and
 //! the module is told of a restart as a changed entry, which is what makes it take an engine as cold.
 
-use crate::site::{EngineSite, KINDS};
+use crate::settings::{EngineSettings, KINDS};
 use slipreel::{CellId, Engine, EngineId, EngineState, Event, KindId, Listing, Role, ZoneId};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -15,8 +15,8 @@
 
 /// One engine.
 #[derive(Clone, Debug)]
-pub(crate) struct Member {
-    pub(crate) site: EngineSite,
+pub(crate) struct EngineEntry {
+    pub(crate) settings: EngineSettings,
     /// When it last started, on the front's clock; `None`: not told, or long ago.
     started: Option<Duration>,
     /// Whether it ever told its start.
@@ -25,8 +25,8 @@
 
 /// The list of engines.
 #[derive(Debug, Default)]
-pub(crate) struct Members {
-    by_id: BTreeMap<EngineId, Member>,
+pub(crate) struct EngineList {
+    by_id: BTreeMap<EngineId, EngineEntry>,
     zones: Names,
     cells: Names,
 }
@@ -53,38 +53,38 @@
     }
 }
 
-impl Members {
+impl EngineList {
     /// The number of a zone by name.
     pub(crate) fn zone(&mut self, name: &str) -> ZoneId {
         ZoneId(self.zones.number(name))
     }
 
-    pub(crate) fn get(&self, id: EngineId) -> Option<&Member> {
+    pub(crate) fn get(&self, id: EngineId) -> Option<&EngineEntry> {
         self.by_id.get(&id)
     }
 
-    pub(crate) fn iter(&self) -> impl Iterator<Item = (EngineId, &Member)> {
+    pub(crate) fn iter(&self) -> impl Iterator<Item = (EngineId, &EngineEntry)> {
         self.by_id.iter().map(|(&id, m)| (id, m))
     }
 
     /// Takes a complete list. Engines that left stay known until the next list without them, since attempts may
     /// still run there. Gives the event for the module and the engines that take nothing new from now on.
-    pub(crate) fn replace(&mut self, now: Duration, list: &[EngineSite]) -> (Event, Vec<EngineId>) {
+    pub(crate) fn replace(&mut self, now: Duration, list: &[EngineSettings]) -> (Event, Vec<EngineId>) {
         let before = std::mem::take(&mut self.by_id);
-        for site in list {
-            let id = engine_id(site.addr);
+        for settings in list {
+            let id = engine_id(settings.addr);
             // An engine in another role than before has started anew, whatever it says: the module takes a role
             // only with a start time that it has not seen.
             let (started, told) = match before.get(&id) {
-                Some(m) if m.site.role != site.role => (Some(now), false),
+                Some(m) if m.settings.role != settings.role => (Some(now), false),
                 Some(m) => (m.started, m.told),
                 // One that was not there before may have started just now; its own word will tell. The first list of
                 // a router says nothing of that, as all its engines are new to it.
                 None => ((!before.is_empty()).then_some(now), false),
             };
-            self.by_id.insert(id, Member { site: site.clone(), started, told });
+            self.by_id.insert(id, EngineEntry { settings: settings.clone(), started, told });
         }
-        let takes = |m: Option<&Member>| m.is_some_and(|m| m.site.state == EngineState::Ready);
+        let takes = |m: Option<&EngineEntry>| m.is_some_and(|m| m.settings.state == EngineState::Ready);
         let closed = before
             .iter()
             .filter(|(id, m)| takes(Some(m)) && !takes(self.by_id.get(id)))
@@ -97,10 +97,10 @@
 
     fn entry(&mut self, id: EngineId) -> Option<Engine> {
         let member = self.by_id.get(&id)?;
-        let kind = KindId(KINDS.iter().position(|&r| r == member.site.role)?);
-        let zone = ZoneId(self.zones.number(&member.site.zone));
-        let cell = CellId(self.cells.number(&member.site.cell));
-        Some(Engine { id, state: member.site.state, kind, zone, cell, started_at: member.started })
+        let kind = KindId(KINDS.iter().position(|&r| r == member.settings.role)?);
+        let zone = ZoneId(self.zones.number(&member.settings.zone));
+        let cell = CellId(self.cells.number(&member.settings.cell));
+        Some(Engine { id, state: member.settings.state, kind, zone, cell, started_at: member.started })
     }
 
     /// An engine has told when it started. Gives the event for the module if that is news that matters: it has
@@ -128,12 +128,12 @@
 
     /// The role of an engine, if it is known.
     pub(crate) fn role(&self, id: EngineId) -> Option<Role> {
-        self.by_id.get(&id).map(|m| m.site.role)
+        self.by_id.get(&id).map(|m| m.settings.role)
     }
 
     /// The address of an engine, if it is known.
     pub(crate) fn addr(&self, id: EngineId) -> Option<SocketAddr> {
-        self.by_id.get(&id).map(|m| m.site.addr)
+        self.by_id.get(&id).map(|m| m.settings.addr)
     }
 }
 
--- /dev/null
+++ b/crates/gateway/src/gateway.rs
@@ -0,0 +1,555 @@
+//! The front as a machine: takes inputs in turn, fires timers, and lets the module decide until nothing is left.
+
+use crate::engine_connection::{ConnectionPurpose, EngineConnection, State as ConnectionState};
+use crate::engine_list::EngineList;
+use crate::limits;
+use crate::metrics::{Metrics, Snapshot};
+use crate::request::{ActiveRequest, RequestEnd};
+use crate::settings::{EngineSettings, GatewaySettings};
+use slipreel::{Action, EngineId, EngineState, Event, Listing, RequestId, Router, TimerId};
+use slipreel_connections::{
+    Client, ConnectionTimers, Pool, ReleaseId, ReleaseQueue, State as ClientState, TimerWheel,
+};
+use slipreel_consensus::PolicyHandle;
+use slipreel_membership::{MemberStatus, SharedView};
+use slipreel_state_machine::{ConnId, ConnectionLoss, Input, Machine, Output};
+use std::collections::{BTreeMap, HashMap, VecDeque};
+use std::sync::Arc;
+use std::time::Duration;
+
+/// How many requests ended how, and what the front holds. Counters only grow.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct Counters {
+    /// Requests told to the module.
+    pub admitted: u64,
+    /// Final answers by kind.
+    pub completed: u64,
+    /// Rejected by the module.
+    pub rejected: u64,
+    /// Failed.
+    pub failed: u64,
+    /// Clients that left before their answer ended.
+    pub disconnected: u64,
+    /// Answered without the module: bad input, unknown paths, the front's own bounds.
+    pub rejected_before_admission: u64,
+    /// Attempts sent to engines.
+    pub attempts: u64,
+    /// Probes sent.
+    pub probes: u64,
+}
+
+/// How much state a gateway holds, by kind.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct HeldState {
+    /// Client connections.
+    pub client_connections: usize,
+    /// Connections to engines, those that are being opened included.
+    pub engine_connections: usize,
+    /// Requests that are not finished.
+    pub requests: usize,
+    /// Timers that are set.
+    pub timers: usize,
+}
+
+/// News for a front: so many routers share the fleet from now on, this one counted. What was learnt stays.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct RouterCount(pub u32);
+
+/// Why a timer was set.
+#[derive(Clone, Copy, Debug)]
+pub(crate) enum Timer {
+    /// A decision module asked for it; its generation.
+    Decision(u64, TimerId),
+    /// A client connection may have timed out.
+    Client(ConnId),
+    /// A connection to an engine may have timed out.
+    Engine(ConnId),
+    /// An attempt's time-out, where the module gives one.
+    Attempt(RequestId, usize),
+    /// A client that waits for a complete answer gives up.
+    CompleteAnswer(RequestId),
+    /// An engine that could not be told to let go of state is told again.
+    Release(ReleaseId),
+    /// What still runs some time after the start of a shutdown ends.
+    ShutdownDeadline,
+}
+
+/// A router and the site that it was made from. After a reload the older one ends what it has taken.
+pub(crate) struct DecisionModule {
+    pub(crate) generation: u64,
+    pub(crate) router: Router,
+}
+
+/// A router between clients and engines, without I/O and clock.
+///
+/// Takes as [`Input::News`]: `Vec<EngineSettings>`, the complete list of engines; `Arc<GatewaySettings>`, new settings.
+pub struct Gateway {
+    pub(crate) now: Duration,
+    pub(crate) settings: Arc<GatewaySettings>,
+    pub(crate) seed: u64,
+    /// Clock of the front at the epoch of wall time, if that is after the epoch: start times are told in wall time.
+    pub(crate) epoch_ahead: Duration,
+    pub(crate) decision_modules: Vec<DecisionModule>,
+    pub(crate) engine_list: EngineList,
+    pub(crate) clients: HashMap<ConnId, Client>,
+    client_timers: ConnectionTimers,
+    pub(crate) engine_connections: HashMap<ConnId, EngineConnection>,
+    engine_timers: ConnectionTimers,
+    pub(crate) pool: Pool,
+    pub(crate) requests: BTreeMap<RequestId, ActiveRequest>,
+    pub(crate) timers: TimerWheel<Timer>,
+    /// What the module is to be told, and by whose router; `None`: all.
+    pub(crate) events: VecDeque<(Option<u64>, Event)>,
+    pub(crate) finished_requests: Vec<RequestId>,
+    /// What engines have to be told to let go of, until they have heard it.
+    pub(crate) releases: ReleaseQueue,
+    /// Engine connections whose client has left.
+    pub(crate) abandoned_connections: Vec<ConnId>,
+    pub(crate) next_conn: u64,
+    pub(crate) next_request: u64,
+    pub(crate) stopping: bool,
+    stopped: bool,
+    pub(crate) counters: Counters,
+    /// By class name, as names outlive reloads.
+    pub(crate) metrics: Metrics,
+    /// The view of the fleet, where this process is a member of one.
+    pub(crate) fleet: Option<Arc<SharedView>>,
+    /// The fleet's policy, where this process takes part in agreeing on one, and the epoch that this front acts by.
+    pub(crate) policy: Option<Arc<PolicyHandle>>,
+    pub(crate) policy_epoch: u64,
+    /// Engines as they were listed, whoever is taken out.
+    pub(crate) listed: Vec<EngineSettings>,
+    /// Routers to reckon with by that view; it holds for settings that are read again too.
+    routers: Option<u32>,
+}
+
+impl Gateway {
+    /// A front at its start. `seed` settles its chances and begins its request ids, so it is to be a new one at
+    /// each start. `wall` is the wall clock, since the epoch, at the clock's time `now`.
+    pub fn new(settings: Arc<GatewaySettings>, seed: u64, now: Duration, wall: Duration) -> Self {
+        let mut front = Gateway {
+            now,
+            seed,
+            epoch_ahead: wall.saturating_sub(now),
+            decision_modules: Vec::new(),
+            engine_list: EngineList::default(),
+            clients: HashMap::new(),
+            client_timers: ConnectionTimers::default(),
+            engine_connections: HashMap::new(),
+            engine_timers: ConnectionTimers::default(),
+            pool: Pool::default(),
+            requests: BTreeMap::new(),
+            timers: TimerWheel::default(),
+            events: VecDeque::new(),
+            finished_requests: Vec::new(),
+            releases: ReleaseQueue::new(limits::RELEASE_TIMING),
+            abandoned_connections: Vec::new(),
+            next_conn: 0,
+            next_request: 0,
+            stopping: false,
+            stopped: false,
+            counters: Counters::default(),
+            metrics: Metrics::default(),
+            fleet: None,
+            policy: None,
+            policy_epoch: 0,
+            listed: settings.engines.clone(),
+            routers: None,
+            settings: settings.clone(),
+        };
+        front.add_decision_module(settings.clone());
+        let list = front.effective_engine_list();
+        let (event, _) = front.engine_list.replace(now, &list);
+        // A router comes up with the list that it is given, which may be old.
+        if let Event::Engines { engines, .. } = event {
+            front.events.push_back((None, Event::Engines { listing: Listing::Cached, engines }));
+        }
+        front
+    }
+
+    /// What it has done so far.
+    pub fn counters(&self) -> Counters {
+        self.counters
+    }
+
+    /// How much state it holds.
+    pub fn held_state(&self) -> HeldState {
+        HeldState {
+            client_connections: self.clients.len(),
+            engine_connections: self.engine_connections.len(),
+            requests: self.requests.len(),
+            timers: self.timers.len(),
+        }
+    }
+
+    fn add_decision_module(&mut self, settings: Arc<GatewaySettings>) {
+        let generation = self.decision_modules.last().map_or(0, |b| b.generation + 1);
+        let decision_settings = self.decision_settings(&settings);
+        let router = Router::new(decision_settings, self.seed.wrapping_add(generation));
+        self.decision_modules.push(DecisionModule { generation, router });
+        self.settings = settings;
+    }
+
+    /// A site's settings as the module is handed them here.
+    pub(crate) fn decision_settings(&mut self, settings: &GatewaySettings) -> slipreel::Settings {
+        let mut decisions = settings.decisions.clone();
+        decisions.zone = self.engine_list.zone(&settings.zone);
+        decisions.router_count = self.routers.unwrap_or(decisions.router_count);
+        decisions
+    }
+
+    /// The view reckons with another number of routers: all that was learnt stays.
+    fn share_with(&mut self, routers: RouterCount) {
+        self.routers = Some(routers.0);
+        self.decision_modules.iter_mut().for_each(|b| b.router.set_router_count(routers.0));
+    }
+
+    /// Whether another process holds this one's name in the fleet, or is not yet known not to.
+    pub(crate) fn membership_obstacle(&self) -> Option<&'static str> {
+        match self.fleet.as_ref()?.view().status {
+            MemberStatus::Ready => None,
+            MemberStatus::Joining => Some("joining"),
+            MemberStatus::Challenged => Some("challenged"),
+            MemberStatus::Yielded => Some("yielded"),
+            MemberStatus::Left => Some("left"),
+        }
+    }
+
+    pub(crate) fn generation(&self) -> u64 {
+        self.decision_modules.last().map_or(0, |b| b.generation)
+    }
+
+    /// Tells the router that a call belongs to.
+    pub(crate) fn queue_event(&mut self, generation: u64, event: Event) {
+        self.events.push_back((Some(generation), event));
+    }
+
+    /// Tells all routers.
+    pub(crate) fn queue_event_for_all(&mut self, event: Event) {
+        self.events.push_back((None, event));
+    }
+
+    pub(crate) fn next_connection_id(&mut self) -> ConnId {
+        self.next_conn += 1;
+        ConnId::opened(self.next_conn)
+    }
+
+    /// Lets the module decide until it has been told all; then forgets calls that are done.
+    fn run_decisions(&mut self, out: &mut Vec<Output>) {
+        let mut actions = Vec::new();
+        self.drop_abandoned_connections(out);
+        while let Some((to, event)) = self.events.pop_front() {
+            for at in 0..self.decision_modules.len() {
+                let generation = self.decision_modules[at].generation;
+                // An heir is told of the ends of what it has inherited, too; what it asks for on that account is the first one's affair.
+                let inherits = matches!(event, Event::AttemptEnded(_) | Event::FirstToken { .. });
+                if to.is_some_and(|to| to != generation && !(inherits && to < generation)) {
+                    continue;
+                }
+                self.decision_modules[at].router.handle(self.now, event.clone(), &mut actions);
+                for action in std::mem::take(&mut actions) {
+                    if self.is_of_other_generation(generation, &action) {
+                        continue;
+                    }
+                    self.dispatch(generation, action, out);
+                }
+            }
+        }
+        for id in std::mem::take(&mut self.finished_requests) {
+            if self.requests.get(&id).is_some_and(ActiveRequest::is_finished) {
+                let held = self.requests.remove(&id).map(ActiveRequest::into_holders).unwrap_or_default();
+                held.into_iter().for_each(|engine| self.pool.state_released(Some(engine)));
+            }
+        }
+        if self.decision_modules.len() > 1 {
+            let current = self.generation();
+            let requests = &self.requests;
+            let used = |b: &DecisionModule| {
+                b.generation == current || requests.values().any(|c| c.generation == b.generation)
+            };
+            self.decision_modules.retain(used);
+        }
+        if self.stopping && !self.stopped && self.requests.is_empty() && self.clients.is_empty() {
+            self.stopped = true;
+            out.push(Output::Stopped);
+        }
+    }
+
+    // ---- Timers -----------------------------------------------------------------------------
+
+    /// When a connection of a client has to have moved on, by its state.
+    fn client_timer_due(&self, client: &Client) -> Option<Duration> {
+        let bounds = &self.settings.bounds;
+        let stalled = (client.unsent > 0).then(|| client.last_sent_at + bounds.stalled_peer);
+        let due = match client.state {
+            ClientState::Idle => Some(client.since + bounds.client_idle),
+            ClientState::Receiving => Some(client.since + bounds.receive),
+            ClientState::Serving(_) => None,
+        };
+        due.into_iter().chain(stalled).min()
+    }
+
+    /// When a connection to an engine has to have moved on, by its state.
+    fn engine_timer_due(&self, connection: &EngineConnection) -> Option<Duration> {
+        let bounds = &self.settings.bounds;
+        match (connection.state, connection.purpose) {
+            (ConnectionState::Idle, _) => Some(connection.since + bounds.engine_idle),
+            (_, ConnectionPurpose::Release(_)) if connection.opened_for_release => {
+                Some(connection.since + limits::RELEASE_EXCHANGE_TIMEOUT)
+            }
+            (_, ConnectionPurpose::Release(_)) => Some(connection.since + limits::RELEASE_TIMING.give_up),
+            (ConnectionState::Connecting, _) => {
+                Some(connection.since + self.settings.decisions.limits.connect_timeout)
+            }
+            (ConnectionState::Busy, ConnectionPurpose::Probe) => Some(connection.since + bounds.probe),
+            (ConnectionState::Busy, ConnectionPurpose::Attempt { request, attempt, .. }) => {
+                let streaming_attempt = self
+                    .requests
+                    .get(&RequestId(request))
+                    .is_some_and(|c| c.streaming_attempt == Some(attempt));
+                (streaming_attempt && !connection.paused).then(|| connection.since + bounds.silent_stream)
+            }
+        }
+    }
+
+    /// Sets the timer of a client's connection by its state.
+    pub(crate) fn arm_client_timer(&mut self, conn: ConnId) {
+        let due = self.clients.get(&conn).and_then(|c| self.client_timer_due(c));
+        self.client_timers.arm(&mut self.timers, conn, due, Timer::Client(conn));
+    }
+
+    /// Sets the timer of an engine's connection by its state.
+    pub(crate) fn arm_engine_timer(&mut self, conn: ConnId) {
+        let due = self.engine_connections.get(&conn).and_then(|l| self.engine_timer_due(l));
+        self.engine_timers.arm(&mut self.timers, conn, due, Timer::Engine(conn));
+    }
+
+    fn handle_timer(&mut self, timer: Timer, out: &mut Vec<Output>) {
+        match timer {
+            Timer::Decision(generation, timer) => self.queue_event(generation, Event::TimerFired(timer)),
+            Timer::Client(conn) => {
+                self.client_timers.fired(conn);
+                let due = self.clients.get(&conn).and_then(|c| self.client_timer_due(c));
+                match due {
+                    Some(at) if at <= self.now => self.client_timed_out(conn, out),
+                    _ => self.arm_client_timer(conn),
+                }
+            }
+            Timer::Engine(conn) => {
+                self.engine_timers.fired(conn);
+                let due = self.engine_connections.get(&conn).and_then(|l| self.engine_timer_due(l));
+                match due {
+                    Some(at) if at <= self.now => self.engine_timed_out(conn, out),
+                    _ => self.arm_engine_timer(conn),
+                }
+            }
+            Timer::Attempt(id, attempt) => self.attempt_timed_out(id, attempt, out),
+            Timer::CompleteAnswer(id) => self.complete_answer_timed_out(id, out),
+            Timer::Release(id) => self.release_due(id, out),
+            Timer::ShutdownDeadline => self.end_at_shutdown_deadline(out),
+        }
+    }
+
+    fn run_timers(&mut self, out: &mut Vec<Output>) {
+        while let Some(timer) = self.timers.pop(self.now) {
+            self.handle_timer(timer, out);
+            self.run_decisions(out);
+        }
+    }
+
+    // ---- News ---------------------------------------------------------------------------------
+
+    /// The list, in which engines that operators have taken out take nothing new.
+    fn effective_engine_list(&self) -> Vec<EngineSettings> {
+        let mut list = self.listed.clone();
+        for engine in list.iter_mut().filter(|e| self.settings.taken_out.contains(&e.name)) {
+            if engine.state == EngineState::Ready {
+                engine.state = EngineState::Draining;
+            }
+        }
+        list
+    }
+
+    pub(crate) fn take_list(&mut self, list: &[EngineSettings], out: &mut Vec<Output>) {
+        self.listed = list.to_vec();
+        let list = self.effective_engine_list();
+        let (event, closed) = self.engine_list.replace(self.now, &list);
+        self.queue_event_for_all(event);
+        // What has not left for an engine that drains or is gone goes elsewhere.
+        let unsent: Vec<ConnId> = self.sorted_engine_connections(|l| {
+            closed.contains(&l.engine)
+                && l.state == ConnectionState::Connecting
+                && matches!(l.purpose, ConnectionPurpose::Attempt { .. })
+        });
+        for conn in unsent {
+            self.abort_connection(conn, out, slipreel::Outcome::NotSent);
+        }
+        for engine in closed {
+            self.close_idle(engine, out);
+        }
+    }
+
+    fn take_site(&mut self, settings: &Arc<GatewaySettings>, out: &mut Vec<Output>) {
+        let listed = self.settings.engines != settings.engines;
+        if self.policy.is_some() {
+            // What is the router's own has changed; the policy has not, and what was learnt stays.
+            self.replace_settings(settings.clone(), out);
+        } else {
+            self.add_decision_module(settings.clone());
+        }
+        if listed {
+            self.take_list(&settings.engines.clone(), out);
+        } else {
+            let current = self.listed.clone();
+            self.take_list(&current, out);
+        }
+        out.push(Output::Log("settings were read again; requests under way end by the old ones".into()));
+    }
+
+    /// Connections to engines that match, in order of their numbers: the same at every run.
+    pub(crate) fn sorted_engine_connections(&self, which: impl Fn(&EngineConnection) -> bool) -> Vec<ConnId> {
+        let mut conns: Vec<ConnId> =
+            self.engine_connections.values().filter(|l| which(l)).map(|l| l.conn).collect();
+        conns.sort();
+        conns
+    }
+
+    fn stop(&mut self, out: &mut Vec<Output>) {
+        if std::mem::replace(&mut self.stopping, true) {
+            return;
+        }
+        let mut conns: Vec<ConnId> = self.clients.keys().copied().collect();
+        conns.sort();
+        for conn in conns {
+            let Some(client) = self.clients.get_mut(&conn) else { continue };
+            match client.state {
+                ClientState::Idle => {
+                    out.push(Output::CloseWhenSent(conn));
+                    self.remove_client(conn);
+                }
+                _ => client.close_after_answer(),
+            }
+        }
+        self.timers.set(self.now + self.settings.bounds.stop, Timer::ShutdownDeadline);
+    }
+
+    pub(crate) fn remove_client(&mut self, conn: ConnId) {
+        self.clients.remove(&conn);
+        self.client_timers.cancel(&mut self.timers, conn);
+    }
+
+    pub(crate) fn remove_engine_connection(&mut self, conn: ConnId) -> Option<EngineConnection> {
+        self.engine_timers.cancel(&mut self.timers, conn);
+        let connection = self.engine_connections.remove(&conn)?;
+        self.pool.remove(connection.engine, conn);
+        Some(connection)
+    }
+
+    pub(crate) fn count(&mut self, end: RequestEnd) {
+        match end {
+            RequestEnd::Completed => self.counters.completed += 1,
+            RequestEnd::Rejected => self.counters.rejected += 1,
+            RequestEnd::Failed => self.counters.failed += 1,
+        }
+    }
+
+    /// The name of a class, for what is published.
+    pub(crate) fn class_name(&self, class: usize) -> &str {
+        self.settings.classes.get(class).map_or("", |c| &c.name)
+    }
+
+    /// What stands now, for what is published.
+    pub(crate) fn snapshot(&self) -> Snapshot {
+        let engine = |(_, m): (_, &crate::engine_list::EngineEntry)| {
+            let role = match m.settings.role {
+                slipreel::Role::Prefill => "read",
+                slipreel::Role::Decode => "write",
+                slipreel::Role::Mixed => "both",
+            };
+            let state = match m.settings.state {
+                slipreel::EngineState::Ready => "ready",
+                slipreel::EngineState::Draining => "draining",
+                slipreel::EngineState::Gone => "gone",
+            };
+            (role, state)
+        };
+        Snapshot {
+            engines: self.engine_list.iter().map(engine).collect(),
+            clients: self.clients.len(),
+            engine_connections: self.engine_connections.len(),
+            under_way: self.requests.len(),
+            releases: self.releases.len(),
+        }
+    }
+
+    pub(crate) fn engine_name(&self, id: EngineId) -> String {
+        self.engine_list.get(id).map_or_else(|| format!("{:x}", id.0), |m| m.settings.name.clone())
+    }
+}
+
+impl Machine for Gateway {
+    fn handle(&mut self, now: Duration, input: Input<'_>, out: &mut Vec<Output>) {
+        self.now = self.now.max(now);
+        // What is due comes before what has just come in, whatever order the driver found them in.
+        self.run_timers(out);
+        self.apply_policy(out);
+        match input {
+            Input::Accepted(conn, door) => {
+                let limits =
+                    slipreel_protocol::http::Limits { body: self.settings.bounds.body, ..Default::default() };
+                if self.stopping || self.clients.len() >= self.settings.bounds.connections {
+                    out.push(Output::Abort(conn));
+                } else {
+                    self.clients
+                        .insert(conn, Client::new(conn, door, self.now, limits, limits::MAX_PIPELINED));
+                    self.arm_client_timer(conn);
+                }
+            }
+            Input::Connected(conn) => self.engine_connected(conn, out),
+            Input::Data(conn, bytes) if conn.is_opened() => self.engine_data(conn, bytes, out),
+            Input::Data(conn, bytes) => self.client_data(conn, bytes, out),
+            Input::Eof(conn) if conn.is_opened() => self.engine_eof(conn, out),
+            Input::Eof(conn) => self.client_eof(conn, out),
+            Input::Sent(conn, n) if !conn.is_opened() => self.client_sent(conn, n, out),
+            Input::Sent(..) => {}
+            Input::Lost(conn, why) if conn.is_opened() => self.engine_connection_lost(conn, why, out),
+            Input::Lost(conn, _) => self.client_gone(conn),
+            // A client may ask, close its side and only listen: what it sent before is read first.
+            Input::PeerClosedWhilePaused(_)
+            | Input::DescriptorsExhausted(_)
+            | Input::Wake
+            | Input::Datagram(..) => {}
+            Input::Stop => self.stop(out),
+            Input::OwnerMessage(news) => {
+                if let Some(list) = news.downcast_ref::<Vec<EngineSettings>>() {
+                    self.take_list(list, out);
+                } else if let Some(settings) = news.downcast_ref::<Arc<GatewaySettings>>() {
+                    self.take_site(settings, out);
+                } else if let Some(board) = news.downcast_ref::<Arc<SharedView>>() {
+                    self.fleet = Some(board.clone());
+                } else if let Some(handle) = news.downcast_ref::<Arc<PolicyHandle>>() {
+                    self.policy = Some(handle.clone());
+                } else if let Some(routers) = news.downcast_ref::<RouterCount>() {
+                    self.share_with(*routers);
+                }
+            }
+        }
+        self.run_decisions(out);
+    }
+
+    fn wake_at(&self) -> Option<Duration> {
+        self.timers.next_at()
+    }
+}
+
+/// What the loss of a connection that carried something means for the module.
+pub(crate) fn loss_outcome(loss: ConnectionLoss) -> slipreel::Outcome {
+    match loss {
+        ConnectionLoss::NotConnected => slipreel::Outcome::ConnectFailed,
+        ConnectionLoss::Exhausted => slipreel::Outcome::NotSent,
+        ConnectionLoss::Reset => slipreel::Outcome::Reset,
+    }
+}
+
+/// Carried by [`Gateway::dispatch`]; here so that the two files name one type.
+pub(crate) type Decided = Action;
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,36 +1,37 @@
-//! The front: all behaviour of a router between its clients and its engines, without I/O and without a clock.
+//! The gateway: a whole router between the clients of the Messages API and open engines, without I/O and clock.
 //!
-//! A [`Front`] is a [`Machine`](slipreel_state_machine::Machine). It holds `slipreel::Router`, tells it what happens and
-//! carries out what it decides. Two fronts in one process share nothing. A request's way through the files:
+//! A [`Gateway`] is a [`Machine`](slipreel_state_machine::Machine). It owns the decision module (`slipreel::Router`), queues
+//! events for it and dispatches the actions that it returns. Gateways in one process share nothing. A request passes these
+//! modules:
 //!
-//! 1. `Client` of `slipreel-connections`: bytes become one whole request of HTTP;
-//! 2. `serve`: its path is looked up, and `classify` reads off it what the module is told;
-//! 3. `carry`: the module's actions become attempts (`call`) on connections (`Pool` of `slipreel-connections`, `link`);
-//! 4. `engines`: what the engines say becomes events for the module and, by `translate`, the answer;
-//! 5. `serve`: the one final answer is written.
+//! 1. `Client` of `slipreel-connections` turns bytes into one complete HTTP request;
+//! 2. `serve` looks up its path, and `classify` reads off it what the decision module has to know;
+//! 3. `dispatch` turns actions into attempts (`request`) on connections to engines (`engine_connection`);
+//! 4. `engines` turns what engines send into events for the decision module and, by `message_writer`, into the answer;
+//! 5. `serve` writes the final answer.
 //!
-//! `verdict` says what an engine's refusal proves, `limits` is what the front itself bounds, `members` the list of
-//! engines, `site` the settings.
+//! `engine_error` classifies error answers of engines, `limits` holds the gateway's own resource limits, `engine_list` the
+//! list of engines, `settings` the settings, `metrics` what is published, and `policy` applies the fleet's policy.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-mod call;
-mod carry;
 mod classify;
+mod dispatch;
+mod engine_connection;
+mod engine_error;
+mod engine_list;
 mod engines;
-mod front;
-mod gauges;
+mod gateway;
 mod limits;
-mod link;
-mod members;
+mod message_writer;
+mod metrics;
 mod policy;
+mod request;
 mod serve;
-pub mod site;
-mod translate;
-mod verdict;
+pub mod settings;
 
-pub use call::{Final, POLICY};
-pub use front::{Front, Sharing, Tally};
-pub use members::engine_id;
-pub use site::Site;
+pub use engine_list::engine_id;
+pub use gateway::{Counters, Gateway, HeldState, RouterCount};
+pub use request::{RequestEnd, POLICY};
+pub use settings::GatewaySettings;
--- a/crates/gateway/src/limits.rs
+++ b/crates/gateway/src/limits.rs
@@ -3,18 +3,18 @@
 //! None of this looks at load or worth: that is the module's affair. These are the smallest bounds that keep the
 //! process alive, and what they turn away was never told to the module.
 
-use crate::site::{Bounds, KINDS};
+use crate::settings::{Bounds, KINDS};
 use slipreel::{Limits, ReportSource, Settings, ZoneId};
 use slipreel_connections::ReleaseTiming;
 use std::time::Duration;
 
 /// When to come back after one of these bounds turned a request away. Long enough for a few requests to end.
-pub(crate) const COME_BACK: Duration = Duration::from_millis(1_000);
+pub(crate) const RETRY_AFTER: Duration = Duration::from_millis(1_000);
 /// The longest answer to a read, a probe or a failure, and the longest event of a stream, bytes. Far over what engines
 /// send, far under what would hurt.
-pub(crate) const LONGEST_BODY: usize = 256 << 10;
+pub(crate) const MAX_ENGINE_BODY: usize = 256 << 10;
 /// Bytes of pipelined requests that are kept while one is served.
-pub(crate) const PIPELINED: usize = 64 << 10;
+pub(crate) const MAX_PIPELINED: usize = 64 << 10;
 
 const fn ms(n: u64) -> Duration {
     Duration::from_millis(n)
@@ -92,28 +92,30 @@
 
 /// How releases are retried: several times within the rule's half second once a link is back. The engines of this front
 /// end a request's work with its release, so nothing is repeated.
-pub(crate) const RELEASES: ReleaseTiming =
+pub(crate) const RELEASE_TIMING: ReleaseTiming =
     ReleaseTiming { retry: ms(200), repeat: ms(500), give_up: Duration::from_secs(30) };
 /// How long a connection that is opened for a release may take to carry it: as long as slow hand-shakes last. One that
 /// has answered before is left with the release until that is given up, as it is the first to work when a link is back.
-pub(crate) const RELEASE_CALL: Duration = ms(2_000);
+pub(crate) const RELEASE_EXCHANGE_TIMEOUT: Duration = ms(2_000);
 
 /// Why the front does not take a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Turned {
+pub(crate) enum AdmissionError {
     /// As many as may be under way are.
-    Requests,
+    TooManyRequests,
     /// It is stopping.
     Stopping,
 }
 
 /// Whether one more request may be taken.
-pub(crate) fn may_take(bounds: &Bounds, under_way: usize, stopping: bool) -> Result<(), Turned> {
+pub(crate) fn check_admission(
+    bounds: &Bounds, under_way: usize, stopping: bool,
+) -> Result<(), AdmissionError> {
     if stopping {
-        return Err(Turned::Stopping);
+        return Err(AdmissionError::Stopping);
     }
     if under_way >= bounds.requests {
-        return Err(Turned::Requests);
+        return Err(AdmissionError::TooManyRequests);
     }
     Ok(())
 }
--- a/crates/gateway/src/limits/tests.rs
+++ b/crates/gateway/src/limits/tests.rs
@@ -23,9 +23,9 @@
 #[test]
 fn takes_up_to_the_bound_and_nothing_when_stopping() {
     let b = bounds();
-    assert_eq!(may_take(&b, 1, false), Ok(()));
-    assert_eq!(may_take(&b, 2, false), Err(Turned::Requests));
-    assert_eq!(may_take(&b, 0, true), Err(Turned::Stopping));
+    assert_eq!(check_admission(&b, 1, false), Ok(()));
+    assert_eq!(check_admission(&b, 2, false), Err(AdmissionError::TooManyRequests));
+    assert_eq!(check_admission(&b, 0, true), Err(AdmissionError::Stopping));
 }
 
 #[test]
--- a/crates/gateway/src/translate.rs
+++ b/crates/gateway/src/message_writer.rs
@@ -4,7 +4,7 @@
 use slipreel_protocol::messages::{AnswerBuilder, ApiError, Usage};
 
 /// Writes one message from chunks.
-pub(crate) struct Writer {
+pub(crate) struct MessageWriter {
     name: (String, String, bool),
     answer: AnswerBuilder,
     usage: Usage,
@@ -15,18 +15,26 @@
     tool: Option<usize>,
 }
 
-impl Writer {
+impl MessageWriter {
     pub(crate) fn new(id: String, model: String, stream: bool) -> Self {
         let name = (id.clone(), model.clone(), stream);
         let answer = AnswerBuilder::new(id, model, stream);
-        Writer { name, answer, usage: Usage::default(), counted: 0, told: false, finish: None, tool: None }
+        MessageWriter {
+            name,
+            answer,
+            usage: Usage::default(),
+            counted: 0,
+            told: false,
+            finish: None,
+            tool: None,
+        }
     }
 
     /// Drops what was written; the count of the prompt stays.
-    pub(crate) fn begins_anew(&mut self) {
+    pub(crate) fn restart_answer(&mut self) {
         let (id, model, stream) = self.name.clone();
         let prompt = Usage { output_tokens: 0, ..self.usage };
-        *self = Writer { usage: prompt, ..Writer::new(id, model, stream) };
+        *self = MessageWriter { usage: prompt, ..MessageWriter::new(id, model, stream) };
     }
 
     /// The prompt was counted by who read it.
--- a/crates/gateway/src/gauges.rs
+++ b/crates/gateway/src/metrics.rs
@@ -2,7 +2,7 @@
 //! asked of it, by class, the refused too, what became of it, and how long it took. Who plans for the fleet sums these
 //! over routers; counters start anew with a process.
 
-use crate::call::{Call, Final};
+use crate::request::{ActiveRequest, RequestEnd};
 use prometheus_client::encoding::{EncodeLabelSet, LabelSetEncoder};
 use prometheus_client::metrics::counter::Counter;
 use prometheus_client::metrics::family::Family;
@@ -46,27 +46,27 @@
 
 /// Why a request was refused or turned away.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Why {
+pub(crate) enum RejectionReason {
     /// By the curve or as hopeless, before any attempt.
-    Door,
+    Admission,
     /// The same, and its tenant was over its share.
-    OverShare,
+    OverQuota,
     /// After attempts that came to nothing.
-    Attempts,
+    AttemptsFailed,
     /// The front's own bound on requests under way.
-    Bound,
+    TooManyRequests,
     /// The router is stopping.
     Stopping,
 }
 
-impl Why {
+impl RejectionReason {
     fn name(self) -> &'static str {
         match self {
-            Why::Door => "door",
-            Why::OverShare => "over_share",
-            Why::Attempts => "attempts",
-            Why::Bound => "bound",
-            Why::Stopping => "stopping",
+            RejectionReason::Admission => "door",
+            RejectionReason::OverQuota => "over_share",
+            RejectionReason::AttemptsFailed => "attempts",
+            RejectionReason::TooManyRequests => "bound",
+            RejectionReason::Stopping => "stopping",
         }
     }
 }
@@ -88,17 +88,17 @@
 
 /// What stands now; taken when it is asked for.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Now {
+pub(crate) struct Snapshot {
     /// Engines by role and state.
     pub(crate) engines: Vec<(&'static str, &'static str)>,
     pub(crate) clients: usize,
-    pub(crate) links: usize,
+    pub(crate) engine_connections: usize,
     pub(crate) under_way: usize,
     pub(crate) releases: usize,
 }
 
 /// The metrics of one router.
-pub(crate) struct Gauges {
+pub(crate) struct Metrics {
     registry: Registry,
     answers: Counts<2>,
     refusals: Counts<2>,
@@ -106,7 +106,7 @@
     probes: Counter,
     left: Counter,
     turned: Counter,
-    asked: Counts<1>,
+    admitted: Counts<1>,
     reads: Counts<1>,
     read_tokens: Counts<1>,
     whole: Counts<1>,
@@ -117,9 +117,9 @@
     open: Family<Labels<1>, Gauge>,
 }
 
-impl Default for Gauges {
+impl Default for Metrics {
     fn default() -> Self {
-        let mut gauges = Gauges {
+        let mut metrics = Metrics {
             registry: Registry::with_prefix("slipreel"),
             answers: Family::default(),
             refusals: Family::default(),
@@ -127,7 +127,7 @@
             probes: Counter::default(),
             left: Counter::default(),
             turned: Counter::default(),
-            asked: Family::default(),
+            admitted: Family::default(),
             reads: Family::default(),
             read_tokens: Family::default(),
             whole: Family::default(),
@@ -137,12 +137,12 @@
             engines: Family::default(),
             open: Family::default(),
         };
-        gauges.register();
-        gauges
+        metrics.register();
+        metrics
     }
 }
 
-impl Gauges {
+impl Metrics {
     fn register(&mut self) {
         let r = &mut self.registry;
         r.register("answers", "Final answers of requests that were taken", self.answers.clone());
@@ -151,7 +151,7 @@
         r.register("probes", "Probes sent to engines", self.probes.clone());
         r.register("left", "Clients that left before their answer ended", self.left.clone());
         r.register("turned", "Answers that needed no engine, bad input among them", self.turned.clone());
-        r.register("class_asked", "Requests told to the decision module", self.asked.clone());
+        r.register("class_asked", "Requests told to the decision module", self.admitted.clone());
         r.register("class_reads", "Reads that ended", self.reads.clone());
         r.register("class_read_tokens", "Prompt tokens that reads had to read", self.read_tokens.clone());
         r.register("class_answers", "Whole answers", self.whole.clone());
@@ -164,8 +164,8 @@
     }
 
     /// A request was told to the module.
-    pub(crate) fn asked(&self, name: &str) {
-        self.asked.get_or_create(&class(name)).inc();
+    pub(crate) fn admitted(&self, name: &str) {
+        self.admitted.get_or_create(&class(name)).inc();
         // What has not happened yet is told as 0, so that who sums knows the class.
         for counts in [&self.reads, &self.read_tokens, &self.whole, &self.answer_tokens] {
             drop(counts.get_or_create(&class(name)));
@@ -183,22 +183,22 @@
     }
 
     /// A request has its final answer.
-    pub(crate) fn ended(&self, name: &str, end: Final) {
+    pub(crate) fn ended(&self, name: &str, end: RequestEnd) {
         let end = match end {
-            Final::Served => "served",
-            Final::Refused => "refused",
-            Final::Failed => "failed",
+            RequestEnd::Completed => "served",
+            RequestEnd::Rejected => "refused",
+            RequestEnd::Failed => "failed",
         };
         self.answers.get_or_create(&Labels([("class", name.to_owned()), ("end", end.to_owned())])).inc();
     }
 
-    pub(crate) fn refused(&self, name: &str, why: Why) {
+    pub(crate) fn refused(&self, name: &str, why: RejectionReason) {
         let labels = Labels([("class", name.to_owned()), ("reason", why.name().to_owned())]);
         self.refusals.get_or_create(&labels).inc();
     }
 
-    pub(crate) fn attempt(&self, read: bool, outcome: Outcome) {
-        let stage = if read { "read" } else { "write" };
+    pub(crate) fn attempt(&self, is_prefill: bool, outcome: Outcome) {
+        let stage = if is_prefill { "read" } else { "write" };
         let labels = Labels([("stage", stage.to_owned()), ("outcome", outcome_name(outcome).to_owned())]);
         self.attempts.get_or_create(&labels).inc();
     }
@@ -216,15 +216,15 @@
     }
 
     /// The first token of a request has come, so long after it was whole.
-    pub(crate) fn first_token(&self, name: &str, now: Duration, call: &Call) {
-        let took = now.saturating_sub(call.since);
+    pub(crate) fn first_token(&self, name: &str, now: Duration, request: &ActiveRequest) {
+        let took = now.saturating_sub(request.since);
         self.first_token.get_or_create(&class(name)).observe(took.as_secs_f64());
-        let added = took.saturating_sub(call.at_engines(now));
+        let added = took.saturating_sub(request.time_at_engines(now));
         self.added.get_or_create(&class(name)).observe(added.as_secs_f64());
     }
 
     /// All as `OpenMetrics` text.
-    pub(crate) fn write(&self, now: &Now) -> String {
+    pub(crate) fn write(&self, now: &Snapshot) -> String {
         self.engines.clear();
         for (role, state) in &now.engines {
             let labels = Labels([("role", (*role).to_owned()), ("state", (*state).to_owned())]);
@@ -232,7 +232,7 @@
         }
         let open = [
             ("clients", now.clients),
-            ("engine_connections", now.links),
+            ("engine_connections", now.engine_connections),
             ("requests", now.under_way),
             ("words", now.releases),
         ];
--- a/crates/gateway/src/gauges/tests.rs
+++ b/crates/gateway/src/metrics/tests.rs
@@ -2,12 +2,12 @@
 
 #[test]
 fn samples_are_in_the_order_of_their_labels_and_histograms_whole() {
-    let gauges = Gauges::default();
+    let metrics = Metrics::default();
     for name in ["d", "b", "a", "c"] {
-        gauges.asked(name);
-        gauges.added.get_or_create(&class(name)).observe(0.5);
+        metrics.admitted(name);
+        metrics.added.get_or_create(&class(name)).observe(0.5);
     }
-    let text = gauges.write(&Now::default());
+    let text = metrics.write(&Snapshot::default());
     let lines = |part: &str| text.lines().filter(|l| l.contains(part)).map(str::to_owned).collect::<Vec<_>>();
     let asked = lines("class_asked_total");
     assert!(asked.is_sorted() && asked.len() == 4, "{asked:?}");
--- a/crates/gateway/src/policy.rs
+++ b/crates/gateway/src/policy.rs
@@ -1,9 +1,9 @@
 //! The fleet's policy at this router: by which epoch it takes requests, how another one comes to hold here, and what operators ask of it.
 //! Decides nothing: whether an epoch holds is `slipreel-consensus`'s word.
 
-use crate::front::{Brain, Front};
+use crate::gateway::{DecisionModule, Gateway};
 use crate::serve::retry_after;
-use crate::site::Site;
+use crate::settings::GatewaySettings;
 use serde_json::{json, Value};
 use slipreel::{Action, SettingsMapping};
 use slipreel_connections::{Received, State};
@@ -14,77 +14,80 @@
 use slipreel_state_machine::{ConnId, Output};
 use std::sync::Arc;
 
-impl Front {
+impl Gateway {
     /// The epoch by which requests are taken, where the fleet agrees on one.
     pub(crate) fn epoch(&self) -> Option<u64> {
-        self.policy.as_ref().map(|_| self.acts_by)
+        self.policy.as_ref().map(|_| self.policy_epoch)
     }
 
     /// The epoch that is named on the answer that a connection waits for: its request's own, or the present one.
     pub(crate) fn epoch_of(&self, conn: ConnId) -> Option<String> {
         let present = self.epoch()?;
         let request = self.clients.get(&conn).and_then(|c| match c.state {
-            State::Serving(Some(id)) => self.calls.get(&slipreel::RequestId(id)),
+            State::Serving(Some(id)) => self.requests.get(&slipreel::RequestId(id)),
             _ => None,
         });
-        Some(request.and_then(|call| call.epoch).unwrap_or(present).to_string())
+        Some(request.and_then(|request| request.epoch).unwrap_or(present).to_string())
     }
 
     /// Whether requests may be taken by the present epoch, as far as this router can know at this moment.
-    pub(crate) fn may_take(&self) -> bool {
+    pub(crate) fn holds_policy(&self) -> bool {
         let Some(handle) = &self.policy else { return true };
         let permit = handle.permit();
-        permit.epoch == self.acts_by && permit.holds(self.now)
+        permit.epoch == self.policy_epoch && permit.holds(self.now)
     }
 
     /// It can't know whether its epoch still holds: answered at once, with when to come back.
-    pub(crate) fn uncertain(&mut self, conn: ConnId, out: &mut Vec<Output>) {
+    pub(crate) fn reject_without_policy(&mut self, conn: ConnId, out: &mut Vec<Output>) {
         let error = ApiError::new(
             ErrorKind::Unavailable,
             "this router can't know at present which policy is in force; another may",
         );
         let (s, ms) = retry_after(timing::RETRY_AFTER);
         let fields = [("retry-after", s.as_str()), ("retry-after-ms", &ms), ("x-should-retry", "true")];
-        self.turn(conn, error.kind.status(), &error, &fields, out);
+        self.reject_before_admission(conn, error.kind.status(), &error, &fields, out);
     }
 
     /// Takes on another epoch, if there is one: requests that were taken end by the settings under which they were.
-    pub(crate) fn mind_policy(&mut self, out: &mut Vec<Output>) {
+    pub(crate) fn apply_policy(&mut self, out: &mut Vec<Output>) {
         let Some(handle) = &self.policy else { return };
-        if handle.epoch() == self.acts_by {
+        if handle.epoch() == self.policy_epoch {
             return;
         }
         let permit = handle.permit();
-        let Some(site) = permit.policy.clone().and_then(|made| made.downcast::<Site>().ok()) else { return };
-        let mut site = (*site).clone();
+        let Some(settings) = permit.policy.clone().and_then(|made| made.downcast::<GatewaySettings>().ok())
+        else {
+            return;
+        };
+        let mut settings = (*settings).clone();
         // Each thread has a name of its own, and reloads may have changed what is the router's own.
-        site.name.clone_from(&self.site.name);
-        self.acts_by = permit.epoch;
-        self.inherit(Arc::new(site), out);
+        settings.name.clone_from(&self.settings.name);
+        self.policy_epoch = permit.epoch;
+        self.replace_settings(Arc::new(settings), out);
         out.push(Output::Log(format!("policy: requests are taken by epoch {} from now on", permit.epoch)));
     }
 
     /// Other settings, and all that was learnt under the last ones.
-    pub(crate) fn inherit(&mut self, site: Arc<Site>, out: &mut Vec<Output>) {
-        let Some(last) = self.brains.last() else { return };
+    pub(crate) fn replace_settings(&mut self, settings: Arc<GatewaySettings>, out: &mut Vec<Output>) {
+        let Some(last) = self.decision_modules.last() else { return };
         let place = |name: &String, all: &[String]| all.iter().position(|n| n == name);
-        let classes: Vec<String> = self.site.classes.iter().map(|c| c.name.clone()).collect();
-        let tenants: Vec<String> = self.site.tenants.iter().map(|t| t.name.clone()).collect();
+        let classes: Vec<String> = self.settings.classes.iter().map(|c| c.name.clone()).collect();
+        let tenants: Vec<String> = self.settings.tenants.iter().map(|t| t.name.clone()).collect();
         let places = SettingsMapping {
-            classes: site.classes.iter().map(|c| place(&c.name, &classes)).collect(),
-            tenants: site.tenants.iter().map(|t| place(&t.name, &tenants)).collect(),
+            classes: settings.classes.iter().map(|c| place(&c.name, &classes)).collect(),
+            tenants: settings.tenants.iter().map(|t| place(&t.name, &tenants)).collect(),
         };
         let generation = last.generation + 1;
-        let settings = self.settings_of(&site);
+        let decision_settings = self.decision_settings(&settings);
         let mut actions: Vec<Action> = Vec::new();
         let seed = self.seed.wrapping_add(generation);
-        let Some(last) = self.brains.last() else { return };
-        let router = last.router.successor(self.now, settings, &places, seed, &mut actions);
-        self.brains.push(Brain { generation, router });
-        let listed = site.taken_out != self.site.taken_out;
-        self.site = site;
+        let Some(last) = self.decision_modules.last() else { return };
+        let router = last.router.successor(self.now, decision_settings, &places, seed, &mut actions);
+        self.decision_modules.push(DecisionModule { generation, router });
+        let listed = settings.taken_out != self.settings.taken_out;
+        self.settings = settings;
         for action in actions {
-            self.carry_out(generation, action, out);
+            self.dispatch(generation, action, out);
         }
         if listed {
             let current = self.listed.clone();
@@ -93,7 +96,7 @@
     }
 
     /// Whether an action concerns a request that another generation has taken.
-    pub(crate) fn is_anothers(&self, generation: u64, action: &Action) -> bool {
+    pub(crate) fn is_of_other_generation(&self, generation: u64, action: &Action) -> bool {
         let id = match action {
             Action::Send { request, .. }
             | Action::Cancel { request, .. }
@@ -101,16 +104,16 @@
             Action::Fail(request) | Action::Release(request) => request,
             _ => return false,
         };
-        self.calls.get(id).is_some_and(|call| call.generation != generation)
+        self.requests.get(id).is_some_and(|request| request.generation != generation)
     }
 
     /// What is published of the policy, in the Prometheus text format.
     pub(crate) fn policy_metrics(&self) -> Option<String> {
         let handle = self.policy.as_ref()?;
         let shown = handle.status();
-        let gauges = [
-            ("epoch", "The epoch by which requests are taken.", self.acts_by),
-            ("serving", "Whether requests are taken by it now.", u64::from(self.may_take())),
+        let metrics = [
+            ("epoch", "The epoch by which requests are taken.", self.policy_epoch),
+            ("serving", "Whether requests are taken by it now.", u64::from(self.holds_policy())),
             (
                 "pending",
                 "Whether a change is under way, as this router knows.",
@@ -121,27 +124,29 @@
             (
                 "roles_frozen",
                 "Whether operators want no engine to change its role.",
-                u64::from(self.site.roles_frozen),
+                u64::from(self.settings.roles_frozen),
             ),
         ];
         let line = |(name, help, value): &(&str, &str, u64)| {
             let name = format!("slipreel_policy_{name}");
             format!("# HELP {name} {help}\n# TYPE {name} gauge\n{name} {value}\n")
         };
-        Some(gauges.iter().map(line).collect())
+        Some(metrics.iter().map(line).collect())
     }
 
     // ---- Operators ------------------------------------------------------------------------------
 
     /// What operators ask of the policy.
-    pub(crate) fn operate_policy(&mut self, conn: ConnId, received: &Received, out: &mut Vec<Output>) {
+    pub(crate) fn handle_policy_operation(
+        &mut self, conn: ConnId, received: &Received, out: &mut Vec<Output>,
+    ) {
         let Some(handle) = self.policy.clone() else { return };
         let (method, path) = (received.method(), received.path());
         let (what, name) =
             path["/policy/".len()..].split_once('/').unwrap_or((&path["/policy/".len()..], ""));
         let shown = handle.status();
         let answer: Result<(u16, Value), ApiError> = match (method, what, name) {
-            ("GET", "status", "") => Ok((200, shown.status_json(self.may_take()))),
+            ("GET", "status", "") => Ok((200, shown.status_json(self.holds_policy()))),
             ("GET", "status", id) => Ok((200, shown.proposal_json(id))),
             ("GET", "history", "") => Ok((200, shown.history_json())),
             ("GET", "text", "") => Ok((200, json!({"epoch": shown.epoch, "text": shown.text}))),
@@ -150,7 +155,7 @@
             ("POST", "replace", name) => {
                 let (old, new) = name.split_once('/').map_or((name, None), |(o, n)| (o, Some(n.to_owned())));
                 if shown.voters.iter().any(|v| v == old) {
-                    said(
+                    submission_answer(
                         handle.submit(OperatorRequest::Replace { old: old.into(), new }),
                         json!({"replaced": old}),
                     )
@@ -170,7 +175,7 @@
         };
         match answer {
             Ok((status, body)) => self.answer(conn, status, &[], body.to_string().as_bytes(), out),
-            Err(error) => self.turn(conn, error.kind.status(), &error, &[], out),
+            Err(error) => self.reject_before_admission(conn, error.kind.status(), &error, &[], out),
         }
     }
 
@@ -198,7 +203,7 @@
             base_epoch: 0,
             restores_epoch: None,
         };
-        said(handle.submit(OperatorRequest::Propose(proposal)), json!({"id": id}))
+        submission_answer(handle.submit(OperatorRequest::Propose(proposal)), json!({"id": id}))
     }
 
     fn roll_back(&self, handle: &PolicyHandle, name: &str) -> Result<(u16, Value), ApiError> {
@@ -217,7 +222,7 @@
             };
             bad(format!("epoch {epoch}: expected one that is kept: {who}: {}", kept.join(", ")))
         })?;
-        said(handle.submit(OperatorRequest::Propose(proposal)), json!({"id": id}))
+        submission_answer(handle.submit(OperatorRequest::Propose(proposal)), json!({"id": id}))
     }
 }
 
@@ -230,7 +235,7 @@
     Ok(())
 }
 
-fn said(room: bool, body: Value) -> Result<(u16, Value), ApiError> {
+fn submission_answer(room: bool, body: Value) -> Result<(u16, Value), ApiError> {
     if room {
         Ok((202, body))
     } else {
--- a/crates/gateway/src/call.rs
+++ b/crates/gateway/src/request.rs
@@ -1,7 +1,7 @@
 //! One request that was taken: who asked, its attempts, the state held for it, and its one final answer.
 
-use crate::site::Site;
-use crate::translate::Writer;
+use crate::message_writer::MessageWriter;
+use crate::settings::GatewaySettings;
 use serde_json::{Map, Value};
 use slipreel::{EngineId, Idempotency, Outcome, RequestId, Role};
 use slipreel_protocol::engine;
@@ -16,11 +16,11 @@
 
 /// How a request ended. Each that was taken has exactly one of these, unless its client left.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Final {
+pub enum RequestEnd {
     /// The whole answer was written.
-    Served,
-    /// Turned away; trying again is harmless.
-    Refused,
+    Completed,
+    /// Rejected; trying again is harmless.
+    Rejected,
     /// Failed, with no promise.
     Failed,
 }
@@ -32,98 +32,98 @@
     /// The connection that carries it, while it is out.
     pub(crate) conn: Option<ConnId>,
     pub(crate) sent: Duration,
-    pub(crate) read: bool,
+    pub(crate) is_prefill: bool,
     /// Has no outcome yet.
-    pub(crate) out: bool,
+    pub(crate) in_flight: bool,
 }
 
 /// A request under way.
-pub(crate) struct Call {
+pub(crate) struct ActiveRequest {
     pub(crate) id: RequestId,
     /// Which of the front's routers decides for it.
     pub(crate) generation: u64,
     pub(crate) client: ConnId,
     pub(crate) request_id: String,
     /// The settings by which it was taken, and the epoch of their policy, where the fleet has agreed on one.
-    pub(crate) site: Arc<Site>,
+    pub(crate) settings: Arc<GatewaySettings>,
     pub(crate) epoch: Option<u64>,
     /// Position of its class in them.
     pub(crate) class: usize,
-    pub(crate) effect: Idempotency,
+    pub(crate) idempotency: Idempotency,
     pub(crate) stream: bool,
     /// When it had come in whole.
     pub(crate) since: Duration,
     /// For how long engines were at work for it, up to the end of its last ended attempt.
-    worked: Duration,
+    engine_time: Duration,
     /// When its client gives up waiting for the beginning.
     pub(crate) deadline: Duration,
     /// When its client gives up waiting for a whole answer, if it says so.
-    pub(crate) whole_by: Option<Duration>,
+    pub(crate) complete_by: Option<Duration>,
     chat: Map<String, Value>,
     max_tokens: u32,
     key: String,
-    pub(crate) writer: Writer,
+    pub(crate) writer: MessageWriter,
     pub(crate) attempts: Vec<Attempt>,
     /// Where the state of the last read waits.
     transfer: Option<(EngineId, Value)>,
     /// Readers that may hold state for it, and for which attempt.
     holders: Vec<(EngineId, SocketAddr, usize)>,
     /// The attempt whose answer has begun.
-    pub(crate) begun: Option<usize>,
+    pub(crate) streaming_attempt: Option<usize>,
     /// It had begun before and broke, with nothing gone out.
-    anew: bool,
+    is_restarted: bool,
     /// It has its final answer, or its client has left.
-    pub(crate) over: bool,
+    pub(crate) is_closed: bool,
 }
 
 /// What a new call is made of.
-pub(crate) struct NewCall {
+pub(crate) struct NewRequest {
     pub(crate) id: RequestId,
     pub(crate) generation: u64,
     pub(crate) client: ConnId,
     pub(crate) request_id: String,
-    pub(crate) site: Arc<Site>,
+    pub(crate) settings: Arc<GatewaySettings>,
     pub(crate) epoch: Option<u64>,
     pub(crate) class: usize,
-    pub(crate) effect: Idempotency,
+    pub(crate) idempotency: Idempotency,
     pub(crate) stream: bool,
     pub(crate) now: Duration,
     pub(crate) time_left: Duration,
-    pub(crate) whole_within: Option<Duration>,
+    pub(crate) complete_within: Option<Duration>,
     pub(crate) chat: Map<String, Value>,
     pub(crate) max_tokens: u32,
     pub(crate) key: Option<String>,
     pub(crate) model: String,
 }
 
-impl Call {
-    pub(crate) fn new(new: NewCall) -> Self {
+impl ActiveRequest {
+    pub(crate) fn new(new: NewRequest) -> Self {
         let message_id = new.request_id.replacen("req_", "msg_", 1);
-        Call {
+        ActiveRequest {
             id: new.id,
             generation: new.generation,
             client: new.client,
-            site: new.site,
+            settings: new.settings,
             epoch: new.epoch,
             class: new.class,
-            effect: new.effect,
+            idempotency: new.idempotency,
             stream: new.stream,
             since: new.now,
-            worked: Duration::ZERO,
+            engine_time: Duration::ZERO,
             deadline: new.now.saturating_add(new.time_left),
-            whole_by: new.whole_within.map(|within| new.now.saturating_add(within)),
+            complete_by: new.complete_within.map(|within| new.now.saturating_add(within)),
             chat: new.chat,
             max_tokens: new.max_tokens,
             // A client that names no key makes each of its tries a request of its own.
             key: new.key.unwrap_or_else(|| new.request_id.clone()),
-            writer: Writer::new(message_id, new.model, new.stream),
+            writer: MessageWriter::new(message_id, new.model, new.stream),
             request_id: new.request_id,
             attempts: Vec::new(),
             transfer: None,
             holders: Vec::new(),
-            begun: None,
-            anew: false,
-            over: false,
+            streaming_attempt: None,
+            is_restarted: false,
+            is_closed: false,
         }
     }
 
@@ -132,14 +132,14 @@
         &mut self, now: Duration, engine: EngineId, addr: SocketAddr, role: Role, via: &str,
     ) -> (usize, Vec<u8>) {
         let attempt = self.attempts.len();
-        let read = role == Role::Prefill;
-        let body = if read {
+        let is_prefill = role == Role::Prefill;
+        let body = if is_prefill {
             self.holders.push((engine, addr, attempt));
             engine::read_body(&self.chat)
         } else {
             engine::write_body(&self.chat, self.max_tokens, self.transfer.as_ref().map(|(_, t)| t))
         };
-        self.attempts.push(Attempt { engine, conn: None, sent: now, read, out: true });
+        self.attempts.push(Attempt { engine, conn: None, sent: now, is_prefill, in_flight: true });
         let (name, host) = (self.attempt_name(attempt), addr.to_string());
         let mut fields = vec![
             ("host", host.as_str()),
@@ -148,7 +148,7 @@
             ("x-request-id", name.as_str()),
             ("endpoint-load-metrics-format", "TEXT"),
         ];
-        if matches!(self.effect, Idempotency::WithKey { .. }) {
+        if matches!(self.idempotency, Idempotency::WithKey { .. }) {
             fields.push(("idempotency-key", self.key.as_str()));
         }
         let epoch = self.epoch.map(|e| e.to_string());
@@ -163,7 +163,7 @@
 
     /// The name of its class.
     pub(crate) fn class_name(&self) -> &str {
-        self.site.classes.get(self.class).map_or("", |c| &c.name)
+        self.settings.classes.get(self.class).map_or("", |c| &c.name)
     }
 
     /// What an engine knows an attempt by.
@@ -172,60 +172,60 @@
     }
 
     /// An attempt has read the prompt.
-    pub(crate) fn has_read(&mut self, attempt: usize, transfer: Value, usage: engine::Usage) {
+    pub(crate) fn prefill_completed(&mut self, attempt: usize, transfer: Value, usage: engine::Usage) {
         self.writer.prompt(usage);
         self.transfer = Some((self.attempts[attempt].engine, transfer));
     }
 
     /// An attempt's answer has begun: it has fetched the state, which its reader has let go with that. Gives that
     /// reader, once for each state.
-    pub(crate) fn has_begun(&mut self, attempt: usize) -> Option<EngineId> {
-        self.begun = Some(attempt);
+    pub(crate) fn answer_began(&mut self, attempt: usize) -> Option<EngineId> {
+        self.streaming_attempt = Some(attempt);
         let (reader, _) = self.transfer.take()?;
-        let read = self.attempts.iter().rposition(|a| a.read && a.engine == reader);
+        let read = self.attempts.iter().rposition(|a| a.is_prefill && a.engine == reader);
         let before = self.holders.len();
         self.holders.retain(|&(engine, _, at)| (engine, Some(at)) != (reader, read));
         (self.holders.len() < before).then_some(reader)
     }
 
     /// Whether an answer to it had begun before and broke.
-    pub(crate) fn has_begun_before(&self) -> bool {
-        self.anew
+    pub(crate) fn is_restarted(&self) -> bool {
+        self.is_restarted
     }
 
     /// An attempt has ended after this time.
-    pub(crate) fn worked(&mut self, latency: Duration) {
-        self.worked += latency;
+    pub(crate) fn engine_time(&mut self, latency: Duration) {
+        self.engine_time += latency;
     }
 
     /// For how long engines were at work for it: in attempts that ended, and in those that are out.
-    pub(crate) fn at_engines(&self, now: Duration) -> Duration {
-        let out = self.attempts.iter().filter(|a| a.out).map(|a| now.saturating_sub(a.sent));
-        self.worked + out.sum::<Duration>()
+    pub(crate) fn time_at_engines(&self, now: Duration) -> Duration {
+        let out = self.attempts.iter().filter(|a| a.in_flight).map(|a| now.saturating_sub(a.sent));
+        self.engine_time + out.sum::<Duration>()
     }
 
     /// Its answer broke before any of it went out: what came of it is dropped.
-    pub(crate) fn begins_anew(&mut self) {
-        (self.begun, self.anew) = (None, true);
-        self.writer.begins_anew();
+    pub(crate) fn restart_answer(&mut self) {
+        (self.streaming_attempt, self.is_restarted) = (None, true);
+        self.writer.restart_answer();
     }
 
     /// All that may be held for it and that no attempt reads now: to be let go of.
     pub(crate) fn release(&mut self) -> Vec<(EngineId, SocketAddr, String)> {
         self.transfer = None;
         let (out, free): (Vec<_>, Vec<_>) =
-            self.holders.drain(..).partition(|&(_, _, at)| self.attempts[at].out);
+            self.holders.drain(..).partition(|&(_, _, at)| self.attempts[at].in_flight);
         self.holders = out;
         free.into_iter().map(|(engine, addr, at)| (engine, addr, self.attempt_name(at))).collect()
     }
 
     /// The readers that still count as holders, once for each state.
-    pub(crate) fn holding(self) -> Vec<EngineId> {
+    pub(crate) fn into_holders(self) -> Vec<EngineId> {
         self.holders.into_iter().map(|(engine, ..)| engine).collect()
     }
 
     /// An attempt that read nothing holds nothing. Gives its engine if it counted as a holder.
-    pub(crate) fn holds_nothing(&mut self, attempt: usize, outcome: Outcome) -> Option<EngineId> {
+    pub(crate) fn drop_holder_of(&mut self, attempt: usize, outcome: Outcome) -> Option<EngineId> {
         if !matches!(outcome, Outcome::Rejected { .. } | Outcome::ConnectFailed | Outcome::NotSent) {
             return None;
         }
@@ -234,15 +234,15 @@
     }
 
     /// Nothing more can come of it.
-    pub(crate) fn is_done(&self) -> bool {
-        self.over && self.attempts.iter().all(|a| !a.out)
+    pub(crate) fn is_finished(&self) -> bool {
+        self.is_closed && self.attempts.iter().all(|a| !a.in_flight)
     }
 
     /// Whether trying again could run it twice, for all that this router knows.
     pub(crate) fn must_not_repeat(&self) -> bool {
-        let ran = self.attempts.iter().any(|a| !a.read);
+        let ran = self.attempts.iter().any(|a| !a.is_prefill);
         ran && !matches!(
-            self.effect,
+            self.idempotency,
             Idempotency::Idempotent | Idempotency::WithKey { scope: slipreel::DeduplicationScope::All, .. }
         )
     }
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -1,10 +1,10 @@
 //! The clients' side: what a request asks for, and its one final answer.
 
-use crate::call::{Call, Final, NewCall, POLICY};
 use crate::classify;
-use crate::front::Front;
-use crate::gauges::{self, Why};
-use crate::limits::{self, Turned};
+use crate::gateway::Gateway;
+use crate::limits::{self, AdmissionError};
+use crate::metrics::{self, RejectionReason};
+use crate::request::{ActiveRequest, NewRequest, RequestEnd, POLICY};
 use serde_json::json;
 use slipreel::{Event, Outcome, RequestId};
 use slipreel_connections::{Received, State};
@@ -16,7 +16,7 @@
 /// The door of operators; clients come by the first.
 const OPERATORS: ListenerId = ListenerId(1);
 
-impl Front {
+impl Gateway {
     // ---- In ---------------------------------------------------------------------------------
 
     pub(crate) fn client_data(&mut self, conn: ConnId, bytes: &[u8], out: &mut Vec<Output>) {
@@ -26,7 +26,7 @@
         client.feed(now, bytes, out);
         self.read_requests(conn, out);
         if self.clients.get(&conn).is_some_and(|c| c.state != before) {
-            self.arm_client(conn);
+            self.arm_client_timer(conn);
         }
     }
 
@@ -38,27 +38,27 @@
             match client.receive(now, out) {
                 Ok(None) => return,
                 Ok(Some(received)) => self.route(conn, &received, out),
-                Err(why) => return self.malformed(conn, &why, out),
+                Err(why) => return self.reject_malformed(conn, &why, out),
             }
         }
     }
 
-    fn malformed(&mut self, conn: ConnId, why: &Malformed, out: &mut Vec<Output>) {
+    fn reject_malformed(&mut self, conn: ConnId, why: &Malformed, out: &mut Vec<Output>) {
         let error = ApiError::new(ErrorKind::of_status(why.status), why.why.clone());
         if let Some(client) = self.clients.get_mut(&conn) {
             client.close_after_answer();
         }
-        self.turn(conn, why.status, &error, &[], out);
+        self.reject_before_admission(conn, why.status, &error, &[], out);
     }
 
     /// An answer that needs no engine.
-    pub(crate) fn turn(
+    pub(crate) fn reject_before_admission(
         &mut self, conn: ConnId, status: u16, error: &ApiError, fields: &[(&str, &str)],
         out: &mut Vec<Output>,
     ) {
         let request_id = self.request_id();
-        self.tally.turned += 1;
-        self.gauges.turned();
+        self.counters.rejected_before_admission += 1;
+        self.metrics.turned();
         let body = error.body(&request_id);
         let mut all = vec![("request-id", request_id.as_str())];
         all.extend_from_slice(fields);
@@ -85,38 +85,38 @@
         let now = self.now;
         let Some(client) = self.clients.get_mut(&conn) else { return };
         if client.finish_answer(now, out) {
-            self.arm_client(conn);
+            self.arm_client_timer(conn);
         } else {
-            self.forget_client(conn);
+            self.remove_client(conn);
         }
     }
 
     fn request_id(&mut self) -> String {
-        self.next_call += 1;
-        format!("req_{:016x}{:08x}", self.seed, self.next_call)
+        self.next_request += 1;
+        format!("req_{:016x}{:08x}", self.seed, self.next_request)
     }
 
     fn route(&mut self, conn: ConnId, received: &Received, out: &mut Vec<Output>) {
         let (method, path) = (received.method(), received.path());
         if self.clients.get(&conn).is_some_and(|c| c.listener == OPERATORS) {
-            return self.operate(conn, received, out);
+            return self.handle_operator_request(conn, received, out);
         }
-        if path != "/health" && !self.may_take() {
-            return self.uncertain(conn, out);
+        if path != "/health" && !self.holds_policy() {
+            return self.reject_without_policy(conn, out);
         }
         let answered = match (method, path) {
-            ("POST", "/v1/messages") => self.ask(conn, received, out),
+            ("POST", "/v1/messages") => self.handle_messages_request(conn, received, out),
             ("POST", "/v1/messages/count_tokens") => self.count_tokens(conn, received, out),
             ("GET", "/v1/models") => self.models(conn, received, None, out),
             ("GET", _) if path.starts_with("/v1/models/") => {
                 self.models(conn, received, Some(&path["/v1/models/".len()..]), out)
             }
             ("GET", "/health") => {
-                let outside = self.outside();
+                let outside = self.membership_obstacle();
                 let (status, word) = match outside {
                     _ if self.stopping => (503, "stopping"),
                     Some(word) => (503, word),
-                    None if !self.may_take() => (503, "policy"),
+                    None if !self.holds_policy() => (503, "policy"),
                     None => (200, "ok"),
                 };
                 self.answer(conn, status, &[], json!({"status": word}).to_string().as_bytes(), out);
@@ -125,18 +125,18 @@
             (_, "/v1/messages" | "/v1/messages/count_tokens" | "/v1/models" | "/health") => {
                 let error =
                     ApiError::new(ErrorKind::InvalidRequest, format!("{path} does not take {method}"));
-                self.turn(conn, 405, &error, &[], out);
+                self.reject_before_admission(conn, 405, &error, &[], out);
                 Ok(())
             }
             _ => Err(ApiError::new(ErrorKind::NotFound, format!("no such path: {path}"))),
         };
         if let Err(error) = answered {
-            self.turn(conn, error.kind.status(), &error, &[], out);
+            self.reject_before_admission(conn, error.kind.status(), &error, &[], out);
         }
     }
 
     /// What operators ask of the view of the fleet.
-    fn operate_fleet(&mut self, conn: ConnId, method: &str, path: &str, out: &mut Vec<Output>) {
+    fn handle_fleet_operation(&mut self, conn: ConnId, method: &str, path: &str, out: &mut Vec<Output>) {
         let Some(board) = self.fleet.clone() else { return };
         let (what, name) = path["/fleet/".len()..].split_once('/').unwrap_or((&path["/fleet/".len()..], ""));
         let done = json!({"done": true}).to_string();
@@ -153,42 +153,48 @@
             ("POST", "forget", name) => {
                 let error =
                     ApiError::new(ErrorKind::NotFound, format!("{name:?}: expected the name of a member"));
-                return self.turn(conn, 404, &error, &[], out);
+                return self.reject_before_admission(conn, 404, &error, &[], out);
             }
             _ => {
                 let what = format!(
                     "{method} {path}: expected GET /fleet/status, POST /fleet/leave or /fleet/forget/NAME"
                 );
-                return self.turn(conn, 404, &ApiError::new(ErrorKind::NotFound, what), &[], out);
+                return self.reject_before_admission(
+                    conn,
+                    404,
+                    &ApiError::new(ErrorKind::NotFound, what),
+                    &[],
+                    out,
+                );
             }
         };
         self.answer(conn, status, &[], text.as_bytes(), out);
     }
 
     /// What operators ask, on a port of their own.
-    fn operate(&mut self, conn: ConnId, received: &Received, out: &mut Vec<Output>) {
+    fn handle_operator_request(&mut self, conn: ConnId, received: &Received, out: &mut Vec<Output>) {
         let (method, path) = (received.method(), received.path());
         match (method, path) {
             ("GET", "/metrics") => {
                 let view = self.fleet.as_ref().map(|board| board.view().metrics());
-                let text = gauges::with(self.gauges.write(&self.stands()), view);
-                let text = gauges::with(text, self.policy_metrics());
-                self.answer(conn, 200, &[("content-type", gauges::MEDIA_TYPE)], text.as_bytes(), out);
+                let text = metrics::with(self.metrics.write(&self.snapshot()), view);
+                let text = metrics::with(text, self.policy_metrics());
+                self.answer(conn, 200, &[("content-type", metrics::MEDIA_TYPE)], text.as_bytes(), out);
             }
             (_, "/metrics") => {
                 let error =
                     ApiError::new(ErrorKind::InvalidRequest, format!("{path} does not take {method}"));
-                self.turn(conn, 405, &error, &[], out);
+                self.reject_before_admission(conn, 405, &error, &[], out);
             }
             _ if path.starts_with("/policy/") && self.policy.is_some() => {
-                self.operate_policy(conn, received, out);
+                self.handle_policy_operation(conn, received, out);
             }
             _ if path.starts_with("/fleet/") && self.fleet.is_some() => {
-                self.operate_fleet(conn, method, path, out);
+                self.handle_fleet_operation(conn, method, path, out);
             }
             _ => {
                 let error = ApiError::new(ErrorKind::NotFound, format!("no such path for operators: {path}"));
-                self.turn(conn, 404, &error, &[], out);
+                self.reject_before_admission(conn, 404, &error, &[], out);
             }
         }
     }
@@ -196,9 +202,9 @@
     fn models(
         &mut self, conn: ConnId, received: &Received, one: Option<&str>, out: &mut Vec<Output>,
     ) -> Result<(), ApiError> {
-        classify::caller(&self.site, &received.head)?;
+        classify::caller(&self.settings, &received.head)?;
         let model = |name: &str| json!({"type": "model", "id": name, "display_name": name, "created_at": "1970-01-01T00:00:00Z"});
-        let names: Vec<&str> = self.site.models.iter().map(|m| m.name.as_str()).collect();
+        let names: Vec<&str> = self.settings.models.iter().map(|m| m.name.as_str()).collect();
         let body = match one {
             Some(name) if names.contains(&name) => model(name),
             Some(name) => return Err(ApiError::new(ErrorKind::NotFound, format!("model: {name}"))),
@@ -213,9 +219,9 @@
     fn count_tokens(
         &mut self, conn: ConnId, received: &Received, out: &mut Vec<Output>,
     ) -> Result<(), ApiError> {
-        classify::caller(&self.site, &received.head)?;
+        classify::caller(&self.settings, &received.head)?;
         let messages_request = MessagesRequest::parse(&received.body, true)?;
-        if !self.site.models.iter().any(|m| m.name == messages_request.model) {
+        if !self.settings.models.iter().any(|m| m.name == messages_request.model) {
             return Err(ApiError::new(ErrorKind::NotFound, format!("model: {}", messages_request.model)));
         }
         let tokens = classify::prompt_tokens(&messages_request, received.body.len()) as u64;
@@ -226,52 +232,58 @@
     }
 
     /// A message request: the module is told of it, unless it can't be taken at all.
-    fn ask(&mut self, conn: ConnId, received: &Received, out: &mut Vec<Output>) -> Result<(), ApiError> {
-        let caller = classify::caller(&self.site, &received.head)?;
+    fn handle_messages_request(
+        &mut self, conn: ConnId, received: &Received, out: &mut Vec<Output>,
+    ) -> Result<(), ApiError> {
+        let caller = classify::caller(&self.settings, &received.head)?;
         let mut messages_request = MessagesRequest::parse(&received.body, false)?;
         let traits =
-            classify::traits(&self.site, &received.head, caller, &messages_request, received.body.len())?;
+            classify::traits(&self.settings, &received.head, caller, &messages_request, received.body.len())?;
         let model = std::mem::replace(&mut messages_request.model, traits.served_as.clone());
         let chat = messages_request.to_chat()?;
-        if let Err(turned) = limits::may_take(&self.site.bounds, self.calls.len(), self.stopping) {
+        if let Err(turned) =
+            limits::check_admission(&self.settings.bounds, self.requests.len(), self.stopping)
+        {
             let (why, text) = match turned {
-                Turned::Requests => (Why::Bound, "too many requests are under way"),
-                Turned::Stopping => (Why::Stopping, "this router is stopping"),
+                AdmissionError::TooManyRequests => {
+                    (RejectionReason::TooManyRequests, "too many requests are under way")
+                }
+                AdmissionError::Stopping => (RejectionReason::Stopping, "this router is stopping"),
             };
-            self.gauges.refused(self.class_name(traits.class.0), why);
+            self.metrics.refused(self.class_name(traits.class.0), why);
             let error = ApiError::new(ErrorKind::Overloaded, text);
-            let (s, ms) = retry_after(limits::COME_BACK);
+            let (s, ms) = retry_after(limits::RETRY_AFTER);
             let fields = [("retry-after", s.as_str()), ("retry-after-ms", &ms), ("x-should-retry", "true")];
-            self.turn(conn, error.kind.status(), &error, &fields, out);
+            self.reject_before_admission(conn, error.kind.status(), &error, &fields, out);
             return Ok(());
         }
         let request_id = self.request_id();
-        let id = RequestId(self.next_call);
+        let id = RequestId(self.next_request);
         let generation = self.generation();
         if let Some(client) = self.clients.get_mut(&conn) {
             client.state = State::Serving(Some(id.0));
         }
-        let new = NewCall {
+        let new = NewRequest {
             id,
             generation,
             client: conn,
             request_id,
-            site: self.site.clone(),
+            settings: self.settings.clone(),
             epoch: self.epoch(),
             class: traits.class.0,
-            effect: self.site.settings.classes[traits.class.0].idempotency,
+            idempotency: self.settings.decisions.classes[traits.class.0].idempotency,
             stream: messages_request.stream,
             now: self.now,
             time_left: traits.time_left,
-            whole_within: traits.told,
+            complete_within: traits.told,
             chat,
             max_tokens: messages_request.max_tokens,
             key: traits.idempotency_key,
             model,
         };
-        self.calls.insert(id, Call::new(new));
-        self.tally.taken += 1;
-        self.gauges.asked(self.class_name(traits.class.0));
+        self.requests.insert(id, ActiveRequest::new(new));
+        self.counters.admitted += 1;
+        self.metrics.admitted(self.class_name(traits.class.0));
         let request = slipreel::Request {
             id,
             class: traits.class,
@@ -286,14 +298,14 @@
             is_retry: traits.repeat,
             is_resumption: false,
         };
-        self.tell(generation, Event::Request(request));
+        self.queue_event(generation, Event::Request(request));
         Ok(())
     }
 
     // ---- Leaving ------------------------------------------------------------------------------
 
     pub(crate) fn client_eof(&mut self, conn: ConnId, out: &mut Vec<Output>) {
-        let half_close = self.site.bounds.half_close;
+        let half_close = self.settings.bounds.half_close;
         let Some(client) = self.clients.get_mut(&conn) else { return };
         client.is_closed_by_peer = true;
         match client.state {
@@ -310,20 +322,20 @@
     pub(crate) fn client_gone(&mut self, conn: ConnId) {
         let Some(client) = self.clients.get(&conn) else { return };
         let state = client.state;
-        self.forget_client(conn);
+        self.remove_client(conn);
         let State::Serving(Some(id)) = state else { return };
         let id = RequestId(id);
-        let Some(call) = self.calls.get_mut(&id).filter(|c| !c.over) else { return };
-        call.over = true;
-        self.tally.left += 1;
-        self.gauges.left();
-        let (generation, begun) = (call.generation, call.begun);
-        let conn = begun.and_then(|a| call.attempts[a].conn);
-        self.reap.push(id);
-        self.tell(generation, Event::ClientDisconnected(id));
+        let Some(request) = self.requests.get_mut(&id).filter(|c| !c.is_closed) else { return };
+        request.is_closed = true;
+        self.counters.disconnected += 1;
+        self.metrics.left();
+        let (generation, streaming_attempt) = (request.generation, request.streaming_attempt);
+        let conn = streaming_attempt.and_then(|a| request.attempts[a].conn);
+        self.finished_requests.push(id);
+        self.queue_event(generation, Event::ClientDisconnected(id));
         // The module leaves a stream that has begun to its client, and this one is gone.
         if let Some(conn) = conn {
-            self.orphans.push(conn);
+            self.abandoned_connections.push(conn);
         }
     }
 
@@ -338,16 +350,16 @@
     }
 
     /// A client's connection did not move on in time, by its state.
-    pub(crate) fn client_late(&mut self, conn: ConnId, out: &mut Vec<Output>) {
+    pub(crate) fn client_timed_out(&mut self, conn: ConnId, out: &mut Vec<Output>) {
         let Some(client) = self.clients.get(&conn) else { return };
         match client.state {
             State::Receiving if client.unsent == 0 => {
                 let why = Malformed { status: 408, why: "the request did not come in whole in time".into() };
-                self.malformed(conn, &why, out);
+                self.reject_malformed(conn, &why, out);
             }
             State::Idle if client.unsent == 0 => {
                 out.push(Output::CloseWhenSent(conn));
-                self.forget_client(conn);
+                self.remove_client(conn);
             }
             // It takes nothing of what waits for it.
             _ => {
@@ -361,42 +373,42 @@
 
     pub(crate) fn begin_stream(&mut self, id: RequestId, out: &mut Vec<Output>) {
         let now = self.now;
-        let Some(call) = self.calls.get(&id) else { return };
-        let Some(client) = self.clients.get_mut(&call.client) else { return };
+        let Some(request) = self.requests.get(&id) else { return };
+        let Some(client) = self.clients.get_mut(&request.client) else { return };
         client.last_sent_at = now;
-        let epoch = call.epoch.map(|e| e.to_string());
-        let mut fields = vec![("request-id", call.request_id.as_str())];
+        let epoch = request.epoch.map(|e| e.to_string());
+        let mut fields = vec![("request-id", request.request_id.as_str())];
         fields.extend(epoch.as_ref().map(|e| (POLICY, e.as_str())));
         client.begin_stream(&fields, out);
         let conn = client.conn;
-        self.arm_client(conn);
+        self.arm_client_timer(conn);
     }
 
     /// Passes a piece of a stream on. A whole answer keeps it.
-    pub(crate) fn flush(&mut self, id: RequestId, piece: &mut Vec<u8>, out: &mut Vec<Output>) {
+    pub(crate) fn write_stream(&mut self, id: RequestId, piece: &mut Vec<u8>, out: &mut Vec<Output>) {
         let piece = std::mem::take(piece);
         let now = self.now;
-        let Some(call) = self.calls.get(&id).filter(|c| c.stream && !c.over) else { return };
-        let Some(client) = self.clients.get_mut(&call.client) else { return };
+        let Some(request) = self.requests.get(&id).filter(|c| c.stream && !c.is_closed) else { return };
+        let Some(client) = self.clients.get_mut(&request.client) else { return };
         let (conn, idle) = (client.conn, client.unsent == 0);
         if idle {
             client.last_sent_at = now;
         }
         client.write(http::chunk(&piece), out);
         if idle {
-            self.arm_client(conn);
+            self.arm_client_timer(conn);
         }
     }
 
     /// The final answer of a request whose answer is whole.
-    pub(crate) fn serve_whole(&mut self, id: RequestId, out: &mut Vec<Output>) {
-        let Some(call) = self.calls.get_mut(&id).filter(|c| !c.over) else { return };
-        let (conn, stream, request_id) = (call.client, call.stream, call.request_id.clone());
+    pub(crate) fn complete_request(&mut self, id: RequestId, out: &mut Vec<Output>) {
+        let Some(request) = self.requests.get_mut(&id).filter(|c| !c.is_closed) else { return };
+        let (conn, stream, request_id) = (request.client, request.stream, request.request_id.clone());
         let mut bytes = Vec::new();
-        call.writer.finish(&mut bytes);
-        let tokens = call.writer.used().output_tokens;
-        self.gauges.answered(call.class_name(), tokens);
-        self.final_of(id, Final::Served);
+        request.writer.finish(&mut bytes);
+        let tokens = request.writer.used().output_tokens;
+        self.metrics.answered(request.class_name(), tokens);
+        self.record_end(id, RequestEnd::Completed);
         if stream {
             if let Some(client) = self.clients.get_mut(&conn) {
                 let mut last = http::chunk(&bytes);
@@ -411,33 +423,33 @@
     }
 
     /// The final answer of a request that gets no answer of an engine.
-    pub(crate) fn answer_error(
-        &mut self, id: RequestId, error: &ApiError, come_back: Option<Duration>, end: Final,
+    pub(crate) fn answer_with_error(
+        &mut self, id: RequestId, error: &ApiError, retry_after_time: Option<Duration>, end: RequestEnd,
         out: &mut Vec<Output>,
     ) {
-        let Some(call) = self.calls.get_mut(&id).filter(|c| !c.over) else { return };
-        let (conn, request_id) = (call.client, call.request_id.clone());
-        let must_not_repeat = end == Final::Failed && call.must_not_repeat();
-        if call.stream && call.begun.is_some() {
+        let Some(request) = self.requests.get_mut(&id).filter(|c| !c.is_closed) else { return };
+        let (conn, request_id) = (request.client, request.request_id.clone());
+        let must_not_repeat = end == RequestEnd::Failed && request.must_not_repeat();
+        if request.stream && request.streaming_attempt.is_some() {
             let mut bytes = Vec::new();
-            call.writer.error(error, &request_id, &mut bytes);
+            request.writer.error(error, &request_id, &mut bytes);
             let mut last = http::chunk(&bytes);
             last.extend_from_slice(http::LAST_CHUNK);
-            self.final_of(id, end);
+            self.record_end(id, end);
             if let Some(client) = self.clients.get_mut(&conn) {
                 client.close_after_answer();
                 client.write(last, out);
             }
             return self.client_done(conn, out);
         }
-        self.final_of(id, end);
-        let (s, ms) = come_back.map(retry_after).unzip();
+        self.record_end(id, end);
+        let (s, ms) = retry_after_time.map(retry_after).unzip();
         let mut fields = vec![("request-id", request_id.as_str())];
         if let (Some(s), Some(ms)) = (&s, &ms) {
             fields.extend([("retry-after", s.as_str()), ("retry-after-ms", ms.as_str())]);
         }
         match end {
-            Final::Refused => fields.push(("x-should-retry", "true")),
+            RequestEnd::Rejected => fields.push(("x-should-retry", "true")),
             _ if must_not_repeat => fields.push(("x-should-retry", "false")),
             _ => {}
         }
@@ -447,78 +459,79 @@
     }
 
     /// The module turns a request away.
-    pub(crate) fn refuse(
-        &mut self, id: RequestId, come_back: Option<Duration>, over_share: bool, out: &mut Vec<Output>,
+    pub(crate) fn reject_request(
+        &mut self, id: RequestId, retry_after_time: Option<Duration>, over_share: bool, out: &mut Vec<Output>,
     ) {
         let error = if over_share {
             ApiError::new(ErrorKind::RateLimit, "your share is used up and the fleet is busy")
         } else {
             ApiError::new(ErrorKind::Overloaded, "Overloaded")
         };
-        if let Some(call) = self.calls.get(&id).filter(|c| !c.over) {
-            let why = match call.attempts.is_empty() {
-                false => Why::Attempts,
-                true if over_share => Why::OverShare,
-                true => Why::Door,
+        if let Some(request) = self.requests.get(&id).filter(|c| !c.is_closed) {
+            let why = match request.attempts.is_empty() {
+                false => RejectionReason::AttemptsFailed,
+                true if over_share => RejectionReason::OverQuota,
+                true => RejectionReason::Admission,
             };
-            self.gauges.refused(call.class_name(), why);
+            self.metrics.refused(request.class_name(), why);
         }
-        self.answer_error(id, &error, come_back, Final::Refused, out);
+        self.answer_with_error(id, &error, retry_after_time, RequestEnd::Rejected, out);
     }
 
     /// The module fails a request: in time if its client still waits a while, else as a time-out.
-    pub(crate) fn fail(&mut self, id: RequestId, out: &mut Vec<Output>) {
-        let Some(call) = self.calls.get(&id) else { return };
-        let margin = self.site.settings.tick * 4;
-        let error = if self.now + margin >= call.deadline {
+    pub(crate) fn fail_request(&mut self, id: RequestId, out: &mut Vec<Output>) {
+        let Some(request) = self.requests.get(&id) else { return };
+        let margin = self.settings.decisions.tick * 4;
+        let error = if self.now + margin >= request.deadline {
             ApiError::new(ErrorKind::Timeout, "no answer began in the time that this request has")
         } else {
             ApiError::new(ErrorKind::Api, "the request failed and may have run")
         };
-        self.answer_error(id, &error, None, Final::Failed, out);
+        self.answer_with_error(id, &error, None, RequestEnd::Failed, out);
     }
 
     /// A client that waits for a whole answer gives up now.
-    pub(crate) fn whole_late(&mut self, id: RequestId, out: &mut Vec<Output>) {
-        let Some(call) = self.calls.get(&id).filter(|c| !c.over) else { return };
-        let conn = call.begun.and_then(|a| call.attempts[a].conn);
+    pub(crate) fn complete_answer_timed_out(&mut self, id: RequestId, out: &mut Vec<Output>) {
+        let Some(request) = self.requests.get(&id).filter(|c| !c.is_closed) else { return };
+        let conn = request.streaming_attempt.and_then(|a| request.attempts[a].conn);
         let error =
             ApiError::new(ErrorKind::Timeout, "the answer was not whole in the time that this request has");
-        let generation = call.generation;
-        self.answer_error(id, &error, None, Final::Failed, out);
+        let generation = request.generation;
+        self.answer_with_error(id, &error, None, RequestEnd::Failed, out);
         // To the module its client is as good as gone: no attempt follows, and what is held is let go of.
-        self.tell(generation, Event::ClientDisconnected(id));
+        self.queue_event(generation, Event::ClientDisconnected(id));
         if let Some(conn) = conn {
-            self.drop_link(conn, out, Outcome::Cancelled);
+            self.abort_connection(conn, out, Outcome::Cancelled);
         }
     }
 
     /// What still runs some time after a stop ends now.
-    pub(crate) fn stop_by(&mut self, out: &mut Vec<Output>) {
-        let open: Vec<RequestId> = self.calls.values().filter(|c| !c.over).map(|c| c.id).collect();
+    pub(crate) fn end_at_shutdown_deadline(&mut self, out: &mut Vec<Output>) {
+        let open: Vec<RequestId> = self.requests.values().filter(|c| !c.is_closed).map(|c| c.id).collect();
         for id in open {
             let error = ApiError::new(ErrorKind::Api, "this router has stopped");
-            self.answer_error(id, &error, None, Final::Failed, out);
-            let Some(call) = self.calls.get(&id) else { continue };
-            let (generation, conn) = (call.generation, call.begun.and_then(|a| call.attempts[a].conn));
+            self.answer_with_error(id, &error, None, RequestEnd::Failed, out);
+            let Some(request) = self.requests.get(&id) else { continue };
+            let (generation, conn) =
+                (request.generation, request.streaming_attempt.and_then(|a| request.attempts[a].conn));
             // For the module the client is as good as gone: it cancels and lets go.
-            self.tell(generation, Event::ClientDisconnected(id));
+            self.queue_event(generation, Event::ClientDisconnected(id));
             if let Some(conn) = conn {
-                self.drop_link(conn, out, Outcome::Cancelled);
+                self.abort_connection(conn, out, Outcome::Cancelled);
             }
         }
         let mut rest: Vec<ConnId> = self.clients.keys().copied().collect();
         rest.sort();
         for conn in rest {
             out.push(Output::CloseWhenSent(conn));
-            self.forget_client(conn);
+            self.remove_client(conn);
         }
     }
 
     /// Connections whose stream nobody waits for any more.
-    pub(crate) fn drop_orphans(&mut self, out: &mut Vec<Output>) {
-        for conn in std::mem::take(&mut self.orphans) {
-            self.drop_link(conn, out, Outcome::Cancelled);
+    pub(crate) fn drop_abandoned_connections(&mut self, out: &mut Vec<Output>) {
+        for conn in std::mem::take(&mut self.abandoned_connections) {
+            self.abort_connection(conn, out, Outcome::Cancelled);
         }
     }
 }
--- a/crates/gateway/src/site.rs
+++ b/crates/gateway/src/settings.rs
@@ -8,17 +8,17 @@
 
 /// A site: what the module is handed, and what the front needs beside it.
 #[derive(Clone, Debug)]
-pub struct Site {
+pub struct GatewaySettings {
     /// Handed to the module as it is. Its kinds are [`KINDS`].
-    pub settings: Settings,
+    pub decisions: Settings,
     /// The classes, in the order of `settings.classes`.
-    pub classes: Vec<ClassSite>,
+    pub classes: Vec<ClassSettings>,
     /// The models that are offered.
-    pub models: Vec<ModelSite>,
+    pub models: Vec<ModelSettings>,
     /// The tenants, in the order of `settings.tenants`. Where there are none, any key or none is taken.
-    pub tenants: Vec<TenantSite>,
+    pub tenants: Vec<TenantSettings>,
     /// The engines, unless a list comes from elsewhere.
-    pub engines: Vec<EngineSite>,
+    pub engines: Vec<EngineSettings>,
     /// What the front bounds.
     pub bounds: Bounds,
     /// Engines that take nothing new whatever the list says, by name.
@@ -36,7 +36,7 @@
 
 /// What the front knows of a class beside what the module does.
 #[derive(Clone, Debug)]
-pub struct ClassSite {
+pub struct ClassSettings {
     /// Its name.
     pub name: String,
     /// How long its clients wait for an answer to begin, unless they say less.
@@ -45,7 +45,7 @@
 
 /// A model that is offered.
 #[derive(Clone, Debug)]
-pub struct ModelSite {
+pub struct ModelSettings {
     /// The name that clients ask for.
     pub name: String,
     /// Position of its class.
@@ -56,7 +56,7 @@
 
 /// A tenant and its keys.
 #[derive(Clone, Debug)]
-pub struct TenantSite {
+pub struct TenantSettings {
     /// Its name.
     pub name: String,
     /// The keys that name it.
@@ -67,7 +67,7 @@
 
 /// An engine of the list.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct EngineSite {
+pub struct EngineSettings {
     /// For the staff.
     pub name: String,
     /// Where it is.
--- a/crates/gateway/tests/connections.rs
+++ b/crates/gateway/tests/connections.rs
@@ -1,7 +1,7 @@
 //! The front fed by hand: what it does with connections when nothing else is there.
 
-use slipreel_gateway::site::*;
-use slipreel_gateway::{Front, Site};
+use slipreel_gateway::settings::*;
+use slipreel_gateway::{Gateway, GatewaySettings};
 use slipreel_state_machine::{ConnId, ConnectionLoss, Input, ListenerId, Machine, Output};
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,7 +13,7 @@
     Duration::from_millis(n)
 }
 
-fn site() -> Site {
+fn settings() -> GatewaySettings {
     let start = starting_class();
     let class = slipreel::Class {
         latency_objective: start.aim,
@@ -22,7 +22,7 @@
         idempotency: slipreel::Idempotency::Idempotent,
         streams: true,
     };
-    let engine = |port: u16, role| EngineSite {
+    let engine = |port: u16, role| EngineSettings {
         name: format!("e{port}"),
         addr: ([127, 0, 0, 1], port).into(),
         role,
@@ -30,10 +30,10 @@
         cell: "a".into(),
         state: slipreel::EngineState::Ready,
     };
-    Site {
-        settings: slipreel::Settings { classes: vec![class], ..starting_settings() },
-        classes: vec![ClassSite { name: "chat".into(), patience: start.patience }],
-        models: vec![ModelSite { name: "m".into(), class: 0, served_as: "engine-m".into() }],
+    GatewaySettings {
+        decisions: slipreel::Settings { classes: vec![class], ..starting_settings() },
+        classes: vec![ClassSettings { name: "chat".into(), patience: start.patience }],
+        models: vec![ModelSettings { name: "m".into(), class: 0, served_as: "engine-m".into() }],
         tenants: Vec::new(),
         engines: vec![engine(1, slipreel::Role::Prefill), engine(2, slipreel::Role::Decode)],
         bounds: Bounds { requests: 3, body: 10_000, unsent: 2_000, ..Bounds::default() },
@@ -45,20 +45,20 @@
 }
 
 struct Host {
-    front: Front,
+    gateway: Gateway,
     now: Duration,
     out: Vec<Output>,
 }
 
 impl Host {
-    fn new(site: Site) -> Self {
+    fn new(settings: GatewaySettings) -> Self {
         let now = Duration::from_secs(1000);
-        Host { front: Front::new(Arc::new(site), 5, now, now), now, out: Vec::new() }
+        Host { gateway: Gateway::new(Arc::new(settings), 5, now, now), now, out: Vec::new() }
     }
 
     fn tell(&mut self, input: Input<'_>) -> Vec<Output> {
         let mut out = Vec::new();
-        self.front.handle(self.now, input, &mut out);
+        self.gateway.handle(self.now, input, &mut out);
         self.out.extend(out.iter().cloned());
         out
     }
@@ -66,7 +66,7 @@
     /// Lets time pass, waking the front when it asks for it.
     fn pass(&mut self, time: Duration) -> Vec<Output> {
         let (end, mut out) = (self.now + time, Vec::new());
-        while let Some(at) = self.front.wake_at().filter(|at| *at <= end) {
+        while let Some(at) = self.gateway.wake_at().filter(|at| *at <= end) {
             self.now = self.now.max(at);
             out.extend(self.tell(Input::Wake));
         }
@@ -114,14 +114,14 @@
         ("BAD\r\n\r\n", "400"),
         ("GET / HTTP/3.0\r\nhost: a\r\n\r\n", "505"),
     ] {
-        let answer = Host::new(site()).ask(request);
+        let answer = Host::new(settings()).ask(request);
         assert!(answer.starts_with(&format!("HTTP/1.1 {status} ")), "{request:?}: {answer}");
     }
 }
 
 #[test]
 fn a_body_that_is_too_large_is_refused_before_it_comes() {
-    let mut host = Host::new(site());
+    let mut host = Host::new(settings());
     let answer = host.ask("POST /v1/messages HTTP/1.1\r\nhost: a\r\ncontent-length: 104857600\r\n\r\n");
     assert!(answer.starts_with("HTTP/1.1 413 ") && answer.contains("request_too_large"), "{answer}");
     assert!(host.out.contains(&Output::CloseWhenSent(CLIENT)));
@@ -129,7 +129,7 @@
 
 #[test]
 fn a_client_that_expects_continue_gets_it_once() {
-    let mut host = Host::new(site());
+    let mut host = Host::new(settings());
     let head = format!(
         "POST /v1/messages HTTP/1.1\r\nhost: a\r\nexpect: 100-continue\r\ncontent-length: {}\r\n\r\n",
         BODY.len()
@@ -141,7 +141,7 @@
 
 #[test]
 fn pipelined_requests_are_answered_in_order_and_bounded() {
-    let mut host = Host::new(site());
+    let mut host = Host::new(settings());
     let two = "GET /health HTTP/1.1\r\nhost: a\r\n\r\nGET /nope HTTP/1.1\r\nhost: a\r\n\r\n";
     let answer = host.ask(two);
     assert!(answer.find("200 OK") < answer.find("404 Not Found"), "{answer}");
@@ -152,23 +152,23 @@
 
 #[test]
 fn slow_heads_and_idle_connections_end() {
-    let mut host = Host::new(site());
+    let mut host = Host::new(settings());
     host.ask("GET /health HT");
     let out = host.pass(Bounds::default().receive + ms(5));
     assert!(
         text(&out, CLIENT).starts_with("HTTP/1.1 408 ") && out.contains(&Output::CloseWhenSent(CLIENT)),
         "{out:?}"
     );
-    let mut host = Host::new(site());
+    let mut host = Host::new(settings());
     host.tell(Input::Accepted(CLIENT, CLIENTS));
     assert!(host.pass(Bounds::default().client_idle - ms(5)).is_empty());
     assert!(host.pass(ms(10)).contains(&Output::CloseWhenSent(CLIENT)));
-    assert_eq!(host.front.holds().0, 0);
+    assert_eq!(host.gateway.held_state().client_connections, 0);
 }
 
 #[test]
 fn requests_over_the_bound_are_turned_away_with_a_time() {
-    let mut host = Host::new(site());
+    let mut host = Host::new(settings());
     for n in 1..=4 {
         host.tell(Input::Accepted(ConnId(n), CLIENTS));
         let out = host.tell(Input::Data(ConnId(n), post(BODY).as_bytes()));
@@ -182,7 +182,7 @@
 
 #[test]
 fn no_descriptors_means_that_nothing_was_sent() {
-    let mut host = Host::new(site());
+    let mut host = Host::new(settings());
     host.ask(&post(BODY));
     let mut answer = String::new();
     for _ in 0..40 {
@@ -194,7 +194,7 @@
         answer.push_str(&text(&host.out, CLIENT));
     }
     assert!(answer.starts_with("HTTP/1.1 529 ") || answer.starts_with("HTTP/1.1 504 "), "{answer}");
-    assert_eq!(host.front.holds().2, 0);
+    assert_eq!(host.gateway.held_state().requests, 0);
     assert!(
         !host.out.iter().any(|o| matches!(o, Output::Log(l) if l.contains("ejected"))),
         "no engine is to blame"
@@ -226,7 +226,7 @@
 
 #[test]
 fn a_client_that_takes_nothing_holds_its_writer_back_and_is_cut() {
-    let mut host = Host::new(site());
+    let mut host = Host::new(settings());
     let writer = up_to_the_stream(&mut host);
     let mut paused = false;
     for _ in 0..20 {
@@ -244,12 +244,12 @@
     while !host.tell(Input::Data(writer, &token(50))).contains(&Output::Pause(writer)) {}
     let out = host.pass(Bounds::default().stalled_peer + ms(10));
     assert!(out.contains(&Output::Abort(CLIENT)) && out.contains(&Output::Abort(writer)), "{out:?}");
-    assert_eq!(host.front.holds().2, 0);
+    assert_eq!(host.gateway.held_state().requests, 0);
 }
 
 #[test]
 fn a_stream_that_breaks_ends_with_an_error_event() {
-    let mut host = Host::new(site());
+    let mut host = Host::new(settings());
     let writer = up_to_the_stream(&mut host);
     host.tell(Input::Data(writer, &token(1)));
     let out = host.tell(Input::Lost(writer, ConnectionLoss::Reset));
@@ -262,7 +262,7 @@
 
 #[test]
 fn a_stop_ends_what_runs_and_takes_nothing_new() {
-    let mut host = Host::new(site());
+    let mut host = Host::new(settings());
     let writer = up_to_the_stream(&mut host);
     host.tell(Input::Data(writer, &token(1)));
     host.tell(Input::Accepted(ConnId(2), CLIENTS));
@@ -278,7 +278,7 @@
 
 #[test]
 fn a_stop_gives_up_in_the_end() {
-    let mut host = Host::new(site());
+    let mut host = Host::new(settings());
     let writer = up_to_the_stream(&mut host);
     host.tell(Input::Data(writer, &token(1)));
     host.tell(Input::Stop);
@@ -307,7 +307,7 @@
 
 #[test]
 fn what_was_asked_is_published_to_operators() {
-    let mut host = Host::new(site());
+    let mut host = Host::new(settings());
     let writer = up_to_the_stream(&mut host);
     host.pass(ms(40));
     host.tell(Input::Data(writer, &token(1)));
@@ -335,9 +335,9 @@
 
 #[test]
 fn refusals_are_published_by_reason() {
-    let mut site = site();
-    site.bounds.requests = 1;
-    let mut host = Host::new(site);
+    let mut settings = settings();
+    settings.bounds.requests = 1;
+    let mut host = Host::new(settings);
     host.ask(&post(BODY));
     host.tell(Input::Accepted(ConnId(3), CLIENTS));
     host.tell(Input::Data(ConnId(3), post(BODY).as_bytes()));
@@ -348,7 +348,7 @@
 /// A reader that can't be told to let go of state is told again, until it has heard.
 #[test]
 fn a_lost_word_to_let_go_is_said_again() {
-    let mut host = Host::new(site());
+    let mut host = Host::new(settings());
     host.ask(&post(BODY));
     let read = r#"{"kv_transfer_params":{"x":1},"usage":{"prompt_tokens":9}}"#;
     let answer =
@@ -380,7 +380,7 @@
 /// until a new one has come to stand.
 #[test]
 fn a_connection_that_stands_is_kept_for_letting_go() {
-    let mut host = Host::new(site());
+    let mut host = Host::new(settings());
     host.ask(&post(BODY));
     let read = r#"{"kv_transfer_params":{"x":1},"usage":{"prompt_tokens":9}}"#;
     let answer = format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{read}", read.len());
@@ -402,9 +402,9 @@
 /// A first request is served whole, and a second one read: gives the host, the writer's kept connection, and what came of
 /// the second read.
 fn up_to_a_second_write(effect: slipreel::Idempotency) -> (Host, ConnId, Vec<Output>) {
-    let mut site = site();
-    site.settings.classes[0].idempotency = effect;
-    let mut host = Host::new(site);
+    let mut settings = settings();
+    settings.decisions.classes[0].idempotency = effect;
+    let mut host = Host::new(settings);
     let writer = up_to_the_stream(&mut host);
     host.tell(Input::Data(writer, &token(1)));
     let mut end = slipreel_protocol::http::chunk(STREAM_END.as_bytes());
@@ -450,9 +450,9 @@
 
 #[test]
 fn nothing_is_begun_for_a_client_that_left_while_the_connection_came_up() {
-    let mut site = site();
-    site.settings.limits.cancellation = false;
-    let mut host = Host::new(site);
+    let mut settings = settings();
+    settings.decisions.limits.cancellation = false;
+    let mut host = Host::new(settings);
     host.ask(&post(BODY));
     let (reader, _) = connects(&host.out)[0];
     host.tell(Input::Lost(CLIENT, ConnectionLoss::Reset));
--- a/crates/scenario/benches/sockets.rs
+++ b/crates/scenario/benches/sockets.rs
@@ -3,7 +3,7 @@
 
 use hdrhistogram::Histogram;
 use slipreel_event_loop::{Clock, Command, Loop};
-use slipreel_gateway::Front;
+use slipreel_gateway::Gateway;
 use slipreel_invariants::{Effect, Ending};
 use slipreel_protocol::http::{chunk, Decoder, Item, Limits, Side, Start};
 use slipreel_scenario::read_day;
@@ -179,7 +179,7 @@
         .collect();
     let day = read_day(SITE, "bench").expect("a site");
     let mut router = Loop::new(clock).expect("descriptors");
-    let node = router.add(Front::new(Arc::new(day.router_site(0, &addrs)), 5, clock.now(), clock.now()));
+    let node = router.add(Gateway::new(Arc::new(day.router_site(0, &addrs)), 5, clock.now(), clock.now()));
     let front = router.listen(node, ANY).expect("a port");
     let (engines_handle, router_handle) = (engines.handle(), router.handle());
     let engines = std::thread::spawn(move || engines.run());
--- a/crates/scenario/src/actor.rs
+++ b/crates/scenario/src/actor.rs
@@ -1,7 +1,7 @@
 //! The machines of a day, as one type, so that one driver hosts them all.
 
-use slipreel_gateway::site::EngineSite;
-use slipreel_gateway::Front;
+use slipreel_gateway::settings::EngineSettings;
+use slipreel_gateway::Gateway;
 use slipreel_roles::RoleController;
 use slipreel_state_machine::{Input, Machine, Output};
 use slipreel_test_servers::client::Clients;
@@ -14,7 +14,7 @@
     /// Has an address and nothing else yet.
     Idle,
     /// A router.
-    Front(Box<Gate<Front>>),
+    Front(Box<Gate<Gateway>>),
     /// A router that is broken on purpose.
     Sabotaged(Box<Sabotaged>),
     /// An engine.
@@ -62,12 +62,12 @@
 
 /// A router whose words are tampered with on their way.
 pub struct Sabotaged {
-    router: Gate<Front>,
+    router: Gate<Gateway>,
     how: Sabotage,
 }
 
 impl Sabotaged {
-    pub(crate) fn new(router: Gate<Front>, how: Sabotage) -> Self {
+    pub(crate) fn new(router: Gate<Gateway>, how: Sabotage) -> Self {
         Sabotaged { router, how }
     }
 
@@ -85,7 +85,7 @@
 impl Machine for Sabotaged {
     fn handle(&mut self, now: Duration, input: Input<'_>, out: &mut Vec<Output>) {
         if let (Input::OwnerMessage(news), Sabotage::IgnoresLists) = (&input, self.how) {
-            if news.is::<Vec<EngineSite>>() {
+            if news.is::<Vec<EngineSettings>>() {
                 return;
             }
         }
--- a/crates/scenario/src/fleet.rs
+++ b/crates/scenario/src/fleet.rs
@@ -5,7 +5,7 @@
 use rand_xoshiro::rand_core::{RngCore, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
 use slipreel::EngineState;
-use slipreel_gateway::site::{EngineSite, Site};
+use slipreel_gateway::settings::{EngineSettings, GatewaySettings};
 use slipreel_invariants::Effect;
 use slipreel_roles::PlanningPolicy;
 use slipreel_test_servers::client::{Habit, Plan};
@@ -26,10 +26,10 @@
 
 impl EnginePlan {
     /// Its entry in the list.
-    pub fn listed(&self, state: EngineState) -> EngineSite {
+    pub fn listed(&self, state: EngineState) -> EngineSettings {
         let role = self.spec.role.into();
         let EnginePlan { spec, zone, cell } = self;
-        EngineSite {
+        EngineSettings {
             name: spec.name.clone(),
             addr: spec.addr,
             role,
@@ -87,7 +87,7 @@
     /// Routers.
     pub routers: usize,
     /// The site; its engines are filled in when the day is played.
-    pub site: Site,
+    pub site: GatewaySettings,
     /// The engines.
     pub engines: Vec<EnginePlan>,
     /// The requests, times since the start of the day.
@@ -104,8 +104,8 @@
 
 impl Day {
     /// What a model's requests do when they run.
-    pub fn effect_of(site: &Site, model: &str) -> Effect {
-        let class = site.models.iter().find(|m| m.name == model).map(|m| &site.settings.classes[m.class]);
+    pub fn effect_of(site: &GatewaySettings, model: &str) -> Effect {
+        let class = site.models.iter().find(|m| m.name == model).map(|m| &site.decisions.classes[m.class]);
         match class.map(|c| c.idempotency) {
             Some(slipreel::Idempotency::WithKey { .. }) => Effect::Keyed,
             Some(slipreel::Idempotency::NotIdempotent) => Effect::Unsafe,
@@ -127,9 +127,9 @@
     }
 
     /// The site that a router is handed.
-    pub fn router_site(&self, router: usize, addrs: &[SocketAddr]) -> Site {
+    pub fn router_site(&self, router: usize, addrs: &[SocketAddr]) -> GatewaySettings {
         let mut site = self.site.clone();
-        site.settings.router_count = self.routers as u32;
+        site.decisions.router_count = self.routers as u32;
         site.zone = self.router_zone(router);
         site.name = Self::router_name(router);
         let placed = self.engines.iter().zip(addrs).map(|(e, addr)| {
@@ -172,7 +172,7 @@
 }
 
 /// Draws the requests of several streams; their numbers go on from `first`.
-pub fn spread_traffic(site: &Site, streams: &[Traffic], seed: u64, first: u64) -> Vec<Plan> {
+pub fn spread_traffic(site: &GatewaySettings, streams: &[Traffic], seed: u64, first: u64) -> Vec<Plan> {
     let mut plans = Vec::new();
     for (n, t) in streams.iter().enumerate() {
         let mut rng = Xoshiro256PlusPlus::seed_from_u64(seed.wrapping_add(n as u64 * 7919));
--- a/crates/scenario/src/report.rs
+++ b/crates/scenario/src/report.rs
@@ -18,7 +18,7 @@
     Figures {
         answer_slack: WIRE,
         drain_grace: DRAIN_GRACE,
-        let_go: day.site.settings.held_state_limit,
+        let_go: day.site.decisions.held_state_limit,
         wire: WIRE,
     }
 }
@@ -150,7 +150,7 @@
         let thirds = Thirds::of(results);
         let faults =
             played.results.iter().filter_map(|r| r.fault.as_ref().map(|f| format!("{:?}: {f}", r.what)));
-        let sum = |f: fn(&slipreel_gateway::Tally) -> u64| played.tallies.iter().map(f).sum::<u64>();
+        let sum = |f: fn(&slipreel_gateway::Counters) -> u64| played.tallies.iter().map(f).sum::<u64>();
         let rules = RULES.iter().map(|rule| {
             let broke: Vec<_> = played.breaks.iter().filter(|b| b.rule == *rule).collect();
             (rule.to_string(), broke.len(), broke.first().map(|b| format!("{:?}: {}", b.at, b.what)))
@@ -162,7 +162,7 @@
             thirds: group_by(results, |result| thirds.name(result.due).to_owned()),
             routers: group_by(results, |result| Day::router_name(result.router)),
             faults: faults.collect::<BTreeSet<_>>().into_iter().collect(),
-            attempts: (sum(|t| t.attempts), sum(|t| t.probes), sum(|t| t.taken)),
+            attempts: (sum(|t| t.attempts), sum(|t| t.probes), sum(|t| t.admitted)),
             rules: rules.collect(),
         }
     }
--- a/crates/scenario/src/stage.rs
+++ b/crates/scenario/src/stage.rs
@@ -8,8 +8,8 @@
 use rand_xoshiro::Xoshiro256PlusPlus;
 use slipreel::{CellId, EngineState, ZoneId};
 use slipreel_event_loop::{Clock, Command, Handle, Loop, NodeId};
-use slipreel_gateway::site::EngineSite;
-use slipreel_gateway::{engine_id, Front, Tally};
+use slipreel_gateway::settings::EngineSettings;
+use slipreel_gateway::{engine_id, Counters, Gateway};
 use slipreel_invariants::{judge, Break, Record, Seen};
 use slipreel_roles::{
     ChangeCosts, EngineThroughput, FullLoadRequests, PlannerLimits, RoleController, Watched,
@@ -46,7 +46,7 @@
     /// The rules that broke.
     pub breaks: Vec<Break>,
     /// What the routers counted, those that were still up.
-    pub tallies: Vec<Tally>,
+    pub tallies: Vec<Counters>,
     /// What the routers still held at the end: requests under way and timers of these. Anything is a leak.
     pub leaks: usize,
     /// Changes of role that engines took and turned away.
@@ -88,7 +88,7 @@
 enum Step {
     Act(Act),
     /// The list as it was a while ago reaches the routers.
-    List(Vec<EngineSite>),
+    List(Vec<EngineSettings>),
 }
 
 struct Director<'a> {
@@ -103,7 +103,7 @@
     roles: Vec<Role>,
     routers_up: Vec<bool>,
     /// What each router was last told.
-    told: Vec<Vec<EngineSite>>,
+    told: Vec<Vec<EngineSettings>>,
     cut: Option<String>,
     lives: u64,
 }
@@ -141,7 +141,7 @@
     }
 
     /// The list as it is now: who is dead has left it.
-    fn list(&self) -> Vec<EngineSite> {
+    fn list(&self) -> Vec<EngineSettings> {
         let entry = |e: usize| {
             let state = if self.draining[e] { EngineState::Draining } else { EngineState::Ready };
             let mut site = self.day.engines[e].listed(state);
@@ -223,7 +223,7 @@
         site.engines = self.told[r].clone();
         self.lives += 1;
         let seed = self.day.seed.wrapping_mul(0x9e37_79b9).wrapping_add(r as u64 + 1000 * self.lives);
-        let front = Front::new(Arc::new(site), seed, now, WALL + now);
+        let front = Gateway::new(Arc::new(site), seed, now, WALL + now);
         let gate = Gate::new(front).watched(self.ledger.clone());
         match self.day.sabotage {
             None => Actor::Front(Box::new(gate)),
@@ -255,7 +255,7 @@
             self.follow(stage, next);
         }
         // State that nobody took has to be let go of: what the rules allow, and a little.
-        let last = stage.now() + self.day.site.settings.held_state_limit * 4;
+        let last = stage.now() + self.day.site.decisions.held_state_limit * 4;
         stage.until(last);
         self.ledger.note(stage.now(), Seen::RunOver);
     }
@@ -339,8 +339,8 @@
         self.step(now + self.day.notice, Step::List(list));
     }
 
-    fn tell(&mut self, stage: &mut impl Stage, list: &[EngineSite]) {
-        let takes = |list: &[EngineSite], e: &EngineSite| {
+    fn tell(&mut self, stage: &mut impl Stage, list: &[EngineSettings]) {
+        let takes = |list: &[EngineSettings], e: &EngineSettings| {
             list.iter().any(|l| l.addr == e.addr && l.state == EngineState::Ready)
         };
         for r in (0..self.day.routers).filter(|&r| self.routers_up[r]).collect::<Vec<_>>() {
@@ -390,11 +390,11 @@
     results
 }
 
-fn held_by(actor: &Actor) -> Option<(Tally, usize)> {
+fn held_by(actor: &Actor) -> Option<(Counters, usize)> {
     match actor {
         Actor::Front(gate) => {
-            let (_, _, calls, _) = gate.inner().holds();
-            Some((gate.inner().tally(), calls))
+            let requests = gate.inner().held_state().requests;
+            Some((gate.inner().counters(), requests))
         }
         _ => None,
     }
@@ -471,7 +471,7 @@
         Actor::Clients(c) => sorted(c.results().to_vec()),
         _ => Vec::new(),
     };
-    let held: Vec<(Tally, usize)> =
+    let held: Vec<(Counters, usize)> =
         (0..day.routers).filter_map(|r| held_by(world.machine(addrs.len() + r))).collect();
     let records = ledger.records();
     let orders = match conductor.map(|c| world.machine(c)) {
@@ -582,7 +582,7 @@
     }
 
     /// Tells all routers to stop in good order, waits until they have, and ends the engines.
-    pub fn stop(self) -> (Vec<Tally>, usize) {
+    pub fn stop(self) -> (Vec<Counters>, usize) {
         for router in &self.routers {
             router.tell(Command::Stop(NodeId(0)));
         }
@@ -593,7 +593,7 @@
         if let Some(engines) = engines {
             let _ = engines.join();
         }
-        let held: Vec<(Tally, usize)> = actors.iter().filter_map(held_by).collect();
+        let held: Vec<(Counters, usize)> = actors.iter().filter_map(held_by).collect();
         (held.iter().map(|h| h.0).collect(), held.iter().map(|h| h.1).sum())
     }
 }
--- a/crates/settings/src/site.rs
+++ b/crates/settings/src/site.rs
@@ -6,10 +6,10 @@
 use slipreel::{
     Class, DeduplicationScope, EngineState, Idempotency, Limits, ReportSource, Role, Settings, Tenant, ZoneId,
 };
-use slipreel_gateway::site::{
-    starting_class, starting_settings, Bounds, ClassSite, EngineSite, ModelSite, Site,
+use slipreel_gateway::settings::{
+    starting_class, starting_settings, Bounds, ClassSettings, EngineSettings, GatewaySettings, ModelSettings,
 };
-use slipreel_gateway::site::{TenantSite, KINDS};
+use slipreel_gateway::settings::{TenantSettings, KINDS};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::time::Duration;
@@ -53,7 +53,7 @@
 #[derive(Clone, Debug)]
 pub struct Daemon {
     /// The site that each front is handed.
-    pub site: Site,
+    pub site: GatewaySettings,
     /// Where clients connect.
     pub listen: SocketAddr,
     /// Where operators connect, for metrics: the first front's; the next ones take the ports after it.
@@ -117,8 +117,8 @@
             format!("{others}: expected at least as many as threads, {threads}: each is a router"),
         );
     }
-    let (classes, class_sites): (Vec<Class>, Vec<ClassSite>) = read_classes(doc).into_iter().unzip();
-    let (tenants, tenant_sites): (Vec<Tenant>, Vec<TenantSite>) = read_tenants(doc).into_iter().unzip();
+    let (classes, class_sites): (Vec<Class>, Vec<ClassSettings>) = read_classes(doc).into_iter().unzip();
+    let (tenants, tenant_sites): (Vec<Tenant>, Vec<TenantSettings>) = read_tenants(doc).into_iter().unzip();
     let engines_file = router.and_then(|at| doc.get::<String>(at, "engines")).map(PathBuf::from);
     let engines = read_engines(doc);
     if engines.is_empty() && engines_file.is_none() && serves {
@@ -129,8 +129,8 @@
     let models = read_models(doc, &class_sites);
     let bounds = read_bounds(doc);
     let settings = read_settings(doc, router, others, classes, tenants);
-    let site = Site {
-        settings,
+    let site = GatewaySettings {
+        decisions: settings,
         classes: class_sites,
         models,
         tenants: tenant_sites,
@@ -220,7 +220,7 @@
     }
 }
 
-fn read_classes(doc: &mut Doc) -> Vec<(Class, ClassSite)> {
+fn read_classes(doc: &mut Doc) -> Vec<(Class, ClassSettings)> {
     let start = starting_class();
     let mut classes = Vec::new();
     for at in doc.all("class") {
@@ -249,7 +249,7 @@
             idempotency: effect,
             streams: true,
         };
-        classes.push((class, ClassSite { name, patience }));
+        classes.push((class, ClassSettings { name, patience }));
     }
     if classes.is_empty() {
         doc.say_file("expected at least one section [class NAME]");
@@ -266,14 +266,14 @@
     name
 }
 
-fn read_models(doc: &mut Doc, classes: &[ClassSite]) -> Vec<ModelSite> {
+fn read_models(doc: &mut Doc, classes: &[ClassSettings]) -> Vec<ModelSettings> {
     let mut models = Vec::new();
     for at in doc.all("model") {
         let name = named(doc, at);
         let served_as = doc.or(Some(at), "served_as", name.clone());
         let Some(class) = doc.need::<String>(at, "class") else { continue };
         match classes.iter().position(|c| c.name == class) {
-            Some(class) => models.push(ModelSite { name, class, served_as }),
+            Some(class) => models.push(ModelSettings { name, class, served_as }),
             None => doc.say(at, "class", format!("{class:?}: expected the name of a [class] section")),
         }
     }
@@ -283,8 +283,8 @@
     models
 }
 
-fn read_tenants(doc: &mut Doc) -> Vec<(Tenant, TenantSite)> {
-    let mut tenants: Vec<(Tenant, TenantSite)> = Vec::new();
+fn read_tenants(doc: &mut Doc) -> Vec<(Tenant, TenantSettings)> {
+    let mut tenants: Vec<(Tenant, TenantSettings)> = Vec::new();
     for at in doc.all("tenant") {
         let name = named(doc, at);
         let keys = doc.need::<String>(at, "keys").unwrap_or_default();
@@ -297,7 +297,7 @@
         }
         let quota_per_s = doc.get::<f64>(at, "quota_per_s");
         let may_choose_class = doc.or(Some(at), "may_choose_class", false);
-        tenants.push((Tenant { quota_per_s }, TenantSite { name, keys, may_choose_class }));
+        tenants.push((Tenant { quota_per_s }, TenantSettings { name, keys, may_choose_class }));
     }
     tenants
 }
@@ -315,10 +315,10 @@
 }
 
 /// Some engine that reads and some that writes have to be left, of those that this router lists.
-fn check_taken_out(doc: &mut Doc, engines: &[EngineSite], taken_out: &[String]) {
+fn check_taken_out(doc: &mut Doc, engines: &[EngineSettings], taken_out: &[String]) {
     let Some(at) = doc.one("operations").filter(|_| !engines.is_empty()) else { return };
     for (role, what) in [(Role::Prefill, "reads"), (Role::Decode, "writes")] {
-        let can = |e: &&EngineSite| e.role == role || e.role == Role::Mixed;
+        let can = |e: &&EngineSettings| e.role == role || e.role == Role::Mixed;
         if !engines.iter().filter(can).any(|e| !taken_out.contains(&e.name)) {
             let why = format!(
                 "{}: expected an engine that {what} to be left, of those listed here",
@@ -334,8 +334,8 @@
     doc.or(at, "roles_frozen", false)
 }
 
-fn read_engines(doc: &mut Doc) -> Vec<EngineSite> {
-    let mut engines: Vec<EngineSite> = Vec::new();
+fn read_engines(doc: &mut Doc) -> Vec<EngineSettings> {
+    let mut engines: Vec<EngineSettings> = Vec::new();
     for at in doc.all("engine") {
         let name = named(doc, at);
         let addr = doc.need::<Loopback>(at, "address");
@@ -355,7 +355,7 @@
             );
             doc.say(at, "cell", what);
         }
-        engines.push(EngineSite { name, addr, role, zone, cell, state });
+        engines.push(EngineSettings { name, addr, role, zone, cell, state });
     }
     let can = |wanted: Role| engines.iter().any(|e| e.role == wanted || e.role == Role::Mixed);
     let complete = can(Role::Prefill) && can(Role::Decode);
--- a/crates/settings/src/slices.rs
+++ b/crates/settings/src/slices.rs
@@ -3,7 +3,7 @@
 use crate::values::Value;
 use serde_json::json;
 use slipreel::{EngineState, Role};
-use slipreel_gateway::site::EngineSite;
+use slipreel_gateway::settings::EngineSettings;
 use slipreel_protocol::endpoints;
 use std::collections::BTreeMap;
 
@@ -11,8 +11,8 @@
 ///
 /// # Errors
 /// What is wrong, and at which address.
-pub fn engines_from_slices(text: &str) -> Result<Vec<EngineSite>, String> {
-    let mut engines: Vec<EngineSite> = Vec::new();
+pub fn engines_from_slices(text: &str) -> Result<Vec<EngineSettings>, String> {
+    let mut engines: Vec<EngineSettings> = Vec::new();
     for listed in endpoints::parse(text)? {
         let addr = listed.addr;
         if !addr.ip().is_loopback() {
@@ -32,15 +32,15 @@
         if engines.iter().any(|e| e.addr == addr) {
             return Err(format!("address {addr} is listed twice"));
         }
-        engines.push(EngineSite { name: addr.to_string(), addr, role, zone, cell, state });
+        engines.push(EngineSettings { name: addr.to_string(), addr, role, zone, cell, state });
     }
     Ok(engines)
 }
 
 /// Writes a list of engines as an `EndpointSliceList`, a slice for each role and cell; what [`engines_from_slices`] reads
 /// of it is this list but for the names.
-pub fn engines_to_slices(engines: &[EngineSite]) -> String {
-    let mut slices: BTreeMap<(&str, &str, u16, bool), Vec<&EngineSite>> = BTreeMap::new();
+pub fn engines_to_slices(engines: &[EngineSettings]) -> String {
+    let mut slices: BTreeMap<(&str, &str, u16, bool), Vec<&EngineSettings>> = BTreeMap::new();
     for e in engines.iter().filter(|e| e.state != EngineState::Gone) {
         let role = match e.role {
             Role::Prefill => "read",
--- a/crates/settings/src/slices/tests.rs
+++ b/crates/settings/src/slices/tests.rs
@@ -2,7 +2,7 @@
 
 #[test]
 fn what_is_written_is_read_again() {
-    let engine = |addr: &str, role, cell: &str, state| EngineSite {
+    let engine = |addr: &str, role, cell: &str, state| EngineSettings {
         name: addr.into(),
         addr: addr.parse().expect("an address"),
         role,
