--- a/crates/gateway/src/translate.rs
+++ b/crates/gateway/src/message_writer.rs
@@ -1,12 +1,12 @@
 //! From an engine's chunks to a message: keeps block boundaries, tool calls in parts, usage and the stop reason.
 
 use slipreel_protocol::engine::{self, Chunk};
-use slipreel_protocol::messages::{Answer, Fault, Usage};
+use slipreel_protocol::messages::{AnswerBuilder, ApiError, Usage};
 
 /// Writes one message from chunks.
-pub(crate) struct Writer {
+pub(crate) struct MessageWriter {
     name: (String, String, bool),
-    answer: Answer,
+    answer: AnswerBuilder,
     usage: Usage,
     /// Chunks with output: the count of tokens where the engine tells none.
     counted: u64,
@@ -15,18 +15,26 @@
     tool: Option<usize>,
 }
 
-impl Writer {
+impl MessageWriter {
     pub(crate) fn new(id: String, model: String, stream: bool) -> Self {
         let name = (id.clone(), model.clone(), stream);
-        let answer = Answer::new(id, model, stream);
-        Writer { name, answer, usage: Usage::default(), counted: 0, told: false, finish: None, tool: None }
+        let answer = AnswerBuilder::new(id, model, stream);
+        MessageWriter {
+            name,
+            answer,
+            usage: Usage::default(),
+            counted: 0,
+            told: false,
+            finish: None,
+            tool: None,
+        }
     }
 
     /// Drops what was written; the count of the prompt stays.
-    pub(crate) fn begins_anew(&mut self) {
+    pub(crate) fn restart_answer(&mut self) {
         let (id, model, stream) = self.name.clone();
         let prompt = Usage { output_tokens: 0, ..self.usage };
-        *self = Writer { usage: prompt, ..Writer::new(id, model, stream) };
+        *self = MessageWriter { usage: prompt, ..MessageWriter::new(id, model, stream) };
     }
 
     /// The prompt was counted by who read it.
@@ -94,8 +102,8 @@
     }
 
     /// Writes an `error` event.
-    pub(crate) fn error(&self, fault: &Fault, request_id: &str, out: &mut Vec<u8>) {
-        self.answer.error(fault, request_id, out);
+    pub(crate) fn error(&self, error: &ApiError, request_id: &str, out: &mut Vec<u8>) {
+        self.answer.error(error, request_id, out);
     }
 
     /// What was used so far.
