--- a/crates/platform/src/active_requests.rs
+++ b/crates/platform/src/active_requests.rs
@@ -29,7 +29,7 @@
 
     pub(crate) fn insert(&mut self, id: RequestId, request: ActiveRequest) {
         self.held_bytes += request.held_bytes();
-        self.by_client_id.insert(request.client_id.clone(), id);
+        self.by_client_id.insert(request.client_id().to_owned(), id);
         self.by_id.insert(id, request);
     }
 
@@ -43,17 +43,17 @@
 
     /// A request that has not had its final answer.
     pub(crate) fn get_open(&self, id: RequestId) -> Option<&ActiveRequest> {
-        self.get(id).filter(|request| !request.is_closed)
+        self.get(id).filter(|request| !request.is_closed())
     }
 
     /// The requests that have not had their final answer, in the order of their ids.
     pub(crate) fn open(&self) -> impl Iterator<Item = (RequestId, &ActiveRequest)> {
-        self.by_id.iter().filter(|(_, request)| !request.is_closed).map(|(&id, request)| (id, request))
+        self.by_id.iter().filter(|(_, request)| !request.is_closed()).map(|(&id, request)| (id, request))
     }
 
     /// Whether this attempt's stream is being forwarded to the client.
     pub(crate) fn is_streaming(&self, id: RequestId, attempt: usize) -> bool {
-        self.get(id).is_some_and(|request| request.streaming_attempt == Some(attempt))
+        self.get(id).is_some_and(|request| request.streaming_attempt() == Some(attempt))
     }
 
     pub(crate) fn len(&self) -> usize {
@@ -77,7 +77,7 @@
     /// A request of this client id goes to an engine.
     pub(crate) fn record_forwarded(&mut self, now: Duration, id: RequestId) {
         if let Some(request) = self.by_id.get(&id) {
-            self.recently_forwarded.add(now, &request.client_id);
+            self.recently_forwarded.add(now, request.client_id());
         }
     }
 
@@ -102,13 +102,13 @@
     /// A request has its final answer, or needs none any more.
     pub(crate) fn close(&mut self, id: RequestId) {
         let Some(request) = self.by_id.get_mut(&id) else { return };
-        if std::mem::replace(&mut request.is_closed, true) {
+        if !request.close() {
             return;
         }
-        if request.streaming_attempt.is_none() {
+        if request.streaming_attempt().is_none() {
             self.held_bytes = self.held_bytes.saturating_sub(request.held_bytes());
         }
-        self.by_client_id.remove(&request.client_id);
+        self.by_client_id.remove(request.client_id());
         self.maybe_done.push(id);
     }
 
--- a/crates/platform/src/clients.rs
+++ b/crates/platform/src/clients.rs
@@ -178,7 +178,7 @@
         let Some(id) = request.filter(|&id| self.requests.get_open(id).is_some()) else { return };
         self.counters.disconnected += 1;
         self.counters.ended_without_event +=
-            u64::from(self.requests.get(id).is_some_and(|request| request.streaming_attempt.is_none()));
+            u64::from(self.requests.get(id).is_some_and(|request| request.streaming_attempt().is_none()));
         self.requests.close(id);
         self.queue_event(Event::ClientDisconnected(id));
         if let Some(conn) = self.requests.get(id).and_then(ActiveRequest::streaming_connection) {
@@ -255,7 +255,7 @@
     fn answer_request(
         &mut self, id: RequestId, status: u16, fields: &[(&str, &str)], why: &str, out: &mut Vec<Output>,
     ) {
-        let Some(conn) = self.requests.get_open(id).map(|request| request.client) else { return };
+        let Some(conn) = self.requests.get_open(id).map(ActiveRequest::client) else { return };
         self.requests.close(id);
         let body = serde_json::json!({ "error": why }).to_string();
         self.answer(conn, status, fields, body.as_bytes(), out);
@@ -267,7 +267,7 @@
         &mut self, id: RequestId, retry_after: Option<Duration>, over_quota: bool, out: &mut Vec<Output>,
     ) {
         self.counters.rejected += 1;
-        if self.requests.get(id).is_some_and(|request| !request.attempts.is_empty()) {
+        if self.requests.get(id).is_some_and(ActiveRequest::has_attempts) {
             self.counters.ended_without_event += 1;
         } else {
             self.counters.rejected_without_attempt += 1;
@@ -296,7 +296,7 @@
 
     /// Writes the head of a streamed answer.
     pub(crate) fn begin_stream(&mut self, id: RequestId, out: &mut Vec<Output>) {
-        let Some(client) = self.requests.get(id).map(|request| request.client) else { return };
+        let Some(client) = self.requests.get(id).map(ActiveRequest::client) else { return };
         if let Some(client) = self.clients.get_mut(client) {
             if self.shutdown.has_begun() {
                 client.close_after_answer();
@@ -307,7 +307,7 @@
 
     /// Writes events of a stream.
     pub(crate) fn write_events(&mut self, id: RequestId, events: &[u8], out: &mut Vec<Output>) {
-        let Some(client) = self.requests.get(id).map(|request| request.client) else { return };
+        let Some(client) = self.requests.get(id).map(ActiveRequest::client) else { return };
         if let Some(client) = self.clients.get_mut(client) {
             client.write(http::chunk(events), out);
         }
@@ -315,7 +315,7 @@
 
     /// A stream is complete.
     pub(crate) fn complete_stream(&mut self, id: RequestId, out: &mut Vec<Output>) {
-        let Some(conn) = self.requests.get_open(id).map(|request| request.client) else { return };
+        let Some(conn) = self.requests.get_open(id).map(ActiveRequest::client) else { return };
         self.requests.close(id);
         self.counters.completed += 1;
         if let Some(client) = self.clients.get_mut(conn) {
@@ -327,7 +327,7 @@
 
     /// A stream has broken: the client's connection ends in order, without the last chunk.
     pub(crate) fn abort_stream(&mut self, id: RequestId, out: &mut Vec<Output>) {
-        let Some(conn) = self.requests.get_open(id).map(|request| request.client) else { return };
+        let Some(conn) = self.requests.get_open(id).map(ActiveRequest::client) else { return };
         self.log_request_end(id, |trace| LogEvent::StreamBroke { trace }, out);
         self.requests.close(id);
         self.counters.failed += 1;
--- a/crates/platform/src/dispatch.rs
+++ b/crates/platform/src/dispatch.rs
@@ -3,6 +3,7 @@
 use crate::engine_connection::{ConnectionPurpose, EngineConnection, Exchange, State};
 use crate::log_event::LogEvent;
 use crate::proof::{AttemptEnd, NeverRan};
+use crate::request::Attempt;
 use crate::router::PlatformRouter;
 use crate::timer::Timer;
 use slipreel::{Action, AttemptEnded, EngineId, Event, LoadReport, Outcome, ReportSource, RequestId, Role};
@@ -46,7 +47,7 @@
     fn send(&mut self, id: RequestId, engine: EngineId, timeout: Option<Duration>, out: &mut Vec<Output>) {
         let now = self.now;
         let Some(request) = self.requests.get_mut(id) else { return };
-        if let Some(holder) = request.release.and_then(|release| self.releases.withdraw(release)) {
+        if let Some(holder) = request.release().and_then(|release| self.releases.withdraw(release)) {
             request.release_withdrawn(holder);
         }
         let Some(endpoint) = self.endpoints.get(engine) else {
@@ -57,30 +58,35 @@
         let (addr, is_prefill) = (endpoint.addr, endpoint.role == Role::Prefill);
         let attempt = request.begin_attempt(now, engine, is_prefill);
         let bytes = request.message(now, addr);
-        let holds_last_byte = request.terms.runs_once && !is_prefill;
+        let holds_last_byte = request.terms().runs_once && !is_prefill;
         let prefill_engine = request.prefill_engine().filter(|_| !is_prefill);
-        let prefill_cell =
-            prefill_engine.and_then(|engine| self.endpoints.get(engine)).map(|endpoint| endpoint.cell);
-        if prefill_cell.is_some_and(|cell| cell != endpoint.cell) {
-            self.counters.transferred_tokens += request.terms.prompt_tokens;
-        }
-        self.counters.cross_zone_attempts += u64::from(endpoint.zone != self.profile.settings.zone);
-        self.counters.attempts += 1;
+        let prompt_tokens = request.terms().prompt_tokens;
+        self.count_attempt(engine, prefill_engine, prompt_tokens);
         self.requests.record_forwarded(now, id);
         let purpose = ConnectionPurpose::Attempt { request: id, attempt };
         let exchange = Exchange { engine, addr, purpose, request: bytes, holds_last_byte };
         let Some(conn) = self.open_for_attempt(exchange, out) else {
             return self.ended(id, attempt, AttemptEnd::never_ran(NeverRan::NotTried));
         };
-        if let Some(attempt) = self.requests.get_mut(id).and_then(|request| request.attempts.get_mut(attempt))
-        {
-            attempt.conn = Some(conn);
+        if let Some(request) = self.requests.get_mut(id) {
+            request.set_connection(attempt, conn);
         }
         if let Some(timeout) = timeout {
             self.timers.set(now + timeout, Timer::Attempt(id, attempt));
         }
     }
 
+    /// Counts an attempt; `prefill_engine`: whose state it fetches, if it is a decode.
+    fn count_attempt(&mut self, engine: EngineId, prefill_engine: Option<EngineId>, prompt_tokens: u64) {
+        self.counters.attempts += 1;
+        let Some(endpoint) = self.endpoints.get(engine) else { return };
+        self.counters.cross_zone_attempts += u64::from(endpoint.zone != self.profile.settings.zone);
+        let prefill_endpoint = prefill_engine.and_then(|engine| self.endpoints.get(engine));
+        if prefill_endpoint.is_some_and(|prefill| prefill.cell != endpoint.cell) {
+            self.counters.transferred_tokens += prompt_tokens;
+        }
+    }
+
     /// Opens a connection for an attempt. `None` if there is no slot for one.
     ///
     /// An attempt always gets a new connection. Answers name no request: on a reused connection a second answer to the
@@ -147,18 +153,12 @@
     fn cancel(&mut self, id: RequestId, attempt: usize, out: &mut Vec<Output>) {
         let Some(request) = self.requests.get(id) else { return };
         // A stream that has begun is being forwarded to the client; the decision module does not cancel it either.
-        if request.streaming_attempt == Some(attempt) {
+        if request.streaming_attempt() == Some(attempt) {
             return;
         }
-        let Some(conn) = request
-            .attempts
-            .get(attempt)
-            .filter(|attempt| attempt.in_flight)
-            .and_then(|attempt| attempt.conn)
-        else {
-            return;
-        };
-        self.cancel_connection(conn, Outcome::Cancelled, out);
+        if let Some(conn) = request.connection_in_flight(attempt) {
+            self.cancel_connection(conn, Outcome::Cancelled, out);
+        }
     }
 
     /// Closes a connection at once; its exchange ends with `outcome`, or as never run if that is proven.
@@ -179,15 +179,15 @@
     pub(crate) fn exchange_ended(
         &mut self, connection: &EngineConnection, end: AttemptEnd, out: &mut Vec<Output>,
     ) {
-        match (connection.state, connection.purpose) {
+        match (connection.state(), connection.purpose()) {
             // A release is retried by its own timer.
             (State::Idle, _) | (_, ConnectionPurpose::Release(_)) => {}
             (_, ConnectionPurpose::Probe) => {
-                self.probe_ended(connection.engine, end.outcome(), LoadReport::default());
+                self.probe_ended(connection.engine(), end.outcome(), LoadReport::default());
             }
             (_, ConnectionPurpose::Attempt { request, attempt }) => {
                 if let Some(proof) = end.proof() {
-                    self.log_never_ran(request, attempt, proof, connection.since, out);
+                    self.log_never_ran(request, attempt, proof, connection.since(), out);
                 }
                 self.attempt_broke(request, attempt, end, out);
             }
@@ -199,14 +199,12 @@
     pub(crate) fn log_never_ran(
         &mut self, id: RequestId, attempt: usize, proof: NeverRan, since: Duration, out: &mut Vec<Output>,
     ) {
-        let Some(request) = self.requests.get(id).filter(|request| request.terms.runs_once) else { return };
-        if request.attempts.get(attempt).is_none_or(|attempt| attempt.is_prefill)
-            || !self.never_ran_log.take()
-        {
+        let Some(request) = self.requests.get(id).filter(|request| request.terms().runs_once) else { return };
+        if request.attempt(attempt).is_none_or(Attempt::is_prefill) || !self.never_ran_log.take() {
             return;
         }
         let event = LogEvent::NeverRan {
-            client_id: request.client_id.clone(),
+            client_id: request.client_id().to_owned(),
             attempt,
             proof,
             time_in_state: self.now.saturating_sub(since),
@@ -227,12 +225,12 @@
     pub(crate) fn ended(&mut self, id: RequestId, attempt: usize, end: AttemptEnd) {
         let (now, outcome, cached_tokens) = (self.now, end.outcome(), end.cached_tokens());
         let Some(request) = self.requests.get_mut(id) else { return };
-        let Some(ended) = request.attempts.get(attempt).filter(|attempt| attempt.in_flight) else { return };
-        let latency = now.saturating_sub(ended.sent);
+        let Some(ended) = request.attempt(attempt).filter(|attempt| attempt.in_flight()) else { return };
+        let latency = now.saturating_sub(ended.sent_at());
         request.ended(now, attempt, &end);
         match outcome {
             Outcome::Prefilled => {
-                self.counters.prefilled_tokens += request.terms.prompt_tokens;
+                self.counters.prefilled_tokens += request.terms().prompt_tokens;
                 self.counters.cached_tokens += cached_tokens as u64;
             }
             Outcome::Error | Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled => {
@@ -240,7 +238,7 @@
             }
             _ => {}
         }
-        let request_finished = request.is_closed;
+        let request_finished = request.is_closed();
         self.requests.check_when_settled(id);
         let report = self.report_from_answer(end.report());
         self.counters.load_reports += u64::from(report != LoadReport::default());
--- a/crates/platform/src/engine_connection.rs
+++ b/crates/platform/src/engine_connection.rs
@@ -94,13 +94,13 @@
 /// One connection to an engine.
 #[derive(Debug)]
 pub(crate) struct EngineConnection {
-    pub(crate) conn: ConnId,
-    pub(crate) engine: EngineId,
-    pub(crate) addr: SocketAddr,
-    pub(crate) state: State,
-    pub(crate) purpose: ConnectionPurpose,
+    conn: ConnId,
+    engine: EngineId,
+    addr: SocketAddr,
+    state: State,
+    purpose: ConnectionPurpose,
     /// Since when the state lasts; while busy: when something was last received.
-    pub(crate) since: Duration,
+    since: Duration,
     /// What of the request is still to be written: all until the connection is established, then the last byte if that is
     /// held back.
     pending: Vec<u8>,
@@ -137,6 +137,32 @@
         }
     }
 
+    pub(crate) fn conn(&self) -> ConnId {
+        self.conn
+    }
+
+    pub(crate) fn engine(&self) -> EngineId {
+        self.engine
+    }
+
+    pub(crate) fn addr(&self) -> SocketAddr {
+        self.addr
+    }
+
+    pub(crate) fn state(&self) -> State {
+        self.state
+    }
+
+    /// What its present exchange is, or while it is idle, what the last one was.
+    pub(crate) fn purpose(&self) -> ConnectionPurpose {
+        self.purpose
+    }
+
+    /// Since when the state lasts; while busy: when something was last received.
+    pub(crate) fn since(&self) -> Duration {
+        self.since
+    }
+
     /// A further exchange begins on an idle connection. Returns what to write now.
     pub(crate) fn reuse(&mut self, exchange: Exchange, now: Duration) -> Vec<u8> {
         self.purpose = exchange.purpose;
--- a/crates/platform/src/engine_connections.rs
+++ b/crates/platform/src/engine_connections.rs
@@ -35,7 +35,7 @@
     }
 
     pub(crate) fn insert(&mut self, connection: EngineConnection) {
-        self.by_id.insert(connection.conn, connection);
+        self.by_id.insert(connection.conn(), connection);
     }
 
     pub(crate) fn get(&self, conn: ConnId) -> Option<&EngineConnection> {
@@ -50,7 +50,7 @@
     pub(crate) fn remove(&mut self, conn: ConnId, timers: &mut Timers) -> Option<EngineConnection> {
         self.timers.cancel(timers, conn);
         let connection = self.by_id.remove(&conn)?;
-        self.pool.remove(connection.engine, conn);
+        self.pool.remove(connection.engine(), conn);
         Some(connection)
     }
 
@@ -60,7 +60,7 @@
 
     /// How many carry an exchange, or are being opened for one.
     pub(crate) fn busy_count(&self) -> usize {
-        self.by_id.values().filter(|connection| connection.state != State::Idle).count()
+        self.by_id.values().filter(|connection| connection.state() != State::Idle).count()
     }
 
     /// How many engines the pool and the reuse history keep entries of.
@@ -71,9 +71,9 @@
     /// Attempts in flight on connections, by engine.
     pub(crate) fn attempts_in_flight(&self) -> BTreeMap<EngineId, usize> {
         let mut counts = BTreeMap::new();
-        for connection in self.by_id.values().filter(|connection| connection.state != State::Idle) {
-            if matches!(connection.purpose, ConnectionPurpose::Attempt { .. }) {
-                *counts.entry(connection.engine).or_default() += 1;
+        for connection in self.by_id.values().filter(|connection| connection.state() != State::Idle) {
+            if matches!(connection.purpose(), ConnectionPurpose::Attempt { .. }) {
+                *counts.entry(connection.engine()).or_default() += 1;
             }
         }
         counts
@@ -85,10 +85,10 @@
         let mut unwritten: Vec<ConnId> = self
             .by_id
             .values()
-            .filter(|connection| connection.state == State::Connecting || connection.is_holding_last_byte())
-            .filter(|connection| matches!(connection.purpose, ConnectionPurpose::Attempt { .. }))
-            .filter(|connection| is_to(connection.engine))
-            .map(|connection| connection.conn)
+            .filter(|connection| connection.state() == State::Connecting || connection.is_holding_last_byte())
+            .filter(|connection| matches!(connection.purpose(), ConnectionPurpose::Attempt { .. }))
+            .filter(|connection| is_to(connection.engine()))
+            .map(EngineConnection::conn)
             .collect();
         unwritten.sort();
         unwritten
@@ -96,8 +96,8 @@
 
     /// The connection that is idle longest.
     pub(crate) fn oldest_idle(&self) -> Option<ConnId> {
-        let idle = self.by_id.values().filter(|connection| connection.state == State::Idle);
-        idle.min_by_key(|connection| (connection.since, connection.conn)).map(|connection| connection.conn)
+        let idle = self.by_id.values().filter(|connection| connection.state() == State::Idle);
+        idle.min_by_key(|connection| (connection.since(), connection.conn())).map(EngineConnection::conn)
     }
 
     /// The idle connections to an engine.
@@ -146,7 +146,7 @@
     /// A connection broke: if it was reused and had not answered yet, that counts against reuse.
     pub(crate) fn record_loss(&mut self, connection: &EngineConnection) {
         if connection.is_reuse_unproven() {
-            self.reuse_history.record(connection.engine, true);
+            self.reuse_history.record(connection.engine(), true);
         }
     }
 
--- a/crates/platform/src/engines.rs
+++ b/crates/platform/src/engines.rs
@@ -4,7 +4,7 @@
 use crate::log_event::LogEvent;
 use crate::parse_request::MAX_TOKENS;
 use crate::proof::{AttemptEnd, NeverRan};
-use crate::request::Attempt;
+use crate::request::{ActiveRequest, Attempt};
 use crate::response::{Answer, ResponseError, ResponseEvent};
 use crate::router::PlatformRouter;
 use slipreel::{EngineId, Event, LoadReport, Outcome, RequestId};
@@ -26,13 +26,13 @@
             return self.cancel_connection(conn, Outcome::Cancelled, out);
         }
         let Some(connection) =
-            self.engines.get_mut(conn).filter(|connection| connection.state == State::Connecting)
+            self.engines.get_mut(conn).filter(|connection| connection.state() == State::Connecting)
         else {
             return;
         };
-        if let ConnectionPurpose::Attempt { request, .. } = connection.purpose {
+        if let ConnectionPurpose::Attempt { request, .. } = connection.purpose() {
             if let Some(request) = self.requests.get(request) {
-                connection.replace_request(request.message(now, connection.addr));
+                connection.replace_request(request.message(now, connection.addr()));
             }
         }
         out.push(Output::Write(conn, connection.connected(now)));
@@ -42,9 +42,9 @@
     /// Whether a connection is to carry an attempt for a request that is over: its client has left, or it has its answer.
     /// Where the decision module may not cancel attempts, those in flight go on, but those not sent yet are not sent any more.
     fn request_is_over(&self, conn: ConnId) -> bool {
-        match self.engines.get(conn).map(|connection| connection.purpose) {
+        match self.engines.get(conn).map(EngineConnection::purpose) {
             Some(ConnectionPurpose::Attempt { request, .. }) => {
-                self.requests.get(request).is_none_or(|request| request.is_closed)
+                self.requests.get(request).is_none_or(ActiveRequest::is_closed)
             }
             _ => false,
         }
@@ -61,11 +61,11 @@
     pub(crate) fn engine_data(&mut self, conn: ConnId, bytes: &[u8], out: &mut Vec<Output>) {
         let now = self.now;
         let Some(connection) = self.engines.get_mut(conn) else { return };
-        if connection.state != State::Busy {
+        if connection.state() != State::Busy {
             // Unsolicited bytes: what follows them could be mistaken for the next answer.
             return self.abort_connection(conn, AttemptEnd::may_have_run(Outcome::Error), out);
         }
-        let engine = connection.engine;
+        let engine = connection.engine();
         let was_holding_last_byte = connection.is_holding_last_byte();
         let proves_reuse = connection.prove_reuse();
         let mut events = Vec::new();
@@ -85,7 +85,7 @@
         for event in events {
             self.handle_response(conn, event, out);
         }
-        let purpose = self.engines.get(conn).map(|connection| connection.purpose);
+        let purpose = self.engines.get(conn).map(EngineConnection::purpose);
         if let Some(ConnectionPurpose::Attempt { request, .. }) = purpose {
             self.check_pace(request, out);
         }
@@ -115,7 +115,7 @@
     /// A connection has timed out, by its state.
     pub(crate) fn engine_timed_out(&mut self, conn: ConnId, out: &mut Vec<Output>) {
         let Some(connection) = self.engines.get(conn) else { return };
-        match connection.state {
+        match connection.state() {
             State::Connecting => {
                 self.abort_connection(conn, AttemptEnd::never_ran(NeverRan::NotConnected), out);
             }
@@ -141,12 +141,11 @@
 
     /// An attempt has timed out by the decision module, unless its stream has begun.
     pub(crate) fn attempt_timed_out(&mut self, id: RequestId, attempt: usize, out: &mut Vec<Output>) {
-        let Some(request) = self.requests.get(id).filter(|request| request.streaming_attempt.is_none())
+        let Some(request) = self.requests.get(id).filter(|request| request.streaming_attempt().is_none())
         else {
             return;
         };
-        let conn = request.attempts.get(attempt).filter(|a| a.in_flight).and_then(|a| a.conn);
-        if let Some(conn) = conn {
+        if let Some(conn) = request.connection_in_flight(attempt) {
             self.cancel_connection(conn, Outcome::TimedOut, out);
         }
     }
@@ -154,8 +153,8 @@
     /// Handles a response, or a part of one, by the purpose of its connection.
     fn handle_response(&mut self, conn: ConnId, event: ResponseEvent, out: &mut Vec<Output>) {
         let Some(connection) = self.engines.get(conn) else { return };
-        let engine = connection.engine;
-        match (event, connection.purpose) {
+        let engine = connection.engine();
+        match (event, connection.purpose()) {
             (ResponseEvent::Malformed(error), _) => self.malformed_response(conn, engine, error, out),
             (ResponseEvent::Events(events), ConnectionPurpose::Attempt { request, attempt }) => {
                 if !self.forward_events(request, attempt, &events, out) {
@@ -215,11 +214,11 @@
     fn exchange_finished(&mut self, conn: ConnId, out: &mut Vec<Output>) {
         let now = self.now;
         let Some(connection) = self.engines.get_mut(conn) else { return };
-        let engine = connection.engine;
+        let engine = connection.engine();
         if connection.become_idle(now) {
             out.push(Output::Resume(conn));
         }
-        let is_listed = self.endpoints.get(engine).is_some_and(|endpoint| endpoint.addr == connection.addr);
+        let is_listed = self.endpoints.get(engine).is_some_and(|endpoint| endpoint.addr == connection.addr());
         if !is_listed || !connection.is_reusable() {
             return self.close_connection(conn, out);
         }
@@ -245,12 +244,12 @@
     ) {
         let Some(connection) = self.engines.get(conn) else { return };
         let proof = connection.proof_of_rejection(answer);
-        let since = connection.since;
+        let since = connection.since();
         let is_prefill = self
             .requests
             .get(id)
-            .and_then(|request| request.attempts.get(attempt))
-            .is_some_and(|attempt| attempt.is_prefill);
+            .and_then(|request| request.attempt(attempt))
+            .is_some_and(Attempt::is_prefill);
         let end = match proof {
             Some(proof) => AttemptEnd::never_ran(proof),
             None if answer.status == PREFILLED && is_prefill => {
@@ -281,7 +280,7 @@
         if self
             .requests
             .get(id)
-            .is_some_and(|request| request.streaming_attempt == Some(attempt) && !request.is_closed)
+            .is_some_and(|request| request.streaming_attempt() == Some(attempt) && !request.is_closed())
         {
             self.abort_stream(id, out);
         }
@@ -293,7 +292,7 @@
         &mut self, id: RequestId, attempt: usize, events: &[u8], out: &mut Vec<Output>,
     ) -> bool {
         let Some(request) = self.requests.get_open(id) else { return false };
-        if request.streaming_attempt.is_none() {
+        if request.streaming_attempt().is_none() {
             self.first_event(id, attempt, out);
         }
         self.write_events(id, events, out);
@@ -304,9 +303,10 @@
     fn first_event(&mut self, id: RequestId, attempt: usize, out: &mut Vec<Output>) {
         let now = self.now;
         let Some(request) = self.requests.begin_stream(id, attempt) else { return };
-        self.counters.late_first_events += u64::from(now > request.terms.first_event_due);
-        let Some(&Attempt { sent, conn, .. }) = request.attempts.get(attempt) else { return };
-        let latency = now.saturating_sub(sent);
+        self.counters.late_first_events += u64::from(now > request.terms().first_event_due);
+        let Some(begun) = request.attempt(attempt) else { return };
+        let conn = begun.conn();
+        let latency = now.saturating_sub(begun.sent_at());
         self.queue_event(Event::FirstToken { request: id, attempt, latency });
         self.begin_stream(id, out);
         if let Some(conn) = conn {
@@ -316,7 +316,7 @@
 
     /// The last chunk of a stream was received.
     fn stream_ended(&mut self, id: RequestId, attempt: usize, report: LoadReport, out: &mut Vec<Output>) {
-        if self.requests.get(id).is_some_and(|request| request.streaming_attempt == Some(attempt)) {
+        if self.requests.get(id).is_some_and(|request| request.streaming_attempt() == Some(attempt)) {
             self.complete_stream(id, out);
             self.ended(id, attempt, AttemptEnd::completed().with_report(report));
         } else {
@@ -330,7 +330,7 @@
     pub(crate) fn check_pace(&mut self, id: RequestId, out: &mut Vec<Output>) {
         let Some(request) = self.requests.get(id) else { return };
         let Some(conn) = request.streaming_connection() else { return };
-        let client = request.client;
+        let client = request.client();
         let Some(unsent) = self.clients.get(client).map(|client| client.unsent) else { return };
         let now = self.now;
         let Some(connection) = self.engines.get_mut(conn) else { return };
--- a/crates/platform/src/release.rs
+++ b/crates/platform/src/release.rs
@@ -4,7 +4,7 @@
 //! the latest contact, on an established connection; to another engine at each retry; and on any connection that has just
 //! been answered on.
 
-use crate::engine_connection::{ConnectionPurpose, Exchange};
+use crate::engine_connection::{ConnectionPurpose, EngineConnection, Exchange};
 use crate::router::PlatformRouter;
 use crate::timer::Timer;
 use slipreel::{EngineId, RequestId, Settings};
@@ -45,12 +45,12 @@
         let Some(request) = self.requests.get_mut(id) else { return };
         let Some(&holder) = request.state_holders().first() else { return };
         let addr = self.endpoints.get(holder).map_or(NOWHERE, |endpoint| endpoint.addr);
-        let release = self.releases.add(self.now, holder, addr, request.client_id.clone());
+        let release = self.releases.add(self.now, holder, addr, request.client_id().to_owned());
         let unconfirmed = request.unconfirmed_attempts();
         if !unconfirmed.is_empty() {
             self.releases.repeat_until(release, self.now + RELEASE_REPEAT_PERIOD, unconfirmed);
         }
-        if let Some(earlier) = request.release {
+        if let Some(earlier) = request.release() {
             self.releases.withdraw(earlier);
         }
         request.begin_release(release);
@@ -118,7 +118,7 @@
     /// A connection was answered on and is idle: the oldest waiting release is sent on it, so that many can follow each other
     /// on one working connection while all others are silent.
     pub(crate) fn send_waiting_release(&mut self, conn: ConnId, out: &mut Vec<Output>) {
-        let Some(engine) = self.engines.get(conn).map(|connection| connection.engine) else { return };
+        let Some(engine) = self.engines.get(conn).map(EngineConnection::engine) else { return };
         let stale = self.now.saturating_sub(RELEASE_STALE_AFTER);
         let Some(id) = self.releases.oldest_waiting(stale) else { return };
         let Some(release) = self.releases.get(id).cloned() else { return };
--- a/crates/platform/src/request.rs
+++ b/crates/platform/src/request.rs
@@ -32,27 +32,46 @@
 /// One attempt, as far as the wire goes.
 #[derive(Debug)]
 pub(crate) struct Attempt {
-    pub(crate) engine: EngineId,
+    engine: EngineId,
     /// The connection that carries it, while it is in flight.
-    pub(crate) conn: Option<ConnId>,
+    conn: Option<ConnId>,
     /// When it was sent.
-    pub(crate) sent: Duration,
+    sent_at: Duration,
     /// When it ended.
-    ended: Duration,
+    ended_at: Duration,
     /// Has no outcome yet.
-    pub(crate) in_flight: bool,
+    in_flight: bool,
     /// Whether its engine may hold state for it: it was a prefill that may have come there.
     may_hold_state: bool,
     /// How it ended.
     outcome: Option<Outcome>,
     /// Whether its engine prefills the prompt for another that decodes.
-    pub(crate) is_prefill: bool,
+    is_prefill: bool,
 }
 
 impl Attempt {
+    /// The connection that carries it, while it is in flight.
+    pub(crate) fn conn(&self) -> Option<ConnId> {
+        self.conn
+    }
+
+    pub(crate) fn sent_at(&self) -> Duration {
+        self.sent_at
+    }
+
+    /// Whether it has no outcome yet.
+    pub(crate) fn in_flight(&self) -> bool {
+        self.in_flight
+    }
+
+    /// Whether its engine prefills the prompt for another that decodes.
+    pub(crate) fn is_prefill(&self) -> bool {
+        self.is_prefill
+    }
+
     fn trace(&self, now: Duration) -> String {
         let kind = if self.is_prefill { "read" } else { "write" };
-        let age = now.saturating_sub(self.sent).as_millis();
+        let age = now.saturating_sub(self.sent_at).as_millis();
         let end = self.outcome.map_or_else(|| "out".to_owned(), outcome_name);
         format!("{kind} {age} ms ago {end}")
     }
@@ -75,22 +94,22 @@
 #[derive(Debug)]
 pub(crate) struct ActiveRequest {
     /// What its client and the engines know it by.
-    pub(crate) client_id: String,
+    client_id: String,
     /// The connection of its client.
-    pub(crate) client: ConnId,
-    pub(crate) terms: RequestTerms,
+    client: ConnId,
+    terms: RequestTerms,
     method: String,
     target: String,
     /// Fields that go on to engines as they came.
     forwarded: Vec<(&'static str, String)>,
     body: Vec<u8>,
-    pub(crate) attempts: Vec<Attempt>,
+    attempts: Vec<Attempt>,
     /// The attempt whose stream is forwarded to the client.
-    pub(crate) streaming_attempt: Option<usize>,
+    streaming_attempt: Option<usize>,
     /// It has its final answer, or its client has left.
-    pub(crate) is_closed: bool,
+    is_closed: bool,
     /// The release of its state that is not acknowledged.
-    pub(crate) release: Option<ReleaseId>,
+    release: Option<ReleaseId>,
     /// The engine whose release was withdrawn as another attempt was sent, and is still to be sent.
     withdrawn_from: Option<EngineId>,
 }
@@ -113,6 +132,61 @@
         }
     }
 
+    /// What its client and the engines know it by.
+    pub(crate) fn client_id(&self) -> &str {
+        &self.client_id
+    }
+
+    /// The connection of its client.
+    pub(crate) fn client(&self) -> ConnId {
+        self.client
+    }
+
+    pub(crate) fn terms(&self) -> &RequestTerms {
+        &self.terms
+    }
+
+    /// An attempt by its number; `None` if there is none of this number.
+    pub(crate) fn attempt(&self, attempt: usize) -> Option<&Attempt> {
+        self.attempts.get(attempt)
+    }
+
+    pub(crate) fn has_attempts(&self) -> bool {
+        !self.attempts.is_empty()
+    }
+
+    /// The connection of an attempt, while it is in flight.
+    pub(crate) fn connection_in_flight(&self, attempt: usize) -> Option<ConnId> {
+        self.attempt(attempt).filter(|attempt| attempt.in_flight)?.conn
+    }
+
+    /// Records the connection that carries an attempt.
+    pub(crate) fn set_connection(&mut self, attempt: usize, conn: ConnId) {
+        if let Some(attempt) = self.attempts.get_mut(attempt) {
+            attempt.conn = Some(conn);
+        }
+    }
+
+    /// The attempt whose stream is forwarded to the client.
+    pub(crate) fn streaming_attempt(&self) -> Option<usize> {
+        self.streaming_attempt
+    }
+
+    /// Whether it has its final answer, or its client has left.
+    pub(crate) fn is_closed(&self) -> bool {
+        self.is_closed
+    }
+
+    /// It has its final answer, or needs none any more. Returns whether it was open before.
+    pub(crate) fn close(&mut self) -> bool {
+        !std::mem::replace(&mut self.is_closed, true)
+    }
+
+    /// The release of its state that is not acknowledged.
+    pub(crate) fn release(&self) -> Option<ReleaseId> {
+        self.release
+    }
+
     /// The prefill engine whose state its next decode fetches.
     pub(crate) fn prefill_engine(&self) -> Option<EngineId> {
         self.attempts.iter().rev().find(|attempt| attempt.is_prefill).map(|attempt| attempt.engine)
@@ -133,8 +207,8 @@
         self.attempts.push(Attempt {
             engine,
             conn: None,
-            sent: now,
-            ended: now,
+            sent_at: now,
+            ended_at: now,
             in_flight: true,
             may_hold_state: is_prefill,
             outcome: None,
@@ -162,7 +236,7 @@
         let Some(attempt) = self.attempts.get_mut(attempt) else { return };
         attempt.in_flight = false;
         attempt.conn = None;
-        attempt.ended = now;
+        attempt.ended_at = now;
         attempt.outcome = Some(end.outcome());
         attempt.may_hold_state &= end.proof().is_none();
     }
@@ -195,7 +269,7 @@
         };
         let unconfirmed = self.attempts.iter().filter(is_unconfirmed);
         unconfirmed
-            .map(|attempt| UnconfirmedAttempt { engine: attempt.engine, ended: attempt.ended })
+            .map(|attempt| UnconfirmedAttempt { engine: attempt.engine, ended: attempt.ended_at })
             .collect()
     }
 
--- a/crates/platform/src/router.rs
+++ b/crates/platform/src/router.rs
@@ -14,18 +14,16 @@
 use crate::log_limiter::{LogLimiter, NeverRanLogBudget};
 use crate::release;
 use crate::resource_limits::ResourceLimits;
-use crate::shutdown::{FinalStep, Shutdown};
+use crate::shutdown::Shutdown;
 use crate::timer::{Timer, Timers};
 use crate::watch::{Watch, WatchFailure};
-use slipreel::{EngineId, Event, RequestId, StateSizes};
+use slipreel::{EngineId, Event, StateSizes};
 use slipreel_connections::ReleaseQueue;
 use slipreel_platform_settings::Profile;
 use slipreel_state_machine::{ConnId, Input, Machine, Output};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The shortest delay after which the router is woken by its driver rather than at the same time.
-const MIN_WAKE_DELAY: Duration = Duration::from_millis(1);
 /// The time between two status lines.
 const STATUS_INTERVAL: Duration = Duration::from_millis(10_000);
 
@@ -37,8 +35,8 @@
     pub(crate) resource_limits: ResourceLimits,
     pub(crate) profile: Profile,
     pub(crate) report_layout: ReportLayout,
-    pub(crate) engine_timeouts: EngineTimeouts,
-    pub(crate) decisions: Decisions,
+    engine_timeouts: EngineTimeouts,
+    decisions: Decisions,
     pub(crate) endpoints: Endpoints,
     pub(crate) watch: Watch,
     pub(crate) clients: ClientConnections,
@@ -226,7 +224,7 @@
         self.log_status(out);
     }
 
-    fn log_status(&self, out: &mut Vec<Output>) {
+    pub(crate) fn log_status(&self, out: &mut Vec<Output>) {
         let status = Status {
             held: self.held_state(),
             busy_engine_connections: self.engines.busy_count(),
@@ -237,76 +235,52 @@
         out.push(Output::Log(LogEvent::Status(Box::new(status)).to_string()));
     }
 
-    // ---- Shutdown -----------------------------------------------------------------------------
-
-    fn begin_shutdown(&mut self) {
-        let Some(steps) = self.shutdown.begin(self.now) else { return };
-        self.clients.close_after_next_answer();
-        for step in steps {
-            self.timers.set(step, Timer::Shutdown);
-        }
-    }
-
-    /// Closes connections between requests. Guards against a close that crosses the first request of a connection that has
-    /// just come: such a one has a moment to send something.
-    fn close_idle_clients(&mut self, out: &mut Vec<Output>) {
-        for client in self.clients.idle() {
-            if let Some(until) = client.grace_until.filter(|&until| until > self.now) {
-                self.timers.set(until, Timer::Shutdown);
-            } else {
-                out.push(Output::CloseWhenSent(client.conn));
-                self.clients.remove(client.conn, &mut self.timers);
-            }
-        }
-    }
+    // ---- Inputs -----------------------------------------------------------------------------
 
-    /// The steps of a shutdown: idle connections end; streams that would be cut off are migrated, where clients resume
-    /// them; at the last moment, requests whose stream has not begun are answered.
-    fn shutdown_step(&mut self, out: &mut Vec<Output>) {
-        self.close_idle_clients(out);
-        let migrates_streams = self.profile.resumes && self.shutdown.migrates_streams(self.now);
-        let is_past_deadline = self.shutdown.is_past_deadline(self.now);
-        let open: Vec<(RequestId, bool)> =
-            self.requests.open().map(|(id, request)| (id, request.streaming_attempt.is_some())).collect();
-        for (id, is_streaming) in open {
-            if is_streaming && migrates_streams {
-                self.migrate_stream(id, out);
-            } else if !is_streaming && is_past_deadline {
-                self.fail_request(id, out);
-                self.queue_event(Event::ClientDisconnected(id));
+    /// An input of any kind, after the timers that were due.
+    fn handle_input(&mut self, input: &Input<'_>, out: &mut Vec<Output>) {
+        match *input {
+            Input::Accepted(conn, _) => self.accepted(conn, out),
+            // The resource limits hold for what the settings allow; the system may allow less.
+            Input::DescriptorsExhausted(_) => self.free_descriptor(out),
+            Input::Connected(conn) | Input::Data(conn, _) | Input::Eof(conn) | Input::Lost(conn, _)
+                if self.watch.is_connection(conn) =>
+            {
+                self.handle_watch_input(input, out);
             }
-        }
-    }
-
-    /// Ends once nothing is left to do in a shutdown.
-    fn end_when_done(&mut self, out: &mut Vec<Output>) {
-        let is_released = self.releases.is_empty() || self.shutdown.is_past_deadline(self.now);
-        let is_done = self.requests.is_empty() && self.clients.is_empty() && is_released;
-        if !is_done || !self.shutdown.may_end(self.now) {
-            return;
-        }
-        match self.shutdown.next_final_step() {
-            FinalStep::StopListening => {
-                out.push(Output::StopListening);
-                self.await_end_of_listening();
+            Input::Connected(_) => self.handle_engine_input(input, out),
+            Input::Data(conn, _)
+            | Input::Eof(conn)
+            | Input::Sent(conn, _)
+            | Input::Lost(conn, _)
+            | Input::PeerClosedWhilePaused(conn) => {
+                if conn.is_opened() {
+                    self.handle_engine_input(input, out);
+                } else {
+                    self.handle_client_input(input, out);
+                }
             }
-            FinalStep::Wait | FinalStep::Stopped => {}
-            FinalStep::Stop => {
-                self.log_status(out);
-                out.push(Output::Stopped);
+            Input::Wake | Input::Datagram(..) => {}
+            Input::Stop => self.begin_shutdown(),
+            Input::OwnerMessage(message) => {
+                if let Some(config) = message.downcast_ref::<Config>() {
+                    self.reload(config, out);
+                }
             }
         }
     }
 
-    /// Wakes the router once its driver has executed all outputs.
-    fn await_end_of_listening(&mut self) {
-        if self.shutdown.is_listener_closing() {
-            self.timers.set(self.now + MIN_WAKE_DELAY, Timer::ListenerClosed);
+    /// An input on a client connection, other than its bytes, which come before the timers.
+    fn handle_client_input(&mut self, input: &Input<'_>, out: &mut Vec<Output>) {
+        match *input {
+            // Half-closed counts as closed: in the protocol no client closes its sending side and still reads.
+            Input::Eof(conn) | Input::PeerClosedWhilePaused(conn) => self.client_eof(conn, out),
+            Input::Sent(conn, sent) => self.client_sent(conn, sent, out),
+            Input::Lost(conn, _) => self.client_gone(conn, out),
+            _ => {}
         }
     }
 
-    // ---- Inputs -----------------------------------------------------------------------------
-
     /// An input on the connection to discovery.
     fn handle_watch_input(&mut self, input: &Input<'_>, out: &mut Vec<Output>) {
         match *input {
@@ -350,36 +324,7 @@
         }
         // Otherwise timers that are due come before the input, whatever order the driver found them in.
         self.run_timers(out);
-        match input {
-            Input::Accepted(conn, _) => self.accepted(conn, out),
-            // The resource limits hold for what the settings allow; the system may allow less.
-            Input::DescriptorsExhausted(_) => self.free_descriptor(out),
-            Input::Connected(conn) | Input::Data(conn, _) | Input::Eof(conn) | Input::Lost(conn, _)
-                if self.watch.is_connection(conn) =>
-            {
-                self.handle_watch_input(&input, out);
-            }
-            Input::Connected(_) => self.handle_engine_input(&input, out),
-            Input::Data(conn, _) | Input::Eof(conn) | Input::Sent(conn, _) | Input::Lost(conn, _)
-                if conn.is_opened() =>
-            {
-                self.handle_engine_input(&input, out);
-            }
-            Input::Data(..) => {}
-            // Half-closed counts as closed: in the protocol no client closes its sending side and still reads.
-            Input::Eof(conn) => self.client_eof(conn, out),
-            Input::PeerClosedWhilePaused(conn) if !conn.is_opened() => self.client_eof(conn, out),
-            Input::PeerClosedWhilePaused(_) => {}
-            Input::Sent(conn, sent) => self.client_sent(conn, sent, out),
-            Input::Lost(conn, _) => self.client_gone(conn, out),
-            Input::Wake | Input::Datagram(..) => {}
-            Input::Stop => self.begin_shutdown(),
-            Input::OwnerMessage(message) => {
-                if let Some(config) = message.downcast_ref::<Config>() {
-                    self.reload(config, out);
-                }
-            }
-        }
+        self.handle_input(&input, out);
         self.run_decisions(out);
     }
 
--- a/crates/platform/src/shutdown.rs
+++ b/crates/platform/src/shutdown.rs
@@ -1,5 +1,9 @@
 //! The graceful shutdown of a router: from the stop signal until nothing is left to do.
 
+use crate::router::PlatformRouter;
+use crate::timer::Timer;
+use slipreel::{Event, RequestId};
+use slipreel_state_machine::Output;
 use std::time::Duration;
 
 /// After the stop signal a router still accepts requests for so long: new clients have to be answered. From the protocol.
@@ -7,10 +11,12 @@
 /// So long after the start of a shutdown streams are migrated, where clients resume them: late enough for most to end by
 /// themselves, and early enough that the next router in a rolling restart is still up.
 const STREAM_MIGRATION_DELAY: Duration = Duration::from_millis(2_400);
-/// The longest wait of a client that the time until the kill goes by. From the protocol.
+/// The longest client wait that counts for the time until the kill. From the protocol.
 const MAX_CLIENT_WAIT: Duration = Duration::from_millis(3_000);
-/// So long before the kill nothing is left unanswered.
+/// How long before the kill everything has to be answered.
 const MARGIN: Duration = Duration::from_millis(450);
+/// The shortest delay after which the router is woken by its driver rather than at the same time.
+const MIN_WAKE_DELAY: Duration = Duration::from_millis(1);
 
 /// How far a router that shuts down is with its listener.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -119,3 +125,71 @@
         }
     }
 }
+
+impl PlatformRouter {
+    /// The router is stopped: sets the timers of the steps of its shutdown.
+    pub(crate) fn begin_shutdown(&mut self) {
+        let Some(steps) = self.shutdown.begin(self.now) else { return };
+        self.clients.close_after_next_answer();
+        for step in steps {
+            self.timers.set(step, Timer::Shutdown);
+        }
+    }
+
+    /// Closes idle connections. One that was accepted just now is kept for a moment: its first request may be in transit.
+    fn close_idle_clients(&mut self, out: &mut Vec<Output>) {
+        for client in self.clients.idle() {
+            if let Some(until) = client.grace_until.filter(|&until| until > self.now) {
+                self.timers.set(until, Timer::Shutdown);
+            } else {
+                out.push(Output::CloseWhenSent(client.conn));
+                self.clients.remove(client.conn, &mut self.timers);
+            }
+        }
+    }
+
+    /// The steps of a shutdown: idle connections are closed; streams that would be cut off are migrated, where clients
+    /// resume them; at the deadline, requests whose stream has not begun are answered.
+    pub(crate) fn shutdown_step(&mut self, out: &mut Vec<Output>) {
+        self.close_idle_clients(out);
+        let migrates_streams = self.profile.resumes && self.shutdown.migrates_streams(self.now);
+        let is_past_deadline = self.shutdown.is_past_deadline(self.now);
+        let open: Vec<(RequestId, bool)> =
+            self.requests.open().map(|(id, request)| (id, request.streaming_attempt().is_some())).collect();
+        for (id, is_streaming) in open {
+            if is_streaming && migrates_streams {
+                self.migrate_stream(id, out);
+            } else if !is_streaming && is_past_deadline {
+                self.fail_request(id, out);
+                self.queue_event(Event::ClientDisconnected(id));
+            }
+        }
+    }
+
+    /// Ends once nothing is left to do in a shutdown.
+    pub(crate) fn end_when_done(&mut self, out: &mut Vec<Output>) {
+        let is_released = self.releases.is_empty() || self.shutdown.is_past_deadline(self.now);
+        let is_done = self.requests.is_empty() && self.clients.is_empty() && is_released;
+        if !is_done || !self.shutdown.may_end(self.now) {
+            return;
+        }
+        match self.shutdown.next_final_step() {
+            FinalStep::StopListening => {
+                out.push(Output::StopListening);
+                self.await_end_of_listening();
+            }
+            FinalStep::Wait | FinalStep::Stopped => {}
+            FinalStep::Stop => {
+                self.log_status(out);
+                out.push(Output::Stopped);
+            }
+        }
+    }
+
+    /// Wakes the router once its driver has executed all outputs.
+    pub(crate) fn await_end_of_listening(&mut self) {
+        if self.shutdown.is_listener_closing() {
+            self.timers.set(self.now + MIN_WAKE_DELAY, Timer::ListenerClosed);
+        }
+    }
+}
