--- a/crates/platform/tests/bad_clients.rs
+++ b/crates/platform/tests/bad_clients.rs
@@ -44,51 +44,51 @@
     ];
     for (what, bytes, expected) in cases {
         assert!(good.contains("Content-Length: 30"));
-        let mut host = Host::new();
-        let client = host.client();
-        let out = host.data(client, bytes);
+        let mut harness = Harness::new();
+        let client = harness.connect_client();
+        let out = harness.receive(client, bytes);
         assert_eq!(status(&out, client), Some(expected), "{what}");
-        assert!(opened(&out).is_empty() && host.node.counters().admitted == 0, "{what}");
+        assert!(opened(&out).is_empty() && harness.router.counters().admitted == 0, "{what}");
     }
 }
 
 #[test]
 fn an_id_that_is_open_for_another_client_is_turned_away_and_the_other_goes_on() {
-    let mut host = Host::new();
-    let (first, writer) = host.streaming("chat");
-    let other = host.client();
-    assert_eq!(status(&host.data(other, request("chat", "9b1f")), other), Some(409));
-    let out = host.data(writer, chunk("data: [DONE]\n\n") + "0\r\n\r\n");
+    let mut harness = Harness::new();
+    let (first, writer) = harness.streaming("chat");
+    let other = harness.connect_client();
+    assert_eq!(status(&harness.receive(other, request("chat", "9b1f")), other), Some(409));
+    let out = harness.receive(writer, stream_end());
     assert!(text(&out, first).ends_with("0\r\n\r\n"));
-    assert_eq!(host.node.counters().completed, 1);
+    assert_eq!(harness.router.counters().completed, 1);
     // Nor is it taken after that: it was sent on, and every request carries a new id.
-    let out = host.data(other, request("chat", "9b1f"));
+    let out = harness.receive(other, request("chat", "9b1f"));
     assert_eq!(
-        (status(&out, other), opened(&out).len(), host.node.counters().admitted),
+        (status(&out, other), opened(&out).len(), harness.router.counters().admitted),
         (Some(409), 0, 1),
         "{out:?}"
     );
-    let out = host.data(other, request("chat", "9b20"));
-    assert_eq!(host.node.counters().admitted, 2, "a new one is: {out:?}");
+    let out = harness.receive(other, request("chat", "9b20"));
+    assert_eq!(harness.router.counters().admitted, 2, "a new one is: {out:?}");
 }
 
 #[test]
 fn half_a_request_or_none_is_closed_or_told_within_three_seconds_of_connecting() {
-    let mut host = Host::new();
-    let silent = host.client();
-    let half = host.client();
-    host.data(half, "POST /v1/chat/completions HT");
-    let late = host.client();
-    host.pass(ms(2_000));
-    host.data(late, &request("chat", "1")[..200]);
-    let out = host.pass(ms(900));
+    let mut harness = Harness::new();
+    let silent = harness.connect_client();
+    let half = harness.connect_client();
+    harness.receive(half, "POST /v1/chat/completions HT");
+    let late = harness.connect_client();
+    harness.advance(ms(2_000));
+    harness.receive(late, &request("chat", "1")[..200]);
+    let out = harness.advance(ms(900));
     assert!(ends(&out, silent));
     assert_eq!(status(&out, half), Some(408));
     assert!(ends(&out, late), "its time counts from when it connected");
-    let client = host.client();
-    host.data(client, &request("chat", "1")[..200]);
-    host.tell(Input::Eof(client));
-    let held = host.node.held_state();
+    let client = harness.connect_client();
+    harness.receive(client, &request("chat", "1")[..200]);
+    harness.handle(Input::Eof(client));
+    let held = harness.router.held_state();
     assert_eq!(
         [held.client_connections, held.engine_connections, held.requests],
         [0, 0, 0],
@@ -98,24 +98,25 @@
 
 #[test]
 fn requests_sent_ahead_are_answered_in_turn_and_too_many_wait_outside() {
-    let mut host = Host::with(&config(DISCOVERY, &list(41, true, &[]), 256));
-    let client = host.client();
-    let many: String = (0..200).map(|n| request("chat", &format!("{n}"))).collect();
-    let out = host.data(client, &many);
+    let mut harness = Harness::with(&config(DISCOVERY, &list(41, true, &[]), 256));
+    let client = harness.connect_client();
+    let many: String = (0..200).map(|id| request("chat", &id.to_string())).collect();
+    let out = harness.receive(client, &many);
     let answers = text(&out, client);
     let count = |status: &str| answers.matches(&format!("HTTP/1.1 {status} ")).count();
     assert_eq!((count("503"), count("429")), (8, 192), "over its share it is told so");
-    let mut host = Host::new();
-    let client = host.client();
-    let out: Vec<_> = many.as_bytes().chunks(8_000).flat_map(|part| host.data(client, part)).collect();
+    let mut harness = Harness::new();
+    let client = harness.connect_client();
+    let out: Vec<_> = many.as_bytes().chunks(8_000).flat_map(|part| harness.receive(client, part)).collect();
     assert!(out.contains(&Output::Pause(client)), "no more than a bound is kept while one is served");
-    assert_eq!(host.node.counters().admitted, 1);
+    assert_eq!(harness.router.counters().admitted, 1);
 }
 
-/// So many connections come in and say nothing. Gives those that were closed for them.
-fn crowd(host: &mut Host, from: u64, count: u64) -> Vec<ConnId> {
-    let accepted = (from..from + count).flat_map(|n| host.tell(Input::Accepted(ConnId(n), ListenerId(0))));
-    let closed = |o| match o {
+/// Accepts connections on which nothing is sent. Returns those that were closed for them.
+fn accept_silent(harness: &mut Harness, from: u64, count: u64) -> Vec<ConnId> {
+    let accepted =
+        (from..from + count).flat_map(|id| harness.handle(Input::Accepted(ConnId(id), ListenerId(0))));
+    let closed = |output| match output {
         Output::Abort(conn) | Output::CloseWhenSent(conn) => Some(conn),
         _ => None,
     };
@@ -124,55 +125,59 @@
 
 #[test]
 fn silent_connections_yield_first_then_idle_ones_and_those_at_work_never() {
-    let mut host = Host::new();
-    let (working, _) = host.streaming("chat");
-    let used = host.client();
-    host.data(used, "GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n");
-    let before = host.node.held_state().client_connections;
+    let mut harness = Harness::new();
+    let (working, _) = harness.streaming("chat");
+    let used = harness.connect_client();
+    harness.receive(used, "GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n");
+    let before = harness.router.held_state().client_connections;
     assert_eq!(before, 2);
-    assert!(crowd(&mut host, 10_000, 100).is_empty());
-    host.pass(ms(500));
-    let evicted = crowd(&mut host, 20_000, 60);
+    assert!(accept_silent(&mut harness, 10_000, 100).is_empty());
+    harness.advance(ms(500));
+    let evicted = accept_silent(&mut harness, 20_000, 60);
     assert_eq!(evicted[..3], [10_000, 10_001, 10_002].map(ConnId), "the oldest of the silent first");
-    let evicted = crowd(&mut host, 30_000, 300);
+    let evicted = accept_silent(&mut harness, 30_000, 300);
     assert!(evicted.contains(&used) && !evicted.contains(&working));
-    let held = host.node.held_state();
-    let (clients, links) = (held.client_connections, held.engine_connections);
-    assert!(clients + links < 256 - 16, "{clients} {links}");
-    assert_eq!(host.node.counters().rejected_before_admission as usize, 2 + 460 - clients, "each is counted");
+    let held = harness.router.held_state();
+    let (clients, connections) = (held.client_connections, held.engine_connections);
+    assert!(clients + connections < 256 - 16, "{clients} {connections}");
+    assert_eq!(
+        harness.router.counters().rejected_before_admission as usize,
+        2 + 460 - clients,
+        "each is counted"
+    );
 }
 
 #[test]
 fn a_connection_whose_first_request_is_on_its_way_outlasts_idle_ones() {
-    let mut host = Host::new();
-    for n in 0..200 {
-        let conn = host.client();
-        host.data(conn, "GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n");
-        if n % 10 == 0 {
-            host.pass(ms(20));
+    let mut harness = Harness::new();
+    for number in 0..200 {
+        let conn = harness.connect_client();
+        harness.receive(conn, "GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n");
+        if number % 10 == 0 {
+            harness.advance(ms(20));
         }
     }
-    let young = host.client();
-    let evicted = crowd(&mut host, 10_000, 30);
+    let young = harness.connect_client();
+    let evicted = accept_silent(&mut harness, 10_000, 30);
     assert!(evicted.len() >= 30 && !evicted.contains(&young), "{evicted:?}");
-    let out = host.data(young, request("chat", "1"));
+    let out = harness.receive(young, request("chat", "1"));
     assert_eq!(opened(&out).len(), 1, "it is served");
 }
 
 #[test]
 fn connections_to_engines_are_bounded_and_idle_ones_make_room() {
-    let mut host = Host::with(&config(DISCOVERY, &list(41, true, &engines()), 60));
+    let mut harness = Harness::with(&config(DISCOVERY, &list(41, true, &engines()), 60));
     let mut most = 0;
-    for n in 0..40 {
-        let client = host.client();
-        let out = host.data(client, request("chat", &format!("{n}")));
+    for id in 0..40 {
+        let client = harness.connect_client();
+        let out = harness.receive(client, request("chat", &id.to_string()));
         for (conn, port) in opened(&out) {
-            host.connected(conn);
+            harness.connected(conn);
             if port == 1 {
-                host.data(conn, "HTTP/1.1 503 x\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n");
+                harness.receive(conn, REJECTED);
             }
         }
-        most = most.max(host.node.held_state().engine_connections);
+        most = most.max(harness.router.held_state().engine_connections);
     }
     assert!(most <= 19, "{most}");
 }
--- a/crates/platform/tests/common/world.rs
+++ b/crates/platform/tests/common/cluster.rs
@@ -1,4 +1,4 @@
-//! Routers on the platform with their peers in virtual time, and a program that is broken on purpose.
+//! Several routers with their peers in virtual time, and routers that are broken on purpose.
 
 use super::{config, ms};
 use slipreel_invariants::terms::{judge, Break, Seen, Terms};
@@ -12,102 +12,108 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// What is broken on purpose in a router, so that a judge can be seen to catch it.
+/// What is broken on purpose in a router, to show that a judge detects it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Flaw {
+pub enum Variant {
     None,
-    /// Asks discovery once and no more.
-    AsksOnce,
-    /// Hears a second late that a client has gone.
-    LateGoodbyes,
-    /// Keeps what it writes to clients back for longer than events may take.
-    HoldsEvents,
-    /// Turns away whatever clients ask.
-    TurnsAllAway,
-    /// Reads what clients ask and answers nothing.
+    /// Opens one watch at discovery and no further.
+    WatchesOnce,
+    /// Learns a second late that a client has gone.
+    LateDisconnects,
+    /// Delays writes to clients for longer than events may take.
+    DelaysEvents,
+    /// Rejects every request.
+    RejectsAll,
+    /// Answers no request.
     AnswersNothing,
-    /// Turns away prompts over 1,500 tokens.
-    TurnsLongAway,
-    /// Turns away one session in four, whatever it asks.
-    TurnsSessionsAway,
-    /// Tells engines more time than its clients have left.
-    TellsLongDeadlines,
+    /// Rejects prompts over 1,500 tokens.
+    RejectsLongPrompts,
+    /// Rejects one session in four.
+    RejectsSessions,
+    /// Forwards longer deadlines than its clients have left.
+    ForwardsLongDeadlines,
 }
 
-impl Flaw {
-    /// Whether a router with this flaw turns away a request by itself.
-    fn turns_away(self, request: &str) -> bool {
+impl Variant {
+    /// Whether a router of this variant rejects a request by itself.
+    fn rejects(self, request: &str) -> bool {
         let number = |name: &str, radix| {
             let text = request.split(name).nth(1)?;
             let digits = text.split(|c: char| !c.is_ascii_hexdigit()).next()?;
             u64::from_str_radix(digits, radix).ok()
         };
         match self {
-            Flaw::TurnsAllAway => true,
-            Flaw::TurnsLongAway => number("prompt_len=", 10).is_some_and(|tokens| tokens > 1_500),
-            Flaw::TurnsSessionsAway => number("X-Key: ", 16).is_some_and(|session| session % 4 == 0),
+            Variant::RejectsAll => true,
+            Variant::RejectsLongPrompts => number("prompt_len=", 10).is_some_and(|tokens| tokens > 1_500),
+            Variant::RejectsSessions => number("X-Key: ", 16).is_some_and(|session| session % 4 == 0),
             _ => false,
         }
     }
 }
 
-/// The answer of a router that turns all away.
-const TURNED_AWAY: &[u8] = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
+/// The answer of a router that rejects.
+const REJECTION: &[u8] = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
 
-/// How long a router that holds events keeps them back.
-const HELD_BACK: Duration = Duration::from_millis(400);
+/// How long a router that delays events holds them.
+const EVENT_DELAY: Duration = Duration::from_millis(400);
 
 /// A router, perhaps broken.
-pub struct Flawed {
-    pub node: PlatformRouter,
-    flaw: Flaw,
+pub struct BrokenRouter {
+    pub router: PlatformRouter,
+    variant: Variant,
     asked: u32,
-    /// Goodbyes of clients that it is to hear of later.
-    goodbyes: BTreeSet<(Duration, ConnId)>,
-    /// What it keeps back, and until when.
+    /// Disconnects of clients that it learns of later.
+    disconnects: BTreeSet<(Duration, ConnId)>,
+    /// Delayed outputs, and until when.
     held: VecDeque<(Duration, Output)>,
 }
 
-impl Flawed {
-    pub fn new(node: PlatformRouter, flaw: Flaw) -> Box<Flawed> {
-        Box::new(Flawed { node, flaw, asked: 0, goodbyes: BTreeSet::new(), held: VecDeque::new() })
+impl BrokenRouter {
+    pub fn new(router: PlatformRouter, variant: Variant) -> Box<BrokenRouter> {
+        Box::new(BrokenRouter {
+            router,
+            variant,
+            asked: 0,
+            disconnects: BTreeSet::new(),
+            held: VecDeque::new(),
+        })
     }
 }
 
-impl Machine for Flawed {
+impl Machine for BrokenRouter {
     fn handle(&mut self, now: Duration, input: Input<'_>, out: &mut Vec<Output>) {
-        while let Some(&(at, conn)) = self.goodbyes.first().filter(|goodbye| goodbye.0 <= now) {
-            self.goodbyes.remove(&(at, conn));
-            self.node.handle(now, Input::Eof(conn), out);
+        while let Some(&(at, conn)) = self.disconnects.first().filter(|disconnect| disconnect.0 <= now) {
+            self.disconnects.remove(&(at, conn));
+            self.router.handle(now, Input::Eof(conn), out);
         }
         if let Input::Data(conn, bytes) = input {
-            let turns_away = self.flaw.turns_away(&String::from_utf8_lossy(bytes));
-            if !conn.is_opened() && (turns_away || self.flaw == Flaw::AnswersNothing) {
-                if turns_away {
-                    out.push(Output::Write(conn, TURNED_AWAY.to_vec()));
+            let rejects = self.variant.rejects(&String::from_utf8_lossy(bytes));
+            if !conn.is_opened() && (rejects || self.variant == Variant::AnswersNothing) {
+                if rejects {
+                    out.push(Output::Write(conn, REJECTION.to_vec()));
                 }
                 return;
             }
         }
-        let goodbye = match input {
+        let disconnected = match input {
             Input::Eof(conn) | Input::Lost(conn, _) | Input::PeerClosedWhilePaused(conn) => Some(conn),
             _ => None,
         };
-        match goodbye.filter(|conn| self.flaw == Flaw::LateGoodbyes && !conn.is_opened()) {
+        match disconnected.filter(|conn| self.variant == Variant::LateDisconnects && !conn.is_opened()) {
             Some(conn) => {
-                self.goodbyes.insert((now + ms(1_000), conn));
+                self.disconnects.insert((now + ms(1_000), conn));
             }
-            None => self.node.handle(now, input, out),
+            None => self.router.handle(now, input, out),
         }
-        if self.flaw == Flaw::HoldsEvents {
-            self.hold_back(now, out);
+        if self.variant == Variant::DelaysEvents {
+            self.delay_events(now, out);
         }
-        if self.flaw == Flaw::TellsLongDeadlines {
+        if self.variant == Variant::ForwardsLongDeadlines {
             out.iter_mut().for_each(lengthen_deadline);
         }
-        if self.flaw == Flaw::AsksOnce {
+        if self.variant == Variant::WatchesOnce {
             let asked = &mut self.asked;
-            out.retain(|o| match o {
+            out.retain(|output| match output {
                 Output::Connect(_, addr) if addr.port() >= 8000 => {
                     *asked += 1;
                     *asked == 1
@@ -118,21 +124,21 @@
     }
 
     fn wake_at(&self) -> Option<Duration> {
-        let goodbye = self.goodbyes.first().map(|key| key.0);
+        let disconnect = self.disconnects.first().map(|key| key.0);
         let held = self.held.front().map(|&(until, _)| until);
-        self.node.wake_at().into_iter().chain(goodbye).chain(held).min()
+        self.router.wake_at().into_iter().chain(disconnect).chain(held).min()
     }
 }
 
-impl Flawed {
-    /// What goes to clients is kept back, in order; what was kept back for long enough goes.
-    fn hold_back(&mut self, now: Duration, out: &mut Vec<Output>) {
+impl BrokenRouter {
+    /// Delays outputs to clients, in order, and releases those that were delayed long enough.
+    fn delay_events(&mut self, now: Duration, out: &mut Vec<Output>) {
         let to_client = |output: &Output| match output {
             Output::Write(conn, _) | Output::CloseWhenSent(conn) => !conn.is_opened(),
             _ => false,
         };
         let (held, at_once): (Vec<Output>, Vec<Output>) = out.drain(..).partition(to_client);
-        self.held.extend(held.into_iter().map(|output| (now + HELD_BACK, output)));
+        self.held.extend(held.into_iter().map(|output| (now + EVENT_DELAY, output)));
         out.extend(at_once);
         while self.held.front().is_some_and(|&(until, _)| until <= now) {
             out.extend(self.held.pop_front().map(|(_, output)| output));
@@ -140,8 +146,7 @@
     }
 }
 
-/// Puts the most that as many digits can tell in place of the deadline that a request to an engine tells, so that its length
-/// stays.
+/// Replaces the deadline in a request to an engine by the largest of as many digits, so that its length stays.
 fn lengthen_deadline(output: &mut Output) {
     const FIELD: &[u8] = b"x-deadline: ";
     let Output::Write(conn, bytes) = output else { return };
@@ -154,9 +159,9 @@
     }
 }
 
-/// Any party of a world.
+/// Any participant of a cluster.
 pub enum Actor {
-    Node(Box<Flawed>),
+    Router(Box<BrokenRouter>),
     Engine(Box<Engine>),
     Discovery(Box<Discovery>),
     Clients(Box<Clients>),
@@ -165,19 +170,19 @@
 impl Machine for Actor {
     fn handle(&mut self, now: Duration, input: Input<'_>, out: &mut Vec<Output>) {
         match self {
-            Actor::Node(m) => m.handle(now, input, out),
-            Actor::Engine(m) => m.handle(now, input, out),
-            Actor::Discovery(m) => m.handle(now, input, out),
-            Actor::Clients(m) => m.handle(now, input, out),
+            Actor::Router(machine) => machine.handle(now, input, out),
+            Actor::Engine(machine) => machine.handle(now, input, out),
+            Actor::Discovery(machine) => machine.handle(now, input, out),
+            Actor::Clients(machine) => machine.handle(now, input, out),
         }
     }
 
     fn wake_at(&self) -> Option<Duration> {
         match self {
-            Actor::Node(m) => m.wake_at(),
-            Actor::Engine(m) => m.wake_at(),
-            Actor::Discovery(m) => m.wake_at(),
-            Actor::Clients(m) => m.wake_at(),
+            Actor::Router(machine) => machine.wake_at(),
+            Actor::Engine(machine) => machine.wake_at(),
+            Actor::Discovery(machine) => machine.wake_at(),
+            Actor::Clients(machine) => machine.wake_at(),
         }
     }
 }
@@ -195,7 +200,7 @@
 const START: Duration = Duration::from_secs(1_000);
 
 /// Several routers, each with an agent of discovery and clients of its own, and engines that all share.
-pub struct Town {
+pub struct Cluster {
     pub world: World<Actor>,
     pub shared: Shared,
     agents: Vec<usize>,
@@ -205,13 +210,13 @@
     engines: BTreeMap<String, (bool, u16, usize)>,
 }
 
-/// How a town is laid out.
-pub struct Plan {
+/// The size of a cluster and what happens in it.
+pub struct ClusterLayout {
     pub routers: u16,
     pub readers: u16,
     pub writers: u16,
     pub faults: Faults,
-    pub flaw: Flaw,
+    pub variant: Variant,
     /// Requests at each router, and how far apart.
     pub requests: u32,
     pub every: Duration,
@@ -220,14 +225,14 @@
     pub seed: u64,
 }
 
-impl Default for Plan {
+impl Default for ClusterLayout {
     fn default() -> Self {
-        Plan {
+        ClusterLayout {
             routers: 3,
             readers: 2,
             writers: 3,
             faults: Faults::default(),
-            flaw: Flaw::None,
+            variant: Variant::None,
             requests: 400,
             every: ms(50),
             leaving: 0.05,
@@ -236,19 +241,20 @@
     }
 }
 
-impl Town {
-    pub fn new(plan: &Plan) -> Town {
+impl Cluster {
+    pub fn new(layout: &ClusterLayout) -> Cluster {
         let shared = Shared::default();
-        let mut world = World::new(START, Delays::default(), plan.seed);
+        let mut world = World::new(START, Delays::default(), layout.seed);
         let (mut engines, mut first) = (BTreeMap::new(), Vec::new());
-        for born in 1..=plan.readers + plan.writers {
-            let (name, reads) = (format!("e{born}"), born <= plan.readers);
-            let engine = Engine::new(&name, reads, shared.clone(), plan.faults, plan.seed + u64::from(born));
+        for born in 1..=layout.readers + layout.writers {
+            let (name, reads) = (format!("e{born}"), born <= layout.readers);
+            let engine =
+                Engine::new(&name, reads, shared.clone(), layout.faults, layout.seed + u64::from(born));
             let at = world.add(Actor::Engine(Box::new(engine)), &[SocketAddr::from(([127, 0, 0, 1], born))]);
             first.push((name.clone(), entry(&name, reads, born, "Ready", Duration::ZERO)));
             engines.insert(name, (reads, born, at));
         }
-        let mut town = Town {
+        let mut cluster = Cluster {
             world,
             shared,
             agents: vec![],
@@ -257,26 +263,29 @@
             clients: vec![],
             engines,
         };
-        for n in 0..plan.routers {
-            let (name, [high, low]) = (format!("n{n}"), n.to_be_bytes());
+        for number in 0..layout.routers {
+            let name = format!("n{number}");
+            let [high, low] = number.to_be_bytes();
             let agent = SocketAddr::from(([127, 9, high, low], 8500));
             let listen = SocketAddr::from(([127, 2, high, low], 5000));
-            let discovery = Discovery::new(&Listing(first.clone())).beside(&name, &town.shared);
+            let discovery = Discovery::new(&Listing(first.clone())).beside(&name, &cluster.shared);
             let text = config(&agent.to_string(), &discovery.whole(), 512)
                 .replace("127.0.0.2:5000", &listen.to_string())
-                .replace("\"balancers\":1", &format!("\"balancers\":{}", plan.routers))
-                .replace("8c1f30d27a5be964", &format!("{:x}", plan.seed * 1_000 + u64::from(n) + 1));
-            town.agents.push(town.world.add(Actor::Discovery(Box::new(discovery)), &[agent]));
-            let node = PlatformRouter::new(Config::parse(&text).unwrap(), START, START);
-            town.listens.push(listen);
-            town.routers.push(town.world.add(Actor::Node(Flawed::new(node, plan.flaw)), &[listen]));
-            let seed = plan.seed * 77 + u64::from(n);
+                .replace("\"balancers\":1", &format!("\"balancers\":{}", layout.routers))
+                .replace("8c1f30d27a5be964", &format!("{:x}", layout.seed * 1_000 + u64::from(number) + 1));
+            cluster.agents.push(cluster.world.add(Actor::Discovery(Box::new(discovery)), &[agent]));
+            let router = PlatformRouter::new(Config::parse(&text).unwrap(), START, START);
+            cluster.listens.push(listen);
+            cluster
+                .routers
+                .push(cluster.world.add(Actor::Router(BrokenRouter::new(router, layout.variant)), &[listen]));
+            let seed = layout.seed * 77 + u64::from(number);
             let clients =
-                Clients::new(listen, &["chat", "once"], plan.every, plan.requests, START + ms(50), seed);
-            let clients = clients.noting(&town.shared, plan.leaving);
-            town.clients.push(town.world.add(Actor::Clients(Box::new(clients)), &[]));
+                Clients::new(listen, &["chat", "once"], layout.every, layout.requests, START + ms(50), seed);
+            let clients = clients.noting(&cluster.shared, layout.leaving);
+            cluster.clients.push(cluster.world.add(Actor::Clients(Box::new(clients)), &[]));
         }
-        town
+        cluster
     }
 
     pub fn run(&mut self, time: Duration) {
@@ -284,16 +293,16 @@
         self.world.run_until(until);
     }
 
-    /// All agents turn so.
-    pub fn turn(&mut self, mood: Mood) {
+    /// Sets the mood of all agents.
+    pub fn set_mood(&mut self, mood: Mood) {
         look(&self.shared).see(self.world.now(), Seen::Reachable(mood == Mood::Fine));
         for &agent in &self.agents {
             self.world.news(agent, &mood);
         }
     }
 
-    /// All agents have it at once that an engine takes work (`Ready`), or wants nothing new.
-    pub fn say(&mut self, engine: &str, status: &str) {
+    /// All agents list an engine with this status: `Ready`, or one in which it takes no new work.
+    pub fn set_status(&mut self, engine: &str, status: &str) {
         let (reads, port, _) = self.engines[engine];
         let (closed, name) = (status != "Ready", engine.to_owned());
         look(&self.shared).see(self.world.now(), Seen::Has { engine: name.clone(), closed });
@@ -303,7 +312,7 @@
         }
     }
 
-    /// An engine's process hangs, or goes on: its connections stand and say nothing meanwhile.
+    /// An engine's process hangs or goes on; meanwhile its connections stay open and silent.
     pub fn freeze(&mut self, engine: &str, frozen: bool) {
         let (_, _, machine) = self.engines[engine];
         self.world.freeze(machine, frozen);
@@ -323,10 +332,10 @@
         judge(&look(&self.shared).facts, terms, self.world.now())
     }
 
-    /// Attempts that came to an engine from `since` on.
-    pub fn begun_at(&self, engine: &str, since: Duration) -> usize {
-        let at = |seen: &Seen| matches!(seen, Seen::Begun { engine: e, .. } if e == engine);
-        look(&self.shared).facts.iter().filter(|f| f.at >= since && at(&f.seen)).count()
+    /// Attempts that reached an engine from `since` on.
+    pub fn attempts_at(&self, engine: &str, since: Duration) -> usize {
+        let is_attempt = |seen: &Seen| matches!(seen, Seen::Begun { engine: to, .. } if to == engine);
+        look(&self.shared).facts.iter().filter(|fact| fact.at >= since && is_attempt(&fact.seen)).count()
     }
 
     /// When discovery was asked, by any router.
@@ -343,16 +352,16 @@
         let mut all = BTreeMap::new();
         for &at in &self.clients {
             if let Actor::Clients(clients) = self.world.machine(at) {
-                clients.endings.iter().for_each(|(&ending, n)| *all.entry(ending).or_default() += n);
+                clients.endings.iter().for_each(|(&ending, count)| *all.entry(ending).or_default() += count);
             }
         }
         all
     }
 
-    /// Whether everything that must not be seen was not.
+    /// Whether neither engines nor clients saw anything invalid.
     pub fn is_clean(&self) -> bool {
         let fabric = look(&self.shared);
-        let odd = |&at: &usize| matches!(self.world.machine(at), Actor::Clients(c) if !c.odd.is_empty());
+        let odd = |&at: &usize| matches!(self.world.machine(at), Actor::Clients(clients) if !clients.odd.is_empty());
         fabric.broken.is_empty() && fabric.twice.is_empty() && !self.clients.iter().any(odd)
     }
 }
--- a/crates/platform/tests/common/day.rs
+++ b/crates/platform/tests/common/day.rs
@@ -18,8 +18,8 @@
 const FIRST_REQUEST: Duration = Duration::from_millis(100);
 /// The last requests have their answers by then.
 const AFTERMATH: Duration = Duration::from_secs(9);
-/// An engine that starts anew is told this long before it listens: what is sent to it meanwhile finds nobody.
-const TOLD_AHEAD: Duration = Duration::from_millis(10);
+/// A restarted engine is listed this long before it listens: connections to it are refused meanwhile.
+const LISTED_AHEAD: Duration = Duration::from_millis(10);
 /// Added to the port of an engine that moves.
 const MOVED: u16 = 100;
 
@@ -34,10 +34,10 @@
     pub has_cuts: bool,
     /// Engines drain, leave, come back, start anew, and change zone, cell, role and address.
     pub has_list_changes: bool,
-    /// Routers are told to stop or killed, and start again.
+    /// Routers are stopped or killed, and start again.
     pub has_restarts: bool,
     pub has_late_connections: bool,
-    /// Routers hear late that their bytes have left.
+    /// Routers learn late that their bytes have left.
     pub has_late_sent: bool,
 }
 
@@ -109,7 +109,7 @@
     pub served: u32,
     pub refused: u32,
     pub failed: u32,
-    /// What the routers told the staff.
+    /// The log of the routers.
     pub log: Vec<(Duration, String)>,
 }
 
@@ -212,48 +212,48 @@
             routers: Vec::new(),
             clients: 0,
         };
-        (0..ENGINES).for_each(|n| play.add_engine(n));
-        (0..day.routers).for_each(|n| play.add_router(n));
+        (0..ENGINES).for_each(|number| play.add_engine(number));
+        (0..day.routers).for_each(|number| play.add_router(number));
         play.add_clients();
         play
     }
 
-    fn add_engine(&mut self, n: usize) {
-        let role = match n % 3 {
-            _ if self.settings.has_mixed_engines && n >= 6 => EngineRole::Mixed,
+    fn add_engine(&mut self, number: usize) {
+        let role = match number % 3 {
+            _ if self.settings.has_mixed_engines && number >= 6 => EngineRole::Mixed,
             0 => EngineRole::Reads,
             _ => EngineRole::Writes,
         };
         let layout = EngineLayout {
-            name: format!("e{n}"),
+            name: format!("e{number}"),
             role,
-            place: place_of(n),
+            place: place_of(number),
             faults: self.day.engine_faults.clone(),
             fault_share: 0.35,
             stray_most_ms: 60,
-            seed: self.day.seed * 31 + n as u64,
+            seed: self.day.seed * 31 + number as u64,
         };
-        let port = n as u16 + 1;
+        let port = number as u16 + 1;
         let addresses = [engine_address(port, false), engine_address(port, true)];
         let engine = HostileEngine::new(layout.clone(), &self.ledger);
         let machine = self.world.add(Actor::Engine(Box::new(engine)), &addresses);
         self.engines.push(EngineState { machine, layout, port, is_moved: false, since: Duration::ZERO });
     }
 
-    fn add_router(&mut self, n: usize) {
+    fn add_router(&mut self, number: usize) {
         let entries = self.engines.iter().map(|engine| (engine.layout.name.clone(), engine.entry("Ready")));
         let discovery = Discovery::new(&Listing(entries.collect()));
         let known = discovery.whole();
-        let number = n as u8;
-        let at = SocketAddr::from(([127, 9, 0, number], 8500));
-        let listen = SocketAddr::from(([127, 2, 0, number], 5000));
+        let last = number as u8;
+        let at = SocketAddr::from(([127, 9, 0, last], 8500));
+        let listen = SocketAddr::from(([127, 2, 0, last], 5000));
         let agent = self.world.add(Actor::Discovery(Box::new(discovery)), &[at]);
-        let node = self.node(listen, at, n as u64, &known);
+        let node = self.router(listen, at, number as u64, &known);
         let machine = self.world.add(node, &[listen]);
         self.routers.push(Router { machine, agent, listen, discovery: at, starts: 0 });
     }
 
-    fn node(&self, listen: SocketAddr, discovery: SocketAddr, salt: u64, known: &str) -> Actor {
+    fn router(&self, listen: SocketAddr, discovery: SocketAddr, salt: u64, known: &str) -> Actor {
         let seed = self.day.seed * 1_000 + salt;
         let text = self.settings.router_config(self.day.routers, listen, discovery, seed, known);
         let config = Config::parse(&text).expect("a configuration that can be read");
@@ -311,7 +311,7 @@
                     }
                     _ => {
                         changes.push((at, Change::Restart { engine, tells_start, moves }));
-                        changes.push((at + TOLD_AHEAD, Change::Start { engine }));
+                        changes.push((at + LISTED_AHEAD, Change::Start { engine }));
                     }
                 }
             }
@@ -331,7 +331,7 @@
         let changes = self.changes();
         for (at, change) in changes {
             self.world.run_until(at);
-            self.carry_out(change);
+            self.apply(change);
         }
         let end = START + FIRST_REQUEST + ms(12) * self.day.requests + AFTERMATH;
         let end = end.max(self.world.now() + AFTERMATH);
@@ -345,16 +345,16 @@
         Played { breaks, served: clients.served, refused: clients.refused, failed: clients.failed, log }
     }
 
-    fn carry_out(&mut self, change: Change) {
+    fn apply(&mut self, change: Change) {
         match change {
             Change::Cut { router, engine, is_cut } => {
                 let (router, engine) = (self.routers[router].machine, self.engines[engine].machine);
                 self.world.cut(router, engine, is_cut);
             }
             Change::Drain { engine, drains } => {
-                self.tell(engine, if drains { "Terminating" } else { "Ready" });
+                self.set_status(engine, if drains { "Terminating" } else { "Ready" });
             }
-            Change::Leave { engine } => self.tell(engine, "Gone"),
+            Change::Leave { engine } => self.set_status(engine, "Gone"),
             Change::Restart { engine, tells_start, moves } => self.restart_engine(engine, tells_start, moves),
             Change::Start { engine } => {
                 let state = &mut self.engines[engine];
@@ -388,10 +388,10 @@
             }
             Moves::Address => state.is_moved = !state.is_moved,
         }
-        self.tell(engine, "Ready");
+        self.set_status(engine, "Ready");
     }
 
-    fn tell(&mut self, engine: usize, status: &str) {
+    fn set_status(&mut self, engine: usize, status: &str) {
         let state = &self.engines[engine];
         let change = Listing(vec![(state.layout.name.clone(), state.entry(status))]);
         for agent in self.routers.iter().map(|router| router.agent).collect::<Vec<_>>() {
@@ -399,14 +399,14 @@
         }
     }
 
-    fn start_router(&mut self, n: usize) {
-        let router = &mut self.routers[n];
+    fn start_router(&mut self, number: usize) {
+        let router = &mut self.routers[number];
         router.starts += 1;
-        let (machine, salt) = (router.machine, n as u64 + 100 * router.starts);
+        let (machine, salt) = (router.machine, number as u64 + 100 * router.starts);
         let (listen, discovery, agent) = (router.listen, router.discovery, router.agent);
         let Actor::Discovery(agent) = self.world.machine(agent) else { unreachable!("an agent") };
         let known = agent.whole();
-        let node = self.node(listen, discovery, salt, &known);
+        let node = self.router(listen, discovery, salt, &known);
         self.world.kill(machine);
         self.world.revive(machine, node);
     }
--- a/crates/platform/tests/common/mod.rs
+++ b/crates/platform/tests/common/mod.rs
@@ -1,15 +1,16 @@
-//! A node fed by hand: one reader, two writers, clients and discovery played by the test.
+//! A router whose inputs come from the test, with one prefill engine, two decode engines, clients and discovery; and the
+//! messages that these exchange.
 #![allow(dead_code)]
 
+pub mod cluster;
 pub mod day;
-pub mod world;
 
 use slipreel_platform::{Config, PlatformRouter};
 use slipreel_state_machine::{ConnId, ConnectionLoss, Input, ListenerId, Machine, Output};
 use std::time::Duration;
 
-pub fn ms(n: u64) -> Duration {
-    Duration::from_millis(n)
+pub fn ms(millis: u64) -> Duration {
+    Duration::from_millis(millis)
 }
 
 pub const DISCOVERY: &str = "127.0.0.9:8500";
@@ -24,7 +25,7 @@
     format!(r#"{{"index":{index},"snapshot":{snapshot},"endpoints":[{}]}}"#, engines.join(","))
 }
 
-/// A reader at port 1 and writers at 2 and 3.
+/// A prefill engine at port 1 and decode engines at 2 and 3.
 pub fn engines() -> Vec<String> {
     vec![
         engine("r", "reads", 1, "Ready"),
@@ -50,13 +51,14 @@
     )
 }
 
-pub struct Host {
-    pub node: PlatformRouter,
+/// A router, the time, and what the test feeds it.
+pub struct Harness {
+    pub router: PlatformRouter,
     pub now: Duration,
-    clients: u64,
+    client_count: u64,
 }
 
-impl Host {
+impl Harness {
     pub fn new() -> Self {
         Self::with(&config(DISCOVERY, &list(41, true, &engines()), 256))
     }
@@ -64,108 +66,120 @@
     pub fn with(config: &str) -> Self {
         let now = Duration::from_secs(1000);
         let config = Config::parse(config).expect("a configuration that can be read");
-        Host { node: PlatformRouter::new(config, now, Duration::from_secs(1_700_000_000)), now, clients: 0 }
+        let router = PlatformRouter::new(config, now, Duration::from_secs(1_700_000_000));
+        Harness { router, now, client_count: 0 }
     }
 
-    pub fn tell(&mut self, input: Input<'_>) -> Vec<Output> {
+    /// Hands an input to the router and returns its outputs.
+    pub fn handle(&mut self, input: Input<'_>) -> Vec<Output> {
         let mut out = Vec::new();
-        self.node.handle(self.now, input, &mut out);
+        self.router.handle(self.now, input, &mut out);
         out
     }
 
-    /// Lets time pass, waking the node when it asks for it.
-    pub fn pass(&mut self, time: Duration) -> Vec<Output> {
+    /// Lets time pass, waking the router at its timers.
+    pub fn advance(&mut self, time: Duration) -> Vec<Output> {
         let (end, mut out) = (self.now + time, Vec::new());
-        while let Some(at) = self.node.wake_at().filter(|at| *at <= end) {
+        while let Some(at) = self.router.wake_at().filter(|at| *at <= end) {
             self.now = self.now.max(at);
-            out.extend(self.tell(Input::Wake));
+            out.extend(self.handle(Input::Wake));
         }
         self.now = end;
         out
     }
 
-    /// A new client's connection.
-    pub fn client(&mut self) -> ConnId {
-        self.clients += 1;
-        let conn = ConnId(self.clients);
-        self.tell(Input::Accepted(conn, ListenerId(0)));
+    /// Accepts a new client's connection.
+    pub fn connect_client(&mut self) -> ConnId {
+        self.client_count += 1;
+        let conn = ConnId(self.client_count);
+        self.handle(Input::Accepted(conn, ListenerId(0)));
         conn
     }
 
-    pub fn data(&mut self, conn: ConnId, bytes: impl AsRef<[u8]>) -> Vec<Output> {
-        self.tell(Input::Data(conn, bytes.as_ref()))
+    /// Bytes come in on a connection.
+    pub fn receive(&mut self, conn: ConnId, bytes: impl AsRef<[u8]>) -> Vec<Output> {
+        self.handle(Input::Data(conn, bytes.as_ref()))
     }
 
-    /// What was opened comes to stand. Gives what is written to it then.
+    /// A connection that the router opened is established. Returns the outputs.
     pub fn connected(&mut self, conn: ConnId) -> Vec<Output> {
-        let mut out = self.tell(Input::Connected(conn));
-        let n = bytes(&out, conn).len();
-        out.extend(self.tell(Input::Sent(conn, n)));
+        let mut out = self.handle(Input::Connected(conn));
+        let written = bytes(&out, conn).len();
+        out.extend(self.handle(Input::Sent(conn, written)));
         out
     }
 
-    /// A request comes in under a name of its own and is read; gives the client's connection and the writer's, which has
-    /// been sent the request on.
-    pub fn read_and_sent_on(&mut self, class: &str, id: &str) -> (ConnId, ConnId) {
-        let client = self.client();
-        let out = self.data(client, request(class, id));
-        let reader = self.carrier(&out);
-        let out = self.data(reader, READ_WITHOUT_REPORT);
-        // Kept connections rest for a moment before they are used again.
-        let writer = self.carrier(&out);
-        self.pass(ms(10));
-        (client, writer)
+    /// A request with an id of its own is prefilled and forwarded to a decode engine. Returns the connections of the client
+    /// and of the decode engine.
+    pub fn prefilled_and_forwarded(&mut self, class: &str, id: &str) -> (ConnId, ConnId) {
+        let client = self.connect_client();
+        let out = self.receive(client, request(class, id));
+        let prefill = self.attempt_connection(&out);
+        let out = self.receive(prefill, PREFILLED_WITHOUT_REPORT);
+        // Kept connections are idle for a moment before they are reused.
+        let decode = self.attempt_connection(&out);
+        self.advance(ms(10));
+        (client, decode)
     }
 
-    /// The connection on which an attempt goes out: a new one, which comes to stand, or a kept one.
-    fn carrier(&mut self, out: &[Output]) -> ConnId {
+    /// The connection on which an attempt is sent: a new one, which is established then, or a kept one.
+    fn attempt_connection(&mut self, out: &[Output]) -> ConnId {
         if let Some(&(conn, _)) = opened(out).first() {
             self.connected(conn);
             return conn;
         }
-        let written = out.iter().find_map(|o| match o {
+        let written = out.iter().find_map(|output| match output {
             Output::Write(conn, bytes) if bytes.starts_with(b"POST ") => Some((*conn, bytes.len())),
             _ => None,
         });
         let (conn, length) = written.expect("an attempt is written");
-        self.tell(Input::Sent(conn, length));
+        self.handle(Input::Sent(conn, length));
         conn
     }
 
-    /// A request comes in and is read; gives the client's connection, the writer's, and what was written to it.
-    pub fn at_writer(&mut self, class: &str) -> (ConnId, ConnId, Vec<Output>) {
-        let client = self.client();
-        let out = self.data(client, request(class, "9b1f"));
-        let (reader, port) = opened(&out)[0];
+    /// A request is prefilled and sent to a decode engine. Returns the connections of the client and of the decode engine,
+    /// and the outputs.
+    pub fn at_decode_engine(&mut self, class: &str) -> (ConnId, ConnId, Vec<Output>) {
+        let client = self.connect_client();
+        let out = self.receive(client, request(class, "9b1f"));
+        let (prefill, port) = opened(&out)[0];
         assert_eq!(port, 1);
-        self.connected(reader);
-        let out = self.data(reader, READ);
-        let (writer, _) = opened(&out)[0];
-        let mut out = self.connected(writer);
-        // The last byte of what must not be repeated comes a moment later.
-        out.extend(self.pass(ms(4)));
-        self.tell(Input::Sent(writer, 1));
-        (client, writer, out)
+        self.connected(prefill);
+        let out = self.receive(prefill, PREFILLED);
+        let (decode, _) = opened(&out)[0];
+        let mut out = self.connected(decode);
+        // The last byte of a request that must not be repeated is written a moment later.
+        out.extend(self.advance(ms(4)));
+        self.handle(Input::Sent(decode, 1));
+        (client, decode, out)
     }
 
-    /// The same, with the stream begun.
+    /// As [`Harness::at_decode_engine`], with the stream begun.
     pub fn streaming(&mut self, class: &str) -> (ConnId, ConnId) {
-        let (client, writer, _) = self.at_writer(class);
-        let out = self.data(writer, [STREAM_HEAD, &chunk(&event("one"))].concat());
+        let (client, decode, _) = self.at_decode_engine(class);
+        let out = self.receive(decode, [STREAM_HEAD, &chunk(&event("one"))].concat());
         assert!(text(&out, client).contains("one"));
-        (client, writer)
+        (client, decode)
     }
 }
 
 pub const BODY: &str = r#"{"model":"chat","stream":true}"#;
-pub const READ: &str =
+/// The answer to a prefill, with a load report.
+pub const PREFILLED: &str =
     "HTTP/1.1 202 Accepted\r\nContent-Length: 20\r\nX-Load: pending=3,x0=0.5\r\n\r\n{\"cached_tokens\":12}";
-/// A read's answer that says nothing of its engine's load.
-pub const READ_WITHOUT_REPORT: &str =
+/// The answer to a prefill, without a load report.
+pub const PREFILLED_WITHOUT_REPORT: &str =
     "HTTP/1.1 202 Accepted\r\nContent-Length: 20\r\n\r\n{\"cached_tokens\":12}";
 pub const STREAM_HEAD: &str =
     "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n";
 
+/// The answer to a release.
+pub const RELEASED: &str = "HTTP/1.1 204 No Content\r\n\r\n";
+/// The answer with which an engine rejects an attempt that never ran.
+pub const REJECTED: &str = "HTTP/1.1 503 Service Unavailable\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n";
+/// The head of discovery's answer to a watch.
+pub const WATCH_HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+
 pub fn request(class: &str, id: &str) -> String {
     format!(
         "POST /v1/chat/completions?a=b HTTP/1.1\r\nHost: api.internal\r\nX-Request-Id: {id}\r\nX-Class: {class}\r\n\
@@ -183,9 +197,58 @@
     format!("{:x}\r\n{text}\r\n", text.len())
 }
 
+/// The last event of a stream, and its end.
+pub fn stream_end() -> String {
+    chunk("data: [DONE]\n\n") + "0\r\n\r\n"
+}
+
+/// A complete stream with one event.
+pub fn complete_stream() -> String {
+    format!("{STREAM_HEAD}{}{}", chunk(&event("one")), stream_end())
+}
+
+/// The deadline that a request to an engine carries, in microseconds.
+pub fn forwarded_deadline(request: &str) -> u64 {
+    let text = request.split("x-deadline: ").nth(1).and_then(|rest| rest.split("u\r\n").next());
+    text.expect("a deadline").parse().expect("microseconds")
+}
+
+/// How many requests of clients were written to engines, completely or to their last byte.
+pub fn forwarded_count(out: &[Output]) -> usize {
+    let is_forwarded =
+        |output: &&Output| matches!(output, Output::Write(_, bytes) if bytes.starts_with(b"POST "));
+    out.iter().filter(is_forwarded).count()
+}
+
+/// How many times something was written to a connection.
+pub fn write_count(out: &[Output], conn: ConnId) -> usize {
+    let is_write = |output: &&Output| matches!(output, Output::Write(to, _) if *to == conn);
+    out.iter().filter(is_write).count()
+}
+
+/// A release that was written.
+pub struct SentRelease {
+    pub conn: ConnId,
+    /// The first line of the request.
+    pub request_line: String,
+}
+
+/// The releases that were written, in order.
+pub fn sent_releases(out: &[Output]) -> Vec<SentRelease> {
+    let release = |output: &Output| match output {
+        Output::Write(conn, bytes) if bytes.starts_with(b"DELETE ") => {
+            let text = String::from_utf8_lossy(bytes);
+            let request_line = text.lines().next().expect("a request line").to_owned();
+            Some(SentRelease { conn: *conn, request_line })
+        }
+        _ => None,
+    };
+    out.iter().filter_map(release).collect()
+}
+
 pub fn bytes(out: &[Output], conn: ConnId) -> Vec<u8> {
-    let written = out.iter().filter_map(|o| match o {
-        Output::Write(c, bytes) if *c == conn => Some(bytes.as_slice()),
+    let written = out.iter().filter_map(|output| match output {
+        Output::Write(to, bytes) if *to == conn => Some(bytes.as_slice()),
         _ => None,
     });
     written.collect::<Vec<_>>().concat()
@@ -200,18 +263,25 @@
     text(out, conn).strip_prefix("HTTP/1.1 ")?.get(..3)?.parse().ok()
 }
 
-/// The connections opened, in order, discovery's left out.
+/// Ports from here on are discovery's, those below are engines'.
+const FIRST_DISCOVERY_PORT: u16 = 8_000;
+
+/// The connections opened, in order, and their ports.
+fn connects(out: &[Output]) -> impl Iterator<Item = (ConnId, u16)> + '_ {
+    out.iter().filter_map(|output| match output {
+        Output::Connect(conn, addr) => Some((*conn, addr.port())),
+        _ => None,
+    })
+}
+
+/// The connections opened to engines, in order, and their ports.
 pub fn opened(out: &[Output]) -> Vec<(ConnId, u16)> {
-    let all =
-        out.iter().filter_map(|o| if let Output::Connect(c, a) = o { Some((*c, a.port())) } else { None });
-    all.filter(|&(_, port)| port < 8000).collect()
+    connects(out).filter(|&(_, port)| port < FIRST_DISCOVERY_PORT).collect()
 }
 
-/// The connection to discovery, if it was opened.
+/// The connection to discovery that was opened last, if any.
 pub fn watch(out: &[Output]) -> Option<(ConnId, u16)> {
-    let all = out.iter().rev();
-    let mut all = all.filter_map(|o| if let Output::Connect(c, a) = o { Some((*c, a.port())) } else { None });
-    all.find(|&(_, port)| port >= 8000)
+    connects(out).filter(|&(_, port)| port >= FIRST_DISCOVERY_PORT).last()
 }
 
 pub fn finished(out: &[Output], conn: ConnId) -> bool {
--- a/crates/platform/tests/fleet.rs
+++ b/crates/platform/tests/fleet.rs
@@ -1,5 +1,5 @@
 //! A seeded fleet in virtual time: engines that fault, are replaced under new names and leave; clients that ask once,
-//! stay, or go. Every request has one ending, nothing is sent twice or kept, and the node ends as small as it began.
+//! stay, or go. Every request has one ending, nothing is sent twice or kept, and the router ends as small as it began.
 
 use slipreel_platform::{Config, HeldState, PlatformRouter};
 use slipreel_test_servers::memory::{Delays, World};
@@ -8,17 +8,16 @@
 use std::time::Duration;
 
 mod common;
-use common::world::{entry, Actor, Flaw, Flawed};
-use common::{config, ms};
+use common::cluster::{entry, Actor, BrokenRouter, Variant};
+use common::{config, ms, DISCOVERY};
 
 const START: Duration = Duration::from_secs(1_000);
-const DISCOVERY: &str = "127.0.0.9:8500";
 
 struct Fleet {
     world: World<Actor>,
     shared: Shared,
     faults: Faults,
-    node: usize,
+    router: usize,
     discovery: usize,
     clients: usize,
     /// Engines that live: name, whether it reads, number in the world.
@@ -45,17 +44,19 @@
         let discovery = world.add(Actor::Discovery(Box::new(discovery)), &[DISCOVERY.parse().unwrap()]);
         let config = Config::parse(&config(DISCOVERY, &known, 512)).unwrap();
         let target = config.listen;
-        let node = world
-            .add(Actor::Node(Flawed::new(PlatformRouter::new(config, START, START), Flaw::None)), &[target]);
+        let router = world.add(
+            Actor::Router(BrokenRouter::new(PlatformRouter::new(config, START, START), Variant::None)),
+            &[target],
+        );
         let clients = Clients::new(target, &["chat", "once"], every, requests, START + ms(50), seed);
         let clients = world.add(Actor::Clients(Box::new(clients)), &[]);
-        Fleet { world, shared, faults, node, discovery, clients, live, born: 5, seed }
+        Fleet { world, shared, faults, router, discovery, clients, live, born: 5, seed }
     }
 
-    fn node(&self) -> &PlatformRouter {
-        match self.world.machine(self.node) {
-            Actor::Node(flawed) => &flawed.node,
-            _ => unreachable!("the node's place"),
+    fn router(&self) -> &PlatformRouter {
+        match self.world.machine(self.router) {
+            Actor::Router(broken) => &broken.router,
+            _ => unreachable!("the router's place"),
         }
     }
 
@@ -95,9 +96,9 @@
         while self.world.now() < end {
             let until = self.world.now() + ms(10);
             self.world.run_until(until);
-            let node = self.node();
-            let sockets = node.attempts_on_connections();
-            for (engine, counted) in node.attempts_by_decision_module() {
+            let router = self.router();
+            let sockets = router.attempts_on_connections();
+            for (engine, counted) in router.attempts_by_decision_module() {
                 let open = sockets.get(&engine).copied().unwrap_or_default();
                 assert_eq!(counted, open, "{engine:?} at {:?}", self.world.now() - START);
             }
@@ -123,7 +124,7 @@
             fleet.run(ms(150));
         }
         fleet.run(ms(16_000));
-        let (clients, node) = (fleet.clients(), fleet.node());
+        let (clients, router) = (fleet.clients(), fleet.router());
         let total: u32 = clients.endings.values().sum();
         assert_eq!(total, 1_000, "{:?}", clients.endings);
         assert_eq!(clients.odd, [""; 0], "seed {seed}: {:?}", clients.endings);
@@ -131,10 +132,9 @@
         let fabric = look(&fleet.shared);
         assert_eq!(fabric.broken, [""; 0], "seed {seed}");
         assert!(fabric.twice.is_empty(), "seed {seed}: second copies {:?}", fabric.twice);
-        let held = node.held_state();
-        let (calls, releases) = (held.requests, held.releases);
+        let held = router.held_state();
         assert_eq!(
-            (calls, releases, node.decision_state_sizes().requests),
+            (held.requests, held.releases, router.decision_state_sizes().requests),
             (0, 0, 0),
             "seed {seed}: nothing is left"
         );
@@ -151,7 +151,7 @@
             let pinned = look(&fleet.shared).pinned(fleet.world.now(), ms(500));
             assert_eq!(pinned, [""; 0], "seed {seed} at {:?}", fleet.world.now() - START);
         }
-        assert!(fleet.node().counters().releases > 20, "the case came up");
+        assert!(fleet.router().counters().releases > 20, "the case came up");
     }
 }
 
@@ -159,26 +159,27 @@
 fn thousands_of_engines_that_come_and_go_leave_nothing_behind() {
     let mut fleet = Fleet::new(Faults::default(), 6_000, ms(125), 5);
     let mut sizes = Vec::new();
-    for n in 0..2_000 {
+    for replaced in 0..2_000 {
         fleet.replace();
-        if n % 500 == 499 {
+        if replaced % 500 == 499 {
             fleet.run(ms(1_500));
-            let node = fleet.node();
-            sizes.push((node.held_state(), node.decision_state_sizes(), node.table_entries()));
+            let router = fleet.router();
+            sizes.push((router.held_state(), router.decision_state_sizes(), router.table_entries()));
         }
     }
     fleet.run(ms(60_000));
     assert_eq!(fleet.clients().odd, [""; 0], "{:?}", fleet.clients().endings);
-    assert_eq!(fleet.node().held_state().releases, 0, "every release is over in the end");
-    for (holds, decisions, books) in &sizes {
-        let HeldState {
-            client_connections: clients,
-            engine_connections: links,
-            requests: calls,
-            timers,
-            releases,
-        } = *holds;
-        assert!(links < 60 && calls < 20 && releases < 10 && clients < 200 && timers < 600, "{sizes:?}");
-        assert!(decisions.engines <= 7 && decisions.timers < 300 && *books < 40, "{sizes:?}");
+    assert_eq!(fleet.router().held_state().releases, 0, "every release is over in the end");
+    for (held, decisions, table_entries) in &sizes {
+        let HeldState { client_connections, engine_connections, requests, timers, releases } = *held;
+        assert!(
+            engine_connections < 60
+                && requests < 20
+                && releases < 10
+                && client_connections < 200
+                && timers < 600,
+            "{sizes:?}"
+        );
+        assert!(decisions.engines <= 7 && decisions.timers < 300 && *table_entries < 40, "{sizes:?}");
     }
 }
--- a/crates/platform/tests/never_ran.rs
+++ b/crates/platform/tests/never_ran.rs
@@ -5,13 +5,6 @@
 use common::*;
 use slipreel_state_machine::{ConnId, ConnectionLoss, Input, Output};
 
-/// Whole again for the writers: a stream with one event.
-fn whole_stream() -> String {
-    format!("{STREAM_HEAD}{}{}0\r\n\r\n", chunk(&event("one")), chunk("data: [DONE]\n\n"))
-}
-
-const TURNED_AWAY: &str = "HTTP/1.1 503 Service Unavailable\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n";
-
 /// A reader and two writers, the writers in cells of their own; class `cell` is keyed by cell, class `all` by all.
 fn keyed_settings() -> String {
     let in_cell = |name, kind, port, cell: u32| {
@@ -26,28 +19,23 @@
 
 /// A request of this class read at `r`; gives the client, the writer's connection, its port, and what came of it so far.
 /// The driver has not reported any byte of the write.
-fn at_a_writer_unreported(host: &mut Host, class: &str) -> (ConnId, ConnId, u16) {
-    let client = host.client();
-    let (reader, _) = opened(&host.data(client, request(class, "9b1f")))[0];
-    host.connected(reader);
-    let (writer, port) = opened(&host.data(reader, READ_WITHOUT_REPORT))[0];
-    host.tell(Input::Connected(writer));
+fn at_a_writer_unreported(harness: &mut Harness, class: &str) -> (ConnId, ConnId, u16) {
+    let client = harness.connect_client();
+    let (reader, _) = opened(&harness.receive(client, request(class, "9b1f")))[0];
+    harness.connected(reader);
+    let (writer, port) = opened(&harness.receive(reader, PREFILLED_WITHOUT_REPORT))[0];
+    harness.handle(Input::Connected(writer));
     (client, writer, port)
 }
 
-/// Posts that went out, to whichever connection.
-fn posts(out: &[Output]) -> usize {
-    out.iter().filter(|o| matches!(o, Output::Write(_, bytes) if bytes.starts_with(b"POST "))).count()
-}
-
 /// Whether an attempt goes to the writer of the other cell within a while, as this came of the first write.
-fn goes_to_the_other_cell(host: &mut Host, first_port: u16, out: Vec<Output>) -> bool {
+fn goes_to_the_other_cell(harness: &mut Harness, first_port: u16, out: Vec<Output>) -> bool {
     let mut out = out;
     for _ in 0..20 {
-        let mut next = host.pass(ms(20));
+        let mut next = harness.advance(ms(20));
         for (conn, port) in opened(&out) {
-            let mut sent = host.connected(conn);
-            if port != first_port && port != 1 && posts(&sent) > 0 {
+            let mut sent = harness.connected(conn);
+            if port != first_port && port != 1 && forwarded_count(&sent) > 0 {
                 return true;
             }
             next.append(&mut sent);
@@ -62,23 +50,23 @@
     for end in [|conn| lost(conn, ConnectionLoss::Reset), |conn| Input::Eof(conn)]
         as [fn(ConnId) -> Input<'static>; 2]
     {
-        let mut host = Host::with(&keyed_settings());
-        let (client, writer, port) = at_a_writer_unreported(&mut host, "cell");
-        host.pass(ms(5));
-        let out = host.tell(end(writer));
+        let mut harness = Harness::with(&keyed_settings());
+        let (client, writer, port) = at_a_writer_unreported(&mut harness, "cell");
+        harness.advance(ms(5));
+        let out = harness.handle(end(writer));
         assert_ne!(status(&out, client), Some(503), "no refusal");
-        assert!(!goes_to_the_other_cell(&mut host, port, out), "its cell alone drops a repeat");
+        assert!(!goes_to_the_other_cell(&mut harness, port, out), "its cell alone drops a repeat");
     }
 }
 
 #[test]
 fn a_keyed_write_whose_last_byte_is_held_back_has_not_run() {
-    let mut host = Host::with(&keyed_settings());
-    let (client, writer, port) = at_a_writer_unreported(&mut host, "cell");
-    host.pass(ms(1));
-    let out = host.tell(lost(writer, ConnectionLoss::Reset));
+    let mut harness = Harness::with(&keyed_settings());
+    let (client, writer, port) = at_a_writer_unreported(&mut harness, "cell");
+    harness.advance(ms(1));
+    let out = harness.handle(lost(writer, ConnectionLoss::Reset));
     assert_eq!(status(&out, client), None);
-    assert!(goes_to_the_other_cell(&mut host, port, out), "its other writer is tried");
+    assert!(goes_to_the_other_cell(&mut harness, port, out), "its other writer is tried");
 }
 
 /// A kept connection may bring a second answer to the exchange before at any later time, which nothing tells from one to
@@ -86,18 +74,21 @@
 #[test]
 fn each_attempt_goes_out_on_a_connection_that_carried_nothing_before() {
     for class in ["chat", "once", "cell", "all"] {
-        let mut host = Host::with(&keyed_settings());
-        let (_, kept) = host.read_and_sent_on("chat", "9b1f");
-        host.data(kept, whole_stream());
-        host.pass(ms(300));
-        assert!(host.node.held_state().engine_connections >= 2, "{class}: connections to both engines stand");
-        let client = host.client();
-        let out = host.data(client, request(class, "9b20"));
-        assert_eq!((opened(&out).len(), posts(&out)), (1, 0), "{class}: the read opens one");
+        let mut harness = Harness::with(&keyed_settings());
+        let (_, kept) = harness.prefilled_and_forwarded("chat", "9b1f");
+        harness.receive(kept, complete_stream());
+        harness.advance(ms(300));
+        assert!(
+            harness.router.held_state().engine_connections >= 2,
+            "{class}: connections to both engines stand"
+        );
+        let client = harness.connect_client();
+        let out = harness.receive(client, request(class, "9b20"));
+        assert_eq!((opened(&out).len(), forwarded_count(&out)), (1, 0), "{class}: the read opens one");
         let reader = opened(&out)[0].0;
-        host.connected(reader);
-        let out = host.data(reader, READ_WITHOUT_REPORT);
-        assert_eq!((opened(&out).len(), posts(&out)), (1, 0), "{class}: the write opens one");
+        harness.connected(reader);
+        let out = harness.receive(reader, PREFILLED_WITHOUT_REPORT);
+        assert_eq!((opened(&out).len(), forwarded_count(&out)), (1, 0), "{class}: the write opens one");
     }
 }
 
@@ -105,34 +96,38 @@
 /// for the answer to an attempt.
 #[test]
 fn an_answer_that_comes_after_its_exchange_reaches_no_other_request() {
-    let mut host = Host::new();
-    let (_, writer) = host.read_and_sent_on("chat", "9b1f");
-    host.data(writer, whole_stream());
-    host.pass(ms(300));
-    let client = host.client();
-    let out = host.data(client, request("once", "9b20"));
+    let mut harness = Harness::new();
+    let (_, writer) = harness.prefilled_and_forwarded("chat", "9b1f");
+    harness.receive(writer, complete_stream());
+    harness.advance(ms(300));
+    let client = harness.connect_client();
+    let out = harness.receive(client, request("once", "9b20"));
     let reader = opened(&out)[0].0;
-    host.connected(reader);
-    let second = host.data(writer, TURNED_AWAY);
+    harness.connected(reader);
+    let second = harness.receive(writer, REJECTED);
     assert!(ends(&second, writer), "the kept connection is of no further use");
-    assert_eq!((status(&second, client), posts(&second), opened(&second).len()), (None, 0, 0), "{second:?}");
-    let out = host.data(reader, READ_WITHOUT_REPORT);
+    assert_eq!(
+        (status(&second, client), forwarded_count(&second), opened(&second).len()),
+        (None, 0, 0),
+        "{second:?}"
+    );
+    let out = harness.receive(reader, PREFILLED_WITHOUT_REPORT);
     assert_eq!(opened(&out).len(), 1, "the request goes on as if nothing had come");
 }
 
 #[test]
 fn a_write_that_is_answered_as_a_read_may_have_run() {
     for class in ["once", "cell"] {
-        let mut host = Host::with(&keyed_settings());
-        let (client, writer, port) = at_a_writer_unreported(&mut host, class);
-        host.pass(ms(5));
-        let out = host.data(writer, READ_WITHOUT_REPORT);
+        let mut harness = Harness::with(&keyed_settings());
+        let (client, writer, port) = at_a_writer_unreported(&mut harness, class);
+        harness.advance(ms(5));
+        let out = harness.receive(writer, PREFILLED_WITHOUT_REPORT);
         assert!(ends(&out, writer), "{class}: that connection is of no further use");
         assert_ne!(status(&out, client), Some(503), "{class}");
         if class == "once" {
             assert_eq!(status(&out, client), Some(502));
         }
-        assert!(!goes_to_the_other_cell(&mut host, port, out), "{class}");
+        assert!(!goes_to_the_other_cell(&mut harness, port, out), "{class}");
     }
 }
 
@@ -141,56 +136,55 @@
 fn nothing_is_sent_for_a_client_that_left_while_the_connection_came_up_without_cancelling() {
     let text = config(DISCOVERY, &list(41, true, &engines()), 256)
         .replace("\"cancelling\":true", "\"cancelling\":false");
-    let mut host = Host::with(&text);
-    let client = host.client();
-    let (reader, _) = opened(&host.data(client, request("chat", "1")))[0];
-    host.tell(Input::Eof(client));
-    host.pass(ms(120));
-    assert_eq!(posts(&host.tell(Input::Connected(reader))), 0);
+    let mut harness = Harness::with(&text);
+    let client = harness.connect_client();
+    let (reader, _) = opened(&harness.receive(client, request("chat", "1")))[0];
+    harness.handle(Input::Eof(client));
+    harness.advance(ms(120));
+    assert_eq!(forwarded_count(&harness.handle(Input::Connected(reader))), 0);
 }
 
 #[test]
 fn an_id_that_was_sent_on_is_not_taken_again_after_its_answer() {
-    let mut host = Host::new();
-    let (client, writer, _) = host.at_writer("once");
-    let out = host.data(writer, whole_stream());
+    let mut harness = Harness::new();
+    let (client, writer, _) = harness.at_decode_engine("once");
+    let out = harness.receive(writer, complete_stream());
     assert!(text(&out, client).ends_with("0\r\n\r\n"));
-    let other = host.client();
-    let out = host.data(other, request("once", "9b1f"));
-    assert_eq!((status(&out, other), posts(&out), opened(&out).len()), (Some(409), 0, 0));
+    let other = harness.connect_client();
+    let out = harness.receive(other, request("once", "9b1f"));
+    assert_eq!((status(&out, other), forwarded_count(&out), opened(&out).len()), (Some(409), 0, 0));
     // One that was turned away before anything was sent may come again.
-    let mut host = Host::with(&config(DISCOVERY, &list(41, true, &[]), 256));
-    let client = host.client();
-    assert_eq!(status(&host.data(client, request("once", "7")), client), Some(503));
-    let again = host.client();
-    assert_eq!(status(&host.data(again, request("once", "7")), again), Some(503));
+    let mut harness = Harness::with(&config(DISCOVERY, &list(41, true, &[]), 256));
+    let client = harness.connect_client();
+    assert_eq!(status(&harness.receive(client, request("once", "7")), client), Some(503));
+    let again = harness.connect_client();
+    assert_eq!(status(&harness.receive(again, request("once", "7")), again), Some(503));
 }
 
 /// Two lists in one read: what the first makes the module decide goes out by the first.
 #[test]
 fn lists_that_come_together_are_acted_on_one_after_the_other() {
-    let mut host = Host::new();
-    let out = host.pass(ms(0));
+    let mut harness = Harness::new();
+    let out = harness.advance(ms(0));
     let (conn, _) = watch(&out).expect("the watch is opened");
-    host.tell(Input::Connected(conn));
-    let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-    host.data(conn, format!("{head}{}", chunk(&format!("{}\n", list(42, true, &engines())))));
-    let client = host.client();
-    let (reader, port) = opened(&host.data(client, request("once", "9b1f")))[0];
+    harness.handle(Input::Connected(conn));
+    harness.receive(conn, format!("{WATCH_HEAD}{}", chunk(&format!("{}\n", list(42, true, &engines())))));
+    let client = harness.connect_client();
+    let (reader, port) = opened(&harness.receive(client, request("once", "9b1f")))[0];
     assert_eq!(port, 1);
     // The reader drains, so that the read goes elsewhere; in the same read the writers become readers and it a writer.
     let first = list(43, false, &[engine("r", "reads", 1, "Terminating"), engine("w", "reads", 2, "Ready")]);
     let second = list(44, false, &[engine("w", "writes", 2, "Ready"), engine("r", "reads", 1, "Ready")]);
     let mut out =
-        host.data(conn, format!("{}{}", chunk(&format!("{first}\n")), chunk(&format!("{second}\n"))));
+        harness.receive(conn, format!("{}{}", chunk(&format!("{first}\n")), chunk(&format!("{second}\n"))));
     assert!(ends(&out, reader), "what had not left for it goes elsewhere");
     let mut written = false;
     for _ in 0..4 {
         let next: Vec<(ConnId, u16)> = opened(&out);
-        out = host.pass(ms(5));
+        out = harness.advance(ms(5));
         for (conn, port) in next {
-            let sent = host.connected(conn);
-            written |= port == 2 && posts(&sent) > 0;
+            let sent = harness.connected(conn);
+            written |= port == 2 && forwarded_count(&sent) > 0;
             out.extend(sent);
         }
     }
--- a/crates/platform/tests/releases.rs
+++ b/crates/platform/tests/releases.rs
@@ -2,10 +2,10 @@
 //! given up, outages longer than any retry, and answers that are not the release's own.
 
 mod common;
-use common::world::{Plan, Town};
+use common::cluster::{Cluster, ClusterLayout};
 use common::{
-    aborted, bytes, chunk, config, ends, engines, event, list, lost, ms, opened, request, status, watch,
-    Host, DISCOVERY, READ, READ_WITHOUT_REPORT, STREAM_HEAD,
+    aborted, bytes, chunk, config, ends, engines, event, list, lost, ms, opened, request, sent_releases,
+    status, watch, Harness, DISCOVERY, PREFILLED, PREFILLED_WITHOUT_REPORT, RELEASED, STREAM_HEAD,
 };
 use slipreel_invariants::terms::{Fact, Seen};
 use slipreel_platform::Config;
@@ -17,15 +17,9 @@
 /// How long state may be held while no attempt is out: the setting of the tests' configuration and the rule's slack.
 const HELD_AT_MOST: Duration = Duration::from_millis(800);
 
-const RELEASED: &str = "HTTP/1.1 204 No Content\r\n\r\n";
-
 /// The connections on which a release was written, in order.
 fn releases(out: &[Output]) -> Vec<ConnId> {
-    let release = |output: &Output| match output {
-        Output::Write(conn, bytes) if bytes.starts_with(b"DELETE ") => Some(*conn),
-        _ => None,
-    };
-    out.iter().filter_map(release).collect()
+    sent_releases(out).into_iter().map(|release| release.conn).collect()
 }
 
 /// Whose held state a run looks at.
@@ -47,15 +41,15 @@
     gone.collect()
 }
 
-/// Runs a town in steps and asserts that in none of them state is held for too long.
-fn run_unpinned(town: &mut Town, time: Duration, of: Of, what: &str) {
+/// Runs a cluster in steps and asserts that in none of them state is held for too long.
+fn run_unpinned(cluster: &mut Cluster, time: Duration, of: Of, what: &str) {
     let step = ms(10);
     let mut passed = ms(0);
     while passed < time {
-        town.run(step);
+        cluster.run(step);
         passed += step;
-        let now = town.world.now();
-        let fabric = look(&town.shared);
+        let now = cluster.world.now();
+        let fabric = look(&cluster.shared);
         let mut pinned = fabric.pinned(now, HELD_AT_MOST);
         if of == Of::Gone && !pinned.is_empty() {
             let gone = long_gone(&fabric.facts, now);
@@ -68,7 +62,7 @@
 #[test]
 fn states_are_released_in_time_while_most_engines_are_silent() {
     for seed in 1..=6 {
-        let plan = Plan {
+        let layout = ClusterLayout {
             routers: 2,
             readers: 6,
             writers: 6,
@@ -76,292 +70,304 @@
             every: ms(4),
             leaving: 0.2,
             seed,
-            ..Plan::default()
+            ..ClusterLayout::default()
         };
-        let mut town = Town::new(&plan);
-        town.run(ms(1_500));
+        let mut cluster = Cluster::new(&layout);
+        cluster.run(ms(1_500));
         let silent = ["e1", "e2", "e3", "e4", "e5", "e7", "e8", "e9", "e10", "e11"];
-        silent.iter().for_each(|engine| town.freeze(engine, true));
-        run_unpinned(&mut town, ms(4_000), Of::Gone, &format!("seed {seed}, ten of twelve engines silent"));
-        silent.iter().for_each(|engine| town.freeze(engine, false));
-        run_unpinned(&mut town, ms(4_000), Of::Gone, &format!("seed {seed}, they are back"));
+        silent.iter().for_each(|engine| cluster.freeze(engine, true));
+        run_unpinned(
+            &mut cluster,
+            ms(4_000),
+            Of::Gone,
+            &format!("seed {seed}, ten of twelve engines silent"),
+        );
+        silent.iter().for_each(|engine| cluster.freeze(engine, false));
+        run_unpinned(&mut cluster, ms(4_000), Of::Gone, &format!("seed {seed}, they are back"));
     }
 }
 
 #[test]
 fn a_read_that_ends_after_it_was_given_up_leaves_nothing_held() {
     for (seed, outage) in [(1, 1_500), (2, 2_000), (3, 2_500), (4, 3_500)] {
-        let plan = Plan { routers: 1, readers: 3, requests: 1_500, every: ms(10), seed, ..Plan::default() };
-        let mut town = Town::new(&plan);
-        town.run(ms(1_500));
-        town.freeze("e1", true);
-        run_unpinned(&mut town, ms(outage), Of::All, &format!("seed {seed}, one reader hangs"));
-        town.freeze("e1", false);
-        run_unpinned(&mut town, ms(4_000), Of::All, &format!("seed {seed}, it goes on after {outage} ms"));
+        let layout = ClusterLayout {
+            routers: 1,
+            readers: 3,
+            requests: 1_500,
+            every: ms(10),
+            seed,
+            ..ClusterLayout::default()
+        };
+        let mut cluster = Cluster::new(&layout);
+        cluster.run(ms(1_500));
+        cluster.freeze("e1", true);
+        run_unpinned(&mut cluster, ms(outage), Of::All, &format!("seed {seed}, one reader hangs"));
+        cluster.freeze("e1", false);
+        run_unpinned(&mut cluster, ms(4_000), Of::All, &format!("seed {seed}, it goes on after {outage} ms"));
     }
 }
 
 #[test]
 fn a_release_outlives_an_outage_of_every_engine() {
-    let mut host = Host::new();
-    let (client, _, _) = host.at_writer("chat");
-    host.tell(Input::Eof(client));
+    let mut harness = Harness::new();
+    let (client, _, _) = harness.at_decode_engine("chat");
+    harness.handle(Input::Eof(client));
     // Nothing answers and no connection comes up for far longer than any cut on record.
-    let out = host.pass(ms(20_000));
+    let out = harness.advance(ms(20_000));
     assert!(!opened(&out).is_empty(), "it goes on trying");
-    let out = host.pass(ms(1_200));
+    let out = harness.advance(ms(1_200));
     let (conn, _) = *opened(&out).last().expect("one more connection is tried after the outage");
-    let out = host.connected(conn);
+    let out = harness.connected(conn);
     assert_eq!(releases(&out), [conn], "the release goes out on the first connection that comes up");
 }
 
 #[test]
 fn an_answer_left_over_from_the_exchange_before_acknowledges_no_release() {
-    let mut host = Host::new();
-    let (client, _, _) = host.at_writer("chat");
-    let mut out = host.tell(Input::Eof(client));
+    let mut harness = Harness::new();
+    let (client, _, _) = harness.at_decode_engine("chat");
+    let mut out = harness.handle(Input::Eof(client));
     let (mut stale, mut acknowledged) = (0, 0);
     // As the write was given up a moment before, two acknowledgements are due.
-    while host.node.held_state().releases > 0 && stale + acknowledged < 50 {
+    while harness.router.held_state().releases > 0 && stale + acknowledged < 50 {
         for (conn, _) in opened(&out) {
-            out.extend(host.connected(conn));
+            out.extend(harness.connected(conn));
         }
         for conn in releases(&out) {
-            host.tell(Input::Sent(conn, bytes(&out, conn).len()));
+            harness.handle(Input::Sent(conn, bytes(&out, conn).len()));
             // A second copy of the read's answer comes late, on the connection that now carries the release.
             if stale == 0 {
-                let out = host.data(conn, READ);
+                let out = harness.receive(conn, PREFILLED);
                 assert!(aborted(&out, conn), "what follows on it can't be told apart");
                 stale += 1;
             } else {
-                host.data(conn, RELEASED);
+                harness.receive(conn, RELEASED);
                 acknowledged += 1;
             }
         }
-        out = host.pass(ms(100));
+        out = harness.advance(ms(100));
     }
     assert_eq!((stale, acknowledged >= 2), (1, true), "{acknowledged} acknowledged");
 }
 
 #[test]
 fn a_read_whose_answer_was_spoilt_may_still_end_and_its_release_is_repeated() {
-    let mut host = Host::new();
-    let client = host.client();
-    let (reader, _) = opened(&host.data(client, request("chat", "1")))[0];
-    host.connected(reader);
+    let mut harness = Harness::new();
+    let client = harness.connect_client();
+    let (reader, _) = opened(&harness.receive(client, request("chat", "1")))[0];
+    harness.connected(reader);
     // Noise comes where the answer should, perhaps left over from before, while the engine goes on reading.
-    let spoilt = host.data(reader, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
+    let spoilt = harness.receive(reader, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
     assert!(aborted(&spoilt, reader));
-    let mut out = host.tell(Input::Eof(client));
+    let mut out = harness.handle(Input::Eof(client));
     let mut acknowledged = 0;
     for _ in 0..40 {
         for (conn, _) in opened(&out) {
-            out.extend(host.connected(conn));
+            out.extend(harness.connected(conn));
         }
         for conn in releases(&out) {
-            host.tell(Input::Sent(conn, 1_000));
-            host.data(conn, RELEASED);
+            harness.handle(Input::Sent(conn, 1_000));
+            harness.receive(conn, RELEASED);
             acknowledged += 1;
         }
-        out = host.pass(ms(10));
+        out = harness.advance(ms(10));
     }
     assert!(acknowledged >= 2, "{acknowledged}");
 }
 
 #[test]
 fn waiting_releases_follow_each_other_on_a_connection_that_answers() {
-    let mut host = Host::new();
+    let mut harness = Harness::new();
     let mut clients = Vec::new();
     let mut writers = Vec::new();
     for n in 0..40 {
-        let (client, writer) = host.read_and_sent_on("chat", &format!("id{n}"));
+        let (client, writer) = harness.prefilled_and_forwarded("chat", &format!("id{n}"));
         clients.push(client);
         writers.push(writer);
     }
     // All clients leave at once. No engine answers any more but one, on one connection.
     let mut out = Vec::new();
-    clients.iter().for_each(|&client| out.extend(host.tell(Input::Eof(client))));
+    clients.iter().for_each(|&client| out.extend(harness.handle(Input::Eof(client))));
     let answering = releases(&out)[0];
     let mut acknowledged = 0;
     let mut next = vec![answering];
     while let Some(conn) = next.pop() {
-        host.now += ms(1);
-        host.tell(Input::Sent(conn, usize::MAX));
-        let out = host.data(conn, RELEASED);
+        harness.now += ms(1);
+        harness.handle(Input::Sent(conn, usize::MAX));
+        let out = harness.receive(conn, RELEASED);
         acknowledged += 1;
-        next.extend(releases(&out).into_iter().filter(|&c| c == answering).take(1));
+        next.extend(releases(&out).into_iter().filter(|&conn| conn == answering).take(1));
         assert!(acknowledged <= 200, "no release goes round for ever");
     }
     assert!(acknowledged >= 40, "all 40 went out one after another: {acknowledged}");
 }
 
 /// All that engines are asked until `time` has passed, with new connections coming up at once: releases that were written.
-fn releases_within(host: &mut Host, first: Vec<Output>, time: Duration) -> Vec<ConnId> {
-    let end = host.now + time;
+fn releases_within(harness: &mut Harness, first: Vec<Output>, time: Duration) -> Vec<ConnId> {
+    let end = harness.now + time;
     let mut out = first;
     let mut sent = Vec::new();
     loop {
         for (conn, _) in opened(&out) {
-            out.extend(host.connected(conn));
+            out.extend(harness.connected(conn));
         }
         sent.extend(releases(&out));
-        if host.now >= end {
+        if harness.now >= end {
             return sent;
         }
-        out = host.pass(ms(10));
+        out = harness.advance(ms(10));
     }
 }
 
 #[test]
 fn state_of_an_engine_that_left_the_list_is_released_through_another() {
-    let mut host = Host::new();
-    let (discovery, _) = watch(&host.pass(ms(0))).expect("the list is watched");
-    host.tell(Input::Connected(discovery));
-    host.data(discovery, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-    let (client, _, _) = host.at_writer("chat");
-    host.data(discovery, chunk(&list(42, false, &[r#"{"name":"r","status":"Gone"}"#.to_owned()])));
-    let out = host.tell(Input::Eof(client));
-    let sent = releases_within(&mut host, out, ms(300));
+    let mut harness = Harness::new();
+    let (discovery, _) = watch(&harness.advance(ms(0))).expect("the list is watched");
+    harness.handle(Input::Connected(discovery));
+    harness.receive(discovery, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+    let (client, _, _) = harness.at_decode_engine("chat");
+    harness.receive(discovery, chunk(&list(42, false, &[r#"{"name":"r","status":"Gone"}"#.to_owned()])));
+    let out = harness.handle(Input::Eof(client));
+    let sent = releases_within(&mut harness, out, ms(300));
     assert!(!sent.is_empty(), "it goes to an engine that is still there");
 }
 
 #[test]
 fn a_release_withdrawn_for_a_new_attempt_that_finds_no_writer_goes_out_after_all() {
-    let mut host = Host::new();
-    let client = host.client();
-    let (reader, _) = opened(&host.data(client, request("chat", "1")))[0];
-    host.connected(reader);
+    let mut harness = Harness::new();
+    let client = harness.connect_client();
+    let (reader, _) = opened(&harness.receive(client, request("chat", "1")))[0];
+    harness.connected(reader);
     // The read broke and may have left state. It is read anew, and then no writer can be reached.
-    let out = host.tell(lost(reader, ConnectionLoss::Reset));
+    let out = harness.handle(lost(reader, ConnectionLoss::Reset));
     let (reader, _) = opened(&out)[0];
-    host.connected(reader);
-    let mut out = host.data(reader, READ_WITHOUT_REPORT);
-    let began = host.now;
+    harness.connected(reader);
+    let mut out = harness.receive(reader, PREFILLED_WITHOUT_REPORT);
+    let began = harness.now;
     while status(&out, client).is_none() {
-        assert!(host.now < began + ms(1_000), "the module gives up");
+        assert!(harness.now < began + ms(1_000), "the module gives up");
         let tried = opened(&out);
-        out = if tried.is_empty() { host.pass(ms(5)) } else { Vec::new() };
+        out = if tried.is_empty() { harness.advance(ms(5)) } else { Vec::new() };
         for (conn, _) in tried {
-            out.extend(host.tell(lost(conn, ConnectionLoss::NotConnected)));
+            out.extend(harness.handle(lost(conn, ConnectionLoss::NotConnected)));
         }
     }
-    let sent = releases_within(&mut host, out, ms(200));
+    let sent = releases_within(&mut harness, out, ms(200));
     assert!(!sent.is_empty(), "released once nothing is out");
 }
 
 #[test]
 fn releases_find_a_connection_while_all_descriptors_for_engines_are_in_use() {
     // Few descriptors: four connections to engines.
-    let mut host = Host::with(&config(DISCOVERY, &list(41, true, &engines()), 30));
-    let client = host.client();
-    let (broken, _) = opened(&host.data(client, request("chat", "first")))[0];
-    host.connected(broken);
+    let mut harness = Harness::with(&config(DISCOVERY, &list(41, true, &engines()), 30));
+    let client = harness.connect_client();
+    let (broken, _) = opened(&harness.receive(client, request("chat", "first")))[0];
+    harness.connected(broken);
     // Its read broke and is made again; the stream is to begin while three others keep their engines' connections busy.
     let mut reader = broken;
-    for (conn, _) in opened(&host.tell(lost(broken, ConnectionLoss::Reset))) {
-        let out = host.connected(conn);
+    for (conn, _) in opened(&harness.handle(lost(broken, ConnectionLoss::Reset))) {
+        let out = harness.connected(conn);
         if releases(&out).is_empty() {
             reader = conn;
         } else {
-            host.data(conn, RELEASED);
+            harness.receive(conn, RELEASED);
         }
     }
-    let (writer, _) = opened(&host.data(reader, READ_WITHOUT_REPORT))[0];
-    host.connected(writer);
-    host.pass(ms(20));
+    let (writer, _) = opened(&harness.receive(reader, PREFILLED_WITHOUT_REPORT))[0];
+    harness.connected(writer);
+    harness.advance(ms(20));
     for n in 0..3 {
-        let other = host.client();
-        let out = host.data(other, request("chat", &format!("other{n}")));
+        let other = harness.connect_client();
+        let out = harness.receive(other, request("chat", &format!("other{n}")));
         for (conn, _) in opened(&out) {
-            host.connected(conn);
+            harness.connected(conn);
         }
     }
-    assert_eq!(host.node.held_state().engine_connections, 4, "all are in use");
-    let out = host.data(writer, [STREAM_HEAD, &chunk(&event("one"))].concat());
-    let sent = releases_within(&mut host, out, ms(300));
+    assert_eq!(harness.router.held_state().engine_connections, 4, "all are in use");
+    let out = harness.receive(writer, [STREAM_HEAD, &chunk(&event("one"))].concat());
+    let sent = releases_within(&mut harness, out, ms(300));
     assert!(!sent.is_empty(), "some are left for releases");
 }
 
 #[test]
 fn a_router_that_is_told_to_stop_waits_for_its_releases_up_to_its_last_moment() {
     for acknowledges in [true, false] {
-        let mut host = Host::new();
-        let (client, _, _) = host.at_writer("chat");
-        host.tell(Input::Stop);
-        let stopped = host.now;
-        let mut out = host.tell(Input::Eof(client));
+        let mut harness = Harness::new();
+        let (client, _, _) = harness.at_decode_engine("chat");
+        harness.handle(Input::Stop);
+        let stopped = harness.now;
+        let mut out = harness.handle(Input::Eof(client));
         while !out.contains(&Output::Stopped) {
-            assert!(host.now < stopped + ms(3_700), "before the kill");
+            assert!(harness.now < stopped + ms(3_700), "before the kill");
             for (conn, _) in opened(&out) {
-                out.extend(host.connected(conn));
+                out.extend(harness.connected(conn));
             }
             let sent = if acknowledges { releases(&out) } else { Vec::new() };
             for conn in sent {
-                host.tell(Input::Sent(conn, 1_000));
-                host.data(conn, RELEASED);
+                harness.handle(Input::Sent(conn, 1_000));
+                harness.receive(conn, RELEASED);
             }
-            out = host.pass(ms(10));
+            out = harness.advance(ms(10));
         }
-        assert!(host.now >= stopped + ms(700), "who still comes is answered first");
+        assert!(harness.now >= stopped + ms(700), "who still comes is answered first");
     }
 }
 
 /// State is held at the reader, whose connections and those of all others say nothing from then on; its client has left.
-fn with_an_open_release() -> (Host, Vec<Output>) {
-    let mut host = Host::new();
-    let client = host.client();
-    let (reader, _) = opened(&host.data(client, request("chat", "1")))[0];
-    host.connected(reader);
-    let out = host.data(reader, READ_WITHOUT_REPORT);
+fn with_an_open_release() -> (Harness, Vec<Output>) {
+    let mut harness = Harness::new();
+    let client = harness.connect_client();
+    let (reader, _) = opened(&harness.receive(client, request("chat", "1")))[0];
+    harness.connected(reader);
+    let out = harness.receive(reader, PREFILLED_WITHOUT_REPORT);
     let (writer, _) = opened(&out)[0];
     // The kept connection breaks, so that a new one has to come up for the release.
-    host.tell(lost(reader, ConnectionLoss::Reset));
-    let mut out = host.tell(Input::Eof(client));
-    out.extend(host.tell(lost(writer, ConnectionLoss::NotConnected)));
-    (host, out)
+    harness.handle(lost(reader, ConnectionLoss::Reset));
+    let mut out = harness.handle(Input::Eof(client));
+    out.extend(harness.handle(lost(writer, ConnectionLoss::NotConnected)));
+    (harness, out)
 }
 
 #[test]
 fn a_release_whose_connection_comes_up_after_most_of_a_second_goes_out_on_it() {
-    let (mut host, mut out) = with_an_open_release();
-    out.extend(host.pass(ms(5)));
+    let (mut harness, mut out) = with_an_open_release();
+    out.extend(harness.advance(ms(5)));
     let (late, _) = *opened(&out).first().expect("a connection for the release");
-    let meanwhile = host.pass(ms(900));
+    let meanwhile = harness.advance(ms(900));
     assert!(!ends(&meanwhile, late), "it is awaited");
-    let sent = releases(&host.connected(late));
+    let sent = releases(&harness.connected(late));
     assert_eq!(sent, [late]);
 }
 
 #[test]
 fn releases_go_on_over_a_reload() {
-    let (mut host, out) = with_an_open_release();
+    let (mut harness, out) = with_an_open_release();
     let text = config("127.0.0.8:8500", &list(41, true, &engines()), 256);
     let new = Config::parse(&text).expect("a configuration");
     let mut all = out;
-    all.extend(host.tell(Input::OwnerMessage(&new)));
+    all.extend(harness.handle(Input::OwnerMessage(&new)));
     assert_eq!(watch(&all).map(|(_, port)| port), Some(8500), "discovery is asked at its new address");
-    let before = host.node.held_state().releases;
+    let before = harness.router.held_state().releases;
     assert_eq!(before, 1, "the release is open");
-    let sent = releases_within(&mut host, all, ms(400));
+    let sent = releases_within(&mut harness, all, ms(400));
     assert!(!sent.is_empty(), "it goes out");
-    host.data(sent[0], "HTTP/1.1 204 No Content\r\n\r\n");
-    let open_after = releases_within(&mut host, Vec::new(), ms(9_500)).len();
+    harness.receive(sent[0], "HTTP/1.1 204 No Content\r\n\r\n");
+    let open_after = releases_within(&mut harness, Vec::new(), ms(9_500)).len();
     assert!(open_after < 200, "and ends: {open_after}");
 }
 
 /// The connection that stood idle before may be dead without a sign.
 #[test]
 fn of_an_engines_connections_the_one_that_answered_last_is_kept() {
-    let mut host = Host::new();
-    let (_, first) = host.read_and_sent_on("chat", "1");
+    let mut harness = Harness::new();
+    let (_, first) = harness.prefilled_and_forwarded("chat", "1");
     let whole = format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&event("one")));
-    host.data(first, &whole);
+    harness.receive(first, &whole);
     let mut out = Vec::new();
     // Until the same writer has answered again, on a connection of its own.
     for n in 2..20 {
-        let (_, writer) = host.read_and_sent_on("chat", &format!("{n}"));
+        let (_, writer) = harness.prefilled_and_forwarded("chat", &format!("{n}"));
         assert_ne!(writer, first);
-        out = host.data(writer, &whole);
+        out = harness.receive(writer, &whole);
         if aborted(&out, first) {
             return assert!(!aborted(&out, writer), "the newer one stands");
         }
--- a/crates/platform/tests/requests.rs
+++ b/crates/platform/tests/requests.rs
@@ -6,73 +6,75 @@
 
 #[test]
 fn a_request_goes_on_unchanged_and_its_stream_comes_back_unchanged() {
-    let mut host = Host::new();
-    let (client, writer, out) = host.at_writer("chat");
+    let mut harness = Harness::new();
+    let (client, writer, out) = harness.at_decode_engine("chat");
     let sent = text(&out, writer);
     assert!(sent.starts_with("POST /v1/chat/completions?a=b HTTP/1.1\r\n"), "{sent}");
     assert!(sent.contains("x-request-id: 9b1f\r\n") && sent.ends_with(&format!("\r\n\r\n{BODY}")), "{sent}");
-    let left = sent.split("x-deadline: ").nth(1).and_then(|t| t.split("u\r\n").next()).unwrap();
-    assert!((1..=4_800_000).contains(&left.parse::<u64>().unwrap()), "{left}");
+    let left = forwarded_deadline(&sent);
+    assert!((1..=4_800_000).contains(&left), "{left}");
 
-    let out = host.data(writer, STREAM_HEAD);
+    let out = harness.receive(writer, STREAM_HEAD);
     assert_eq!(text(&out, client), "", "nothing goes on before a whole event has come");
-    let half = event("one");
-    let (a, b) = half.split_at(9);
-    assert_eq!(text(&host.data(writer, chunk(a)), client), "");
-    let mut seen = text(&host.data(writer, chunk(b)), client);
+    let one = event("one");
+    let (first, rest) = one.split_at(9);
+    assert_eq!(text(&harness.receive(writer, chunk(first)), client), "");
+    let mut seen = text(&harness.receive(writer, chunk(rest)), client);
     assert!(seen.starts_with("HTTP/1.1 200 "), "{seen}");
     let tail = format!("{}data: [DONE]\n\n: X-Load: pending=4,x0=0.6\n\n", event("two"));
-    seen += &text(&host.data(writer, chunk(&tail) + "0\r\n\r\n"), client);
+    seen += &text(&harness.receive(writer, chunk(&tail) + "0\r\n\r\n"), client);
     let body = seen.split_once("\r\n\r\n").unwrap().1;
     let expected = chunk(&event("one")) + &chunk(&format!("{}data: [DONE]\n\n", event("two"))) + "0\r\n\r\n";
     assert_eq!(body, expected);
-    assert_eq!((host.node.counters().completed, host.node.counters().failed), (1, 0));
+    assert_eq!((harness.router.counters().completed, harness.router.counters().failed), (1, 0));
 
     // The client's connection is kept. An attempt takes no engine's connection that carried another: an answer left over
     // from that could be taken for its own.
-    host.pass(ms(20));
-    let out = host.data(client, request("chat", "9b20"));
+    harness.advance(ms(20));
+    let out = harness.receive(client, request("chat", "9b20"));
     assert!(!ends(&out, client));
     assert_eq!(opened(&out).len(), 1);
-    assert!(!out.iter().any(|o| matches!(o, Output::Write(c, _) if c.is_opened())));
+    assert!(!out.iter().any(|output| matches!(output, Output::Write(conn, _) if conn.is_opened())));
 }
 
 #[test]
 fn an_attempt_whose_connection_comes_up_late_tells_what_is_left_then() {
-    let mut host = Host::new();
-    let client = host.client();
-    let out = host.data(client, request("chat", "9b1f"));
+    let mut harness = Harness::new();
+    let client = harness.connect_client();
+    let out = harness.receive(client, request("chat", "9b1f"));
     let (reader, _) = opened(&out)[0];
-    host.pass(ms(200));
-    let sent = text(&host.connected(reader), reader);
-    let left = sent.split("x-deadline: ").nth(1).and_then(|t| t.split("u\r\n").next()).unwrap();
-    assert!((4_500_000..=4_600_000).contains(&left.parse::<u64>().unwrap()), "{left} of 4.8 s, 0.2 s ago");
+    harness.advance(ms(200));
+    let sent = text(&harness.connected(reader), reader);
+    let left = forwarded_deadline(&sent);
+    assert!((4_500_000..=4_600_000).contains(&left), "{left} of 4.8 s, 0.2 s ago");
 }
 
 #[test]
 fn the_key_by_which_engines_drop_repeats_goes_to_the_reader_and_the_writer_as_it_came() {
-    let mut host = Host::new();
-    let client = host.client();
+    let mut harness = Harness::new();
+    let client = harness.connect_client();
     let asked = request("chat", "9b1f").replacen("\r\n", "\r\nIdempotency-Key: 3effc883-5152b05f\r\n", 1);
-    let out = host.data(client, asked);
+    let out = harness.receive(client, asked);
     let (reader, _) = opened(&out)[0];
-    let at_reader = text(&host.connected(reader), reader);
-    let out = host.data(reader, READ);
+    let at_reader = text(&harness.connected(reader), reader);
+    let out = harness.receive(reader, PREFILLED);
     let (writer, _) = opened(&out)[0];
-    let at_writer = text(&host.connected(writer), writer);
-    for sent in [at_reader, at_writer] {
+    let at_decode_engine = text(&harness.connected(writer), writer);
+    for sent in [at_reader, at_decode_engine] {
         let keys =
             sent.lines().filter(|line| line.eq_ignore_ascii_case("idempotency-key: 3effc883-5152b05f"));
         assert_eq!(keys.count(), 1, "{sent}");
     }
 }
 
-/// What an engine does to a write, and what becomes of an unsafe request: `None`: it is written elsewhere or read
-/// again, so it is known not to have run; else the status of its final answer.
-fn unsafe_write(host: &mut Host, deed: impl FnOnce(&mut Host, ConnId) -> Vec<Output>) -> Option<u16> {
-    let (client, writer, _) = host.at_writer("once");
-    let mut out = deed(host, writer);
-    out.extend(host.pass(ms(60)));
+/// The status with which a request that must not be repeated is answered after `action` at its decode engine; `None` if it
+/// is retried, so is known not to have run.
+fn unsafe_write(
+    harness: &mut Harness, action: impl FnOnce(&mut Harness, ConnId) -> Vec<Output>,
+) -> Option<u16> {
+    let (client, writer, _) = harness.at_decode_engine("once");
+    let mut out = action(harness, writer);
+    out.extend(harness.advance(ms(60)));
     status(&out, client)
 }
 
@@ -93,20 +95,32 @@
         (format!("{STREAM_HEAD}0\r\n\r\n"), Some(502)),
         ("HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nContent-Length: 2\r\n\r\nhi".into(), Some(502)),
     ] {
-        let mut host = Host::new();
-        assert_eq!(unsafe_write(&mut host, |h, w| h.data(w, &reply)), expected, "{reply}");
+        let mut harness = Harness::new();
+        assert_eq!(
+            unsafe_write(&mut harness, |harness, decode| harness.receive(decode, &reply)),
+            expected,
+            "{reply}"
+        );
     }
-    let mut host = Host::new();
-    assert_eq!(unsafe_write(&mut host, |h, w| h.tell(lost(w, ConnectionLoss::Reset))), Some(502), "reset");
-    let mut host = Host::new();
-    assert_eq!(unsafe_write(&mut host, |h, w| h.tell(Input::Eof(w))), Some(502), "closed without an answer");
+    let mut harness = Harness::new();
+    assert_eq!(
+        unsafe_write(&mut harness, |harness, decode| harness.handle(lost(decode, ConnectionLoss::Reset))),
+        Some(502),
+        "reset"
+    );
+    let mut harness = Harness::new();
+    assert_eq!(
+        unsafe_write(&mut harness, |harness, decode| harness.handle(Input::Eof(decode))),
+        Some(502),
+        "closed without an answer"
+    );
     for why in [ConnectionLoss::NotConnected, ConnectionLoss::Exhausted] {
-        let mut host = Host::new();
-        let client = host.client();
-        let reader = opened(&host.data(client, request("once", "1")))[0].0;
-        host.connected(reader);
-        let writer = opened(&host.data(reader, READ))[0].0;
-        let out = host.tell(lost(writer, why));
+        let mut harness = Harness::new();
+        let client = harness.connect_client();
+        let reader = opened(&harness.receive(client, request("once", "1")))[0].0;
+        harness.connected(reader);
+        let writer = opened(&harness.receive(reader, PREFILLED))[0].0;
+        let out = harness.handle(lost(writer, why));
         assert_eq!(status(&out, client), None, "{why:?}: goes to the other writer");
         assert_eq!(opened(&out).len(), 1);
     }
@@ -114,51 +128,56 @@
 
 #[test]
 fn a_connection_that_breaks_before_all_was_written_has_run_nothing() {
-    let mut host = Host::new();
-    let client = host.client();
-    let reader = opened(&host.data(client, request("once", "1")))[0].0;
-    host.connected(reader);
-    let writer = opened(&host.data(reader, READ))[0].0;
-    host.tell(Input::Connected(writer));
-    let out = host.tell(lost(writer, ConnectionLoss::Reset));
+    let mut harness = Harness::new();
+    let client = harness.connect_client();
+    let reader = opened(&harness.receive(client, request("once", "1")))[0].0;
+    harness.connected(reader);
+    let writer = opened(&harness.receive(reader, PREFILLED))[0].0;
+    harness.handle(Input::Connected(writer));
+    let out = harness.handle(lost(writer, ConnectionLoss::Reset));
     assert_eq!((status(&out, client), opened(&out).len()), (None, 1));
 }
 
+/// The connection on which something was written first.
+fn first_written(out: &[Output]) -> ConnId {
+    let written = out.iter().find_map(|output| match output {
+        Output::Write(conn, _) => Some(*conn),
+        _ => None,
+    });
+    written.expect("something is written")
+}
+
 #[test]
 fn a_connection_reset_as_an_unsafe_request_comes_in_has_not_run_it() {
     // On a new connection, and on one that was kept.
     for kept in [false, true] {
-        let mut host = Host::new();
+        let mut harness = Harness::new();
         if kept {
-            let (_, writer, _) = host.at_writer("chat");
-            host.data(writer, format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&event("one"))));
-            host.pass(ms(20));
+            let (_, writer, _) = harness.at_decode_engine("chat");
+            harness.receive(writer, format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&event("one"))));
+            harness.advance(ms(20));
         }
-        let client = host.client();
-        let out = host.data(client, request("once", "2"));
+        let client = harness.connect_client();
+        let out = harness.receive(client, request("once", "2"));
         let reader = match opened(&out).first() {
             Some(&(conn, _)) => {
-                host.connected(conn);
+                harness.connected(conn);
                 conn
             }
-            None => {
-                out.iter().find_map(|o| if let Output::Write(c, _) = o { Some(*c) } else { None }).unwrap()
-            }
+            None => first_written(&out),
         };
-        let out = host.data(reader, READ);
+        let out = harness.receive(reader, PREFILLED);
         let writer = match opened(&out).first() {
             Some(&(conn, _)) => conn,
-            None => {
-                out.iter().find_map(|o| if let Output::Write(c, _) = o { Some(*c) } else { None }).unwrap()
-            }
+            None => first_written(&out),
         };
         let reused = opened(&out).is_empty();
-        let written = if reused { out } else { host.connected(writer) };
-        let n = if reused { bytes(&written, writer).len() } else { 0 };
+        let written = if reused { out } else { harness.connected(writer) };
+        let length = if reused { bytes(&written, writer).len() } else { 0 };
         assert!(!text(&written, writer).ends_with(BODY), "the last byte is held back");
-        host.tell(Input::Sent(writer, n));
-        host.pass(ms(1));
-        let out = host.tell(lost(writer, ConnectionLoss::Reset));
+        harness.handle(Input::Sent(writer, length));
+        harness.advance(ms(1));
+        let out = harness.handle(lost(writer, ConnectionLoss::Reset));
         assert_eq!(status(&out, client), None, "kept {kept}: it goes to the other writer");
     }
 }
@@ -167,137 +186,144 @@
 fn an_unsafe_request_whose_last_byte_was_handed_over_may_have_run() {
     // The write of the last byte fails, or its peer ends the connection then: it may have arrived.
     for end in [lost as fn(ConnId, ConnectionLoss) -> Input<'static>, |conn, _| Input::Eof(conn)] {
-        let mut host = Host::new();
-        let client = host.client();
-        let out = host.data(client, request("once", "2"));
+        let mut harness = Harness::new();
+        let client = harness.connect_client();
+        let out = harness.receive(client, request("once", "2"));
         let reader = opened(&out)[0].0;
-        host.connected(reader);
-        let out = host.data(reader, READ);
+        harness.connected(reader);
+        let out = harness.receive(reader, PREFILLED);
         let writer = opened(&out)[0].0;
-        host.connected(writer);
-        assert!(text(&host.pass(ms(4)), writer).ends_with('}'), "the last byte goes out");
-        let out = host.tell(end(writer, ConnectionLoss::Reset));
+        harness.connected(writer);
+        assert!(text(&harness.advance(ms(4)), writer).ends_with('}'), "the last byte goes out");
+        let out = harness.handle(end(writer, ConnectionLoss::Reset));
         assert_eq!(status(&out, client), Some(502), "it is not sent again, and not told to be harmless");
     }
 }
 
 #[test]
 fn a_connection_that_does_not_come_up_is_given_up_at_the_sites_time() {
-    let mut host = Host::new();
-    let client = host.client();
-    let reader = opened(&host.data(client, request("chat", "1")))[0].0;
-    assert!(!ends(&host.pass(ms(249)), reader));
-    assert!(ends(&host.pass(ms(2)), reader));
+    let mut harness = Harness::new();
+    let client = harness.connect_client();
+    let reader = opened(&harness.receive(client, request("chat", "1")))[0].0;
+    assert!(!ends(&harness.advance(ms(249)), reader));
+    assert!(ends(&harness.advance(ms(2)), reader));
 }
 
 #[test]
 fn a_request_that_is_given_up_on_is_answered_at_once_with_a_time_to_come_back() {
-    let mut host = Host::with(&config(DISCOVERY, &list(41, true, &[]), 256));
-    let client = host.client();
-    let out = host.data(client, request("chat", "1"));
+    let mut harness = Harness::with(&config(DISCOVERY, &list(41, true, &[]), 256));
+    let client = harness.connect_client();
+    let out = harness.receive(client, request("chat", "1"));
     assert_eq!(status(&out, client), Some(503));
     let answer = text(&out, client);
-    let after = answer.split("retry-after: ").nth(1).and_then(|t| t.split("\r\n").next()).unwrap();
+    let after = answer.split("retry-after: ").nth(1).and_then(|rest| rest.split("\r\n").next()).unwrap();
     assert!((0.1..=2.0).contains(&after.parse::<f64>().unwrap()), "{after}");
 }
 
 #[test]
 fn every_request_has_its_answer_before_its_clients_time_is_up() {
     for class in ["chat", "once"] {
-        let mut host = Host::new();
-        let (client, _, _) = host.at_writer(class);
-        let out = host.pass(ms(4_795));
-        let answers = out.iter().filter(|o| matches!(o, Output::Write(c, _) if *c == client)).count();
-        assert_eq!(answers, 1, "{class}");
+        let mut harness = Harness::new();
+        let (client, _, _) = harness.at_decode_engine(class);
+        let out = harness.advance(ms(4_795));
+        assert_eq!(write_count(&out, client), 1, "{class}");
         assert_ne!(status(&out, client), Some(200));
-        assert_eq!(
-            host.pass(ms(2_000)).iter().filter(|o| matches!(o, Output::Write(c, _) if *c == client)).count(),
-            0
-        );
+        assert_eq!(write_count(&harness.advance(ms(2_000)), client), 0);
     }
 }
 
 #[test]
 fn a_stream_that_breaks_ends_its_client_in_order_without_the_last_chunk() {
-    type Deed = dyn Fn(&mut Host, ConnId) -> Vec<Output>;
-    let breaks: [&Deed; 5] = [
-        &|h, w| h.tell(lost(w, ConnectionLoss::Reset)),
-        &|h, w| h.tell(Input::Eof(w)),
-        &|h, w| h.data(w, "zz\r\n"),
-        &|h, w| h.data(w, "bb800000\r\ndata: "),
-        &|h, w| h.data(w, chunk("\u{7}\u{8}not an event\n\n")),
+    type Break = dyn Fn(&mut Harness, ConnId) -> Vec<Output>;
+    let breaks: [&Break; 5] = [
+        &|harness, decode| harness.handle(lost(decode, ConnectionLoss::Reset)),
+        &|harness, decode| harness.handle(Input::Eof(decode)),
+        &|harness, decode| harness.receive(decode, "zz\r\n"),
+        &|harness, decode| harness.receive(decode, "bb800000\r\ndata: "),
+        &|harness, decode| harness.receive(decode, chunk("\u{7}\u{8}not an event\n\n")),
     ];
-    for (n, deed) in breaks.into_iter().enumerate() {
-        let mut host = Host::new();
-        let (client, writer) = host.streaming("chat");
-        let out = deed(&mut host, writer);
-        assert!(finished(&out, client) && !text(&out, client).contains("0\r\n\r\n"), "case {n}");
-        assert_eq!((host.node.counters().failed, host.node.held_state().requests), (1, 0), "case {n}");
+    for (case, break_stream) in breaks.into_iter().enumerate() {
+        let mut harness = Harness::new();
+        let (client, writer) = harness.streaming("chat");
+        let out = break_stream(&mut harness, writer);
+        assert!(finished(&out, client) && !text(&out, client).contains("0\r\n\r\n"), "case {case}");
+        assert_eq!(
+            (harness.router.counters().failed, harness.router.held_state().requests),
+            (1, 0),
+            "case {case}"
+        );
     }
     // One that falls silent is given up before its client has been left waiting for 5 s.
-    let mut host = Host::new();
-    let (client, _) = host.streaming("chat");
-    assert!(finished(&host.pass(ms(4_900)), client));
+    let mut harness = Harness::new();
+    let (client, _) = harness.streaming("chat");
+    assert!(finished(&harness.advance(ms(4_900)), client));
 }
 
 #[test]
 fn a_client_that_closes_has_gone_and_its_attempt_is_given_up() {
-    let mut host = Host::new();
-    let (client, writer, _) = host.at_writer("chat");
-    let out = host.tell(Input::Eof(client));
+    let mut harness = Harness::new();
+    let (client, writer, _) = harness.at_decode_engine("chat");
+    let out = harness.handle(Input::Eof(client));
     assert!(aborted(&out, writer));
-    assert_eq!(host.node.counters().disconnected, 1);
-    let mut host = Host::new();
-    let (client, writer) = host.streaming("chat");
-    assert!(aborted(&host.tell(lost(client, ConnectionLoss::Reset)), writer));
+    assert_eq!(harness.router.counters().disconnected, 1);
+    let mut harness = Harness::new();
+    let (client, writer) = harness.streaming("chat");
+    assert!(aborted(&harness.handle(lost(client, ConnectionLoss::Reset)), writer));
     assert_eq!(
-        (host.node.counters().disconnected, host.node.counters().failed, host.node.held_state().requests),
+        (
+            harness.router.counters().disconnected,
+            harness.router.counters().failed,
+            harness.router.held_state().requests
+        ),
         (1, 0, 0)
     );
 }
 
 #[test]
 fn what_follows_an_answer_that_was_asked_for_is_never_taken_for_the_next() {
-    let mut host = Host::new();
-    let (client, writer) = host.streaming("chat");
-    let whole = chunk("data: [DONE]\n\n") + "0\r\n\r\n";
-    let out = host.data(writer, whole.clone() + "HTTP/1.1 200 OK\r\n");
+    let mut harness = Harness::new();
+    let (client, writer) = harness.streaming("chat");
+    let whole = stream_end();
+    let out = harness.receive(writer, whole.clone() + "HTTP/1.1 200 OK\r\n");
     assert!(text(&out, client).ends_with("0\r\n\r\n"), "the good answer is served whole");
     assert!(ends(&out, writer), "the connection is not used again");
-    let mut host = Host::new();
-    let (client, writer) = host.streaming("chat");
-    let out = host.data(writer, whole);
+    let mut harness = Harness::new();
+    let (client, writer) = harness.streaming("chat");
+    let out = harness.receive(writer, whole);
     assert!(text(&out, client).ends_with("0\r\n\r\n") && !ends(&out, writer));
-    assert!(ends(&host.data(writer, "HTTP/1.1 200 OK\r\n"), writer), "nor where it comes a moment later");
+    assert!(
+        ends(&harness.receive(writer, "HTTP/1.1 200 OK\r\n"), writer),
+        "nor where it comes a moment later"
+    );
 }
 
 #[test]
 fn interim_answers_and_reports_that_cant_be_read_spoil_nothing() {
-    let mut host = Host::new();
-    let (client, writer, _) = host.at_writer("once");
+    let mut harness = Harness::new();
+    let (client, writer, _) = harness.at_decode_engine("once");
     let interim = "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n";
     let head =
         STREAM_HEAD.replace("\r\n\r\n", "\r\nX-Load: pending=,\u{7f}\u{e9}\r\n\r\n").replace('\u{7f}', "");
     let stream = format!("{interim}{head}{}{}0\r\n\r\n", chunk(&event("one")), chunk(": X-Load: ~~~\n\n"));
-    let out = host.data(writer, stream);
+    let out = harness.receive(writer, stream);
     assert!(text(&out, client).contains("one") && text(&out, client).ends_with("0\r\n\r\n"));
-    assert_eq!(host.node.counters().completed, 1);
+    assert_eq!(harness.router.counters().completed, 1);
 }
 
 #[test]
 fn a_slow_client_pauses_its_engine_and_one_that_takes_nothing_is_cut_off() {
-    let mut host = Host::new();
-    let (client, writer) = host.streaming("chat");
+    let mut harness = Harness::new();
+    let (client, writer) = harness.streaming("chat");
     let mut out = Vec::new();
     for _ in 0..40 {
-        out.extend(host.data(writer, chunk(&event(&"x".repeat(2_000)))));
+        out.extend(harness.receive(writer, chunk(&event(&"x".repeat(2_000)))));
     }
     assert!(out.contains(&Output::Pause(writer)));
     let taken = bytes(&out, client).len();
-    assert!(host.tell(Input::Sent(client, taken)).contains(&Output::Resume(writer)));
+    assert!(harness.handle(Input::Sent(client, taken)).contains(&Output::Resume(writer)));
     for _ in 0..40 {
-        host.data(writer, chunk(&event(&"x".repeat(2_000))));
+        harness.receive(writer, chunk(&event(&"x".repeat(2_000))));
     }
-    let out = host.pass(ms(10_100));
+    let out = harness.advance(ms(10_100));
     assert!(ends(&out, client) && aborted(&out, writer));
 }
