--- a/crates/consensus/src/bootstrap.rs
+++ b/crates/consensus/src/bootstrap.rs
@@ -33,13 +33,14 @@
 }
 
 impl Bootstrap {
+    /// The state at the start of a founder without a configuration.
     pub(crate) fn new(founders: &[String]) -> Bootstrap {
         Bootstrap { founders: founders.to_vec(), announced: BTreeMap::new(), next: Duration::ZERO }
     }
 
     /// The other founders.
     pub(crate) fn others<'a>(&'a self, me: &'a str) -> impl Iterator<Item = &'a String> {
-        self.founders.iter().filter(move |f| *f != me)
+        self.founders.iter().filter(move |founder| *founder != me)
     }
 
     /// Takes the announcement of a founder that is in no configuration.
--- a/crates/consensus/src/bootstrap/tests.rs
+++ b/crates/consensus/src/bootstrap/tests.rs
@@ -5,15 +5,16 @@
 }
 
 #[test]
-fn the_first_founder_begins_when_all_are_there_with_what_most_start_with() {
+fn first_founder_starts_the_fleet_with_the_most_common_policy_once_all_have_announced() {
     let founders = ["a", "b", "c"].map(str::to_owned);
-    let mut founding = Bootstrap::new(&founders);
+    let mut bootstrap = Bootstrap::new(&founders);
     let ms = Duration::from_millis;
-    founding.record_announcement(ms(0), &peer("b"), "two".into());
-    assert!(founding.first_configuration(ms(1), &peer("a"), "one", 0).is_none(), "c is missing");
-    founding.record_announcement(ms(1), &peer("x"), "two".into());
-    founding.record_announcement(ms(1), &peer("c"), "two".into());
-    let configuration = founding.first_configuration(ms(2), &peer("a"), "one", 0).expect("all are there");
+    bootstrap.record_announcement(ms(0), &peer("b"), "two".into());
+    assert!(bootstrap.first_configuration(ms(1), &peer("a"), "one", 0).is_none(), "c is missing");
+    bootstrap.record_announcement(ms(1), &peer("x"), "two".into());
+    bootstrap.record_announcement(ms(1), &peer("c"), "two".into());
+    let configuration =
+        bootstrap.first_configuration(ms(2), &peer("a"), "one", 0).expect("all have announced");
     assert_eq!(
         (
             configuration.initial_state.text.as_str(),
@@ -22,13 +23,14 @@
         ),
         ("two", 1, 3)
     );
-    assert!(founding.first_configuration(ms(2), &peer("b"), "one", 0).is_none(), "a begins");
+    assert!(bootstrap.first_configuration(ms(2), &peer("b"), "one", 0).is_none(), "a is the first founder");
     assert!(
-        founding.first_configuration(ms(900), &peer("a"), "one", 0).is_none(),
-        "they were heard long ago"
+        bootstrap.first_configuration(ms(900), &peer("a"), "one", 0).is_none(),
+        "the announcements have expired"
     );
-    founding.record_announcement(ms(1_000), &peer("b"), "two".into());
-    founding.record_announcement(ms(1_000), &peer("c"), "three".into());
-    let configuration = founding.first_configuration(ms(1_001), &peer("a"), "one", 0).expect("all are there");
+    bootstrap.record_announcement(ms(1_000), &peer("b"), "two".into());
+    bootstrap.record_announcement(ms(1_000), &peer("c"), "three".into());
+    let configuration =
+        bootstrap.first_configuration(ms(1_001), &peer("a"), "one", 0).expect("all have announced");
     assert_eq!(configuration.initial_state.text, "one", "of equally many the first founder's");
 }
--- a/crates/consensus/src/consensus.rs
+++ b/crates/consensus/src/consensus.rs
@@ -1,4 +1,4 @@
-//! The state machine of one router: frames in and out, the disk before the network, and what is due by time.
+//! The state machine of one router: it receives and sends frames, persists state before it sends what depends on it, and runs timers.
 
 mod leading;
 mod operators;
@@ -23,14 +23,14 @@
 use status::StatusPublisher;
 use std::time::Duration;
 
-/// What is due by time alone.
+/// The timers of the machine.
 struct Timers {
     next_tick: Duration,
     /// When the leader has something to do next, if this router leads.
     leader_due: Option<Duration>,
 }
 
-/// A router's part in agreeing on the policy and acting by it.
+/// A router's part in consensus: its vote, if it has one, its lease, and its leadership while it leads.
 pub struct Consensus {
     config: ConsensusConfig,
     me: Peer,
@@ -113,7 +113,7 @@
         self.lease_holder.lease()
     }
 
-    /// What it knows to be decided, if it votes.
+    /// The state after all entries that it knows to be decided, if it votes.
     pub fn policy_state(&self) -> Option<&PolicyState> {
         self.voter.as_ref().map(Voter::policy_state)
     }
@@ -246,7 +246,7 @@
         if let (Some(voter), true) = (&mut self.voter, self.durable_file.is_healthy()) {
             voter.tick();
         }
-        for name in self.transport.connections.late(now, out) {
+        for name in self.transport.connections.close_overdue(now, out) {
             self.resynchronise(&name);
         }
         self.bootstrap_fleet(now, out);
@@ -284,7 +284,7 @@
             Input::Accepted(conn, _) => self.transport.accept(now, conn, out),
             Input::Connected(conn) => self.transport.connections.connected(conn, out),
             Input::Data(conn, bytes) if conn.is_opened() => {
-                self.transport.connections.acked(conn, bytes.len());
+                self.transport.connections.acknowledge(conn, bytes.len());
             }
             Input::Data(conn, bytes) => self.receive_bytes(now, conn, bytes, out),
             Input::Eof(conn) => {
--- a/crates/consensus/src/consensus/leading.rs
+++ b/crates/consensus/src/consensus/leading.rs
@@ -1,8 +1,9 @@
-//! What follows from what has come: the disk first, then messages, then what a leader does.
+//! Progress after each input: state is persisted first, then messages are sent, then the leader's duties are done.
 
 use super::Consensus;
+use crate::configuration::Configuration;
 use crate::leadership::{AddressedGrant, LeaderAction};
-use crate::voter::Heartbeat;
+use crate::voter::{Heartbeat, OutgoingMessage};
 use crate::wire::Body;
 use slipreel_state_machine::Output;
 use std::time::Duration;
@@ -11,7 +12,7 @@
 const MAX_STEPS_PER_INPUT: usize = 16;
 
 impl Consensus {
-    /// Does what follows from what has come, until nothing more does.
+    /// Persists, applies, sends and leads until nothing more follows from the input.
     pub(super) fn progress(&mut self, now: Duration, out: &mut Vec<Output>) {
         for _ in 0..MAX_STEPS_PER_INPUT {
             if !self.progress_once(now, out) {
@@ -33,22 +34,28 @@
             return false;
         }
         let Some(voter) = &mut self.voter else { return false };
-        let (entries, next) = voter.apply();
-        let (number, messages) = (voter.configuration.number, voter.messages());
-        for (to, message) in messages {
-            self.send(now, &to, Body::Vote(number, message), out);
+        let applied = voter.apply();
+        let configuration = voter.configuration.number;
+        for OutgoingMessage { to, message } in voter.take_messages() {
+            self.send(now, &to, Body::Vote { configuration, message }, out);
         }
-        if let Some(configuration) = next {
-            let old = self.voter.as_ref().map(|v| v.configuration.voters.clone()).unwrap_or_default();
-            self.enter(now, configuration.clone(), out);
-            // New voters are told at once; the others apply the same entry by themselves, or ask.
-            let joined = configuration.voters.iter().filter(|voter| !old.contains(voter));
-            for voter in joined.filter(|voter| voter.name != self.me.name).cloned().collect::<Vec<_>>() {
-                self.send(now, &voter.name, Body::Configuration(configuration.clone()), out);
-            }
+        if let Some(next) = applied.next_configuration {
+            self.enter_next_configuration(now, next, out);
             return true;
         }
-        self.lead(now, out) || !entries.is_empty()
+        self.lead(now, out) || applied.entries > 0
+    }
+
+    /// Enters the configuration that follows the present one, and sends it to the voters that join. The others apply the same entry by
+    /// themselves, or ask.
+    fn enter_next_configuration(&mut self, now: Duration, next: Configuration, out: &mut Vec<Output>) {
+        let old = self.voter.as_ref().map(|voter| voter.configuration.voters.clone()).unwrap_or_default();
+        self.enter(now, next.clone(), out);
+        for voter in next.voters.iter().filter(|voter| !old.contains(voter)) {
+            if voter.name != self.me.name {
+                self.send(now, &voter.name, Body::Configuration(next.clone()), out);
+            }
+        }
     }
 
     /// What a leader does. Whether it appended to the log.
@@ -71,7 +78,7 @@
             None => {}
         }
         let confirmed = voter.finish_confirmed_round();
-        let names: Vec<String> = voter.configuration.voters.iter().map(|v| v.name.clone()).collect();
+        let names: Vec<String> = voter.configuration.voters.iter().map(|voter| voter.name.clone()).collect();
         self.send_grants(now, changed_grants, out);
         if let Some(heartbeat) = heartbeat {
             self.send_heartbeat(now, &names, heartbeat, out);
@@ -104,7 +111,7 @@
         for AddressedGrant { peer, forwarder, grant } in grants {
             match forwarder {
                 _ if peer == self.me => self.receive_grant(now, grant, out),
-                Some(voter) => self.send(now, &voter, Body::ForwardedGrant(peer.name, grant), out),
+                Some(voter) => self.send(now, &voter, Body::ForwardedGrant { router: peer.name, grant }, out),
                 None => self.send(now, &peer.name, Body::Grant(grant), out),
             }
         }
--- a/crates/consensus/src/consensus/operators.rs
+++ b/crates/consensus/src/consensus/operators.rs
@@ -6,7 +6,7 @@
 use slipreel_state_machine::Output;
 use std::time::Duration;
 
-/// An operator's request of which it is not known yet what came of it.
+/// An operator's request whose result is not known yet.
 pub(super) struct PendingRequest {
     request: OperatorRequest,
     received_at: Duration,
@@ -25,7 +25,7 @@
 }
 
 impl Consensus {
-    /// Sends operators' requests to the leader until it is known what came of them.
+    /// Sends operators' requests to the leader until their results are known.
     pub(super) fn forward_operator_requests(&mut self, now: Duration, out: &mut Vec<Output>) {
         for request in self.publisher.take_requests() {
             self.operator_requests.push(PendingRequest { request, received_at: now, sent_at: None });
@@ -56,11 +56,11 @@
     }
 
     fn knows_proposal(&self, id: &str) -> bool {
-        let learnt = self.lease_holder.recent_outcomes().iter().any(|outcome| outcome.id == id)
+        let known_from_grants = self.lease_holder.recent_outcomes().iter().any(|outcome| outcome.id == id)
             || self.lease_holder.pending_change().is_some_and(|change| change.id == id);
-        learnt
+        known_from_grants
             || self.policy_state().is_some_and(|state| {
-                state.outcome(id).is_some() || state.pending.as_ref().is_some_and(|p| p.id == id)
+                state.outcome(id).is_some() || state.pending.as_ref().is_some_and(|pending| pending.id == id)
             })
     }
 }
--- a/crates/consensus/src/consensus/receive.rs
+++ b/crates/consensus/src/consensus/receive.rs
@@ -1,4 +1,4 @@
-//! Messages from peers: what each of them leads to.
+//! Handling of messages from peers.
 
 use super::Consensus;
 use crate::configuration::Configuration;
@@ -18,26 +18,28 @@
             return;
         }
         match body {
-            Body::Vote(configuration, message) => {
+            Body::Vote { configuration, message } => {
                 self.receive_vote(now, &from, configuration, message, out);
             }
             Body::Heartbeat(heartbeat) => self.receive_heartbeat(now, &from, heartbeat, out),
-            Body::HeartbeatAck(term, round) => {
+            Body::HeartbeatAck { term, round } => {
                 let voter = identity_of(&from);
-                if self.voter.as_mut().is_some_and(|v| v.record_ack(&voter, term, round)) {
+                if self.voter.as_mut().is_some_and(|own| own.record_ack(&voter, term, round)) {
                     self.grant_confirmed(now, out);
                 }
             }
             Body::LeaseRequest(request) => self.receive_lease_request(now, from, request, out),
-            Body::ForwardedLeaseRequest(origin, request) if self.leads() => {
+            Body::ForwardedLeaseRequest { origin, request } if self.leads() => {
                 self.leadership.record_request(now, origin, Some(from.name), request);
             }
-            Body::ForwardedLeaseRequest(..) => {}
+            Body::ForwardedLeaseRequest { .. } => {}
             Body::Grant(grant) => self.receive_grant(now, grant, out),
-            Body::ForwardedGrant(to, grant) if to == self.me.name => self.receive_grant(now, grant, out),
-            Body::ForwardedGrant(to, grant) => self.send(now, &to, Body::Grant(grant), out),
+            Body::ForwardedGrant { router, grant } if router == self.me.name => {
+                self.receive_grant(now, grant, out);
+            }
+            Body::ForwardedGrant { router, grant } => self.send(now, &router, Body::Grant(grant), out),
             Body::OperatorRequest(request) => {
-                if self.leads() && request.fits() {
+                if self.leads() && request.is_within_limits() {
                     self.leadership.queue_request(request);
                 }
             }
@@ -74,7 +76,12 @@
         let confirms = self.durable_file.is_healthy()
             && self.voter.as_mut().is_some_and(|voter| voter.acknowledges(now, &heartbeat));
         if confirms {
-            self.send(now, &from.name, Body::HeartbeatAck(heartbeat.term, heartbeat.round), out);
+            self.send(
+                now,
+                &from.name,
+                Body::HeartbeatAck { term: heartbeat.term, round: heartbeat.round },
+                out,
+            );
         }
     }
 
@@ -88,7 +95,7 @@
         let leader = self.voter.as_ref().and_then(Voter::leader).or(self.lease_holder.leader());
         let leader = leader.map(str::to_owned).filter(|leader| *leader != self.me.name);
         if let Some(leader) = leader.filter(|leader| *leader != from.name) {
-            self.send(now, &leader, Body::ForwardedLeaseRequest(from, request), out);
+            self.send(now, &leader, Body::ForwardedLeaseRequest { origin: from, request }, out);
         }
     }
 
--- a/crates/consensus/src/consensus/status.rs
+++ b/crates/consensus/src/consensus/status.rs
@@ -1,9 +1,9 @@
-//! What the rest of the process is shown: the permit, and the status for operators.
+//! Publishing to the rest of the process: the permit, and the status for operators.
 
 use super::Consensus;
 use crate::handle::{PendingChange, Permit, PolicyHandle, RouterStatus};
 use crate::lease_holder::Lease;
-use crate::policy_state::{digest, ProposalOutcome};
+use crate::policy_state::{digest, EarlierPolicy, ProposalOutcome};
 use crate::voter::Voter;
 use crate::wire::OperatorRequest;
 use std::collections::VecDeque;
@@ -25,19 +25,19 @@
 struct History {
     outcomes: Vec<ProposalOutcome>,
     forgotten: u64,
-    texts: Vec<(u64, String)>,
+    earlier_policies: Vec<EarlierPolicy>,
 }
 
-/// The process's side of the machine, and what it was shown last.
+/// The handle to the rest of the process, and what was published on it last.
 pub(super) struct StatusPublisher {
     handle: Arc<PolicyHandle>,
-    shown: Option<StatusFingerprint>,
-    permitted: Option<Lease>,
+    published_status: Option<StatusFingerprint>,
+    published_lease: Option<Lease>,
 }
 
 impl StatusPublisher {
     pub(super) fn new(handle: Arc<PolicyHandle>) -> StatusPublisher {
-        StatusPublisher { handle, shown: None, permitted: None }
+        StatusPublisher { handle, published_status: None, published_lease: None }
     }
 
     /// Requests that operators have made since the last call.
@@ -51,20 +51,20 @@
     pub(super) fn publish(&mut self) {
         self.publish_permit();
         let fingerprint = self.fingerprint();
-        if self.publisher.shown.as_ref() == Some(&fingerprint) {
+        if self.publisher.published_status.as_ref() == Some(&fingerprint) {
             return;
         }
         let status = self.status(&fingerprint);
-        self.publisher.shown = Some(fingerprint);
+        self.publisher.published_status = Some(fingerprint);
         self.publisher.handle.set_status(status);
     }
 
     fn publish_permit(&mut self) {
         let lease = self.current_lease();
-        if self.publisher.permitted == Some(lease) {
+        if self.publisher.published_lease == Some(lease) {
             return;
         }
-        self.publisher.permitted = Some(lease);
+        self.publisher.published_lease = Some(lease);
         self.publisher.handle.set_permit(Permit {
             epoch: lease.epoch,
             until: lease.until,
@@ -95,7 +95,7 @@
 
     fn status(&self, fingerprint: &StatusFingerprint) -> RouterStatus {
         let (epoch, text) = (fingerprint.epoch, self.lease_holder.text().to_owned());
-        let History { outcomes, forgotten, texts } = self.history();
+        let History { outcomes, forgotten, earlier_policies } = self.history();
         RouterStatus {
             name: self.me.name.clone(),
             epoch,
@@ -107,7 +107,7 @@
             votes: self.votes(),
             outcomes,
             forgotten,
-            texts,
+            earlier_policies,
             faults: fingerprint.faults.clone(),
         }
     }
@@ -130,7 +130,7 @@
 
     fn voters(&self) -> Vec<String> {
         match &self.voter {
-            Some(voter) => voter.configuration.voters.iter().map(|v| v.name.clone()).collect(),
+            Some(voter) => voter.configuration.voters.iter().map(|voter| voter.name.clone()).collect(),
             None => self.lease_holder.voters().to_vec(),
         }
     }
@@ -140,12 +140,12 @@
             Some(state) => History {
                 outcomes: state.outcomes.iter().cloned().collect(),
                 forgotten: state.forgotten,
-                texts: state.kept_texts(),
+                earlier_policies: state.earlier_policies(),
             },
             None => History {
                 outcomes: self.lease_holder.recent_outcomes().to_vec(),
                 forgotten: 0,
-                texts: Vec::new(),
+                earlier_policies: Vec::new(),
             },
         }
     }
@@ -166,7 +166,7 @@
         Some(PendingChange { id, waits_for: Vec::new() })
     }
 
-    /// Whether a voter knows all that its leader has told of: one that has just started may lack what the others have decided since.
+    /// Whether a voter knows all that its leader has reported: one that has just started may lack what the others have decided since.
     fn has_caught_up(&self, voter: &Voter) -> bool {
         self.lease_holder.leader().is_some() && self.lease_holder.version() <= voter.version()
     }
--- a/crates/consensus/src/handle.rs
+++ b/crates/consensus/src/handle.rs
@@ -1,7 +1,8 @@
-//! Where the machine and the rest of the process meet: by what a request may be taken, what operators see, what they say.
+//! The interface between the consensus machine and the rest of the process: the permit to take requests, the status for operators, and their
+//! requests.
 
 use crate::lease_holder::CompiledPolicy;
-use crate::policy_state::{Proposal, ProposalOutcome};
+use crate::policy_state::{EarlierPolicy, Proposal, ProposalOutcome, Rejection};
 use crate::timing;
 use crate::wire::OperatorRequest;
 use arc_swap::ArcSwap;
@@ -10,27 +11,27 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
-/// What a router does that can't know whether its epoch still holds, as operators chose.
+/// What a router does while it has no valid lease, as operators configure it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum PartitionMode {
-    /// It takes no requests: two policies are never in force at once.
+    /// It takes no requests, so that two policies are never in force at once.
     #[default]
     Refuse,
-    /// It goes on by the last epoch that it knew to hold, and learns of a change when the cut is over.
+    /// It goes on by the last epoch that it knew, and learns of a change when the partition is over.
     Serve,
 }
 
-/// By what a request may be taken now.
+/// The permit by which a router takes requests.
 #[derive(Clone, Default)]
 pub struct Permit {
     /// The epoch; 0: none is known yet.
     pub epoch: u64,
-    /// Until when it is certain, on the process's clock.
+    /// When the lease on that epoch ends, on the process's clock.
     pub until: Duration,
-    /// What was made of its policy.
+    /// Its compiled policy.
     pub policy: Option<CompiledPolicy>,
-    /// What holds without certainty.
+    /// What holds after the lease has ended.
     pub partition_mode: PartitionMode,
 }
 
@@ -44,58 +45,58 @@
 /// A change under way.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PendingChange {
-    /// The proposal's id.
+    /// The id of the proposal.
     pub id: String,
     /// The routers that have not prepared it yet.
     pub waits_for: Vec<String>,
 }
 
-/// What operators see.
+/// The status of a router, as operators see it.
 #[derive(Clone, Debug, Default)]
 pub struct RouterStatus {
-    /// This router.
+    /// The name of the router.
     pub name: String,
-    /// The epoch that it acts by.
+    /// The epoch by which it acts; 0: none yet.
     pub epoch: u64,
-    /// Of its policy.
+    /// The digest of its policy.
     pub digest: u64,
     /// Its policy.
     pub text: String,
-    /// The change under way, and whom it waits for.
+    /// The change under way.
     pub pending: Option<PendingChange>,
-    /// Who leads the voters, as far as this router knows.
+    /// The name of the leader, as far as this router knows.
     pub leader: Option<String>,
-    /// Who votes.
+    /// The names of the voters.
     pub voters: Vec<String>,
     /// Whether this router votes.
     pub votes: bool,
-    /// How changes ended: all that are remembered if it votes, the last few if not.
+    /// The outcomes of changes, the oldest first: all that are kept if it votes, the last few if not.
     pub outcomes: Vec<ProposalOutcome>,
-    /// Outcomes that are forgotten.
+    /// How many outcomes were dropped because there were too many.
     pub forgotten: u64,
-    /// Policies that can be brought back, by epoch.
-    pub texts: Vec<(u64, String)>,
+    /// The policies of earlier epochs that can be restored, the oldest first; empty if it does not vote.
+    pub earlier_policies: Vec<EarlierPolicy>,
     /// Why it does not act by the epoch in force, or does not vote.
     pub faults: Vec<String>,
 }
 
-/// Readers never wait for the writer.
+/// The handle that the machine and the rest of the process share. Reading the permit and the status never blocks.
 #[derive(Default)]
 pub struct PolicyHandle {
     epoch: AtomicU64,
     permit: ArcSwap<Permit>,
-    shown: ArcSwap<RouterStatus>,
+    status: ArcSwap<RouterStatus>,
     requests: Mutex<VecDeque<OperatorRequest>>,
 }
 
 impl std::fmt::Debug for PolicyHandle {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.debug_struct("PolicyHandle").field("shown", &self.shown.load()).finish_non_exhaustive()
+        f.debug_struct("PolicyHandle").field("status", &self.status.load()).finish_non_exhaustive()
     }
 }
 
 impl PolicyHandle {
-    /// By what a request may be taken.
+    /// The present permit.
     pub fn permit(&self) -> Arc<Permit> {
         self.permit.load_full()
     }
@@ -105,35 +106,38 @@
         self.epoch.load(Ordering::Acquire)
     }
 
-    /// What operators see.
+    /// The present status.
     pub fn status(&self) -> Arc<RouterStatus> {
-        self.shown.load_full()
+        self.status.load_full()
     }
 
-    /// Queues an operator's request for the machine. False if too many wait, or if it is too long.
+    /// Queues an operator's request for the machine. False: too many wait, or it is too long.
     pub fn submit(&self, request: OperatorRequest) -> bool {
         let mut requests = self.requests.lock().unwrap_or_else(PoisonError::into_inner);
-        let known = requests.iter().any(|w| w.key() == request.key());
-        let room = known || requests.len() < timing::MAX_OPERATOR_REQUESTS && request.fits();
-        if room && !known {
+        let known = requests.iter().any(|queued| queued.deduplication_key() == request.deduplication_key());
+        if known {
+            return true;
+        }
+        let accepted = requests.len() < timing::MAX_OPERATOR_REQUESTS && request.is_within_limits();
+        if accepted {
             requests.push_back(request);
         }
-        room
+        accepted
     }
 
     pub(crate) fn take_requests(&self) -> VecDeque<OperatorRequest> {
         std::mem::take(&mut *self.requests.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
-    /// Sets by what requests are taken from now on. The machine calls it, and so do tests that simulate a router.
+    /// Sets the permit. The machine calls it, and so do tests that simulate a router.
     pub fn set_permit(&self, permit: Permit) {
         let epoch = permit.epoch;
         self.permit.store(Arc::new(permit));
         self.epoch.store(epoch, Ordering::Release);
     }
 
-    pub(crate) fn set_status(&self, shown: RouterStatus) {
-        self.shown.store(Arc::new(shown));
+    pub(crate) fn set_status(&self, status: RouterStatus) {
+        self.status.store(Arc::new(status));
     }
 }
 
@@ -153,7 +157,7 @@
 impl RouterStatus {
     /// How a proposal stands.
     pub fn proposal_status(&self, id: &str) -> ProposalStatus {
-        if let Some(outcome) = self.outcomes.iter().rev().find(|o| o.id == id) {
+        if let Some(outcome) = self.outcomes.iter().rev().find(|outcome| outcome.id == id) {
             return match outcome.epoch {
                 Some(epoch) => ProposalStatus::InForce(epoch),
                 None => ProposalStatus::Dropped(outcome.clone()),
@@ -201,34 +205,36 @@
         }
     }
 
-    /// A change back to the policy of an earlier epoch; `None`: it is not kept here.
-    pub fn rollback_proposal(&self, epoch: u64, id: String, wall: u64) -> Option<Proposal> {
-        let text = match epoch {
-            e if e == self.epoch => self.text.clone(),
-            e => self.texts.iter().find(|(kept, _)| *kept == e)?.1.clone(),
+    /// A proposal that restores the policy of an epoch; `None`: that policy is not kept here. `unix_s`: the wall clock, seconds since 1970.
+    pub fn rollback_proposal(&self, epoch: u64, id: String, unix_s: u64) -> Option<Proposal> {
+        let text = if epoch == self.epoch {
+            self.text.clone()
+        } else {
+            self.earlier_policies.iter().find(|earlier| earlier.epoch == epoch)?.text.clone()
         };
         Some(Proposal {
             id,
             text,
             from: self.name.clone(),
-            submitted_unix_s: wall,
+            submitted_unix_s: unix_s,
             base_epoch: 0,
             restores_epoch: Some(epoch),
         })
     }
 }
 
-fn outcome_json(o: &ProposalOutcome) -> serde_json::Value {
-    let rejections: Vec<serde_json::Value> =
-        o.rejections.iter().map(|n| serde_json::json!({"router": n.router, "why": n.reason})).collect();
+fn outcome_json(outcome: &ProposalOutcome) -> serde_json::Value {
+    let rejection_json =
+        |rejection: &Rejection| serde_json::json!({"router": rejection.router, "why": rejection.reason});
+    let rejections: Vec<serde_json::Value> = outcome.rejections.iter().map(rejection_json).collect();
     serde_json::json!({
-        "id": o.id,
-        "from": o.from,
-        "when": o.submitted_unix_s,
-        "digest": format!("{:016x}", o.digest),
-        "outcome": if o.epoch.is_some() { "in force" } else { "dropped" },
-        "epoch": o.epoch,
-        "back_to": o.restores_epoch,
+        "id": outcome.id,
+        "from": outcome.from,
+        "when": outcome.submitted_unix_s,
+        "digest": format!("{:016x}", outcome.digest),
+        "outcome": if outcome.epoch.is_some() { "in force" } else { "dropped" },
+        "epoch": outcome.epoch,
+        "back_to": outcome.restores_epoch,
         "why": rejections,
     })
 }
--- a/crates/consensus/src/leadership.rs
+++ b/crates/consensus/src/leadership.rs
@@ -1,45 +1,85 @@
-//! The leader's side: who holds a lease, when a change may be decided, and how.
+//! The duties of a leader: granting leases, and deciding changes.
 //!
-//! A leader grants a lease only after a majority of the voters has confirmed that it led when the request was there. It puts a change in
-//! force when every router that may still act by the old epoch has tried the new policy and holds no more than a short lease. What leases an
-//! earlier leader gave it can't know: it waits as long as the longest of them.
+//! A leader grants a lease only after a majority of the voters has confirmed that it led when the request had arrived. It puts a change in force
+//! when every router that may still act by the old epoch has prepared the new policy and holds no more than a short lease. It can't know which
+//! leases an earlier leader granted: it waits as long as the longest of them lasts.
 
 use crate::policy_state::{Decision, Entry, PolicyState, Proposal, Rejection};
 use crate::reconfiguration::{self, LiveRouter, VoterReplacement};
 use crate::timing;
 use crate::voter::{Term, Voter};
 use crate::voter_identity::VoterIdentity;
-use crate::wire::{Grant, LeaseRequest, OperatorRequest, Peer, Trial};
+use crate::wire::{Grant, LeaseRequest, OperatorRequest, Peer, PrepareRequest};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Routers that may hold a lease; further ones are not answered.
+/// Routers that may hold a lease; requests of further ones are ignored.
 const MAX_HOLDERS: usize = 4_096;
+/// Routers that are named among those for which a change waits.
+const MAX_NAMED_ROUTERS: usize = timing::RECENT_OUTCOMES;
 
+/// What the leader knows of a router that holds or requests leases.
 struct HolderRecord {
     /// Since when it has held leases without a gap.
-    since: Duration,
+    held_since: Duration,
     last_request_at: Duration,
     /// Until when it may hold one, on the leader's clock.
     until: Duration,
+    /// Its last request.
     request: LeaseRequest,
-    /// The last question that was answered with a long lease.
+    /// The number of the last request that was granted a long lease.
     last_long_grant: u64,
-    /// The voter that hands its questions on.
+    /// The voter that forwards its requests.
     forwarder: Option<String>,
 }
 
 impl HolderRecord {
-    /// Whether it has tried a change and holds no more than a short lease.
+    fn new(now: Duration) -> HolderRecord {
+        HolderRecord {
+            held_since: now,
+            last_request_at: now,
+            until: Duration::ZERO,
+            request: LeaseRequest::default(),
+            last_long_grant: 0,
+            forwarder: None,
+        }
+    }
+
+    /// Whether it has prepared a change and holds no more than a short lease.
     fn is_prepared(&self, id: &str) -> bool {
-        has_tried(&self.request, id) && self.last_long_grant < self.request.short_leases_since
+        has_prepared(&self.request, id) && self.last_long_grant < self.request.short_leases_since
+    }
+
+    /// The lease that it may be granted. While a change is under way no long lease is granted, and a short one only to a router that has
+    /// prepared the change.
+    fn permitted_lease(&self, pending: Option<&Proposal>) -> Duration {
+        match pending {
+            None => timing::LEASE,
+            Some(pending) if self.is_prepared(&pending.id) => timing::SHORT_LEASE,
+            Some(_) => Duration::ZERO,
+        }
+    }
+
+    /// Records that its last request is granted this lease; zero: none.
+    fn record_grant(&mut self, now: Duration, lease: Duration) {
+        if !lease.is_zero() {
+            self.until = self.until.max(now + timing::with_clock_drift(lease));
+        }
+        if lease > timing::SHORT_LEASE {
+            self.last_long_grant = self.request.nonce;
+        }
+    }
+
+    /// Whether it knows the text of a change that it was told to prepare.
+    fn knows_change(&self, id: &str) -> bool {
+        self.request.prepare_response.as_ref().is_some_and(|response| response.id == id)
     }
 }
 
-/// Routers whose requests wait for a majority to confirm.
-type Waiting = BTreeSet<Peer>;
+/// Routers whose requests wait for a majority to confirm that this leader leads.
+type WaitingRouters = BTreeSet<Peer>;
 
-/// What all routers are told at once when it changes.
+/// What all routers are told at once when it changes: the epoch, and the change under way.
 #[derive(Default, PartialEq, Eq)]
 struct Announcement {
     epoch: u64,
@@ -53,30 +93,31 @@
     since: Duration,
 }
 
-/// What a leader keeps.
+/// The state of a leader.
 #[derive(Default)]
 pub struct Leadership {
     term: Term,
-    /// Since when it has led with all that it holds decided.
+    /// Since when it has led with all its entries decided.
     leading_since: Option<Duration>,
     holders: BTreeMap<Peer, HolderRecord>,
-    waiting: Waiting,
-    confirming: Waiting,
+    waiting: WaitingRouters,
+    /// Routers whose requests the present round of heartbeats confirms.
+    confirming: WaitingRouters,
     requests: Vec<OperatorRequest>,
-    /// The change that is being settled.
+    /// The change whose decision is appended and not yet decided by a majority.
     deciding: Option<String>,
     waiting_change: Option<WaitingChange>,
     reconfigured_at: Duration,
-    /// What the last grants told all routers.
+    /// What the last grants announced to all routers.
     announced: Announcement,
-    /// Entries that were applied then.
+    /// How many entries were applied at that time.
     announced_at: usize,
 }
 
 /// A grant, and where it is sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AddressedGrant {
-    /// The router that asked.
+    /// The router that requested the lease.
     pub peer: Peer,
     /// The voter that forwarded the request; `None`: it came directly.
     pub forwarder: Option<String>,
@@ -84,17 +125,17 @@
     pub grant: Grant,
 }
 
-/// What a leader wants of the voters.
+/// What a leader asks of the voters.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LeaderAction {
-    /// This entry.
+    /// Appends this entry to the log.
     Append(Entry),
-    /// A configuration of these.
+    /// Ends the configuration in favour of one with these voters.
     Reconfigure(Vec<VoterIdentity>),
 }
 
 impl Leadership {
-    /// Begins anew if another term has begun; nothing of an earlier one counts.
+    /// Starts afresh if another term has begun. Whether this voter leads with all its entries decided.
     pub fn sync_term(&mut self, now: Duration, voter: &Voter) -> bool {
         let leads = voter.leads();
         if !leads || voter.term() != self.term {
@@ -110,43 +151,40 @@
         leads && self.leading_since.is_some()
     }
 
-    /// A router asks. Its question waits for the next round.
+    /// Records a lease request. It waits for the next round of heartbeats.
     pub fn record_request(
         &mut self, now: Duration, from: Peer, forwarder: Option<String>, request: LeaseRequest,
     ) {
         if self.holders.len() >= MAX_HOLDERS && !self.holders.contains_key(&from) {
             return;
         }
-        let held = self.holders.entry(from.clone()).or_insert_with(|| HolderRecord {
-            since: now,
-            last_request_at: now,
-            until: Duration::ZERO,
-            request: LeaseRequest::default(),
-            last_long_grant: 0,
-            forwarder: None,
-        });
-        if request.nonce <= held.request.nonce {
-            return; // Late: a newer one was taken already.
+        let holder = self.holders.entry(from.clone()).or_insert_with(|| HolderRecord::new(now));
+        if request.nonce <= holder.request.nonce {
+            return; // It was overtaken by a newer one.
         }
         if request.released {
-            // It has given up all, and what is still on its way to it counts no more there.
-            (held.until, held.last_request_at, held.request) = (now, now, request);
+            // It has given up its lease, and ignores grants that are still on their way.
+            holder.until = now;
+            holder.last_request_at = now;
+            holder.request = request;
             self.waiting.remove(&from);
             self.confirming.remove(&from);
             return;
         }
-        if now > held.until {
-            held.since = now;
+        if now > holder.until {
+            holder.held_since = now;
         }
-        if held.last_long_grant < request.short_leases_since {
-            // Whatever it held ends with this question. A long lease that was granted after it gave those up is not among it.
-            held.until = now + timing::with_clock_drift(timing::SHORT_LEASE);
+        if holder.last_long_grant < request.short_leases_since {
+            // It gave up its earlier leases with this request, and no long one was granted since.
+            holder.until = now + timing::with_clock_drift(timing::SHORT_LEASE);
         }
-        (held.last_request_at, held.request, held.forwarder) = (now, request, forwarder);
+        holder.last_request_at = now;
+        holder.request = request;
+        holder.forwarder = forwarder;
         self.waiting.insert(from);
     }
 
-    /// Whether a round is wanted; the questions that wait are then those that it answers.
+    /// Whether a round of heartbeats is to begin; it then confirms the requests that wait.
     pub fn begin_round(&mut self, voter: &Voter) -> bool {
         if self.deciding.is_some()
             || voter.is_ending()
@@ -159,71 +197,63 @@
         true
     }
 
-    /// The round is over: the answers.
+    /// A majority has confirmed the round: the grants for the requests that it confirms.
     pub fn round_confirmed(&mut self, now: Duration, voter: &Voter) -> Vec<AddressedGrant> {
         if self.deciding.is_some() || voter.is_ending() {
-            // What is being settled may end the epoch at any moment: they are answered after it. And where the configuration ends, the next one's
-            // leader may count on it that nothing is granted here any more: their majorities need not share a voter.
+            // The decision under way may end the epoch at any moment, so these requests are answered after it. When the configuration ends,
+            // the next one's leader relies on it that no lease is granted here any more: their majorities need not share a voter.
             let confirming = std::mem::take(&mut self.confirming);
             self.waiting.extend(confirming);
             return Vec::new();
         }
-        let asked: Vec<Peer> = std::mem::take(&mut self.confirming).into_iter().collect();
-        self.grants(now, &asked, voter, true)
+        let confirmed: Vec<Peer> = std::mem::take(&mut self.confirming).into_iter().collect();
+        self.grants(now, &confirmed, voter, true)
     }
 
-    /// Answers to the last questions of these. `confirmed`: a majority has shown since then that this leader leads.
+    /// Grants for the last requests of these routers. `confirmed`: a majority has confirmed since that this leader leads; otherwise no lease is
+    /// granted.
     fn grants(&mut self, now: Duration, to: &[Peer], voter: &Voter, confirmed: bool) -> Vec<AddressedGrant> {
-        let waits_for = self.waits_for(now, voter.policy_state());
-        to.iter().filter_map(|peer| self.grant(now, peer, voter, &waits_for, confirmed)).collect()
+        let unprepared = self.unprepared_routers(now, voter.policy_state());
+        to.iter().filter_map(|peer| self.grant(now, peer, voter, &unprepared, confirmed)).collect()
     }
 
     fn grant(
-        &mut self, now: Duration, peer: &Peer, voter: &Voter, waits_for: &[String], confirmed: bool,
+        &mut self, now: Duration, peer: &Peer, voter: &Voter, unprepared: &[String], confirmed: bool,
     ) -> Option<AddressedGrant> {
         let policy_state = voter.policy_state();
-        let begun = policy_state.pending.as_ref().filter(|_| self.can_decide(now));
-        let held = self.holders.get_mut(peer)?;
-        let lease = match begun {
-            _ if !confirmed => Duration::ZERO,
-            None => timing::LEASE,
-            // While a change is under way nothing long is granted, and something short to those that have tried it.
-            Some(p) if held.is_prepared(&p.id) => timing::SHORT_LEASE,
-            Some(_) => Duration::ZERO,
-        };
-        if !lease.is_zero() {
-            held.until = held.until.max(now + timing::with_clock_drift(lease));
-        }
-        if lease > timing::SHORT_LEASE {
-            held.last_long_grant = held.request.nonce;
-        }
+        let pending = self.decidable_change(now, policy_state);
+        let term = self.term;
+        let holder = self.holders.get_mut(peer)?;
+        let lease = if confirmed { holder.permitted_lease(pending) } else { Duration::ZERO };
+        holder.record_grant(now, lease);
         let version = voter.version();
-        let trial = begun.map(|p| Trial {
-            id: p.id.clone(),
-            text: (held.request.tried.as_ref().map(|tried| &tried.id) != Some(&p.id)).then(|| p.text.clone()),
-            waits_for: waits_for.to_vec(),
-        });
         let grant = Grant {
-            nonce: held.request.nonce,
-            term: self.term,
+            nonce: holder.request.nonce,
+            term,
             leader: voter.leader().unwrap_or_default().to_owned(),
             epoch: policy_state.epoch,
             digest: policy_state.digest,
             lease_ms: lease.as_millis() as u32,
-            text: (held.request.digest != policy_state.digest && !just_tried(&held.request, policy_state))
-                .then(|| policy_state.text.clone()),
-            trial,
+            text: lacks_policy(&holder.request, policy_state).then(|| policy_state.text.clone()),
+            prepare_request: pending.map(|pending| PrepareRequest {
+                id: pending.id.clone(),
+                text: (!holder.knows_change(&pending.id)).then(|| pending.text.clone()),
+                waits_for: unprepared.to_vec(),
+            }),
             version,
-            recent: (held.request.version != version).then(|| policy_state.recent()),
-            voters: voter.configuration.voters.iter().map(|s| s.name.clone()).collect(),
+            recent: (holder.request.version != version).then(|| policy_state.recent_outcomes()),
+            voters: voter.configuration.voters.iter().map(|voter| voter.name.clone()).collect(),
         };
-        Some(AddressedGrant { peer: peer.clone(), forwarder: held.forwarder.clone(), grant })
+        Some(AddressedGrant { peer: peer.clone(), forwarder: holder.forwarder.clone(), grant })
     }
 
-    /// What has been decided since the last call is told to all at once, as further answers to their last questions.
+    /// Grants that announce what was decided since the last call to all routers at once, as further answers to their last requests.
     pub fn changed_grants(&mut self, now: Duration, voter: &Voter) -> Vec<AddressedGrant> {
         let policy_state = voter.policy_state();
-        if self.deciding.as_ref().is_some_and(|id| policy_state.pending.as_ref().is_none_or(|p| p.id != *id))
+        if self
+            .deciding
+            .as_ref()
+            .is_some_and(|id| policy_state.pending.as_ref().is_none_or(|pending| pending.id != *id))
         {
             self.deciding = None;
         }
@@ -231,65 +261,71 @@
         if self.leading_since.is_none() || self.deciding.is_some() || self.announced == announcement {
             return Vec::new();
         }
-        // What was decided since, was in this leader's own term, by a majority, after those questions: that confirms them as a round does.
-        // Where a change begins by time alone nothing does, and nothing is granted.
-        let decided = voter.applied() > std::mem::replace(&mut self.announced_at, voter.applied());
+        // Entries applied since were decided in this leader's term, by a majority, after those requests: that confirms them as a round does.
+        // Nothing confirms them if only time has passed, and then no lease is granted.
+        let confirmed = voter.applied() > std::mem::replace(&mut self.announced_at, voter.applied());
         self.announced = announcement;
-        let all: Vec<Peer> = self
-            .holders
-            .iter()
-            .filter(|(_, h)| now < h.last_request_at + timing::LEASE && !h.request.released)
-            .map(|(p, _)| p.clone())
-            .collect();
-        self.grants(now, &all, voter, decided)
+        let is_recent =
+            |holder: &HolderRecord| now < holder.last_request_at + timing::LEASE && !holder.request.released;
+        let recent = self.holders.iter().filter(|(_, holder)| is_recent(holder));
+        let recent: Vec<Peer> = recent.map(|(peer, _)| peer.clone()).collect();
+        self.grants(now, &recent, voter, confirmed)
     }
 
-    /// Routers that a change waits for: they may act by the old epoch for longer than a short lease.
-    fn waits_for(&self, now: Duration, policy_state: &PolicyState) -> Vec<String> {
+    /// The routers for which the change under way waits, as they may act by the old epoch for longer than a short lease.
+    fn unprepared_routers(&self, now: Duration, policy_state: &PolicyState) -> Vec<String> {
         let Some(pending) = &policy_state.pending else { return Vec::new() };
-        let waits = |h: &HolderRecord| now < h.until && !h.is_prepared(&pending.id);
-        let named = self.holders.iter().filter(|(_, h)| waits(h)).map(|(p, _)| p.name.clone());
-        let mut names: Vec<String> = named.take(timing::RECENT_OUTCOMES).collect();
+        let is_unprepared = |holder: &HolderRecord| now < holder.until && !holder.is_prepared(&pending.id);
+        let unprepared = self.holders.iter().filter(|(_, holder)| is_unprepared(holder));
+        let names = unprepared.map(|(peer, _)| peer.name.clone());
+        let mut names: Vec<String> = names.take(MAX_NAMED_ROUTERS).collect();
         if !self.can_decide(now) {
             names.push(PREVIOUS_LEADER_LEASES.into());
         }
         names
     }
 
-    /// What is told to all at once when it changes: the epoch, and the change under way. It is not begun, and no lease is shortened for it,
-    /// before it can be settled.
+    /// The change under way, once it can be decided: no router is told of it, and no lease is shortened for it, before.
+    fn decidable_change<'a>(&self, now: Duration, policy_state: &'a PolicyState) -> Option<&'a Proposal> {
+        policy_state.pending.as_ref().filter(|_| self.can_decide(now))
+    }
+
     fn announcement(&self, now: Duration, policy_state: &PolicyState) -> Announcement {
-        let begun = policy_state.pending.as_ref().filter(|_| self.can_decide(now));
-        Announcement { epoch: policy_state.epoch, pending_id: begun.map(|p| p.id.clone()) }
+        let pending = self.decidable_change(now, policy_state);
+        Announcement { epoch: policy_state.epoch, pending_id: pending.map(|pending| pending.id.clone()) }
     }
 
-    /// Whether no lease of an earlier leader can hold any more.
+    /// Whether all leases of earlier leaders have ended.
     fn can_decide(&self, now: Duration) -> bool {
         self.leading_since.is_some_and(|since| now >= since + timing::with_clock_drift(timing::LEASE))
     }
 
-    /// Queues an operator's request. False if too many wait.
+    /// Queues an operator's request. False: too many wait.
     pub fn queue_request(&mut self, request: OperatorRequest) -> bool {
-        let known = self.requests.iter().any(|w| w.key() == request.key());
-        let room = known || self.requests.len() < timing::MAX_OPERATOR_REQUESTS;
-        if room && !known {
+        let key = request.deduplication_key();
+        if self.requests.iter().any(|queued| queued.deduplication_key() == key) {
+            return true;
+        }
+        let accepted = self.requests.len() < timing::MAX_OPERATOR_REQUESTS;
+        if accepted {
             self.requests.push(request);
         }
-        room
+        accepted
     }
 
-    /// What is to be done now.
+    /// The next action of the leader, if there is one.
     pub fn next_action(&mut self, now: Duration, voter: &Voter) -> Option<LeaderAction> {
         if self.leading_since.is_none() || self.deciding.is_some() || voter.is_ending() || !voter.is_settled()
         {
             return None;
         }
-        self.holders.retain(|_, h| now < h.until.max(h.last_request_at + timing::HOLDER_EXPIRY));
+        self.holders
+            .retain(|_, holder| now < holder.until.max(holder.last_request_at + timing::HOLDER_EXPIRY));
         let policy_state = voter.policy_state();
         if let Some(pending) = &policy_state.pending {
-            let step = self.decide_pending(now, policy_state, &pending.clone())?;
+            let action = self.decide_pending(now, policy_state, pending)?;
             self.deciding = Some(pending.id.clone());
-            return Some(step);
+            return Some(action);
         }
         self.waiting_change = None;
         if let Some(proposal) = self.next_proposal(policy_state) {
@@ -299,95 +335,110 @@
     }
 
     fn next_proposal(&mut self, policy_state: &PolicyState) -> Option<Proposal> {
-        let at = self.requests.iter().position(|w| matches!(w, OperatorRequest::Propose(_)))?;
-        match self.requests.remove(at) {
-            OperatorRequest::Propose(p) if policy_state.outcome(&p.id).is_none() => Some(p),
+        let is_proposal = |request: &OperatorRequest| matches!(request, OperatorRequest::Propose(_));
+        let index = self.requests.iter().position(is_proposal)?;
+        match self.requests.remove(index) {
+            OperatorRequest::Propose(proposal) if policy_state.outcome(&proposal.id).is_none() => {
+                Some(proposal)
+            }
             _ => None,
         }
     }
 
+    /// Decides the change under way, if it can be decided now.
     fn decide_pending(
         &mut self, now: Duration, policy_state: &PolicyState, pending: &Proposal,
     ) -> Option<LeaderAction> {
+        let decide = |decision| Some(LeaderAction::Append(Entry::Decide(pending.id.clone(), decision)));
+        let holders = self.holders.iter();
         let rejections: Vec<Rejection> =
-            self.holders.iter().filter_map(|(p, h)| rejection_of(p, h, &pending.id)).collect();
-        let verdict = |v: Decision| Some(LeaderAction::Append(Entry::Decide(pending.id.clone(), v)));
+            holders.filter_map(|(peer, holder)| rejection_of(peer, holder, &pending.id)).collect();
         if !rejections.is_empty() && self.can_decide(now) {
-            return verdict(Decision::Dropped(rejections));
+            return decide(Decision::Dropped(rejections));
         }
-        let waits_for = self.waits_for(now, policy_state);
-        if waits_for.is_empty() {
-            return verdict(Decision::InForce);
+        let unprepared = self.unprepared_routers(now, policy_state);
+        if unprepared.is_empty() {
+            return decide(Decision::InForce);
         }
-        let since = match &self.waiting_change {
-            Some(waiting) if waiting.id == pending.id => waiting.since,
+        if now < self.waiting_since(now, &pending.id) + timing::CHANGE_DEADLINE {
+            return None;
+        }
+        let reason = format!("has not tried it within {} s", timing::CHANGE_DEADLINE.as_secs());
+        let overdue = |router: String| Rejection { router, reason: reason.clone() };
+        decide(Decision::Dropped(unprepared.into_iter().map(overdue).collect()))
+    }
+
+    /// Since when a change has waited to be decided: from now on if it has not waited before.
+    fn waiting_since(&mut self, now: Duration, id: &str) -> Duration {
+        match &self.waiting_change {
+            Some(waiting) if waiting.id == id => waiting.since,
             _ => {
-                self.waiting_change = Some(WaitingChange { id: pending.id.clone(), since: now });
+                self.waiting_change = Some(WaitingChange { id: id.to_owned(), since: now });
                 now
             }
-        };
-        if now < since + timing::CHANGE_DEADLINE {
-            return None;
         }
-        let why = format!("has not tried it within {} s", timing::CHANGE_DEADLINE.as_secs());
-        let late = |router: String| Rejection { router, reason: why.clone() };
-        verdict(Decision::Dropped(waits_for.into_iter().map(late).collect()))
     }
 
     fn next_reconfiguration(&mut self, now: Duration, voter: &Voter) -> Option<LeaderAction> {
         if now < self.reconfigured_at + timing::RECONFIGURATION_INTERVAL {
             return None;
         }
-        let live: Vec<LiveRouter> = self
-            .holders
-            .iter()
-            .filter(|(_, h)| now < h.until)
-            .map(|(p, h)| LiveRouter {
-                member: VoterIdentity { name: p.name.clone(), disk: p.disk },
-                held: now.saturating_sub(h.since),
-            })
-            .collect();
-        let replacing = self
-            .requests
-            .iter()
-            .position(|w| matches!(w, OperatorRequest::Replace { .. }))
-            .map(|at| self.requests.remove(at));
-        let replacing = match replacing {
-            Some(OperatorRequest::Replace { old, new }) => Some(VoterReplacement { old, new }),
-            _ => None,
-        };
-        let next =
-            reconfiguration::next(&voter.configuration.voters, &live, replacing.as_ref()).or_else(|| {
-                (voter.applied() >= timing::MAX_LOG_ENTRIES).then(|| voter.configuration.voters.clone())
-            })?;
+        let live = self.live_routers(now);
+        let replacement = self.next_replacement();
+        let voters = &voter.configuration.voters;
+        let log_is_full = voter.applied() >= timing::MAX_LOG_ENTRIES;
+        // A configuration with the same voters begins a new log.
+        let next = reconfiguration::next_voters(voters, &live, replacement.as_ref())
+            .or_else(|| log_is_full.then(|| voters.clone()))?;
         self.reconfigured_at = now;
         Some(LeaderAction::Reconfigure(next))
     }
 
-    /// When something is due next by time alone: never a time that has passed, which would be due again at once.
+    /// The routers that may hold a lease.
+    fn live_routers(&self, now: Duration) -> Vec<LiveRouter> {
+        let live = self.holders.iter().filter(|(_, holder)| now < holder.until);
+        live.map(|(peer, holder)| LiveRouter {
+            identity: VoterIdentity { name: peer.name.clone(), disk: peer.disk },
+            held_for: now.saturating_sub(holder.held_since),
+        })
+        .collect()
+    }
+
+    /// Takes the next request of an operator to replace a voter.
+    fn next_replacement(&mut self) -> Option<VoterReplacement> {
+        let is_replacement = |request: &OperatorRequest| matches!(request, OperatorRequest::Replace { .. });
+        let index = self.requests.iter().position(is_replacement)?;
+        match self.requests.remove(index) {
+            OperatorRequest::Replace { old, new } => Some(VoterReplacement { old, new }),
+            OperatorRequest::Propose(_) => None,
+        }
+    }
+
+    /// When the change under way may have to be looked at next; never a time that has passed, which would be due again at once.
     pub fn next_due(&self, now: Duration, voter: &Voter) -> Option<Duration> {
         voter.policy_state().pending.as_ref()?;
-        let begins = self.leading_since? + timing::with_clock_drift(timing::LEASE);
-        self.holders.values().map(|h| h.until).chain([begins]).filter(|at| *at > now).min()
+        let earlier_leases_end = self.leading_since? + timing::with_clock_drift(timing::LEASE);
+        let lease_ends = self.holders.values().map(|holder| holder.until);
+        lease_ends.chain([earlier_leases_end]).filter(|at| *at > now).min()
     }
 }
 
-/// What stands among the names that a change waits for while leases of an earlier leader may hold.
+/// Stands among the names for which a change waits while leases of an earlier leader may be valid.
 pub const PREVIOUS_LEADER_LEASES: &str = "(leases of the last leader)";
 
-fn has_tried(request: &LeaseRequest, id: &str) -> bool {
-    request.tried.as_ref().is_some_and(|tried| tried.id == id && tried.rejection.is_none())
+fn has_prepared(request: &LeaseRequest, id: &str) -> bool {
+    let response = request.prepare_response.as_ref();
+    response.is_some_and(|response| response.id == id && response.rejection.is_none())
 }
 
-/// Whether it has tried the policy in force as a change a moment ago, so that it has its text.
-fn just_tried(request: &LeaseRequest, policy_state: &PolicyState) -> bool {
-    policy_state
-        .outcomes
-        .back()
-        .is_some_and(|o| o.epoch == Some(policy_state.epoch) && has_tried(request, &o.id))
+/// Whether a router needs the text of the policy in force: it acts by another one, and has not just prepared this one as a change.
+fn lacks_policy(request: &LeaseRequest, policy_state: &PolicyState) -> bool {
+    let last = policy_state.outcomes.back().filter(|outcome| outcome.epoch == Some(policy_state.epoch));
+    let just_prepared = last.is_some_and(|outcome| has_prepared(request, &outcome.id));
+    request.digest != policy_state.digest && !just_prepared
 }
 
-fn rejection_of(peer: &Peer, held: &HolderRecord, id: &str) -> Option<Rejection> {
-    let tried = held.request.tried.as_ref().filter(|tried| tried.id == id)?;
-    Some(Rejection { router: peer.name.clone(), reason: tried.rejection.clone()? })
+fn rejection_of(peer: &Peer, holder: &HolderRecord, id: &str) -> Option<Rejection> {
+    let response = holder.request.prepare_response.as_ref().filter(|response| response.id == id)?;
+    Some(Rejection { router: peer.name.clone(), reason: response.rejection.clone()? })
 }
--- a/crates/consensus/src/lease_holder.rs
+++ b/crates/consensus/src/lease_holder.rs
@@ -9,13 +9,13 @@
 use crate::policy_state::{digest, ProposalOutcome};
 use crate::timing;
 use crate::voter::Term;
-use crate::wire::{Grant, LeaseRequest, StateVersion, Trial, TriedChange};
+use crate::wire::{Grant, LeaseRequest, PrepareRequest, PrepareResponse, StateVersion};
 use std::any::Any;
 use std::collections::VecDeque;
 use std::sync::Arc;
 use std::time::Duration;
 
-/// What a router builds from a policy; the process that hosts the router knows its type.
+/// A compiled policy; the process that hosts the router knows its type.
 pub type CompiledPolicy = Arc<dyn Any + Send + Sync>;
 
 /// Why a router can't act by a policy. Its text is sent to the leader and shown to operators.
@@ -32,10 +32,10 @@
 
 /// Compiles policies; the process that hosts the router implements it, for example as a closure.
 pub trait PolicyCompiler: Send {
-    /// Reads a policy and builds from it what requests are served by, without putting it in force.
+    /// Compiles a policy without putting it in force.
     ///
     /// # Errors
-    /// What is wrong with the policy on this router.
+    /// The policy can't be put in force on this router.
     fn compile(&mut self, text: &str) -> Result<CompiledPolicy, InvalidPolicy>;
 }
 
@@ -48,16 +48,30 @@
     }
 }
 
-/// Questions that may be under way.
+/// Requests without an answer after which the leader counts as silent.
+const MAX_UNANSWERED_REQUESTS: u64 = 2;
+/// Requests that may be open at once.
 const MAX_OPEN_REQUESTS: usize = 256;
 
+/// The policy of the change under way.
 struct PreparedPolicy {
     id: String,
     text: String,
     digest: u64,
     compiled: Result<CompiledPolicy, InvalidPolicy>,
-    /// The first question that said so: answers to earlier ones count no more.
-    since: u64,
+    /// The first request that reported it; `None`: none has yet. Grants for earlier requests do not count any more.
+    first_reported: Option<u64>,
+}
+
+impl PreparedPolicy {
+    fn is_accepted(&self) -> bool {
+        self.compiled.is_ok()
+    }
+
+    fn response(&self) -> PrepareResponse {
+        let rejection = self.compiled.as_ref().err().map(ToString::to_string);
+        PrepareResponse { id: self.id.clone(), rejection }
+    }
 }
 
 /// A request that the leader has not answered yet.
@@ -76,7 +90,7 @@
     pub until: Duration,
 }
 
-/// A router as one that holds a lease.
+/// The state machine by which a router requests leases and acts by the epoch that they are for.
 pub struct LeaseHolder {
     compiler: Box<dyn PolicyCompiler>,
     epoch: u64,
@@ -93,24 +107,24 @@
     prepared: Option<PreparedPolicy>,
     open_requests: VecDeque<OpenRequest>,
     nonce: u64,
-    /// The last question that was answered.
+    /// The number of the last request that was answered.
     last_answered: u64,
     next_request_at: Duration,
-    /// Why the policy in force can't be taken here, if it can't.
+    /// Why the policy in force can't be compiled here.
     policy_error: Option<InvalidPolicy>,
 }
 
-/// What an answer changed.
+/// What a grant changed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct GrantEffect {
-    /// The epoch that the router acts by is another.
+    /// The router acts by another epoch now.
     pub epoch_changed: bool,
-    /// A question is due at once.
+    /// A request is due at once.
     pub request_due: bool,
 }
 
 impl LeaseHolder {
-    /// A router at its start: it knows no epoch.
+    /// The state of a router at its start: it knows no epoch.
     pub fn new(compiler: Box<dyn PolicyCompiler>) -> LeaseHolder {
         LeaseHolder {
             compiler,
@@ -134,7 +148,7 @@
         }
     }
 
-    /// The epoch that it acts by; 0: none yet.
+    /// The epoch by which it acts; 0: none yet.
     pub fn epoch(&self) -> u64 {
         self.epoch
     }
@@ -144,12 +158,12 @@
         &self.text
     }
 
-    /// What it made of it.
+    /// The compiled policy of that epoch.
     pub fn policy(&self) -> Option<&CompiledPolicy> {
         self.policy.as_ref()
     }
 
-    /// Until when that epoch is certain, on its own clock.
+    /// When its lease on that epoch ends, on its own clock.
     pub fn until(&self) -> Duration {
         self.until
     }
@@ -164,79 +178,84 @@
         self.leader.as_deref()
     }
 
-    /// Who votes, as the leader told.
+    /// The names of the voters, as the leader reported them.
     pub fn voters(&self) -> &[String] {
         &self.voters
     }
 
-    /// The state that the leader told of last: the configuration and the entries in it.
+    /// The version of the state that the leader reported last.
     pub fn version(&self) -> StateVersion {
         self.version
     }
 
-    /// The change under way, and whom it waits for.
+    /// The change under way.
     pub fn pending_change(&self) -> Option<&PendingChange> {
         self.pending_change.as_ref()
     }
 
-    /// How the last changes ended.
+    /// The outcomes of the last changes.
     pub fn recent_outcomes(&self) -> &[ProposalOutcome] {
         &self.recent_outcomes
     }
 
-    /// Why the policy in force can't be taken here.
+    /// Why the policy in force can't be compiled here.
     pub fn policy_error(&self) -> Option<&InvalidPolicy> {
         self.policy_error.as_ref()
     }
 
-    /// Whether the leader has not answered the last questions: another is to be asked.
+    /// Whether the leader has not answered the last requests, so that another router is to be asked.
     pub fn leader_is_silent(&self) -> bool {
-        self.nonce > self.last_answered + 2
+        self.nonce > self.last_answered + MAX_UNANSWERED_REQUESTS
     }
 
-    /// When the next question is due.
+    /// When the next request is due.
     pub fn next_request_at(&self) -> Duration {
         self.next_request_at
     }
 
-    /// The question, now.
+    /// The request to send now. It reports the prepared change, if there is one, and then gives up the long lease.
     pub fn next_request(&mut self, now: Duration) -> LeaseRequest {
         self.nonce += 1;
-        if let Some(tried) = self.prepared.as_mut().filter(|t| t.compiled.is_ok()) {
-            if tried.since == 0 {
-                tried.since = self.nonce;
-                // Late answers to what was asked before must not bring a long lease back, now or after the trial.
-                self.open_requests.clear();
-            }
-            // The long lease ends with this question, whether it is answered or not.
-            self.until = self.until.min(now + timing::SHORT_LEASE);
-        }
+        self.shorten_lease_for_change(now);
         self.open_requests.push_back(OpenRequest { nonce: self.nonce, sent_at: now });
         if self.open_requests.len() > MAX_OPEN_REQUESTS {
             self.open_requests.pop_front();
         }
-        let short = self.prepared.as_ref().is_some_and(|t| t.compiled.is_ok());
-        self.next_request_at = now
-            + match () {
-                () if short => timing::SHORT_RENEW_INTERVAL,
-                () if now < self.until => timing::RENEW_INTERVAL,
-                () => timing::SEEK_INTERVAL,
-            };
+        self.next_request_at = now + self.request_interval(now);
+        let accepted = self.prepared.as_ref().filter(|prepared| prepared.is_accepted());
         LeaseRequest {
             nonce: self.nonce,
             epoch: self.epoch,
             digest: self.digest,
             version: self.version,
-            tried: self.prepared.as_ref().map(|t| TriedChange {
-                id: t.id.clone(),
-                rejection: t.compiled.as_ref().err().map(ToString::to_string),
-            }),
-            short_leases_since: self.prepared.as_ref().filter(|t| t.compiled.is_ok()).map_or(0, |t| t.since),
+            prepare_response: self.prepared.as_ref().map(PreparedPolicy::response),
+            short_leases_since: accepted.and_then(|prepared| prepared.first_reported).unwrap_or(0),
             released: false,
         }
     }
 
-    /// It takes no requests any more; the leader is told, so that no change waits for its lease.
+    /// While a change is prepared, the long lease ends with the next request, whether that is answered or not.
+    fn shorten_lease_for_change(&mut self, now: Duration) {
+        let Some(prepared) = self.prepared.as_mut().filter(|prepared| prepared.is_accepted()) else { return };
+        if prepared.first_reported.is_none() {
+            prepared.first_reported = Some(self.nonce);
+            // Late grants for earlier requests must not bring a long lease back, neither now nor after the change.
+            self.open_requests.clear();
+        }
+        self.until = self.until.min(now + timing::SHORT_LEASE);
+    }
+
+    fn request_interval(&self, now: Duration) -> Duration {
+        if self.prepared.as_ref().is_some_and(PreparedPolicy::is_accepted) {
+            timing::SHORT_RENEW_INTERVAL
+        } else if now < self.until {
+            timing::RENEW_INTERVAL
+        } else {
+            timing::SEEK_INTERVAL
+        }
+    }
+
+    /// Gives up the lease. The request tells the leader, so that no change waits for this router.
     pub fn release(&mut self) -> LeaseRequest {
         self.nonce += 1;
         self.open_requests.clear();
@@ -250,7 +269,7 @@
         }
     }
 
-    /// Applies an answer of the leader. An answer of an earlier term or epoch changes nothing.
+    /// Applies a grant of the leader. One of an earlier term or epoch has no effect.
     pub fn apply_grant(&mut self, now: Duration, grant: Grant) -> GrantEffect {
         let mut effect = GrantEffect::default();
         if grant.term < self.term || grant.epoch < self.epoch {
@@ -269,7 +288,7 @@
         if grant.epoch > self.epoch {
             self.enter_epoch(grant.epoch, grant.digest, grant.text, &mut effect);
         }
-        self.prepare_change(now, grant.trial, &mut effect);
+        self.prepare_change(now, grant.prepare_request, &mut effect);
         if grant.epoch == self.epoch {
             self.extend_lease(now, grant.nonce, grant.lease_ms, effect);
         }
@@ -277,23 +296,31 @@
     }
 
     /// Compiles the policy of the change under way, once, and forgets that of a change which is over.
-    fn prepare_change(&mut self, now: Duration, trial: Option<Trial>, effect: &mut GrantEffect) {
+    fn prepare_change(&mut self, now: Duration, request: Option<PrepareRequest>, effect: &mut GrantEffect) {
         // A change that the leader does not name any more is over: the long lease may come back.
-        let id = trial.as_ref().map(|trial| &trial.id);
+        let id = request.as_ref().map(|request| &request.id);
         if self.prepared.as_ref().is_some_and(|prepared| Some(&prepared.id) != id) {
             self.prepared = None;
         }
-        if let Some(trial) = &trial {
-            let known = self.prepared.as_ref().is_some_and(|prepared| prepared.id == trial.id);
-            if let (false, Some(text)) = (known, &trial.text) {
-                let compiled = self.compiler.compile(text);
-                let (id, digest) = (trial.id.clone(), digest(text));
-                self.prepared = Some(PreparedPolicy { id, text: text.clone(), digest, compiled, since: 0 });
-                effect.request_due = true;
-                self.next_request_at = now;
-            }
+        if let Some(request) = &request {
+            self.compile_change(now, request, effect);
         }
-        self.pending_change = trial.map(|trial| PendingChange { id: trial.id, waits_for: trial.waits_for });
+        self.pending_change =
+            request.map(|request| PendingChange { id: request.id, waits_for: request.waits_for });
+    }
+
+    fn compile_change(&mut self, now: Duration, request: &PrepareRequest, effect: &mut GrantEffect) {
+        let known = self.prepared.as_ref().is_some_and(|prepared| prepared.id == request.id);
+        let (false, Some(text)) = (known, &request.text) else { return };
+        self.prepared = Some(PreparedPolicy {
+            id: request.id.clone(),
+            text: text.clone(),
+            digest: digest(text),
+            compiled: self.compiler.compile(text),
+            first_reported: None,
+        });
+        effect.request_due = true;
+        self.next_request_at = now;
     }
 
     /// The lease counts from the moment at which the request was sent. Nothing counts that was granted before a prepared change shortened
@@ -302,7 +329,7 @@
         let open = self.open_requests.iter().find(|open| open.nonce == nonce);
         let Some(sent_at) = open.map(|open| open.sent_at) else { return };
         let counts = self.prepared.as_ref().is_none_or(|prepared| {
-            prepared.compiled.is_err() || prepared.since != 0 && prepared.since <= nonce
+            !prepared.is_accepted() || prepared.first_reported.is_some_and(|first| first <= nonce)
         });
         if !counts {
             return;
@@ -313,26 +340,32 @@
         }
     }
 
-    /// Another epoch is in force: the policy that was tried for it, or the one that was sent along.
-    fn enter_epoch(&mut self, epoch: u64, wanted: u64, sent: Option<String>, effect: &mut GrantEffect) {
-        let tried = self.prepared.take().filter(|t| t.digest == wanted);
-        let (text, made) = match (tried, sent) {
-            (Some(tried), _) => (tried.text, tried.compiled),
-            (None, Some(text)) if digest(&text) == wanted => {
-                let made = self.compiler.compile(&text);
-                (text, made)
+    /// Another epoch is in force: enters it with the policy that was prepared for it, or with the one that came with the grant.
+    fn enter_epoch(
+        &mut self, epoch: u64, new_digest: u64, granted_text: Option<String>, effect: &mut GrantEffect,
+    ) {
+        let prepared = self.prepared.take().filter(|prepared| prepared.digest == new_digest);
+        let (text, compiled) = match (prepared, granted_text) {
+            (Some(prepared), _) => (prepared.text, prepared.compiled),
+            (None, Some(text)) if digest(&text) == new_digest => {
+                let compiled = self.compiler.compile(&text);
+                (text, compiled)
             }
-            // The next question tells the leader that the policy is missing here.
+            // The next request tells the leader that the policy is missing here.
             _ => return effect.request_due = true,
         };
-        // An epoch that is over holds here no more, even if the new one can't be taken.
+        // The lease on the earlier epoch is over, even if the policy of the new one can't be compiled.
         self.until = Duration::ZERO;
-        match made {
-            Ok(made) => {
-                (self.epoch, self.digest, self.text) = (epoch, wanted, text);
-                (self.policy, self.policy_error, effect.epoch_changed) = (Some(made), None, true);
+        match compiled {
+            Ok(policy) => {
+                self.epoch = epoch;
+                self.digest = new_digest;
+                self.text = text;
+                self.policy = Some(policy);
+                self.policy_error = None;
+                effect.epoch_changed = true;
             }
-            Err(why) => self.policy_error = Some(why),
+            Err(error) => self.policy_error = Some(error),
         }
     }
 }
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -1,12 +1,24 @@
-//! A change of policy that takes hold everywhere or nowhere.
+//! Policy changes that come into force on all routers of a fleet or on none.
 //!
-//! Up to nine routers vote on one sequence of policies (epochs); every router, voter or not, holds a lease on the epoch that it acts by, and
-//! takes no request without one. `docs/design-policy.md` weighs this against others and says what each part promises.
+//! Up to nine routers vote on one sequence of policies (epochs). Every router, voter or not, holds a lease on the epoch by which it acts, and
+//! takes no requests without one. `docs/design-policy.md` compares this design with others and states the guarantees.
 //!
-//! [`Consensus`] is the machine. Its decisions: [`policy_state`] what the voters agree on, [`reconfiguration`] who votes, [`leadership`] when a leader grants leases and
-//! puts a change in force, [`lease_holder`] by which epoch a router may take requests. Its state: `voter` (one configuration, on the library
-//! `omnipaxos`), [`storage`] and [`log`] (what a voter must not forget). [`PolicyHandle`] is where it meets the rest of the process; [`Member`] puts it
-//! and the view of the fleet behind one address.
+//! [`Consensus`] is the state machine of one router, and [`Member`] puts it and membership behind one address. [`PolicyHandle`] is its interface to
+//! the rest of the process.
+//!
+//! | module | what it does |
+//! | --- | --- |
+//! | `consensus` | the state machine: input, persistence, leading, status, operators' requests |
+//! | [`leadership`] | grants leases and decides changes, as leader |
+//! | [`lease_holder`] | requests leases and acts by the epoch that they are for |
+//! | [`policy_state`] | the replicated state, and the entries that change it |
+//! | [`reconfiguration`], `configuration`, `voter_identity` | which routers vote |
+//! | `voter` | one voter of one configuration, on the library `omnipaxos` |
+//! | `bootstrap`, `startup` | the first configuration of a fleet, and the start of a router |
+//! | [`storage`], [`log`], `disk` | the durable state of a voter, its file format, and the disk |
+//! | [`wire`], `transport`, `peer_connections` | messages, and how they reach peers |
+//! | `member`, `handle` | the connection to membership, and to the rest of the process |
+//! | [`timing`] | intervals, timeouts and limits |
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/crates/consensus/src/member.rs
+++ b/crates/consensus/src/member.rs
@@ -1,4 +1,4 @@
-//! One address for membership and consensus: each datagram and connection goes to the machine that its first bytes name.
+//! Membership and consensus behind one address: each datagram and connection goes to the machine that its first bytes identify.
 
 use crate::consensus::Consensus;
 use crate::peer_connections::PeerConnections;
@@ -43,16 +43,16 @@
 
 impl PeerDirectory for MembershipDirectory {
     fn address(&self, name: &str) -> Option<SocketAddr> {
-        self.0.view().members.iter().find(|m| m.name == name).map(|m| m.address)
+        self.0.view().members.iter().find(|member| member.name == name).map(|member| member.address)
     }
 
     fn names(&self) -> Vec<String> {
-        self.0.view().members.iter().map(|m| m.name.clone()).collect()
+        self.0.view().members.iter().map(|member| member.name.clone()).collect()
     }
 }
 
 impl Member {
-    /// Both behind one address.
+    /// A member with these two machines.
     pub fn new(membership: Membership, consensus: Option<Consensus>) -> Member {
         Member {
             membership,
@@ -72,18 +72,18 @@
         self.consensus.as_ref()
     }
 
-    fn pass_on(&mut self, now: Duration, input: Input<'_>, out: &mut Vec<Output>) {
+    fn handle_consensus(&mut self, now: Duration, input: Input<'_>, out: &mut Vec<Output>) {
         if let Some(consensus) = &mut self.consensus {
             consensus.handle(now, input, out);
         }
     }
 
     fn is_for_consensus(&self, conn: ConnId) -> bool {
-        self.consensus_connections.contains(&conn) || PeerConnections::is_ours(conn)
+        self.consensus_connections.contains(&conn) || PeerConnections::is_consensus_connection(conn)
     }
 
-    /// The first bytes of a connection: it goes to whom they name, with all that came.
-    fn first_bytes(&mut self, now: Duration, conn: ConnId, bytes: &[u8], out: &mut Vec<Output>) {
+    /// Adds to the first bytes of a connection. Once they identify its machine, that one receives the connection and all its bytes.
+    fn identify(&mut self, now: Duration, conn: ConnId, bytes: &[u8], out: &mut Vec<Output>) {
         let Some(unidentified) = self.unidentified.get_mut(&conn) else { return };
         unidentified.buffer.extend(bytes);
         if unidentified.buffer.len() < MAGIC.len() {
@@ -93,8 +93,8 @@
         self.unidentified.remove(&conn);
         if buffer.starts_with(&MAGIC) {
             self.consensus_connections.insert(conn);
-            self.pass_on(now, Input::Accepted(conn, listener), out);
-            self.pass_on(now, Input::Data(conn, &buffer), out);
+            self.handle_consensus(now, Input::Accepted(conn, listener), out);
+            self.handle_consensus(now, Input::Data(conn, &buffer), out);
         } else {
             self.membership.handle(now, Input::Accepted(conn, listener), out);
             self.membership.handle(now, Input::Data(conn, &buffer), out);
@@ -111,51 +111,62 @@
 
     /// Closes connections whose first bytes did not come in time.
     fn close_unidentified(&mut self, now: Duration, out: &mut Vec<Output>) {
-        let late = self.unidentified.iter().filter(|(_, unidentified)| now >= unidentified.deadline());
-        let late: Vec<ConnId> = late.map(|(conn, _)| *conn).collect();
-        for conn in late {
+        let overdue = self.unidentified.iter().filter(|(_, unidentified)| now >= unidentified.deadline());
+        let overdue: Vec<ConnId> = overdue.map(|(conn, _)| *conn).collect();
+        for conn in overdue {
             self.unidentified.remove(&conn);
             out.push(Output::Abort(conn));
         }
     }
-}
 
-impl Machine for Member {
-    fn handle(&mut self, now: Duration, input: Input<'_>, out: &mut Vec<Output>) {
-        if self.consensus.is_none() {
-            return self.membership.handle(now, input, out);
-        }
-        self.close_unidentified(now, out);
+    /// Hands an input to the machine that it concerns, or to both.
+    fn route(&mut self, now: Duration, input: Input<'_>, out: &mut Vec<Output>) {
         match input {
-            Input::Datagram(_, _, bytes) if bytes.starts_with(&MAGIC) => self.pass_on(now, input, out),
+            Input::Datagram(_, _, bytes) if bytes.starts_with(&MAGIC) => {
+                self.handle_consensus(now, input, out)
+            }
             Input::Accepted(conn, listener) => self.accept(now, conn, listener, out),
             Input::Data(conn, bytes) if self.unidentified.contains_key(&conn) => {
-                self.first_bytes(now, conn, bytes, out);
+                self.identify(now, conn, bytes, out);
             }
             Input::Eof(conn) if self.unidentified.remove(&conn).is_some() => out.push(Output::Abort(conn)),
             Input::Lost(conn, _) if self.unidentified.remove(&conn).is_some() => {}
             Input::Connected(conn) | Input::Data(conn, _) | Input::Eof(conn) | Input::Sent(conn, _)
                 if self.is_for_consensus(conn) =>
             {
-                self.pass_on(now, input, out);
+                self.handle_consensus(now, input, out);
             }
             Input::Lost(conn, _) if self.is_for_consensus(conn) => {
                 self.consensus_connections.remove(&conn);
-                self.pass_on(now, input, out);
+                self.handle_consensus(now, input, out);
             }
             Input::Wake | Input::Stop | Input::OwnerMessage(_) => {
-                self.pass_on(now, input, out);
+                self.handle_consensus(now, input, out);
                 self.membership.handle(now, input, out);
             }
             _ => self.membership.handle(now, input, out),
         }
-        // A connection that a machine has ended brings no further input.
-        for output in out.iter() {
+    }
+
+    /// Forgets connections that a machine has ended: they bring no further input.
+    fn forget_closed(&mut self, out: &[Output]) {
+        for output in out {
             if let Output::Abort(conn) | Output::CloseWhenSent(conn) = output {
                 self.consensus_connections.remove(conn);
             }
         }
     }
+}
+
+impl Machine for Member {
+    fn handle(&mut self, now: Duration, input: Input<'_>, out: &mut Vec<Output>) {
+        if self.consensus.is_none() {
+            return self.membership.handle(now, input, out);
+        }
+        self.close_unidentified(now, out);
+        self.route(now, input, out);
+        self.forget_closed(out);
+    }
 
     fn wake_at(&self) -> Option<Duration> {
         let unidentified = self.unidentified.values().map(UnidentifiedConnection::deadline).min();
--- a/crates/consensus/src/peer_connections.rs
+++ b/crates/consensus/src/peer_connections.rs
@@ -1,5 +1,5 @@
-//! Frames to one peer that have to come in order, or that no datagram holds: one connection that is kept while it serves, with an
-//! acknowledgement for each frame. What is not acknowledged in time is given up with its connection, and whoever sent it is told.
+//! Connections to peers, for frames that must arrive in order or that are too long for a datagram: one for each peer, with an acknowledgement for
+//! each frame. A connection with a frame that is not acknowledged in time is aborted, and the caller learns to which peer frames may be lost.
 
 use crate::timing;
 use slipreel_state_machine::{ConnId, Output};
@@ -7,25 +7,47 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
+/// A frame that the peer has not acknowledged.
+struct UnackedFrame {
+    len: usize,
+    sent_at: Duration,
+}
+
+/// The connection to one peer.
 struct PeerConnection {
     conn: ConnId,
     open: bool,
-    /// Frames that wait for the connection to stand.
+    /// Frames that wait for the connection to be established.
     queue: VecDeque<Vec<u8>>,
-    /// Lengths of frames that are not acknowledged, and since when they wait.
-    unacked: VecDeque<(usize, Duration)>,
-    bytes: usize,
-    used: Duration,
+    unacked: VecDeque<UnackedFrame>,
+    /// The sum of the lengths of the unacknowledged frames.
+    unacked_bytes: usize,
+    last_used: Duration,
+}
+
+impl PeerConnection {
+    fn is_overdue(&self, now: Duration) -> bool {
+        self.unacked.front().is_some_and(|frame| now >= frame.sent_at + timing::ACK_TIMEOUT)
+    }
+
+    fn is_idle(&self, now: Duration) -> bool {
+        self.unacked.is_empty() && now >= self.last_used + IDLE_TIMEOUT
+    }
+
+    /// Whether a further frame of this length would be too much. One frame is always accepted.
+    fn is_full_for(&self, frame_len: usize) -> bool {
+        self.unacked_bytes > 0 && self.unacked_bytes + frame_len > timing::MAX_UNACKED_BYTES
+    }
 }
 
 /// The connections to all peers, by name.
 pub struct PeerConnections {
     connections: BTreeMap<String, PeerConnection>,
     by_conn: BTreeMap<ConnId, String>,
-    opened: u64,
+    last_id: u64,
 }
 
-/// Set in the numbers of connections that this package opens, beside those of the view of the fleet.
+/// Set in the ids of connections that consensus opens, so that they differ from those of membership.
 const CONSENSUS_CONNECTION_BIT: u64 = 1 << 40;
 /// A connection that has carried nothing for so long is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
@@ -35,38 +57,50 @@
         PeerConnections {
             connections: BTreeMap::new(),
             by_conn: BTreeMap::new(),
-            opened: CONSENSUS_CONNECTION_BIT,
+            last_id: CONSENSUS_CONNECTION_BIT,
         }
     }
 }
 
 impl PeerConnections {
-    /// Whether a connection is one of these.
-    pub fn has(&self, conn: ConnId) -> bool {
+    /// Whether a connection is open or being opened to a peer.
+    pub fn contains(&self, conn: ConnId) -> bool {
         self.by_conn.contains_key(&conn)
     }
 
-    /// Whether a number is one that these give out.
-    pub fn is_ours(conn: ConnId) -> bool {
+    /// Whether consensus opened the connection of this id.
+    pub fn is_consensus_connection(conn: ConnId) -> bool {
         conn.is_opened() && conn.0 & CONSENSUS_CONNECTION_BIT != 0
     }
 
-    /// Sends a frame. False: what waits for this peer is too much, and was given up with its connection.
+    /// Sends a frame. False: too many bytes wait for this peer, and its connection was aborted with all of them.
     pub fn send(
         &mut self, now: Duration, name: &str, to: SocketAddr, frame: Vec<u8>, out: &mut Vec<Output>,
     ) -> bool {
-        if self
-            .connections
-            .get(name)
-            .is_some_and(|l| l.bytes + frame.len() > timing::MAX_UNACKED_BYTES && l.bytes > 0)
-        {
-            self.give_up(name, out);
+        if self.connections.get(name).is_some_and(|connection| connection.is_full_for(frame.len())) {
+            self.abort(name, out);
             return false;
         }
-        let (opened, by_conn) = (&mut self.opened, &mut self.by_conn);
-        let connection = self.connections.entry(name.to_owned()).or_insert_with(|| {
-            *opened += 1;
-            let conn = ConnId::opened(*opened);
+        let connection = self.connection_to(now, name, to, out);
+        connection.last_used = now;
+        connection.unacked_bytes += frame.len();
+        connection.unacked.push_back(UnackedFrame { len: frame.len(), sent_at: now });
+        if connection.open {
+            out.push(Output::Write(connection.conn, frame));
+        } else {
+            connection.queue.push_back(frame);
+        }
+        true
+    }
+
+    /// The connection to a peer, which is opened if there is none.
+    fn connection_to(
+        &mut self, now: Duration, name: &str, to: SocketAddr, out: &mut Vec<Output>,
+    ) -> &mut PeerConnection {
+        let (last_id, by_conn) = (&mut self.last_id, &mut self.by_conn);
+        self.connections.entry(name.to_owned()).or_insert_with(|| {
+            *last_id += 1;
+            let conn = ConnId::opened(*last_id);
             by_conn.insert(conn, name.to_owned());
             out.push(Output::Connect(conn, to));
             PeerConnection {
@@ -74,22 +108,13 @@
                 open: false,
                 queue: VecDeque::new(),
                 unacked: VecDeque::new(),
-                bytes: 0,
-                used: now,
+                unacked_bytes: 0,
+                last_used: now,
             }
-        });
-        connection.used = now;
-        connection.bytes += frame.len();
-        connection.unacked.push_back((frame.len(), now));
-        if connection.open {
-            out.push(Output::Write(connection.conn, frame));
-        } else {
-            connection.queue.push_back(frame);
-        }
-        true
+        })
     }
 
-    /// A connection stands.
+    /// A connection is established: sends the frames that wait for it.
     pub fn connected(&mut self, conn: ConnId, out: &mut Vec<Output>) {
         let connection = self.by_conn.get(&conn).and_then(|name| self.connections.get_mut(name));
         let Some(connection) = connection else { return out.push(Output::Abort(conn)) };
@@ -97,42 +122,43 @@
         out.extend(connection.queue.drain(..).map(|frame| Output::Write(conn, frame)));
     }
 
-    /// Acknowledgements: a byte for each frame.
-    pub fn acked(&mut self, conn: ConnId, n: usize) {
+    /// The peer has acknowledged the oldest `frames` frames.
+    pub fn acknowledge(&mut self, conn: ConnId, frames: usize) {
         let Some(connection) = self.by_conn.get(&conn).and_then(|name| self.connections.get_mut(name)) else {
             return;
         };
-        for _ in 0..n {
-            connection.bytes -= connection.unacked.pop_front().map_or(0, |(len, _)| len);
+        for _ in 0..frames {
+            connection.unacked_bytes -= connection.unacked.pop_front().map_or(0, |frame| frame.len);
         }
     }
 
-    /// A connection is over. Whom it led to, if something may have been lost with it.
+    /// A connection is lost. The peer to which it led, if frames may be lost with it.
     pub fn lost(&mut self, conn: ConnId) -> Option<String> {
         let name = self.by_conn.remove(&conn)?;
         let connection = self.connections.remove(&name)?;
         (!connection.unacked.is_empty()).then_some(name)
     }
 
-    fn give_up(&mut self, name: &str, out: &mut Vec<Output>) {
+    fn abort(&mut self, name: &str, out: &mut Vec<Output>) {
         if let Some(connection) = self.connections.remove(name) {
             self.by_conn.remove(&connection.conn);
             out.push(Output::Abort(connection.conn));
         }
     }
 
-    /// Gives up what is late, and closes what is idle. Whom something may have been lost to.
-    pub fn late(&mut self, now: Duration, out: &mut Vec<Output>) -> Vec<String> {
-        let is_late = |l: &PeerConnection| {
-            l.unacked.front().is_some_and(|(_, since)| now >= *since + timing::ACK_TIMEOUT)
-        };
-        let is_idle = |l: &PeerConnection| l.unacked.is_empty() && now >= l.used + IDLE_TIMEOUT;
-        let late: Vec<String> =
-            self.connections.iter().filter(|(_, l)| is_late(l)).map(|(n, _)| n.clone()).collect();
-        let idle: Vec<String> =
-            self.connections.iter().filter(|(_, l)| is_idle(l)).map(|(n, _)| n.clone()).collect();
-        late.iter().chain(&idle).for_each(|name| self.give_up(name, out));
-        late
+    /// Aborts connections with overdue acknowledgements, and idle ones. The peers to which frames may be lost.
+    pub fn close_overdue(&mut self, now: Duration, out: &mut Vec<Output>) -> Vec<String> {
+        let overdue = self.peers_where(|connection| connection.is_overdue(now));
+        let idle = self.peers_where(|connection| connection.is_idle(now));
+        for name in overdue.iter().chain(&idle) {
+            self.abort(name, out);
+        }
+        overdue
+    }
+
+    fn peers_where(&self, condition: impl Fn(&PeerConnection) -> bool) -> Vec<String> {
+        let matching = self.connections.iter().filter(|(_, connection)| condition(connection));
+        matching.map(|(name, _)| name.clone()).collect()
     }
 }
 
--- a/crates/consensus/src/policy_state.rs
+++ b/crates/consensus/src/policy_state.rs
@@ -1,6 +1,6 @@
-//! What the voters agree on, as a value that entries are applied to: the policy in force, the change under way, and how each one ended.
+//! The replicated state: the policy in force, the change under way, and the outcomes of earlier changes.
 //!
-//! Every voter applies the same entries in the same order and comes to the same state. Nothing here knows of voters, leases or time.
+//! Every voter applies the same entries in the same order and comes to the same state. It depends neither on leases nor on time.
 
 use crate::timing;
 use crate::voter_identity::VoterIdentity;
@@ -15,9 +15,9 @@
     pub id: String,
     /// The policy, in its canonical form.
     pub text: String,
-    /// The router that it was handed to.
+    /// The router to which it was submitted.
     pub from: String,
-    /// What that router's wall clock said, seconds since 1970. Shown to operators, used for nothing.
+    /// When it was submitted by that router's wall clock, seconds since 1970. Only shown to operators.
     pub submitted_unix_s: u64,
     /// The epoch that must be in force; 0: any.
     pub base_epoch: u64,
@@ -28,46 +28,46 @@
 /// Why a router can't take a policy.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Rejection {
-    /// Which router.
+    /// The name of the router.
     pub router: String,
-    /// Place, value and what was expected.
+    /// The reason: place, value and what was expected.
     pub reason: String,
 }
 
-/// How a change ends.
+/// The decision on a change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Decision {
-    /// It is the policy from now on.
+    /// Its policy is in force from now on.
     InForce,
-    /// It never was and never will be.
+    /// Its policy never was and never will be in force.
     Dropped(Vec<Rejection>),
 }
 
 /// An entry of the replicated log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Entry {
-    /// A change is under way; every router is to try it.
+    /// A change begins; every router is to prepare it.
     Propose(Proposal),
     /// The change of this id is decided.
     Decide(String, Decision),
-    /// The configuration ends here, in favour of one of these; what stands behind it counts for nobody.
+    /// The configuration ends here, in favour of one with these voters; entries after this one have no effect.
     Reconfigure(Vec<VoterIdentity>),
 }
 
-/// How a change ended, or that it has not.
+/// How a change ended.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ProposalOutcome {
-    /// The proposal.
+    /// The id of the proposal.
     pub id: String,
-    /// The router that it was handed to.
+    /// The router to which it was submitted.
     pub from: String,
-    /// That router's wall clock, for people.
+    /// When it was submitted by that router's wall clock, seconds since 1970. Only shown to operators.
     pub submitted_unix_s: u64,
-    /// Of the policy.
+    /// The digest of the policy.
     pub digest: u64,
-    /// The epoch that it became; `None`: dropped.
+    /// The epoch that it began; `None`: it was dropped.
     pub epoch: Option<u64>,
-    /// The epoch whose policy it brought back.
+    /// The epoch whose policy it restored, in a rollback.
     pub restores_epoch: Option<u64>,
     /// Why it was dropped.
     pub rejections: Vec<Rejection>,
@@ -78,18 +78,27 @@
 pub struct PolicyState {
     /// The epoch in force; 0: none yet.
     pub epoch: u64,
-    /// Of the policy in force.
+    /// The digest of the policy in force.
     pub digest: u64,
     /// The policy in force.
     pub text: String,
     /// The change under way.
     pub pending: Option<Proposal>,
-    /// How changes ended, the oldest first.
+    /// The outcomes of changes, the oldest first.
     pub outcomes: VecDeque<ProposalOutcome>,
-    /// Outcomes that are not remembered any more.
+    /// How many outcomes were dropped because there were too many.
     pub forgotten: u64,
-    /// Policies of earlier epochs.
-    texts: VecDeque<(u64, String)>,
+    /// Policies of earlier epochs, the oldest first.
+    earlier_policies: VecDeque<EarlierPolicy>,
+}
+
+/// The policy of an earlier epoch, which can be restored.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct EarlierPolicy {
+    /// The epoch.
+    pub epoch: u64,
+    /// Its policy.
+    pub text: String,
 }
 
 /// Why a change can't begin. The text reaches operators as the reason of a rejection.
@@ -111,20 +120,20 @@
     },
 }
 
-/// A policy's name by its content.
+/// The digest of a policy, by which equal policies are recognised.
 pub fn digest(text: &str) -> u64 {
     xxh3_64(text.as_bytes())
 }
 
 impl PolicyState {
-    /// The first epoch, with the policy that the founders start with.
-    pub fn founded(text: &str, from: &str, wall: u64) -> PolicyState {
+    /// The state of a new fleet: epoch 1, with this policy. `unix_s`: the wall clock, seconds since 1970.
+    pub fn founded(text: &str, from: &str, unix_s: u64) -> PolicyState {
         let mut policy_state = PolicyState::default();
         let first = Proposal {
             id: "founding".into(),
             text: text.into(),
             from: from.into(),
-            submitted_unix_s: wall,
+            submitted_unix_s: unix_s,
             base_epoch: 0,
             restores_epoch: None,
         };
@@ -133,28 +142,31 @@
         policy_state
     }
 
-    /// How a change ended.
+    /// The outcome of a change; `None`: it has not ended, or its outcome was dropped.
     pub fn outcome(&self, id: &str) -> Option<&ProposalOutcome> {
-        self.outcomes.iter().rev().find(|o| o.id == id)
+        self.outcomes.iter().rev().find(|outcome| outcome.id == id)
     }
 
-    /// The policy of an epoch, if it is still kept.
+    /// The policy of an epoch; `None`: it is not kept any more, or the epoch has not begun.
     pub fn text_of(&self, epoch: u64) -> Option<&str> {
         if epoch == self.epoch {
             return Some(&self.text);
         }
-        self.texts.iter().find(|(e, _)| *e == epoch).map(|(_, t)| t.as_str())
+        self.earlier_policies
+            .iter()
+            .find(|earlier| earlier.epoch == epoch)
+            .map(|earlier| earlier.text.as_str())
     }
 
-    /// Policies of earlier epochs that can be brought back.
-    pub fn kept_texts(&self) -> Vec<(u64, String)> {
-        self.texts.iter().cloned().collect()
+    /// The policies of earlier epochs that can be restored, the oldest first.
+    pub fn earlier_policies(&self) -> Vec<EarlierPolicy> {
+        self.earlier_policies.iter().cloned().collect()
     }
 
     /// Whether a change can begin now.
     ///
     /// # Errors
-    /// Why it can't.
+    /// Another change is under way, or the proposal is based on another epoch.
     pub fn check(&self, proposal: &Proposal) -> Result<(), ProposalConflict> {
         if let Some(other) = self.pending.as_ref().filter(|other| other.id != proposal.id) {
             return Err(ProposalConflict::ChangePending { id: other.id.clone() });
@@ -166,12 +178,12 @@
         Ok(())
     }
 
-    /// Takes one step.
+    /// Applies an entry. One that does not fit the state, such as a repeated proposal, has no effect.
     pub fn apply(&mut self, entry: &Entry) {
         match entry {
             Entry::Propose(proposal) => {
                 let known = self.outcome(&proposal.id).is_some()
-                    || self.pending.as_ref().is_some_and(|p| p.id == proposal.id);
+                    || self.pending.as_ref().is_some_and(|pending| pending.id == proposal.id);
                 if known {
                     return;
                 }
@@ -180,33 +192,34 @@
                     Err(conflict) => {
                         let reason = conflict.to_string();
                         let rejection = Rejection { router: proposal.from.clone(), reason };
-                        self.end(proposal, Decision::Dropped(vec![rejection]));
+                        self.record_outcome(proposal, Decision::Dropped(vec![rejection]));
                     }
                 }
             }
             Entry::Reconfigure(_) => {}
             Entry::Decide(id, decision) => {
-                if self.pending.as_ref().is_none_or(|p| p.id != *id) {
+                if self.pending.as_ref().is_none_or(|pending| pending.id != *id) {
                     return;
                 }
                 if let Some(proposal) = self.pending.take() {
-                    self.end(&proposal, decision.clone());
+                    self.record_outcome(&proposal, decision.clone());
                 }
             }
         }
     }
 
-    fn end(&mut self, proposal: &Proposal, decision: Decision) {
+    fn record_outcome(&mut self, proposal: &Proposal, decision: Decision) {
         let (epoch, rejections) = match decision {
             Decision::InForce => (Some(self.epoch + 1), Vec::new()),
             Decision::Dropped(rejections) => (None, rejections),
         };
         if let Some(epoch) = epoch {
             if self.epoch > 0 {
-                self.texts.push_back((self.epoch, std::mem::take(&mut self.text)));
+                let text = std::mem::take(&mut self.text);
+                self.earlier_policies.push_back(EarlierPolicy { epoch: self.epoch, text });
             }
-            while self.texts.len() > timing::MAX_KEPT_POLICIES {
-                self.texts.pop_front();
+            while self.earlier_policies.len() > timing::MAX_KEPT_POLICIES {
+                self.earlier_policies.pop_front();
             }
             self.epoch = epoch;
             self.text.clone_from(&proposal.text);
@@ -227,10 +240,10 @@
         }
     }
 
-    /// The last outcomes, for those who don't keep the policy state.
-    pub fn recent(&self) -> Vec<ProposalOutcome> {
-        let from = self.outcomes.len().saturating_sub(timing::RECENT_OUTCOMES);
-        self.outcomes.iter().skip(from).cloned().collect()
+    /// The last outcomes, for routers that do not vote.
+    pub fn recent_outcomes(&self) -> Vec<ProposalOutcome> {
+        let skipped = self.outcomes.len().saturating_sub(timing::RECENT_OUTCOMES);
+        self.outcomes.iter().skip(skipped).cloned().collect()
     }
 }
 
--- a/crates/consensus/src/policy_state/tests.rs
+++ b/crates/consensus/src/policy_state/tests.rs
@@ -12,13 +12,13 @@
 }
 
 #[test]
-fn one_change_at_a_time_and_each_id_ends_once() {
+fn second_change_is_dropped_while_one_is_pending_and_ended_change_is_not_reopened() {
     let mut policy_state = PolicyState::founded("one", "a", 7);
     assert_eq!((policy_state.epoch, policy_state.digest), (1, digest("one")));
     policy_state.apply(&propose("x", "two"));
     policy_state.apply(&propose("y", "three"));
     assert_eq!(
-        policy_state.outcome("y").map(|o| (o.epoch, o.rejections.len())),
+        policy_state.outcome("y").map(|outcome| (outcome.epoch, outcome.rejections.len())),
         Some((None, 1)),
         "one at a time"
     );
@@ -33,12 +33,15 @@
     policy_state.apply(&propose("x", "four"));
     policy_state.apply(&Entry::Decide("x".into(), Decision::Dropped(Vec::new())));
     assert_eq!(policy_state, before, "what has ended stays ended");
-    let late = Proposal { id: "l".into(), base_epoch: 1, ..book_proposal() };
+    let late = Proposal { id: "l".into(), base_epoch: 1, ..proposal_template() };
     policy_state.apply(&Entry::Propose(late));
-    assert!(policy_state.outcome("l").is_some_and(|o| o.epoch.is_none()), "made for an epoch that is over");
+    assert!(
+        policy_state.outcome("l").is_some_and(|outcome| outcome.epoch.is_none()),
+        "made for an epoch that is over"
+    );
 }
 
-fn book_proposal() -> Proposal {
+fn proposal_template() -> Proposal {
     Proposal {
         id: String::new(),
         text: "t".into(),
@@ -50,14 +53,14 @@
 }
 
 #[test]
-fn outcomes_and_texts_are_bounded_and_what_is_forgotten_is_counted() {
+fn outcomes_and_earlier_policies_are_bounded_and_dropped_outcomes_are_counted() {
     let mut policy_state = PolicyState::founded("0", "a", 0);
     for n in 0..timing::MAX_OUTCOMES + 10 {
         policy_state.apply(&propose(&n.to_string(), &n.to_string()));
         policy_state.apply(&Entry::Decide(n.to_string(), Decision::InForce));
     }
     assert_eq!((policy_state.outcomes.len(), policy_state.forgotten), (timing::MAX_OUTCOMES, 11));
-    assert_eq!(policy_state.texts.len(), timing::MAX_KEPT_POLICIES);
+    assert_eq!(policy_state.earlier_policies.len(), timing::MAX_KEPT_POLICIES);
     assert_eq!(
         policy_state.text_of(policy_state.epoch - timing::MAX_KEPT_POLICIES as u64),
         Some(&*(timing::MAX_OUTCOMES + 9 - timing::MAX_KEPT_POLICIES).to_string())
@@ -66,9 +69,9 @@
 }
 
 #[test]
-fn a_proposal_that_conflicts_is_dropped_with_the_reason_in_words() {
+fn conflicting_proposal_is_dropped_with_a_reason() {
     let mut state = PolicyState::founded("one", "a", 0);
-    let late = Proposal { id: "late".into(), base_epoch: 7, ..book_proposal() };
+    let late = Proposal { id: "late".into(), base_epoch: 7, ..proposal_template() };
     state.apply(&Entry::Propose(late));
     state.apply(&propose("x", "two"));
     state.apply(&propose("y", "three"));
--- a/crates/consensus/src/reconfiguration.rs
+++ b/crates/consensus/src/reconfiguration.rs
@@ -1,8 +1,9 @@
-//! Who votes. Up to [`timing::MAX_VOTERS`] routers all do; in a larger fleet those that were there first do, and the others learn from them.
+//! The choice of voters. In a fleet of up to [`timing::MAX_VOTERS`] routers all vote; in a larger one those that joined first do, and the others
+//! learn from them.
 //!
-//! One membership changes at a time, and only while a majority of the members that come of it are held by routers that are there. A router that has
-//! lost its folder takes its own membership again, as another voter: what it had promised is gone, so the old one must never speak again. A voter
-//! that is only silent keeps its membership until an operator says that it is gone for good.
+//! One voter changes at a time, and only while a majority of the new voters is live. A router that has lost its disk replaces itself under a new
+//! identity: its promises are gone, so the old identity must never vote again. A voter that is only silent stays one until an operator
+//! replaces it.
 
 use crate::timing;
 use crate::voter_identity::VoterIdentity;
@@ -11,61 +12,103 @@
 /// A router that holds a lease.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LiveRouter {
-    /// Name and disk; a disk of 0 is none, and can't hold promises.
-    pub member: VoterIdentity,
+    /// Name and disk; a disk of 0 is none, and can't store promises.
+    pub identity: VoterIdentity,
     /// For how long it has held leases without a gap.
-    pub held: Duration,
+    pub held_for: Duration,
+}
+
+impl LiveRouter {
+    /// Whether it has held leases for long enough to become a voter.
+    fn is_proven(&self) -> bool {
+        self.held_for >= timing::MIN_LEASE_BEFORE_VOTING
+    }
+
+    fn has_disk(&self) -> bool {
+        self.identity.disk != 0
+    }
 }
 
 /// An operator's request to replace a voter that is gone for good.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct VoterReplacement {
-    /// The voter.
+    /// The name of the voter.
     pub old: String,
-    /// Who takes its place, if that is said.
+    /// The name of the router that takes its place; `None`: the one that has held leases longest.
     pub new: Option<String>,
 }
 
-/// The members of the next configuration; `None`: they stay.
-pub fn next(
-    members: &[VoterIdentity], live: &[LiveRouter], replacing: Option<&VoterReplacement>,
+/// The voters of the next configuration; `None`: they stay as they are.
+pub fn next_voters(
+    voters: &[VoterIdentity], live: &[LiveRouter], replacement: Option<&VoterReplacement>,
 ) -> Option<Vec<VoterIdentity>> {
-    let sits = |member: &VoterIdentity| members.iter().any(|s| s.name == member.name);
-    let mut waiting: Vec<&LiveRouter> =
-        live.iter().filter(|l| l.member.disk != 0 && !sits(&l.member)).collect();
-    waiting.sort_by_key(|l| (std::cmp::Reverse(l.held), &l.member));
-    if let Some(VoterReplacement { old, new }) = replacing {
-        let at = members.iter().position(|s| s.name == *old)?;
-        let mut changed = members.to_vec();
-        changed.remove(at);
-        let heir = waiting.iter().find(|l| new.as_ref().is_none_or(|n| l.member.name == *n));
-        changed.extend(heir.map(|l| l.member.clone()));
-        return sound(&changed, live).then_some(changed);
-    }
-    let lost = live.iter().find_map(|l| {
-        let at = members.iter().position(|s| s.name == l.member.name && s.disk != l.member.disk)?;
-        // Its old life may still hold a lease; that of the membership itself being there means that it is no loss.
-        let there = live.iter().any(|other| other.member == members[at] && other.held > l.held);
-        (l.member.disk != 0 && !there && l.held >= timing::MIN_LEASE_BEFORE_VOTING)
-            .then(|| (at, l.member.clone()))
-    });
-    if let Some((at, member)) = lost {
-        let mut changed = members.to_vec();
-        changed[at] = member;
-        return sound(&changed, live).then_some(changed);
-    }
-    let proven = waiting.iter().find(|l| l.held >= timing::MIN_LEASE_BEFORE_VOTING)?;
-    if members.len() >= timing::MAX_VOTERS {
+    let candidates = candidates(voters, live);
+    let changed = match replacement {
+        Some(replacement) => replace_voter(voters, &candidates, replacement)?,
+        None => match replace_lost_disk(voters, live) {
+            Some(changed) => changed,
+            None => add_voter(voters, &candidates)?,
+        },
+    };
+    has_live_majority(&changed, live).then_some(changed)
+}
+
+/// Live routers with a disk that are no voters, those first that have held leases longest.
+fn candidates<'a>(voters: &[VoterIdentity], live: &'a [LiveRouter]) -> Vec<&'a LiveRouter> {
+    let votes = |router: &LiveRouter| voters.iter().any(|voter| voter.name == router.identity.name);
+    let mut candidates: Vec<&LiveRouter> =
+        live.iter().filter(|router| router.has_disk() && !votes(router)).collect();
+    candidates.sort_by_key(|router| (std::cmp::Reverse(router.held_for), &router.identity));
+    candidates
+}
+
+/// The voters without the one that an operator replaces, and with its successor if there is one.
+fn replace_voter(
+    voters: &[VoterIdentity], candidates: &[&LiveRouter], replacement: &VoterReplacement,
+) -> Option<Vec<VoterIdentity>> {
+    let VoterReplacement { old, new } = replacement;
+    let index = voters.iter().position(|voter| voter.name == *old)?;
+    let is_wanted = |router: &LiveRouter| new.as_ref().is_none_or(|new| router.identity.name == *new);
+    let successor = candidates.iter().find(|router| is_wanted(router));
+    let mut changed = voters.to_vec();
+    changed.remove(index);
+    changed.extend(successor.map(|router| router.identity.clone()));
+    Some(changed)
+}
+
+/// The voters with a new identity for one that is live with another disk than the one it voted with.
+fn replace_lost_disk(voters: &[VoterIdentity], live: &[LiveRouter]) -> Option<Vec<VoterIdentity>> {
+    live.iter().find_map(|router| {
+        let identity = &router.identity;
+        let has_other_disk =
+            |voter: &VoterIdentity| voter.name == identity.name && voter.disk != identity.disk;
+        let index = voters.iter().position(has_other_disk)?;
+        // The lease of its earlier incarnation may not have ended yet. If that one has held leases for longer, the disk is not lost.
+        let voter_is_live =
+            live.iter().any(|other| other.identity == voters[index] && other.held_for > router.held_for);
+        if !router.has_disk() || voter_is_live || !router.is_proven() {
+            return None;
+        }
+        let mut changed = voters.to_vec();
+        changed[index] = identity.clone();
+        Some(changed)
+    })
+}
+
+/// The voters with one more, if there may be more and a proven candidate exists.
+fn add_voter(voters: &[VoterIdentity], candidates: &[&LiveRouter]) -> Option<Vec<VoterIdentity>> {
+    let proven = candidates.iter().find(|router| router.is_proven())?;
+    if voters.len() >= timing::MAX_VOTERS {
         return None;
     }
-    let changed: Vec<VoterIdentity> = members.iter().cloned().chain([proven.member.clone()]).collect();
-    sound(&changed, live).then_some(changed)
+    Some(voters.iter().cloned().chain([proven.identity.clone()]).collect())
 }
 
-/// Whether a majority of these members are there.
-fn sound(members: &[VoterIdentity], live: &[LiveRouter]) -> bool {
-    let there = members.iter().filter(|s| live.iter().any(|l| l.member == **s)).count();
-    !members.is_empty() && there > members.len() / 2
+/// Whether a majority of these voters is live.
+fn has_live_majority(voters: &[VoterIdentity], live: &[LiveRouter]) -> bool {
+    let is_live = |voter: &VoterIdentity| live.iter().any(|router| router.identity == *voter);
+    let live_voters = voters.iter().filter(|voter| is_live(voter)).count();
+    !voters.is_empty() && live_voters > voters.len() / 2
 }
 
 #[cfg(test)]
--- a/crates/consensus/src/timing.rs
+++ b/crates/consensus/src/timing.rs
@@ -1,68 +1,68 @@
-//! Every time and bound of this package, with what it follows from. `docs/design-policy.md` weighs them.
+//! The intervals, timeouts and limits of this package, with their reasons. `docs/design-policy.md` discusses them.
 
 use std::time::Duration;
 
-/// How often the machine looks at what is due.
+/// How often the machine runs its timers.
 pub const TICK: Duration = Duration::from_millis(50);
-/// Ticks in one round of the voters' election: a leader that is silent is replaced within three rounds.
+/// Ticks in one round of the election: a silent leader is replaced within three rounds.
 pub const ELECTION_TICKS: u64 = 4;
-/// Ticks after which a message of the agreement that was not answered is sent again.
+/// Ticks after which an unanswered message of the consensus library is sent again.
 pub const RESEND_TICKS: u64 = 4;
-/// How long a router may take requests by an epoch after it asked, on its own clock. Longer than an election, so that a leader's death
-/// stops nobody; whoever leads next waits that long before it puts a change in force.
+/// How long a lease lasts from when the router requested it, on its own clock. Longer than an election, so that no router stops when a leader
+/// fails; the next leader waits that long before it puts a change in force.
 pub const LEASE: Duration = Duration::from_secs(3);
-/// The same while a change is under way: the most that two epochs can overlap. Four round trips of a slow network.
+/// How long a lease lasts while a change is under way: the most that two epochs can overlap. Four round trips of a slow network.
 pub const SHORT_LEASE: Duration = Duration::from_millis(80);
-/// Clocks that run, run alike within this share; twice the worst that quartz and its slewing show.
+/// The greatest relative error of a clock: twice the worst that quartz clocks and their adjustment show.
 pub const MAX_CLOCK_DRIFT: f64 = 0.001;
-/// A router with a lease asks anew after so long: a sixth of the lease, so that several may be lost.
+/// How often a router with a lease requests a new one: a sixth of the lease, so that several requests may be lost.
 pub const RENEW_INTERVAL: Duration = Duration::from_millis(500);
-/// One without a lease asks so often.
+/// How often a router without a lease requests one.
 pub const SEEK_INTERVAL: Duration = Duration::from_millis(200);
-/// One whose lease is short asks so often: three may be lost.
+/// How often a router with a short lease requests a new one: three requests may be lost.
 pub const SHORT_RENEW_INTERVAL: Duration = Duration::from_millis(20);
-/// A round in which voters confirm that the leader leads is sent again after so long.
+/// How long a leader waits for a majority to confirm a heartbeat before it sends it again.
 pub const HEARTBEAT_RETRY: Duration = Duration::from_millis(40);
-/// A change that not all routers with a lease have tried by then is dropped, and those that are late are named.
+/// How long a change waits for all routers with a lease to prepare it; then it is dropped, and the overdue routers are named.
 pub const CHANGE_DEADLINE: Duration = Duration::from_secs(10);
-/// A router that had no lease for so long does not count any more.
+/// How long after its last request a leader forgets a router without a lease.
 pub const HOLDER_EXPIRY: Duration = Duration::from_secs(10);
-/// A router has held a lease for so long before it is made a voter: one that comes and goes does not become one.
+/// How long a router has held leases before it becomes a voter, so that a short-lived one does not.
 pub const MIN_LEASE_BEFORE_VOTING: Duration = Duration::from_secs(5);
-/// Least time between two changes of who votes.
+/// The least time between two configurations.
 pub const RECONFIGURATION_INTERVAL: Duration = Duration::from_secs(2);
-/// Voters at most: any four of nine may be down, and a decision waits for four others.
+/// The most voters: any four of nine may be down, and a decision waits for four others.
 pub const MAX_VOTERS: usize = 9;
-/// Entries after which the voters begin a new log on the state that they have reached.
+/// Entries after which the voters begin a new log, on the state that they have reached.
 pub const MAX_LOG_ENTRIES: usize = 256;
-/// What was sent in order and not acknowledged for so long is given up with its connection.
+/// How long a frame may be unacknowledged before its connection is aborted.
 pub const ACK_TIMEOUT: Duration = Duration::from_millis(500);
-/// Bytes that may wait in order for one peer.
+/// Unacknowledged bytes that a connection to a peer may have.
 pub const MAX_UNACKED_BYTES: usize = 4 << 20;
-/// A voter that lags behind what the leader says for so long asks for what it misses.
+/// How long a voter may lag behind its leader before it synchronises its log again.
 pub const LAG_TIMEOUT: Duration = Duration::from_millis(200);
-/// Whoever founds or looks for the others asks so often.
+/// How often a founder without a configuration announces itself, and a peer is sent a configuration or asked for one.
 pub const BOOTSTRAP_INTERVAL: Duration = Duration::from_millis(200);
 /// The longest policy, bytes.
 pub const MAX_POLICY_LEN: usize = 256 << 10;
-/// Outcomes that are remembered; an older proposal's is answered with `unknown`.
+/// Outcomes that voters keep; the status of an older proposal is `unknown`.
 pub const MAX_OUTCOMES: usize = 16_384;
-/// Policies that can be rolled back to.
+/// Policies of earlier epochs that voters keep for rollbacks.
 pub const MAX_KEPT_POLICIES: usize = 32;
-/// Outcomes that routers without a vote are told of.
+/// Outcomes that are sent to routers that do not vote.
 pub const RECENT_OUTCOMES: usize = 16;
-/// When a client that is not served by a router without a valid epoch may come again.
+/// When a client that was rejected for want of a valid lease may retry.
 pub const RETRY_AFTER: Duration = Duration::from_millis(500);
-/// A disk that could not be written is tried again after so long.
+/// How long after a failed write the disk is written again.
 pub const DISK_RETRY_INTERVAL: Duration = Duration::from_millis(1_000);
-/// An operator's request that the leader is not known to have taken is sent again after this time.
+/// How long after it was sent an operator's request is sent again, if the leader is not known to have received it.
 pub const OPERATOR_REQUEST_RETRY: Duration = Duration::from_millis(200);
-/// And is given up after so long; it can be said again under the same id.
+/// How long an operator's request is sent; after that it can be made again under the same id.
 pub const OPERATOR_REQUEST_TIMEOUT: Duration = Duration::from_secs(30);
-/// Words of operators that wait in one router.
+/// Operators' requests that may wait in one router.
 pub const MAX_OPERATOR_REQUESTS: usize = 16;
 
-/// A time that has passed for certain on every clock after `span` on the slowest.
+/// A span on this clock that is certainly longer than `span` on any other clock.
 pub fn with_clock_drift(span: Duration) -> Duration {
     span.mul_f64(1.0 + 2.0 * MAX_CLOCK_DRIFT)
 }
--- a/crates/consensus/src/transport.rs
+++ b/crates/consensus/src/transport.rs
@@ -3,7 +3,7 @@
 use crate::peer_connections::PeerConnections;
 use crate::startup::PeerDirectory;
 use crate::timing;
-use crate::wire::{Body, Frame, FrameError, Peer, MAX_FRAME_LEN};
+use crate::wire::{Body, DecodedFrame, Frame, FrameError, Peer, MAX_FRAME_LEN};
 use omnipaxos::messages::Message;
 use slipreel_state_machine::{ConnId, ListenerId, Output};
 use std::collections::BTreeMap;
@@ -77,7 +77,7 @@
         &mut self, now: Duration, from: &Peer, to: &str, body: Body, out: &mut Vec<Output>,
     ) -> Delivery {
         let Some(address) = self.directory.address(to) else { return Delivery::Sent };
-        let in_order = matches!(body, Body::Vote(_, Message::SequencePaxos(_)));
+        let in_order = matches!(body, Body::Vote { message: Message::SequencePaxos(_), .. });
         let frame = Frame { fleet: self.fleet.clone(), from: from.clone(), body }.encode();
         if !in_order && frame.len() <= self.max_datagram_len {
             out.push(Output::Datagram(LISTENER, address, frame));
@@ -133,8 +133,8 @@
             Ok(None) if buffer.len() <= MAX_FRAME_LEN + FRAME_OVERHEAD => return None,
             Ok(None) => FrameError::TooLong(received),
             Err(error) => error,
-            Ok(Some((frame, used))) => {
-                buffer.drain(..used);
+            Ok(Some(DecodedFrame { frame, encoded_len })) => {
+                buffer.drain(..encoded_len);
                 out.push(Output::Write(conn, vec![ACK]));
                 return Some(frame);
             }
@@ -148,7 +148,7 @@
     /// The frame of a datagram.
     pub(crate) fn datagram(&mut self, now: Duration, bytes: &[u8], out: &mut Vec<Output>) -> Option<Frame> {
         let error = match Frame::decode(bytes) {
-            Ok(Some((frame, _))) => return Some(frame),
+            Ok(Some(decoded)) => return Some(decoded.frame),
             Ok(None) => FrameError::Checksum,
             Err(error) => error,
         };
@@ -165,7 +165,7 @@
 
     /// The peer has closed a connection. The router that it led to, if frames may be lost with it.
     pub(crate) fn closed_by_peer(&mut self, conn: ConnId, out: &mut Vec<Output>) -> Option<String> {
-        if self.inbound.remove(&conn).is_some() || self.connections.has(conn) {
+        if self.inbound.remove(&conn).is_some() || self.connections.contains(conn) {
             out.push(Output::Abort(conn));
         }
         self.connections.lost(conn)
--- a/crates/consensus/src/voter.rs
+++ b/crates/consensus/src/voter.rs
@@ -1,9 +1,9 @@
-//! One voter in one configuration: the agreement library behind what the rest of this package needs of it, and the rounds in which voters confirm
-//! that their leader still leads.
+//! One voter in one configuration: a wrapper of the consensus library, and the rounds of heartbeats by which voters confirm that their leader
+//! still leads.
 //!
-//! The library (`omnipaxos`) orders the entries and elects leaders that reach a majority, also in partial cuts. It does not tell a leader that it
-//! has been replaced unheard, so that alone would let it go on granting leases. Here a leader asks the voters: each that has promised nobody
-//! newer says so, and a majority that does proves that the leader led after it asked.
+//! The library (`omnipaxos`) orders the entries and elects leaders that reach a majority, also in partial network partitions. A leader that was
+//! replaced while it was cut off does not learn that from the library, and would go on granting leases. Therefore a leader sends heartbeats: each
+//! voter that has promised to follow no newer leader confirms, and a majority of confirmations proves that the leader led after it sent them.
 
 use crate::configuration::Configuration;
 use crate::policy_state::{Entry, PolicyState};
@@ -17,7 +17,10 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// Who leads, in an order in which later leaders are greater: the configuration, the ballot's number and its voter's.
+/// Messages for which the library reserves memory.
+const LIBRARY_BUFFER_LEN: usize = 64;
+
+/// A term of a leader; later terms are greater.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, serde::Serialize, serde::Deserialize,
 )]
@@ -30,33 +33,56 @@
     pub voter: u64,
 }
 
-/// A leader's heartbeat to the voters, and how far it is, so that those who lag see it.
+/// A leader's heartbeat to the voters, with the position of its log, so that voters that lag notice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Heartbeat {
-    /// Its term.
+    /// The term of the leader.
     pub term: Term,
     /// Numbers the round.
     pub round: u64,
-    /// Entries that it holds.
+    /// Entries in its log.
     pub log_len: usize,
     /// Entries that it knows to be decided.
     pub decided_len: usize,
 }
 
+/// How entries are replicated.
 enum Replication {
-    /// With others.
+    /// To the other voters, by the consensus library.
     Replicated(Box<OmniPaxos<Entry, VoterStorage>>),
-    /// A configuration of one decides by itself.
+    /// To nobody: a single voter decides by itself.
     SingleVoter,
 }
 
+/// A round of heartbeats under way.
 struct HeartbeatRound {
     number: u64,
-    sent: Duration,
+    sent_at: Duration,
     confirmed: BTreeSet<NodeId>,
 }
 
-/// A voter.
+/// What [`Voter::apply`] has applied.
+pub(crate) struct Applied {
+    /// How many entries.
+    pub(crate) entries: usize,
+    /// The configuration that follows, if the last entry ended this one.
+    pub(crate) next_configuration: Option<Configuration>,
+}
+
+/// A message of the consensus library.
+pub(crate) struct OutgoingMessage {
+    /// The name of the receiver.
+    pub(crate) to: String,
+    pub(crate) message: Message<Entry>,
+}
+
+/// How far a voter's log is.
+struct LogPosition {
+    log_len: usize,
+    decided_len: usize,
+}
+
+/// A voter of one configuration.
 pub struct Voter {
     pub(crate) configuration: Configuration,
     me: NodeId,
@@ -64,39 +90,21 @@
     storage: VoterStorage,
     policy_state: PolicyState,
     applied: usize,
-    /// The round that is under way, as leader.
+    /// The round of heartbeats that is under way, if it leads.
     round: Option<HeartbeatRound>,
     rounds_begun: u64,
-    /// Since when it lags behind what its leader says, as a follower.
+    /// Since when it lags behind its leader, if it follows one.
     lagging_since: Option<Duration>,
 }
 
 impl Voter {
-    /// A voter at its start, with what it had noted before; `None` if it is none of these.
+    /// A voter at its start, with the state that it had persisted; `None`: `identity` is not a voter of the configuration.
     pub(crate) fn new(
-        configuration: Configuration, member: &VoterIdentity, noted: PersistedState,
+        configuration: Configuration, identity: &VoterIdentity, persisted: PersistedState,
     ) -> Option<Voter> {
-        let me = configuration.voters.iter().position(|s| s == member)? as NodeId + 1;
-        let storage = VoterStorage::new(noted);
-        let replication = if configuration.voters.len() == 1 {
-            Replication::SingleVoter
-        } else {
-            let config = OmniPaxosConfig {
-                cluster_config: ClusterConfig {
-                    configuration_id: configuration.number,
-                    nodes: (1..=configuration.voters.len() as NodeId).collect(),
-                    flexible_quorum: None,
-                },
-                server_config: ServerConfig {
-                    pid: me,
-                    election_tick_timeout: timing::ELECTION_TICKS,
-                    resend_message_tick_timeout: timing::RESEND_TICKS,
-                    buffer_size: 64,
-                    ..ServerConfig::default()
-                },
-            };
-            Replication::Replicated(Box::new(config.build(storage.clone()).ok()?))
-        };
+        let me = node_id_of(&configuration, identity)?;
+        let storage = VoterStorage::new(persisted);
+        let replication = Replication::new(&configuration, me, &storage)?;
         let policy_state = configuration.initial_state.clone();
         let mut voter = Voter {
             configuration,
@@ -113,6 +121,8 @@
         Some(voter)
     }
 
+    /// The storage, which the consensus library writes through.
+
     pub(crate) fn storage(&self) -> &VoterStorage {
         &self.storage
     }
@@ -132,12 +142,8 @@
         StateVersion { configuration: self.configuration.number, applied: self.applied as u64 }
     }
 
-    fn voter(&self, at: NodeId) -> Option<&VoterIdentity> {
-        self.configuration.voters.get((at as usize).checked_sub(1)?)
-    }
-
-    fn node_id(&self, member: &VoterIdentity) -> Option<NodeId> {
-        self.configuration.voters.iter().position(|s| s == member).map(|at| at as NodeId + 1)
+    fn voter(&self, node_id: NodeId) -> Option<&VoterIdentity> {
+        self.configuration.voters.get((node_id as usize).checked_sub(1)?)
     }
 
     fn majority(&self) -> usize {
@@ -149,8 +155,8 @@
         let configuration = self.configuration.number;
         match &self.replication {
             Replication::SingleVoter => Term { configuration, ballot: 1, voter: self.me },
-            Replication::Replicated(p) => {
-                let promise = p.get_promise();
+            Replication::Replicated(library) => {
+                let promise = library.get_promise();
                 Term { configuration, ballot: promise.n, voter: promise.pid }
             }
         }
@@ -158,14 +164,14 @@
 
     /// The name of that leader.
     pub(crate) fn leader(&self) -> Option<&str> {
-        self.voter(self.term().voter).map(|s| s.name.as_str())
+        self.voter(self.term().voter).map(|voter| voter.name.as_str())
     }
 
     /// Whether this voter leads, as far as it knows, and holds all that was ever decided.
     pub(crate) fn leads(&self) -> bool {
         match &self.replication {
             Replication::SingleVoter => true,
-            Replication::Replicated(p) => p.get_current_leader() == Some((self.me, true)),
+            Replication::Replicated(library) => library.get_current_leader() == Some((self.me, true)),
         }
     }
 
@@ -179,127 +185,131 @@
         self.storage.is_ending()
     }
 
-    /// Asks for an entry, as leader.
+    /// Appends an entry to the log, as leader.
     pub(crate) fn append(&mut self, entry: Entry) {
         match &mut self.replication {
             Replication::SingleVoter => {
                 use omnipaxos::storage::Storage;
-                let n = self.storage.get_log_len().unwrap_or_default() + 1;
+                let log_len = self.storage.get_log_len().unwrap_or_default() + 1;
+                // Writes in memory do not fail.
                 let _ = self.storage.append_entry(entry);
-                let _ = self.storage.set_decided_idx(n);
+                let _ = self.storage.set_decided_idx(log_len);
             }
-            Replication::Replicated(p) => {
-                // Never refused: the library's own sign for an end is not used.
-                let _ = p.append(entry);
+            Replication::Replicated(library) => {
+                // Refused only after the library's own stop sign, which is not used.
+                let _ = library.append(entry);
             }
         }
     }
 
-    /// Ends the configuration in favour of one with these members.
-    pub(crate) fn end_configuration(&mut self, members: &[VoterIdentity]) {
-        self.append(Entry::Reconfigure(members.to_vec()));
+    /// Ends the configuration in favour of one with these voters.
+    pub(crate) fn end_configuration(&mut self, voters: &[VoterIdentity]) {
+        self.append(Entry::Reconfigure(voters.to_vec()));
     }
 
+    /// Advances the library's timers by one tick.
     pub(crate) fn tick(&mut self) {
-        if let Replication::Replicated(p) = &mut self.replication {
-            p.tick();
+        if let Replication::Replicated(library) = &mut self.replication {
+            library.tick();
         }
     }
 
-    /// Takes a message of the agreement. One from a membership that this configuration does not have is not taken.
+    /// Handles a message of the consensus library. One from a voter that this configuration does not have is ignored.
     pub(crate) fn receive(&mut self, from: &VoterIdentity, message: Message<Entry>) {
-        let known = self.node_id(from) == Some(message.get_sender()) && message.get_receiver() == self.me;
-        if let (true, Replication::Replicated(p)) = (known, &mut self.replication) {
-            p.handle_incoming(message);
+        let known = node_id_of(&self.configuration, from) == Some(message.get_sender())
+            && message.get_receiver() == self.me;
+        if let (true, Replication::Replicated(library)) = (known, &mut self.replication) {
+            library.handle_incoming(message);
         }
     }
 
-    /// Messages that wait to be sent, with whom to: to be taken after what was noted is on the disk.
-    pub(crate) fn messages(&mut self) -> Vec<(String, Message<Entry>)> {
-        let mut all = Vec::new();
-        if let Replication::Replicated(p) = &mut self.replication {
-            p.take_outgoing_messages(&mut all);
+    /// Takes the messages that wait to be sent. The storage must be persisted before.
+    pub(crate) fn take_messages(&mut self) -> Vec<OutgoingMessage> {
+        let mut messages = Vec::new();
+        if let Replication::Replicated(library) = &mut self.replication {
+            library.take_outgoing_messages(&mut messages);
         }
-        let named = |m: Message<Entry>| Some((self.voter(m.get_receiver())?.name.clone(), m));
-        all.into_iter().filter_map(named).collect()
+        let addressed = |message: Message<Entry>| {
+            let to = self.voter(message.get_receiver())?.name.clone();
+            Some(OutgoingMessage { to, message })
+        };
+        messages.into_iter().filter_map(addressed).collect()
     }
 
-    /// What was sent to a voter in order may not have come: the library agrees with it anew on where they stand.
+    /// Messages to or from a voter may be lost: the library synchronises the logs again.
     pub(crate) fn resynchronise(&mut self, name: &str) {
-        let number = self.configuration.voters.iter().position(|s| s.name == name).map(|at| at as NodeId + 1);
-        if let (Some(number), Replication::Replicated(p)) =
-            (number.filter(|n| *n != self.me), &mut self.replication)
-        {
-            p.reconnected(number);
+        let index = self.configuration.voters.iter().position(|voter| voter.name == name);
+        let node_id = index.map(|index| index as NodeId + 1).filter(|node_id| *node_id != self.me);
+        if let (Some(node_id), Replication::Replicated(library)) = (node_id, &mut self.replication) {
+            library.reconnected(node_id);
         }
     }
 
-    /// Applies what is decided. The entries that are new, and the next configuration if this one has ended.
-    pub(crate) fn apply(&mut self) -> (Vec<Entry>, Option<Configuration>) {
+    /// Applies the entries that have been decided since the last call.
+    pub(crate) fn apply(&mut self) -> Applied {
         let mut entries = self.storage.decided_from(self.applied);
-        let end = entries.iter().position(|e| matches!(e, Entry::Reconfigure(_)));
-        entries.truncate(end.map_or(entries.len(), |at| at + 1));
+        let end = entries.iter().position(|entry| matches!(entry, Entry::Reconfigure(_)));
+        entries.truncate(end.map_or(entries.len(), |index| index + 1));
         for entry in &entries {
             self.policy_state.apply(entry);
         }
         self.applied += entries.len();
-        let number = self.configuration.number + 1;
-        let next = match entries.last() {
-            Some(Entry::Reconfigure(members)) => Some(Configuration {
-                number,
-                voters: members.clone(),
+        let next_configuration = match entries.last() {
+            Some(Entry::Reconfigure(voters)) => Some(Configuration {
+                number: self.configuration.number + 1,
+                voters: voters.clone(),
                 initial_state: self.policy_state.clone(),
             }),
             _ => None,
         };
-        (entries, next)
+        Applied { entries: entries.len(), next_configuration }
     }
 
-    // ---- Confirming ------------------------------------------------------------------------------
-
-    /// Begins a round, as leader; the message goes to all other voters. `None`: one is under way.
+    /// Begins a round, as leader; the heartbeat is to be sent to all other voters. `None`: a round is under way.
     pub(crate) fn begin_heartbeat_round(&mut self, now: Duration) -> Option<Heartbeat> {
         if self.round.is_some() {
             return None;
         }
         self.rounds_begun += 1;
         let confirmed = BTreeSet::from([self.me]);
-        self.round = Some(HeartbeatRound { number: self.rounds_begun, sent: now, confirmed });
+        self.round = Some(HeartbeatRound { number: self.rounds_begun, sent_at: now, confirmed });
         Some(self.heartbeat())
     }
 
-    /// The heartbeat of the round that is under way, if it is time to ask again.
+    /// The heartbeat of the round that is under way, if it is time to send it again.
     pub(crate) fn resend_heartbeat(&mut self, now: Duration) -> Option<Heartbeat> {
-        let round = self.round.as_mut().filter(|r| now >= r.sent + timing::HEARTBEAT_RETRY)?;
-        round.sent = now;
+        let round = self.round.as_mut().filter(|round| now >= round.sent_at + timing::HEARTBEAT_RETRY)?;
+        round.sent_at = now;
         Some(self.heartbeat())
     }
 
     fn heartbeat(&self) -> Heartbeat {
-        let (log_len, decided_len) = self.log_position();
+        let LogPosition { log_len, decided_len } = self.log_position();
         Heartbeat { term: self.term(), round: self.rounds_begun, log_len, decided_len }
     }
 
-    fn log_position(&self) -> (usize, usize) {
+    fn log_position(&self) -> LogPosition {
         match &self.replication {
-            Replication::SingleVoter => (self.applied, self.applied),
-            Replication::Replicated(p) => (p.get_accepted_idx(), p.get_decided_idx()),
+            Replication::SingleVoter => LogPosition { log_len: self.applied, decided_len: self.applied },
+            Replication::Replicated(library) => {
+                LogPosition { log_len: library.get_accepted_idx(), decided_len: library.get_decided_idx() }
+            }
         }
     }
 
-    /// A leader asks: whether this voter has promised nobody newer.
+    /// Whether this voter confirms a heartbeat: it has promised to follow no newer leader.
     pub(crate) fn acknowledges(&mut self, now: Duration, heartbeat: &Heartbeat) -> bool {
         if heartbeat.term != self.term() {
             return false;
         }
-        let (log_len, decided_len) = self.log_position();
+        let LogPosition { log_len, decided_len } = self.log_position();
         let behind = log_len < heartbeat.log_len
             || decided_len < heartbeat.decided_len
             || heartbeat.decided_len < heartbeat.log_len;
         if !behind {
             self.lagging_since = None;
         } else if now >= *self.lagging_since.get_or_insert(now) + timing::LAG_TIMEOUT {
-            // A message of the last exchange may have been lost for good, and nothing follows it that would show the gap.
+            // A message may have been lost for good, with none after it that would show the gap.
             self.lagging_since = None;
             let leader = self.leader().unwrap_or_default().to_owned();
             self.resynchronise(&leader);
@@ -307,31 +317,63 @@
         true
     }
 
-    /// A voter confirms. True if that makes a majority: the round is over, and this voter led after it began.
+    /// Records that a voter has confirmed a round. True: a majority has, so the round is over, and this voter led after it began.
     pub(crate) fn record_ack(&mut self, from: &VoterIdentity, term: Term, number: u64) -> bool {
         if term != self.term() || !self.leads() {
             self.round = None;
             return false;
         }
-        let voter = self.node_id(from);
-        if let (Some(round), Some(voter)) = (self.round.as_mut().filter(|r| r.number == number), voter) {
-            round.confirmed.insert(voter);
+        let node_id = node_id_of(&self.configuration, from);
+        let round = self.round.as_mut().filter(|round| round.number == number);
+        if let (Some(round), Some(node_id)) = (round, node_id) {
+            round.confirmed.insert(node_id);
         }
         self.finish_confirmed_round()
     }
 
-    /// Whether the round that is under way has a majority; it is over then.
+    /// Ends the round that is under way if a majority has confirmed it. Whether it has.
     pub(crate) fn finish_confirmed_round(&mut self) -> bool {
-        let most = self.majority();
-        let done = self.leads() && self.round.as_ref().is_some_and(|r| r.confirmed.len() >= most);
-        if done {
+        let majority = self.majority();
+        let confirmed =
+            self.leads() && self.round.as_ref().is_some_and(|round| round.confirmed.len() >= majority);
+        if confirmed {
             self.round = None;
         }
-        done
+        confirmed
     }
 
-    /// This voter does not lead any more: its round says nothing.
+    /// Forgets the round that is under way, as this voter does not lead any more.
     pub(crate) fn abandon_round(&mut self) {
         self.round = None;
     }
 }
+
+impl Replication {
+    /// `None`: the library refuses the configuration.
+    fn new(configuration: &Configuration, me: NodeId, storage: &VoterStorage) -> Option<Replication> {
+        if configuration.voters.len() == 1 {
+            return Some(Replication::SingleVoter);
+        }
+        let config = OmniPaxosConfig {
+            cluster_config: ClusterConfig {
+                configuration_id: configuration.number,
+                nodes: (1..=configuration.voters.len() as NodeId).collect(),
+                flexible_quorum: None,
+            },
+            server_config: ServerConfig {
+                pid: me,
+                election_tick_timeout: timing::ELECTION_TICKS,
+                resend_message_tick_timeout: timing::RESEND_TICKS,
+                buffer_size: LIBRARY_BUFFER_LEN,
+                ..ServerConfig::default()
+            },
+        };
+        Some(Replication::Replicated(Box::new(config.build(storage.clone()).ok()?)))
+    }
+}
+
+/// The id by which the library knows a voter: its place in the configuration, from 1 on.
+fn node_id_of(configuration: &Configuration, identity: &VoterIdentity) -> Option<NodeId> {
+    let index = configuration.voters.iter().position(|voter| voter == identity)?;
+    Some(index as NodeId + 1)
+}
--- a/crates/consensus/src/wire.rs
+++ b/crates/consensus/src/wire.rs
@@ -1,7 +1,7 @@
-//! What routers tell each other about policy, as bytes: one frame, in a datagram where it fits and on a connection where it does not or where
-//! order counts.
+//! The messages that routers exchange about policy, and their encoding: one frame each, in a datagram if it fits, or on a connection if it does
+//! not or if order counts.
 //!
-//! A frame is `slAC`, a version, the length of what follows the checksum, the checksum, the content. A frame is taken whole or not at all.
+//! A frame is `slAC`, a version, the length of the content, its checksum, the content. An incomplete frame is never decoded.
 
 use crate::configuration::Configuration;
 use crate::policy_state::{Proposal, ProposalOutcome};
@@ -11,26 +11,28 @@
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// How frames begin, on connections and in datagrams.
+/// The first bytes of each frame, on connections and in datagrams.
 pub const MAGIC: [u8; 4] = *b"slAC";
-/// The version that this build speaks. Another one is refused and named.
+/// The version of the encoding. A frame of another version is refused with an error that names it.
 pub const VERSION: u8 = 1;
-/// The longest frame: the longest policy some times over, as a state carries earlier ones.
+/// The longest frame, bytes: several times the longest policy, as a state carries earlier policies.
 pub const MAX_FRAME_LEN: usize = 32 << 20;
 const FRAME_HEADER_LEN: usize = 13;
+/// The longest name of a fleet or a router, and the longest id of a proposal, bytes.
+const MAX_NAME_LEN: usize = 64;
 
-/// One life of a router.
+/// One incarnation of a router.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Peer {
     /// Its name.
     pub name: String,
-    /// Its disk; 0: it has none.
+    /// The id of its disk; 0: it has none.
     pub disk: u64,
-    /// Drawn at its start.
+    /// A random number drawn when the process starts.
     pub incarnation: u64,
 }
 
-/// A state of the agreement, in an order in which later states are greater.
+/// The version of the replicated state; later states are greater.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct StateVersion {
     /// The configuration's number.
@@ -39,128 +41,157 @@
     pub applied: u64,
 }
 
-/// A change that a router has tried.
+/// How a router answers a [`PrepareRequest`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct TriedChange {
+pub struct PrepareResponse {
     /// The proposal's id.
     pub id: String,
-    /// Why the router can't take it; `None`: it can.
+    /// Why the router can't act by the policy; `None`: it can.
     pub rejection: Option<String>,
 }
 
-/// A router asks whether it may take requests by its epoch, and says how it stands.
+/// A router requests a lease on its epoch, and reports its state.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseRequest {
-    /// Numbers the question; the answer counts from when it was asked.
+    /// Numbers the request. A lease that is granted for it counts from the moment at which it was sent.
     pub nonce: u64,
-    /// The epoch that it acts by; 0: none yet.
+    /// The epoch by which the router acts; 0: none yet.
     pub epoch: u64,
-    /// Of the policy that it has.
+    /// The digest of the policy that it has.
     pub digest: u64,
-    /// What it knows, as [`Grant::version`].
+    /// The version of the state that it knows, as [`Grant::version`].
     pub version: StateVersion,
-    /// The change that it has tried, and why it can't take it, if it can't.
-    pub tried: Option<TriedChange>,
-    /// It has given up whatever was answered to questions before this one, and wants short leases alone; 0: it has not.
+    /// The change that it has prepared or rejected.
+    pub prepare_response: Option<PrepareResponse>,
+    /// It has given up all leases that were granted for requests before this one, and wants short leases only; 0: it has not.
     pub short_leases_since: u64,
-    /// It takes no requests any more, and wants no answer.
+    /// It takes no requests any more, and expects no answer.
     pub released: bool,
 }
 
-/// A change that a router is to try.
+/// Tells a router to prepare a change: to compile its policy without putting it in force.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Trial {
-    /// The proposal.
+pub struct PrepareRequest {
+    /// The id of the proposal.
     pub id: String,
-    /// The policy; `None`: the router has it.
+    /// The policy; `None`: the router has it already.
     pub text: Option<String>,
-    /// Routers that it waits for.
+    /// The routers for which the change waits.
     pub waits_for: Vec<String>,
 }
 
-/// The leader's answer.
+/// The leader's answer to a [`LeaseRequest`].
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Grant {
-    /// The question; 0: it answers none.
+    /// The number of the request; 0: it answers none.
     pub nonce: u64,
-    /// Who answers.
+    /// The term of the leader that answers.
     pub term: Term,
     /// The leader's name.
     pub leader: String,
     /// The epoch in force.
     pub epoch: u64,
-    /// Of its policy.
+    /// The digest of its policy.
     pub digest: u64,
-    /// How long that is certain from when the question was asked, ms; 0: it is not.
+    /// How long the lease lasts from when the request was sent, ms; 0: none is granted.
     pub lease_ms: u32,
-    /// The policy, where the router has another.
+    /// The policy, if the router has another one.
     pub text: Option<String>,
     /// The change under way.
-    pub trial: Option<Trial>,
-    /// The configuration and the entries in it that this is the state after.
+    pub prepare_request: Option<PrepareRequest>,
+    /// The version of the state that the grant describes.
     pub version: StateVersion,
-    /// How the last changes ended, where the router's version is another.
+    /// How the last changes ended, if the router knows another version.
     pub recent: Option<Vec<ProposalOutcome>>,
-    /// Who votes.
+    /// The names of the voters.
     pub voters: Vec<String>,
 }
 
-/// What an operator has said to some router, on its way to the leader.
+/// A request that an operator made to some router, on its way to the leader.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum OperatorRequest {
-    /// A change.
+    /// Changes the policy.
     Propose(Proposal),
-    /// A voter is gone for good; another takes its place, if one is named or there is one.
+    /// Replaces a voter that is gone for good by the named router, or by the one that has held leases longest.
     Replace {
         /// The voter that is gone.
         old: String,
-        /// Who takes its place.
+        /// The router that takes its place; `None`: the leader chooses one.
         new: Option<String>,
     },
 }
 
-/// What a frame says.
+/// The message that a frame carries.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Body {
-    /// Between voters of one configuration.
-    Vote(u32, Message<Entry>),
+    /// A message of the consensus library between voters of one configuration.
+    Vote {
+        /// The number of the configuration.
+        configuration: u32,
+        /// The message.
+        message: Message<Entry>,
+    },
     /// A leader's heartbeat: it asks the voters whether it still leads.
     Heartbeat(Heartbeat),
-    /// It does, as far as this voter has promised.
-    HeartbeatAck(Term, u64),
+    /// A voter confirms that it has promised to follow no newer leader.
+    HeartbeatAck {
+        /// The leader's term.
+        term: Term,
+        /// The number of the confirmed round.
+        round: u64,
+    },
     /// A router requests a lease.
     LeaseRequest(LeaseRequest),
-    /// A lease request, forwarded to the leader by another voter: the router that asked, and its request.
-    ForwardedLeaseRequest(Peer, LeaseRequest),
-    /// The leader answers.
+    /// A lease request, forwarded to the leader by another voter.
+    ForwardedLeaseRequest {
+        /// The router that requests the lease.
+        origin: Peer,
+        /// Its request.
+        request: LeaseRequest,
+    },
+    /// The leader's answer to a lease request.
     Grant(Grant),
-    /// The answer to a forwarded request, for the router of this name.
-    ForwardedGrant(String, Grant),
+    /// The answer to a forwarded request.
+    ForwardedGrant {
+        /// The name of the router that requested the lease.
+        router: String,
+        /// The answer.
+        grant: Grant,
+    },
     /// An operator's request, on its way to the leader.
     OperatorRequest(OperatorRequest),
-    /// A founder without a configuration, with the policy that its file has.
+    /// The announcement of a founder without a configuration, with the policy in its own file.
     Bootstrap(String),
-    /// The sender's configuration has ended, or it has none: it asks for the present one.
+    /// Asks for the present configuration. The sender knows the one of this number, which may have ended; 0: it has none.
     ConfigurationRequest(u32),
     /// The present configuration.
     Configuration(Configuration),
 }
 
-/// A frame's content.
+/// A message with its sender.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Frame {
     /// The fleet's name.
     pub fleet: String,
     /// The sender.
     pub from: Peer,
-    /// What it says.
+    /// The message.
     pub body: Body,
 }
 
+/// A frame that was read from the beginning of some bytes.
+#[derive(Clone, Debug)]
+pub struct DecodedFrame {
+    /// The frame.
+    pub frame: Frame,
+    /// How many bytes it occupies.
+    pub encoded_len: usize,
+}
+
 /// Why bytes are not a frame.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FrameError {
-    /// They don't begin as a frame does.
+    /// They don't begin with [`MAGIC`].
     #[error("not a frame about policy")]
     NotAFrame,
     /// The frame is of another version.
@@ -172,13 +203,13 @@
     /// The frame was changed or cut short on the way.
     #[error("changed or cut short on the way")]
     Checksum,
-    /// The checksum is right and the content can't be read.
+    /// The checksum is right, but the content can't be decoded.
     #[error("a whole frame that can't be read")]
     Malformed,
 }
 
 impl Frame {
-    /// The bytes.
+    /// Encodes the frame.
     pub fn encode(&self) -> Vec<u8> {
         // Writing into memory fails for types that say their length only later; there are none here.
         let content = postcard::to_stdvec(self).unwrap_or_default();
@@ -191,21 +222,21 @@
         out
     }
 
-    /// Reads the frame at the beginning of some bytes, and how many it has; `None`: it has not come whole.
+    /// Decodes the frame at the beginning of some bytes; `None`: more bytes are needed.
     ///
     /// # Errors
-    /// Why there is none.
-    pub fn decode(bytes: &[u8]) -> Result<Option<(Frame, usize)>, FrameError> {
-        let known = bytes.len().min(4);
-        if bytes[..known] != MAGIC[..known] {
+    /// The bytes are no frame, or a frame that is refused.
+    pub fn decode(bytes: &[u8]) -> Result<Option<DecodedFrame>, FrameError> {
+        let received_magic = &bytes[..bytes.len().min(MAGIC.len())];
+        if !MAGIC.starts_with(received_magic) {
             return Err(FrameError::NotAFrame);
         }
-        if let Some(version) = bytes.get(4).filter(|v| **v != VERSION) {
+        if let Some(version) = bytes.get(MAGIC.len()).filter(|version| **version != VERSION) {
             return Err(FrameError::Version(*version));
         }
-        let Some(front) = bytes.get(5..FRAME_HEADER_LEN) else { return Ok(None) };
-        let (len, checksum) = front.split_at(4);
-        let len = len.iter().fold(0_usize, |n, b| n << 8 | usize::from(*b));
+        let Some(header) = bytes.get(MAGIC.len() + 1..FRAME_HEADER_LEN) else { return Ok(None) };
+        let (len, checksum) = header.split_at(size_of::<u32>());
+        let len = len.iter().fold(0_usize, |len, byte| len << 8 | usize::from(*byte));
         if len > MAX_FRAME_LEN {
             return Err(FrameError::TooLong(len));
         }
@@ -214,28 +245,30 @@
             return Err(FrameError::Checksum);
         }
         let frame: Frame = postcard::from_bytes(content).map_err(|_| FrameError::Malformed)?;
-        if frame.from.name.len() > 64 || frame.fleet.len() > 64 {
+        if frame.from.name.len() > MAX_NAME_LEN || frame.fleet.len() > MAX_NAME_LEN {
             return Err(FrameError::Malformed);
         }
-        Ok(Some((frame, FRAME_HEADER_LEN + len)))
+        Ok(Some(DecodedFrame { frame, encoded_len: FRAME_HEADER_LEN + len }))
     }
 }
 
 impl OperatorRequest {
-    /// Names it among the words that wait.
-    pub(crate) fn key(&self) -> String {
+    /// Requests with the same key are the same request, sent again.
+    pub(crate) fn deduplication_key(&self) -> String {
         match self {
-            OperatorRequest::Propose(p) => format!("propose {}", p.id),
+            OperatorRequest::Propose(proposal) => format!("propose {}", proposal.id),
             OperatorRequest::Replace { old, .. } => format!("replace {old}"),
         }
     }
 
-    /// Whether it is within what is taken.
-    pub(crate) fn fits(&self) -> bool {
+    /// Whether all its parts are short enough to be accepted.
+    pub(crate) fn is_within_limits(&self) -> bool {
         match self {
-            OperatorRequest::Propose(p) => p.text.len() <= timing::MAX_POLICY_LEN && p.id.len() <= 64,
+            OperatorRequest::Propose(proposal) => {
+                proposal.text.len() <= timing::MAX_POLICY_LEN && proposal.id.len() <= MAX_NAME_LEN
+            }
             OperatorRequest::Replace { old, new } => {
-                old.len() <= 64 && new.as_ref().is_none_or(|n| n.len() <= 64)
+                old.len() <= MAX_NAME_LEN && new.as_ref().is_none_or(|new| new.len() <= MAX_NAME_LEN)
             }
         }
     }
--- a/crates/consensus/src/wire/tests.rs
+++ b/crates/consensus/src/wire/tests.rs
@@ -2,30 +2,31 @@
 use crate::policy_state;
 
 #[test]
-fn a_frame_comes_back_from_any_pieces_and_changed_bytes_are_refused() {
+fn incomplete_frame_needs_more_bytes_and_changed_frame_is_refused() {
     let from = Peer { name: "a".into(), disk: 3, incarnation: 4 };
-    let ask = LeaseRequest {
+    let request = LeaseRequest {
         nonce: 7,
-        tried: Some(TriedChange { id: "x".into(), rejection: None }),
+        prepare_response: Some(PrepareResponse { id: "x".into(), rejection: None }),
         ..LeaseRequest::default()
     };
     let bytes =
-        Frame { fleet: "f".into(), from: from.clone(), body: Body::LeaseRequest(ask.clone()) }.encode();
+        Frame { fleet: "f".into(), from: from.clone(), body: Body::LeaseRequest(request.clone()) }.encode();
     for cut in 0..bytes.len() {
         assert!(matches!(Frame::decode(&bytes[..cut]), Ok(None)), "cut at {cut}");
     }
-    let (frame, used) = Frame::decode(&[&bytes[..], b"more"].concat()).expect("good").expect("whole");
-    assert_eq!((frame.from, used), (from, bytes.len()));
-    assert!(matches!(frame.body, Body::LeaseRequest(a) if a == ask));
+    let DecodedFrame { frame, encoded_len } =
+        Frame::decode(&[&bytes[..], b"more"].concat()).expect("a valid frame").expect("complete");
+    assert_eq!((frame.from, encoded_len), (from, bytes.len()));
+    assert!(matches!(frame.body, Body::LeaseRequest(decoded) if decoded == request));
     for at in 0..bytes.len() {
-        let mut bad = bytes.clone();
-        bad[at] ^= 1;
-        assert!(!matches!(Frame::decode(&bad), Ok(Some(_))), "byte {at}");
+        let mut damaged = bytes.clone();
+        damaged[at] ^= 1;
+        assert!(!matches!(Frame::decode(&damaged), Ok(Some(_))), "byte {at}");
     }
     assert_eq!(Frame::decode(b"slFT").err(), Some(FrameError::NotAFrame));
 }
 
-/// One frame of each kind as the build before issue 50 sent them. Never generated again.
+/// One frame of each kind as the build before issue 50 encoded them. Never generated again.
 const FRAMES: &[u8] = include_bytes!("../../tests/data/wire-frames.bin");
 
 fn sent_peer(name: &str) -> Peer {
@@ -51,13 +52,13 @@
     policy_state::Rejection { router: "router-c".into(), reason: "expected a time".into() }
 }
 
-fn sent_ask() -> LeaseRequest {
+fn sent_lease_request() -> LeaseRequest {
     LeaseRequest {
         nonce: 1,
         epoch: 2,
         digest: 3,
         version: StateVersion { configuration: 4, applied: 5 },
-        tried: Some(TriedChange { id: "x".into(), rejection: Some("expected a time".into()) }),
+        prepare_response: Some(PrepareResponse { id: "x".into(), rejection: Some("expected a time".into()) }),
         short_leases_since: 6,
         released: true,
     }
@@ -81,14 +82,18 @@
         digest: 3,
         lease_ms: 3_000,
         text: Some("policy".into()),
-        trial: Some(Trial { id: "x".into(), text: Some("next".into()), waits_for: vec!["router-c".into()] }),
+        prepare_request: Some(PrepareRequest {
+            id: "x".into(),
+            text: Some("next".into()),
+            waits_for: vec!["router-c".into()],
+        }),
         version: StateVersion { configuration: 4, applied: 5 },
         recent: Some(vec![outcome]),
         voters: vec!["router-a".into(), "router-b".into()],
     }
 }
 
-fn sent_state() -> Configuration {
+fn sent_configuration() -> Configuration {
     let voters = vec![crate::voter_identity::VoterIdentity { name: "router-a".into(), disk: 11 }];
     Configuration {
         number: 7,
@@ -97,8 +102,8 @@
     }
 }
 
-/// What voters of one configuration send each other: entries, and who leads.
-fn sent_votes() -> [Message<Entry>; 2] {
+/// Messages of the consensus library between voters: entries, and a heartbeat of the election.
+fn sent_vote_messages() -> [Message<Entry>; 2] {
     use omnipaxos::ballot_leader_election::Ballot;
     use omnipaxos::messages::ballot_leader_election::{BLEMessage, HeartbeatMsg, HeartbeatRequest};
     use omnipaxos::messages::sequence_paxos::{AcceptDecide, PaxosMessage, PaxosMsg};
@@ -107,7 +112,7 @@
         Entry::Propose(sent_proposal()),
         Entry::Decide("x".into(), policy_state::Decision::InForce),
         Entry::Decide("y".into(), policy_state::Decision::Dropped(vec![sent_rejection()])),
-        Entry::Reconfigure(sent_state().voters),
+        Entry::Reconfigure(sent_configuration().voters),
     ];
     let accept = PaxosMsg::AcceptDecide(AcceptDecide {
         n: Ballot::with(7, 5, 1, 2),
@@ -123,42 +128,43 @@
 }
 
 fn sent_bodies() -> Vec<Body> {
-    let confirm = Heartbeat { term: sent_term(), round: 1, log_len: 2, decided_len: 3 };
+    let round = Heartbeat { term: sent_term(), round: 1, log_len: 2, decided_len: 3 };
     let replace = |new| OperatorRequest::Replace { old: "router-c".into(), new };
-    let [accept, heartbeat] = sent_votes();
+    let [accept, heartbeat] = sent_vote_messages();
     vec![
-        Body::Vote(7, accept),
-        Body::Vote(7, heartbeat),
-        Body::Heartbeat(confirm),
-        Body::HeartbeatAck(sent_term(), 1),
-        Body::LeaseRequest(sent_ask()),
-        Body::ForwardedLeaseRequest(sent_peer("router-d"), sent_ask()),
+        Body::Vote { configuration: 7, message: accept },
+        Body::Vote { configuration: 7, message: heartbeat },
+        Body::Heartbeat(round),
+        Body::HeartbeatAck { term: sent_term(), round: 1 },
+        Body::LeaseRequest(sent_lease_request()),
+        Body::ForwardedLeaseRequest { origin: sent_peer("router-d"), request: sent_lease_request() },
         Body::Grant(sent_grant()),
-        Body::ForwardedGrant("router-d".into(), sent_grant()),
+        Body::ForwardedGrant { router: "router-d".into(), grant: sent_grant() },
         Body::OperatorRequest(OperatorRequest::Propose(sent_proposal())),
         Body::OperatorRequest(replace(None)),
         Body::OperatorRequest(replace(Some("router-e".into()))),
         Body::Bootstrap("policy".into()),
         Body::ConfigurationRequest(6),
-        Body::Configuration(sent_state()),
+        Body::Configuration(sent_configuration()),
     ]
 }
 
 #[test]
-fn frames_are_encoded_as_the_build_before_encoded_them() {
+fn frames_are_encoded_as_an_earlier_build_encoded_them() {
     let encode = |body| Frame { fleet: "fleet".into(), from: sent_peer("router-a"), body }.encode();
     let bytes: Vec<u8> = sent_bodies().into_iter().flat_map(encode).collect();
     assert_eq!(bytes, FRAMES);
 }
 
 #[test]
-fn frames_of_the_build_before_are_decoded_to_the_same_messages() {
+fn frames_of_an_earlier_build_are_decoded_to_the_same_messages() {
     let mut rest = FRAMES;
     for body in sent_bodies() {
-        let (frame, used) = Frame::decode(rest).expect("a frame of the build before").expect("complete");
+        let DecodedFrame { frame, encoded_len } =
+            Frame::decode(rest).expect("a frame of the build before").expect("complete");
         assert_eq!((frame.fleet.as_str(), frame.from), ("fleet", sent_peer("router-a")));
         assert_eq!(format!("{:?}", frame.body), format!("{body:?}"));
-        rest = &rest[used..];
+        rest = &rest[encoded_len..];
     }
     assert!(rest.is_empty());
 }
--- a/crates/fault-injection/src/bend.rs
+++ b/crates/fault-injection/src/bend.rs
@@ -48,12 +48,12 @@
         if !matches!(self, Bend::LongLease | Bend::Undecided) {
             return None;
         }
-        let (mut frame, _) = Frame::decode(bytes).ok()??;
-        let (Body::Grant(grant) | Body::ForwardedGrant(_, grant)) = &mut frame.body else { return None };
-        match (self, grant.trial.take()) {
+        let mut frame = Frame::decode(bytes).ok()??.frame;
+        let (Body::Grant(grant) | Body::ForwardedGrant { grant, .. }) = &mut frame.body else { return None };
+        match (self, grant.prepare_request.take()) {
             (Bend::LongLease, trial) => {
                 grant.lease_ms = grant.lease_ms.saturating_mul(40);
-                grant.trial = trial;
+                grant.prepare_request = trial;
             }
             (_, Some(trial)) => match trial.text.clone() {
                 Some(text) => {
@@ -61,7 +61,7 @@
                         (grant.epoch + 1, slipreel_consensus::policy_state::digest(&text));
                     (grant.text, grant.lease_ms) = (Some(text), 3_000);
                 }
-                None => grant.trial = Some(trial),
+                None => grant.prepare_request = Some(trial),
             },
             _ => return None,
         }
--- a/crates/gateway/src/policy.rs
+++ b/crates/gateway/src/policy.rs
@@ -209,7 +209,8 @@
             epoch.parse().map_err(|_| bad(format!("{epoch:?}: expected the number of an epoch")))?;
         let shown = handle.status();
         let proposal = shown.rollback_proposal(epoch, id.into(), self.wall()).ok_or_else(|| {
-            let kept: Vec<String> = shown.texts.iter().map(|(e, _)| e.to_string()).collect();
+            let kept: Vec<String> =
+                shown.earlier_policies.iter().map(|earlier| earlier.epoch.to_string()).collect();
             let who = if shown.votes {
                 "this router keeps"
             } else {
