--- a/crates/connections/src/lib.rs
+++ b/crates/connections/src/lib.rs
@@ -1,6 +1,7 @@
 //! What every router over HTTP needs, whatever its clients and engines speak. No I/O, no clock.
 //!
 //! - [`TimerWheel`] and [`ConnectionTimers`]: timers, and one for each connection;
+//! - [`ConnectionMap`]: the open connections of one kind, each with one timer;
 //! - [`Client`]: the server side of a client's connection;
 //! - [`Pool`]: which connection carries the next exchange with an engine;
 //! - [`ReuseHistory`]: whether idle connections can be reused;
@@ -10,6 +11,7 @@
 #![warn(missing_docs)]
 
 mod client;
+mod connection_map;
 mod connection_timers;
 mod pool;
 mod releases;
@@ -17,6 +19,7 @@
 mod timer_wheel;
 
 pub use client::{Client, Received, State};
+pub use connection_map::ConnectionMap;
 pub use connection_timers::ConnectionTimers;
 pub use pool::{Pool, Purpose, Slot};
 pub use releases::{Release, ReleaseId, ReleaseQueue, ReleaseStep, ReleaseTiming, UnconfirmedAttempt};
--- a/crates/gateway/src/dispatch.rs
+++ b/crates/gateway/src/dispatch.rs
@@ -1,11 +1,12 @@
 //! Carries out what the module decides: attempts, cancels, probes, aborts, timers. Decides nothing itself.
 
 use crate::engine_connection::{ConnectionPurpose, EngineConnection, State};
-use crate::gateway::{Decided, Gateway, Timer};
+use crate::gateway::{Decided, Gateway};
 use crate::limits;
 use crate::request::{RequestEnd, POLICY};
+use crate::timer::Timer;
 use slipreel::{Action, EngineId, Event, Idempotency, LoadReport, Outcome, ReportSource, RequestId};
-use slipreel_connections::{Purpose, Release, ReleaseId, ReleaseStep, Slot};
+use slipreel_connections::{Release, ReleaseId, ReleaseStep, Slot};
 use slipreel_protocol::engine::{self, Load};
 use slipreel_protocol::http::{self, Framing};
 use slipreel_state_machine::{ConnId, Output};
@@ -55,7 +56,7 @@
         self.counters.attempts += 1;
         let is_prefill = role == slipreel::Role::Prefill;
         if is_prefill {
-            self.pool.state_held(engine);
+            self.engines.state_held(engine);
         }
         let purpose = ConnectionPurpose::Attempt { request: id.0, attempt, is_prefill };
         let connection = if is_prefill || !call_runs_once { Wanted::Any } else { Wanted::New };
@@ -93,32 +94,26 @@
         &mut self, engine: EngineId, addr: SocketAddr, purpose: ConnectionPurpose, bytes: Vec<u8>,
         connection: Wanted, out: &mut Vec<Output>,
     ) -> Option<ConnId> {
-        let pool_purpose = match purpose {
-            ConnectionPurpose::Attempt { .. } => Purpose::Attempt,
-            ConnectionPurpose::Probe => Purpose::Probe,
-            ConnectionPurpose::Release(_) => Purpose::Release,
-        };
         let most = self.settings.bounds.per_engine;
         let slot = match connection {
-            Wanted::Any => self.pool.reserve(engine, most, pool_purpose, self.now),
+            Wanted::Any => self.engines.reserve(engine, purpose, most, self.now),
             Wanted::New => {
                 self.free_connection_slot(engine, most, out);
                 // None has rested for long enough.
-                self.pool.reserve(engine, most, pool_purpose, Duration::ZERO)
+                self.engines.reserve(engine, purpose, most, Duration::ZERO)
             }
         };
         let conn = match slot {
             Slot::Full => return None,
             Slot::Idle(conn) => {
-                let connection = self.engine_connections.get_mut(&conn)?;
+                let connection = self.engines.get_mut(conn)?;
                 connection.reuse(purpose, self.now);
                 out.push(Output::Write(conn, bytes));
                 conn
             }
             Slot::Open => {
-                let conn = self.next_connection_id();
-                self.engine_connections
-                    .insert(conn, EngineConnection::new(conn, engine, purpose, self.now, bytes));
+                let conn = self.engines.next_id();
+                self.engines.insert(EngineConnection::new(conn, engine, purpose, self.now, bytes));
                 out.push(Output::Connect(conn, addr));
                 conn
             }
@@ -129,11 +124,11 @@
 
     /// Where an engine may have no more connections, an idle one makes room for a new one.
     fn free_connection_slot(&mut self, engine: EngineId, most: usize, out: &mut Vec<Output>) {
-        if self.pool.open_count(engine) < most {
+        if self.engines.count_to(engine) < most {
             return;
         }
-        if let Some(&idle) = self.pool.idle(engine).first() {
-            self.remove_engine_connection(idle);
+        if let Some(&idle) = self.engines.idle_to(engine).first() {
+            self.engines.remove(idle, &mut self.timers);
             out.push(Output::CloseWhenSent(idle));
         }
     }
@@ -147,13 +142,13 @@
         let Some(conn) = request.attempts.get(attempt).filter(|a| a.in_flight).and_then(|a| a.conn) else {
             return;
         };
-        let unsent = self.engine_connections.get(&conn).is_some_and(|l| l.state == State::Connecting);
+        let unsent = self.engines.get(conn).is_some_and(|l| l.state == State::Connecting);
         self.abort_connection(conn, out, if unsent { Outcome::NotSent } else { Outcome::Cancelled });
     }
 
     /// Closes a connection at once; what it carried ends so.
     pub(crate) fn abort_connection(&mut self, conn: ConnId, out: &mut Vec<Output>, outcome: Outcome) {
-        let Some(connection) = self.remove_engine_connection(conn) else { return };
+        let Some(connection) = self.engines.remove(conn, &mut self.timers) else { return };
         out.push(Output::Abort(conn));
         self.exchange_ended(&connection, outcome, out);
     }
@@ -178,7 +173,7 @@
     fn release(&mut self, id: RequestId, out: &mut Vec<Output>) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         for (engine, addr, name) in request.release() {
-            self.pool.state_released(Some(engine));
+            self.engines.state_released(Some(engine));
             let id = self.releases.add(self.now, engine, addr, name);
             self.release_due(id, out);
         }
@@ -200,7 +195,7 @@
 
     /// Sends a release on a connection that stands, else on a new one.
     pub(crate) fn send_release(&mut self, id: ReleaseId, release: &Release, out: &mut Vec<Output>) {
-        let stands = self.pool.has_idle(release.holder);
+        let stands = self.engines.has_idle_to(release.holder);
         if !stands && !self.releases.may_open(release.holder, self.now, limits::RELEASE_TIMING.retry) {
             return;
         }
@@ -241,8 +236,8 @@
     }
 
     pub(crate) fn close_idle(&mut self, engine: EngineId, out: &mut Vec<Output>) {
-        for conn in self.pool.idle(engine) {
-            self.remove_engine_connection(conn);
+        for conn in self.engines.idle_to(engine) {
+            self.engines.remove(conn, &mut self.timers);
             out.push(Output::CloseWhenSent(conn));
         }
     }
@@ -259,7 +254,7 @@
         let latency = now.saturating_sub(a.sent);
         self.metrics.attempt(a.is_prefill, outcome);
         request.engine_time(latency);
-        self.pool.state_released(request.drop_holder_of(attempt, outcome));
+        self.engines.state_released(request.drop_holder_of(attempt, outcome));
         let ended = slipreel::AttemptEnded {
             request: id,
             attempt,
--- a/crates/gateway/src/engine_connection.rs
+++ b/crates/gateway/src/engine_connection.rs
@@ -5,7 +5,8 @@
 //! abort call has `limits::LET_GO_CALL` for both connecting and its answer.
 
 use crate::engine_error::{self, EngineError};
-use crate::limits::MAX_ENGINE_BODY;
+use crate::limits::{self, MAX_ENGINE_BODY};
+use crate::settings::GatewaySettings;
 use serde_json::Value;
 use slipreel::EngineId;
 use slipreel_connections::ReleaseId;
@@ -112,6 +113,23 @@
         }
     }
 
+    /// When it times out; `None` if it does not in its present state. `is_streaming`: it carries an answer that has begun.
+    pub(crate) fn deadline(&self, settings: &GatewaySettings, is_streaming: bool) -> Option<Duration> {
+        let bounds = &settings.bounds;
+        match (self.state, self.purpose) {
+            (State::Idle, _) => Some(self.since + bounds.engine_idle),
+            (_, ConnectionPurpose::Release(_)) if self.opened_for_release => {
+                Some(self.since + limits::RELEASE_EXCHANGE_TIMEOUT)
+            }
+            (_, ConnectionPurpose::Release(_)) => Some(self.since + limits::RELEASE_TIMING.give_up),
+            (State::Connecting, _) => Some(self.since + settings.decisions.limits.connect_timeout),
+            (State::Busy, ConnectionPurpose::Probe) => Some(self.since + bounds.probe),
+            (State::Busy, ConnectionPurpose::Attempt { .. }) => {
+                (is_streaming && !self.paused).then(|| self.since + bounds.silent_stream)
+            }
+        }
+    }
+
     /// Starts another exchange on an idle connection.
     pub(crate) fn reuse(&mut self, purpose: ConnectionPurpose, now: Duration) {
         (self.purpose, self.state, self.since) = (purpose, State::Busy, now);
--- a/crates/gateway/src/engines.rs
+++ b/crates/gateway/src/engines.rs
@@ -6,6 +6,7 @@
 use crate::limits;
 use crate::message_writer::MessageWriter;
 use crate::request::RequestEnd;
+use crate::timer::Timer;
 use slipreel::{Event, LoadReport, Outcome, RequestId};
 use slipreel_protocol::engine::Chunk;
 use slipreel_protocol::messages::{ApiError, ErrorKind};
@@ -15,9 +16,7 @@
 impl Gateway {
     pub(crate) fn engine_connected(&mut self, conn: ConnId, out: &mut Vec<Output>) {
         let now = self.now;
-        let Some(connection) =
-            self.engine_connections.get_mut(&conn).filter(|l| l.state == State::Connecting)
-        else {
+        let Some(connection) = self.engines.get_mut(conn).filter(|l| l.state == State::Connecting) else {
             return;
         };
         if let ConnectionPurpose::Attempt { request, .. } = connection.purpose {
@@ -33,7 +32,7 @@
 
     pub(crate) fn engine_data(&mut self, conn: ConnId, bytes: &[u8], out: &mut Vec<Output>) {
         let now = self.now;
-        let Some(connection) = self.engine_connections.get_mut(&conn) else { return };
+        let Some(connection) = self.engines.get_mut(conn) else { return };
         if connection.state != State::Busy {
             // Bytes that nobody asked for: what follows could be taken for the next answer.
             return self.abort_connection(conn, out, Outcome::Error);
@@ -45,7 +44,7 @@
     }
 
     pub(crate) fn engine_eof(&mut self, conn: ConnId, out: &mut Vec<Output>) {
-        let Some(connection) = self.engine_connections.get_mut(&conn) else { return };
+        let Some(connection) = self.engines.get_mut(conn) else { return };
         let mut said = Vec::new();
         if connection.state == State::Busy && connection.eof(&mut said) {
             self.handle_engine_events(conn, said, out);
@@ -56,7 +55,7 @@
     pub(crate) fn engine_connection_lost(
         &mut self, conn: ConnId, why: ConnectionLoss, out: &mut Vec<Output>,
     ) {
-        if let Some(connection) = self.remove_engine_connection(conn) {
+        if let Some(connection) = self.engines.remove(conn, &mut self.timers) {
             self.exchange_ended(&connection, loss_outcome(why), out);
         }
     }
@@ -64,18 +63,18 @@
     /// Its time is up: by its state, a connection that did not stand, an exchange without an answer, a stream that
     /// fell silent, or an idle connection.
     pub(crate) fn engine_timed_out(&mut self, conn: ConnId, out: &mut Vec<Output>) {
-        let Some(connection) = self.engine_connections.get(&conn) else { return };
+        let Some(connection) = self.engines.get(conn) else { return };
         match connection.state {
             State::Connecting => self.abort_connection(conn, out, Outcome::ConnectFailed),
             State::Busy => self.abort_connection(conn, out, Outcome::TimedOut),
-            State::Idle if self.pool.keeps_last_idle(connection.engine) => {
-                if let Some(connection) = self.engine_connections.get_mut(&conn) {
+            State::Idle if self.engines.keeps_last_idle(connection.engine) => {
+                if let Some(connection) = self.engines.get_mut(conn) {
                     connection.since = self.now;
                 }
                 self.arm_engine_timer(conn);
             }
             State::Idle => {
-                self.remove_engine_connection(conn);
+                self.engines.remove(conn, &mut self.timers);
                 out.push(Output::CloseWhenSent(conn));
             }
         }
@@ -93,7 +92,7 @@
     fn handle_engine_events(&mut self, conn: ConnId, said: Vec<EngineEvent>, out: &mut Vec<Output>) {
         let mut piece = Vec::new();
         for said in said {
-            let Some(connection) = self.engine_connections.get(&conn) else { break };
+            let Some(connection) = self.engines.get(conn) else { break };
             let (engine, purpose, load) = (connection.engine, connection.purpose, connection.load);
             if connection.state != State::Busy {
                 // More than was asked for.
@@ -109,7 +108,7 @@
                     }
                 }
                 (EngineEvent::LoadReport(told), _) => {
-                    if let Some(connection) = self.engine_connections.get_mut(&conn) {
+                    if let Some(connection) = self.engines.get_mut(conn) {
                         connection.load = Some(told);
                     }
                 }
@@ -173,9 +172,7 @@
                 (_, ConnectionPurpose::Attempt { .. }) => self.abort_connection(conn, out, Outcome::Error),
             }
         }
-        if let Some(ConnectionPurpose::Attempt { request, .. }) =
-            self.engine_connections.get(&conn).map(|l| l.purpose)
-        {
+        if let Some(ConnectionPurpose::Attempt { request, .. }) = self.engines.get(conn).map(|l| l.purpose) {
             self.write_stream(RequestId(request), &mut piece, out);
             self.check_pace(RequestId(request), out);
         }
@@ -184,10 +181,10 @@
     /// An attempt was turned away. On a kept connection that may be an answer left over from the exchange before, with this
     /// attempt still at work: it is given up by closing the connection.
     fn end_rejected_exchange(&mut self, conn: ConnId, out: &mut Vec<Output>) {
-        if self.engine_connections.get(&conn).is_some_and(|connection| !connection.is_reused) {
+        if self.engines.get(conn).is_some_and(|connection| !connection.is_reused) {
             return self.finish_exchange(conn, out);
         }
-        self.remove_engine_connection(conn);
+        self.engines.remove(conn, &mut self.timers);
         out.push(Output::Abort(conn));
     }
 
@@ -195,7 +192,7 @@
     fn finish_exchange(&mut self, conn: ConnId, out: &mut Vec<Output>) {
         let now = self.now;
         let most = self.settings.bounds.idle_per_engine;
-        let Some(connection) = self.engine_connections.get_mut(&conn) else { return };
+        let Some(connection) = self.engines.get_mut(conn) else { return };
         let engine = connection.engine;
         (connection.state, connection.since) = (State::Idle, now);
         connection.opened_for_release = false;
@@ -203,14 +200,14 @@
             out.push(Output::Resume(conn));
         }
         let reusable = connection.reusable;
-        if reusable && self.pool.put_idle(engine, conn, most, now) {
+        if reusable && self.engines.keep_idle(engine, conn, most, now) {
             self.arm_engine_timer(conn);
             let waiting = self.releases.oldest_waiting_for(engine);
             if let Some((id, release)) = waiting.and_then(|id| Some((id, self.releases.get(id)?.clone()))) {
                 self.send_release(id, &release, out);
             }
         } else {
-            self.remove_engine_connection(conn);
+            self.engines.remove(conn, &mut self.timers);
             out.push(Output::CloseWhenSent(conn));
         }
     }
@@ -237,7 +234,7 @@
             if !request.is_restarted() {
                 self.metrics.first_token(name, now, request);
             }
-            self.pool.state_released(taken);
+            self.engines.state_released(taken);
             let latency = now.saturating_sub(request.attempts[attempt].sent);
             let (generation, conn, stream, complete_by) =
                 (request.generation, request.attempts[attempt].conn, request.stream, request.complete_by);
@@ -245,7 +242,7 @@
             if stream {
                 self.begin_stream(id, out);
             } else if let Some(at) = complete_by {
-                self.timers.set(at, crate::gateway::Timer::CompleteAnswer(id));
+                self.timers.set(at, Timer::CompleteAnswer(id));
             }
             if let Some(conn) = conn {
                 self.arm_engine_timer(conn);
@@ -310,9 +307,9 @@
     pub(crate) fn check_pace(&mut self, id: RequestId, out: &mut Vec<Output>) {
         let Some(request) = self.requests.get(&id) else { return };
         let Some(conn) = request.streaming_attempt.and_then(|a| request.attempts[a].conn) else { return };
-        let Some(unsent) = self.clients.get(&request.client).map(|c| c.unsent) else { return };
+        let Some(unsent) = self.clients.get(request.client).map(|c| c.unsent) else { return };
         let (now, bounds) = (self.now, &self.settings.bounds);
-        let Some(connection) = self.engine_connections.get_mut(&conn) else { return };
+        let Some(connection) = self.engines.get_mut(conn) else { return };
         let pauses = limits::pauses(bounds, unsent, connection.paused);
         if pauses != connection.paused {
             (connection.paused, connection.since) = (pauses, now);
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -1,19 +1,20 @@
 //! The front as a machine: takes inputs in turn, fires timers, and lets the module decide until nothing is left.
 
-use crate::engine_connection::{ConnectionPurpose, EngineConnection, State as ConnectionState};
+use crate::client_connections::ClientConnections;
+use crate::engine_connection::{ConnectionPurpose, State as ConnectionState};
+use crate::engine_connections::EngineConnections;
 use crate::engine_list::EngineList;
 use crate::limits;
 use crate::metrics::{Metrics, Snapshot};
 use crate::request::{ActiveRequest, RequestEnd};
 use crate::settings::{EngineSettings, GatewaySettings};
-use slipreel::{Action, EngineId, EngineState, Event, Listing, RequestId, Router, TimerId};
-use slipreel_connections::{
-    Client, ConnectionTimers, Pool, ReleaseId, ReleaseQueue, State as ClientState, TimerWheel,
-};
+use crate::timer::{Timer, Timers};
+use slipreel::{Action, EngineId, EngineState, Event, Listing, RequestId, Router};
+use slipreel_connections::{Client, ReleaseQueue, State as ClientState};
 use slipreel_consensus::PolicyHandle;
 use slipreel_membership::{MemberStatus, SharedView};
 use slipreel_state_machine::{ConnId, ConnectionLoss, Input, Machine, Output};
-use std::collections::{BTreeMap, HashMap, VecDeque};
+use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -55,25 +56,6 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RouterCount(pub u32);
 
-/// Why a timer was set.
-#[derive(Clone, Copy, Debug)]
-pub(crate) enum Timer {
-    /// A decision module asked for it; its generation.
-    Decision(u64, TimerId),
-    /// A client connection may have timed out.
-    Client(ConnId),
-    /// A connection to an engine may have timed out.
-    Engine(ConnId),
-    /// An attempt's time-out, where the module gives one.
-    Attempt(RequestId, usize),
-    /// A client that waits for a complete answer gives up.
-    CompleteAnswer(RequestId),
-    /// An engine that could not be told to let go of state is told again.
-    Release(ReleaseId),
-    /// What still runs some time after the start of a shutdown ends.
-    ShutdownDeadline,
-}
-
 /// A router and the site that it was made from. After a reload the older one ends what it has taken.
 pub(crate) struct DecisionModule {
     pub(crate) generation: u64,
@@ -91,21 +73,15 @@
     pub(crate) epoch_ahead: Duration,
     pub(crate) decision_modules: Vec<DecisionModule>,
     pub(crate) engine_list: EngineList,
-    pub(crate) clients: HashMap<ConnId, Client>,
-    client_timers: ConnectionTimers,
-    pub(crate) engine_connections: HashMap<ConnId, EngineConnection>,
-    engine_timers: ConnectionTimers,
-    pub(crate) pool: Pool,
+    pub(crate) clients: ClientConnections,
+    pub(crate) engines: EngineConnections,
     pub(crate) requests: BTreeMap<RequestId, ActiveRequest>,
-    pub(crate) timers: TimerWheel<Timer>,
+    pub(crate) timers: Timers,
     /// What the module is to be told, and by whose router; `None`: all.
     pub(crate) events: VecDeque<(Option<u64>, Event)>,
     pub(crate) finished_requests: Vec<RequestId>,
     /// What engines have to be told to let go of, until they have heard it.
     pub(crate) releases: ReleaseQueue,
-    /// Engine connections whose client has left.
-    pub(crate) abandoned_connections: Vec<ConnId>,
-    pub(crate) next_conn: u64,
     pub(crate) next_request: u64,
     pub(crate) stopping: bool,
     stopped: bool,
@@ -133,18 +109,13 @@
             epoch_ahead: wall.saturating_sub(now),
             decision_modules: Vec::new(),
             engine_list: EngineList::default(),
-            clients: HashMap::new(),
-            client_timers: ConnectionTimers::default(),
-            engine_connections: HashMap::new(),
-            engine_timers: ConnectionTimers::default(),
-            pool: Pool::default(),
+            clients: ClientConnections::default(),
+            engines: EngineConnections::default(),
             requests: BTreeMap::new(),
-            timers: TimerWheel::default(),
+            timers: Timers::default(),
             events: VecDeque::new(),
             finished_requests: Vec::new(),
             releases: ReleaseQueue::new(limits::RELEASE_TIMING),
-            abandoned_connections: Vec::new(),
-            next_conn: 0,
             next_request: 0,
             stopping: false,
             stopped: false,
@@ -176,7 +147,7 @@
     pub fn held_state(&self) -> HeldState {
         HeldState {
             client_connections: self.clients.len(),
-            engine_connections: self.engine_connections.len(),
+            engine_connections: self.engines.len(),
             requests: self.requests.len(),
             timers: self.timers.len(),
         }
@@ -229,11 +200,6 @@
         self.events.push_back((None, event));
     }
 
-    pub(crate) fn next_connection_id(&mut self) -> ConnId {
-        self.next_conn += 1;
-        ConnId::opened(self.next_conn)
-    }
-
     /// Lets the module decide until it has been told all; then forgets calls that are done.
     fn run_decisions(&mut self, out: &mut Vec<Output>) {
         let mut actions = Vec::new();
@@ -258,7 +224,7 @@
         for id in std::mem::take(&mut self.finished_requests) {
             if self.requests.get(&id).is_some_and(ActiveRequest::is_finished) {
                 let held = self.requests.remove(&id).map(ActiveRequest::into_holders).unwrap_or_default();
-                held.into_iter().for_each(|engine| self.pool.state_released(Some(engine)));
+                held.into_iter().for_each(|engine| self.engines.state_released(Some(engine)));
             }
         }
         if self.decision_modules.len() > 1 {
@@ -277,72 +243,51 @@
 
     // ---- Timers -----------------------------------------------------------------------------
 
-    /// When a connection of a client has to have moved on, by its state.
-    fn client_timer_due(&self, client: &Client) -> Option<Duration> {
-        let bounds = &self.settings.bounds;
-        let stalled = (client.unsent > 0).then(|| client.last_sent_at + bounds.stalled_peer);
-        let due = match client.state {
-            ClientState::Idle => Some(client.since + bounds.client_idle),
-            ClientState::Receiving => Some(client.since + bounds.receive),
-            ClientState::Serving(_) => None,
+    /// When a connection to an engine times out; `None` if it does not in its present state.
+    fn engine_deadline(&self, conn: ConnId) -> Option<Duration> {
+        let connection = self.engines.get(conn)?;
+        let is_streaming = match connection.purpose {
+            ConnectionPurpose::Attempt { request, attempt, .. } => self
+                .requests
+                .get(&RequestId(request))
+                .is_some_and(|request| request.streaming_attempt == Some(attempt)),
+            ConnectionPurpose::Probe | ConnectionPurpose::Release(_) => false,
         };
-        due.into_iter().chain(stalled).min()
+        connection.deadline(&self.settings, is_streaming)
     }
 
-    /// When a connection to an engine has to have moved on, by its state.
-    fn engine_timer_due(&self, connection: &EngineConnection) -> Option<Duration> {
-        let bounds = &self.settings.bounds;
-        match (connection.state, connection.purpose) {
-            (ConnectionState::Idle, _) => Some(connection.since + bounds.engine_idle),
-            (_, ConnectionPurpose::Release(_)) if connection.opened_for_release => {
-                Some(connection.since + limits::RELEASE_EXCHANGE_TIMEOUT)
-            }
-            (_, ConnectionPurpose::Release(_)) => Some(connection.since + limits::RELEASE_TIMING.give_up),
-            (ConnectionState::Connecting, _) => {
-                Some(connection.since + self.settings.decisions.limits.connect_timeout)
-            }
-            (ConnectionState::Busy, ConnectionPurpose::Probe) => Some(connection.since + bounds.probe),
-            (ConnectionState::Busy, ConnectionPurpose::Attempt { request, attempt, .. }) => {
-                let streaming_attempt = self
-                    .requests
-                    .get(&RequestId(request))
-                    .is_some_and(|c| c.streaming_attempt == Some(attempt));
-                (streaming_attempt && !connection.paused).then(|| connection.since + bounds.silent_stream)
-            }
-        }
-    }
-
-    /// Sets the timer of a client's connection by its state.
+    /// Sets the timer of a client connection by its state.
     pub(crate) fn arm_client_timer(&mut self, conn: ConnId) {
-        let due = self.clients.get(&conn).and_then(|c| self.client_timer_due(c));
-        self.client_timers.arm(&mut self.timers, conn, due, Timer::Client(conn));
+        self.clients.arm_timer(conn, &self.settings.bounds, &mut self.timers);
     }
 
-    /// Sets the timer of an engine's connection by its state.
+    /// Sets the timer of a connection to an engine by its state.
     pub(crate) fn arm_engine_timer(&mut self, conn: ConnId) {
-        let due = self.engine_connections.get(&conn).and_then(|l| self.engine_timer_due(l));
-        self.engine_timers.arm(&mut self.timers, conn, due, Timer::Engine(conn));
+        let deadline = self.engine_deadline(conn);
+        self.engines.arm_timer(conn, deadline, &mut self.timers);
+    }
+
+    fn client_timer_fired(&mut self, conn: ConnId, out: &mut Vec<Output>) {
+        self.clients.timer_fired(conn);
+        match self.clients.deadline(conn, &self.settings.bounds) {
+            Some(deadline) if deadline <= self.now => self.client_timed_out(conn, out),
+            _ => self.arm_client_timer(conn),
+        }
+    }
+
+    fn engine_timer_fired(&mut self, conn: ConnId, out: &mut Vec<Output>) {
+        self.engines.timer_fired(conn);
+        match self.engine_deadline(conn) {
+            Some(deadline) if deadline <= self.now => self.engine_timed_out(conn, out),
+            _ => self.arm_engine_timer(conn),
+        }
     }
 
     fn handle_timer(&mut self, timer: Timer, out: &mut Vec<Output>) {
         match timer {
             Timer::Decision(generation, timer) => self.queue_event(generation, Event::TimerFired(timer)),
-            Timer::Client(conn) => {
-                self.client_timers.fired(conn);
-                let due = self.clients.get(&conn).and_then(|c| self.client_timer_due(c));
-                match due {
-                    Some(at) if at <= self.now => self.client_timed_out(conn, out),
-                    _ => self.arm_client_timer(conn),
-                }
-            }
-            Timer::Engine(conn) => {
-                self.engine_timers.fired(conn);
-                let due = self.engine_connections.get(&conn).and_then(|l| self.engine_timer_due(l));
-                match due {
-                    Some(at) if at <= self.now => self.engine_timed_out(conn, out),
-                    _ => self.arm_engine_timer(conn),
-                }
-            }
+            Timer::Client(conn) => self.client_timer_fired(conn, out),
+            Timer::Engine(conn) => self.engine_timer_fired(conn, out),
             Timer::Attempt(id, attempt) => self.attempt_timed_out(id, attempt, out),
             Timer::CompleteAnswer(id) => self.complete_answer_timed_out(id, out),
             Timer::Release(id) => self.release_due(id, out),
@@ -376,7 +321,7 @@
         let (event, closed) = self.engine_list.replace(self.now, &list);
         self.queue_event_for_all(event);
         // What has not left for an engine that drains or is gone goes elsewhere.
-        let unsent: Vec<ConnId> = self.sorted_engine_connections(|l| {
+        let unsent: Vec<ConnId> = self.engines.sorted_ids(|l| {
             closed.contains(&l.engine)
                 && l.state == ConnectionState::Connecting
                 && matches!(l.purpose, ConnectionPurpose::Attempt { .. })
@@ -406,26 +351,16 @@
         out.push(Output::Log("settings were read again; requests under way end by the old ones".into()));
     }
 
-    /// Connections to engines that match, in order of their numbers: the same at every run.
-    pub(crate) fn sorted_engine_connections(&self, which: impl Fn(&EngineConnection) -> bool) -> Vec<ConnId> {
-        let mut conns: Vec<ConnId> =
-            self.engine_connections.values().filter(|l| which(l)).map(|l| l.conn).collect();
-        conns.sort();
-        conns
-    }
-
     fn stop(&mut self, out: &mut Vec<Output>) {
         if std::mem::replace(&mut self.stopping, true) {
             return;
         }
-        let mut conns: Vec<ConnId> = self.clients.keys().copied().collect();
-        conns.sort();
-        for conn in conns {
-            let Some(client) = self.clients.get_mut(&conn) else { continue };
+        for conn in self.clients.ids() {
+            let Some(client) = self.clients.get_mut(conn) else { continue };
             match client.state {
                 ClientState::Idle => {
                     out.push(Output::CloseWhenSent(conn));
-                    self.remove_client(conn);
+                    self.clients.remove(conn, &mut self.timers);
                 }
                 _ => client.close_after_answer(),
             }
@@ -433,18 +368,6 @@
         self.timers.set(self.now + self.settings.bounds.stop, Timer::ShutdownDeadline);
     }
 
-    pub(crate) fn remove_client(&mut self, conn: ConnId) {
-        self.clients.remove(&conn);
-        self.client_timers.cancel(&mut self.timers, conn);
-    }
-
-    pub(crate) fn remove_engine_connection(&mut self, conn: ConnId) -> Option<EngineConnection> {
-        self.engine_timers.cancel(&mut self.timers, conn);
-        let connection = self.engine_connections.remove(&conn)?;
-        self.pool.remove(connection.engine, conn);
-        Some(connection)
-    }
-
     pub(crate) fn count(&mut self, end: RequestEnd) {
         match end {
             RequestEnd::Completed => self.counters.completed += 1,
@@ -476,7 +399,7 @@
         Snapshot {
             engines: self.engine_list.iter().map(engine).collect(),
             clients: self.clients.len(),
-            engine_connections: self.engine_connections.len(),
+            engine_connections: self.engines.len(),
             under_way: self.requests.len(),
             releases: self.releases.len(),
         }
@@ -500,8 +423,7 @@
                 if self.stopping || self.clients.len() >= self.settings.bounds.connections {
                     out.push(Output::Abort(conn));
                 } else {
-                    self.clients
-                        .insert(conn, Client::new(conn, door, self.now, limits, limits::MAX_PIPELINED));
+                    self.clients.insert(Client::new(conn, door, self.now, limits, limits::MAX_PIPELINED));
                     self.arm_client_timer(conn);
                 }
             }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -17,8 +17,10 @@
 #![warn(missing_docs)]
 
 mod classify;
+mod client_connections;
 mod dispatch;
 mod engine_connection;
+mod engine_connections;
 mod engine_error;
 mod engine_list;
 mod engines;
@@ -30,6 +32,7 @@
 mod request;
 mod serve;
 pub mod settings;
+mod timer;
 
 pub use engine_list::engine_id;
 pub use gateway::{Counters, Gateway, HeldState, RouterCount};
--- a/crates/gateway/src/policy.rs
+++ b/crates/gateway/src/policy.rs
@@ -23,7 +23,7 @@
     /// The epoch that is named on the answer that a connection waits for: its request's own, or the present one.
     pub(crate) fn epoch_of(&self, conn: ConnId) -> Option<String> {
         let present = self.epoch()?;
-        let request = self.clients.get(&conn).and_then(|c| match c.state {
+        let request = self.clients.get(conn).and_then(|c| match c.state {
             State::Serving(Some(id)) => self.requests.get(&slipreel::RequestId(id)),
             _ => None,
         });
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -21,11 +21,11 @@
 
     pub(crate) fn client_data(&mut self, conn: ConnId, bytes: &[u8], out: &mut Vec<Output>) {
         let now = self.now;
-        let Some(client) = self.clients.get_mut(&conn) else { return };
+        let Some(client) = self.clients.get_mut(conn) else { return };
         let before = client.state;
         client.feed(now, bytes, out);
         self.read_requests(conn, out);
-        if self.clients.get(&conn).is_some_and(|c| c.state != before) {
+        if self.clients.get(conn).is_some_and(|c| c.state != before) {
             self.arm_client_timer(conn);
         }
     }
@@ -34,7 +34,7 @@
     fn read_requests(&mut self, conn: ConnId, out: &mut Vec<Output>) {
         loop {
             let now = self.now;
-            let Some(client) = self.clients.get_mut(&conn) else { return };
+            let Some(client) = self.clients.get_mut(conn) else { return };
             match client.receive(now, out) {
                 Ok(None) => return,
                 Ok(Some(received)) => self.route(conn, &received, out),
@@ -45,7 +45,7 @@
 
     fn reject_malformed(&mut self, conn: ConnId, why: &Malformed, out: &mut Vec<Output>) {
         let error = ApiError::new(ErrorKind::of_status(why.status), why.why.clone());
-        if let Some(client) = self.clients.get_mut(&conn) {
+        if let Some(client) = self.clients.get_mut(conn) {
             client.close_after_answer();
         }
         self.reject_before_admission(conn, why.status, &error, &[], out);
@@ -70,7 +70,7 @@
     ) {
         let stopping = self.stopping;
         let epoch = self.epoch_of(conn);
-        let Some(client) = self.clients.get_mut(&conn) else { return };
+        let Some(client) = self.clients.get_mut(conn) else { return };
         if stopping {
             client.close_after_answer();
         }
@@ -83,11 +83,11 @@
 
     fn client_done(&mut self, conn: ConnId, out: &mut Vec<Output>) {
         let now = self.now;
-        let Some(client) = self.clients.get_mut(&conn) else { return };
+        let Some(client) = self.clients.get_mut(conn) else { return };
         if client.finish_answer(now, out) {
             self.arm_client_timer(conn);
         } else {
-            self.remove_client(conn);
+            self.clients.remove(conn, &mut self.timers);
         }
     }
 
@@ -98,7 +98,7 @@
 
     fn route(&mut self, conn: ConnId, received: &Received, out: &mut Vec<Output>) {
         let (method, path) = (received.method(), received.path());
-        if self.clients.get(&conn).is_some_and(|c| c.listener == OPERATORS) {
+        if self.clients.get(conn).is_some_and(|c| c.listener == OPERATORS) {
             return self.handle_operator_request(conn, received, out);
         }
         if path != "/health" && !self.holds_policy() {
@@ -260,7 +260,7 @@
         let request_id = self.request_id();
         let id = RequestId(self.next_request);
         let generation = self.generation();
-        if let Some(client) = self.clients.get_mut(&conn) {
+        if let Some(client) = self.clients.get_mut(conn) {
             client.state = State::Serving(Some(id.0));
         }
         let new = NewRequest {
@@ -306,7 +306,7 @@
 
     pub(crate) fn client_eof(&mut self, conn: ConnId, out: &mut Vec<Output>) {
         let half_close = self.settings.bounds.half_close;
-        let Some(client) = self.clients.get_mut(&conn) else { return };
+        let Some(client) = self.clients.get_mut(conn) else { return };
         client.is_closed_by_peer = true;
         match client.state {
             State::Serving(_) if half_close => {}
@@ -320,9 +320,9 @@
 
     /// A client's connection is over: its request, if one is under way, is owed no answer any more.
     pub(crate) fn client_gone(&mut self, conn: ConnId) {
-        let Some(client) = self.clients.get(&conn) else { return };
+        let Some(client) = self.clients.get(conn) else { return };
         let state = client.state;
-        self.remove_client(conn);
+        self.clients.remove(conn, &mut self.timers);
         let State::Serving(Some(id)) = state else { return };
         let id = RequestId(id);
         let Some(request) = self.requests.get_mut(&id).filter(|c| !c.is_closed) else { return };
@@ -335,13 +335,13 @@
         self.queue_event(generation, Event::ClientDisconnected(id));
         // The module leaves a stream that has begun to its client, and this one is gone.
         if let Some(conn) = conn {
-            self.abandoned_connections.push(conn);
+            self.engines.abandon(conn);
         }
     }
 
     pub(crate) fn client_sent(&mut self, conn: ConnId, n: usize, out: &mut Vec<Output>) {
         let now = self.now;
-        let Some(client) = self.clients.get_mut(&conn) else { return };
+        let Some(client) = self.clients.get_mut(conn) else { return };
         client.unsent = client.unsent.saturating_sub(n);
         client.last_sent_at = now;
         if let State::Serving(Some(id)) = client.state {
@@ -351,7 +351,7 @@
 
     /// A client's connection did not move on in time, by its state.
     pub(crate) fn client_timed_out(&mut self, conn: ConnId, out: &mut Vec<Output>) {
-        let Some(client) = self.clients.get(&conn) else { return };
+        let Some(client) = self.clients.get(conn) else { return };
         match client.state {
             State::Receiving if client.unsent == 0 => {
                 let why = Malformed { status: 408, why: "the request did not come in whole in time".into() };
@@ -359,7 +359,7 @@
             }
             State::Idle if client.unsent == 0 => {
                 out.push(Output::CloseWhenSent(conn));
-                self.remove_client(conn);
+                self.clients.remove(conn, &mut self.timers);
             }
             // It takes nothing of what waits for it.
             _ => {
@@ -374,7 +374,7 @@
     pub(crate) fn begin_stream(&mut self, id: RequestId, out: &mut Vec<Output>) {
         let now = self.now;
         let Some(request) = self.requests.get(&id) else { return };
-        let Some(client) = self.clients.get_mut(&request.client) else { return };
+        let Some(client) = self.clients.get_mut(request.client) else { return };
         client.last_sent_at = now;
         let epoch = request.epoch.map(|e| e.to_string());
         let mut fields = vec![("request-id", request.request_id.as_str())];
@@ -389,7 +389,7 @@
         let piece = std::mem::take(piece);
         let now = self.now;
         let Some(request) = self.requests.get(&id).filter(|c| c.stream && !c.is_closed) else { return };
-        let Some(client) = self.clients.get_mut(&request.client) else { return };
+        let Some(client) = self.clients.get_mut(request.client) else { return };
         let (conn, idle) = (client.conn, client.unsent == 0);
         if idle {
             client.last_sent_at = now;
@@ -410,7 +410,7 @@
         self.metrics.answered(request.class_name(), tokens);
         self.record_end(id, RequestEnd::Completed);
         if stream {
-            if let Some(client) = self.clients.get_mut(&conn) {
+            if let Some(client) = self.clients.get_mut(conn) {
                 let mut last = http::chunk(&bytes);
                 last.extend_from_slice(http::LAST_CHUNK);
                 client.write(last, out);
@@ -436,7 +436,7 @@
             let mut last = http::chunk(&bytes);
             last.extend_from_slice(http::LAST_CHUNK);
             self.record_end(id, end);
-            if let Some(client) = self.clients.get_mut(&conn) {
+            if let Some(client) = self.clients.get_mut(conn) {
                 client.close_after_answer();
                 client.write(last, out);
             }
@@ -520,17 +520,15 @@
                 self.abort_connection(conn, out, Outcome::Cancelled);
             }
         }
-        let mut rest: Vec<ConnId> = self.clients.keys().copied().collect();
-        rest.sort();
-        for conn in rest {
+        for conn in self.clients.ids() {
             out.push(Output::CloseWhenSent(conn));
-            self.remove_client(conn);
+            self.clients.remove(conn, &mut self.timers);
         }
     }
 
     /// Connections whose stream nobody waits for any more.
     pub(crate) fn drop_abandoned_connections(&mut self, out: &mut Vec<Output>) {
-        for conn in std::mem::take(&mut self.abandoned_connections) {
+        for conn in self.engines.take_abandoned() {
             self.abort_connection(conn, out, Outcome::Cancelled);
         }
     }
--- a/crates/platform/src/client_connections.rs
+++ b/crates/platform/src/client_connections.rs
@@ -2,7 +2,7 @@
 
 use crate::resource_limits::ResourceLimits;
 use crate::timer::{Timer, Timers};
-use slipreel_connections::{Client, ConnectionTimers, State};
+use slipreel_connections::{Client, ConnectionMap, State};
 use slipreel_state_machine::ConnId;
 use std::collections::HashMap;
 use std::time::Duration;
@@ -40,8 +40,7 @@
 /// The client connections with their timers.
 #[derive(Debug, Default)]
 pub(crate) struct ClientConnections {
-    by_id: HashMap<ConnId, Client>,
-    timers: ConnectionTimers,
+    by_id: ConnectionMap<Client>,
     /// Connections whose first request has not come in whole, and since when they stand.
     awaiting_first_request: HashMap<ConnId, Duration>,
 }
@@ -54,15 +53,15 @@
     }
 
     pub(crate) fn get(&self, conn: ConnId) -> Option<&Client> {
-        self.by_id.get(&conn)
+        self.by_id.get(conn)
     }
 
     pub(crate) fn get_mut(&mut self, conn: ConnId) -> Option<&mut Client> {
-        self.by_id.get_mut(&conn)
+        self.by_id.get_mut(conn)
     }
 
     pub(crate) fn contains(&self, conn: ConnId) -> bool {
-        self.by_id.contains_key(&conn)
+        self.by_id.contains(conn)
     }
 
     pub(crate) fn len(&self) -> usize {
@@ -75,9 +74,8 @@
 
     /// Removes a connection and its timer.
     pub(crate) fn remove(&mut self, conn: ConnId, timers: &mut Timers) {
-        self.by_id.remove(&conn);
+        self.by_id.remove(conn, timers);
         self.awaiting_first_request.remove(&conn);
-        self.timers.cancel(timers, conn);
     }
 
     /// A connection's first request, or a further one, has come in whole.
@@ -101,9 +99,7 @@
 
     /// The connections between requests, in the order of their ids.
     pub(crate) fn idle(&self) -> Vec<IdleClient> {
-        let is_idle = |client: &&Client| client.state == State::Idle;
-        let mut idle: Vec<ConnId> = self.by_id.values().filter(is_idle).map(|client| client.conn).collect();
-        idle.sort();
+        let idle = self.by_id.sorted_ids(|client| client.state == State::Idle);
         let with_grace = |conn: ConnId| {
             let accepted_at = self.awaiting_first_request.get(&conn);
             IdleClient { conn, grace_until: accepted_at.map(|&at| at + NEW_CONNECTION_GRACE) }
@@ -135,7 +131,7 @@
 
     /// When a connection times out; `None` if it does not in its present state.
     pub(crate) fn deadline(&self, conn: ConnId, limits: &ResourceLimits) -> Option<Duration> {
-        let client = self.by_id.get(&conn)?;
+        let client = self.by_id.get(conn)?;
         let awaited_since = self.awaiting_first_request.get(&conn).copied();
         let stalled = (client.unsent > 0).then(|| client.last_sent_at + STALL_TIMEOUT);
         let by_state = match client.state {
@@ -154,11 +150,11 @@
     /// Sets a connection's timer in place of the one that it had.
     pub(crate) fn arm_timer(&mut self, conn: ConnId, limits: &ResourceLimits, timers: &mut Timers) {
         let deadline = self.deadline(conn, limits);
-        self.timers.arm(timers, conn, deadline, Timer::Client(conn));
+        self.by_id.arm_timer(conn, deadline, timers, Timer::Client(conn));
     }
 
     /// A connection's timer has fired.
     pub(crate) fn timer_fired(&mut self, conn: ConnId) {
-        self.timers.fired(conn);
+        self.by_id.timer_fired(conn);
     }
 }
--- a/crates/platform/src/engine_connections.rs
+++ b/crates/platform/src/engine_connections.rs
@@ -3,9 +3,9 @@
 use crate::engine_connection::{ConnectionPurpose, EngineConnection, State};
 use crate::timer::{Timer, Timers};
 use slipreel::EngineId;
-use slipreel_connections::{ConnectionTimers, Pool, Purpose, ReuseHistory, Slot};
+use slipreel_connections::{ConnectionMap, Pool, Purpose, ReuseHistory, Slot};
 use slipreel_state_machine::ConnId;
-use std::collections::{BTreeMap, HashMap};
+use std::collections::BTreeMap;
 use std::time::Duration;
 
 /// A connection is idle for at least so long after an answer before it is used again: an engine that closes it, or sends
@@ -20,8 +20,7 @@
 /// The connections to engines.
 #[derive(Debug, Default)]
 pub(crate) struct EngineConnections {
-    by_id: HashMap<ConnId, EngineConnection>,
-    timers: ConnectionTimers,
+    by_id: ConnectionMap<EngineConnection>,
     pool: Pool,
     reuse_history: ReuseHistory,
     last_id: u64,
@@ -39,17 +38,16 @@
     }
 
     pub(crate) fn get(&self, conn: ConnId) -> Option<&EngineConnection> {
-        self.by_id.get(&conn)
+        self.by_id.get(conn)
     }
 
     pub(crate) fn get_mut(&mut self, conn: ConnId) -> Option<&mut EngineConnection> {
-        self.by_id.get_mut(&conn)
+        self.by_id.get_mut(conn)
     }
 
     /// Removes a connection, its timer and its place in the pool.
     pub(crate) fn remove(&mut self, conn: ConnId, timers: &mut Timers) -> Option<EngineConnection> {
-        self.timers.cancel(timers, conn);
-        let connection = self.by_id.remove(&conn)?;
+        let connection = self.by_id.remove(conn, timers)?;
         self.pool.remove(connection.engine, conn);
         Some(connection)
     }
@@ -82,16 +80,11 @@
     /// Connections with attempts to these engines that have not been written, or not to their last byte, in the order of
     /// their ids.
     pub(crate) fn unwritten_attempts(&self, is_to: impl Fn(EngineId) -> bool) -> Vec<ConnId> {
-        let mut unwritten: Vec<ConnId> = self
-            .by_id
-            .values()
-            .filter(|connection| connection.state == State::Connecting || connection.is_holding_last_byte())
-            .filter(|connection| matches!(connection.purpose, ConnectionPurpose::Attempt { .. }))
-            .filter(|connection| is_to(connection.engine))
-            .map(|connection| connection.conn)
-            .collect();
-        unwritten.sort();
-        unwritten
+        self.by_id.sorted_ids(|connection| {
+            let is_unwritten = connection.state == State::Connecting || connection.is_holding_last_byte();
+            let is_attempt = matches!(connection.purpose, ConnectionPurpose::Attempt { .. });
+            is_unwritten && is_attempt && is_to(connection.engine)
+        })
     }
 
     /// The connection that is idle longest.
@@ -157,11 +150,11 @@
 
     /// Sets a connection's timer in place of the one that it had; none if it does not time out.
     pub(crate) fn arm_timer(&mut self, conn: ConnId, deadline: Option<Duration>, timers: &mut Timers) {
-        self.timers.arm(timers, conn, deadline, Timer::Engine(conn));
+        self.by_id.arm_timer(conn, deadline, timers, Timer::Engine(conn));
     }
 
     /// A connection's timer has fired.
     pub(crate) fn timer_fired(&mut self, conn: ConnId) {
-        self.timers.fired(conn);
+        self.by_id.timer_fired(conn);
     }
 }
