--- a/src/decisions/admission.rs
+++ b/src/decisions/admission.rs
@@ -8,10 +8,9 @@
 //! docs/design.md, "The mechanism".
 
 use super::engines::MEAN_WEIGHT;
-use super::requests::Job;
+use super::requests::ActiveRequest;
 use super::router::Router;
-use super::timers::Alarm;
-use super::Out;
+use super::timers::Timer;
 use crate::interface::{Action, Request, Role};
 use std::time::Duration;
 
@@ -24,10 +23,10 @@
 pub(super) const LONGEST: Duration = Duration::from_secs(3_600); // No wait is longer: hosts' timers have an end.
 
 impl Router {
-    pub(super) fn on_request(&mut self, now: Duration, request: Request, out: Out) {
+    pub(super) fn on_request(&mut self, now: Duration, request: Request, actions: &mut Vec<Action>) {
         let id = request.id;
-        if self.jobs.contains_key(&id) || request.class.0 >= self.settings.classes.len() {
-            return out.push(Action::Fail(id));
+        if self.requests.contains_key(&id) || request.class.0 >= self.settings.classes.len() {
+            return actions.push(Action::Fail(id));
         }
         self.settle(now);
         self.mean_prompt.add(request.prompt_tokens, MEAN_WEIGHT);
@@ -38,26 +37,34 @@
         let refused = self.hopeless(&request) || self.chance() < chance;
         let until =
             |left: Duration| now + left.min(LONGEST).saturating_sub(self.settings.tick * ANSWER_TICKS);
-        let (deadline, whole_by) =
+        let (deadline, complete_answer_deadline) =
             (until(request.client_timeout), request.complete_answer_timeout.map(until));
-        let luck = self.chance();
-        let job = Job { request, deadline, whole_by, over_share, luck, ..Job::default() };
-        self.jobs.insert(id, job);
+        let sampled_probability = self.chance();
+        let job = ActiveRequest {
+            request,
+            deadline,
+            complete_answer_deadline,
+            over_share,
+            sampled_probability,
+            ..ActiveRequest::default()
+        };
+        self.requests.insert(id, job);
         if refused {
-            self.ask_anyone(now, out);
-            return self.give_up(id, out);
+            self.ask_anyone(now, actions);
+            return self.give_up(id, actions);
         }
-        self.alarm(Alarm::Deadline(id), deadline - now, out);
-        self.advance(now, id, out);
+        self.set_timer(Timer::Deadline(id), deadline - now, actions);
+        self.advance(now, id, actions);
     }
 
     /// Whether its client will have left before an answer usually begins: abandoned tries eat capacity. Harm:
     /// a jam that is over refuses on, so each refusal lets the means forget.
     pub(super) fn hopeless(&mut self, request: &Request) -> bool {
-        let usual = self.means[Role::Prefill as usize].waited + self.means[Role::Decode as usize].waited;
+        let usual =
+            self.means[Role::Prefill as usize].waiting_time + self.means[Role::Decode as usize].waiting_time;
         let hopeless = request.client_timeout.as_secs_f64() < usual;
         if hopeless {
-            self.means.iter_mut().for_each(|means| means.waited *= 1.0 - MEAN_WEIGHT);
+            self.means.iter_mut().for_each(|means| means.waiting_time *= 1.0 - MEAN_WEIGHT);
         }
         hopeless
     }
@@ -67,19 +74,19 @@
     pub(super) fn droppable(&self, over: bool, request: &Request) -> bool {
         let class = &self.settings.classes[request.class.0];
         let worth = class.priority_weight * if over { self.settings.over_quota_weight } else { 1.0 };
-        worth < self.top_worth || self.loose_aim == Some(class.latency_objective)
+        worth < self.max_priority_weight || self.loosest_objective == Some(class.latency_objective)
     }
 
     /// Token bucket of a tenant's quota, this router's part of it.
     pub(super) fn over_share(&mut self, now: Duration, request: &Request) -> bool {
         let tenant = request.tenant.0;
         let quota = self.settings.tenants.get(tenant).and_then(|t| t.quota_per_s);
-        let (Some(quota), Some((level, at))) = (quota, self.quotas.get_mut(tenant)) else { return false };
+        let (Some(quota), Some(bucket)) = (quota, self.quotas.get_mut(tenant)) else { return false };
         let rate = quota / f64::from(self.settings.router_count);
-        *level = (*level + rate * now.saturating_sub(*at).as_secs_f64()).min(QUOTA_DEPTH);
-        *at = now;
-        let over = *level < 1.0;
-        *level -= if over || request.is_retry { 0.0 } else { 1.0 };
+        bucket.level = bucket.level_at(now, rate, QUOTA_DEPTH);
+        bucket.updated_at = now;
+        let over = bucket.level < 1.0;
+        bucket.level -= if over || request.is_retry { 0.0 } else { 1.0 };
         over
     }
 }
--- a/src/decisions/attempts.rs
+++ b/src/decisions/attempts.rs
@@ -7,10 +7,10 @@
 use super::engines::Means;
 use super::probes::ASK_WAIT;
 use super::release::HOLD_PART;
-use super::requests::{Attempt, Choice};
+use super::requests::{Attempt, CandidateEngines, HeldState, PossibleRun};
 use super::router::Router;
-use super::timers::Alarm;
-use super::Out;
+use super::timers::Timer;
+use super::token_bucket::TokenBucket;
 use crate::interface::{Action, EngineId, Idempotency, RequestId, Role};
 use std::time::Duration;
 
@@ -20,77 +20,98 @@
 
 impl Router {
     /// Takes the next step of a request that has no attempt out: writes a held state, else reads.
-    pub(super) fn advance(&mut self, now: Duration, id: RequestId, out: Out) {
-        let Some(job) = self.jobs.get(&id) else { return };
-        if job.ended || job.parked.is_some() || job.attempts.iter().any(|a| a.out) {
+    pub(super) fn advance(&mut self, now: Duration, id: RequestId, actions: &mut Vec<Action>) {
+        let Some(job) = self.requests.get(&id) else { return };
+        if job.ended || job.waiting_until.is_some() || job.attempts.iter().any(|a| a.in_flight) {
             return;
         }
         let left = self.settings.limits.max_attempts.saturating_sub(job.attempts.len());
         self.settle(now);
-        let Some(job) = self.jobs.get(&id) else { return };
-        let unsafe_now = job.may_have_run.is_some() && self.effect(job) == Idempotency::NotIdempotent;
+        let Some(job) = self.requests.get(&id) else { return };
+        let unsafe_now = job.possible_run.is_some() && self.effect(job) == Idempotency::NotIdempotent;
         // A repeat has to come in time: a new connection may take as long as it is given to come up.
         let least = self.settings.limits.connect_timeout.max(ASK_WAIT);
         let late = self.window_left(now, job).is_some_and(|left| left <= least);
         if left == 0 || unsafe_now || late || now >= job.deadline {
-            return self.give_up(id, out);
+            return self.give_up(id, actions);
         }
         let (held, again) = (job.held.is_some(), !job.attempts.is_empty());
-        if job.choice.as_ref().is_none_or(|c| c.step != job.attempts.len()) {
-            let (step, asked, wide) = (job.attempts.len(), now, false);
-            let (near, far) = if held { self.writers(now, id) } else { self.readers(now, id, left) };
-            let Some(job) = self.jobs.get_mut(&id) else { return };
-            job.choice = Some(Choice { step, asked, wide, near, far });
-            if self.ask(now, id, false, out) {
+        if job.candidates.as_ref().is_none_or(|c| c.attempt_count != job.attempts.len()) {
+            let attempt_count = job.attempts.len();
+            let (preferred, spill) = if held { self.writers(now, id) } else { self.readers(now, id, left) };
+            let Some(job) = self.requests.get_mut(&id) else { return };
+            job.candidates = Some(CandidateEngines {
+                attempt_count,
+                found_at: now,
+                includes_spill: false,
+                preferred,
+                spill,
+            });
+            if self.ask(now, id, false, actions) {
                 return;
             }
         }
         // Those far can matter only where the near ones bear more than the request itself.
-        let Some(job) = self.jobs.get(&id) else { return };
-        let near = job.choice.as_ref().and_then(|c| self.least(now, job, &c.near));
-        if near.is_none_or(|(_, bears)| bears > job.request.prompt_tokens) && self.ask(now, id, true, out) {
+        let Some(job) = self.requests.get(&id) else { return };
+        let near = job.candidates.as_ref().and_then(|c| self.least(now, job, &c.preferred));
+        if near.is_none_or(|(_, bears)| bears > job.request.prompt_tokens) && self.ask(now, id, true, actions)
+        {
             return;
         }
         let target = self.choose(now, id);
         // State that could not be fetched may still wait where the writer could not reach it.
         if !held && again {
-            out.push(Action::Release(id));
+            actions.push(Action::Release(id));
         }
         match target {
-            Some(engine) => self.send(now, id, engine, out),
-            None if left < 2 && !held => self.give_up(id, out),
-            None => self.park(now, id, out),
+            Some(engine) => self.send(now, id, engine, actions),
+            None if left < 2 && !held => self.give_up(id, actions),
+            None => self.park(now, id, actions),
         }
     }
 
-    pub(super) fn send(&mut self, now: Duration, id: RequestId, engine: EngineId, out: Out) {
-        let cold = self.servers.get(&engine).filter(|s| self.is_cold(now, s));
+    pub(super) fn send(&mut self, now: Duration, id: RequestId, engine: EngineId, actions: &mut Vec<Action>) {
+        let cold = self.engines.get(&engine).filter(|s| self.is_cold(now, s));
         let cold_rate = cold.map(|s| self.cold_rate(now, s));
         // A repeat whose bytes a cut holds up would come after the window: it is given up before that.
-        let limit = self.jobs.get(&id).and_then(|j| Some(self.window_left(now, j)?.saturating_sub(ASK_WAIT)));
-        let Some(job) = self.jobs.get_mut(&id) else { return };
-        let Some(server) = self.servers.get_mut(&engine) else { return };
+        let limit =
+            self.requests.get(&id).and_then(|j| Some(self.window_left(now, j)?.saturating_sub(ASK_WAIT)));
+        let Some(job) = self.requests.get_mut(&id) else { return };
+        let Some(server) = self.engines.get_mut(&engine) else { return };
         self.engine_index.mark_changed(engine);
         let prompt = job.request.prompt_tokens;
         let read = server.role == Role::Prefill;
         let tokens = if read { prompt } else { prompt + job.request.max_output_tokens };
         let (sent, state) = (now, job.held.take());
-        job.attempts.push(Attempt { engine, sent, tokens, read, out: true, begun: None, done: false, state });
-        if !read && job.may_have_run.is_none() {
-            job.may_have_run = Some((job.attempts.len() - 1, now, server.entry.clone()));
+        job.attempts.push(Attempt {
+            engine,
+            sent,
+            tokens,
+            read,
+            in_flight: true,
+            begun: None,
+            done: false,
+            state,
+        });
+        if !read && job.possible_run.is_none() {
+            job.possible_run =
+                Some(PossibleRun { attempt: job.attempts.len() - 1, at: now, engine: server.entry.clone() });
         }
         let attempt = job.attempts.len() - 1;
-        server.tokens += tokens;
-        (server.out, server.waiting) = (server.out + 1.0, server.waiting + 1.0);
-        server.since += prompt;
+        server.tokens_in_flight += tokens;
+        (server.in_flight, server.attempts_waiting) = (server.in_flight + 1.0, server.attempts_waiting + 1.0);
+        server.tokens_sent_since_report += prompt;
         let (role, own_pace) = (server.role, server.pace);
         match cold_rate {
-            Some(rate) => (server.bucket, server.bucket_at) = (server.bucket_level(now, rate) - prompt, now),
+            Some(rate) => {
+                let level = server.slow_start_level(now, rate) - prompt;
+                server.slow_start_budget = TokenBucket { level, updated_at: now };
+            }
             None => self.note_borne(now, role, prompt),
         }
-        out.push(Action::Send { request: id, engine, timeout: limit.filter(|_| !read) });
+        actions.push(Action::Send { request: id, engine, timeout: limit.filter(|_| !read) });
         let patience = self.patience(role, own_pace, prompt);
-        self.alarm(Alarm::Check(id, attempt), patience, out);
+        self.set_timer(Timer::AttemptPatience(id, attempt), patience, actions);
     }
 
     /// How long an engine may say nothing at all under an attempt of this length. One slower than its role
@@ -102,31 +123,31 @@
     }
 
     /// Nothing is usable just now: wait a little, a held state never longer than part of its limit.
-    pub(super) fn park(&mut self, now: Duration, id: RequestId, out: Out) {
+    pub(super) fn park(&mut self, now: Duration, id: RequestId, actions: &mut Vec<Action>) {
         let patience = self.settings.held_state_limit.mul_f64(HOLD_PART);
-        let Some(job) = self.jobs.get_mut(&id) else { return };
+        let Some(job) = self.requests.get_mut(&id) else { return };
         let waited = match job.held {
-            Some((_, since)) => now.saturating_sub(since) + ASK_WAIT >= patience,
+            Some(HeldState { since, .. }) => now.saturating_sub(since) + ASK_WAIT >= patience,
             None => now + job.request.client_timeout / 2 > job.deadline,
         };
-        if waited || self.servers.is_empty() {
-            return self.give_up(id, out);
+        if waited || self.engines.is_empty() {
+            return self.give_up(id, actions);
         }
-        (job.parked, job.choice) = (Some(now + ASK_WAIT), None);
-        self.alarm(Alarm::Parked(id), ASK_WAIT, out);
+        (job.waiting_until, job.candidates) = (Some(now + ASK_WAIT), None);
+        self.set_timer(Timer::Wait(id), ASK_WAIT, actions);
     }
 
     /// An attempt has said nothing for its patience: its engine is lost or stalled, or its answer is. A read
     /// goes elsewhere, and so does a write that may run twice. Harm: a long queue costs the work twice.
-    pub(super) fn on_check(&mut self, id: RequestId, attempt: usize, out: Out) {
-        let Some(job) = self.jobs.get(&id).filter(|j| !j.ended) else { return };
-        let Some(a) = job.attempts.get(attempt).filter(|a| a.out && a.begun.is_none()) else { return };
+    pub(super) fn on_check(&mut self, id: RequestId, attempt: usize, actions: &mut Vec<Action>) {
+        let Some(job) = self.requests.get(&id).filter(|j| !j.ended) else { return };
+        let Some(a) = job.attempts.get(attempt).filter(|a| a.in_flight && a.begun.is_none()) else { return };
         let repeatable = a.read || self.effect(job) == Idempotency::Idempotent;
         if repeatable
             && self.settings.limits.max_attempts > job.attempts.len()
             && self.settings.limits.cancellation
         {
-            out.push(Action::Cancel { request: id, attempt });
+            actions.push(Action::Cancel { request: id, attempt });
         }
     }
 }
--- a/src/decisions/decode_choice.rs
+++ b/src/decisions/decode_choice.rs
@@ -13,7 +13,7 @@
     /// pair of the reader's cell (else its zone) comes first, others only as spill.
     pub(super) fn writers(&mut self, now: Duration, id: RequestId) -> (Vec<EngineId>, Vec<EngineId>) {
         let (shelf, gone) = self.pool(now, id, Capability::Decode);
-        let reader = self.jobs.get(&id).and_then(|job| self.servers.get(&job.held?.0));
+        let reader = self.requests.get(&id).and_then(|job| self.engines.get(&job.held?.engine));
         let place = reader.map(|s| (s.entry.cell, s.entry.zone));
         let here = place.map(|(cell, zone)| shelf.in_cell_and_zone(cell, zone)).unwrap_or_default();
         let around = place.map(|(cell, zone)| shelf.in_cell_or_zone(cell, zone)).unwrap_or_default();
--- a/src/decisions/inspection.rs
+++ b/src/decisions/inspection.rs
@@ -20,7 +20,7 @@
 impl Router {
     /// How many requests, timers and engines it holds.
     pub fn state_sizes(&self) -> StateSizes {
-        StateSizes { requests: self.jobs.len(), timers: self.alarms.len(), engines: self.servers.len() }
+        StateSizes { requests: self.requests.len(), timers: self.timers.len(), engines: self.engines.len() }
     }
 
     /// So many routers share the fleet from now on, this one counted. All that was learnt stays: parts of quotas and of cold
@@ -31,6 +31,6 @@
 
     /// Its own attempts that it counts as out, by engine of the list.
     pub fn attempts_in_flight(&self) -> impl Iterator<Item = (EngineId, f64)> + '_ {
-        self.servers.iter().map(|(&id, server)| (id, server.out))
+        self.engines.iter().map(|(&id, server)| (id, server.in_flight))
     }
 }
--- a/src/decisions/mod.rs
+++ b/src/decisions/mod.rs
@@ -24,10 +24,8 @@
 mod slow_start;
 mod successor;
 mod timers;
+mod token_bucket;
 
 pub use inspection::StateSizes;
 pub use router::Router;
 pub use successor::SettingsMapping;
-
-/// The actions that a decision appends to.
-type Out<'a> = &'a mut Vec<crate::interface::Action>;
--- a/src/decisions/prefill_affinity.rs
+++ b/src/decisions/prefill_affinity.rs
@@ -23,7 +23,7 @@
     ) -> (Vec<EngineId>, Vec<EngineId>) {
         let capability = if left >= 2 { Capability::Prefill } else { Capability::PrefillAndDecode };
         let (_, gone) = self.pool(now, id, capability);
-        let Some(job) = self.jobs.get(&id) else { return Default::default() };
+        let Some(job) = self.requests.get(&id) else { return Default::default() };
         let session = job.request.session;
         let key = job.request.shared_prefix.unwrap_or(session);
         let hash = |id: EngineId, key| xxh3_64_with_seed(&id.0.to_le_bytes(), key);
@@ -39,7 +39,7 @@
     pub(super) fn shelve(&mut self) {
         let mut fleet = [0.0; 2];
         let mut cells: BTreeMap<CellId, [f64; 2]> = BTreeMap::new();
-        for server in self.servers.values().filter(|s| s.ready()) {
+        for server in self.engines.values().filter(|s| s.ready()) {
             let parts = match server.role {
                 Role::Prefill => [2.0, 0.0],
                 Role::Decode => [0.0, 2.0],
@@ -50,7 +50,7 @@
             }
         }
         let ratio = |[read, write]: [f64; 2]| write.max(1.0) / read.max(1.0);
-        self.engine_index.rebuild(self.servers.iter().map(|(&id, server)| {
+        self.engine_index.rebuild(self.engines.iter().map(|(&id, server)| {
             let Engine { cell, zone, .. } = server.entry;
             let (role, ready) = (server.role as usize, server.ready());
             let [least, most] = if server.role == Role::Prefill { HOME_WEIGHTS } else { [1.0; 2] };
--- a/src/decisions/release.rs
+++ b/src/decisions/release.rs
@@ -5,8 +5,7 @@
 
 use super::requests::Attempt;
 use super::router::Router;
-use super::timers::Alarm;
-use super::Out;
+use super::timers::Timer;
 use crate::interface::{Action, Idempotency, RequestId};
 use std::time::Duration;
 
@@ -16,9 +15,9 @@
 
 impl Router {
     /// No further attempt: the final answer, at once. Who is refused may come again after the window.
-    pub(super) fn give_up(&mut self, id: RequestId, out: Out) {
-        let Some(job) = self.jobs.get(&id).filter(|j| !j.ended) else { return };
-        let harmless = job.may_have_run.is_none() || self.effect(job) == Idempotency::Idempotent;
+    pub(super) fn give_up(&mut self, id: RequestId, actions: &mut Vec<Action>) {
+        let Some(job) = self.requests.get(&id).filter(|j| !j.ended) else { return };
+        let harmless = job.possible_run.is_none() || self.effect(job) == Idempotency::Idempotent;
         let over_share = job.over_share;
         let answer = if harmless {
             let wait = RETRY_AFTER.mul_f64(0.5 + self.chance());
@@ -27,36 +26,36 @@
         } else {
             Action::Fail(id)
         };
-        self.end(id, Some(answer), out);
+        self.end(id, Some(answer), actions);
     }
 
     /// The one place where a request ends and lets go. A read still out comes through here again.
-    pub(super) fn end(&mut self, id: RequestId, answer: Option<Action>, out: Out) {
-        let Some(job) = self.jobs.get_mut(&id) else { return };
+    pub(super) fn end(&mut self, id: RequestId, answer: Option<Action>, actions: &mut Vec<Action>) {
+        let Some(job) = self.requests.get_mut(&id) else { return };
         job.ended = true;
-        out.extend(answer);
+        actions.extend(answer);
         if self.settings.limits.cancellation {
-            let open = |(_, a): &(usize, &Attempt)| a.out && a.begun.is_none();
+            let open = |(_, a): &(usize, &Attempt)| a.in_flight && a.begun.is_none();
             let open = job.attempts.iter().enumerate().filter(open);
-            out.extend(open.map(|(attempt, _)| Action::Cancel { request: id, attempt }));
+            actions.extend(open.map(|(attempt, _)| Action::Cancel { request: id, attempt }));
         }
         if !job.attempts.is_empty() {
-            out.push(Action::Release(id));
+            actions.push(Action::Release(id));
         }
         job.held = None;
-        if job.attempts.iter().all(|a| !a.out) {
-            self.jobs.remove(&id);
+        if job.attempts.iter().all(|a| !a.in_flight) {
+            self.requests.remove(&id);
         }
     }
 
     /// Its time is up, or longer by now; a whole answer that is being written ends by its host's bound.
-    pub(super) fn on_deadline(&mut self, now: Duration, id: RequestId, out: Out) {
-        let Some(job) = self.jobs.get(&id) else { return };
+    pub(super) fn on_deadline(&mut self, now: Duration, id: RequestId, actions: &mut Vec<Action>) {
+        let Some(job) = self.requests.get(&id) else { return };
         if now < job.deadline {
-            return self.alarm(Alarm::Deadline(id), job.deadline - now, out);
+            return self.set_timer(Timer::Deadline(id), job.deadline - now, actions);
         }
-        if !job.attempts.iter().any(|a| a.out && a.begun.is_some()) {
-            self.end(id, Some(Action::Fail(id)), out);
+        if !job.attempts.iter().any(|a| a.in_flight && a.begun.is_some()) {
+            self.end(id, Some(Action::Fail(id)), actions);
         }
     }
 }
--- a/src/decisions/requests.rs
+++ b/src/decisions/requests.rs
@@ -6,53 +6,73 @@
 use crate::interface::{Engine, EngineId, Idempotency, Request};
 use std::time::Duration;
 
+/// A request in progress, or one that has its final answer and an attempt in flight.
 #[derive(Default)]
-pub(super) struct Job {
+pub(super) struct ActiveRequest {
     pub(super) request: Request,
     pub(super) deadline: Duration,
     /// The deadline from when its answer has begun, where nothing of it goes out before it is whole.
-    pub(super) whole_by: Option<Duration>,
+    pub(super) complete_answer_deadline: Option<Duration>,
     pub(super) attempts: Vec<Attempt>,
-    /// The reader that holds the state, and since when no attempt has wanted it.
-    pub(super) held: Option<(EngineId, Duration)>,
-    /// The first attempt that may have had an effect: which, when and, as listed then, where.
-    pub(super) may_have_run: Option<(usize, Duration, Engine)>,
+    /// The state that a prefill engine holds for it and that no attempt is to take.
+    pub(super) held: Option<HeldState>,
+    /// The first attempt that may have had an effect.
+    pub(super) possible_run: Option<PossibleRun>,
     pub(super) ended: bool,
     /// Its tenant was over its share when it came.
     pub(super) over_share: bool,
-    /// Drawn from 0 to 1: cold engines that let in less than that are none for it.
-    pub(super) luck: f64,
-    /// Until when it waits: for an engine, or for the answers of those in `choice`.
-    pub(super) parked: Option<Duration>,
-    pub(super) choice: Option<Choice>,
+    /// Drawn from 0 to 1: a warming engine that can do no larger share of its work is no candidate.
+    pub(super) sampled_probability: f64,
+    /// Until when it waits: for a usable engine, or for answers of its candidates to probes.
+    pub(super) waiting_until: Option<Duration>,
+    pub(super) candidates: Option<CandidateEngines>,
 }
 
+/// One attempt of a request at an engine.
 pub(super) struct Attempt {
     pub(super) engine: EngineId,
     pub(super) sent: Duration,
     pub(super) tokens: f64,
     pub(super) read: bool,
-    pub(super) out: bool,
+    pub(super) in_flight: bool,
     /// Since the send, when the answer began.
     pub(super) begun: Option<Duration>,
     /// It did what was wanted: a read that ended well may be asked for again.
     pub(super) done: bool,
-    /// The state that it was to take: whose, and since when it waited.
-    pub(super) state: Option<(EngineId, Duration)>,
+    /// The held state that it was to take.
+    pub(super) state: Option<HeldState>,
 }
 
 /// The engines between which a request chooses its next step: preferred ones and others.
-pub(super) struct Choice {
-    pub(super) step: usize,
-    pub(super) asked: Duration,
-    /// Those far are asked, too.
-    pub(super) wide: bool,
-    pub(super) near: Vec<EngineId>,
-    pub(super) far: Vec<EngineId>,
+pub(super) struct CandidateEngines {
+    /// Attempts that the request had when these were found: they hold for the next one alone.
+    pub(super) attempt_count: usize,
+    pub(super) found_at: Duration,
+    /// The spill is probed, too.
+    pub(super) includes_spill: bool,
+    pub(super) preferred: Vec<EngineId>,
+    pub(super) spill: Vec<EngineId>,
+}
+
+/// State that a prefill engine holds until a decode engine fetches it.
+#[derive(Clone, Copy)]
+pub(super) struct HeldState {
+    pub(super) engine: EngineId,
+    /// Since when no attempt has wanted it.
+    pub(super) since: Duration,
+}
+
+/// An attempt that may have had an effect.
+pub(super) struct PossibleRun {
+    pub(super) attempt: usize,
+    /// When it was sent.
+    pub(super) at: Duration,
+    /// Its engine, as listed then.
+    pub(super) engine: Engine,
 }
 
 impl Router {
-    pub(super) fn effect(&self, job: &Job) -> Idempotency {
+    pub(super) fn effect(&self, job: &ActiveRequest) -> Idempotency {
         self.settings.classes[job.request.class.0].idempotency
     }
 }
--- a/src/decisions/router.rs
+++ b/src/decisions/router.rs
@@ -4,9 +4,10 @@
 //! the same seed give the same actions.
 
 use super::admission::{FIRST_PROMPT, QUOTA_DEPTH};
-use super::engines::{Means, Server, FIRST_PACE};
-use super::requests::Job;
-use super::timers::Alarm;
+use super::engines::{EngineRecord, Means, FIRST_PACE};
+use super::requests::ActiveRequest;
+use super::timers::Timer;
+use super::token_bucket::TokenBucket;
 use crate::engine_index::{EngineIndex, RunningMean};
 use crate::interface::{Action, EngineId, Event, RequestId, Settings, TimerId};
 use rand_core::{RngCore, SeedableRng};
@@ -18,18 +19,18 @@
 pub struct Router {
     pub(super) settings: Settings,
     pub(super) rng: Xoshiro256PlusPlus,
-    pub(super) servers: BTreeMap<EngineId, Server>,
-    pub(super) jobs: BTreeMap<RequestId, Job>,
-    pub(super) alarms: BTreeMap<TimerId, Alarm>,
+    pub(super) engines: BTreeMap<EngineId, EngineRecord>,
+    pub(super) requests: BTreeMap<RequestId, ActiveRequest>,
+    pub(super) timers: BTreeMap<TimerId, Timer>,
     pub(super) next_timer: u64,
-    /// Token bucket of each tenant's quota: its level and when.
-    pub(super) quotas: Vec<(f64, Duration)>,
-    pub(super) top_worth: f64,
-    /// The first-token aim above which equal worths are droppable; `None` where worths differ.
-    pub(super) loose_aim: Option<Duration>,
+    /// Of each tenant's quota, in requests; this router's share of it.
+    pub(super) quotas: Vec<TokenBucket>,
+    pub(super) max_priority_weight: f64,
+    /// The latency objective whose classes are droppable; `None` where priority weights differ.
+    pub(super) loosest_objective: Option<Duration>,
     pub(super) mean_prompt: RunningMean,
-    /// Mean part of a prompt that its reader had not kept.
-    pub(super) unread: f64,
+    /// Mean share of a prompt that its prefill engine had not cached.
+    pub(super) uncached_share: f64,
     pub(super) means: [Means; 3],
     /// Bookkeeping, so that no decision walks all engines.
     pub(super) engine_index: EngineIndex,
@@ -39,41 +40,45 @@
     /// A router that knows nothing yet but its settings; `seed` settles its chances.
     pub fn new(settings: Settings, seed: u64) -> Self {
         let worths = || settings.classes.iter().map(|c| c.priority_weight);
-        let top_worth = worths().fold(0.0, f64::max);
-        let equal = worths().all(|w| w >= top_worth);
+        let max_priority_weight = worths().fold(0.0, f64::max);
+        let equal = worths().all(|w| w >= max_priority_weight);
         let aims = || settings.classes.iter().map(|c| c.latency_objective);
-        let loose_aim = aims().max().filter(|&loose| equal && aims().any(|a| a < loose));
-        let quotas = settings.tenants.iter().map(|_| (QUOTA_DEPTH, Duration::ZERO)).collect();
+        let loosest_objective = aims().max().filter(|&loose| equal && aims().any(|a| a < loose));
+        let quotas = settings
+            .tenants
+            .iter()
+            .map(|_| TokenBucket { level: QUOTA_DEPTH, updated_at: Duration::ZERO })
+            .collect();
         Router {
             rng: Xoshiro256PlusPlus::seed_from_u64(seed),
-            servers: BTreeMap::new(),
-            jobs: BTreeMap::new(),
-            alarms: BTreeMap::new(),
+            engines: BTreeMap::new(),
+            requests: BTreeMap::new(),
+            timers: BTreeMap::new(),
             next_timer: 0,
             quotas,
-            top_worth,
-            loose_aim,
+            max_priority_weight,
+            loosest_objective,
             mean_prompt: RunningMean::from(FIRST_PROMPT),
-            unread: 1.0,
+            uncached_share: 1.0,
             means: [Means { pace: FIRST_PACE, deviation: FIRST_PACE / 2.0, ..Means::default() }; 3],
             engine_index: EngineIndex::default(),
             settings,
         }
     }
 
-    /// Takes one event at `now` and appends what to do about it to `out`.
-    pub fn handle(&mut self, now: Duration, event: Event, out: &mut Vec<Action>) {
+    /// Takes one event at `now` and appends what to do about it to `actions`.
+    pub fn handle(&mut self, now: Duration, event: Event, actions: &mut Vec<Action>) {
         match event {
-            Event::Engines { listing, engines } => self.on_list(now, listing, engines, out),
-            Event::Request(request) => self.on_request(now, request, out),
+            Event::Engines { listing, engines } => self.on_list(now, listing, engines, actions),
+            Event::Request(request) => self.on_request(now, request, actions),
             Event::FirstToken { request, attempt, latency } => {
-                self.on_first(now, (request, attempt), latency, out);
+                self.on_first(now, (request, attempt), latency, actions);
             }
-            Event::AttemptEnded(ended) => self.on_ended(now, ended, out),
-            Event::ClientDisconnected(id) => self.end(id, None, out),
-            Event::TimerFired(timer) => self.on_timer(now, timer, out),
+            Event::AttemptEnded(ended) => self.on_ended(now, ended, actions),
+            Event::ClientDisconnected(id) => self.end(id, None, actions),
+            Event::TimerFired(timer) => self.on_timer(now, timer, actions),
             Event::ProbeEnded { engine, outcome, report } => {
-                self.on_probed(now, engine, outcome, report, out);
+                self.on_probed(now, engine, outcome, report, actions);
             }
             Event::ReservationAnswered { .. } | Event::PeerMessage { .. } => {}
         }
--- a/src/decisions/saturation.rs
+++ b/src/decisions/saturation.rs
@@ -4,7 +4,7 @@
 //! router's own attempts since them and the means of each role. The two thresholds are those of docs/design.md,
 //! "The mechanism".
 
-use super::engines::{Means, Server};
+use super::engines::{EngineRecord, Means};
 use super::router::Router;
 use crate::interface::{ReportSource, Role};
 use std::time::Duration;
@@ -22,11 +22,11 @@
         let (mut sum, mut count) = (0.0, 0);
         for does in [Role::Prefill, Role::Decode, Role::Mixed] {
             if does == role || does == Role::Mixed || role == Role::Mixed {
-                let to_read = if does == Role::Prefill { self.unread } else { 1.0 };
+                let to_read = if does == Role::Prefill { self.uncached_share } else { 1.0 };
                 let queued = *self.mean_prompt * to_read / WAITING_THRESHOLD;
                 let weights = [queued, queued * self.usual(does) / WAITING_PRIOR];
                 let (fixed, known, moving) = self.engine_index.saturation_sums(does as usize, weights);
-                let loads = moving.iter().filter_map(|id| self.load(now, self.servers.get(id)?));
+                let loads = moving.iter().filter_map(|id| self.load(now, self.engines.get(id)?));
                 (sum, count) = (sum + fixed + loads.sum::<f64>(), count + known + moving.len());
             }
         }
@@ -34,28 +34,30 @@
     }
 
     /// Saturation of one engine, if it is known.
-    pub(super) fn load(&self, now: Duration, server: &Server) -> Option<f64> {
+    pub(super) fn load(&self, now: Duration, server: &EngineRecord) -> Option<f64> {
         self.parts(now, server).map(|(waiting, memory)| waiting.max(memory))
     }
 
     /// Its two parts, of waiting tokens and of memory.
-    pub(super) fn parts(&self, now: Duration, server: &Server) -> Option<(f64, f64)> {
+    pub(super) fn parts(&self, now: Duration, server: &EngineRecord) -> Option<(f64, f64)> {
         if self.settings.report_source == ReportSource::None {
-            let waiting = server.since * f64::from(self.settings.router_count);
+            let waiting = server.tokens_sent_since_report * f64::from(self.settings.router_count);
             return Some((waiting / WAITING_THRESHOLD, 0.0));
         }
         let (at, report) = server.report.as_ref()?;
         if now.saturating_sub(*at) > REPORT_LIFE {
             return None;
         }
-        let to_read = if server.role == Role::Prefill { self.unread } else { 1.0 };
+        let to_read = if server.role == Role::Prefill { self.uncached_share } else { 1.0 };
         // In-flight counts hold running answers too: only the part of its time that an attempt waits counts.
-        let part =
-            (server.waiting.max(0.0) + self.usual(server.role)) / (server.out.max(0.0) + WAITING_PRIOR);
+        let part = (server.attempts_waiting.max(0.0) + self.usual(server.role))
+            / (server.in_flight.max(0.0) + WAITING_PRIOR);
         let counted = || report.queued.or(report.in_flight.map(|n| n * part));
         let waiting = match report.waiting_tokens {
-            Some(tokens) => tokens + server.since,
-            None => (counted().unwrap_or(0.0) * *self.mean_prompt + server.since) * to_read,
+            Some(tokens) => tokens + server.tokens_sent_since_report,
+            None => {
+                (counted().unwrap_or(0.0) * *self.mean_prompt + server.tokens_sent_since_report) * to_read
+            }
         };
         let memory = report.memory_share.unwrap_or(0.0) / MEMORY_THRESHOLD;
         Some((waiting / WAITING_THRESHOLD, memory))
@@ -63,18 +65,18 @@
 
     /// Tokens under way at a reader that tells only its queue: those in its memory that were not kept. One
     /// long prompt that is read stands in no queue, and holds up all behind it.
-    pub(super) fn reading(&self, server: &Server) -> f64 {
+    pub(super) fn reading(&self, server: &EngineRecord) -> f64 {
         let Some((_, report)) = server.report.as_ref().filter(|_| server.role == Role::Prefill) else {
             return 0.0;
         };
         let counted = report.waiting_tokens.or(report.in_flight).is_some();
         let size = self.settings.memory_tokens.get(server.entry.kind.0).filter(|_| !counted);
-        report.memory_share.unwrap_or(0.0) * size.copied().unwrap_or(0.0) * self.unread
+        report.memory_share.unwrap_or(0.0) * size.copied().unwrap_or(0.0) * self.uncached_share
     }
 
     /// How many of the attempts that its estimate starts from wait.
     pub(super) fn usual(&self, role: Role) -> f64 {
-        let Means { waited, whole, .. } = self.means[role as usize];
-        WAITING_PRIOR * waited / whole.max(f64::EPSILON)
+        let Means { waiting_time, attempt_duration, .. } = self.means[role as usize];
+        WAITING_PRIOR * waiting_time / attempt_duration.max(f64::EPSILON)
     }
 }
--- a/src/decisions/slow_start.rs
+++ b/src/decisions/slow_start.rs
@@ -3,7 +3,7 @@
 //! Decides by the time since its start, or since it was reached again. May read the endpoint list and the rates that
 //! this router sends at. See docs/design.md, "A cold engine and the sum of all routers".
 
-use super::engines::{Server, MEAN_WEIGHT};
+use super::engines::{EngineRecord, MEAN_WEIGHT};
 use super::router::Router;
 use crate::interface::Role;
 use std::time::Duration;
@@ -15,37 +15,37 @@
 impl Router {
     /// Told to have started, or back from where it could not be reached: it may have restarted long before
     /// the list says so, and what is sent meanwhile counts. Harm: after a mere cut its share comes late.
-    pub(super) fn is_cold(&self, now: Duration, server: &Server) -> bool {
+    pub(super) fn is_cold(&self, now: Duration, server: &EngineRecord) -> bool {
         server.cold_since(now).is_some_and(|at| now < at.saturating_add(self.settings.warmup_time))
     }
 
     /// The part of its work that an engine can do by now.
-    pub(super) fn part(&self, now: Duration, server: &Server) -> f64 {
+    pub(super) fn part(&self, now: Duration, server: &EngineRecord) -> f64 {
         let Some(since) = server.cold_since(now).filter(|_| self.is_cold(now, server)) else { return 1.0 };
         let age = now.saturating_sub(since).as_secs_f64() / self.settings.warmup_time.as_secs_f64().max(1e-3);
         self.settings.warmup_initial_share + (1.0 - self.settings.warmup_initial_share) * age.min(1.0)
     }
 
     /// What this router may send a cold engine, tokens a second: its share of what a warm one bears.
-    pub(super) fn cold_rate(&self, now: Duration, server: &Server) -> f64 {
+    pub(super) fn cold_rate(&self, now: Duration, server: &EngineRecord) -> f64 {
         let least = *self.mean_prompt / COLD_STEP.as_secs_f64() / f64::from(self.settings.router_count);
-        self.part(now, server) * self.means[server.role as usize].borne.max(least)
+        self.part(now, server) * self.means[server.role as usize].sustained_load.max(least)
     }
 
     pub(super) fn note_borne(&mut self, now: Duration, role: Role, prompt: f64) {
-        let cold = |s: &&Server| s.role == role && s.ready() && self.is_cold(now, s);
+        let cold = |s: &&EngineRecord| s.role == role && s.ready() && self.is_cold(now, s);
         let cold = self
             .engine_index
             .maybe_restricted
             .iter()
-            .filter_map(|id| self.servers.get(id))
+            .filter_map(|id| self.engines.get(id))
             .filter(cold)
             .count();
         let warm = self.engine_index.ready_count(role as usize).saturating_sub(cold).max(1) as f64;
         let means = &mut self.means[role as usize];
-        let age = now.saturating_sub(means.rate_at).as_secs_f64() / RATE_SPAN.as_secs_f64();
-        means.rate = means.rate * (-age).exp() + prompt / RATE_SPAN.as_secs_f64();
-        means.rate_at = now;
-        means.borne += MEAN_WEIGHT * (means.rate / warm - means.borne);
+        let age = now.saturating_sub(means.send_rate_updated_at).as_secs_f64() / RATE_SPAN.as_secs_f64();
+        means.send_rate = means.send_rate * (-age).exp() + prompt / RATE_SPAN.as_secs_f64();
+        means.send_rate_updated_at = now;
+        means.sustained_load += MEAN_WEIGHT * (means.send_rate / warm - means.sustained_load);
     }
 }
--- a/src/decisions/successor.rs
+++ b/src/decisions/successor.rs
@@ -3,9 +3,9 @@
 //!
 //! Decides nothing: it copies. See docs/design-policy.md.
 
-use super::requests::{Attempt, Job};
+use super::requests::{ActiveRequest, Attempt};
 use super::router::Router;
-use super::timers::Alarm;
+use super::timers::Timer;
 use crate::interface::{Action, ClassId, Settings};
 use std::time::Duration;
 
@@ -28,38 +28,40 @@
 impl Router {
     /// A router by other settings that knows what this one has learnt: load, pace, cold budgets, ejections, rests by class, what is left of
     /// quotas by tenant. It counts this one's attempts as out, too: it is to be told of their ends as this one is, and what it asks for on their
-    /// account is not to be carried out. Timers that it needs are appended to `out`.
+    /// account is not to be carried out. Timers that it needs are appended to `actions`.
     #[must_use]
     pub fn successor(
-        &self, now: Duration, settings: Settings, places: &SettingsMapping, seed: u64, out: &mut Vec<Action>,
+        &self, now: Duration, settings: Settings, places: &SettingsMapping, seed: u64,
+        actions: &mut Vec<Action>,
     ) -> Router {
         let mut heir = Router::new(settings, seed);
         heir.mean_prompt = self.mean_prompt;
-        heir.unread = self.unread;
+        heir.uncached_share = self.uncached_share;
         heir.means = self.means;
         for (place, quota) in places.tenants.iter().zip(&mut heir.quotas) {
             if let Some(old) = place.and_then(|at| self.quotas.get(at)) {
                 *quota = *old;
             }
         }
-        heir.servers.clone_from(&self.servers);
-        for server in heir.servers.values_mut() {
-            let rest = |place: &Option<usize>| place.and_then(|at| server.rests.get(at).copied());
+        heir.engines.clone_from(&self.engines);
+        for server in heir.engines.values_mut() {
+            let rest = |place: &Option<usize>| place.and_then(|at| server.passed_over_until.get(at).copied());
             let rests = places.classes.iter().map(|place| rest(place).unwrap_or_default()).collect();
-            server.rests = rests;
-            server.askers.clear();
+            server.passed_over_until = rests;
+            server.requests_awaiting_probe.clear();
         }
-        for (&id, job) in self.jobs.iter().filter(|(_, j)| j.attempts.iter().any(|a| a.out)) {
+        for (&id, job) in self.requests.iter().filter(|(_, j)| j.attempts.iter().any(|a| a.in_flight)) {
             let mut request = job.request.clone();
             request.class = places.new_class(request.class);
             let attempts = job.attempts.iter().map(|a| Attempt { ..*a }).collect();
-            heir.jobs.insert(id, Job { request, attempts, ended: true, ..Job::default() });
+            heir.requests
+                .insert(id, ActiveRequest { request, attempts, ended: true, ..ActiveRequest::default() });
         }
         heir.engine_index.note_list_change(true);
         let ejected: Vec<_> =
-            heir.servers.iter().filter_map(|(&id, s)| Some((id, s.ejected?.saturating_sub(now)))).collect();
+            heir.engines.iter().filter_map(|(&id, s)| Some((id, s.ejected?.saturating_sub(now)))).collect();
         for (id, left) in ejected {
-            heir.alarm(Alarm::Trial(id), left, out);
+            heir.set_timer(Timer::EjectionEnd(id), left, actions);
         }
         heir
     }
--- a/src/decisions/timers.rs
+++ b/src/decisions/timers.rs
@@ -2,51 +2,55 @@
 //!
 //! Decides only whether a timer that fires is still of use. May read the requests and engines that it names.
 
-use super::requests::Job;
+use super::requests::ActiveRequest;
 use super::router::Router;
-use super::Out;
 use crate::interface::{Action, EngineId, RequestId, TimerId};
 use std::time::Duration;
 
-/// Why a timer was set.
-pub(super) enum Alarm {
+/// Why a timer was set, and so what is due when it fires.
+pub(super) enum Timer {
+    /// The request is to have its final answer.
     Deadline(RequestId),
-    Check(RequestId, usize),
-    Parked(RequestId),
-    Trial(EngineId),
-    List,
+    /// The attempt of this number may stay silent no longer.
+    AttemptPatience(RequestId, usize),
+    /// The request has waited long enough for an engine or for answers to probes.
+    Wait(RequestId),
+    /// The ejection of the engine ends.
+    EjectionEnd(EngineId),
+    /// The endpoint list is to be asked for again.
+    EndpointList,
 }
 
 impl Router {
-    pub(super) fn alarm(&mut self, alarm: Alarm, after: Duration, out: Out) {
+    pub(super) fn set_timer(&mut self, purpose: Timer, after: Duration, actions: &mut Vec<Action>) {
         let timer = TimerId(self.next_timer);
         self.next_timer += 1;
-        self.alarms.insert(timer, alarm);
-        out.push(Action::SetTimer { timer, after });
+        self.timers.insert(timer, purpose);
+        actions.push(Action::SetTimer { timer, after });
     }
 
-    pub(super) fn on_timer(&mut self, now: Duration, timer: TimerId, out: Out) {
-        let open = |id: &RequestId| self.jobs.get(id).is_some_and(|j| !j.ended);
-        match self.alarms.remove(&timer) {
-            Some(Alarm::Deadline(id)) if open(&id) => self.on_deadline(now, id, out),
-            Some(Alarm::Check(id, attempt)) => self.on_check(id, attempt, out),
-            Some(Alarm::Parked(id)) => {
-                let due = |job: &&mut Job| job.parked.is_some_and(|until| now >= until);
-                if let Some(job) = self.jobs.get_mut(&id).filter(due) {
-                    job.parked = None;
-                    self.advance(now, id, out);
+    pub(super) fn on_timer(&mut self, now: Duration, timer: TimerId, actions: &mut Vec<Action>) {
+        let open = |id: &RequestId| self.requests.get(id).is_some_and(|j| !j.ended);
+        match self.timers.remove(&timer) {
+            Some(Timer::Deadline(id)) if open(&id) => self.on_deadline(now, id, actions),
+            Some(Timer::AttemptPatience(id, attempt)) => self.on_check(id, attempt, actions),
+            Some(Timer::Wait(id)) => {
+                let due = |job: &&mut ActiveRequest| job.waiting_until.is_some_and(|until| now >= until);
+                if let Some(job) = self.requests.get_mut(&id).filter(due) {
+                    job.waiting_until = None;
+                    self.advance(now, id, actions);
                 }
             }
-            Some(Alarm::Trial(engine)) => {
-                let due = self.servers.get(&engine).is_some_and(|s| s.unreachable() && !s.probing);
+            Some(Timer::EjectionEnd(engine)) => {
+                let due = self.engines.get(&engine).is_some_and(|s| s.unreachable() && !s.probing);
                 match self.settings.limits.probes {
-                    true if due => self.probe(engine, out),
+                    true if due => self.probe(engine, actions),
                     false if due => self.reached(now, engine),
                     _ => {}
                 }
             }
-            Some(Alarm::List) => out.push(Action::WatchEngines(true)),
-            Some(Alarm::Deadline(_)) | None => {}
+            Some(Timer::EndpointList) => actions.push(Action::WatchEngines(true)),
+            Some(Timer::Deadline(_)) | None => {}
         }
     }
 }
