--- a/src/decisions/admission.rs
+++ b/src/decisions/admission.rs
@@ -7,20 +7,27 @@
 //! min(300 s^5, 1), s being the mean saturation of the engines. Protected requests pass. The design is cited in
 //! docs/design.md, "The mechanism".
 
-use super::engines::MEAN_WEIGHT;
+use super::engines::MIN_SAMPLE_WEIGHT;
 use super::requests::ActiveRequest;
 use super::router::Router;
 use super::timers::Timer;
 use crate::interface::{Action, Request, Role};
 use std::time::Duration;
 
-const CURVE_FACTOR: f64 = 300.0; // Factor of the refusal curve; no unit. From the llm-d post.
-const CURVE_POWER: i32 = 5; // Power of the refusal curve; no unit. From the llm-d post.
-const PROTECTED_PART: f64 = 0.8; // Part of the saturation that counts for protected requests; no unit.
-pub(super) const QUOTA_DEPTH: f64 = 8.0; // Requests that a tenant's bucket holds; fewer take chance for too many.
-pub(super) const FIRST_PROMPT: f64 = 1_000.0; // Prompt assumed before the first, tokens. Any plausible size does.
-const ANSWER_TICKS: u32 = 2; // Ticks before a client's end at which it is answered: to tell, and to spare.
-pub(super) const LONGEST: Duration = Duration::from_secs(3_600); // No wait is longer: hosts' timers have an end.
+/// Factor of the rejection curve; no unit. From the llm-d post.
+const REJECTION_CURVE_FACTOR: f64 = 300.0;
+/// Power of the rejection curve; no unit. From the llm-d post.
+const REJECTION_CURVE_POWER: i32 = 5;
+/// Share of the saturation that counts for protected requests; no unit.
+const PROTECTED_SATURATION_SHARE: f64 = 0.8;
+/// Requests that the token bucket of a tenant holds; with fewer, a chance burst would exceed the quota.
+pub(super) const QUOTA_DEPTH: f64 = 8.0;
+/// Mean prompt assumed before the first request, tokens. Any plausible length does.
+pub(super) const INITIAL_PROMPT_TOKENS: f64 = 1_000.0;
+/// Ticks before the timeout of a client at which it is answered: one to send the answer, one to spare.
+const ANSWER_TICKS: u32 = 2;
+/// The longest wait: timers of hosts have an upper bound.
+pub(super) const MAX_WAIT: Duration = Duration::from_secs(3_600);
 
 impl Router {
     pub(super) fn on_request(&mut self, now: Duration, request: Request, actions: &mut Vec<Action>) {
@@ -28,76 +35,85 @@
         if self.requests.contains_key(&id) || request.class.0 >= self.settings.classes.len() {
             return actions.push(Action::Fail(id));
         }
-        self.settle(now);
-        self.mean_prompt.add(request.prompt_tokens, MEAN_WEIGHT);
-        let over_share = self.over_share(now, &request);
-        let droppable = self.droppable(over_share, &request);
-        let saturation = self.stage(now, Role::Prefill).max(self.stage(now, Role::Decode));
-        let chance = refusal_chance(saturation, droppable);
-        let refused = self.hopeless(&request) || self.chance() < chance;
-        let until =
-            |left: Duration| now + left.min(LONGEST).saturating_sub(self.settings.tick * ANSWER_TICKS);
-        let (deadline, complete_answer_deadline) =
-            (until(request.client_timeout), request.complete_answer_timeout.map(until));
-        let sampled_probability = self.chance();
-        let job = ActiveRequest {
+        self.refresh_index(now);
+        self.mean_prompt.add(request.prompt_tokens, MIN_SAMPLE_WEIGHT);
+        let over_quota = self.exceeds_quota(now, &request);
+        let droppable = self.droppable(over_quota, &request);
+        let saturation =
+            self.stage_saturation(now, Role::Prefill).max(self.stage_saturation(now, Role::Decode));
+        let probability = rejection_probability(saturation, droppable);
+        let unreachable = self.deadline_is_unreachable(&request);
+        if unreachable {
+            self.shorten_waiting_times();
+        }
+        let rejected = unreachable || self.sample_probability() < probability;
+        let answer_margin = self.settings.tick * ANSWER_TICKS;
+        let deadline_after = |timeout: Duration| now + timeout.min(MAX_WAIT).saturating_sub(answer_margin);
+        let deadline = deadline_after(request.client_timeout);
+        let complete_answer_deadline = request.complete_answer_timeout.map(deadline_after);
+        let sampled_probability = self.sample_probability();
+        let active = ActiveRequest {
             request,
             deadline,
             complete_answer_deadline,
-            over_share,
+            over_quota,
             sampled_probability,
             ..ActiveRequest::default()
         };
-        self.requests.insert(id, job);
-        if refused {
-            self.ask_anyone(now, actions);
-            return self.give_up(id, actions);
+        self.requests.insert(id, active);
+        if rejected {
+            self.probe_stale_engines(now, actions);
+            return self.abandon(id, actions);
         }
         self.set_timer(Timer::Deadline(id), deadline - now, actions);
         self.advance(now, id, actions);
     }
 
-    /// Whether its client will have left before an answer usually begins: abandoned tries eat capacity. Harm:
-    /// a jam that is over refuses on, so each refusal lets the means forget.
-    pub(super) fn hopeless(&mut self, request: &Request) -> bool {
-        let usual =
+    /// Whether the client will have left before an answer usually begins: abandoned attempts use up capacity.
+    pub(super) fn deadline_is_unreachable(&self, request: &Request) -> bool {
+        let usual_wait =
             self.means[Role::Prefill as usize].waiting_time + self.means[Role::Decode as usize].waiting_time;
-        let hopeless = request.client_timeout.as_secs_f64() < usual;
-        if hopeless {
-            self.means.iter_mut().for_each(|means| means.waiting_time *= 1.0 - MEAN_WEIGHT);
+        request.client_timeout.as_secs_f64() < usual_wait
+    }
+
+    /// Lets the mean waiting times decay. Requests rejected by them bring no new samples, so that they would keep
+    /// rejecting after the congestion is over.
+    pub(super) fn shorten_waiting_times(&mut self) {
+        for means in &mut self.means {
+            means.waiting_time *= 1.0 - MIN_SAMPLE_WEIGHT;
         }
-        hopeless
     }
 
-    /// Whether the curve may refuse this request: it is worth less than the best, by its class or
-    /// because its tenant is over its share; where all are worth the same, the loosest aim yields.
-    pub(super) fn droppable(&self, over: bool, request: &Request) -> bool {
+    /// Whether the curve may reject this request: its priority weight is below the largest, by its class or because its
+    /// tenant is over its quota. Where all weights are equal, requests of the loosest latency objective are droppable.
+    pub(super) fn droppable(&self, over_quota: bool, request: &Request) -> bool {
         let class = &self.settings.classes[request.class.0];
-        let worth = class.priority_weight * if over { self.settings.over_quota_weight } else { 1.0 };
-        worth < self.max_priority_weight || self.loosest_objective == Some(class.latency_objective)
+        let weight = class.priority_weight * if over_quota { self.settings.over_quota_weight } else { 1.0 };
+        weight < self.max_priority_weight || self.loosest_objective == Some(class.latency_objective)
     }
 
-    /// Token bucket of a tenant's quota, this router's part of it.
-    pub(super) fn over_share(&mut self, now: Duration, request: &Request) -> bool {
+    /// Whether the tenant is over this router's share of its quota; otherwise the request is taken from it.
+    pub(super) fn exceeds_quota(&mut self, now: Duration, request: &Request) -> bool {
         let tenant = request.tenant.0;
         let quota = self.settings.tenants.get(tenant).and_then(|t| t.quota_per_s);
         let (Some(quota), Some(bucket)) = (quota, self.quotas.get_mut(tenant)) else { return false };
         let rate = quota / f64::from(self.settings.router_count);
         bucket.level = bucket.level_at(now, rate, QUOTA_DEPTH);
         bucket.updated_at = now;
-        let over = bucket.level < 1.0;
-        bucket.level -= if over || request.is_retry { 0.0 } else { 1.0 };
-        over
+        let exceeded = bucket.level < 1.0;
+        bucket.level -= if exceeded || request.is_retry { 0.0 } else { 1.0 };
+        exceeded
     }
 }
 
-/// The curve of the llm-d post. Exception: where it refuses all droppable requests, what is left of the fleet
-/// can't carry the protected ones either. The same curve, on a part of the saturation, then holds for them.
-pub(super) fn refusal_chance(saturation: f64, droppable: bool) -> f64 {
-    let curve = |s: f64| (CURVE_FACTOR * s.powi(CURVE_POWER)).min(1.0);
+/// The probability of a rejection by the curve of the llm-d post. Exception: where it rejects all droppable requests,
+/// the remaining engines cannot serve the protected ones either; the same curve, at a share of the saturation, then
+/// holds for these.
+pub(super) fn rejection_probability(saturation: f64, droppable: bool) -> f64 {
+    let curve = |saturation: f64| (REJECTION_CURVE_FACTOR * saturation.powi(REJECTION_CURVE_POWER)).min(1.0);
     match curve(saturation) {
-        chance if droppable => chance,
-        chance if chance < 1.0 => 0.0,
-        _ => curve(PROTECTED_PART * saturation),
+        probability if droppable => probability,
+        probability if probability < 1.0 => 0.0,
+        _ => curve(PROTECTED_SATURATION_SHARE * saturation),
     }
 }
--- a/src/decisions/engines.rs
+++ b/src/decisions/engines.rs
@@ -3,7 +3,7 @@
 //! Decides when what was learnt of an engine is void: when the list tells another start or another role. Reads the
 //! list alone.
 
-use super::probes::FRESH;
+use super::probes::RECENT_NEWS_AGE;
 use super::release::RETRY_AFTER;
 use super::router::Router;
 use super::timers::Timer;
@@ -12,8 +12,10 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-pub(super) const FIRST_PACE: f64 = 0.000_3; // Pace before any was seen, seconds a token. A slow reader's.
-pub(super) const MEAN_WEIGHT: f64 = 0.06; // Least weight of a sample in a mean; no unit. About the last seventeen.
+/// Pace assumed before any was measured, seconds a token: that of a slow prefill engine.
+pub(super) const INITIAL_PACE: f64 = 0.000_3;
+/// Least weight of a sample in a mean; no unit. A mean is over about the last seventeen samples.
+pub(super) const MIN_SAMPLE_WEIGHT: f64 = 0.06;
 
 #[derive(Clone, Default)]
 pub(super) struct EngineRecord {
@@ -53,13 +55,13 @@
         EngineRecord { entry, role, last_heard: now, slow_start_budget, ..EngineRecord::default() }
     }
 
-    pub(super) fn ready(&self) -> bool {
+    pub(super) fn is_ready(&self) -> bool {
         self.entry.state == EngineState::Ready
     }
 
     /// Whether its load was told a moment ago, or its life where it tells no load.
-    pub(super) fn fresh(&self, now: Duration) -> bool {
-        now.saturating_sub(self.report.as_ref().map_or(self.last_heard, |(at, _)| *at)) < FRESH
+    pub(super) fn has_recent_news(&self, now: Duration) -> bool {
+        now.saturating_sub(self.report.as_ref().map_or(self.last_heard, |(at, _)| *at)) < RECENT_NEWS_AGE
     }
 
     /// Whether it is passed over for any class.
@@ -67,12 +69,12 @@
         self.passed_over_until.iter().any(|&until| now < until)
     }
 
-    pub(super) fn unreachable(&self) -> bool {
+    pub(super) fn is_ejected(&self) -> bool {
         self.ejected.is_some()
     }
 
-    pub(super) fn cold_since(&self, now: Duration) -> Option<Duration> {
-        self.unreachable().then_some(now).or(self.entry.started_at.max(self.returned))
+    pub(super) fn warming_up_since(&self, now: Duration) -> Option<Duration> {
+        self.is_ejected().then_some(now).or(self.entry.started_at.max(self.returned))
     }
 
     /// The prompt tokens left of its slow start at this rate, at most what lets one prompt through.
@@ -103,7 +105,7 @@
     ) {
         if listing == Listing::Failed {
             if self.settings.polls_engine_list {
-                let wait = RETRY_AFTER.mul_f64(0.5 + self.chance());
+                let wait = RETRY_AFTER.mul_f64(0.5 + self.sample_probability());
                 self.set_timer(Timer::EndpointList, wait, actions);
             }
             return;
@@ -125,17 +127,19 @@
             }
             let Some(&role) = self.settings.kind_roles.get(entry.kind.0) else { continue };
             let fresh = || EngineRecord::new(now, entry.clone(), role);
-            let place = |s: &EngineRecord| (s.role as usize, s.entry.state, s.entry.zone, s.entry.cell);
+            let place = |record: &EngineRecord| {
+                (record.role as usize, record.entry.state, record.entry.zone, record.entry.cell)
+            };
             let before = self.engines.get(&entry.id).map(place);
-            let server = self.engines.entry(entry.id).or_insert_with(fresh);
-            if (server.entry.started_at, server.role) != (entry.started_at, role) {
+            let record = self.engines.entry(entry.id).or_insert_with(fresh);
+            if (record.entry.started_at, record.role) != (entry.started_at, role) {
                 // A restart, told or not: what was known of the engine is void, what is out there is not.
-                let EngineRecord { tokens_in_flight, in_flight, attempts_waiting, .. } = *server;
-                *server = EngineRecord { tokens_in_flight, in_flight, attempts_waiting, ..fresh() };
+                let EngineRecord { tokens_in_flight, in_flight, attempts_waiting, .. } = *record;
+                *record = EngineRecord { tokens_in_flight, in_flight, attempts_waiting, ..fresh() };
             }
             self.engine_index.mark_changed(entry.id);
-            server.entry = entry;
-            self.engine_index.note_list_change(before != Some(place(server)));
+            record.entry = entry;
+            self.engine_index.note_list_change(before != Some(place(record)));
         }
     }
 }
--- a/src/decisions/inspection.rs
+++ b/src/decisions/inspection.rs
@@ -31,6 +31,6 @@
 
     /// Its own attempts that it counts as out, by engine of the list.
     pub fn attempts_in_flight(&self) -> impl Iterator<Item = (EngineId, f64)> + '_ {
-        self.engines.iter().map(|(&id, server)| (id, server.in_flight))
+        self.engines.iter().map(|(&id, record)| (id, record.in_flight))
     }
 }
--- a/src/decisions/prefill_affinity.rs
+++ b/src/decisions/prefill_affinity.rs
@@ -12,20 +12,21 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 /// Bounds of a reader's weight as a home; no unit. Readers have room for a quarter more.
-const HOME_WEIGHTS: [f64; 2] = [0.75, 1.25];
-const OWN_ZONE: f64 = 2.5; // How much more a home in the own zone weighs; no unit. Most, not all.
+const AFFINITY_WEIGHT_BOUNDS: [f64; 2] = [0.75, 1.25];
+/// How much more an engine of the own zone weighs; no unit. Most prompts prefer that zone, not all.
+const OWN_ZONE_WEIGHT: f64 = 2.5;
 
 impl Router {
     /// Rendezvous hashing of the shared beginning, else the session: the top two usable readers, in the order
     /// of the session; others only as spill. A mixed engine needs one attempt for both stages, others two.
-    pub(super) fn readers(
+    pub(super) fn prefill_candidates(
         &mut self, now: Duration, id: RequestId, left: usize,
     ) -> (Vec<EngineId>, Vec<EngineId>) {
         let capability = if left >= 2 { Capability::Prefill } else { Capability::PrefillAndDecode };
-        let (_, gone) = self.pool(now, id, capability);
-        let Some(job) = self.requests.get(&id) else { return Default::default() };
-        let session = job.request.session;
-        let key = job.request.shared_prefix.unwrap_or(session);
+        let (_, gone) = self.eligible_engines(now, id, capability);
+        let Some(active) = self.requests.get(&id) else { return Default::default() };
+        let session = active.request.session;
+        let key = active.request.shared_prefix.unwrap_or(session);
         let hash = |id: EngineId, key| xxh3_64_with_seed(&id.0.to_le_bytes(), key);
         let mut homes = self.engine_index.top_ranked(capability, key, 4, &gone, |id| hash(id, key) >> 11);
         let others = homes.split_off(homes.len().min(2));
@@ -36,30 +37,30 @@
     /// Puts the ready engines on their shelves. A reader is home in proportion to the writers of its cell, in
     /// bounds: state that finds none goes far. Exception: a home in the router's own zone weighs more, as all
     /// else crosses zones twice. Settled when the list changes, as nothing else moves it.
-    pub(super) fn shelve(&mut self) {
+    pub(super) fn rebuild_index(&mut self) {
         let mut fleet = [0.0; 2];
         let mut cells: BTreeMap<CellId, [f64; 2]> = BTreeMap::new();
-        for server in self.engines.values().filter(|s| s.ready()) {
-            let parts = match server.role {
+        for record in self.engines.values().filter(|record| record.is_ready()) {
+            let parts = match record.role {
                 Role::Prefill => [2.0, 0.0],
                 Role::Decode => [0.0, 2.0],
                 Role::Mixed => [1.0, 1.0],
             };
-            for counts in [&mut fleet, cells.entry(server.entry.cell).or_default()] {
+            for counts in [&mut fleet, cells.entry(record.entry.cell).or_default()] {
                 *counts = [counts[0] + parts[0], counts[1] + parts[1]];
             }
         }
         let ratio = |[read, write]: [f64; 2]| write.max(1.0) / read.max(1.0);
-        self.engine_index.rebuild(self.engines.iter().map(|(&id, server)| {
-            let Engine { cell, zone, .. } = server.entry;
-            let (role, ready) = (server.role as usize, server.ready());
-            let [least, most] = if server.role == Role::Prefill { HOME_WEIGHTS } else { [1.0; 2] };
+        self.engine_index.rebuild(self.engines.iter().map(|(&id, record)| {
+            let Engine { cell, zone, .. } = record.entry;
+            let (role, ready) = (record.role as usize, record.is_ready());
+            let [least, most] = if record.role == Role::Prefill { AFFINITY_WEIGHT_BOUNDS } else { [1.0; 2] };
             let near = cells.get(&cell).copied().unwrap_or_default();
-            let own = if zone == self.settings.zone { OWN_ZONE } else { 1.0 };
+            let own = if zone == self.settings.zone { OWN_ZONE_WEIGHT } else { 1.0 };
             let weight = own * (ratio(near) / ratio(fleet)).clamp(least, most);
-            let alone = server.role == Role::Mixed
-                || server.role == Role::Decode && self.settings.decode_engines_prefill;
-            let capabilities = [alone || server.role == Role::Prefill, alone, server.role != Role::Prefill];
+            let alone = record.role == Role::Mixed
+                || record.role == Role::Decode && self.settings.decode_engines_prefill;
+            let capabilities = [alone || record.role == Role::Prefill, alone, record.role != Role::Prefill];
             ListedEngine { id, role, ready, weight, cell, zone, capabilities }
         }));
     }
--- a/src/decisions/requests.rs
+++ b/src/decisions/requests.rs
@@ -20,7 +20,7 @@
     pub(super) possible_run: Option<PossibleRun>,
     pub(super) ended: bool,
     /// Its tenant was over its share when it came.
-    pub(super) over_share: bool,
+    pub(super) over_quota: bool,
     /// Drawn from 0 to 1: a warming engine that can do no larger share of its work is no candidate.
     pub(super) sampled_probability: f64,
     /// Until when it waits: for a usable engine, or for answers of its candidates to probes.
@@ -72,7 +72,7 @@
 }
 
 impl Router {
-    pub(super) fn effect(&self, job: &ActiveRequest) -> Idempotency {
-        self.settings.classes[job.request.class.0].idempotency
+    pub(super) fn idempotency(&self, active: &ActiveRequest) -> Idempotency {
+        self.settings.classes[active.request.class.0].idempotency
     }
 }
--- a/src/decisions/router.rs
+++ b/src/decisions/router.rs
@@ -3,8 +3,8 @@
 //! Decides nothing by itself. An event is handled to its end before the next one is taken, and the same events with
 //! the same seed give the same actions.
 
-use super::admission::{FIRST_PROMPT, QUOTA_DEPTH};
-use super::engines::{EngineRecord, Means, FIRST_PACE};
+use super::admission::{INITIAL_PROMPT_TOKENS, QUOTA_DEPTH};
+use super::engines::{EngineRecord, Means, INITIAL_PACE};
 use super::requests::ActiveRequest;
 use super::timers::Timer;
 use super::token_bucket::TokenBucket;
@@ -58,9 +58,9 @@
             quotas,
             max_priority_weight,
             loosest_objective,
-            mean_prompt: RunningMean::from(FIRST_PROMPT),
+            mean_prompt: RunningMean::from(INITIAL_PROMPT_TOKENS),
             uncached_share: 1.0,
-            means: [Means { pace: FIRST_PACE, deviation: FIRST_PACE / 2.0, ..Means::default() }; 3],
+            means: [Means { pace: INITIAL_PACE, deviation: INITIAL_PACE / 2.0, ..Means::default() }; 3],
             engine_index: EngineIndex::default(),
             settings,
         }
@@ -72,10 +72,10 @@
             Event::Engines { listing, engines } => self.on_list(now, listing, engines, actions),
             Event::Request(request) => self.on_request(now, request, actions),
             Event::FirstToken { request, attempt, latency } => {
-                self.on_first(now, (request, attempt), latency, actions);
+                self.on_first_token(now, (request, attempt), latency, actions);
             }
             Event::AttemptEnded(ended) => self.on_ended(now, ended, actions),
-            Event::ClientDisconnected(id) => self.end(id, None, actions),
+            Event::ClientDisconnected(id) => self.finish_request(id, None, actions),
             Event::TimerFired(timer) => self.on_timer(now, timer, actions),
             Event::ProbeEnded { engine, outcome, report } => {
                 self.on_probed(now, engine, outcome, report, actions);
@@ -84,7 +84,7 @@
         }
     }
 
-    pub(super) fn chance(&mut self) -> f64 {
+    pub(super) fn sample_probability(&mut self) -> f64 {
         (self.rng.next_u64() >> 11) as f64 / (1u64 << 53) as f64
     }
 }
--- a/src/decisions/successor.rs
+++ b/src/decisions/successor.rs
@@ -34,35 +34,39 @@
         &self, now: Duration, settings: Settings, places: &SettingsMapping, seed: u64,
         actions: &mut Vec<Action>,
     ) -> Router {
-        let mut heir = Router::new(settings, seed);
-        heir.mean_prompt = self.mean_prompt;
-        heir.uncached_share = self.uncached_share;
-        heir.means = self.means;
-        for (place, quota) in places.tenants.iter().zip(&mut heir.quotas) {
+        let mut successor = Router::new(settings, seed);
+        successor.mean_prompt = self.mean_prompt;
+        successor.uncached_share = self.uncached_share;
+        successor.means = self.means;
+        for (place, quota) in places.tenants.iter().zip(&mut successor.quotas) {
             if let Some(old) = place.and_then(|at| self.quotas.get(at)) {
                 *quota = *old;
             }
         }
-        heir.engines.clone_from(&self.engines);
-        for server in heir.engines.values_mut() {
-            let rest = |place: &Option<usize>| place.and_then(|at| server.passed_over_until.get(at).copied());
+        successor.engines.clone_from(&self.engines);
+        for record in successor.engines.values_mut() {
+            let rest = |place: &Option<usize>| place.and_then(|at| record.passed_over_until.get(at).copied());
             let rests = places.classes.iter().map(|place| rest(place).unwrap_or_default()).collect();
-            server.passed_over_until = rests;
-            server.requests_awaiting_probe.clear();
+            record.passed_over_until = rests;
+            record.requests_awaiting_probe.clear();
         }
-        for (&id, job) in self.requests.iter().filter(|(_, j)| j.attempts.iter().any(|a| a.in_flight)) {
-            let mut request = job.request.clone();
+        for (&id, active) in self.requests.iter().filter(|(_, j)| j.attempts.iter().any(|a| a.in_flight)) {
+            let mut request = active.request.clone();
             request.class = places.new_class(request.class);
-            let attempts = job.attempts.iter().map(|a| Attempt { ..*a }).collect();
-            heir.requests
+            let attempts = active.attempts.iter().map(|a| Attempt { ..*a }).collect();
+            successor
+                .requests
                 .insert(id, ActiveRequest { request, attempts, ended: true, ..ActiveRequest::default() });
         }
-        heir.engine_index.note_list_change(true);
-        let ejected: Vec<_> =
-            heir.engines.iter().filter_map(|(&id, s)| Some((id, s.ejected?.saturating_sub(now)))).collect();
+        successor.engine_index.note_list_change(true);
+        let ejected: Vec<_> = successor
+            .engines
+            .iter()
+            .filter_map(|(&id, record)| Some((id, record.ejected?.saturating_sub(now))))
+            .collect();
         for (id, left) in ejected {
-            heir.set_timer(Timer::EjectionEnd(id), left, actions);
+            successor.set_timer(Timer::EjectionEnd(id), left, actions);
         }
-        heir
+        successor
     }
 }
--- a/src/decisions/timers.rs
+++ b/src/decisions/timers.rs
@@ -33,19 +33,21 @@
         let open = |id: &RequestId| self.requests.get(id).is_some_and(|j| !j.ended);
         match self.timers.remove(&timer) {
             Some(Timer::Deadline(id)) if open(&id) => self.on_deadline(now, id, actions),
-            Some(Timer::AttemptPatience(id, attempt)) => self.on_check(id, attempt, actions),
+            Some(Timer::AttemptPatience(id, attempt)) => self.on_patience_exhausted(id, attempt, actions),
             Some(Timer::Wait(id)) => {
-                let due = |job: &&mut ActiveRequest| job.waiting_until.is_some_and(|until| now >= until);
-                if let Some(job) = self.requests.get_mut(&id).filter(due) {
-                    job.waiting_until = None;
+                let due =
+                    |active: &&mut ActiveRequest| active.waiting_until.is_some_and(|until| now >= until);
+                if let Some(active) = self.requests.get_mut(&id).filter(due) {
+                    active.waiting_until = None;
                     self.advance(now, id, actions);
                 }
             }
             Some(Timer::EjectionEnd(engine)) => {
-                let due = self.engines.get(&engine).is_some_and(|s| s.unreachable() && !s.probing);
+                let due =
+                    self.engines.get(&engine).is_some_and(|record| record.is_ejected() && !record.probing);
                 match self.settings.limits.probes {
                     true if due => self.probe(engine, actions),
-                    false if due => self.reached(now, engine),
+                    false if due => self.record_contact(now, engine),
                     _ => {}
                 }
             }
