--- a/crates/platform-settings/src/error.rs
+++ b/crates/platform-settings/src/error.rs
@@ -1,6 +1,6 @@
 //! Why settings cannot be used.
 
-/// A setting that cannot be used. `Display` gives its key, what stands there and what was expected.
+/// A setting that cannot be used. `Display` gives its key, the value found and what was expected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("setting {fault}")]
 pub struct SettingsError {
@@ -37,7 +37,7 @@
     InvalidNumber {
         /// Its key.
         key: String,
-        /// What stands there.
+        /// The value found.
         value: String,
     },
     /// An entry of a list is no number, or negative.
@@ -45,18 +45,18 @@
     InvalidListNumber {
         /// The key of the list.
         key: String,
-        /// What stands there.
+        /// The value found.
         value: String,
     },
-    /// A time in milliseconds is too long to be held.
+    /// A time in milliseconds is too long for a `Duration`.
     #[error("{key}: {milliseconds} is too long")]
     TimeTooLong {
         /// Its key.
         key: String,
-        /// What stands there, as it is printed.
+        /// The value found, as it is printed.
         milliseconds: String,
     },
-    /// A time of a list is too long to be held.
+    /// A time of a list is too long for a `Duration`.
     #[error("{key}: too long")]
     ListTimeTooLong {
         /// The key of the list.
@@ -67,7 +67,7 @@
     InvalidCount {
         /// Its key.
         key: String,
-        /// What stands there, as it is printed.
+        /// The value found, as it is printed.
         number: String,
     },
     /// A word that is none of those that are expected.
@@ -75,7 +75,7 @@
     UnknownWord {
         /// Its key.
         key: String,
-        /// What stands there.
+        /// The value found.
         value: String,
         /// The words that are known, separated by commas.
         expected: String,
@@ -85,10 +85,10 @@
     UnknownRole {
         /// Its key.
         key: String,
-        /// What stands there.
+        /// The value found.
         value: String,
     },
-    /// Two classes of one name differ in how they may be repeated, so that it is open which of them a request is of.
+    /// Two classes of one name differ in how they may be repeated, so that the class of a request is ambiguous.
     #[error(
         "classes.{index}.name: '{name}' is also the name of classes.{first}, which may be repeated differently: \
          expected a name of its own, or the same idempotency, group and window"
--- a/crates/platform-settings/src/lib.rs
+++ b/crates/platform-settings/src/lib.rs
@@ -1,43 +1,47 @@
-//! The settings of a router by the platform's names. The simulator hands them over as `path=value` lines, a real
-//! router finds the same object as nested JSON in its configuration; both come to the same pairs and are read here
-//! once. Nothing here decides anything.
+//! Parses the settings of a router, by the platform's names, into those of the decision module.
+//!
+//! The simulator hands them over as `path=value` lines ([`parse`]); a router finds the same object as nested JSON in its
+//! configuration ([`from_json`]). Both become pairs of a path and a value, from which the settings are read.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
+mod classes;
 mod error;
 mod pairs;
 
 pub use error::{SettingFault, SettingsError};
 
 use pairs::{flatten, Pairs};
-use slipreel::{
-    Class, DeduplicationScope, Idempotency, Limits, ReportSource, Role, Settings, Tenant, ZoneId,
-};
-use std::collections::BTreeMap;
+use slipreel::{Class, Limits, ReportSource, Role, Settings, Tenant, ZoneId};
 use std::time::Duration;
 
-/// The key of the latency objectives by prompt length: microseconds for each 1,000 prompt tokens, by class.
-const OBJECTIVE_PER_TOKENS: &str = "extra.aim_us_per_1000_prompt_tokens";
+/// The largest multiple of `rules.fall` that counts.
+const MAX_FALL_MULTIPLE: f64 = 1e3;
+/// The words of `report.source`.
+const REPORT_SOURCES: [(&str, ReportSource); 3] =
+    [("piggyback", ReportSource::Answers), ("pull", ReportSource::Probes), ("silent", ReportSource::None)];
+/// The words of `discovery`, each with whether the router polls the list of engines.
+const DISCOVERY_MODES: [(&str, bool); 2] = [("automatic", false), ("subscribe", true)];
 
 /// What one column of a load report holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Column {
     /// Requests in flight.
     InFlight,
-    /// Requests that wait.
+    /// Requests that are queued.
     Queued,
     /// Share of slots in use.
     SlotShare,
     /// Share of memory held.
     MemoryShare,
-    /// Thousands of prompt tokens that wait.
+    /// Thousands of prompt tokens that are queued.
     WaitingThousands,
     /// Something that the decision module does not use.
     Other,
 }
 
-/// An instance's settings and how its load reports are laid out.
+/// The settings of a router, and the layout of the load reports that it gets.
 #[derive(Clone, Debug)]
 pub struct Profile {
     /// What the decision module is handed.
@@ -54,11 +58,11 @@
     pub kinds: Vec<String>,
     /// See `classes`.
     pub zones: Vec<String>,
-    /// Engines close a connection that has stood idle for so long, at the latest; `None` if that is not told.
+    /// Engines close a connection that was idle for so long, at the latest; `None` if that is not set.
     pub idle_close: Option<Duration>,
-    /// Whether clients ask for the rest of a stream that broke.
+    /// Whether clients resume a stream that broke.
     pub resumes: bool,
-    /// The longest time that a client of any class waits; `None` if that is not told.
+    /// The longest time that a client of any class waits; `None` if no deadline is set.
     pub longest_wait: Option<Duration>,
 }
 
@@ -91,15 +95,16 @@
     Ok(read(&pairs)?)
 }
 
+/// Reads the settings and the layout of load reports.
 fn read(pairs: &Pairs<'_>) -> Result<Profile, SettingFault> {
-    let classes = classes(pairs)?;
-    check_class_names(pairs, &classes)?;
+    let classes = classes::read(pairs)?;
+    classes::check_names(pairs, &classes)?;
     let tenants = tenants(pairs)?;
     let kind_roles = kind_roles(pairs)?;
     let settings = settings(pairs, classes, tenants, kind_roles)?;
     let column_names = pairs.names("report.columns");
     Ok(Profile {
-        longest_wait: longest_wait(pairs, settings.classes.len())?,
+        longest_wait: classes::longest_deadline(pairs, settings.classes.len())?,
         resumes: pairs.flag("extra.resume")?,
         columns: column_names.iter().map(|name| column(pairs, name)).collect(),
         column_names,
@@ -112,15 +117,10 @@
     })
 }
 
+/// The settings of the decision module; classes, tenants and roles were read before.
 fn settings(
     pairs: &Pairs<'_>, classes: Vec<Class>, tenants: Vec<Tenant>, kind_roles: Vec<Role>,
 ) -> Result<Settings, SettingFault> {
-    let sources = [
-        ("piggyback", ReportSource::Answers),
-        ("pull", ReportSource::Probes),
-        ("silent", ReportSource::None),
-    ];
-    let discovery = [("automatic", false), ("subscribe", true)];
     let limits = limits(pairs)?;
     Ok(Settings {
         router_count: pairs.count("balancers", Some(1.0))?.max(1),
@@ -132,18 +132,24 @@
         kind_roles,
         memory_tokens: pairs.numbers("extra.tokens_by_kind")?,
         decode_engines_prefill: pairs.flag("extra.local_read")?,
-        polls_engine_list: pairs.word("discovery", &discovery, Some(false))?,
-        report_source: pairs.word("report.source", &sources, Some(ReportSource::None))?,
+        polls_engine_list: pairs.word("discovery", &DISCOVERY_MODES, Some(false))?,
+        report_source: pairs.word("report.source", &REPORT_SOURCES, Some(ReportSource::None))?,
         limits,
         warmup_initial_share: pairs.number("rules.cold_share", Some(0.0))?.min(1.0),
         warmup_time: pairs.millis("rules.cold", Some(0.0))?,
-        warmup_budget: pairs
-            .millis("rules.fall", Some(0.0))?
-            .mul_f64(pairs.number("rules.fall_multiple", Some(0.0))?.clamp(0.0, 1e3)),
+        warmup_budget: warmup_budget(pairs)?,
         held_state_limit: pairs.millis("extra.let_go_by", Some(0.0))?,
     })
 }
 
+/// A multiple of the time in which load falls.
+fn warmup_budget(pairs: &Pairs<'_>) -> Result<Duration, SettingFault> {
+    let fall = pairs.millis("rules.fall", Some(0.0))?;
+    let multiple = pairs.number("rules.fall_multiple", Some(0.0))?;
+    Ok(fall.mul_f64(multiple.clamp(0.0, MAX_FALL_MULTIPLE)))
+}
+
+/// What a router may do with attempts and requests.
 fn limits(pairs: &Pairs<'_>) -> Result<Limits, SettingFault> {
     let max_retry_after = if pairs.flag("limits.retry_after")? {
         Some(pairs.millis("limits.max_retry_after", Some(0.0)))
@@ -160,12 +166,7 @@
     })
 }
 
-fn classes(pairs: &Pairs<'_>) -> Result<Vec<Class>, SettingFault> {
-    let per_1000_tokens = pairs.numbers(OBJECTIVE_PER_TOKENS)?;
-    let count = pairs.count("classes.count", None)?;
-    (0..count as usize).map(|index| class(pairs, index, &per_1000_tokens)).collect()
-}
-
+/// The tenants, in the order of their numbers.
 fn tenants(pairs: &Pairs<'_>) -> Result<Vec<Tenant>, SettingFault> {
     let tenant = |index| {
         let key = format!("customers.{index}.quota_per_s");
@@ -191,78 +192,13 @@
     Ok(roles)
 }
 
-/// The names of the objects of a list, in order; empty where none is told.
+/// The names of the objects of a list, in order; empty where none is set.
 fn numbered_names(pairs: &Pairs<'_>, list: &str, count: usize) -> Vec<String> {
     let name = |index| pairs.get(&format!("{list}.{index}.name")).unwrap_or("").to_owned();
     (0..count).map(name).collect()
 }
 
-/// The longest deadline of a class, of those that are told.
-fn longest_wait(pairs: &Pairs<'_>, class_count: usize) -> Result<Option<Duration>, SettingFault> {
-    let deadline = |index| pairs.optional_millis(&format!("classes.{index}.deadline"));
-    let deadlines = (0..class_count).map(deadline).collect::<Result<Vec<_>, _>>()?;
-    Ok(deadlines.into_iter().flatten().max())
-}
-
-/// Two classes of one name that may be repeated differently leave open which of them a request is of.
-fn check_class_names(pairs: &Pairs<'_>, classes: &[Class]) -> Result<(), SettingFault> {
-    let mut first_by_name: BTreeMap<&str, (usize, Idempotency)> = BTreeMap::new();
-    for (index, class) in classes.iter().enumerate() {
-        let name = pairs.get(&format!("classes.{index}.name")).unwrap_or_default();
-        let &mut (first, idempotency) = first_by_name.entry(name).or_insert((index, class.idempotency));
-        if idempotency != class.idempotency {
-            return Err(SettingFault::AmbiguousClassName { index, first, name: name.to_owned() });
-        }
-    }
-    Ok(())
-}
-
-/// How often a request of a class may run. What is not told gets the strictest meaning: not idempotent; the scope of one
-/// cell; a window of nothing.
-fn idempotency(pairs: &Pairs<'_>, index: usize) -> Result<Idempotency, SettingFault> {
-    let key = |field: &str| format!("classes.{index}.{field}");
-    let scopes = [
-        ("all", DeduplicationScope::All),
-        ("zone", DeduplicationScope::Zone),
-        ("cell", DeduplicationScope::Cell),
-    ];
-    let kinds = [("safe", RepeatRule::Safe), ("keyed", RepeatRule::Keyed), ("unsafe", RepeatRule::Unsafe)];
-    Ok(match pairs.word(&key("idempotency"), &kinds, Some(RepeatRule::Unsafe))? {
-        RepeatRule::Safe => Idempotency::Idempotent,
-        RepeatRule::Keyed => Idempotency::WithKey {
-            scope: pairs.word(&key("group"), &scopes, Some(DeduplicationScope::Cell))?,
-            window: pairs.millis(&key("window"), Some(0.0))?,
-        },
-        RepeatRule::Unsafe => Idempotency::NotIdempotent,
-    })
-}
-
-/// The words of the settings on how a class may be repeated.
-#[derive(Clone, Copy)]
-enum RepeatRule {
-    Safe,
-    Keyed,
-    Unsafe,
-}
-
-fn class(pairs: &Pairs<'_>, index: usize, per_1000_tokens: &[f64]) -> Result<Class, SettingFault> {
-    let key = |field: &str| format!("classes.{index}.{field}");
-    let name = pairs.get(&key("name")).unwrap_or_default();
-    let idempotency = idempotency(pairs, index)
-        .map_err(|fault| SettingFault::OfClass { name: name.to_owned(), fault: Box::new(fault) })?;
-    let latency_objective = pairs.millis(&key("target"), None)?;
-    let microseconds = per_1000_tokens.get(index).copied().unwrap_or(0.0);
-    let latency_objective_per_1000_tokens = Duration::try_from_secs_f64(microseconds / 1e6)
-        .map_err(|_| SettingFault::ListTimeTooLong { key: OBJECTIVE_PER_TOKENS.to_owned() })?;
-    Ok(Class {
-        latency_objective,
-        latency_objective_per_1000_tokens,
-        priority_weight: pairs.number(&key("worth"), None)?,
-        idempotency,
-        streams: pairs.flag(&key("streaming"))?,
-    })
-}
-
+/// What the report column of this name holds. The meaning of `x0` and `x1` is a setting.
 fn column(pairs: &Pairs<'_>, name: &str) -> Column {
     let meaning = match name {
         "x0" => pairs.get("extra.report_x0").unwrap_or(""),
--- a/crates/platform-settings/src/pairs.rs
+++ b/crates/platform-settings/src/pairs.rs
@@ -1,4 +1,4 @@
-//! Settings as pairs of a path and a value, whatever form they came in.
+//! Settings as pairs of a path and a value, the common form of `path=value` lines and nested JSON.
 
 use crate::as_named;
 use crate::error::SettingFault;
@@ -6,23 +6,30 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The largest count that can be meant.
+/// The largest count that is accepted.
 const MAX_COUNT: f64 = 65_536.0;
 
 /// Pairs of a path and a value. An empty value counts as missing.
-pub(crate) struct Pairs<'a>(BTreeMap<&'a str, &'a str>);
+pub(crate) struct Pairs<'a> {
+    values: BTreeMap<&'a str, &'a str>,
+}
 
 impl<'a> FromIterator<(&'a str, &'a str)> for Pairs<'a> {
     fn from_iter<I: IntoIterator<Item = (&'a str, &'a str)>>(pairs: I) -> Self {
-        Pairs(pairs.into_iter().collect())
+        Pairs { values: pairs.into_iter().collect() }
     }
 }
 
 impl<'a> Pairs<'a> {
+    /// The value of a key; `None` if it is missing or empty.
     pub(crate) fn get(&self, key: &str) -> Option<&'a str> {
-        self.0.get(key).copied().filter(|value| !value.is_empty())
+        self.values.get(key).copied().filter(|value| !value.is_empty())
     }
 
+    /// A finite number of 0 or more.
+    ///
+    /// # Errors
+    /// Another value, or a missing one without a default; so in all methods with a default.
     pub(crate) fn number(&self, key: &str, default: Option<f64>) -> Result<f64, SettingFault> {
         let Some(text) = self.get(key) else {
             return default.ok_or_else(|| SettingFault::Missing { key: key.to_owned() });
@@ -40,11 +47,12 @@
         })
     }
 
-    /// A time in milliseconds, if it is told.
+    /// A time in milliseconds; `None` if the key is missing.
     pub(crate) fn optional_millis(&self, key: &str) -> Result<Option<Duration>, SettingFault> {
         self.get(key).map(|_| self.millis(key, None)).transpose()
     }
 
+    /// A whole number up to [`MAX_COUNT`].
     pub(crate) fn count(&self, key: &str, default: Option<f64>) -> Result<u32, SettingFault> {
         let number = self.number(key, default)?;
         if number.fract() != 0.0 || number > MAX_COUNT {
@@ -53,6 +61,7 @@
         Ok(number as u32)
     }
 
+    /// `true` or `false`; false if it is missing.
     pub(crate) fn flag(&self, key: &str) -> Result<bool, SettingFault> {
         self.word(key, &[("true", true), ("false", false)], Some(false))
     }
@@ -72,6 +81,7 @@
         })
     }
 
+    /// The parts of a value between commas; none if the key is missing.
     pub(crate) fn list(&self, key: &str) -> Vec<&'a str> {
         self.get(key).map(|value| value.split(',').collect()).unwrap_or_default()
     }
@@ -81,6 +91,7 @@
         self.list(key).into_iter().map(str::to_owned).collect()
     }
 
+    /// A list of finite numbers of 0 or more.
     pub(crate) fn numbers(&self, key: &str) -> Result<Vec<f64>, SettingFault> {
         let read = |text: &str| {
             let invalid = || SettingFault::InvalidListNumber { key: key.to_owned(), value: text.to_owned() };
@@ -113,6 +124,7 @@
     }
 }
 
+/// The text of a value that is neither an object nor a list of objects.
 fn plain_text(value: &Value) -> String {
     match value {
         Value::String(text) => as_named(text),
--- a/crates/platform-settings/src/tests.rs
+++ b/crates/platform-settings/src/tests.rs
@@ -1,10 +1,11 @@
 use super::*;
+use slipreel::{DeduplicationScope, Idempotency};
 
-const LEAST: &str =
+const MINIMAL: &str =
     "classes.count=1\nclasses.0.target=800\nclasses.0.worth=2\nextra.role_by_kind=read,write\n";
 
 #[test]
-fn nested_json_comes_to_the_same_pairs() {
+fn nested_json_and_lines_give_the_same_profile() {
     let json = serde_json::json!({
         "azs": ["hall a", "b"], "host_types": ["m1", "m2"], "tick": 4.0,
         "classes": [{"name": "quick, check", "target": 800.0, "worth": 2, "streaming": true}],
@@ -27,12 +28,14 @@
 
 #[test]
 fn missing_keys_get_neutral_values() {
-    let profile = parse(LEAST).unwrap();
-    let s = &profile.settings;
-    assert_eq!(s.kind_roles, [Role::Prefill, Role::Decode]);
-    assert_eq!(s.classes[0].idempotency, Idempotency::NotIdempotent);
-    assert!(!s.limits.cancellation && !s.limits.probes && s.limits.max_retry_after.is_none());
-    assert_eq!(s.report_source, ReportSource::None);
+    let profile = parse(MINIMAL).unwrap();
+    let settings = &profile.settings;
+    assert_eq!(settings.kind_roles, [Role::Prefill, Role::Decode]);
+    assert_eq!(settings.classes[0].idempotency, Idempotency::NotIdempotent);
+    assert!(!settings.limits.cancellation);
+    assert!(!settings.limits.probes);
+    assert!(settings.limits.max_retry_after.is_none());
+    assert_eq!(settings.report_source, ReportSource::None);
 }
 
 #[test]
@@ -41,13 +44,13 @@
                 extra.report_x0=share_of_memory_that_is_held\n\
                 extra.report_x1=thousands_of_prompt_tokens_waiting_to_be_read_or_fetched\n";
     let more = format!("{more}extra.tokens_by_kind=317000,880000\n");
-    let Profile { columns, settings, .. } = parse(&format!("{LEAST}{more}")).unwrap();
+    let Profile { columns, settings, .. } = parse(&format!("{MINIMAL}{more}")).unwrap();
     assert_eq!(settings.memory_tokens, [317_000.0, 880_000.0]);
     assert_eq!(columns, [Column::WaitingThousands, Column::Queued, Column::MemoryShare, Column::Other]);
 }
 
 #[test]
-fn a_bad_or_missing_value_names_its_key() {
+fn an_invalid_or_missing_value_is_reported_with_its_key() {
     for (text, key) in [
         ("", "classes.count"),
         ("classes.count=1\nclasses.0.worth=1\nextra.role_by_kind=read", "classes.0.target"),
@@ -64,14 +67,14 @@
         "limits.cancelling=maybe",
         "extra.role_by_kind=read,sing",
     ] {
-        let err = parse(&format!("{LEAST}{bad}\n")).unwrap_err().fault().to_string();
-        assert!(err.starts_with(bad.split('=').next().unwrap()), "{err}");
+        let error = parse(&format!("{MINIMAL}{bad}\n")).unwrap_err().fault().to_string();
+        assert!(error.starts_with(bad.split('=').next().unwrap()), "{error}");
     }
 }
 
 #[test]
-fn every_effect_is_read() {
-    let with = |tail: &str| parse(&format!("{LEAST}{tail}")).unwrap().settings.classes[0].idempotency;
+fn each_idempotency_is_parsed() {
+    let with = |tail: &str| parse(&format!("{MINIMAL}{tail}")).unwrap().settings.classes[0].idempotency;
     assert_eq!(with("classes.0.idempotency=safe\n"), Idempotency::Idempotent);
     assert_eq!(
         with("classes.0.idempotency=keyed\nclasses.0.group=zone\nclasses.0.window=2500\n"),
@@ -80,8 +83,8 @@
 }
 
 #[test]
-fn settings_that_leave_open_whether_a_class_may_be_repeated_are_refused() {
-    for (tail, said) in [
+fn ambiguous_idempotency_is_rejected() {
+    for (tail, expected) in [
         (
             "classes.0.name=order\nclasses.0.idempotency=Unsafe\n",
             ["classes.0.idempotency", "'Unsafe'", "safe, keyed, unsafe", "'order'"],
@@ -95,13 +98,16 @@
             ["classes.0.window", "'soon'", "number of 0 or more", "'order'"],
         ),
     ] {
-        let err = parse(&format!("{LEAST}{tail}")).unwrap_err().fault().to_string();
-        assert!(said.iter().all(|part| err.contains(part)), "{err}");
+        let error = parse(&format!("{MINIMAL}{tail}")).unwrap_err().fault().to_string();
+        assert!(expected.iter().all(|part| error.contains(part)), "{error}");
     }
     let two = "classes.count=2\nclasses.0.target=800\nclasses.0.worth=2\nclasses.1.target=800\nclasses.1.worth=2\n\
                extra.role_by_kind=read,write\nclasses.0.name=order\nclasses.1.name=order\nclasses.0.idempotency=safe\n";
-    let err = parse(two).unwrap_err().fault().to_string();
-    assert!(err.contains("classes.1.name") && err.contains("'order'") && err.contains("classes.0"), "{err}");
+    let error = parse(two).unwrap_err().fault().to_string();
+    assert!(
+        error.contains("classes.1.name") && error.contains("'order'") && error.contains("classes.0"),
+        "{error}"
+    );
     assert!(
         parse(&format!("{two}classes.1.idempotency=safe\n")).is_ok(),
         "alike they can't be taken for each other"
@@ -109,8 +115,8 @@
 }
 
 #[test]
-fn what_is_not_told_of_repeats_has_the_strictest_meaning() {
-    let effect = |tail: &str| parse(&format!("{LEAST}{tail}")).unwrap().settings.classes[0].idempotency;
+fn missing_idempotency_settings_get_the_strictest_meaning() {
+    let effect = |tail: &str| parse(&format!("{MINIMAL}{tail}")).unwrap().settings.classes[0].idempotency;
     assert_eq!(effect(""), Idempotency::NotIdempotent);
     let strictest = Idempotency::WithKey { scope: DeduplicationScope::Cell, window: Duration::ZERO };
     assert_eq!(effect("classes.0.idempotency=keyed\n"), strictest);
@@ -118,7 +124,7 @@
 
 /// The texts are shown to operators.
 #[test]
-fn an_error_is_printed_with_its_key_what_stands_there_and_what_was_expected() {
+fn an_error_names_the_key_the_value_and_what_was_expected() {
     for (line, text) in [
         ("classes.0.worth=x", "setting classes.0.worth: 'x' is no number of 0 or more"),
         ("customers.count=1.5", "setting customers.count: 1.5 is no count"),
@@ -130,7 +136,7 @@
             "setting limits.cancelling: 'maybe' is not known: expected one of true, false",
         ),
     ] {
-        let error = parse(&format!("{LEAST}{line}\n")).unwrap_err().to_string();
+        let error = parse(&format!("{MINIMAL}{line}\n")).unwrap_err().to_string();
         assert!(error.starts_with(text), "{error}");
     }
     let not_an_object = from_json(&serde_json::json!([])).unwrap_err();
