--- a/crates/cli/src/node.rs
+++ b/crates/cli/src/node.rs
@@ -1,75 +1,98 @@
-//! `node`: a router on the platform. One event loop in this thread; another waits for signals and tells the loop.
+//! `node`: a router on the platform. One event loop runs in this thread; another thread forwards signals to it.
 //!
-//! Everything else that the program has (operators' port, metrics, other fronts) is off here.
+//! The other parts of the program (operators' port, metrics, the gateway) are off here.
 
 use crate::{logs, Failure, Outcome};
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use signal_hook::iterator::Signals;
 use slipreel_event_loop::{Clock, Command, Handle, Loop, NodeId};
 use slipreel_platform::{Config, PlatformRouter};
+use std::fmt::Display;
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 use std::time::{Instant, SystemTime};
 
-/// The variable that names the configuration file.
-const CONFIG: &str = "LB_CONFIG";
+/// The environment variable that holds the path of the configuration file.
+const CONFIG_VARIABLE: &str = "LB_CONFIG";
+/// The stack of the thread that waits for signals, in bytes: enough to parse a configuration.
+const SIGNAL_THREAD_STACK: usize = 256 << 10;
 
-fn read(file: &Path) -> Result<Config, Failure> {
-    let named = |why: &dyn std::fmt::Display| Failure::Input(format!("{}: {why}", file.display()));
-    let text = std::fs::read_to_string(file).map_err(|why| named(&why))?;
-    Config::parse(&text).map_err(|why| named(&why))
+/// The path of the configuration file, from the environment.
+fn config_path() -> Result<PathBuf, Failure> {
+    let path = std::env::var_os(CONFIG_VARIABLE).filter(|value| !value.is_empty());
+    let missing =
+        || Failure::Input(format!("{CONFIG_VARIABLE}: expected the path of the configuration file"));
+    path.map(PathBuf::from).ok_or_else(missing)
 }
 
+/// Reads and parses the configuration file.
+fn read_config(path: &Path) -> Result<Config, Failure> {
+    let input_failure = |error: &dyn Display| Failure::Input(format!("{}: {error}", path.display()));
+    let text = std::fs::read_to_string(path).map_err(|error| input_failure(&error))?;
+    Config::parse(&text).map_err(|error| input_failure(&error))
+}
+
+/// A failure after the configuration was read.
+fn run_failure(error: impl Display) -> Failure {
+    Failure::Run(error.to_string())
+}
+
+/// Runs a router until it is stopped by a signal and has shut down.
 pub(crate) fn run() -> Outcome {
     let started = Instant::now();
-    let file = std::env::var_os(CONFIG).filter(|v| !v.is_empty());
-    let file =
-        file.ok_or_else(|| Failure::Input(format!("{CONFIG}: expected the path of the configuration file")))?;
-    let file = PathBuf::from(file);
-    let config = read(&file)?;
+    let path = config_path()?;
+    let config = read_config(&path)?;
     let configured = started.elapsed();
     logs::start(slipreel_settings::LogFormat::Text, "info");
-    let run = |why: &dyn std::fmt::Display| Failure::Run(why.to_string());
-    // Before the loop takes anything: a signal that comes early must not end the process.
-    let signals = Signals::new([SIGHUP, SIGTERM, SIGINT]).map_err(|why| run(&why))?;
+    // Before the loop handles anything: an early signal must not end the process.
+    let signals = Signals::new([SIGHUP, SIGTERM, SIGINT]).map_err(run_failure)?;
     let clock = Clock::start();
-    let mut looped = Loop::new(clock).map_err(|why| run(&why))?;
-    looped.on_log(|_, line| tracing::info!("{line}"));
-    // The platform gives every address; its network is the guard here.
-    looped.allow_any_address();
-    looped.bound_connections(config.resource_limits.driver_connections());
-    let (listen, name, sockets) = (config.listen, config.name.clone(), config.resource_limits.descriptors);
+    let mut event_loop = Loop::new(clock).map_err(run_failure)?;
+    event_loop.on_log(|_, line| tracing::info!("{line}"));
+    // The platform assigns all addresses, and its network restricts who can connect.
+    event_loop.allow_any_address();
+    event_loop.bound_connections(config.resource_limits.driver_connections());
+    let listen = config.listen;
+    let name = config.name.clone();
+    let sockets = config.resource_limits.descriptors;
     let wall = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
-    let node = looped.add(PlatformRouter::new(config, clock.now(), wall));
-    looped.listen(node, listen).map_err(|why| run(&why))?;
-    tell_signals(signals, file, looped.handle(), node).map_err(|why| run(&why))?;
+    let node = event_loop.add(PlatformRouter::new(config, clock.now(), wall));
+    event_loop.listen(node, listen).map_err(run_failure)?;
+    forward_signals(signals, path, event_loop.handle(), node).map_err(run_failure)?;
     tracing::info!(%listen, name, sockets, ?configured, listening = ?started.elapsed(), "serving");
-    looped.run().map_err(|why| run(&why))?;
-    tracing::info!("stopped: {}", looped.machine(node).counters());
+    event_loop.run().map_err(run_failure)?;
+    tracing::info!("stopped: {}", event_loop.machine(node).counters());
     Ok(())
 }
 
-/// Tells the loop of signals: SIGHUP reads the file again, and a bad one changes nothing; SIGTERM ends in order.
-fn tell_signals(
-    mut signals: Signals, file: PathBuf, handle: Handle<PlatformRouter>, node: NodeId,
+/// Starts the thread that forwards signals to the loop: SIGHUP reloads the configuration, every other one starts the
+/// graceful shutdown.
+fn forward_signals(
+    mut signals: Signals, path: PathBuf, handle: Handle<PlatformRouter>, node: NodeId,
 ) -> std::io::Result<()> {
-    let wait = move || {
+    let forward = move || {
         for signal in signals.forever() {
-            if signal != SIGHUP {
+            if signal == SIGHUP {
+                reload(&path, &handle, node);
+            } else {
                 tracing::info!("stopping: requests under way end first");
                 handle.tell(Command::Stop(node));
-                continue;
-            }
-            match read(&file) {
-                Ok(config) => {
-                    handle.tell(Command::News(node, Arc::new(config)));
-                }
-                Err(Failure::Code(_)) => {}
-                Err(Failure::Input(why) | Failure::Run(why)) => {
-                    tracing::warn!(why, "the configuration can't be read; it stays as it was");
-                }
             }
         }
     };
-    std::thread::Builder::new().name("signals".into()).stack_size(256 << 10).spawn(wait).map(|_| ())
+    let thread = std::thread::Builder::new().name("signals".into()).stack_size(SIGNAL_THREAD_STACK);
+    thread.spawn(forward).map(|_| ())
+}
+
+/// Reads the configuration again and hands it to the router. One that cannot be read changes nothing.
+fn reload(path: &Path, handle: &Handle<PlatformRouter>, node: NodeId) {
+    match read_config(path) {
+        Ok(config) => {
+            handle.tell(Command::News(node, Arc::new(config)));
+        }
+        Err(Failure::Code(_)) => {}
+        Err(Failure::Input(why) | Failure::Run(why)) => {
+            tracing::warn!(why, "the configuration can't be read; it stays as it was");
+        }
+    }
 }
