--- a/crates/platform/tests/answers_owed.rs
+++ b/crates/platform/tests/answers_owed.rs
@@ -1,5 +1,5 @@
-//! What a router owes for each request that it has read: an answer in its time, and no more of an engine's time than its
-//! client still waits.
+//! Each request that a router has received is answered in time, and engines get no longer deadline than its client still
+//! waits.
 
 mod common;
 use common::*;
@@ -17,17 +17,17 @@
 #[test]
 fn a_pipelined_request_forwards_the_deadline_left_since_its_last_byte() {
     let mut harness = Harness::new();
-    let (client, writer, _) = harness.at_decode_engine("chat");
-    // In two pieces: its time runs from its last byte.
+    let (client, decode, _) = harness.at_decode_engine("chat");
+    // In two pieces: its deadline counts from its last byte.
     let next = request("chat", "9b20");
     let (first, rest) = next.split_at(next.len() - 10);
     harness.receive(client, first);
     harness.advance(ms(500));
     harness.receive(client, rest);
     harness.advance(ms(400));
-    let out = harness.receive(writer, complete_stream());
-    let (reader, _) = opened(&out)[0];
-    let deadline = first_forwarded_deadline(&harness.connected(reader));
+    let out = harness.receive(decode, complete_stream());
+    let (prefill, _) = opened(&out)[0];
+    let deadline = first_forwarded_deadline(&harness.connected(prefill));
     assert!((4_399.0..=4_401.0).contains(&deadline), "{deadline}");
 }
 
@@ -39,22 +39,22 @@
     let out = harness.advance(ms(4_900));
     let answers = text(&out, client);
     assert_eq!(answers.matches("HTTP/1.1 ").count(), 2, "each has its answer: {answers}");
-    assert_eq!(forwarded_count(&out), 0, "nothing more is sent on");
+    assert_eq!(forwarded_count(&out), 0, "nothing more is forwarded");
 }
 
 #[test]
 fn a_pipelined_request_received_byte_by_byte_never_forwards_more_than_its_deadline() {
     let mut harness = Harness::new();
-    let (client, writer, _) = harness.at_decode_engine("chat");
+    let (client, decode, _) = harness.at_decode_engine("chat");
     let next = request("chat", "9b20");
     for byte in next.as_bytes() {
         harness.receive(client, [*byte]);
         harness.advance(ms(1));
     }
-    let out = harness.receive(writer, complete_stream());
-    let (reader, _) = opened(&out)[0];
-    let deadline = first_forwarded_deadline(&harness.connected(reader));
-    // Late bytes count as of an earlier one: less time is told than there is, never more.
+    let out = harness.receive(decode, complete_stream());
+    let (prefill, _) = opened(&out)[0];
+    let deadline = first_forwarded_deadline(&harness.connected(prefill));
+    // Late bytes count as received with an earlier one: the deadline is shorter than what is left, never longer.
     assert!((4_300.0..=4_800.0).contains(&deadline), "{deadline}");
 }
 
@@ -88,7 +88,7 @@
     harness.handle(Input::Stop);
     harness.advance(ms(3_100));
     let client = harness.connect_client();
-    // It is here in part, and whole only as the process may be killed at any time.
+    // It is received in part, and complete only when the process may be killed at any time.
     harness.receive(client, &whole[..40]);
     harness.advance(ms(200));
     let out = harness.receive(client, &whole[40..]);
--- a/crates/platform/tests/bad_clients.rs
+++ b/crates/platform/tests/bad_clients.rs
@@ -1,4 +1,4 @@
-//! Clients that send what can't be read, too much, too little, or nothing; and the room that they may take.
+//! Clients that send malformed requests, too much, too little, or nothing; and the resources that they may hold.
 
 mod common;
 use common::*;
@@ -55,13 +55,13 @@
 #[test]
 fn a_request_with_the_id_of_an_open_one_is_rejected_and_the_open_one_completes() {
     let mut harness = Harness::new();
-    let (first, writer) = harness.streaming("chat");
+    let (first, decode) = harness.streaming("chat");
     let other = harness.connect_client();
     assert_eq!(status(&harness.receive(other, request("chat", "9b1f")), other), Some(409));
-    let out = harness.receive(writer, stream_end());
+    let out = harness.receive(decode, stream_end());
     assert!(text(&out, first).ends_with("0\r\n\r\n"));
     assert_eq!(harness.router.counters().completed, 1);
-    // Nor is it taken after that: it was sent on, and every request carries a new id.
+    // Nor is it admitted after that: it was forwarded, and every request carries a new id.
     let out = harness.receive(other, request("chat", "9b1f"));
     assert_eq!(
         (status(&out, other), opened(&out).len(), harness.router.counters().admitted),
@@ -104,7 +104,7 @@
     let out = harness.receive(client, &many);
     let answers = text(&out, client);
     let count = |status: &str| answers.matches(&format!("HTTP/1.1 {status} ")).count();
-    assert_eq!((count("503"), count("429")), (8, 192), "over its share it is told so");
+    assert_eq!((count("503"), count("429")), (8, 192), "over its quota it gets 429");
     let mut harness = Harness::new();
     let client = harness.connect_client();
     let out: Vec<_> = many.as_bytes().chunks(8_000).flat_map(|part| harness.receive(client, part)).collect();
--- a/crates/platform/tests/common/cluster.rs
+++ b/crates/platform/tests/common/cluster.rs
@@ -57,7 +57,7 @@
 /// How long a router that delays events holds them.
 const EVENT_DELAY: Duration = Duration::from_millis(400);
 
-/// A router, perhaps broken.
+/// A router of any variant.
 pub struct BrokenRouter {
     pub router: PlatformRouter,
     variant: Variant,
@@ -188,9 +188,9 @@
 }
 
 /// An entry of the list, in zone a and cell 1.
-pub fn entry(name: &str, reads: bool, port: u16, status: &str, since: Duration) -> String {
-    let kind = if reads { "reads" } else { "writes" };
-    // The platform's wall clock and the world's are one here.
+pub fn entry(name: &str, is_prefill: bool, port: u16, status: &str, since: Duration) -> String {
+    let kind = if is_prefill { "reads" } else { "writes" };
+    // The wall clock and the virtual time are the same here.
     let since = since.as_millis();
     format!(
         r#"{{"name":"{name}","address":"127.0.0.1:{port}","zone":"a","type":"{kind}","group":1,"status":"{status}","weight":1.0,"since_ms":{since}}}"#
@@ -213,8 +213,8 @@
 /// The size of a cluster and what happens in it.
 pub struct ClusterLayout {
     pub routers: u16,
-    pub readers: u16,
-    pub writers: u16,
+    pub prefill_engines: u16,
+    pub decode_engines: u16,
     pub faults: Faults,
     pub variant: Variant,
     /// Requests at each router, and how far apart.
@@ -229,8 +229,8 @@
     fn default() -> Self {
         ClusterLayout {
             routers: 3,
-            readers: 2,
-            writers: 3,
+            prefill_engines: 2,
+            decode_engines: 3,
             faults: Faults::default(),
             variant: Variant::None,
             requests: 400,
@@ -246,13 +246,19 @@
         let shared = Shared::default();
         let mut world = World::new(START, Delays::default(), layout.seed);
         let (mut engines, mut first) = (BTreeMap::new(), Vec::new());
-        for born in 1..=layout.readers + layout.writers {
-            let (name, reads) = (format!("e{born}"), born <= layout.readers);
-            let engine =
-                Engine::new(&name, reads, shared.clone(), layout.faults, layout.seed + u64::from(born));
-            let at = world.add(Actor::Engine(Box::new(engine)), &[SocketAddr::from(([127, 0, 0, 1], born))]);
-            first.push((name.clone(), entry(&name, reads, born, "Ready", Duration::ZERO)));
-            engines.insert(name, (reads, born, at));
+        for number in 1..=layout.prefill_engines + layout.decode_engines {
+            let (name, is_prefill) = (format!("e{number}"), number <= layout.prefill_engines);
+            let engine = Engine::new(
+                &name,
+                is_prefill,
+                shared.clone(),
+                layout.faults,
+                layout.seed + u64::from(number),
+            );
+            let at =
+                world.add(Actor::Engine(Box::new(engine)), &[SocketAddr::from(([127, 0, 0, 1], number))]);
+            first.push((name.clone(), entry(&name, is_prefill, number, "Ready", Duration::ZERO)));
+            engines.insert(name, (is_prefill, number, at));
         }
         let mut cluster = Cluster {
             world,
@@ -303,10 +309,10 @@
 
     /// All agents list an engine with this status: `Ready`, or one in which it takes no new work.
     pub fn set_status(&mut self, engine: &str, status: &str) {
-        let (reads, port, _) = self.engines[engine];
+        let (is_prefill, port, _) = self.engines[engine];
         let (closed, name) = (status != "Ready", engine.to_owned());
         look(&self.shared).see(self.world.now(), Seen::Has { engine: name.clone(), closed });
-        let change = Listing(vec![(name, entry(engine, reads, port, status, Duration::ZERO))]);
+        let change = Listing(vec![(name, entry(engine, is_prefill, port, status, Duration::ZERO))]);
         for &agent in &self.agents {
             self.world.news(agent, &change);
         }
@@ -318,7 +324,7 @@
         self.world.freeze(machine, frozen);
     }
 
-    /// All routers are told to stop.
+    /// Stops all routers.
     pub fn stop(&mut self) {
         for listen in &self.listens {
             look(&self.shared).see(self.world.now(), Seen::Ending { router: listen.to_string() });
@@ -338,7 +344,7 @@
         look(&self.shared).facts.iter().filter(|fact| fact.at >= since && is_attempt(&fact.seen)).count()
     }
 
-    /// When discovery was asked, by any router.
+    /// When any router opened a watch at discovery.
     pub fn asked(&self) -> Vec<Duration> {
         let asked = |&at: &usize| match self.world.machine(at) {
             Actor::Discovery(agent) => agent.asked.clone(),
--- a/crates/platform/tests/common/day.rs
+++ b/crates/platform/tests/common/day.rs
@@ -282,7 +282,7 @@
         let steps = length.as_millis() as usize / 400;
         for step in 0..steps {
             let at = START + FIRST_REQUEST + ms(400) * step as u32 + self.random.millis(0, 400);
-            // All are drawn in any case, so that a part that is left out moves none of the others.
+            // All are drawn in any case, so that leaving out a part changes none of the others.
             let cut = (
                 self.random.below(self.day.routers),
                 self.random.below(ENGINES),
--- a/crates/platform/tests/fleet.rs
+++ b/crates/platform/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! A seeded fleet in virtual time: engines that fault, are replaced under new names and leave; clients that ask once,
-//! stay, or go. Every request has one ending, nothing is sent twice or kept, and the router ends as small as it began.
+//! A seeded fleet in virtual time: engines fail, are replaced under new names and leave; clients send one request, stay, or
+//! disconnect. Every request ends once, nothing is sent twice, and the router is left without state.
 
 use slipreel_platform::{Config, HeldState, PlatformRouter};
 use slipreel_test_servers::memory::{Delays, World};
@@ -20,9 +20,9 @@
     router: usize,
     discovery: usize,
     clients: usize,
-    /// Engines that live: name, whether it reads, number in the world.
-    live: Vec<(String, bool, usize)>,
-    born: u16,
+    /// The running engines: name, whether it prefills, number in the world.
+    running: Vec<(String, bool, usize)>,
+    last_number: u16,
     seed: u64,
 }
 
@@ -30,14 +30,14 @@
     fn new(faults: Faults, requests: u32, every: Duration, seed: u64) -> Fleet {
         let shared = Shared::default();
         let mut world = World::new(START, Delays::default(), seed);
-        let (mut live, mut first) = (Vec::new(), Vec::new());
+        let (mut running, mut first) = (Vec::new(), Vec::new());
         for born in 1..=5u16 {
             let (name, reads) = (format!("e{born}"), born <= 2);
             let engine = Engine::new(&name, reads, shared.clone(), faults, seed + u64::from(born));
             let addr = SocketAddr::from(([127, 0, 0, 1], born));
             let at = world.add(Actor::Engine(Box::new(engine)), &[addr]);
             first.push((name.clone(), entry(&name, reads, born, "Ready", Duration::ZERO)));
-            live.push((name, reads, at));
+            running.push((name, reads, at));
         }
         let discovery = Discovery::new(&Listing(first));
         let known = discovery.whole();
@@ -50,7 +50,7 @@
         );
         let clients = Clients::new(target, &["chat", "once"], every, requests, START + ms(50), seed);
         let clients = world.add(Actor::Clients(Box::new(clients)), &[]);
-        Fleet { world, shared, faults, router, discovery, clients, live, born: 5, seed }
+        Fleet { world, shared, faults, router, discovery, clients, running, last_number: 5, seed }
     }
 
     fn router(&self) -> &PlatformRouter {
@@ -69,17 +69,22 @@
 
     /// An engine drains and leaves, and another takes its place under a new name.
     fn replace(&mut self) {
-        let at = usize::from(self.born) % self.live.len();
-        self.born += 1;
-        let (old, reads, gone) = self.live[at].clone();
-        let name = format!("e{}", self.born);
-        let engine =
-            Engine::new(&name, reads, self.shared.clone(), self.faults, self.seed + u64::from(self.born));
-        let addr = SocketAddr::from(([127, 0, 0, 1], self.born));
+        let at = usize::from(self.last_number) % self.running.len();
+        self.last_number += 1;
+        let (old, reads, gone) = self.running[at].clone();
+        let name = format!("e{}", self.last_number);
+        let engine = Engine::new(
+            &name,
+            reads,
+            self.shared.clone(),
+            self.faults,
+            self.seed + u64::from(self.last_number),
+        );
+        let addr = SocketAddr::from(([127, 0, 0, 1], self.last_number));
         let number = self.world.add(Actor::Engine(Box::new(engine)), &[addr]);
-        self.live[at] = (name.clone(), reads, number);
+        self.running[at] = (name.clone(), reads, number);
         let drains = (old.clone(), entry(&old, reads, 1, "Terminating", Duration::ZERO));
-        let joins = (name.clone(), entry(&name, reads, self.born, "Ready", Duration::ZERO));
+        let joins = (name.clone(), entry(&name, reads, self.last_number, "Ready", Duration::ZERO));
         self.world.news(self.discovery, &Listing(vec![drains, joins]));
         self.run(ms(300));
         let left = old.clone();
@@ -90,7 +95,7 @@
         look(&self.shared).dies(&left);
     }
 
-    /// Runs on, and checks at each moment that the module's count of what is under way is that of the sockets.
+    /// Runs, and checks in steps that the decision module counts as many attempts in flight as the sockets carry.
     fn run(&mut self, time: Duration) {
         let end = self.world.now() + time;
         while self.world.now() < end {
--- a/crates/platform/tests/gone.rs
+++ b/crates/platform/tests/gone.rs
@@ -1,18 +1,20 @@
-//! A client that has gone: nothing more is sent on for it, wherever its request stands, and what is held is let go of.
+//! A client that has disconnected: nothing more is forwarded for it, whatever the state of its request, and held state is
+//! released.
 
 mod common;
 use common::*;
 use slipreel_state_machine::{ConnId, ConnectionLoss, Input, Output};
 
-/// How a client goes.
-const GOODBYES: [fn(ConnId) -> Input<'static>; 3] =
+/// The ways in which a client disconnects.
+const DISCONNECTS: [fn(ConnId) -> Input<'static>; 3] =
     [Input::Eof, |conn| Input::Lost(conn, ConnectionLoss::Reset), Input::PeerClosedWhilePaused];
 
-/// The client goes; from then on whatever connections come up and whatever engines answer, nothing is sent on for it.
-fn goes(
-    harness: &mut Harness, client: ConnId, goodbye: fn(ConnId) -> Input<'static>, answer: &[(ConnId, &str)],
+/// The client disconnects; then nothing is forwarded for it, whatever connections are established and engines answer.
+fn assert_nothing_forwarded_after(
+    harness: &mut Harness, client: ConnId, disconnect: fn(ConnId) -> Input<'static>,
+    answer: &[(ConnId, &str)],
 ) {
-    let mut all = harness.handle(goodbye(client));
+    let mut all = harness.handle(disconnect(client));
     for &(conn, bytes) in answer {
         all.extend(harness.receive(conn, bytes));
     }
@@ -45,7 +47,7 @@
     );
 }
 
-fn probing() -> Harness {
+fn harness_with_probes() -> Harness {
     let config = config(DISCOVERY, &list(41, true, &engines()), 256);
     Harness::with(
         &config
@@ -56,14 +58,14 @@
 
 #[test]
 fn client_gone_while_a_probe_is_in_flight() {
-    for goodbye in GOODBYES {
-        let mut harness = probing();
-        // A second writer to choose from is asked first, as what is known of both is old.
+    for disconnect in DISCONNECTS {
+        let mut harness = harness_with_probes();
+        // Both decode engines are probed first, as their load reports are old.
         harness.advance(ms(5_000));
         let client = harness.connect_client();
-        let (reader, _) = opened(&harness.receive(client, request("chat", "1")))[0];
-        harness.connected(reader);
-        let out = harness.receive(reader, PREFILLED);
+        let (prefill, _) = opened(&harness.receive(client, request("chat", "1")))[0];
+        harness.connected(prefill);
+        let out = harness.receive(prefill, PREFILLED);
         let probes = opened(&out);
         let asked: Vec<ConnId> = probes.iter().map(|&(conn, _)| conn).collect();
         assert_eq!(asked.len(), 2, "{out:?}");
@@ -71,117 +73,132 @@
             assert!(text(&harness.connected(conn), conn).starts_with("GET /-/load "));
         }
         let load = "HTTP/1.1 200 OK\r\nContent-Length: 14\r\n\r\npending=1,x0=0";
-        goes(&mut harness, client, goodbye, &[(asked[0], load), (asked[1], load)]);
+        assert_nothing_forwarded_after(
+            &mut harness,
+            client,
+            disconnect,
+            &[(asked[0], load), (asked[1], load)],
+        );
     }
 }
 
 #[test]
 fn client_gone_while_the_engine_connection_is_being_opened() {
-    for goodbye in GOODBYES {
+    for disconnect in DISCONNECTS {
         let mut harness = Harness::new();
         let client = harness.connect_client();
-        let (reader, _) = opened(&harness.receive(client, request("chat", "1")))[0];
-        let out = harness.handle(goodbye(client));
-        assert!(aborted(&out, reader), "{out:?}");
-        assert_eq!(forwarded_count(&harness.handle(Input::Connected(reader))), 0);
-        goes(&mut harness, client, goodbye, &[]);
+        let (prefill, _) = opened(&harness.receive(client, request("chat", "1")))[0];
+        let out = harness.handle(disconnect(client));
+        assert!(aborted(&out, prefill), "{out:?}");
+        assert_eq!(forwarded_count(&harness.handle(Input::Connected(prefill))), 0);
+        assert_nothing_forwarded_after(&mut harness, client, disconnect, &[]);
     }
 }
 
 #[test]
 fn client_gone_while_the_prefill_is_in_flight_starts_no_decode() {
-    for goodbye in GOODBYES {
+    for disconnect in DISCONNECTS {
         let mut harness = Harness::new();
         let client = harness.connect_client();
-        let (reader, _) = opened(&harness.receive(client, request("chat", "1")))[0];
-        harness.connected(reader);
-        // The answer was on its way as the connection was closed.
-        goes(&mut harness, client, goodbye, &[(reader, PREFILLED)]);
-        assert!(harness.router.counters().releases > 0, "the state that the read may have left is let go of");
+        let (prefill, _) = opened(&harness.receive(client, request("chat", "1")))[0];
+        harness.connected(prefill);
+        // The answer was in transit as the connection was closed.
+        assert_nothing_forwarded_after(&mut harness, client, disconnect, &[(prefill, PREFILLED)]);
+        assert!(
+            harness.router.counters().releases > 0,
+            "the state that the prefill may have left is released"
+        );
     }
 }
 
 #[test]
 fn client_gone_between_a_failure_and_the_next_attempt() {
-    for goodbye in GOODBYES {
-        // Both writers turn it away, and there is none to go to at once.
+    for disconnect in DISCONNECTS {
+        // Both decode engines reject it, and there is no other.
         let mut harness = Harness::new();
-        let (client, writer, _) = harness.at_decode_engine("chat");
+        let (client, decode, _) = harness.at_decode_engine("chat");
         let full = "HTTP/1.1 503 x\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n";
-        let out = harness.receive(writer, full);
+        let out = harness.receive(decode, full);
         let next: Vec<ConnId> = opened(&out).iter().map(|&(conn, _)| conn).collect();
         for conn in next {
             harness.connected(conn);
             harness.receive(conn, full);
         }
-        goes(&mut harness, client, goodbye, &[]);
+        assert_nothing_forwarded_after(&mut harness, client, disconnect, &[]);
     }
 }
 
-/// The last byte of a write that must not be repeated is held back for a moment: what has gone by then never runs.
+/// The last byte of a decode that must not be repeated is held back for a moment: one whose client disconnects by then never
+/// runs.
 #[test]
 fn client_gone_while_the_last_byte_is_held_back() {
-    for goodbye in GOODBYES {
+    for disconnect in DISCONNECTS {
         let mut harness = Harness::new();
         let client = harness.connect_client();
-        let (reader, _) = opened(&harness.receive(client, request("once", "1")))[0];
-        harness.connected(reader);
-        let (writer, _) = opened(&harness.receive(reader, PREFILLED))[0];
-        let out = harness.connected(writer);
-        assert!(text(&out, writer).ends_with("\"stream\":true"), "all but the last byte");
-        let out = harness.handle(goodbye(client));
-        assert!(aborted(&out, writer));
+        let (prefill, _) = opened(&harness.receive(client, request("once", "1")))[0];
+        harness.connected(prefill);
+        let (decode, _) = opened(&harness.receive(prefill, PREFILLED))[0];
+        let out = harness.connected(decode);
+        assert!(text(&out, decode).ends_with("\"stream\":true"), "all but the last byte");
+        let out = harness.handle(disconnect(client));
+        assert!(aborted(&out, decode));
         let out = harness.advance(ms(10));
-        assert!(bytes(&out, writer).is_empty(), "{out:?}");
-        goes(&mut harness, client, goodbye, &[]);
+        assert!(bytes(&out, decode).is_empty(), "{out:?}");
+        assert_nothing_forwarded_after(&mut harness, client, disconnect, &[]);
     }
 }
 
 #[test]
 fn client_gone_with_pipelined_requests() {
-    for goodbye in GOODBYES {
+    for disconnect in DISCONNECTS {
         let mut harness = Harness::new();
         let client = harness.connect_client();
         let ahead: String = (1..=4).map(|id| request("chat", &id.to_string())).collect();
         let out = harness.receive(client, ahead);
-        let (reader, _) = opened(&out)[0];
+        let (prefill, _) = opened(&out)[0];
         assert_eq!(opened(&out).len(), 1, "one at a time");
-        harness.connected(reader);
-        goes(&mut harness, client, goodbye, &[(reader, PREFILLED)]);
+        harness.connected(prefill);
+        assert_nothing_forwarded_after(&mut harness, client, disconnect, &[(prefill, PREFILLED)]);
         assert_eq!(harness.router.counters().admitted, 1);
     }
 }
 
-/// Guards against a client that sent much ahead and went: its connection was paused, and its close hid behind what waited.
+/// Guards against a client that pipelined much and disconnected: its connection was paused, and its close was not seen
+/// behind the unread bytes.
 #[test]
 fn client_gone_while_its_connection_is_paused() {
     let mut harness = Harness::new();
     let client = harness.connect_client();
     let out = harness.receive(client, request("chat", "1"));
-    let (reader, _) = opened(&out)[0];
+    let (prefill, _) = opened(&out)[0];
     let ahead: String = (2..200).map(|id| request("chat", &id.to_string())).collect();
     let out = harness.receive(client, ahead);
     assert!(out.contains(&Output::Pause(client)));
-    harness.connected(reader);
-    goes(&mut harness, client, Input::PeerClosedWhilePaused, &[(reader, PREFILLED)]);
+    harness.connected(prefill);
+    assert_nothing_forwarded_after(
+        &mut harness,
+        client,
+        Input::PeerClosedWhilePaused,
+        &[(prefill, PREFILLED)],
+    );
     assert_eq!(harness.router.counters().admitted, 1);
 }
 
 #[test]
 fn client_gone_during_shutdown() {
-    for goodbye in GOODBYES {
+    for disconnect in DISCONNECTS {
         let mut harness = Harness::new();
         let client = harness.connect_client();
-        let (reader, _) = opened(&harness.receive(client, request("chat", "1")))[0];
-        harness.connected(reader);
+        let (prefill, _) = opened(&harness.receive(client, request("chat", "1")))[0];
+        harness.connected(prefill);
         harness.handle(Input::Stop);
         harness.advance(ms(300));
-        goes(&mut harness, client, goodbye, &[(reader, PREFILLED)]);
+        assert_nothing_forwarded_after(&mut harness, client, disconnect, &[(prefill, PREFILLED)]);
     }
 }
 
 /// Guards against a late second answer of the exchange before, which came while the last byte of the next request was held
-/// back: it was taken for that one's answer.
+/// back: it was mistaken for the answer to that one.
 #[test]
 fn before_the_last_byte_is_written_only_a_rejection_counts_as_an_answer() {
     let stream = [STREAM_HEAD, &chunk(&event("another's")), "0\r\n\r\n"].concat();
@@ -190,14 +207,14 @@
     {
         let mut harness = Harness::new();
         let client = harness.connect_client();
-        let (reader, _) = opened(&harness.receive(client, request("once", "1")))[0];
-        harness.connected(reader);
-        let (writer, port) = opened(&harness.receive(reader, PREFILLED))[0];
-        harness.connected(writer);
-        let out = harness.receive(writer, early);
-        assert!(aborted(&out, writer) && bytes(&out, client).is_empty(), "{early}: {out:?}");
+        let (prefill, _) = opened(&harness.receive(client, request("once", "1")))[0];
+        harness.connected(prefill);
+        let (decode, port) = opened(&harness.receive(prefill, PREFILLED))[0];
+        harness.connected(decode);
+        let out = harness.receive(decode, early);
+        assert!(aborted(&out, decode) && bytes(&out, client).is_empty(), "{early}: {out:?}");
         let (next, other) = opened(&out)[0];
-        assert_ne!(other, port, "it never ran and goes to the other writer");
+        assert_ne!(other, port, "it never ran and is retried at the other decode engine");
         harness.connected(next);
         harness.advance(ms(4));
         let out = harness.receive(next, [STREAM_HEAD, &chunk(&event("its own"))].concat());
@@ -205,10 +222,10 @@
     }
     let mut harness = Harness::new();
     let client = harness.connect_client();
-    let (reader, _) = opened(&harness.receive(client, request("once", "1")))[0];
-    harness.connected(reader);
-    let (writer, port) = opened(&harness.receive(reader, PREFILLED))[0];
-    harness.connected(writer);
-    let out = harness.receive(writer, "HTTP/1.1 503 x\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n");
-    assert_ne!(opened(&out)[0].1, port, "turned away before all was said");
+    let (prefill, _) = opened(&harness.receive(client, request("once", "1")))[0];
+    harness.connected(prefill);
+    let (decode, port) = opened(&harness.receive(prefill, PREFILLED))[0];
+    harness.connected(decode);
+    let out = harness.receive(decode, "HTTP/1.1 503 x\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n");
+    assert_ne!(opened(&out)[0].1, port, "rejected before its last byte was written");
 }
--- a/crates/platform/tests/never_ran.rs
+++ b/crates/platform/tests/never_ran.rs
@@ -1,11 +1,11 @@
-//! What counts as proof that an attempt never ran, order by order. The driver's report that bytes have left is held back
-//! here where that matters: it may come late.
+//! What counts as proof that an attempt never ran, for each order of events. Where it matters, the driver's report that bytes
+//! were sent is left out: it may come late.
 
 mod common;
 use common::*;
 use slipreel_state_machine::{ConnId, ConnectionLoss, Input, Output};
 
-/// A reader and two writers, the writers in cells of their own; class `cell` is keyed by cell, class `all` by all.
+/// A prefill engine and two decode engines in cells of their own; class `cell` is keyed by cell, class `all` by all.
 fn keyed_settings() -> String {
     let in_cell = |name, kind, port, cell: u32| {
         engine(name, kind, port, "Ready").replace("\"group\":1", &format!("\"group\":{cell}"))
@@ -17,19 +17,19 @@
     config(DISCOVERY, &list(41, true, &engines), 256).replace("\"classes\":[", classes)
 }
 
-/// A request of this class read at `r`; gives the client, the writer's connection, its port, and what came of it so far.
-/// The driver has not reported any byte of the write.
-fn at_a_writer_unreported(harness: &mut Harness, class: &str) -> (ConnId, ConnId, u16) {
+/// A request of this class that was prefilled at `r` and written to a decode engine, of which the driver has reported no byte
+/// as sent. Returns the connections of the client and the decode engine, and the port of the latter.
+fn at_decode_engine_unreported(harness: &mut Harness, class: &str) -> (ConnId, ConnId, u16) {
     let client = harness.connect_client();
-    let (reader, _) = opened(&harness.receive(client, request(class, "9b1f")))[0];
-    harness.connected(reader);
-    let (writer, port) = opened(&harness.receive(reader, PREFILLED_WITHOUT_REPORT))[0];
-    harness.handle(Input::Connected(writer));
-    (client, writer, port)
+    let (prefill, _) = opened(&harness.receive(client, request(class, "9b1f")))[0];
+    harness.connected(prefill);
+    let (decode, port) = opened(&harness.receive(prefill, PREFILLED_WITHOUT_REPORT))[0];
+    harness.handle(Input::Connected(decode));
+    (client, decode, port)
 }
 
-/// Whether an attempt goes to the writer of the other cell within a while, as this came of the first write.
-fn goes_to_the_other_cell(harness: &mut Harness, first_port: u16, out: Vec<Output>) -> bool {
+/// Whether an attempt is sent to the decode engine of the other cell within a while. `out`: the outputs after the first.
+fn is_retried_in_other_cell(harness: &mut Harness, first_port: u16, out: Vec<Output>) -> bool {
     let mut out = out;
     for _ in 0..20 {
         let mut next = harness.advance(ms(20));
@@ -51,26 +51,26 @@
         as [fn(ConnId) -> Input<'static>; 2]
     {
         let mut harness = Harness::with(&keyed_settings());
-        let (client, writer, port) = at_a_writer_unreported(&mut harness, "cell");
+        let (client, decode, port) = at_decode_engine_unreported(&mut harness, "cell");
         harness.advance(ms(5));
-        let out = harness.handle(end(writer));
+        let out = harness.handle(end(decode));
         assert_ne!(status(&out, client), Some(503), "no refusal");
-        assert!(!goes_to_the_other_cell(&mut harness, port, out), "its cell alone drops a repeat");
+        assert!(!is_retried_in_other_cell(&mut harness, port, out), "its cell alone drops a repeat");
     }
 }
 
 #[test]
 fn a_keyed_decode_whose_last_byte_is_held_back_has_not_run() {
     let mut harness = Harness::with(&keyed_settings());
-    let (client, writer, port) = at_a_writer_unreported(&mut harness, "cell");
+    let (client, decode, port) = at_decode_engine_unreported(&mut harness, "cell");
     harness.advance(ms(1));
-    let out = harness.handle(lost(writer, ConnectionLoss::Reset));
+    let out = harness.handle(lost(decode, ConnectionLoss::Reset));
     assert_eq!(status(&out, client), None);
-    assert!(goes_to_the_other_cell(&mut harness, port, out), "its other writer is tried");
+    assert!(is_retried_in_other_cell(&mut harness, port, out), "it is retried at the other decode engine");
 }
 
-/// A kept connection may bring a second answer to the exchange before at any later time, which nothing tells from one to
-/// the present attempt: reads and writes alike, whatever their class.
+/// On a reused connection a second answer to the exchange before may come at any later time, and cannot be distinguished from
+/// the answer to the present attempt. This holds for prefills and decodes of any class.
 #[test]
 fn each_attempt_opens_a_new_connection() {
     for class in ["chat", "once", "cell", "all"] {
@@ -80,38 +80,38 @@
         harness.advance(ms(300));
         assert!(
             harness.router.held_state().engine_connections >= 2,
-            "{class}: connections to both engines stand"
+            "{class}: connections to both engines are kept"
         );
         let client = harness.connect_client();
         let out = harness.receive(client, request(class, "9b20"));
-        assert_eq!((opened(&out).len(), forwarded_count(&out)), (1, 0), "{class}: the read opens one");
-        let reader = opened(&out)[0].0;
-        harness.connected(reader);
-        let out = harness.receive(reader, PREFILLED_WITHOUT_REPORT);
-        assert_eq!((opened(&out).len(), forwarded_count(&out)), (1, 0), "{class}: the write opens one");
+        assert_eq!((opened(&out).len(), forwarded_count(&out)), (1, 0), "{class}: the prefill opens one");
+        let prefill = opened(&out)[0].0;
+        harness.connected(prefill);
+        let out = harness.receive(prefill, PREFILLED_WITHOUT_REPORT);
+        assert_eq!((opened(&out).len(), forwarded_count(&out)), (1, 0), "{class}: the decode opens one");
     }
 }
 
-/// What was left over from an attempt comes as the connection that it used carries a probe or a release: it is never taken
-/// for the answer to an attempt.
+/// A late second answer to an attempt comes on a connection that is kept for probes and releases: it is never taken for the
+/// answer to another attempt.
 #[test]
 fn a_late_second_answer_reaches_no_other_request() {
     let mut harness = Harness::new();
-    let (_, writer) = harness.prefilled_and_forwarded("chat", "9b1f");
-    harness.receive(writer, complete_stream());
+    let (_, decode) = harness.prefilled_and_forwarded("chat", "9b1f");
+    harness.receive(decode, complete_stream());
     harness.advance(ms(300));
     let client = harness.connect_client();
     let out = harness.receive(client, request("once", "9b20"));
-    let reader = opened(&out)[0].0;
-    harness.connected(reader);
-    let second = harness.receive(writer, REJECTED);
-    assert!(ends(&second, writer), "the kept connection is of no further use");
+    let prefill = opened(&out)[0].0;
+    harness.connected(prefill);
+    let second = harness.receive(decode, REJECTED);
+    assert!(ends(&second, decode), "the kept connection is of no further use");
     assert_eq!(
         (status(&second, client), forwarded_count(&second), opened(&second).len()),
         (None, 0, 0),
         "{second:?}"
     );
-    let out = harness.receive(reader, PREFILLED_WITHOUT_REPORT);
+    let out = harness.receive(prefill, PREFILLED_WITHOUT_REPORT);
     assert_eq!(opened(&out).len(), 1, "the request goes on as if nothing had come");
 }
 
@@ -119,41 +119,41 @@
 fn a_decode_answered_with_the_prefill_status_may_have_run() {
     for class in ["once", "cell"] {
         let mut harness = Harness::with(&keyed_settings());
-        let (client, writer, port) = at_a_writer_unreported(&mut harness, class);
+        let (client, decode, port) = at_decode_engine_unreported(&mut harness, class);
         harness.advance(ms(5));
-        let out = harness.receive(writer, PREFILLED_WITHOUT_REPORT);
-        assert!(ends(&out, writer), "{class}: that connection is of no further use");
+        let out = harness.receive(decode, PREFILLED_WITHOUT_REPORT);
+        assert!(ends(&out, decode), "{class}: that connection is of no further use");
         assert_ne!(status(&out, client), Some(503), "{class}");
         if class == "once" {
             assert_eq!(status(&out, client), Some(502));
         }
-        assert!(!goes_to_the_other_cell(&mut harness, port, out), "{class}");
+        assert!(!is_retried_in_other_cell(&mut harness, port, out), "{class}");
     }
 }
 
-/// Where attempts can't be cancelled the module leaves one that is out alone; one that has not begun is not begun then.
+/// Where attempts cannot be cancelled those in flight go on; one that was not written yet is not written then.
 #[test]
 fn without_cancellation_an_attempt_of_a_gone_client_is_not_written_once_connected() {
     let text = config(DISCOVERY, &list(41, true, &engines()), 256)
         .replace("\"cancelling\":true", "\"cancelling\":false");
     let mut harness = Harness::with(&text);
     let client = harness.connect_client();
-    let (reader, _) = opened(&harness.receive(client, request("chat", "1")))[0];
+    let (prefill, _) = opened(&harness.receive(client, request("chat", "1")))[0];
     harness.handle(Input::Eof(client));
     harness.advance(ms(120));
-    assert_eq!(forwarded_count(&harness.handle(Input::Connected(reader))), 0);
+    assert_eq!(forwarded_count(&harness.handle(Input::Connected(prefill))), 0);
 }
 
 #[test]
 fn a_forwarded_id_is_rejected_after_its_answer() {
     let mut harness = Harness::new();
-    let (client, writer, _) = harness.at_decode_engine("once");
-    let out = harness.receive(writer, complete_stream());
+    let (client, decode, _) = harness.at_decode_engine("once");
+    let out = harness.receive(decode, complete_stream());
     assert!(text(&out, client).ends_with("0\r\n\r\n"));
     let other = harness.connect_client();
     let out = harness.receive(other, request("once", "9b1f"));
     assert_eq!((status(&out, other), forwarded_count(&out), opened(&out).len()), (Some(409), 0, 0));
-    // One that was turned away before anything was sent may come again.
+    // One that was rejected before it was forwarded may come again.
     let mut harness = Harness::with(&config(DISCOVERY, &list(41, true, &[]), 256));
     let client = harness.connect_client();
     assert_eq!(status(&harness.receive(client, request("once", "7")), client), Some(503));
@@ -161,7 +161,7 @@
     assert_eq!(status(&harness.receive(again, request("once", "7")), again), Some(503));
 }
 
-/// Two lists in one read: what the first makes the module decide goes out by the first.
+/// Two lists in one read: the actions that follow from the first are dispatched by the first.
 #[test]
 fn lists_received_together_are_applied_one_after_another() {
     let mut harness = Harness::new();
@@ -170,14 +170,14 @@
     harness.handle(Input::Connected(conn));
     harness.receive(conn, format!("{WATCH_HEAD}{}", chunk(&format!("{}\n", list(42, true, &engines())))));
     let client = harness.connect_client();
-    let (reader, port) = opened(&harness.receive(client, request("once", "9b1f")))[0];
+    let (prefill, port) = opened(&harness.receive(client, request("once", "9b1f")))[0];
     assert_eq!(port, 1);
-    // The reader drains, so that the read goes elsewhere; in the same read the writers become readers and it a writer.
+    // The prefill engine drains, so that the prefill is sent elsewhere; in the same read the engines swap roles.
     let first = list(43, false, &[engine("r", "reads", 1, "Terminating"), engine("w", "reads", 2, "Ready")]);
     let second = list(44, false, &[engine("w", "writes", 2, "Ready"), engine("r", "reads", 1, "Ready")]);
     let mut out =
         harness.receive(conn, format!("{}{}", chunk(&format!("{first}\n")), chunk(&format!("{second}\n"))));
-    assert!(ends(&out, reader), "what had not left for it goes elsewhere");
+    assert!(ends(&out, prefill), "what was not written to it is sent elsewhere");
     let mut written = false;
     for _ in 0..4 {
         let next: Vec<(ConnId, u16)> = opened(&out);
@@ -188,5 +188,5 @@
             out.extend(sent);
         }
     }
-    assert!(!written, "nothing that was decided as a read goes to an engine that writes");
+    assert!(!written, "no attempt decided as a prefill is sent to a decode engine");
 }
--- a/crates/platform/tests/peers.rs
+++ b/crates/platform/tests/peers.rs
@@ -1,4 +1,4 @@
-//! Discovery, letting go, reloads and stops.
+//! The endpoint list, releases of held state, reloads and shutdown.
 
 mod common;
 use common::*;
@@ -20,11 +20,11 @@
 fn list_changes_apply_at_once() {
     let (mut harness, conn) = watching();
     let client = harness.connect_client();
-    let reader = opened(&harness.receive(client, request("chat", "1")))[0].0;
-    // Before its connection stands the reader drains and another has come.
+    let prefill = opened(&harness.receive(client, request("chat", "1")))[0].0;
+    // Before its connection is established the prefill engine drains and another joins.
     let change = list(42, false, &[engine("r", "reads", 1, "Terminating"), engine("s", "reads", 7, "Ready")]);
     let out = harness.receive(conn, chunk(&(change + "\n")));
-    assert!(aborted(&out, reader), "what has not left goes elsewhere");
+    assert!(aborted(&out, prefill), "what was not written is sent elsewhere");
     assert_eq!(opened(&out).iter().map(|&(_, port)| port).collect::<Vec<_>>(), [7]);
     let gone = list(43, false, &[r#"{"name":"s","status":"Gone"}"#.to_owned()]);
     let out = harness.receive(conn, chunk(&(gone + "\n")));
@@ -34,13 +34,13 @@
 #[test]
 fn an_engine_keeps_its_identity_at_a_new_address() {
     let (mut harness, conn) = watching();
-    let (client, writer) = harness.streaming("chat");
-    harness.receive(writer, stream_end());
+    let (client, decode) = harness.streaming("chat");
+    harness.receive(decode, stream_end());
     let moved: Vec<String> = [("r", "reads", 11), ("w", "writes", 12), ("v", "writes", 13)]
         .map(|(name, kind, port)| engine(name, kind, port, "Ready"))
         .into();
     let out = harness.receive(conn, chunk(&(list(42, true, &moved) + "\n")));
-    assert!(ends(&out, writer), "idle connections to the old address end");
+    assert!(ends(&out, decode), "idle connections to the old address end");
     let out = harness.receive(client, request("chat", "2"));
     assert_eq!(opened(&out)[0].1, 11);
 }
@@ -54,7 +54,7 @@
         assert!(aborted(&out, conn), "case {case}");
         let (again, _) = watch(&harness.advance(ms(810))).expect("opened anew");
         let out = harness.handle(Input::Connected(again));
-        assert!(text(&out, again).contains("after=0 "), "case {case}: the whole list is asked for");
+        assert!(text(&out, again).contains("after=0 "), "case {case}: the complete list is requested");
         let client = harness.connect_client();
         assert_eq!(
             opened(&harness.receive(client, request("chat", "1"))).len(),
@@ -63,7 +63,7 @@
         );
     }
     let (mut harness, conn) = watching();
-    assert!(aborted(&harness.receive(conn, &good), conn), "an older whole list that was not asked for");
+    assert!(aborted(&harness.receive(conn, &good), conn), "an older complete list that was not requested");
     for end in [Input::Eof(conn), Input::Lost(conn, ConnectionLoss::Reset)] {
         let (mut harness, conn) = watching();
         harness.receive(conn, chunk("{\"index\":42,\"snap"));
@@ -72,25 +72,28 @@
         let out = harness.handle(Input::Connected(again));
         assert!(
             text(&out, again).contains("after=0 "),
-            "what the broken one had missed need not be a change"
+            "the changes that the broken one missed may not come again"
         );
         harness.receive(again, WATCH_HEAD);
         let whole = list(42, true, &[engine("w", "writes", 2, "Terminating")]);
-        assert!(!aborted(&harness.receive(again, chunk(&(whole + "\n"))), again), "half a line is none");
+        assert!(
+            !aborted(&harness.receive(again, chunk(&(whole + "\n"))), again),
+            "an incomplete line is dropped"
+        );
         let out = {
             let client = harness.connect_client();
             harness.receive(client, request("chat", "1"))
         };
-        assert!(opened(&out).is_empty(), "the list that came whole is the one that holds: {out:?}");
+        assert!(opened(&out).is_empty(), "the complete list is the one that counts: {out:?}");
     }
-    // Half an object with an end of line is no list, and what follows is not taken for its rest.
+    // An incomplete object with an end of line is no list, and what follows is not parsed as its rest.
     let (mut harness, conn) = watching();
     harness.receive(conn, chunk("{\"index\":\n"));
     let out = harness.advance(ms(2_310));
     assert!(aborted(&out, conn) && watch(&out).is_some());
     let (mut harness, conn) = watching();
     for _ in 0..5 {
-        assert!(!aborted(&harness.advance(ms(2_000)), conn), "empty lines say that it lives");
+        assert!(!aborted(&harness.advance(ms(2_000)), conn), "empty lines keep it open");
         harness.receive(conn, chunk("\n"));
     }
     let out = harness.advance(ms(3_800));
@@ -100,8 +103,8 @@
     );
 }
 
-/// The rule that drains are kept counts what a silent watch missed as told 6 s after it fell silent: by then the list has
-/// to be here, also if the first connection of the new watch does not come up.
+/// By the rule on drains, changes that a silent watch missed have to be known 6 s after it fell silent, also if the first
+/// connection of the new watch is not established.
 #[test]
 fn changes_missed_by_a_silent_watch_arrive_within_six_seconds() {
     for lost in [0, 1] {
@@ -122,20 +125,20 @@
         assert!(harness.now < start + ms(5_900), "{lost}: {:?}", harness.now - start);
         let client = harness.connect_client();
         let out = harness.receive(client, request("chat", "1"));
-        let (reader, _) = opened(&out)[0];
-        harness.connected(reader);
-        assert_eq!(opened(&harness.receive(reader, PREFILLED))[0].1, 3, "the other writer");
+        let (prefill, _) = opened(&out)[0];
+        harness.connected(prefill);
+        assert_eq!(opened(&harness.receive(prefill, PREFILLED))[0].1, 3, "the other decode engine");
     }
 }
 
-/// Guards against a request that was read in the moment in which its connection's idle time was up, or a stop's time to
-/// close idle ones: it was dropped with the connection.
+/// Guards against a request that was received just as its connection reached the idle timeout, or as a shutdown closes idle
+/// connections: it was dropped with the connection.
 #[test]
 fn a_request_received_at_the_idle_timeout_is_served() {
     for stops in [false, true] {
         let mut harness = Harness::new();
         let client = harness.connect_client();
-        // An answered request, then nothing for as long as it may stand idle, but for what is in the socket.
+        // An answered request, then silence until the idle timeout, but for the bytes in the socket.
         let out = harness.receive(client, "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n");
         harness.handle(Input::Sent(client, bytes(&out, client).len()));
         if stops {
@@ -164,7 +167,7 @@
 fn a_reload_moves_the_watch_and_keeps_streams() {
     for hangs in [false, true] {
         let (mut harness, old) = watching();
-        let (client, writer) = harness.streaming("chat");
+        let (client, decode) = harness.streaming("chat");
         if hangs {
             let out = harness.advance(ms(2_900));
             assert!(!ends(&out, client) && watch(&out).is_none(), "it may be silent for so long");
@@ -175,7 +178,7 @@
         assert!(aborted(&out, old) && port == 8600);
         let out = harness.handle(Input::Connected(new));
         assert!(text(&out, new).contains("after=41 "));
-        let out = harness.receive(writer, stream_end());
+        let out = harness.receive(decode, stream_end());
         assert!(text(&out, client).ends_with("0\r\n\r\n"), "the stream goes on");
         assert!(
             watch(&harness.handle(Input::OwnerMessage(&config))).is_none(),
@@ -189,20 +192,20 @@
 #[test]
 fn held_state_is_released_until_acknowledged_and_again_while_the_prefill_may_still_end() {
     let mut harness = Harness::new();
-    let (client, writer, _) = harness.at_decode_engine("chat");
+    let (client, decode, _) = harness.at_decode_engine("chat");
     let out = harness.handle(Input::Eof(client));
     let sent = sent_releases(&out);
-    assert_eq!(sent.len(), 1, "on the connection that stands: the reader's");
+    assert_eq!(sent.len(), 1, "on the idle connection: the prefill engine's");
     assert_eq!(sent[0].request_line, "DELETE /v1/holds/9b1f HTTP/1.1");
-    assert!(aborted(&out, writer));
-    // Nothing answers: it is sent again, on a connection of its own or another's, until one acknowledges it. As the write was
-    // given up a moment before and its engine says nothing, it is repeated: soon once, then at the pace of the setting for as
-    // long as engines may hang.
+    assert!(aborted(&out, decode));
+    // Nothing answers: it is retried on this or another connection until it is acknowledged. As the decode was cancelled a
+    // moment before and its engine is silent, it is repeated: once soon, then at the interval of the setting for as long as
+    // engines may hang.
     let left = harness.now;
     let over = left + ms(8_000);
     let (mut acknowledged, mut out) = (Vec::new(), harness.advance(ms(400)));
     while harness.now < over + ms(1_000) {
-        acknowledged.extend(acknowledge_all_but(&mut harness, out, WRITER_PORT));
+        acknowledged.extend(acknowledge_all_but(&mut harness, out, DECODE_PORT));
         out = harness.advance(ms(10));
     }
     let early = acknowledged.iter().filter(|&&at| at < left + ms(600)).count();
@@ -216,15 +219,15 @@
 
 #[test]
 fn a_release_is_repeated_once_after_contact_with_the_cancelled_engine() {
-    let one_writer = [engine("r", "reads", 1, "Ready"), engine("w", "writes", WRITER_PORT, "Ready")];
-    let mut harness = Harness::with(&config(DISCOVERY, &list(41, true, &one_writer), 256));
+    let one_decode_engine = [engine("r", "reads", 1, "Ready"), engine("w", "writes", DECODE_PORT, "Ready")];
+    let mut harness = Harness::with(&config(DISCOVERY, &list(41, true, &one_decode_engine), 256));
     let (client, _) = harness.prefilled_and_forwarded("chat", "left");
     let out = harness.handle(Input::Eof(client));
     let mut acknowledged = acknowledge_all_but(&mut harness, out, NO_PORT);
     harness.advance(ms(50));
-    // The writer's engine answers another request, after it has seen the end of the write.
-    let (_, writer) = harness.prefilled_and_forwarded("chat", "other");
-    harness.receive(writer, [STREAM_HEAD, &chunk(&event("one"))].concat());
+    // The decode engine answers another request, after it has seen the end of the cancelled decode.
+    let (_, decode) = harness.prefilled_and_forwarded("chat", "other");
+    harness.receive(decode, [STREAM_HEAD, &chunk(&event("one"))].concat());
     for _ in 0..300 {
         let out = harness.advance(ms(10));
         acknowledged.extend(acknowledge_all_but(&mut harness, out, NO_PORT));
@@ -233,10 +236,10 @@
     assert_eq!(harness.router.held_state().releases, 0);
 }
 
-const WRITER_PORT: u16 = 2;
+const DECODE_PORT: u16 = 2;
 const NO_PORT: u16 = 0;
 
-/// Connections come up, but for those to one engine, and releases are acknowledged. Gives when.
+/// Establishes connections, except those to one engine, and acknowledges releases. Returns when.
 fn acknowledge_all_but(harness: &mut Harness, mut out: Vec<Output>, silent: u16) -> Vec<std::time::Duration> {
     for (conn, port) in opened(&out) {
         if port != silent {
@@ -254,10 +257,10 @@
 fn a_prefill_whose_connection_broke_is_released() {
     let mut harness = Harness::new();
     let client = harness.connect_client();
-    let reader = opened(&harness.receive(client, request("chat", "1")))[0].0;
-    harness.connected(reader);
-    let out = harness.handle(lost(reader, ConnectionLoss::Reset));
-    // The module reads it again there; the release goes first or with it, and is not repeated under the new read.
+    let prefill = opened(&harness.receive(client, request("chat", "1")))[0].0;
+    harness.connected(prefill);
+    let out = harness.handle(lost(prefill, ConnectionLoss::Reset));
+    // The prefill is retried there; the release is sent first or with it, and is not retried during the new prefill.
     let again = opened(&out);
     assert!(!again.is_empty(), "{out:?}");
     let out = harness.handle(Input::Eof(client));
@@ -266,32 +269,32 @@
     for (conn, _) in opened(&all) {
         sent.extend(sent_releases(&harness.connected(conn)));
     }
-    assert!(!sent.is_empty(), "released once no attempt is out");
+    assert!(!sent.is_empty(), "released once no attempt is in flight");
 }
 
 #[test]
 fn a_release_is_not_retried_during_a_new_prefill() {
     let mut harness = Harness::new();
     let client = harness.connect_client();
-    let reader = opened(&harness.receive(client, request("chat", "1")))[0].0;
-    harness.connected(reader);
-    harness.handle(lost(reader, ConnectionLoss::Reset));
+    let prefill = opened(&harness.receive(client, request("chat", "1")))[0].0;
+    harness.connected(prefill);
+    harness.handle(lost(prefill, ConnectionLoss::Reset));
     let out = harness.advance(ms(700));
-    assert!(sent_releases(&out).is_empty(), "it would let go of what the new attempt reads: {out:?}");
+    assert!(sent_releases(&out).is_empty(), "it would release the state of the new prefill: {out:?}");
 }
 
 #[test]
 fn a_started_stream_needs_no_release() {
     let mut harness = Harness::new();
-    let (_, writer) = harness.streaming("chat");
-    harness.receive(writer, stream_end());
+    let (_, decode) = harness.streaming("chat");
+    harness.receive(decode, stream_end());
     assert_eq!((harness.router.counters().releases, harness.router.held_state().releases), (0, 0));
 }
 
-// ---- Stop ---------------------------------------------------------------------------------------
+// ---- Shutdown ---------------------------------------------------------------------------------------
 
-/// A harness whose clients ask for the rest of what broke, or don't.
-fn stopping(resumes: bool) -> Harness {
+/// A harness whose clients resume broken streams, or do not.
+fn harness_with_resumption(resumes: bool) -> Harness {
     let config = config(DISCOVERY, &list(41, true, &engines()), 256);
     Harness::with(
         &config.replace("\"local_read\":false", &format!("\"local_read\":false,\"resume\":{resumes}")),
@@ -301,21 +304,21 @@
 #[test]
 fn a_stopping_router_answers_new_requests_and_then_ends() {
     for resumes in [false, true] {
-        let mut harness = stopping(resumes);
+        let mut harness = harness_with_resumption(resumes);
         let idle = harness.connect_client();
         harness.receive(idle, "GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n");
-        let (client, writer) = harness.streaming("chat");
+        let (client, decode) = harness.streaming("chat");
         let out = harness.handle(Input::Stop);
         assert!(!ends(&out, idle) && !ends(&out, client) && !out.contains(&Output::Stopped));
         harness.advance(ms(600));
         let late = harness.connect_client();
         let out = harness.receive(late, request("chat", "late"));
-        let (reader, _) = opened(&out)[0];
-        harness.connected(reader);
+        let (prefill, _) = opened(&out)[0];
+        harness.connected(prefill);
         let out = harness.advance(ms(150));
-        assert!(ends(&out, idle), "idle connections end when nobody is sent here any more");
-        harness.receive(reader, PREFILLED);
-        let out = harness.receive(writer, stream_end());
+        assert!(ends(&out, idle), "idle connections are closed once no new clients come");
+        harness.receive(prefill, PREFILLED);
+        let out = harness.receive(decode, stream_end());
         assert!(text(&out, client).ends_with("0\r\n\r\n") && finished(&out, client));
         let out = harness.advance(ms(4_800));
         assert!(text(&out, late).contains("connection: close"), "{}", text(&out, late));
@@ -323,27 +326,27 @@
     }
 }
 
-/// Guards against a close that crosses the first request of a connection that has just come, at each step of a stop.
+/// Guards against a close while the first request of a new connection is in transit, at each step of a shutdown.
 #[test]
 fn a_shutdown_keeps_new_connections_open_for_their_first_request() {
     for step in [ms(700), ms(2_400), ms(3_250)] {
-        let mut harness = stopping(true);
-        // Keeps the router up until the last step.
+        let mut harness = harness_with_resumption(true);
+        // Keeps the router running until the last step.
         harness.streaming("chat");
         harness.handle(Input::Stop);
         harness.advance(step - ms(1));
-        let (speaks, silent) = (harness.connect_client(), harness.connect_client());
+        let (sending, silent) = (harness.connect_client(), harness.connect_client());
         let out = harness.advance(ms(2));
-        assert!(!ends(&out, speaks) && !ends(&out, silent), "{step:?}");
-        let out = harness.receive(speaks, request("chat", "late"));
-        assert!(!opened(&out).is_empty() || status(&out, speaks) == Some(503), "{step:?}: {out:?}");
+        assert!(!ends(&out, sending) && !ends(&out, silent), "{step:?}");
+        let out = harness.receive(sending, request("chat", "late"));
+        assert!(!opened(&out).is_empty() || status(&out, sending) == Some(503), "{step:?}: {out:?}");
         let out = harness.advance(ms(400));
         assert!(ends(&out, silent), "{step:?}: it had its moment");
     }
 }
 
-/// The steps at which a router with nothing left to do ends: it says that it stops listening, and nothing more at once.
-fn stops_listening(harness: &mut Harness) {
+/// Runs the steps of a shutdown until the router stops listening, without `Output::Stopped` before.
+fn run_until_listener_closes(harness: &mut Harness) {
     for _ in 0..50 {
         let at = harness.router.wake_at().expect("a step of the stop");
         harness.now = harness.now.max(at);
@@ -357,12 +360,12 @@
 }
 
 /// Guards against a request that had reached the listener as the router ended. The driver hands its connection over between
-/// the two words of the router.
+/// `Output::StopListening` and `Output::Stopped`.
 #[test]
 fn a_connection_accepted_as_the_listener_closes_is_served_before_the_router_ends() {
-    let mut harness = stopping(false);
+    let mut harness = harness_with_resumption(false);
     harness.handle(Input::Stop);
-    stops_listening(&mut harness);
+    run_until_listener_closes(&mut harness);
     let late = harness.connect_client();
     let out = harness.receive(late, request("chat", "late"));
     assert!(!opened(&out).is_empty() && !out.contains(&Output::Stopped), "it is served: {out:?}");
@@ -375,32 +378,32 @@
 
 #[test]
 fn an_idle_router_ends_as_soon_as_its_listener_is_closed() {
-    let mut harness = stopping(false);
+    let mut harness = harness_with_resumption(false);
     harness.handle(Input::Stop);
-    stops_listening(&mut harness);
+    run_until_listener_closes(&mut harness);
     assert!(harness.advance(ms(2)).contains(&Output::Stopped));
 }
 
 #[test]
 fn streams_are_migrated_before_the_kill_where_clients_resume() {
     for resumes in [false, true] {
-        let mut harness = stopping(resumes);
-        let (client, writer) = harness.streaming("chat");
+        let mut harness = harness_with_resumption(resumes);
+        let (client, decode) = harness.streaming("chat");
         harness.handle(Input::Stop);
         let mut out = Vec::new();
         for _ in 0..36 {
             out.extend(harness.advance(ms(100)));
-            harness.receive(writer, chunk(&event("on")));
+            harness.receive(decode, chunk(&event("on")));
         }
         assert_eq!(finished(&out, client), resumes);
-        assert_eq!(aborted(&out, writer), resumes);
+        assert_eq!(aborted(&out, decode), resumes);
         assert!(!text(&out, client).contains("0\r\n\r\n"));
     }
 }
 
 #[test]
 fn requests_without_a_stream_are_answered_before_the_kill() {
-    let mut harness = stopping(true);
+    let mut harness = harness_with_resumption(true);
     harness.handle(Input::Stop);
     harness.advance(ms(1_500));
     let (client, _, _) = harness.at_decode_engine("once");
@@ -408,23 +411,23 @@
     assert_eq!(status(&out, client), Some(502));
 }
 
-/// An engine drains and leaves in one wake-up, with an attempt for it decided and not written.
+/// An engine drains and leaves in one wake-up, while an attempt to it is decided and not written.
 #[test]
 fn an_engine_that_drains_and_leaves_at_once_receives_no_decided_attempt() {
     let (mut harness, conn) = watching();
     let client = harness.connect_client();
-    let reader = opened(&harness.receive(client, request("chat", "1")))[0].0;
+    let prefill = opened(&harness.receive(client, request("chat", "1")))[0].0;
     let drains = list(42, false, &[engine("r", "reads", 1, "Terminating")]);
     let leaves =
         list(43, false, &[r#"{"name":"r","status":"Gone"}"#.to_owned(), engine("s", "reads", 7, "Ready")]);
     let out =
         harness.receive(conn, format!("{}{}", chunk(&format!("{drains}\n")), chunk(&format!("{leaves}\n"))));
-    assert!(aborted(&out, reader), "what has not left goes elsewhere");
+    assert!(aborted(&out, prefill), "what was not written is sent elsewhere");
     let mut all = out;
     for _ in 0..20 {
         all.extend(harness.advance(ms(20)));
     }
     let ports: Vec<u16> = opened(&all).iter().map(|&(_, port)| port).collect();
     assert!(ports.contains(&7) && !ports.contains(&1), "{ports:?}");
-    assert_eq!(status(&all, client), None, "it waits for the other reader");
+    assert_eq!(status(&all, client), None, "it waits for the other prefill engine");
 }
--- a/crates/platform/tests/releases.rs
+++ b/crates/platform/tests/releases.rs
@@ -1,5 +1,5 @@
-//! Read state is released in time, whatever breaks: engines that fall silent together, reads that end after they were
-//! given up, outages longer than any retry, and answers that are not the release's own.
+//! Held state is released in time, whatever fails: engines that fall silent together, prefills that end after they were
+//! cancelled, outages longer than any retry interval, and late answers to other exchanges.
 
 mod common;
 use common::cluster::{Cluster, ClusterLayout};
@@ -14,7 +14,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// How long state may be held while no attempt is out: the setting of the tests' configuration and the rule's slack.
+/// How long state may be held while no attempt is in flight: the setting of the tests' configuration and the rule's slack.
 const HELD_AT_MOST: Duration = Duration::from_millis(800);
 
 /// The connections on which a release was written, in order.
@@ -22,16 +22,16 @@
     sent_releases(out).into_iter().map(|release| release.conn).collect()
 }
 
-/// Whose held state a run looks at.
+/// Whose held state a run checks.
 #[derive(Clone, Copy, PartialEq)]
-enum Of {
+enum CheckedRequests {
     /// Of every request.
     All,
     /// Of those whose client has gone, long enough ago for all to be released.
     Gone,
 }
 
-/// The requests whose client has gone, of which nothing may be held any more.
+/// The requests whose client left so long ago that no state of them may be held any more.
 fn long_gone(facts: &[Fact], now: Duration) -> BTreeSet<&str> {
     let long_ago = facts.iter().filter(|fact| fact.at + HELD_AT_MOST < now);
     let gone = long_ago.filter_map(|fact| match &fact.seen {
@@ -42,7 +42,7 @@
 }
 
 /// Runs a cluster in steps and asserts that in none of them state is held for too long.
-fn run_unpinned(cluster: &mut Cluster, time: Duration, of: Of, what: &str) {
+fn run_and_check_held_state(cluster: &mut Cluster, time: Duration, checked: CheckedRequests, what: &str) {
     let step = ms(10);
     let mut passed = ms(0);
     while passed < time {
@@ -51,7 +51,7 @@
         let now = cluster.world.now();
         let fabric = look(&cluster.shared);
         let mut pinned = fabric.pinned(now, HELD_AT_MOST);
-        if of == Of::Gone && !pinned.is_empty() {
+        if checked == CheckedRequests::Gone && !pinned.is_empty() {
             let gone = long_gone(&fabric.facts, now);
             pinned.retain(|name| gone.contains(name.as_str()));
         }
@@ -64,8 +64,8 @@
     for seed in 1..=6 {
         let layout = ClusterLayout {
             routers: 2,
-            readers: 6,
-            writers: 6,
+            prefill_engines: 6,
+            decode_engines: 6,
             requests: 3_000,
             every: ms(4),
             leaving: 0.2,
@@ -76,14 +76,19 @@
         cluster.run(ms(1_500));
         let silent = ["e1", "e2", "e3", "e4", "e5", "e7", "e8", "e9", "e10", "e11"];
         silent.iter().for_each(|engine| cluster.freeze(engine, true));
-        run_unpinned(
+        run_and_check_held_state(
             &mut cluster,
             ms(4_000),
-            Of::Gone,
+            CheckedRequests::Gone,
             &format!("seed {seed}, ten of twelve engines silent"),
         );
         silent.iter().for_each(|engine| cluster.freeze(engine, false));
-        run_unpinned(&mut cluster, ms(4_000), Of::Gone, &format!("seed {seed}, they are back"));
+        run_and_check_held_state(
+            &mut cluster,
+            ms(4_000),
+            CheckedRequests::Gone,
+            &format!("seed {seed}, they are back"),
+        );
     }
 }
 
@@ -92,7 +97,7 @@
     for (seed, outage) in [(1, 1_500), (2, 2_000), (3, 2_500), (4, 3_500)] {
         let layout = ClusterLayout {
             routers: 1,
-            readers: 3,
+            prefill_engines: 3,
             requests: 1_500,
             every: ms(10),
             seed,
@@ -101,9 +106,19 @@
         let mut cluster = Cluster::new(&layout);
         cluster.run(ms(1_500));
         cluster.freeze("e1", true);
-        run_unpinned(&mut cluster, ms(outage), Of::All, &format!("seed {seed}, one reader hangs"));
+        run_and_check_held_state(
+            &mut cluster,
+            ms(outage),
+            CheckedRequests::All,
+            &format!("seed {seed}, one prefill engine hangs"),
+        );
         cluster.freeze("e1", false);
-        run_unpinned(&mut cluster, ms(4_000), Of::All, &format!("seed {seed}, it goes on after {outage} ms"));
+        run_and_check_held_state(
+            &mut cluster,
+            ms(4_000),
+            CheckedRequests::All,
+            &format!("seed {seed}, it goes on after {outage} ms"),
+        );
     }
 }
 
@@ -112,13 +127,13 @@
     let mut harness = Harness::new();
     let (client, _, _) = harness.at_decode_engine("chat");
     harness.handle(Input::Eof(client));
-    // Nothing answers and no connection comes up for far longer than any cut on record.
+    // Nothing answers and no connection is established for far longer than any outage on record.
     let out = harness.advance(ms(20_000));
     assert!(!opened(&out).is_empty(), "it goes on trying");
     let out = harness.advance(ms(1_200));
     let (conn, _) = *opened(&out).last().expect("one more connection is tried after the outage");
     let out = harness.connected(conn);
-    assert_eq!(releases(&out), [conn], "the release goes out on the first connection that comes up");
+    assert_eq!(releases(&out), [conn], "the release is sent on the first connection that is established");
 }
 
 #[test]
@@ -127,17 +142,17 @@
     let (client, _, _) = harness.at_decode_engine("chat");
     let mut out = harness.handle(Input::Eof(client));
     let (mut stale, mut acknowledged) = (0, 0);
-    // As the write was given up a moment before, two acknowledgements are due.
+    // As the decode was cancelled a moment before, two acknowledgements are due.
     while harness.router.held_state().releases > 0 && stale + acknowledged < 50 {
         for (conn, _) in opened(&out) {
             out.extend(harness.connected(conn));
         }
         for conn in releases(&out) {
             harness.handle(Input::Sent(conn, bytes(&out, conn).len()));
-            // A second copy of the read's answer comes late, on the connection that now carries the release.
+            // A late second answer to the prefill comes on the connection that now carries the release.
             if stale == 0 {
                 let out = harness.receive(conn, PREFILLED);
-                assert!(aborted(&out, conn), "what follows on it can't be told apart");
+                assert!(aborted(&out, conn), "later bytes on it could not be attributed");
                 stale += 1;
             } else {
                 harness.receive(conn, RELEASED);
@@ -153,11 +168,11 @@
 fn the_release_of_a_prefill_with_a_malformed_answer_is_repeated() {
     let mut harness = Harness::new();
     let client = harness.connect_client();
-    let (reader, _) = opened(&harness.receive(client, request("chat", "1")))[0];
-    harness.connected(reader);
-    // Noise comes where the answer should, perhaps left over from before, while the engine goes on reading.
-    let spoilt = harness.receive(reader, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
-    assert!(aborted(&spoilt, reader));
+    let (prefill, _) = opened(&harness.receive(client, request("chat", "1")))[0];
+    harness.connected(prefill);
+    // Malformed bytes come in place of the answer, while the engine continues the prefill.
+    let spoilt = harness.receive(prefill, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
+    assert!(aborted(&spoilt, prefill));
     let mut out = harness.handle(Input::Eof(client));
     let mut acknowledged = 0;
     for _ in 0..40 {
@@ -178,13 +193,13 @@
 fn waiting_releases_share_a_connection_that_answers() {
     let mut harness = Harness::new();
     let mut clients = Vec::new();
-    let mut writers = Vec::new();
+    let mut decode_engines = Vec::new();
     for n in 0..40 {
-        let (client, writer) = harness.prefilled_and_forwarded("chat", &format!("id{n}"));
+        let (client, decode) = harness.prefilled_and_forwarded("chat", &format!("id{n}"));
         clients.push(client);
-        writers.push(writer);
+        decode_engines.push(decode);
     }
-    // All clients leave at once. No engine answers any more but one, on one connection.
+    // All clients leave at once. Only one engine answers, on one connection.
     let mut out = Vec::new();
     clients.iter().for_each(|&client| out.extend(harness.handle(Input::Eof(client))));
     let answering = releases(&out)[0];
@@ -201,7 +216,7 @@
     assert!(acknowledged >= 40, "all 40 went out one after another: {acknowledged}");
 }
 
-/// All that engines are asked until `time` has passed, with new connections coming up at once: releases that were written.
+/// Establishes new connections at once until `time` has passed. Returns the connections on which a release was written.
 fn releases_within(harness: &mut Harness, first: Vec<Output>, time: Duration) -> Vec<ConnId> {
     let end = harness.now + time;
     let mut out = first;
@@ -235,13 +250,13 @@
 fn a_release_withdrawn_for_an_attempt_without_a_decode_engine_is_sent_after_all() {
     let mut harness = Harness::new();
     let client = harness.connect_client();
-    let (reader, _) = opened(&harness.receive(client, request("chat", "1")))[0];
-    harness.connected(reader);
-    // The read broke and may have left state. It is read anew, and then no writer can be reached.
-    let out = harness.handle(lost(reader, ConnectionLoss::Reset));
-    let (reader, _) = opened(&out)[0];
-    harness.connected(reader);
-    let mut out = harness.receive(reader, PREFILLED_WITHOUT_REPORT);
+    let (prefill, _) = opened(&harness.receive(client, request("chat", "1")))[0];
+    harness.connected(prefill);
+    // The prefill broke and may have left state. It is retried, and then no decode engine can be reached.
+    let out = harness.handle(lost(prefill, ConnectionLoss::Reset));
+    let (prefill, _) = opened(&out)[0];
+    harness.connected(prefill);
+    let mut out = harness.receive(prefill, PREFILLED_WITHOUT_REPORT);
     let began = harness.now;
     while status(&out, client).is_none() {
         assert!(harness.now < began + ms(1_000), "the module gives up");
@@ -262,18 +277,18 @@
     let client = harness.connect_client();
     let (broken, _) = opened(&harness.receive(client, request("chat", "first")))[0];
     harness.connected(broken);
-    // Its read broke and is made again; the stream is to begin while three others keep their engines' connections busy.
-    let mut reader = broken;
+    // Its prefill broke and is retried; the stream is to begin while three others keep their connections busy.
+    let mut prefill = broken;
     for (conn, _) in opened(&harness.handle(lost(broken, ConnectionLoss::Reset))) {
         let out = harness.connected(conn);
         if releases(&out).is_empty() {
-            reader = conn;
+            prefill = conn;
         } else {
             harness.receive(conn, RELEASED);
         }
     }
-    let (writer, _) = opened(&harness.receive(reader, PREFILLED_WITHOUT_REPORT))[0];
-    harness.connected(writer);
+    let (decode, _) = opened(&harness.receive(prefill, PREFILLED_WITHOUT_REPORT))[0];
+    harness.connected(decode);
     harness.advance(ms(20));
     for n in 0..3 {
         let other = harness.connect_client();
@@ -283,7 +298,7 @@
         }
     }
     assert_eq!(harness.router.held_state().engine_connections, 4, "all are in use");
-    let out = harness.receive(writer, [STREAM_HEAD, &chunk(&event("one"))].concat());
+    let out = harness.receive(decode, [STREAM_HEAD, &chunk(&event("one"))].concat());
     let sent = releases_within(&mut harness, out, ms(300));
     assert!(!sent.is_empty(), "some are left for releases");
 }
@@ -308,22 +323,22 @@
             }
             out = harness.advance(ms(10));
         }
-        assert!(harness.now >= stopped + ms(700), "who still comes is answered first");
+        assert!(harness.now >= stopped + ms(700), "new clients are answered first");
     }
 }
 
-/// State is held at the reader, whose connections and those of all others say nothing from then on; its client has left.
+/// State is held at the prefill engine, all connections are silent from then on, and the client has left.
 fn with_an_open_release() -> (Harness, Vec<Output>) {
     let mut harness = Harness::new();
     let client = harness.connect_client();
-    let (reader, _) = opened(&harness.receive(client, request("chat", "1")))[0];
-    harness.connected(reader);
-    let out = harness.receive(reader, PREFILLED_WITHOUT_REPORT);
-    let (writer, _) = opened(&out)[0];
-    // The kept connection breaks, so that a new one has to come up for the release.
-    harness.handle(lost(reader, ConnectionLoss::Reset));
+    let (prefill, _) = opened(&harness.receive(client, request("chat", "1")))[0];
+    harness.connected(prefill);
+    let out = harness.receive(prefill, PREFILLED_WITHOUT_REPORT);
+    let (decode, _) = opened(&out)[0];
+    // The kept connection breaks, so that a new one has to be opened for the release.
+    harness.handle(lost(prefill, ConnectionLoss::Reset));
     let mut out = harness.handle(Input::Eof(client));
-    out.extend(harness.handle(lost(writer, ConnectionLoss::NotConnected)));
+    out.extend(harness.handle(lost(decode, ConnectionLoss::NotConnected)));
     (harness, out)
 }
 
@@ -345,7 +360,7 @@
     let new = Config::parse(&text).expect("a configuration");
     let mut all = out;
     all.extend(harness.handle(Input::OwnerMessage(&new)));
-    assert_eq!(watch(&all).map(|(_, port)| port), Some(8500), "discovery is asked at its new address");
+    assert_eq!(watch(&all).map(|(_, port)| port), Some(8500), "the watch is opened at the new address");
     let before = harness.router.held_state().releases;
     assert_eq!(before, 1, "the release is open");
     let sent = releases_within(&mut harness, all, ms(400));
@@ -355,7 +370,7 @@
     assert!(open_after < 200, "and ends: {open_after}");
 }
 
-/// The connection that stood idle before may be dead without a sign.
+/// The connection that was idle before may be dead without a sign.
 #[test]
 fn the_engine_connection_that_answered_last_is_kept() {
     let mut harness = Harness::new();
@@ -363,13 +378,13 @@
     let whole = format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&event("one")));
     harness.receive(first, &whole);
     let mut out = Vec::new();
-    // Until the same writer has answered again, on a connection of its own.
+    // Until the same decode engine has answered again, on another connection.
     for n in 2..20 {
-        let (_, writer) = harness.prefilled_and_forwarded("chat", &format!("{n}"));
-        assert_ne!(writer, first);
-        out = harness.receive(writer, &whole);
+        let (_, decode) = harness.prefilled_and_forwarded("chat", &format!("{n}"));
+        assert_ne!(decode, first);
+        out = harness.receive(decode, &whole);
         if aborted(&out, first) {
-            return assert!(!aborted(&out, writer), "the newer one stands");
+            return assert!(!aborted(&out, decode), "the newer one is kept");
         }
     }
     panic!("the older one was kept: {out:?}");
--- a/crates/platform/tests/repeats.rs
+++ b/crates/platform/tests/repeats.rs
@@ -1,4 +1,4 @@
-//! No request is repeated that must not be: a search over seeds, and the shortest days that once broke.
+//! No request is repeated that must not be: a search over seeds that prints the shortest failing day.
 
 mod common;
 use common::day::Day;
--- a/crates/platform/tests/requests.rs
+++ b/crates/platform/tests/requests.rs
@@ -1,4 +1,4 @@
-//! A request's way, and each row of the protocol's table of outcomes.
+//! How requests are forwarded and answered, and each row of the protocol's table of outcomes.
 
 mod common;
 use common::*;
@@ -7,29 +7,29 @@
 #[test]
 fn a_request_and_its_stream_are_forwarded_unchanged() {
     let mut harness = Harness::new();
-    let (client, writer, out) = harness.at_decode_engine("chat");
-    let sent = text(&out, writer);
+    let (client, decode, out) = harness.at_decode_engine("chat");
+    let sent = text(&out, decode);
     assert!(sent.starts_with("POST /v1/chat/completions?a=b HTTP/1.1\r\n"), "{sent}");
     assert!(sent.contains("x-request-id: 9b1f\r\n") && sent.ends_with(&format!("\r\n\r\n{BODY}")), "{sent}");
     let left = forwarded_deadline(&sent);
     assert!((1..=4_800_000).contains(&left), "{left}");
 
-    let out = harness.receive(writer, STREAM_HEAD);
-    assert_eq!(text(&out, client), "", "nothing goes on before a whole event has come");
+    let out = harness.receive(decode, STREAM_HEAD);
+    assert_eq!(text(&out, client), "", "nothing is forwarded before an event is complete");
     let one = event("one");
     let (first, rest) = one.split_at(9);
-    assert_eq!(text(&harness.receive(writer, chunk(first)), client), "");
-    let mut seen = text(&harness.receive(writer, chunk(rest)), client);
+    assert_eq!(text(&harness.receive(decode, chunk(first)), client), "");
+    let mut seen = text(&harness.receive(decode, chunk(rest)), client);
     assert!(seen.starts_with("HTTP/1.1 200 "), "{seen}");
     let tail = format!("{}data: [DONE]\n\n: X-Load: pending=4,x0=0.6\n\n", event("two"));
-    seen += &text(&harness.receive(writer, chunk(&tail) + "0\r\n\r\n"), client);
+    seen += &text(&harness.receive(decode, chunk(&tail) + "0\r\n\r\n"), client);
     let body = seen.split_once("\r\n\r\n").unwrap().1;
     let expected = chunk(&event("one")) + &chunk(&format!("{}data: [DONE]\n\n", event("two"))) + "0\r\n\r\n";
     assert_eq!(body, expected);
     assert_eq!((harness.router.counters().completed, harness.router.counters().failed), (1, 0));
 
-    // The client's connection is kept. An attempt takes no engine's connection that carried another: an answer left over
-    // from that could be taken for its own.
+    // The client's connection is kept. An attempt reuses no connection to an engine: a late second answer could be mistaken
+    // for its own.
     harness.advance(ms(20));
     let out = harness.receive(client, request("chat", "9b20"));
     assert!(!ends(&out, client));
@@ -42,9 +42,9 @@
     let mut harness = Harness::new();
     let client = harness.connect_client();
     let out = harness.receive(client, request("chat", "9b1f"));
-    let (reader, _) = opened(&out)[0];
+    let (prefill, _) = opened(&out)[0];
     harness.advance(ms(200));
-    let sent = text(&harness.connected(reader), reader);
+    let sent = text(&harness.connected(prefill), prefill);
     let left = forwarded_deadline(&sent);
     assert!((4_500_000..=4_600_000).contains(&left), "{left} of 4.8 s, 0.2 s ago");
 }
@@ -55,12 +55,12 @@
     let client = harness.connect_client();
     let asked = request("chat", "9b1f").replacen("\r\n", "\r\nIdempotency-Key: 3effc883-5152b05f\r\n", 1);
     let out = harness.receive(client, asked);
-    let (reader, _) = opened(&out)[0];
-    let at_reader = text(&harness.connected(reader), reader);
-    let out = harness.receive(reader, PREFILLED);
-    let (writer, _) = opened(&out)[0];
-    let at_decode_engine = text(&harness.connected(writer), writer);
-    for sent in [at_reader, at_decode_engine] {
+    let (prefill, _) = opened(&out)[0];
+    let at_prefill = text(&harness.connected(prefill), prefill);
+    let out = harness.receive(prefill, PREFILLED);
+    let (decode, _) = opened(&out)[0];
+    let at_decode_engine = text(&harness.connected(decode), decode);
+    for sent in [at_prefill, at_decode_engine] {
         let keys =
             sent.lines().filter(|line| line.eq_ignore_ascii_case("idempotency-key: 3effc883-5152b05f"));
         assert_eq!(keys.count(), 1, "{sent}");
@@ -69,11 +69,11 @@
 
 /// The status with which a request that must not be repeated is answered after `action` at its decode engine; `None` if it
 /// is retried, so is known not to have run.
-fn unsafe_write(
+fn status_after(
     harness: &mut Harness, action: impl FnOnce(&mut Harness, ConnId) -> Vec<Output>,
 ) -> Option<u16> {
-    let (client, writer, _) = harness.at_decode_engine("once");
-    let mut out = action(harness, writer);
+    let (client, decode, _) = harness.at_decode_engine("once");
+    let mut out = action(harness, decode);
     out.extend(harness.advance(ms(60)));
     status(&out, client)
 }
@@ -97,31 +97,31 @@
     ] {
         let mut harness = Harness::new();
         assert_eq!(
-            unsafe_write(&mut harness, |harness, decode| harness.receive(decode, &reply)),
+            status_after(&mut harness, |harness, decode| harness.receive(decode, &reply)),
             expected,
             "{reply}"
         );
     }
     let mut harness = Harness::new();
     assert_eq!(
-        unsafe_write(&mut harness, |harness, decode| harness.handle(lost(decode, ConnectionLoss::Reset))),
+        status_after(&mut harness, |harness, decode| harness.handle(lost(decode, ConnectionLoss::Reset))),
         Some(502),
         "reset"
     );
     let mut harness = Harness::new();
     assert_eq!(
-        unsafe_write(&mut harness, |harness, decode| harness.handle(Input::Eof(decode))),
+        status_after(&mut harness, |harness, decode| harness.handle(Input::Eof(decode))),
         Some(502),
         "closed without an answer"
     );
     for why in [ConnectionLoss::NotConnected, ConnectionLoss::Exhausted] {
         let mut harness = Harness::new();
         let client = harness.connect_client();
-        let reader = opened(&harness.receive(client, request("once", "1")))[0].0;
-        harness.connected(reader);
-        let writer = opened(&harness.receive(reader, PREFILLED))[0].0;
-        let out = harness.handle(lost(writer, why));
-        assert_eq!(status(&out, client), None, "{why:?}: goes to the other writer");
+        let prefill = opened(&harness.receive(client, request("once", "1")))[0].0;
+        harness.connected(prefill);
+        let decode = opened(&harness.receive(prefill, PREFILLED))[0].0;
+        let out = harness.handle(lost(decode, why));
+        assert_eq!(status(&out, client), None, "{why:?}: goes to the other decode");
         assert_eq!(opened(&out).len(), 1);
     }
 }
@@ -130,11 +130,11 @@
 fn a_request_on_a_connection_lost_before_it_was_written_is_retried() {
     let mut harness = Harness::new();
     let client = harness.connect_client();
-    let reader = opened(&harness.receive(client, request("once", "1")))[0].0;
-    harness.connected(reader);
-    let writer = opened(&harness.receive(reader, PREFILLED))[0].0;
-    harness.handle(Input::Connected(writer));
-    let out = harness.handle(lost(writer, ConnectionLoss::Reset));
+    let prefill = opened(&harness.receive(client, request("once", "1")))[0].0;
+    harness.connected(prefill);
+    let decode = opened(&harness.receive(prefill, PREFILLED))[0].0;
+    harness.handle(Input::Connected(decode));
+    let out = harness.handle(lost(decode, ConnectionLoss::Reset));
     assert_eq!((status(&out, client), opened(&out).len()), (None, 1));
 }
 
@@ -149,54 +149,58 @@
 
 #[test]
 fn an_unsafe_request_reset_before_its_last_byte_is_retried() {
-    // On a new connection, and on one that was kept.
+    // With and without idle connections to the engines.
     for kept in [false, true] {
         let mut harness = Harness::new();
         if kept {
-            let (_, writer, _) = harness.at_decode_engine("chat");
-            harness.receive(writer, format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&event("one"))));
+            let (_, decode, _) = harness.at_decode_engine("chat");
+            harness.receive(decode, format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&event("one"))));
             harness.advance(ms(20));
         }
         let client = harness.connect_client();
         let out = harness.receive(client, request("once", "2"));
-        let reader = match opened(&out).first() {
+        let prefill = match opened(&out).first() {
             Some(&(conn, _)) => {
                 harness.connected(conn);
                 conn
             }
             None => first_written(&out),
         };
-        let out = harness.receive(reader, PREFILLED);
-        let writer = match opened(&out).first() {
+        let out = harness.receive(prefill, PREFILLED);
+        let decode = match opened(&out).first() {
             Some(&(conn, _)) => conn,
             None => first_written(&out),
         };
         let reused = opened(&out).is_empty();
-        let written = if reused { out } else { harness.connected(writer) };
-        let length = if reused { bytes(&written, writer).len() } else { 0 };
-        assert!(!text(&written, writer).ends_with(BODY), "the last byte is held back");
-        harness.handle(Input::Sent(writer, length));
+        let written = if reused { out } else { harness.connected(decode) };
+        let length = if reused { bytes(&written, decode).len() } else { 0 };
+        assert!(!text(&written, decode).ends_with(BODY), "the last byte is held back");
+        harness.handle(Input::Sent(decode, length));
         harness.advance(ms(1));
-        let out = harness.handle(lost(writer, ConnectionLoss::Reset));
-        assert_eq!(status(&out, client), None, "kept {kept}: it goes to the other writer");
+        let out = harness.handle(lost(decode, ConnectionLoss::Reset));
+        assert_eq!(status(&out, client), None, "kept {kept}: it is retried at the other decode engine");
     }
 }
 
 #[test]
 fn an_unsafe_request_lost_after_its_last_byte_may_have_run() {
-    // The write of the last byte fails, or its peer ends the connection then: it may have arrived.
+    // The write of the last byte fails, or the peer closes the connection then: it may have arrived.
     for end in [lost as fn(ConnId, ConnectionLoss) -> Input<'static>, |conn, _| Input::Eof(conn)] {
         let mut harness = Harness::new();
         let client = harness.connect_client();
         let out = harness.receive(client, request("once", "2"));
-        let reader = opened(&out)[0].0;
-        harness.connected(reader);
-        let out = harness.receive(reader, PREFILLED);
-        let writer = opened(&out)[0].0;
-        harness.connected(writer);
-        assert!(text(&harness.advance(ms(4)), writer).ends_with('}'), "the last byte goes out");
-        let out = harness.handle(end(writer, ConnectionLoss::Reset));
-        assert_eq!(status(&out, client), Some(502), "it is not sent again, and not told to be harmless");
+        let prefill = opened(&out)[0].0;
+        harness.connected(prefill);
+        let out = harness.receive(prefill, PREFILLED);
+        let decode = opened(&out)[0].0;
+        harness.connected(decode);
+        assert!(text(&harness.advance(ms(4)), decode).ends_with('}'), "the last byte goes out");
+        let out = harness.handle(end(decode, ConnectionLoss::Reset));
+        assert_eq!(
+            status(&out, client),
+            Some(502),
+            "it is not retried, and the answer does not call a retry harmless"
+        );
     }
 }
 
@@ -204,9 +208,9 @@
 fn a_connection_that_is_not_established_is_closed_at_the_connect_timeout() {
     let mut harness = Harness::new();
     let client = harness.connect_client();
-    let reader = opened(&harness.receive(client, request("chat", "1")))[0].0;
-    assert!(!ends(&harness.advance(ms(249)), reader));
-    assert!(ends(&harness.advance(ms(2)), reader));
+    let prefill = opened(&harness.receive(client, request("chat", "1")))[0].0;
+    assert!(!ends(&harness.advance(ms(249)), prefill));
+    assert!(ends(&harness.advance(ms(2)), prefill));
 }
 
 #[test]
@@ -244,8 +248,8 @@
     ];
     for (case, break_stream) in breaks.into_iter().enumerate() {
         let mut harness = Harness::new();
-        let (client, writer) = harness.streaming("chat");
-        let out = break_stream(&mut harness, writer);
+        let (client, decode) = harness.streaming("chat");
+        let out = break_stream(&mut harness, decode);
         assert!(finished(&out, client) && !text(&out, client).contains("0\r\n\r\n"), "case {case}");
         assert_eq!(
             (harness.router.counters().failed, harness.router.held_state().requests),
@@ -253,7 +257,7 @@
             "case {case}"
         );
     }
-    // One that falls silent is given up before its client has been left waiting for 5 s.
+    // A silent stream is cancelled before its client has waited for 5 s.
     let mut harness = Harness::new();
     let (client, _) = harness.streaming("chat");
     assert!(finished(&harness.advance(ms(4_900)), client));
@@ -262,13 +266,13 @@
 #[test]
 fn a_client_that_closes_has_its_attempt_cancelled() {
     let mut harness = Harness::new();
-    let (client, writer, _) = harness.at_decode_engine("chat");
+    let (client, decode, _) = harness.at_decode_engine("chat");
     let out = harness.handle(Input::Eof(client));
-    assert!(aborted(&out, writer));
+    assert!(aborted(&out, decode));
     assert_eq!(harness.router.counters().disconnected, 1);
     let mut harness = Harness::new();
-    let (client, writer) = harness.streaming("chat");
-    assert!(aborted(&harness.handle(lost(client, ConnectionLoss::Reset)), writer));
+    let (client, decode) = harness.streaming("chat");
+    assert!(aborted(&harness.handle(lost(client, ConnectionLoss::Reset)), decode));
     assert_eq!(
         (
             harness.router.counters().disconnected,
@@ -282,17 +286,17 @@
 #[test]
 fn bytes_after_an_answer_are_never_taken_for_the_next_one() {
     let mut harness = Harness::new();
-    let (client, writer) = harness.streaming("chat");
+    let (client, decode) = harness.streaming("chat");
     let whole = stream_end();
-    let out = harness.receive(writer, whole.clone() + "HTTP/1.1 200 OK\r\n");
-    assert!(text(&out, client).ends_with("0\r\n\r\n"), "the good answer is served whole");
-    assert!(ends(&out, writer), "the connection is not used again");
+    let out = harness.receive(decode, whole.clone() + "HTTP/1.1 200 OK\r\n");
+    assert!(text(&out, client).ends_with("0\r\n\r\n"), "the answer is served completely");
+    assert!(ends(&out, decode), "the connection is not used again");
     let mut harness = Harness::new();
-    let (client, writer) = harness.streaming("chat");
-    let out = harness.receive(writer, whole);
-    assert!(text(&out, client).ends_with("0\r\n\r\n") && !ends(&out, writer));
+    let (client, decode) = harness.streaming("chat");
+    let out = harness.receive(decode, whole);
+    assert!(text(&out, client).ends_with("0\r\n\r\n") && !ends(&out, decode));
     assert!(
-        ends(&harness.receive(writer, "HTTP/1.1 200 OK\r\n"), writer),
+        ends(&harness.receive(decode, "HTTP/1.1 200 OK\r\n"), decode),
         "nor where it comes a moment later"
     );
 }
@@ -300,12 +304,12 @@
 #[test]
 fn interim_answers_and_malformed_reports_are_ignored() {
     let mut harness = Harness::new();
-    let (client, writer, _) = harness.at_decode_engine("once");
+    let (client, decode, _) = harness.at_decode_engine("once");
     let interim = "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n";
     let head =
         STREAM_HEAD.replace("\r\n\r\n", "\r\nX-Load: pending=,\u{7f}\u{e9}\r\n\r\n").replace('\u{7f}', "");
     let stream = format!("{interim}{head}{}{}0\r\n\r\n", chunk(&event("one")), chunk(": X-Load: ~~~\n\n"));
-    let out = harness.receive(writer, stream);
+    let out = harness.receive(decode, stream);
     assert!(text(&out, client).contains("one") && text(&out, client).ends_with("0\r\n\r\n"));
     assert_eq!(harness.router.counters().completed, 1);
 }
@@ -313,17 +317,17 @@
 #[test]
 fn a_slow_client_pauses_its_engine_and_a_stalled_one_is_disconnected() {
     let mut harness = Harness::new();
-    let (client, writer) = harness.streaming("chat");
+    let (client, decode) = harness.streaming("chat");
     let mut out = Vec::new();
     for _ in 0..40 {
-        out.extend(harness.receive(writer, chunk(&event(&"x".repeat(2_000)))));
+        out.extend(harness.receive(decode, chunk(&event(&"x".repeat(2_000)))));
     }
-    assert!(out.contains(&Output::Pause(writer)));
+    assert!(out.contains(&Output::Pause(decode)));
     let taken = bytes(&out, client).len();
-    assert!(harness.handle(Input::Sent(client, taken)).contains(&Output::Resume(writer)));
+    assert!(harness.handle(Input::Sent(client, taken)).contains(&Output::Resume(decode)));
     for _ in 0..40 {
-        harness.receive(writer, chunk(&event(&"x".repeat(2_000))));
+        harness.receive(decode, chunk(&event(&"x".repeat(2_000))));
     }
     let out = harness.advance(ms(10_100));
-    assert!(ends(&out, client) && aborted(&out, writer));
+    assert!(ends(&out, client) && aborted(&out, decode));
 }
--- a/crates/platform/tests/terms.rs
+++ b/crates/platform/tests/terms.rs
@@ -1,5 +1,5 @@
-//! The acceptance's terms, judged from traffic in virtual time: several routers with faults between, and for each
-//! judge a program that is broken on purpose.
+//! The terms of acceptance, judged from traffic in virtual time: several routers under faults, and for each judge a router
+//! that is broken on purpose.
 
 mod common;
 use common::cluster::{Cluster, ClusterLayout, Variant};
@@ -9,8 +9,8 @@
 use slipreel_test_servers::platform::{Ending, Faults, Mood};
 use std::collections::BTreeSet;
 
-/// Discovery falls into a mood, has a drain meanwhile, and is well again. Gives the cluster a while later.
-fn drained_in(mood: Mood, layout: &ClusterLayout) -> Cluster {
+/// Discovery fails in a mood, an engine drains meanwhile, and discovery recovers. Returns the cluster a while later.
+fn drain_during(mood: Mood, layout: &ClusterLayout) -> Cluster {
     let mut cluster = Cluster::new(layout);
     cluster.run(ms(2_000));
     cluster.set_mood(mood);
@@ -29,7 +29,7 @@
 fn a_drain_applies_within_six_seconds_whatever_watches_failed() {
     for (index, mood) in FAULTY_MOODS.into_iter().enumerate() {
         let cluster =
-            drained_in(mood, &ClusterLayout { seed: 10 + index as u64, ..ClusterLayout::default() });
+            drain_during(mood, &ClusterLayout { seed: 10 + index as u64, ..ClusterLayout::default() });
         assert_eq!(cluster.breaks(&Terms::default()), [], "{mood:?}");
         let start = cluster.world.now() - ms(19_000);
         assert!(cluster.attempts_at("e4", start) > 20, "{mood:?}: the engine had work before");
@@ -39,7 +39,7 @@
     }
 }
 
-/// Guards against a list from before a drain that is told again and again by a replica of discovery that lags behind.
+/// Guards against a list from before a drain that a lagging replica of discovery sends again and again.
 #[test]
 fn an_older_list_undoes_no_drain_and_later_lists_count() {
     let mut cluster = Cluster::new(&ClusterLayout::default());
@@ -59,7 +59,7 @@
 
 #[test]
 fn the_judge_detects_a_router_that_does_not_reopen_its_watch() {
-    let cluster = drained_in(
+    let cluster = drain_during(
         Mood::Refuses,
         &ClusterLayout { variant: Variant::WatchesOnce, requests: 600, ..ClusterLayout::default() },
     );
@@ -77,7 +77,7 @@
             cluster.run(ms(2_300));
             cluster.set_mood(mood);
             cluster.run(ms(700));
-            // Another engine drains, the one before is taken back.
+            // Another engine drains, the one before is ready again.
             cluster.set_status(["e3", "e4", "e5"][round % 3], "Terminating");
             cluster.set_status(["e3", "e4", "e5"][(round + 2) % 3], "Ready");
             cluster.run(ms(1_500));
@@ -89,7 +89,7 @@
     }
 }
 
-/// The sum of 300 routers that lost discovery in one moment: what they ask of one that all share, were it one.
+/// The load of 300 routers that lost discovery at the same time on the discovery that they share.
 #[test]
 fn reconnects_of_three_hundred_routers_are_spread() {
     for (mood, most_in_100_ms, most_in_a_second) in
@@ -188,23 +188,23 @@
     }
 }
 
-/// Requests wait while no reader takes work; half of their clients leave meanwhile.
-fn left_while_no_reader_takes_work(variant: Variant) -> BTreeSet<Term> {
+/// Requests wait while no prefill engine is ready; half of their clients leave meanwhile.
+fn terms_broken_without_prefill_engines(variant: Variant) -> BTreeSet<Term> {
     let layout =
         ClusterLayout { variant, leaving: 0.5, every: ms(10), requests: 900, ..ClusterLayout::default() };
     let mut cluster = Cluster::new(&layout);
     cluster.run(ms(2_000));
-    ["e1", "e2"].iter().for_each(|reader| cluster.set_status(reader, "Terminating"));
+    ["e1", "e2"].iter().for_each(|engine| cluster.set_status(engine, "Terminating"));
     cluster.run(ms(700));
-    ["e1", "e2"].iter().for_each(|reader| cluster.set_status(reader, "Ready"));
+    ["e1", "e2"].iter().for_each(|engine| cluster.set_status(engine, "Ready"));
     cluster.run(ms(8_000));
     cluster.breaks(&Terms::default()).into_iter().map(|found| found.term).collect()
 }
 
 #[test]
 fn waiting_requests_of_gone_clients_are_dropped_and_the_judge_detects_a_router_that_forwards_them() {
-    assert_eq!(left_while_no_reader_takes_work(Variant::None), BTreeSet::new());
-    let broken = left_while_no_reader_takes_work(Variant::LateDisconnects);
+    assert_eq!(terms_broken_without_prefill_engines(Variant::None), BTreeSet::new());
+    let broken = terms_broken_without_prefill_engines(Variant::LateDisconnects);
     assert_eq!(broken, BTreeSet::from([Term::Gone, Term::SentOn]));
 }
 
