--- a/crates/platform/tests/common/cluster.rs
+++ b/crates/platform/tests/common/cluster.rs
@@ -57,11 +57,11 @@
 /// How long a router that delays events holds them.
 const EVENT_DELAY: Duration = Duration::from_millis(400);
 
-/// A router, perhaps broken.
+/// A router of any variant.
 pub struct BrokenRouter {
     pub router: PlatformRouter,
     variant: Variant,
-    asked: u32,
+    watch_count: u32,
     /// Disconnects of clients that it learns of later.
     disconnects: BTreeSet<(Duration, ConnId)>,
     /// Delayed outputs, and until when.
@@ -73,7 +73,7 @@
         Box::new(BrokenRouter {
             router,
             variant,
-            asked: 0,
+            watch_count: 0,
             disconnects: BTreeSet::new(),
             held: VecDeque::new(),
         })
@@ -112,14 +112,7 @@
             out.iter_mut().for_each(lengthen_deadline);
         }
         if self.variant == Variant::WatchesOnce {
-            let asked = &mut self.asked;
-            out.retain(|output| match output {
-                Output::Connect(_, addr) if addr.port() >= 8000 => {
-                    *asked += 1;
-                    *asked == 1
-                }
-                _ => true,
-            });
+            self.drop_further_watches(out);
         }
     }
 
@@ -131,6 +124,18 @@
 }
 
 impl BrokenRouter {
+    /// Drops connections to discovery after the first.
+    fn drop_further_watches(&mut self, out: &mut Vec<Output>) {
+        let count = &mut self.watch_count;
+        out.retain(|output| match output {
+            Output::Connect(_, addr) if addr.port() >= 8000 => {
+                *count += 1;
+                *count == 1
+            }
+            _ => true,
+        });
+    }
+
     /// Delays outputs to clients, in order, and releases those that were delayed long enough.
     fn delay_events(&mut self, now: Duration, out: &mut Vec<Output>) {
         let to_client = |output: &Output| match output {
@@ -188,9 +193,9 @@
 }
 
 /// An entry of the list, in zone a and cell 1.
-pub fn entry(name: &str, reads: bool, port: u16, status: &str, since: Duration) -> String {
-    let kind = if reads { "reads" } else { "writes" };
-    // The platform's wall clock and the world's are one here.
+pub fn entry(name: &str, is_prefill: bool, port: u16, status: &str, since: Duration) -> String {
+    let kind = if is_prefill { "reads" } else { "writes" };
+    // The wall clock and the virtual time are the same here.
     let since = since.as_millis();
     format!(
         r#"{{"name":"{name}","address":"127.0.0.1:{port}","zone":"a","type":"{kind}","group":1,"status":"{status}","weight":1.0,"since_ms":{since}}}"#
@@ -213,8 +218,8 @@
 /// The size of a cluster and what happens in it.
 pub struct ClusterLayout {
     pub routers: u16,
-    pub readers: u16,
-    pub writers: u16,
+    pub prefill_engines: u16,
+    pub decode_engines: u16,
     pub faults: Faults,
     pub variant: Variant,
     /// Requests at each router, and how far apart.
@@ -229,8 +234,8 @@
     fn default() -> Self {
         ClusterLayout {
             routers: 3,
-            readers: 2,
-            writers: 3,
+            prefill_engines: 2,
+            decode_engines: 3,
             faults: Faults::default(),
             variant: Variant::None,
             requests: 400,
@@ -243,51 +248,60 @@
 
 impl Cluster {
     pub fn new(layout: &ClusterLayout) -> Cluster {
-        let shared = Shared::default();
-        let mut world = World::new(START, Delays::default(), layout.seed);
-        let (mut engines, mut first) = (BTreeMap::new(), Vec::new());
-        for born in 1..=layout.readers + layout.writers {
-            let (name, reads) = (format!("e{born}"), born <= layout.readers);
-            let engine =
-                Engine::new(&name, reads, shared.clone(), layout.faults, layout.seed + u64::from(born));
-            let at = world.add(Actor::Engine(Box::new(engine)), &[SocketAddr::from(([127, 0, 0, 1], born))]);
-            first.push((name.clone(), entry(&name, reads, born, "Ready", Duration::ZERO)));
-            engines.insert(name, (reads, born, at));
-        }
         let mut cluster = Cluster {
-            world,
-            shared,
+            world: World::new(START, Delays::default(), layout.seed),
+            shared: Shared::default(),
             agents: vec![],
             routers: vec![],
             listens: vec![],
             clients: vec![],
-            engines,
+            engines: BTreeMap::new(),
         };
+        let entries: Vec<(String, String)> = (1..=layout.prefill_engines + layout.decode_engines)
+            .map(|number| cluster.add_engine(layout, number))
+            .collect();
         for number in 0..layout.routers {
-            let name = format!("n{number}");
-            let [high, low] = number.to_be_bytes();
-            let agent = SocketAddr::from(([127, 9, high, low], 8500));
-            let listen = SocketAddr::from(([127, 2, high, low], 5000));
-            let discovery = Discovery::new(&Listing(first.clone())).beside(&name, &cluster.shared);
-            let text = config(&agent.to_string(), &discovery.whole(), 512)
-                .replace("127.0.0.2:5000", &listen.to_string())
-                .replace("\"balancers\":1", &format!("\"balancers\":{}", layout.routers))
-                .replace("8c1f30d27a5be964", &format!("{:x}", layout.seed * 1_000 + u64::from(number) + 1));
-            cluster.agents.push(cluster.world.add(Actor::Discovery(Box::new(discovery)), &[agent]));
-            let router = PlatformRouter::new(Config::parse(&text).unwrap(), START, START);
-            cluster.listens.push(listen);
-            cluster
-                .routers
-                .push(cluster.world.add(Actor::Router(BrokenRouter::new(router, layout.variant)), &[listen]));
-            let seed = layout.seed * 77 + u64::from(number);
-            let clients =
-                Clients::new(listen, &["chat", "once"], layout.every, layout.requests, START + ms(50), seed);
-            let clients = clients.noting(&cluster.shared, layout.leaving);
-            cluster.clients.push(cluster.world.add(Actor::Clients(Box::new(clients)), &[]));
+            cluster.add_router(layout, number, &entries);
         }
         cluster
     }
 
+    /// Adds an engine. Returns its name and its entry in the endpoint list.
+    fn add_engine(&mut self, layout: &ClusterLayout, number: u16) -> (String, String) {
+        let name = format!("e{number}");
+        let is_prefill = number <= layout.prefill_engines;
+        let seed = layout.seed + u64::from(number);
+        let engine = Engine::new(&name, is_prefill, self.shared.clone(), layout.faults, seed);
+        let addr = SocketAddr::from(([127, 0, 0, 1], number));
+        let at = self.world.add(Actor::Engine(Box::new(engine)), &[addr]);
+        self.engines.insert(name.clone(), (is_prefill, number, at));
+        let listed = entry(&name, is_prefill, number, "Ready", Duration::ZERO);
+        (name, listed)
+    }
+
+    /// Adds a router with its agent of discovery and its clients.
+    fn add_router(&mut self, layout: &ClusterLayout, number: u16, entries: &[(String, String)]) {
+        let name = format!("n{number}");
+        let [high, low] = number.to_be_bytes();
+        let agent = SocketAddr::from(([127, 9, high, low], 8500));
+        let listen = SocketAddr::from(([127, 2, high, low], 5000));
+        let discovery = Discovery::new(&Listing(entries.to_vec())).beside(&name, &self.shared);
+        let text = config(&agent.to_string(), &discovery.whole(), 512)
+            .replace("127.0.0.2:5000", &listen.to_string())
+            .replace("\"balancers\":1", &format!("\"balancers\":{}", layout.routers))
+            .replace("8c1f30d27a5be964", &format!("{:x}", layout.seed * 1_000 + u64::from(number) + 1));
+        self.agents.push(self.world.add(Actor::Discovery(Box::new(discovery)), &[agent]));
+        let router = PlatformRouter::new(Config::parse(&text).unwrap(), START, START);
+        self.listens.push(listen);
+        let router = Actor::Router(BrokenRouter::new(router, layout.variant));
+        self.routers.push(self.world.add(router, &[listen]));
+        let seed = layout.seed * 77 + u64::from(number);
+        let classes = ["chat", "once"];
+        let clients = Clients::new(listen, &classes, layout.every, layout.requests, START + ms(50), seed);
+        let clients = clients.noting(&self.shared, layout.leaving);
+        self.clients.push(self.world.add(Actor::Clients(Box::new(clients)), &[]));
+    }
+
     pub fn run(&mut self, time: Duration) {
         let until = self.world.now() + time;
         self.world.run_until(until);
@@ -303,10 +317,10 @@
 
     /// All agents list an engine with this status: `Ready`, or one in which it takes no new work.
     pub fn set_status(&mut self, engine: &str, status: &str) {
-        let (reads, port, _) = self.engines[engine];
+        let (is_prefill, port, _) = self.engines[engine];
         let (closed, name) = (status != "Ready", engine.to_owned());
         look(&self.shared).see(self.world.now(), Seen::Has { engine: name.clone(), closed });
-        let change = Listing(vec![(name, entry(engine, reads, port, status, Duration::ZERO))]);
+        let change = Listing(vec![(name, entry(engine, is_prefill, port, status, Duration::ZERO))]);
         for &agent in &self.agents {
             self.world.news(agent, &change);
         }
@@ -318,7 +332,7 @@
         self.world.freeze(machine, frozen);
     }
 
-    /// All routers are told to stop.
+    /// Stops all routers.
     pub fn stop(&mut self) {
         for listen in &self.listens {
             look(&self.shared).see(self.world.now(), Seen::Ending { router: listen.to_string() });
@@ -338,7 +352,7 @@
         look(&self.shared).facts.iter().filter(|fact| fact.at >= since && is_attempt(&fact.seen)).count()
     }
 
-    /// When discovery was asked, by any router.
+    /// When any router opened a watch at discovery.
     pub fn asked(&self) -> Vec<Duration> {
         let asked = |&at: &usize| match self.world.machine(at) {
             Actor::Discovery(agent) => agent.asked.clone(),
