--- a/crates/cli/src/roles.rs
+++ b/crates/cli/src/roles.rs
@@ -8,7 +8,9 @@
 use slipreel_event_loop::{Clock, Command, EventLoop, EventLoopHandle, MachineId};
 use slipreel_gateway::engine_id;
 use slipreel_gateway::site::EngineSite;
-use slipreel_roles::{EngineView, Freeze, Phase, RoleController, Watched};
+use slipreel_roles::{
+    ControllerConfig, ControllerMode, EngineView, Freeze, OrderCounts, Phase, RoleController, Watched,
+};
 use slipreel_settings::{engines_from_slices, engines_to_slices, parse_roles, Daemon, RolesSite};
 use slipreel_state_machine::{Input, Machine, Output};
 use std::collections::BTreeMap;
@@ -144,7 +146,7 @@
 struct AtWork {
     seen: Seen,
     handle: EventLoopHandle<Shown>,
-    thread: std::thread::JoinHandle<std::io::Result<(usize, usize)>>,
+    thread: std::thread::JoinHandle<std::io::Result<OrderCounts>>,
 }
 
 impl AtWork {
@@ -157,9 +159,15 @@
         let watched = watched(engines);
         let mut limits = roles.limits;
         limits.frozen = is_frozen(roles);
-        let conductor =
-            RoleController::new(watched, limits, roles.costs, roles.policy, roles.places, dry, clock.now())
-                .with_routers(roles.routers.clone(), roles.speeds);
+        let config = ControllerConfig {
+            limits,
+            costs: roles.costs,
+            policy: roles.policy,
+            full_load_requests: roles.places,
+            mode: if dry { ControllerMode::DryRun } else { ControllerMode::Apply },
+        };
+        let conductor = RoleController::new(watched, config, clock.now())
+            .with_routers(roles.routers.clone(), roles.speeds);
         let seen = Seen::default();
         let mut looped = EventLoop::new(clock).map_err(run)?;
         looped.on_log(log);
@@ -177,7 +185,7 @@
     }
 
     /// Ends it; gives the orders that engines took, and those that they turned away.
-    fn stop(self) -> Result<(usize, usize), Failure> {
+    fn stop(self) -> Result<OrderCounts, Failure> {
         self.handle.send(Command::Stop(MachineId(0)));
         let orders = self.thread.join().map_err(|_| Failure::Run("the conductor ended by a panic".into()))?;
         orders.map_err(|e| Failure::Run(e.to_string()))
@@ -279,8 +287,12 @@
             Err(_) => {}
         }
     }
-    let (taken, turned) = work.stop()?;
-    tracing::info!(taken, turned, "stopped; engines end the changes that they were told of by themselves");
+    let OrderCounts { accepted, rejected } = work.stop()?;
+    tracing::info!(
+        taken = accepted,
+        turned = rejected,
+        "stopped; engines end the changes that they were told of by themselves"
+    );
     Ok(())
 }
 
--- a/crates/emulator/src/roles.rs
+++ b/crates/emulator/src/roles.rs
@@ -79,8 +79,8 @@
             }
         }
         self.demand.add_metrics(0, &text);
-        let Some(mix) = self.demand.take_load(now, self.speeds) else { return false };
-        let view = PlannerView { now, engines: self.see(now, engines, places), mix };
+        let Some(load) = self.demand.take_load(now, self.speeds) else { return false };
+        let view = PlannerView { now, engines: self.see(now, engines, places), load };
         let plan = self.planner.plan(&view);
         let mut taken = false;
         for change in &plan.changes {
--- a/crates/roles/benches/plan.rs
+++ b/crates/roles/benches/plan.rs
@@ -17,7 +17,7 @@
             let view = |t: f64| PlannerView {
                 now: s(t),
                 engines: Fluid::new(n).engines,
-                mix: StageLoad { prefill: half * 1.2, decode: half * 0.3 },
+                load: StageLoad { prefill: half * 1.2, decode: half * 0.3 },
             };
             (0..100).for_each(|i| {
                 planner.plan(&view(f64::from(i) * 0.5));
--- a/crates/roles/src/capacity.rs
+++ b/crates/roles/src/capacity.rs
@@ -36,7 +36,7 @@
     }
 
     /// The share of the requests that the weaker stage can serve; from 0 to 1.
-    pub(crate) fn served_share(self, mix: StageLoad) -> f64 {
+    pub(crate) fn served_share(self, load: StageLoad) -> f64 {
         let can = |engines: f64, work: f64| {
             if work > 0.0 {
                 MAX_UTILIZATION * engines.max(0.0) / work
@@ -44,7 +44,7 @@
                 1.0
             }
         };
-        can(self.prefill, mix.prefill).min(can(self.decode, mix.decode)).min(1.0)
+        can(self.prefill, load.prefill).min(can(self.decode, load.decode)).min(1.0)
     }
 
     /// The capacity once `gone` engines have left the other role for `to`, and `there` of them work in it.
@@ -56,10 +56,10 @@
     }
 
     /// The stage that an engine from the other one would help, if there is one.
-    pub(crate) fn short_stage(self, mix: StageLoad) -> Option<Role> {
-        let served_share = self.served_share(mix);
+    pub(crate) fn short_stage(self, load: StageLoad) -> Option<Role> {
+        let served_share = self.served_share(load);
         [Role::Prefill, Role::Decode]
             .into_iter()
-            .find(|&to| self.with_moved(to, 1.0, 1.0).served_share(mix) > served_share)
+            .find(|&to| self.with_moved(to, 1.0, 1.0).served_share(load) > served_share)
     }
 }
--- a/crates/roles/src/controller.rs
+++ b/crates/roles/src/controller.rs
@@ -1,4 +1,4 @@
-//! The role controller: asks engines for their load and role, plans by what they answer, and orders the changes that pay.
+//! The role controller: polls engines for their load and role, plans changes, and orders those that pay.
 //!
 //! It holds no state that matters: any number of controllers may run, and one that dies leaves engines that finish their change by
 //! themselves. An engine that does not answer in time is not in the view, and so is neither counted nor changed.
@@ -58,10 +58,12 @@
 }
 
 /// Orders since the start, by how engines answered them.
-#[derive(Default)]
-struct OrderCounts {
-    accepted: usize,
-    rejected: usize,
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct OrderCounts {
+    /// Orders that engines accepted.
+    pub accepted: usize,
+    /// Orders that engines rejected.
+    pub rejected: usize,
 }
 
 /// When to poll and when to plan.
@@ -70,16 +72,37 @@
     next_plan: Option<Duration>,
 }
 
+/// Whether the controller orders the changes that it plans.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ControllerMode {
+    /// It orders them.
+    Apply,
+    /// It only logs them.
+    DryRun,
+}
+
+/// The settings of a [`RoleController`].
+#[derive(Clone, Copy, Debug)]
+pub struct ControllerConfig {
+    /// The limits within which engines change.
+    pub limits: PlannerLimits,
+    /// The costs of a change.
+    pub costs: ChangeCosts,
+    /// How changes are planned.
+    pub policy: PlanningPolicy,
+    /// The number of requests that keep an engine busy.
+    pub full_load_requests: FullLoadRequests,
+    /// Whether changes are ordered.
+    pub mode: ControllerMode,
+}
+
 /// Watches engines and orders changes of role. Takes [`Freeze`] and `Vec<Watched>` as [`Input::OwnerMessage`].
 pub struct RoleController {
     engines: Vec<Watched>,
     observations: Vec<EngineObservation>,
     planner: Planner,
-    full_load_requests: FullLoadRequests,
-    costs: ChangeCosts,
+    config: ControllerConfig,
     source: DemandSource,
-    /// Plans are logged and nothing is ordered.
-    dry_run: bool,
     frozen_by: FrozenBy,
     requests: Requests,
     schedule: Schedule,
@@ -90,24 +113,19 @@
 }
 
 impl RoleController {
-    /// A controller that begins its first round at `now`. With `dry_run` it logs its plans and orders nothing.
-    pub fn new(
-        engines: Vec<Watched>, limits: PlannerLimits, costs: ChangeCosts, policy: PlanningPolicy,
-        full_load_requests: FullLoadRequests, dry_run: bool, now: Duration,
-    ) -> Self {
+    /// A controller that begins its first round at `now`.
+    pub fn new(engines: Vec<Watched>, config: ControllerConfig, now: Duration) -> Self {
         let observations = engines.iter().map(|_| EngineObservation::default()).collect();
         RoleController {
             engines,
             observations,
-            planner: Planner::new(limits, costs, policy),
-            full_load_requests,
-            costs,
+            planner: Planner::new(config.limits, config.costs, config.policy),
+            config,
             source: DemandSource {
                 routers: Vec::new(),
                 throughput: EngineThroughput { prefill: 1.0, decode: 1.0 },
                 demand: Demand::default(),
             },
-            dry_run,
             frozen_by: FrozenBy::default(),
             requests: Requests::default(),
             schedule: Schedule { next_poll: now, next_plan: None },
@@ -136,8 +154,8 @@
     }
 
     /// The numbers of orders that engines accepted and rejected since the start.
-    pub fn orders(&self) -> (usize, usize) {
-        (self.orders.accepted, self.orders.rejected)
+    pub fn orders(&self) -> OrderCounts {
+        self.orders
     }
 
     fn begin_round(&mut self, now: Duration, out: &mut Vec<Output>) {
@@ -172,7 +190,7 @@
         let mut view = self.view(now);
         self.last_view.clone_from(&view.engines);
         match self.source.demand.take_load(now, self.source.throughput) {
-            Some(load) => view.mix = load,
+            Some(load) => view.load = load,
             // The demand of routers that do not answer is unknown: better no change than one by half a view.
             None if !self.source.routers.is_empty() => return,
             None => {}
@@ -189,11 +207,10 @@
 
     /// Logs a change and, unless this is a dry run, orders it.
     fn order(&mut self, change: &RoleChange, out: &mut Vec<Output>) {
-        let verb = if self.dry_run { "would order" } else { "orders" };
-        out.push(Output::Log(format!("{verb} {change}")));
-        if self.dry_run {
-            return;
+        if self.config.mode == ControllerMode::DryRun {
+            return out.push(Output::Log(format!("would order {change}")));
         }
+        out.push(Output::Log(format!("orders {change}")));
         if let Some(engine) = self.engines.iter().find(|engine| engine.id == change.engine) {
             self.requests.order(engine.addr, change, out);
         }
@@ -206,14 +223,8 @@
     }
 }
 
-/// Whether a router publishes that its policy freezes the roles; `None`: it publishes nothing about that.
-fn frozen_by_policy(metrics: &str) -> Option<bool> {
-    let value = metrics.lines().find_map(|line| line.strip_prefix("slipreel_policy_roles_frozen "))?;
-    Some(value.trim() != "0")
-}
-
-impl Machine for RoleController {
-    fn handle(&mut self, now: Duration, input: Input<'_>, out: &mut Vec<Output>) {
+impl RoleController {
+    fn handle_input(&mut self, input: Input<'_>, out: &mut Vec<Output>) {
         match input {
             Input::Connected(conn) => self.requests.send(conn, out),
             Input::Data(conn, bytes) => {
@@ -228,14 +239,7 @@
                 out.push(Output::CloseWhenSent(conn));
             }
             Input::Lost(conn, _) => self.requests.remove(conn),
-            Input::OwnerMessage(message) => {
-                if let Some(Freeze(frozen)) = message.downcast_ref() {
-                    self.frozen_by.operator = *frozen;
-                    self.planner.freeze(*frozen);
-                } else if let Some(engines) = message.downcast_ref::<Vec<Watched>>() {
-                    self.watch(engines);
-                }
-            }
+            Input::OwnerMessage(message) => self.handle_owner_message(message),
             Input::Stop if !self.stopped => {
                 self.stopped = true;
                 out.push(Output::Stopped);
@@ -248,6 +252,27 @@
             | Input::Datagram(..)
             | Input::Stop => {}
         }
+    }
+
+    fn handle_owner_message(&mut self, message: &dyn std::any::Any) {
+        if let Some(Freeze(frozen)) = message.downcast_ref() {
+            self.frozen_by.operator = *frozen;
+            self.planner.freeze(*frozen);
+        } else if let Some(engines) = message.downcast_ref::<Vec<Watched>>() {
+            self.watch(engines);
+        }
+    }
+}
+
+/// Whether a router publishes that its policy freezes the roles; `None`: it publishes nothing about that.
+fn frozen_by_policy(metrics: &str) -> Option<bool> {
+    let value = metrics.lines().find_map(|line| line.strip_prefix("slipreel_policy_roles_frozen "))?;
+    Some(value.trim() != "0")
+}
+
+impl Machine for RoleController {
+    fn handle(&mut self, now: Duration, input: Input<'_>, out: &mut Vec<Output>) {
+        self.handle_input(input, out);
         if self.stopped {
             return;
         }
--- a/crates/roles/src/controller/observation.rs
+++ b/crates/roles/src/controller/observation.rs
@@ -1,4 +1,4 @@
-//! What is known of each engine, and the view that is planned by.
+//! The observations of each engine, and the view that the planner takes.
 
 use super::RoleController;
 use crate::stage_load::StageLoad;
@@ -93,14 +93,14 @@
     pub(super) fn view(&mut self, now: Duration) -> PlannerView {
         let mut engines = Vec::new();
         let mut load_in_progress = StageLoad::default();
-        let slow_start = self.costs.slow_start;
+        let slow_start = self.config.costs.slow_start;
         for (watched, observation) in self.engines.iter().zip(&mut self.observations) {
             let (Some(load), Some(reported)) = (observation.load, observation.role) else { continue };
             let (stage_load, full_load_requests, other_role) = match reported.role {
                 Role::Prefill => {
-                    (&mut load_in_progress.prefill, self.full_load_requests.prefill, Role::Decode)
+                    (&mut load_in_progress.prefill, self.config.full_load_requests.prefill, Role::Decode)
                 }
-                _ => (&mut load_in_progress.decode, self.full_load_requests.decode, Role::Prefill),
+                _ => (&mut load_in_progress.decode, self.config.full_load_requests.decode, Role::Prefill),
             };
             let requests = load.running.unwrap_or(0.0) + load.waiting.unwrap_or(0.0);
             let busy = (requests / full_load_requests.max(1.0)).min(MAX_BUSY);
@@ -123,6 +123,6 @@
                 cached_tokens: load.memory.unwrap_or(0.0) * CACHED_TOKENS_AT_FULL_MEMORY,
             });
         }
-        PlannerView { now, engines, mix: load_in_progress }
+        PlannerView { now, engines, load: load_in_progress }
     }
 }
--- a/crates/roles/src/demand.rs
+++ b/crates/roles/src/demand.rs
@@ -23,20 +23,24 @@
 /// Counters of one class at one router.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 struct ClassCounters {
-    asked: f64,
-    reads: f64,
-    read_tokens: f64,
-    answers: f64,
+    /// Requests, rejected ones too.
+    requests: f64,
+    /// Requests whose prompt was processed, and the tokens of those prompts.
+    prefilled_requests: f64,
+    prompt_tokens: f64,
+    /// Requests that were answered, and the tokens of those answers.
+    answered_requests: f64,
     answer_tokens: f64,
 }
 
 impl ClassCounters {
-    fn slot(&mut self, name: &str) -> Option<&mut f64> {
+    /// The counter that routers publish by this name.
+    fn by_metric_name(&mut self, name: &str) -> Option<&mut f64> {
         match name {
-            "asked" => Some(&mut self.asked),
-            "reads" => Some(&mut self.reads),
-            "read_tokens" => Some(&mut self.read_tokens),
-            "answers" => Some(&mut self.answers),
+            "asked" => Some(&mut self.requests),
+            "reads" => Some(&mut self.prefilled_requests),
+            "read_tokens" => Some(&mut self.prompt_tokens),
+            "answers" => Some(&mut self.answered_requests),
             "answer_tokens" => Some(&mut self.answer_tokens),
             _ => None,
         }
@@ -44,16 +48,16 @@
 
     /// The difference to `before`; all of it where the counters have started again from 0.
     fn since(self, before: ClassCounters) -> ClassCounters {
-        if self.asked < before.asked {
+        if self.requests < before.requests {
             return self;
         }
-        let less = |a: f64, b: f64| (a - b).max(0.0);
+        let difference = |now: f64, before: f64| (now - before).max(0.0);
         ClassCounters {
-            asked: less(self.asked, before.asked),
-            reads: less(self.reads, before.reads),
-            read_tokens: less(self.read_tokens, before.read_tokens),
-            answers: less(self.answers, before.answers),
-            answer_tokens: less(self.answer_tokens, before.answer_tokens),
+            requests: difference(self.requests, before.requests),
+            prefilled_requests: difference(self.prefilled_requests, before.prefilled_requests),
+            prompt_tokens: difference(self.prompt_tokens, before.prompt_tokens),
+            answered_requests: difference(self.answered_requests, before.answered_requests),
+            answer_tokens: difference(self.answer_tokens, before.answer_tokens),
         }
     }
 }
@@ -65,11 +69,12 @@
         let Some(rest) = line.strip_prefix("slipreel_class_") else { continue };
         let Some((name, rest)) = rest.split_once("_total{class=\"") else { continue };
         let Some((class, value)) = rest.split_once("\"}") else { continue };
-        let Some(value) = value.trim().parse().ok().filter(|v: &f64| v.is_finite() && *v >= 0.0) else {
+        let Some(value) = value.trim().parse().ok().filter(|value: &f64| value.is_finite() && *value >= 0.0)
+        else {
             continue;
         };
-        if let Some(slot) = classes.entry(class.to_owned()).or_default().slot(name) {
-            *slot = value;
+        if let Some(counter) = classes.entry(class.to_owned()).or_default().by_metric_name(name) {
+            *counter = value;
         }
     }
     classes
@@ -85,7 +90,7 @@
     /// Recent counters of each class, decaying by [`HALF_LIFE`].
     recent: BTreeMap<String, ClassCounters>,
     /// Routers whose metrics were added in the present round.
-    routers_heard: usize,
+    router_count: usize,
     /// When the present round began.
     round_began: Option<Duration>,
 }
@@ -97,44 +102,49 @@
             let before = self.last.insert((router, class.clone()), now);
             // What a router had counted before its first metrics says nothing of this round.
             let new = now.since(before.unwrap_or(now));
-            *self.round.entry(class.clone()).or_default() += new.asked;
+            *self.round.entry(class.clone()).or_default() += new.requests;
             let recent = self.recent.entry(class).or_default();
-            let sum = if before.is_some() { new } else { now };
-            recent.reads += sum.reads;
-            recent.read_tokens += sum.read_tokens;
-            recent.answers += sum.answers;
-            recent.answer_tokens += sum.answer_tokens;
+            let added = if before.is_some() { new } else { now };
+            recent.prefilled_requests += added.prefilled_requests;
+            recent.prompt_tokens += added.prompt_tokens;
+            recent.answered_requests += added.answered_requests;
+            recent.answer_tokens += added.answer_tokens;
         }
-        self.routers_heard += 1;
+        self.router_count += 1;
     }
 
     /// The load asked for since the last call, in engines kept busy; `None` if no router has answered, or at the first call.
-    pub fn take_load(&mut self, now: Duration, speeds: EngineThroughput) -> Option<StageLoad> {
-        let (round, routers_heard) =
-            (std::mem::take(&mut self.round), std::mem::take(&mut self.routers_heard));
+    pub fn take_load(&mut self, now: Duration, throughput: EngineThroughput) -> Option<StageLoad> {
+        let round = std::mem::take(&mut self.round);
+        let router_count = std::mem::take(&mut self.router_count);
         let since = self.round_began.replace(now)?;
         let seconds = now.saturating_sub(since).as_secs_f64();
-        if routers_heard == 0 || seconds <= 0.0 {
+        if router_count == 0 || seconds <= 0.0 {
             return None;
         }
-        let mut mix = StageLoad::default();
-        for (class, asked) in round {
+        let mut load = StageLoad::default();
+        for (class, requests) in round {
             let recent = self.recent.get(&class).copied().unwrap_or_default();
-            let rate = asked / seconds;
-            let mean = |tokens: f64, n: f64| if n > 0.0 { tokens / n } else { 0.0 };
-            mix.prefill += rate * mean(recent.read_tokens, recent.reads) / speeds.prefill.max(1.0);
-            mix.decode += rate * mean(recent.answer_tokens, recent.answers) / speeds.decode.max(1.0);
+            let rate = requests / seconds;
+            let mean = |tokens: f64, requests: f64| if requests > 0.0 { tokens / requests } else { 0.0 };
+            load.prefill +=
+                rate * mean(recent.prompt_tokens, recent.prefilled_requests) / throughput.prefill.max(1.0);
+            load.decode +=
+                rate * mean(recent.answer_tokens, recent.answered_requests) / throughput.decode.max(1.0);
         }
         // Both parts of a mean decay alike: a class without requests keeps its mean until it has requests again.
         let decay = 0.5f64.powf(seconds / HALF_LIFE.as_secs_f64());
         for recent in self.recent.values_mut() {
-            for counter in
-                [&mut recent.reads, &mut recent.read_tokens, &mut recent.answers, &mut recent.answer_tokens]
-            {
+            for counter in [
+                &mut recent.prefilled_requests,
+                &mut recent.prompt_tokens,
+                &mut recent.answered_requests,
+                &mut recent.answer_tokens,
+            ] {
                 *counter *= decay;
             }
         }
-        Some(mix)
+        Some(load)
     }
 }
 
--- a/crates/roles/src/demand/tests.rs
+++ b/crates/roles/src/demand/tests.rs
@@ -12,42 +12,42 @@
     .concat()
 }
 
-const SPEEDS: EngineThroughput = EngineThroughput { prefill: 10_000.0, decode: 500.0 };
+const THROUGHPUT: EngineThroughput = EngineThroughput { prefill: 10_000.0, decode: 500.0 };
 
-fn assert_near(mix: Option<StageLoad>, prefill: f64, decode: f64) {
+fn assert_near(load: Option<StageLoad>, prefill: f64, decode: f64) {
     let near = |a: f64, b: f64| (a - b).abs() < 1e-9;
     assert!(
-        mix.is_some_and(|m| near(m.prefill, prefill) && near(m.decode, decode)),
-        "{mix:?}: {prefill}, {decode}"
+        load.is_some_and(|load| near(load.prefill, prefill) && near(load.decode, decode)),
+        "{load:?}: {prefill}, {decode}"
     );
 }
 
 #[test]
-fn refused_asks_count_and_restarts_do_not_go_back() {
+fn rejected_requests_count_and_restarted_counters_are_not_negative() {
     let s = Duration::from_secs;
     let mut demand = Demand::default();
     demand.add_metrics(0, &text(1000, 10));
-    assert_eq!(demand.take_load(s(1), SPEEDS), None, "nothing to compare with");
+    assert_eq!(demand.take_load(s(1), THROUGHPUT), None, "nothing to compare with");
     demand.add_metrics(0, &text(1040, 20));
-    // 40 asks in 2 s of 1,000 prompt and 50 answer tokens each, though ten were read.
-    assert_near(demand.take_load(s(3), SPEEDS), 2.0, 2.0);
-    // It has started anew.
+    // 40 requests in 2 s of 1,000 prompt and 50 answer tokens each, though ten were read.
+    assert_near(demand.take_load(s(3), THROUGHPUT), 2.0, 2.0);
+    // The router has restarted.
     demand.add_metrics(0, &text(20, 5));
-    assert_near(demand.take_load(s(5), SPEEDS), 1.0, 1.0);
-    assert_eq!(demand.take_load(s(6), SPEEDS), None, "no router was heard");
+    assert_near(demand.take_load(s(5), THROUGHPUT), 1.0, 1.0);
+    assert_eq!(demand.take_load(s(6), THROUGHPUT), None, "no router has answered");
     demand.add_metrics(
         0,
         "slipreel_class_asked_total{class=\"x\"} NaN\nslipreel_class_asked_total{class=\"\nbroken",
     );
-    assert_eq!(demand.take_load(s(7), SPEEDS), Some(StageLoad::default()));
+    assert_eq!(demand.take_load(s(7), THROUGHPUT), Some(StageLoad::default()));
 }
 
-/// A class whose asks become ten times as long: its mean follows within seconds, whatever came in the hours before.
+/// A class whose requests become ten times as long: its mean follows within seconds, whatever came in the hours before.
 #[test]
-fn means_forget() {
+fn mean_tokens_follow_recent_requests_within_seconds() {
     let s = Duration::from_secs;
     let mut demand = Demand::default();
-    let told = |reads: u64, tokens: u64| {
+    let metrics = |reads: u64, tokens: u64| {
         let line = |name: &str, n: u64| format!("slipreel_class_{name}_total{{class=\"chat\"}} {n}\n");
         [line("asked", reads), line("reads", reads), line("read_tokens", tokens)].concat()
     };
@@ -55,8 +55,9 @@
     for t in 0..4_000 {
         reads += 10;
         tokens += if t < 3_970 { 10 * 100 } else { 10 * 1_000 };
-        demand.add_metrics(0, &told(reads, tokens));
-        mean = demand.take_load(s(t), SPEEDS).map_or(0.0, |m| m.prefill * SPEEDS.prefill / 10.0);
+        demand.add_metrics(0, &metrics(reads, tokens));
+        mean =
+            demand.take_load(s(t), THROUGHPUT).map_or(0.0, |load| load.prefill * THROUGHPUT.prefill / 10.0);
     }
     assert!((800.0..1_000.0).contains(&mean), "{mean} after 30 s");
 }
--- a/crates/roles/src/integer_program.rs
+++ b/crates/roles/src/integer_program.rs
@@ -15,7 +15,7 @@
 /// Chooses at most `max_changes` of the candidates to change to the role `to`; returns their positions in `costs`, in order. Costs are in
 /// seconds of full service, `seconds` is how long the changes work. Empty where the solver finds no solution.
 pub(crate) fn choose(
-    costs: &[f64], capacity: StageCapacity, mix: StageLoad, to: Role, seconds: f64, max_changes: usize,
+    costs: &[f64], capacity: StageCapacity, load: StageLoad, to: Role, seconds: f64, max_changes: usize,
 ) -> Vec<usize> {
     let mut problem = Problem::new(OptimizationDirection::Maximize);
     let taken: Vec<_> = costs.iter().map(|&cost| problem.add_binary_var(-MIN_GAIN_PER_COST * cost)).collect();
@@ -23,13 +23,13 @@
     let share = problem.add_var(seconds, (0.0, 1.0));
     let (gaining, losing) = if to == Role::Prefill {
         (
-            Stage { engines: capacity.prefill, load: mix.prefill },
-            Stage { engines: capacity.decode, load: mix.decode },
+            Stage { engines: capacity.prefill, load: load.prefill },
+            Stage { engines: capacity.decode, load: load.decode },
         )
     } else {
         (
-            Stage { engines: capacity.decode, load: mix.decode },
-            Stage { engines: capacity.prefill, load: mix.prefill },
+            Stage { engines: capacity.decode, load: load.decode },
+            Stage { engines: capacity.prefill, load: load.prefill },
         )
     };
     let with_share = |load: f64, part: f64| -> Vec<(microlp::Variable, f64)> {
--- a/crates/roles/src/lib.rs
+++ b/crates/roles/src/lib.rs
@@ -24,7 +24,10 @@
 mod view;
 
 pub use config::{ChangeCosts, PlannerLimits, PlanningPolicy};
-pub use controller::{Freeze, FullLoadRequests, RoleController, Watched, CACHED_TOKENS_AT_FULL_MEMORY};
+pub use controller::{
+    ControllerConfig, ControllerMode, Freeze, FullLoadRequests, OrderCounts, RoleController, Watched,
+    CACHED_TOKENS_AT_FULL_MEMORY,
+};
 pub use demand::{Demand, EngineThroughput};
 pub use load_history::LoadHistory;
 pub use plan::{RoleChange, RolePlan};
--- a/crates/roles/src/planner.rs
+++ b/crates/roles/src/planner.rs
@@ -46,7 +46,7 @@
 
     /// Adds a view to the history, and plans the changes to begin now.
     pub fn plan(&mut self, view: &PlannerView) -> RolePlan {
-        self.history.add_sample(view.now, view.mix);
+        self.history.add_sample(view.now, view.load);
         let capacity = StageCapacity::of(view);
         let load = match self.policy {
             PlanningPolicy::Forecast => self.history.forecast(FORECAST_HORIZON),
--- a/crates/roles/src/planner/evaluation.rs
+++ b/crates/roles/src/planner/evaluation.rs
@@ -1,4 +1,4 @@
-//! What changes gain and cost over the load that is expected.
+//! The gain and cost of changes over the expected load.
 
 use super::Planner;
 use crate::capacity::{StageCapacity, MIN_GAIN_PER_COST};
@@ -38,6 +38,35 @@
     working: f64,
 }
 
+/// Changes that are made together.
+struct ChangeGroup {
+    to: Role,
+    balance: Balance,
+    served_before: f64,
+    served_after: f64,
+    /// For how long the load that they are for is expected to last.
+    likely: Duration,
+}
+
+impl ChangeGroup {
+    /// The change of each engine, with an equal part of the gain and cost.
+    fn changes(&self, engines: &[&EngineView]) -> Vec<RoleChange> {
+        let count = engines.len() as f64;
+        let change = |engine: &&EngineView| RoleChange {
+            engine: engine.id,
+            from: engine.role,
+            to: self.to,
+            replaces: engine.epoch,
+            served_before: self.served_before,
+            served_after: self.served_after,
+            cost: self.balance.cost / count,
+            gain: self.balance.gain / count,
+            likely: self.likely,
+        };
+        engines.iter().map(change).collect()
+    }
+}
+
 impl Planner {
     /// Takes as many of the chosen engines, in turn, as have the greatest net gain together over the expected loads.
     pub(super) fn evaluate(
@@ -51,7 +80,8 @@
             let cost = service.cost + self.costs_of(&chosen[..count], first.load, capacity);
             Balance { gain: service.gain, cost }
         };
-        let (mut count, mut net_gain) = (0, 0.0);
+        let mut count = 0;
+        let mut net_gain = 0.0;
         for more in 1..=chosen.len() {
             let candidate = balance_of(more).net_gain();
             if candidate > net_gain {
@@ -59,23 +89,15 @@
                 net_gain = candidate;
             }
         }
-        let balance = balance_of(count);
         let changed_capacity = capacity.with_moved(to, count as f64, count as f64);
-        let served_before = capacity.served_share(last.load);
-        let served_after = changed_capacity.served_share(last.load);
-        let likely = expected.iter().map(|expected| expected.duration).sum();
-        let change = |engine: &&EngineView| RoleChange {
-            engine: engine.id,
-            from: engine.role,
+        let group = ChangeGroup {
             to,
-            replaces: engine.epoch,
-            served_before,
-            served_after,
-            cost: balance.cost / count as f64,
-            gain: balance.gain / count as f64,
-            likely,
+            balance: balance_of(count),
+            served_before: capacity.served_share(last.load),
+            served_after: changed_capacity.served_share(last.load),
+            likely: expected.iter().map(|expected| expected.duration).sum(),
         };
-        let changes = chosen[..count].iter().map(change).collect();
+        let changes = group.changes(&chosen[..count]);
         let because = if chosen.is_empty() {
             "no engine may change: limits of cells, zones or time in a role".into()
         } else if count == chosen.len() {
--- a/crates/roles/src/view.rs
+++ b/crates/roles/src/view.rs
@@ -48,7 +48,7 @@
     /// The engines.
     pub engines: Vec<EngineView>,
     /// The load that arrives.
-    pub mix: StageLoad,
+    pub load: StageLoad,
 }
 
 impl EngineView {
--- a/crates/roles/tests/fluid/mod.rs
+++ b/crates/roles/tests/fluid/mod.rs
@@ -1,4 +1,4 @@
-//! A fluid model of two stages: work that arrives, engines that change, drain and warm up, and an oracle that knows the mix
+//! A fluid model of two stages: work that arrives, engines that change, drain and warm up, and an oracle that knows the load
 //! ahead. A model, not measurements of engines. Shared by the tests and `benches/plan.rs`.
 #![allow(dead_code)]
 
@@ -50,8 +50,8 @@
         Fluid { engines: (0..n).map(engine).collect(), leaving: Vec::new(), changes: 0 }
     }
 
-    /// Engines' work that a role can do now.
-    fn can(&self, now: Duration, role: Role) -> f64 {
+    /// The work that the engines of a role can do now, in engines kept busy.
+    fn capacity(&self, now: Duration, role: Role) -> f64 {
         let speed = |e: &EngineView| match e.phase {
             Phase::Changing(_) | Phase::Leaving => 0.0,
             _ if e.epoch == 0 => 1.0,
@@ -83,19 +83,19 @@
 /// Share of the work that was done at once over the day, and the changes made. A request needs both stages, so the weaker
 /// stage counts.
 pub fn day(
-    n: usize, policy: Option<PlanningPolicy>, mix: impl Fn(f64) -> StageLoad, seconds: f64,
+    n: usize, policy: Option<PlanningPolicy>, load: impl Fn(f64) -> StageLoad, seconds: f64,
 ) -> (f64, usize) {
     let mut fluid = Fluid::new(n);
     let mut planner = Planner::new(LIMITS, COSTS, policy.unwrap_or(PlanningPolicy::Greedy));
     let (mut done, mut asked, mut t) = (0.0, 0.0, 0.0);
     while t < seconds {
-        let (now, mix) = (s(t), mix(t));
+        let (now, load) = (s(t), load(t));
         let served = |need: f64, can: f64| if need > 0.0 { (can / need).min(1.0) } else { 1.0 };
-        done += served(mix.prefill, fluid.can(now, Role::Prefill))
-            .min(served(mix.decode, fluid.can(now, Role::Decode)));
+        done += served(load.prefill, fluid.capacity(now, Role::Prefill))
+            .min(served(load.decode, fluid.capacity(now, Role::Decode)));
         asked += 1.0;
         if policy.is_some() {
-            let plan = planner.plan(&PlannerView { now, engines: fluid.engines.clone(), mix });
+            let plan = planner.plan(&PlannerView { now, engines: fluid.engines.clone(), load });
             fluid.apply(now, &plan);
         }
         t += 0.5;
@@ -105,20 +105,20 @@
 
 /// An oracle of the same limits that knows each flip ahead: it moves `k` engines to the stage that will be short, begun
 /// `lead` seconds before the flip, and back before the next. The best of all k and leads, which may be to do nothing.
-pub fn oracle(n: usize, mix: impl Fn(f64) -> StageLoad + Copy, seconds: f64) -> (f64, usize) {
+pub fn oracle(n: usize, load: impl Fn(f64) -> StageLoad + Copy, seconds: f64) -> (f64, usize) {
     let mut best = (0.0, 0);
     for k in 0..=n / 4 {
         for lead in [0.0, 1.0, 2.0, 3.0, 4.0, 6.0, 8.0, 10.0, 12.0] {
             let mut fluid = Fluid::new(n);
             let (mut done, mut asked, mut t) = (0.0, 0.0, 0.0);
             while t < seconds {
-                let (now, at) = (s(t), mix(t));
+                let (now, present) = (s(t), load(t));
                 let served = |need: f64, can: f64| if need > 0.0 { (can / need).min(1.0) } else { 1.0 };
-                done += served(at.prefill, fluid.can(now, Role::Prefill))
-                    .min(served(at.decode, fluid.can(now, Role::Decode)));
+                done += served(present.prefill, fluid.capacity(now, Role::Prefill))
+                    .min(served(present.decode, fluid.capacity(now, Role::Decode)));
                 asked += 1.0;
                 // The side that will be short once a change begun now has worked.
-                let ahead = mix(t + lead);
+                let ahead = load(t + lead);
                 let goal = if ahead.prefill > ahead.decode { n / 2 + k } else { n / 2 - k };
                 let mut readers = fluid.engines.iter().filter(|e| role_to_be(e) == Role::Prefill).count();
                 let mut changes = Vec::new();
--- a/crates/roles/tests/roles.rs
+++ b/crates/roles/tests/roles.rs
@@ -1,4 +1,4 @@
-//! The planner and the record: what pays, what limits forbid, and that no order undoes another.
+//! Tests of the planner and of the role record.
 
 mod fluid;
 
@@ -37,24 +37,24 @@
     (0..prefill + decode).map(engine).collect()
 }
 
-fn mix(prefill: f64, decode: f64) -> StageLoad {
+fn load(prefill: f64, decode: f64) -> StageLoad {
     StageLoad { prefill, decode }
 }
 
 /// Shows a planner the same view each second until a time; gives its last plan.
-fn settled(planner: &mut Planner, engines: &[EngineView], mix: StageLoad, until: u64) -> RolePlan {
+fn settled(planner: &mut Planner, engines: &[EngineView], load: StageLoad, until: u64) -> RolePlan {
     (100..=until)
-        .map(|t| planner.plan(&PlannerView { now: s(t), engines: engines.to_vec(), mix }))
+        .map(|t| planner.plan(&PlannerView { now: s(t), engines: engines.to_vec(), load }))
         .last()
         .expect("a plan")
 }
 
 #[test]
-fn an_imbalance_that_lasts_is_answered_cheapest_first_and_explained() {
+fn lasting_imbalance_changes_the_cheapest_engines_and_explains_why() {
     for policy in [PlanningPolicy::Greedy, PlanningPolicy::Forecast, PlanningPolicy::Program] {
         let mut planner = Planner::new(LIMITS, COSTS, policy);
-        let plan = settled(&mut planner, &engines(10, 10, 2), mix(14.0, 3.0), 160);
-        let changed: Vec<u64> = plan.changes.iter().map(|c| c.engine.0).collect();
+        let plan = settled(&mut planner, &engines(10, 10, 2), load(14.0, 3.0), 160);
+        let changed: Vec<u64> = plan.changes.iter().map(|change| change.engine.0).collect();
         assert_eq!(changed, [10, 11], "{policy:?}: the writers that keep least: {plan:?}");
         let first = &plan.changes[0];
         assert_eq!((first.from, first.to, first.replaces), (Role::Decode, Role::Prefill, 10));
@@ -66,61 +66,64 @@
 }
 
 #[test]
-fn nothing_is_changed_without_need_or_too_soon() {
+fn balanced_load_and_young_imbalance_change_nothing() {
     let mut planner = Planner::new(LIMITS, COSTS, PlanningPolicy::Greedy);
-    let plan = settled(&mut planner, &engines(10, 10, 2), mix(8.0, 8.0), 160);
+    let plan = settled(&mut planner, &engines(10, 10, 2), load(8.0, 8.0), 160);
     assert_eq!((plan.changes.len(), plan.because.as_str()), (0, "no change would serve more"));
     let mut planner = Planner::new(LIMITS, COSTS, PlanningPolicy::Greedy);
-    let plan = settled(&mut planner, &engines(10, 10, 2), mix(14.0, 3.0), 102);
+    let plan = settled(&mut planner, &engines(10, 10, 2), load(14.0, 3.0), 102);
     assert_eq!(plan.because, "the imbalance is too young");
-    let plan = settled(&mut planner, &engines(10, 10, 2), mix(14.0, 3.0), 106);
+    let plan = settled(&mut planner, &engines(10, 10, 2), load(14.0, 3.0), 106);
     assert!(plan.changes.is_empty() && plan.because.contains("would gain"), "{plan:?}");
 }
 
 #[test]
-fn freeze_stops_all_changes() {
+fn frozen_planner_changes_nothing_until_it_is_unfrozen() {
     let mut planner = Planner::new(LIMITS, COSTS, PlanningPolicy::Greedy);
     planner.freeze(true);
-    assert_eq!(settled(&mut planner, &engines(10, 10, 2), mix(14.0, 3.0), 160).because, "changes are frozen");
+    assert_eq!(
+        settled(&mut planner, &engines(10, 10, 2), load(14.0, 3.0), 160).because,
+        "changes are frozen"
+    );
     planner.freeze(false);
-    assert_eq!(settled(&mut planner, &engines(10, 10, 2), mix(14.0, 3.0), 161).changes.len(), 2);
+    assert_eq!(settled(&mut planner, &engines(10, 10, 2), load(14.0, 3.0), 161).changes.len(), 2);
 }
 
 #[test]
-fn cells_keep_their_least() {
+fn cells_keep_their_minimum_of_each_role() {
     // Each of ten cells has one reader and one writer: none may change.
     let mut planner = Planner::new(LIMITS, COSTS, PlanningPolicy::Greedy);
-    let plan = settled(&mut planner, &engines(10, 10, 10), mix(14.0, 3.0), 160);
+    let plan = settled(&mut planner, &engines(10, 10, 10), load(14.0, 3.0), 160);
     assert!(plan.changes.is_empty() && plan.because.contains("limits"), "{plan:?}");
     // A cell with one engine, which is its last reader.
-    let mut one = engines(1, 1, 1);
-    one[1].cell = CellId(7);
+    let mut engines = engines(1, 1, 1);
+    engines[1].cell = CellId(7);
     let mut planner = Planner::new(LIMITS, COSTS, PlanningPolicy::Greedy);
-    assert!(settled(&mut planner, &one, mix(0.1, 3.0), 200).changes.is_empty());
+    assert!(settled(&mut planner, &engines, load(0.1, 3.0), 200).changes.is_empty());
 }
 
 #[test]
-fn changes_under_way_count_for_their_new_role() {
+fn changes_in_progress_count_for_their_new_role_and_against_the_limit() {
     let mut all = engines(10, 10, 2);
-    all[10..14].iter_mut().for_each(|e| e.phase = Phase::Changing(Role::Prefill));
+    all[10..14].iter_mut().for_each(|engine| engine.phase = Phase::Changing(Role::Prefill));
     let limits = PlannerLimits { max_concurrent_changes: 9, ..LIMITS };
     let mut planner = Planner::new(limits, COSTS, PlanningPolicy::Greedy);
-    let plan = settled(&mut planner, &all, mix(12.0, 3.0), 160);
+    let plan = settled(&mut planner, &all, load(12.0, 3.0), 160);
     assert_eq!(plan.because, "no change would serve more");
     let mut planner =
         Planner::new(PlannerLimits { max_concurrent_changes: 4, ..LIMITS }, COSTS, PlanningPolicy::Greedy);
-    assert!(settled(&mut planner, &all, mix(16.0, 3.0), 160).because.contains("under way"));
+    assert!(settled(&mut planner, &all, load(16.0, 3.0), 160).because.contains("under way"));
 }
 
 #[test]
-fn a_mix_that_swings_faster_than_a_change_pays_changes_nothing() {
+fn load_that_swings_faster_than_a_change_pays_changes_nothing() {
     for period in [2, 5, 10, 20] {
         let mut planner = Planner::new(LIMITS, COSTS, PlanningPolicy::Greedy);
         let mut changes = 0;
         for t in 100..1300u64 {
             let reading = t * 2 / period % 2 == 0;
-            let mix = if reading { mix(11.0, 4.0) } else { mix(4.0, 11.0) };
-            let plan = planner.plan(&PlannerView { now: s(t), engines: engines(10, 10, 2), mix });
+            let load = if reading { load(11.0, 4.0) } else { load(4.0, 11.0) };
+            let plan = planner.plan(&PlannerView { now: s(t), engines: engines(10, 10, 2), load });
             // The first two swings can't be told from lasting shifts.
             changes += if t < 100 + 2 * period { 0 } else { plan.changes.len() };
         }
@@ -130,13 +133,13 @@
 
 /// In the fluid model, against fixed roles and an oracle of the same limits that knows each flip ahead.
 #[test]
-fn changes_raise_what_is_served_and_come_near_an_oracle() {
+fn changes_serve_more_than_fixed_roles_and_a_share_of_the_oracle_gain() {
     for (period, least) in [(20.0, 0.0), (60.0, 0.25), (300.0, 0.6), (1200.0, 0.85)] {
-        let mix = fluid::square(period);
-        let (fixed, _) = fluid::day(40, None, mix, 1200.0);
-        let (oracle, _) = fluid::oracle(40, mix, 1200.0);
+        let load = fluid::square(period);
+        let (fixed, _) = fluid::day(40, None, load, 1200.0);
+        let (oracle, _) = fluid::oracle(40, load, 1200.0);
         for policy in [PlanningPolicy::Greedy, PlanningPolicy::Forecast, PlanningPolicy::Program] {
-            let (share, changes) = fluid::day(40, Some(policy), mix, 1200.0);
+            let (share, changes) = fluid::day(40, Some(policy), load, 1200.0);
             let part = (share - fixed) / (oracle - fixed).max(1e-6);
             assert!(
                 share >= fixed - 1e-9,
@@ -148,7 +151,7 @@
 }
 
 #[test]
-fn an_order_for_another_epoch_changes_nothing() {
+fn order_for_another_epoch_is_rejected() {
     let mut record = RoleRecord::started(Role::Prefill, 4, s(10));
     let order = |replaces, to| Order { replaces, to };
     assert!(
@@ -165,7 +168,7 @@
     assert_eq!((state.role, state.epoch, state.started, state.step), (Role::Decode, 5, s(15), Step::Serving));
     assert!(
         matches!(record.order(s(16), order(4, Role::Prefill)), Err(Rejected::OtherEpoch(_))),
-        "a planner back from the dead"
+        "from a planner that has not run since"
     );
 }
 
@@ -173,7 +176,7 @@
     /// Whatever orders come and whatever work is left: epochs grow by one with each role, each with a start time never
     /// told before, and the role changes only when nothing of the old one is left.
     #[test]
-    fn epochs_and_starts_only_grow(events in prop::collection::vec((0u8..3, 0u64..6, 0usize..3, 0usize..2), 1..60)) {
+    fn epochs_and_start_times_only_grow(events in prop::collection::vec((0u8..3, 0u64..6, 0usize..3, 0usize..2), 1..60)) {
         let mut record = RoleRecord::started(Role::Prefill, 0, s(1));
         let roles = [Role::Prefill, Role::Decode, Role::Mixed];
         for (n, (kind, epoch, work, held)) in events.into_iter().enumerate() {
--- a/crates/scenario/src/stage.rs
+++ b/crates/scenario/src/stage.rs
@@ -12,7 +12,8 @@
 use slipreel_gateway::{engine_id, Front, Tally};
 use slipreel_invariants::{judge, Break, Record, Seen};
 use slipreel_roles::{
-    ChangeCosts, EngineThroughput, FullLoadRequests, PlannerLimits, RoleController, Watched,
+    ChangeCosts, ControllerConfig, ControllerMode, EngineThroughput, FullLoadRequests, PlannerLimits,
+    RoleController, Watched,
 };
 use slipreel_test_servers::client::{Clients, Result as TryResult};
 use slipreel_test_servers::engine::{Engine, Role};
@@ -193,7 +194,14 @@
             prefill: reader.map_or(1.0, |s| s.read_per_s),
             decode: writer.map_or(1.0, slipreel_test_servers::engine::EngineSpec::write_per_s),
         };
-        let conductor = RoleController::new(engines, limits, costs, policy, places, false, now);
+        let config = ControllerConfig {
+            limits,
+            costs,
+            policy,
+            full_load_requests: places,
+            mode: ControllerMode::Apply,
+        };
+        let conductor = RoleController::new(engines, config, now);
         Some(conductor.with_routers(routers.to_vec(), speeds))
     }
 
@@ -475,7 +483,7 @@
         (0..day.routers).filter_map(|r| held_by(world.machine(addrs.len() + r))).collect();
     let records = ledger.records();
     let orders = match conductor.map(|c| world.machine(c)) {
-        Some(Actor::Conductor(c)) => c.orders(),
+        Some(Actor::Conductor(c)) => (c.orders().accepted, c.orders().rejected),
         _ => (0, 0),
     };
     Played {
@@ -664,7 +672,7 @@
     if let Some((handle, thread)) = conductor {
         handle.send(Command::End);
         if let Ok([Actor::Conductor(c)]) = thread.join().as_deref() {
-            orders = c.orders();
+            orders = (c.orders().accepted, c.orders().rejected);
         }
     }
     handle.send(Command::End);
