--- a/crates/membership/src/name_conflict/tests.rs
+++ b/crates/membership/src/name_conflict/tests.rs
@@ -10,59 +10,69 @@
     MemberRecord { name: "a".into(), incarnation, nonce, address, routers: 1, has_left: false }
 }
 
-/// Weighs a life that was told against one's own.
-fn tell(
+/// Evaluates a claim that was received against the own one.
+fn evaluate(
     at: f64, started: f64, own: (&MemberRecord, u32), conflict: &mut Option<NameConflict>,
-    told: (&MemberRecord, u32), age: f64,
+    received: (&MemberRecord, u32), age: f64,
 ) -> ConflictOutcome {
     let claim = |(record, round)| NameClaim { record, round };
-    evaluate_claim(s(at), s(started), claim(own), conflict, claim(told), s(age))
+    evaluate_claim(s(at), s(started), claim(own), conflict, claim(received), s(age))
 }
 
 #[test]
-fn a_dead_predecessor_is_waited_out() {
+fn claims_of_a_dead_predecessor_are_waited_out() {
     let (own, before) = (record(1, 7), record(5, 3));
     let mut conflict = None;
     // Its last rounds reach us by several ways after our start at 100 s; each is from before it or hardly after.
     for (at, age) in [(100.2, 0.4), (100.4, 0.5), (101.0, 0.3), (102.0, 2.1)] {
-        let verdict = tell(at, 100.0, (&own, 3), &mut conflict, (&before, 900), age);
-        assert_eq!(verdict, ConflictOutcome::Challenged, "at {at}");
+        let outcome = evaluate(at, 100.0, (&own, 3), &mut conflict, (&before, 900), age);
+        assert_eq!(outcome, ConflictOutcome::Challenged, "at {at}");
     }
-    let conflict = conflict.expect("a rival");
+    let conflict = conflict.expect("a conflict");
     assert!(!is_resolved(s(103.0), &conflict, 10));
     assert!(is_resolved(s(103.8), &conflict, 10));
 }
 
 #[test]
-fn a_twin_that_lives_makes_the_lower_incarnation_yield() {
-    let (own, twin) = (record(1, 7), record(5, 3));
+fn live_namesake_makes_the_lower_incarnation_yield() {
+    let (own, namesake) = (record(1, 7), record(5, 3));
     let mut conflict = None;
-    assert_eq!(tell(101.0, 100.0, (&own, 5), &mut conflict, (&twin, 9), 0.1), ConflictOutcome::Challenged);
-    assert_eq!(tell(101.8, 100.0, (&own, 9), &mut conflict, (&twin, 13), 0.1), ConflictOutcome::Yields);
-    // The twin hears of us and holds, however long we run.
-    assert_eq!(tell(101.8, 50.0, (&twin, 13), &mut None, (&own, 9_000), 0.1), ConflictOutcome::Holds);
+    assert_eq!(
+        evaluate(101.0, 100.0, (&own, 5), &mut conflict, (&namesake, 9), 0.1),
+        ConflictOutcome::Challenged
+    );
+    assert_eq!(
+        evaluate(101.8, 100.0, (&own, 9), &mut conflict, (&namesake, 13), 0.1),
+        ConflictOutcome::Yields
+    );
+    // The namesake receives our claim and holds, however long we run.
+    assert_eq!(evaluate(101.8, 50.0, (&namesake, 13), &mut None, (&own, 9_000), 0.1), ConflictOutcome::Holds);
 }
 
-/// Found on the ground: a second process without the folder pushed out the router that served, in half of the runs.
+/// Found by fault injection: a second process without the folder pushed out the router that served, in half of the runs.
 #[test]
-fn of_one_incarnation_the_newcomer_yields_whatever_its_nonce() {
+fn newcomer_of_the_same_incarnation_yields_whatever_its_nonce() {
     for (old, new) in [(record(1, 3), record(1, 9)), (record(1, 9), record(1, 3))] {
-        assert_eq!(tell(160.0, 100.0, (&old, 300), &mut None, (&new, 20), 0.1), ConflictOutcome::Holds);
+        assert_eq!(evaluate(160.0, 100.0, (&old, 300), &mut None, (&new, 20), 0.1), ConflictOutcome::Holds);
         let mut conflict = None;
-        assert_eq!(tell(158.0, 156.0, (&new, 10), &mut conflict, (&old, 290), 0.1), ConflictOutcome::Yields);
+        assert_eq!(
+            evaluate(158.0, 156.0, (&new, 10), &mut conflict, (&old, 290), 0.1),
+            ConflictOutcome::Yields
+        );
     }
 }
 
 #[test]
-fn of_two_started_at_once_one_yields_and_never_both() {
+fn at_most_one_of_two_members_started_at_once_yields() {
     let (a, b) = (record(1, 3), record(1, 9));
     for lead in -60i32..=60 {
         for late in 0..10u32 {
             // Each knows its own round, and the other's as it was `late` rounds ago.
             let (round_a, round_b) = ((200 + lead) as u32, 200u32);
-            let at_a = tell(200.0, 100.0, (&a, round_a), &mut None, (&b, round_b - late), 0.1);
-            let at_b = tell(200.0, 100.0, (&b, round_b), &mut None, (&a, round_a - late), 0.1);
-            let yields = [&at_a, &at_b].iter().filter(|v| ***v == ConflictOutcome::Yields).count();
+            let at_a = evaluate(200.0, 100.0, (&a, round_a), &mut None, (&b, round_b - late), 0.1);
+            let at_b = evaluate(200.0, 100.0, (&b, round_b), &mut None, (&a, round_a - late), 0.1);
+            let yields =
+                [&at_a, &at_b].iter().filter(|outcome| ***outcome == ConflictOutcome::Yields).count();
             assert!(yields <= 1, "lead {lead}, late {late}");
             assert!(yields == 1 || late > 0, "lead {lead}");
         }
@@ -70,12 +80,12 @@
 }
 
 #[test]
-fn a_predecessor_that_said_goodbye_is_over_at_once() {
+fn conflict_with_a_predecessor_that_left_is_resolved_at_once() {
     let mut conflict = None;
     let before = MemberRecord { has_left: true, ..record(5, 3) };
     assert_eq!(
-        tell(103.0, 100.0, (&record(1, 7), 15), &mut conflict, (&before, 9), 0.0),
+        evaluate(103.0, 100.0, (&record(1, 7), 15), &mut conflict, (&before, 9), 0.0),
         ConflictOutcome::Challenged
     );
-    assert!(is_resolved(s(103.0), &conflict.expect("a rival"), 10));
+    assert!(is_resolved(s(103.0), &conflict.expect("a conflict"), 10));
 }
--- a/crates/membership/src/saved_state/tests.rs
+++ b/crates/membership/src/saved_state/tests.rs
@@ -1,20 +1,20 @@
 use super::*;
 
 #[test]
-fn a_file_comes_back_and_a_torn_or_foreign_one_is_named() {
+fn encoded_state_is_decoded_and_truncated_or_foreign_file_is_refused() {
     let address = SocketAddr::from(([127, 0, 0, 1], 9));
-    let kept =
+    let state =
         SavedState { incarnation: 7, router_count: 3, contacts: vec![Contact { name: "a".into(), address }] };
-    let text = kept.encode();
-    assert_eq!(SavedState::decode(&text), Ok(kept));
+    let text = state.encode();
+    assert_eq!(SavedState::decode(&text), Ok(state));
     for cut in 0..text.len() {
         assert!(SavedState::decode(&text[..cut]).is_err(), "cut at {cut}");
     }
     let newer = text.replace("fleet 1", "fleet 2");
     assert_eq!(SavedState::decode(&newer), Err(SavedStateError::Version("slipreel fleet 2".into())));
     let body = "incarnation x\n";
-    let bad = format!("{HEAD}\nchecksum {:016x}\n{body}", xxh3_64(body.as_bytes()));
-    assert_eq!(SavedState::decode(&bad), Err(SavedStateError::Line(3, "incarnation x".into())));
+    let invalid = format!("{HEAD}\nchecksum {:016x}\n{body}", xxh3_64(body.as_bytes()));
+    assert_eq!(SavedState::decode(&invalid), Err(SavedStateError::Line(3, "incarnation x".into())));
 }
 
 #[test]
--- a/crates/membership/tests/asleep.rs
+++ b/crates/membership/tests/asleep.rs
@@ -1,4 +1,4 @@
-//! A process that was challenged for its name and then did not run for a while does not take the name from the one that holds it.
+//! A member whose name was challenged and that then did not run for a while does not take the name from the one that holds it.
 
 use slipreel_membership::{MemberStatus, Membership, MembershipSettings, Peers, SavedState, SharedView};
 use slipreel_state_machine::{Input, ListenerId, Machine, Output};
@@ -11,7 +11,7 @@
     Duration::from_millis(n)
 }
 
-fn addr(port: u16) -> SocketAddr {
+fn address_of(port: u16) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], port))
 }
 
@@ -19,46 +19,47 @@
     let settings = MembershipSettings {
         fleet: "test".into(),
         name: name.into(),
-        address: addr(port),
+        address: address_of(port),
         routers: 1,
         min_routers: 1,
         max_datagram: 1_200,
     };
-    let peers = Peers { seeds: vec![addr(1)], address_table: BTreeMap::new() };
+    let peers = Peers { seeds: vec![address_of(1)], address_table: BTreeMap::new() };
     let saved_state = SavedState { incarnation, ..SavedState::default() };
     Membership::new(settings, peers, &saved_state, u64::from(port), now, Arc::new(SharedView::default()))
 }
 
 fn sent(from: u16, output: Output) -> Option<(SocketAddr, SocketAddr, Vec<u8>)> {
     match output {
-        Output::Datagram(_, to, bytes) => Some((addr(from), to, bytes)),
+        Output::Datagram(_, to, bytes) => Some((address_of(from), to, bytes)),
         _ => None,
     }
 }
 
-/// Runs those that are not asleep for so long; datagrams arrive at once, those for sleepers are lost.
+/// Runs the members that are not asleep for a time. Datagrams arrive at once; those for members that are asleep are lost.
 fn run(members: &mut [(u16, Membership)], asleep: &[u16], now: &mut Duration, time: Duration) {
     let end = *now + time;
     while *now < end {
         *now += ms(10);
-        let mut mail = Vec::new();
-        for (port, m) in members.iter_mut().filter(|(port, _)| !asleep.contains(port)) {
+        let mut datagrams = Vec::new();
+        for (port, member) in members.iter_mut().filter(|(port, _)| !asleep.contains(port)) {
             let mut out = Vec::new();
-            m.handle(*now, Input::Wake, &mut out);
-            mail.extend(out.into_iter().filter_map(|o| sent(*port, o)));
+            member.handle(*now, Input::Wake, &mut out);
+            datagrams.extend(out.into_iter().filter_map(|output| sent(*port, output)));
         }
-        while let Some((from, to, bytes)) = mail.pop() {
-            let there = |(port, _): &&mut (u16, Membership)| addr(*port) == to && !asleep.contains(port);
-            let Some((port, m)) = members.iter_mut().find(there) else { continue };
+        while let Some((from, to, bytes)) = datagrams.pop() {
+            let is_receiver =
+                |(port, _): &&mut (u16, Membership)| address_of(*port) == to && !asleep.contains(port);
+            let Some((port, member)) = members.iter_mut().find(is_receiver) else { continue };
             let mut out = Vec::new();
-            m.handle(*now, Input::Datagram(ListenerId(0), from, &bytes), &mut out);
-            mail.extend(out.into_iter().filter_map(|o| sent(*port, o)));
+            member.handle(*now, Input::Datagram(ListenerId(0), from, &bytes), &mut out);
+            datagrams.extend(out.into_iter().filter_map(|output| sent(*port, output)));
         }
     }
 }
 
 #[test]
-fn a_challenged_process_that_was_stopped_does_not_take_the_name() {
+fn challenged_member_that_was_stopped_does_not_take_the_name() {
     let mut now = Duration::from_secs(1 << 20);
     let mut members = vec![(1, member("a", 1, 0, now)), (2, member("b", 2, 4, now))];
     run(&mut members, &[], &mut now, ms(8_000));
