--- a/crates/platform/tests/peers.rs
+++ b/crates/platform/tests/peers.rs
@@ -3,10 +3,10 @@
 mod common;
 use common::*;
 use slipreel_platform::Config;
-use slipreel_state_machine::{ConnectionLoss, Input, Machine, Output};
+use slipreel_state_machine::{ConnId, ConnectionLoss, Input, Machine, Output};
 
 /// A harness whose watch is open.
-fn watching() -> (Harness, slipreel_state_machine::ConnId) {
+fn watching() -> (Harness, ConnId) {
     let mut harness = Harness::new();
     let (conn, port) = watch(&harness.advance(ms(1))).unwrap();
     assert_eq!(port, 8500);
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn a_watch_that_breaks_hangs_or_is_malformed_is_reopened_and_the_list_stays() {
+fn a_malformed_watch_or_one_with_an_older_list_is_reopened_and_the_list_stays() {
     let good = chunk(&(list(40, true, &[]) + "\n"));
     for (case, line) in ["{\"index\"]\n", "HTTP", &list(39, false, &[])].iter().enumerate() {
         let (mut harness, conn) = watching();
@@ -64,10 +64,15 @@
     }
     let (mut harness, conn) = watching();
     assert!(aborted(&harness.receive(conn, &good), conn), "an older complete list that was not requested");
-    for end in [Input::Eof(conn), Input::Lost(conn, ConnectionLoss::Reset)] {
+}
+
+#[test]
+fn a_watch_that_breaks_is_reopened_and_requests_the_complete_list() {
+    let ends: [fn(ConnId) -> Input<'static>; 2] = [Input::Eof, |conn| lost(conn, ConnectionLoss::Reset)];
+    for end in ends {
         let (mut harness, conn) = watching();
         harness.receive(conn, chunk("{\"index\":42,\"snap"));
-        harness.handle(end);
+        harness.handle(end(conn));
         let (again, _) = watch(&harness.advance(ms(810))).expect("opened anew");
         let out = harness.handle(Input::Connected(again));
         assert!(
@@ -86,11 +91,19 @@
         };
         assert!(opened(&out).is_empty(), "the complete list is the one that counts: {out:?}");
     }
+}
+
+#[test]
+fn a_watch_with_an_incomplete_object_is_reopened() {
     // An incomplete object with an end of line is no list, and what follows is not parsed as its rest.
     let (mut harness, conn) = watching();
     harness.receive(conn, chunk("{\"index\":\n"));
     let out = harness.advance(ms(2_310));
     assert!(aborted(&out, conn) && watch(&out).is_some());
+}
+
+#[test]
+fn a_silent_watch_is_reopened_at_once_and_one_with_empty_lines_is_kept() {
     let (mut harness, conn) = watching();
     for _ in 0..5 {
         assert!(!aborted(&harness.advance(ms(2_000)), conn), "empty lines keep it open");
