--- a/crates/connections/src/lib.rs
+++ b/crates/connections/src/lib.rs
@@ -1,6 +1,6 @@
 //! What every router over HTTP needs, whatever its clients and engines speak. No I/O, no clock.
 //!
-//! - [`TimerWheel`] and [`ConnectionTimers`]: timers, and one for each connection;
+//! - [`TimerWheel`], the timers of one router;
 //! - [`ConnectionMap`]: the open connections of one kind, each with one timer;
 //! - [`Client`]: the server side of a client's connection;
 //! - [`Pool`]: which connection carries the next exchange with an engine;
@@ -20,7 +20,6 @@
 
 pub use client::{Client, Received, State};
 pub use connection_map::ConnectionMap;
-pub use connection_timers::ConnectionTimers;
 pub use pool::{Pool, Purpose, Slot};
 pub use releases::{Release, ReleaseId, ReleaseQueue, ReleaseStep, ReleaseTiming, UnconfirmedAttempt};
 pub use reuse_history::ReuseHistory;
--- a/crates/gateway/src/dispatch.rs
+++ b/crates/gateway/src/dispatch.rs
@@ -50,7 +50,7 @@
         let Some(role) = self.engine_list.role(engine) else { return self.never_sent(id, engine) };
         let Some(addr) = self.engine_list.addr(engine) else { return self.never_sent(id, engine) };
         let (now, via) = (self.now, format!("1.1 {}", self.settings.name));
-        let Some(request) = self.requests.get_mut(&id) else { return };
+        let Some(request) = self.requests.get_mut(id) else { return };
         let (attempt, bytes) = request.send(now, engine, addr, role, &via);
         let call_runs_once = request.idempotency != Idempotency::Idempotent;
         self.counters.attempts += 1;
@@ -62,7 +62,7 @@
         let connection = if is_prefill || !call_runs_once { Wanted::Any } else { Wanted::New };
         match self.exchange(engine, addr, purpose, bytes, connection, out) {
             Some(conn) => {
-                if let Some(request) = self.requests.get_mut(&id) {
+                if let Some(request) = self.requests.get_mut(id) {
                     request.attempts[attempt].conn = Some(conn);
                 }
                 if let Some(limit) = limit {
@@ -77,7 +77,7 @@
     /// An attempt at an engine that has left the list in this very moment.
     fn never_sent(&mut self, id: RequestId, engine: EngineId) {
         let now = self.now;
-        let Some(request) = self.requests.get_mut(&id) else { return };
+        let Some(request) = self.requests.get_mut(id) else { return };
         let attempt = request.attempts.len();
         request.attempts.push(crate::request::Attempt {
             engine,
@@ -134,7 +134,7 @@
     }
 
     fn cancel(&mut self, id: RequestId, attempt: usize, out: &mut Vec<Output>) {
-        let Some(request) = self.requests.get(&id) else { return };
+        let Some(request) = self.requests.get(id) else { return };
         // A stream that has begun is the client's; the module does not cancel it either.
         if request.streaming_attempt == Some(attempt) {
             return;
@@ -171,7 +171,7 @@
     }
 
     fn release(&mut self, id: RequestId, out: &mut Vec<Output>) {
-        let Some(request) = self.requests.get_mut(&id) else { return };
+        let Some(request) = self.requests.get_mut(id) else { return };
         for (engine, addr, name) in request.release() {
             self.engines.state_released(Some(engine));
             let id = self.releases.add(self.now, engine, addr, name);
@@ -248,7 +248,7 @@
     ) {
         let now = self.now;
         let report = load.map(|l| self.report(&l)).unwrap_or_default();
-        let Some(request) = self.requests.get_mut(&id) else { return };
+        let Some(request) = self.requests.get_mut(id) else { return };
         let Some(a) = request.attempts.get_mut(attempt).filter(|a| a.in_flight) else { return };
         (a.in_flight, a.conn) = (false, None);
         let latency = now.saturating_sub(a.sent);
@@ -265,7 +265,7 @@
             report,
         };
         let generation = request.generation;
-        self.finished_requests.push(id);
+        self.requests.check_when_settled(id);
         self.queue_event(generation, Event::AttemptEnded(ended));
     }
 
@@ -278,10 +278,10 @@
     }
 
     pub(crate) fn record_end(&mut self, id: RequestId, end: RequestEnd) {
-        if let Some(request) = self.requests.get_mut(&id) {
+        if let Some(request) = self.requests.get_mut(id) {
             request.is_closed = true;
-            self.finished_requests.push(id);
             self.metrics.ended(request.class_name(), end);
+            self.requests.check_when_settled(id);
             self.count(end);
         }
     }
--- a/crates/gateway/src/engines.rs
+++ b/crates/gateway/src/engines.rs
@@ -21,7 +21,7 @@
         };
         if let ConnectionPurpose::Attempt { request, .. } = connection.purpose {
             // Where the module may not cancel, an attempt for a client that has left is not begun any more.
-            if self.requests.get(&RequestId(request)).is_none_or(|request| request.is_closed) {
+            if self.requests.get(RequestId(request)).is_none_or(|request| request.is_closed) {
                 return self.abort_connection(conn, out, Outcome::NotSent);
             }
         }
@@ -81,7 +81,7 @@
     }
 
     pub(crate) fn attempt_timed_out(&mut self, id: RequestId, attempt: usize, out: &mut Vec<Output>) {
-        let Some(request) = self.requests.get(&id).filter(|c| c.streaming_attempt.is_none()) else { return };
+        let Some(request) = self.requests.get(id).filter(|c| c.streaming_attempt.is_none()) else { return };
         let conn = request.attempts.get(attempt).filter(|a| a.in_flight).and_then(|a| a.conn);
         if let Some(conn) = conn {
             self.abort_connection(conn, out, Outcome::TimedOut);
@@ -123,7 +123,7 @@
                 ) => {
                     self.finish_exchange(conn, out);
                     let id = RequestId(request);
-                    if let Some(request) = self.requests.get_mut(&id) {
+                    if let Some(request) = self.requests.get_mut(id) {
                         request.prefill_completed(attempt, transfer, usage);
                         let tokens = usage.prompt_tokens.saturating_sub(usage.cached_tokens());
                         self.metrics.read(request.class_name(), tokens);
@@ -226,7 +226,7 @@
         &mut self, id: RequestId, attempt: usize, chunk: &Chunk, piece: &mut Vec<u8>, out: &mut Vec<Output>,
     ) -> bool {
         let now = self.now;
-        let Some(request) = self.requests.get_mut(&id).filter(|c| !c.is_closed) else { return false };
+        let Some(request) = self.requests.get_open_mut(id) else { return false };
         if request.streaming_attempt.is_none() && MessageWriter::begins(chunk) {
             let taken = request.answer_began(attempt);
             let name = self.settings.classes.get(request.class).map_or("", |c| &c.name);
@@ -248,7 +248,7 @@
                 self.arm_engine_timer(conn);
             }
         }
-        if let Some(request) = self.requests.get_mut(&id) {
+        if let Some(request) = self.requests.get_mut(id) {
             request.writer.chunk(chunk, piece);
         }
         true
@@ -258,7 +258,7 @@
     fn stream_done(&mut self, id: RequestId, attempt: usize, out: &mut Vec<Output>) {
         let whole = self
             .requests
-            .get(&id)
+            .get(id)
             .is_some_and(|c| c.streaming_attempt == Some(attempt) && c.writer.is_whole());
         if whole {
             self.complete_request(id, out);
@@ -274,7 +274,7 @@
         &mut self, id: RequestId, attempt: usize, outcome: Outcome, out: &mut Vec<Output>,
     ) {
         let streaming_attempt =
-            self.requests.get(&id).filter(|c| c.streaming_attempt == Some(attempt) && !c.is_closed);
+            self.requests.get(id).filter(|c| c.streaming_attempt == Some(attempt) && !c.is_closed);
         let Some(request) = streaming_attempt else { return self.ended(id, attempt, outcome, 0.0, None) };
         if request.writer.is_whole() {
             self.complete_request(id, out);
@@ -282,7 +282,7 @@
         }
         if !request.stream {
             // Nothing of it has gone out: the module settles whether another attempt follows.
-            if let Some(request) = self.requests.get_mut(&id) {
+            if let Some(request) = self.requests.get_mut(id) {
                 request.restart_answer();
             }
             return self.ended(id, attempt, outcome, 0.0, None);
@@ -305,7 +305,7 @@
 
     /// Pauses or resumes the engine's connection by what waits for the client.
     pub(crate) fn check_pace(&mut self, id: RequestId, out: &mut Vec<Output>) {
-        let Some(request) = self.requests.get(&id) else { return };
+        let Some(request) = self.requests.get(id) else { return };
         let Some(conn) = request.streaming_attempt.and_then(|a| request.attempts[a].conn) else { return };
         let Some(unsent) = self.clients.get(request.client).map(|c| c.unsent) else { return };
         let (now, bounds) = (self.now, &self.settings.bounds);
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -1,20 +1,22 @@
 //! The front as a machine: takes inputs in turn, fires timers, and lets the module decide until nothing is left.
 
+use crate::active_requests::ActiveRequests;
 use crate::client_connections::ClientConnections;
+use crate::decisions::{Decision, DecisionModules};
 use crate::engine_connection::{ConnectionPurpose, State as ConnectionState};
 use crate::engine_connections::EngineConnections;
 use crate::engine_list::EngineList;
 use crate::limits;
 use crate::metrics::{Metrics, Snapshot};
-use crate::request::{ActiveRequest, RequestEnd};
+use crate::request::RequestEnd;
 use crate::settings::{EngineSettings, GatewaySettings};
+use crate::shutdown::Shutdown;
 use crate::timer::{Timer, Timers};
-use slipreel::{Action, EngineId, EngineState, Event, Listing, RequestId, Router};
+use slipreel::{Action, EngineId, EngineState, Event, Listing, RequestId};
 use slipreel_connections::{Client, ReleaseQueue, State as ClientState};
 use slipreel_consensus::PolicyHandle;
 use slipreel_membership::{MemberStatus, SharedView};
 use slipreel_state_machine::{ConnId, ConnectionLoss, Input, Machine, Output};
-use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -56,35 +58,23 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RouterCount(pub u32);
 
-/// A router and the site that it was made from. After a reload the older one ends what it has taken.
-pub(crate) struct DecisionModule {
-    pub(crate) generation: u64,
-    pub(crate) router: Router,
-}
-
 /// A router between clients and engines, without I/O and clock.
 ///
 /// Takes as [`Input::News`]: `Vec<EngineSettings>`, the complete list of engines; `Arc<GatewaySettings>`, new settings.
 pub struct Gateway {
     pub(crate) now: Duration,
     pub(crate) settings: Arc<GatewaySettings>,
-    pub(crate) seed: u64,
     /// Clock of the front at the epoch of wall time, if that is after the epoch: start times are told in wall time.
     pub(crate) epoch_ahead: Duration,
-    pub(crate) decision_modules: Vec<DecisionModule>,
+    pub(crate) decision_modules: DecisionModules,
     pub(crate) engine_list: EngineList,
     pub(crate) clients: ClientConnections,
     pub(crate) engines: EngineConnections,
-    pub(crate) requests: BTreeMap<RequestId, ActiveRequest>,
+    pub(crate) requests: ActiveRequests,
     pub(crate) timers: Timers,
-    /// What the module is to be told, and by whose router; `None`: all.
-    pub(crate) events: VecDeque<(Option<u64>, Event)>,
-    pub(crate) finished_requests: Vec<RequestId>,
     /// What engines have to be told to let go of, until they have heard it.
     pub(crate) releases: ReleaseQueue,
-    pub(crate) next_request: u64,
-    pub(crate) stopping: bool,
-    stopped: bool,
+    pub(crate) shutdown: Shutdown,
     pub(crate) counters: Counters,
     /// By class name, as names outlive reloads.
     pub(crate) metrics: Metrics,
@@ -103,22 +93,17 @@
     /// A front at its start. `seed` settles its chances and begins its request ids, so it is to be a new one at
     /// each start. `wall` is the wall clock, since the epoch, at the clock's time `now`.
     pub fn new(settings: Arc<GatewaySettings>, seed: u64, now: Duration, wall: Duration) -> Self {
-        let mut front = Gateway {
+        let mut gateway = Gateway {
             now,
-            seed,
             epoch_ahead: wall.saturating_sub(now),
-            decision_modules: Vec::new(),
+            decision_modules: DecisionModules::new(seed),
             engine_list: EngineList::default(),
             clients: ClientConnections::default(),
             engines: EngineConnections::default(),
-            requests: BTreeMap::new(),
+            requests: ActiveRequests::new(seed),
             timers: Timers::default(),
-            events: VecDeque::new(),
-            finished_requests: Vec::new(),
             releases: ReleaseQueue::new(limits::RELEASE_TIMING),
-            next_request: 0,
-            stopping: false,
-            stopped: false,
+            shutdown: Shutdown::default(),
             counters: Counters::default(),
             metrics: Metrics::default(),
             fleet: None,
@@ -128,14 +113,14 @@
             routers: None,
             settings: settings.clone(),
         };
-        front.add_decision_module(settings.clone());
-        let list = front.effective_engine_list();
-        let (event, _) = front.engine_list.replace(now, &list);
+        gateway.add_decision_module(settings.clone());
+        let list = gateway.effective_engine_list();
+        let (event, _) = gateway.engine_list.replace(now, &list);
         // A router comes up with the list that it is given, which may be old.
         if let Event::Engines { engines, .. } = event {
-            front.events.push_back((None, Event::Engines { listing: Listing::Cached, engines }));
+            gateway.queue_event_for_all(Event::Engines { listing: Listing::Cached, engines });
         }
-        front
+        gateway
     }
 
     /// What it has done so far.
@@ -154,10 +139,8 @@
     }
 
     fn add_decision_module(&mut self, settings: Arc<GatewaySettings>) {
-        let generation = self.decision_modules.last().map_or(0, |b| b.generation + 1);
         let decision_settings = self.decision_settings(&settings);
-        let router = Router::new(decision_settings, self.seed.wrapping_add(generation));
-        self.decision_modules.push(DecisionModule { generation, router });
+        self.decision_modules.add(decision_settings);
         self.settings = settings;
     }
 
@@ -172,7 +155,7 @@
     /// The view reckons with another number of routers: all that was learnt stays.
     fn share_with(&mut self, routers: RouterCount) {
         self.routers = Some(routers.0);
-        self.decision_modules.iter_mut().for_each(|b| b.router.set_router_count(routers.0));
+        self.decision_modules.set_router_count(routers.0);
     }
 
     /// Whether another process holds this one's name in the fleet, or is not yet known not to.
@@ -186,71 +169,54 @@
         }
     }
 
-    pub(crate) fn generation(&self) -> u64 {
-        self.decision_modules.last().map_or(0, |b| b.generation)
-    }
-
-    /// Tells the router that a call belongs to.
+    /// Queues an event for the decision module of one generation.
     pub(crate) fn queue_event(&mut self, generation: u64, event: Event) {
-        self.events.push_back((Some(generation), event));
+        self.decision_modules.queue(generation, event);
     }
 
-    /// Tells all routers.
+    /// Queues an event for all decision modules.
     pub(crate) fn queue_event_for_all(&mut self, event: Event) {
-        self.events.push_back((None, event));
+        self.decision_modules.queue_for_all(event);
     }
 
-    /// Lets the module decide until it has been told all; then forgets calls that are done.
+    /// Lets the decision modules decide until no event waits; then removes what is finished.
     fn run_decisions(&mut self, out: &mut Vec<Output>) {
-        let mut actions = Vec::new();
         self.drop_abandoned_connections(out);
-        while let Some((to, event)) = self.events.pop_front() {
-            for at in 0..self.decision_modules.len() {
-                let generation = self.decision_modules[at].generation;
-                // An heir is told of the ends of what it has inherited, too; what it asks for on that account is the first one's affair.
-                let inherits = matches!(event, Event::AttemptEnded(_) | Event::FirstToken { .. });
-                if to.is_some_and(|to| to != generation && !(inherits && to < generation)) {
-                    continue;
-                }
-                self.decision_modules[at].router.handle(self.now, event.clone(), &mut actions);
-                for action in std::mem::take(&mut actions) {
-                    if self.is_of_other_generation(generation, &action) {
-                        continue;
-                    }
-                    self.dispatch(generation, action, out);
+        while let Some(queued) = self.decision_modules.next_event() {
+            for index in 0..self.decision_modules.len() {
+                if let Some(decision) = self.decision_modules.handle(index, self.now, &queued) {
+                    self.dispatch_decision(decision, out);
                 }
             }
         }
-        for id in std::mem::take(&mut self.finished_requests) {
-            if self.requests.get(&id).is_some_and(ActiveRequest::is_finished) {
-                let held = self.requests.remove(&id).map(ActiveRequest::into_holders).unwrap_or_default();
-                held.into_iter().for_each(|engine| self.engines.state_released(Some(engine)));
-            }
+        for engine in self.requests.remove_finished() {
+            self.engines.state_released(Some(engine));
         }
-        if self.decision_modules.len() > 1 {
-            let current = self.generation();
-            let requests = &self.requests;
-            let used = |b: &DecisionModule| {
-                b.generation == current || requests.values().any(|c| c.generation == b.generation)
-            };
-            self.decision_modules.retain(used);
-        }
-        if self.stopping && !self.stopped && self.requests.is_empty() && self.clients.is_empty() {
-            self.stopped = true;
+        let requests = &self.requests;
+        self.decision_modules.remove_unused(|generation| requests.has_generation(generation));
+        if self.requests.is_empty() && self.clients.is_empty() && self.shutdown.finish() {
             out.push(Output::Stopped);
         }
     }
 
+    /// Dispatches the actions of a decision. A module that hears of another one's request takes no action on it.
+    fn dispatch_decision(&mut self, decision: Decision, out: &mut Vec<Output>) {
+        for action in decision.actions {
+            if !self.is_of_other_generation(decision.generation, &action) {
+                self.dispatch(decision.generation, action, out);
+            }
+        }
+    }
+
     // ---- Timers -----------------------------------------------------------------------------
 
     /// When a connection to an engine times out; `None` if it does not in its present state.
     fn engine_deadline(&self, conn: ConnId) -> Option<Duration> {
         let connection = self.engines.get(conn)?;
         let is_streaming = match connection.purpose {
-            ConnectionPurpose::Attempt { request, attempt, .. } => self
-                .requests
-                .get(&RequestId(request))
-                .is_some_and(|request| request.streaming_attempt == Some(attempt)),
+            ConnectionPurpose::Attempt { request, attempt, .. } => {
+                self.requests.is_streaming(RequestId(request), attempt)
+            }
             ConnectionPurpose::Probe | ConnectionPurpose::Release(_) => false,
         };
         connection.deadline(&self.settings, is_streaming)
@@ -352,7 +318,7 @@
     }
 
     fn stop(&mut self, out: &mut Vec<Output>) {
-        if std::mem::replace(&mut self.stopping, true) {
+        if !self.shutdown.begin() {
             return;
         }
         for conn in self.clients.ids() {
@@ -420,7 +386,7 @@
             Input::Accepted(conn, door) => {
                 let limits =
                     slipreel_protocol::http::Limits { body: self.settings.bounds.body, ..Default::default() };
-                if self.stopping || self.clients.len() >= self.settings.bounds.connections {
+                if self.shutdown.has_begun() || self.clients.len() >= self.settings.bounds.connections {
                     out.push(Output::Abort(conn));
                 } else {
                     self.clients.insert(Client::new(conn, door, self.now, limits, limits::MAX_PIPELINED));
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -16,8 +16,10 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
+mod active_requests;
 mod classify;
 mod client_connections;
+mod decisions;
 mod dispatch;
 mod engine_connection;
 mod engine_connections;
@@ -32,6 +34,7 @@
 mod request;
 mod serve;
 pub mod settings;
+mod shutdown;
 mod timer;
 
 pub use engine_list::engine_id;
--- a/crates/gateway/src/policy.rs
+++ b/crates/gateway/src/policy.rs
@@ -1,7 +1,7 @@
 //! The fleet's policy at this router: by which epoch it takes requests, how another one comes to hold here, and what operators ask of it.
 //! Decides nothing: whether an epoch holds is `slipreel-consensus`'s word.
 
-use crate::gateway::{DecisionModule, Gateway};
+use crate::gateway::Gateway;
 use crate::serve::retry_after;
 use crate::settings::GatewaySettings;
 use serde_json::{json, Value};
@@ -24,7 +24,7 @@
     pub(crate) fn epoch_of(&self, conn: ConnId) -> Option<String> {
         let present = self.epoch()?;
         let request = self.clients.get(conn).and_then(|c| match c.state {
-            State::Serving(Some(id)) => self.requests.get(&slipreel::RequestId(id)),
+            State::Serving(Some(id)) => self.requests.get(slipreel::RequestId(id)),
             _ => None,
         });
         Some(request.and_then(|request| request.epoch).unwrap_or(present).to_string())
@@ -69,25 +69,22 @@
 
     /// Other settings, and all that was learnt under the last ones.
     pub(crate) fn replace_settings(&mut self, settings: Arc<GatewaySettings>, out: &mut Vec<Output>) {
-        let Some(last) = self.decision_modules.last() else { return };
-        let place = |name: &String, all: &[String]| all.iter().position(|n| n == name);
+        let position = |name: &String, all: &[String]| all.iter().position(|n| n == name);
         let classes: Vec<String> = self.settings.classes.iter().map(|c| c.name.clone()).collect();
         let tenants: Vec<String> = self.settings.tenants.iter().map(|t| t.name.clone()).collect();
-        let places = SettingsMapping {
-            classes: settings.classes.iter().map(|c| place(&c.name, &classes)).collect(),
-            tenants: settings.tenants.iter().map(|t| place(&t.name, &tenants)).collect(),
+        let mapping = SettingsMapping {
+            classes: settings.classes.iter().map(|c| position(&c.name, &classes)).collect(),
+            tenants: settings.tenants.iter().map(|t| position(&t.name, &tenants)).collect(),
         };
-        let generation = last.generation + 1;
         let decision_settings = self.decision_settings(&settings);
-        let mut actions: Vec<Action> = Vec::new();
-        let seed = self.seed.wrapping_add(generation);
-        let Some(last) = self.decision_modules.last() else { return };
-        let router = last.router.successor(self.now, decision_settings, &places, seed, &mut actions);
-        self.decision_modules.push(DecisionModule { generation, router });
+        let Some(decision) = self.decision_modules.add_successor(self.now, decision_settings, &mapping)
+        else {
+            return;
+        };
         let listed = settings.taken_out != self.settings.taken_out;
         self.settings = settings;
-        for action in actions {
-            self.dispatch(generation, action, out);
+        for action in decision.actions {
+            self.dispatch(decision.generation, action, out);
         }
         if listed {
             let current = self.listed.clone();
@@ -104,7 +101,7 @@
             Action::Fail(request) | Action::Release(request) => request,
             _ => return false,
         };
-        self.requests.get(id).is_some_and(|request| request.generation != generation)
+        self.requests.get(*id).is_some_and(|request| request.generation != generation)
     }
 
     /// What is published of the policy, in the Prometheus text format.
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -68,7 +68,7 @@
     pub(crate) fn answer(
         &mut self, conn: ConnId, status: u16, fields: &[(&str, &str)], body: &[u8], out: &mut Vec<Output>,
     ) {
-        let stopping = self.stopping;
+        let stopping = self.shutdown.has_begun();
         let epoch = self.epoch_of(conn);
         let Some(client) = self.clients.get_mut(conn) else { return };
         if stopping {
@@ -92,8 +92,7 @@
     }
 
     fn request_id(&mut self) -> String {
-        self.next_request += 1;
-        format!("req_{:016x}{:08x}", self.seed, self.next_request)
+        self.requests.next_id().1
     }
 
     fn route(&mut self, conn: ConnId, received: &Received, out: &mut Vec<Output>) {
@@ -114,7 +113,7 @@
             ("GET", "/health") => {
                 let outside = self.membership_obstacle();
                 let (status, word) = match outside {
-                    _ if self.stopping => (503, "stopping"),
+                    _ if self.shutdown.has_begun() => (503, "stopping"),
                     Some(word) => (503, word),
                     None if !self.holds_policy() => (503, "policy"),
                     None => (200, "ok"),
@@ -242,7 +241,7 @@
         let model = std::mem::replace(&mut messages_request.model, traits.served_as.clone());
         let chat = messages_request.to_chat()?;
         if let Err(turned) =
-            limits::check_admission(&self.settings.bounds, self.requests.len(), self.stopping)
+            limits::check_admission(&self.settings.bounds, self.requests.len(), self.shutdown.has_begun())
         {
             let (why, text) = match turned {
                 AdmissionError::TooManyRequests => {
@@ -257,9 +256,8 @@
             self.reject_before_admission(conn, error.kind.status(), &error, &fields, out);
             return Ok(());
         }
-        let request_id = self.request_id();
-        let id = RequestId(self.next_request);
-        let generation = self.generation();
+        let (id, request_id) = self.requests.next_id();
+        let generation = self.decision_modules.generation();
         if let Some(client) = self.clients.get_mut(conn) {
             client.state = State::Serving(Some(id.0));
         }
@@ -281,7 +279,7 @@
             key: traits.idempotency_key,
             model,
         };
-        self.requests.insert(id, ActiveRequest::new(new));
+        self.requests.insert(ActiveRequest::new(new));
         self.counters.admitted += 1;
         self.metrics.admitted(self.class_name(traits.class.0));
         let request = slipreel::Request {
@@ -325,13 +323,13 @@
         self.clients.remove(conn, &mut self.timers);
         let State::Serving(Some(id)) = state else { return };
         let id = RequestId(id);
-        let Some(request) = self.requests.get_mut(&id).filter(|c| !c.is_closed) else { return };
+        let Some(request) = self.requests.get_open_mut(id) else { return };
         request.is_closed = true;
         self.counters.disconnected += 1;
         self.metrics.left();
         let (generation, streaming_attempt) = (request.generation, request.streaming_attempt);
         let conn = streaming_attempt.and_then(|a| request.attempts[a].conn);
-        self.finished_requests.push(id);
+        self.requests.check_when_settled(id);
         self.queue_event(generation, Event::ClientDisconnected(id));
         // The module leaves a stream that has begun to its client, and this one is gone.
         if let Some(conn) = conn {
@@ -373,7 +371,7 @@
 
     pub(crate) fn begin_stream(&mut self, id: RequestId, out: &mut Vec<Output>) {
         let now = self.now;
-        let Some(request) = self.requests.get(&id) else { return };
+        let Some(request) = self.requests.get(id) else { return };
         let Some(client) = self.clients.get_mut(request.client) else { return };
         client.last_sent_at = now;
         let epoch = request.epoch.map(|e| e.to_string());
@@ -388,7 +386,7 @@
     pub(crate) fn write_stream(&mut self, id: RequestId, piece: &mut Vec<u8>, out: &mut Vec<Output>) {
         let piece = std::mem::take(piece);
         let now = self.now;
-        let Some(request) = self.requests.get(&id).filter(|c| c.stream && !c.is_closed) else { return };
+        let Some(request) = self.requests.get(id).filter(|c| c.stream && !c.is_closed) else { return };
         let Some(client) = self.clients.get_mut(request.client) else { return };
         let (conn, idle) = (client.conn, client.unsent == 0);
         if idle {
@@ -402,7 +400,7 @@
 
     /// The final answer of a request whose answer is whole.
     pub(crate) fn complete_request(&mut self, id: RequestId, out: &mut Vec<Output>) {
-        let Some(request) = self.requests.get_mut(&id).filter(|c| !c.is_closed) else { return };
+        let Some(request) = self.requests.get_open_mut(id) else { return };
         let (conn, stream, request_id) = (request.client, request.stream, request.request_id.clone());
         let mut bytes = Vec::new();
         request.writer.finish(&mut bytes);
@@ -427,7 +425,7 @@
         &mut self, id: RequestId, error: &ApiError, retry_after_time: Option<Duration>, end: RequestEnd,
         out: &mut Vec<Output>,
     ) {
-        let Some(request) = self.requests.get_mut(&id).filter(|c| !c.is_closed) else { return };
+        let Some(request) = self.requests.get_open_mut(id) else { return };
         let (conn, request_id) = (request.client, request.request_id.clone());
         let must_not_repeat = end == RequestEnd::Failed && request.must_not_repeat();
         if request.stream && request.streaming_attempt.is_some() {
@@ -467,7 +465,7 @@
         } else {
             ApiError::new(ErrorKind::Overloaded, "Overloaded")
         };
-        if let Some(request) = self.requests.get(&id).filter(|c| !c.is_closed) {
+        if let Some(request) = self.requests.get_open(id) {
             let why = match request.attempts.is_empty() {
                 false => RejectionReason::AttemptsFailed,
                 true if over_share => RejectionReason::OverQuota,
@@ -480,7 +478,7 @@
 
     /// The module fails a request: in time if its client still waits a while, else as a time-out.
     pub(crate) fn fail_request(&mut self, id: RequestId, out: &mut Vec<Output>) {
-        let Some(request) = self.requests.get(&id) else { return };
+        let Some(request) = self.requests.get(id) else { return };
         let margin = self.settings.decisions.tick * 4;
         let error = if self.now + margin >= request.deadline {
             ApiError::new(ErrorKind::Timeout, "no answer began in the time that this request has")
@@ -492,7 +490,7 @@
 
     /// A client that waits for a whole answer gives up now.
     pub(crate) fn complete_answer_timed_out(&mut self, id: RequestId, out: &mut Vec<Output>) {
-        let Some(request) = self.requests.get(&id).filter(|c| !c.is_closed) else { return };
+        let Some(request) = self.requests.get_open(id) else { return };
         let conn = request.streaming_attempt.and_then(|a| request.attempts[a].conn);
         let error =
             ApiError::new(ErrorKind::Timeout, "the answer was not whole in the time that this request has");
@@ -507,11 +505,10 @@
 
     /// What still runs some time after a stop ends now.
     pub(crate) fn end_at_shutdown_deadline(&mut self, out: &mut Vec<Output>) {
-        let open: Vec<RequestId> = self.requests.values().filter(|c| !c.is_closed).map(|c| c.id).collect();
-        for id in open {
+        for id in self.requests.open_ids() {
             let error = ApiError::new(ErrorKind::Api, "this router has stopped");
             self.answer_with_error(id, &error, None, RequestEnd::Failed, out);
-            let Some(request) = self.requests.get(&id) else { continue };
+            let Some(request) = self.requests.get(id) else { continue };
             let (generation, conn) =
                 (request.generation, request.streaming_attempt.and_then(|a| request.attempts[a].conn));
             // For the module the client is as good as gone: it cancels and lets go.
