--- a/crates/gateway/src/engines.rs
+++ b/crates/gateway/src/engines.rs
@@ -8,11 +8,22 @@
 use crate::request::RequestEnd;
 use crate::timer::Timer;
 use slipreel::{Event, LoadReport, Outcome, RequestId};
-use slipreel_protocol::engine::Chunk;
+use slipreel_protocol::engine::{Chunk, Load};
 use slipreel_protocol::messages::{ApiError, ErrorKind};
 use slipreel_state_machine::{ConnId, ConnectionLoss, Output};
 use std::time::Duration;
 
+/// An attempt on the connection that carries it.
+#[derive(Clone, Copy, Debug)]
+struct AttemptExchange {
+    conn: ConnId,
+    request: RequestId,
+    attempt: usize,
+    is_prefill: bool,
+    /// The load report in the head of the answer.
+    load: Option<Load>,
+}
+
 impl Gateway {
     pub(crate) fn engine_connected(&mut self, conn: ConnId, out: &mut Vec<Output>) {
         let now = self.now;
@@ -38,16 +49,16 @@
             return self.abort_connection(conn, out, Outcome::Error);
         }
         connection.since = now;
-        let mut said = Vec::new();
-        connection.feed(bytes, &mut said);
-        self.handle_engine_events(conn, said, out);
+        let mut events = Vec::new();
+        connection.feed(bytes, &mut events);
+        self.handle_engine_events(conn, events, out);
     }
 
     pub(crate) fn engine_eof(&mut self, conn: ConnId, out: &mut Vec<Output>) {
         let Some(connection) = self.engines.get_mut(conn) else { return };
-        let mut said = Vec::new();
-        if connection.state == State::Busy && connection.eof(&mut said) {
-            self.handle_engine_events(conn, said, out);
+        let mut events = Vec::new();
+        if connection.state == State::Busy && connection.eof(&mut events) {
+            self.handle_engine_events(conn, events, out);
         }
         self.abort_connection(conn, out, Outcome::Reset);
     }
@@ -88,93 +99,105 @@
         }
     }
 
-    /// Takes what one connection said, in order.
-    fn handle_engine_events(&mut self, conn: ConnId, said: Vec<EngineEvent>, out: &mut Vec<Output>) {
+    /// Handles what one connection received, in order.
+    fn handle_engine_events(&mut self, conn: ConnId, events: Vec<EngineEvent>, out: &mut Vec<Output>) {
         let mut piece = Vec::new();
-        for said in said {
+        for event in events {
             let Some(connection) = self.engines.get(conn) else { break };
-            let (engine, purpose, load) = (connection.engine, connection.purpose, connection.load);
             if connection.state != State::Busy {
                 // More than was asked for.
                 self.abort_connection(conn, out, Outcome::Error);
                 break;
             }
-            match (said, purpose) {
-                (EngineEvent::LoadReport(told), ConnectionPurpose::Attempt { is_prefill: false, .. }) => {
-                    // The head of a stream comes long before its end: what it tells of load is told now.
-                    let report = self.report(&told);
-                    if report != LoadReport::default() {
-                        self.probe_ended(engine, Outcome::Completed, report);
-                    }
-                }
-                (EngineEvent::LoadReport(told), _) => {
-                    if let Some(connection) = self.engines.get_mut(conn) {
-                        connection.load = Some(told);
-                    }
-                }
-                (EngineEvent::Metrics(told), ConnectionPurpose::Probe) => {
-                    self.finish_exchange(conn, out);
-                    self.probe_ended(engine, Outcome::Completed, load_report(&told));
-                    self.note_start(engine, told.started);
-                }
-                (
-                    EngineEvent::Prefilled { transfer, usage },
-                    ConnectionPurpose::Attempt { request, attempt, .. },
-                ) => {
-                    self.finish_exchange(conn, out);
-                    let id = RequestId(request);
-                    if let Some(request) = self.requests.get_mut(id) {
-                        request.prefill_completed(attempt, transfer, usage);
-                        let tokens = usage.prompt_tokens.saturating_sub(usage.cached_tokens());
-                        self.metrics.read(request.class_name(), tokens);
-                    }
-                    self.ended(id, attempt, Outcome::Prefilled, usage.cached_tokens() as f64, load);
-                }
-                (EngineEvent::Chunk(chunk), ConnectionPurpose::Attempt { request, attempt, .. }) => {
-                    if !self.chunk(RequestId(request), attempt, &chunk, &mut piece, out) {
-                        self.abort_connection(conn, out, Outcome::Cancelled);
-                    }
-                }
-                (EngineEvent::Done, ConnectionPurpose::Attempt { request, attempt, is_prefill: false }) => {
-                    self.write_stream(RequestId(request), &mut piece, out);
-                    self.finish_exchange(conn, out);
-                    self.stream_done(RequestId(request), attempt, out);
-                }
-                (
-                    EngineEvent::Rejected { state_missing },
-                    ConnectionPurpose::Attempt { request, attempt, .. },
-                ) => {
-                    self.end_rejected_exchange(conn, out);
-                    self.ended(RequestId(request), attempt, Outcome::Rejected { state_missing }, 0.0, load);
-                }
-                (
-                    EngineEvent::InvalidRequest(status, message),
-                    ConnectionPurpose::Attempt { request, attempt, .. },
-                ) => {
-                    self.end_rejected_exchange(conn, out);
-                    self.request_is_invalid(RequestId(request), attempt, status, message, out);
+            self.handle_engine_event(conn, event, &mut piece, out);
+        }
+        let purpose = self.engines.get(conn).map(|connection| connection.purpose);
+        if let Some(ConnectionPurpose::Attempt { request, .. }) = purpose {
+            self.write_stream(RequestId(request), &mut piece, out);
+            self.check_pace(RequestId(request), out);
+        }
+    }
+
+    /// Handles one event of a busy connection. `piece` collects what is written to the client.
+    fn handle_engine_event(
+        &mut self, conn: ConnId, event: EngineEvent, piece: &mut Vec<u8>, out: &mut Vec<Output>,
+    ) {
+        let Some(connection) = self.engines.get_mut(conn) else { return };
+        let (engine, purpose, load) = (connection.engine, connection.purpose, connection.load);
+        match (event, purpose) {
+            (EngineEvent::LoadReport(load), ConnectionPurpose::Attempt { is_prefill: false, .. }) => {
+                // The head of a stream comes long before its end: its load report is handed on now.
+                let report = self.report(&load);
+                if report != LoadReport::default() {
+                    self.probe_ended(engine, Outcome::Completed, report);
                 }
-                (EngineEvent::Failed(why), _) => {
-                    if let ConnectionPurpose::Attempt { request, .. } = purpose {
-                        self.write_stream(RequestId(request), &mut piece, out);
-                    }
-                    out.push(Output::Log(format!("engine {}: {why}", self.engine_name(engine))));
-                    self.abort_connection(conn, out, Outcome::Error);
+            }
+            (EngineEvent::LoadReport(load), _) => connection.load = Some(load),
+            (EngineEvent::Failed(why), _) => {
+                if let ConnectionPurpose::Attempt { request, .. } = purpose {
+                    self.write_stream(RequestId(request), piece, out);
                 }
-                (_, ConnectionPurpose::Release(n)) => {
-                    self.releases.record_acknowledged(n, self.now);
-                    self.finish_exchange(conn, out);
+                out.push(Output::Log(format!("engine {}: {why}", self.engine_name(engine))));
+                self.abort_connection(conn, out, Outcome::Error);
+            }
+            (event, ConnectionPurpose::Attempt { request, attempt, is_prefill }) => {
+                let exchange =
+                    AttemptExchange { conn, request: RequestId(request), attempt, is_prefill, load };
+                self.handle_attempt_event(&exchange, event, piece, out);
+            }
+            (EngineEvent::Metrics(load), ConnectionPurpose::Probe) => {
+                self.finish_exchange(conn, out);
+                self.probe_ended(engine, Outcome::Completed, load_report(&load));
+                self.note_start(engine, load.started);
+            }
+            (_, ConnectionPurpose::Probe) => {
+                self.finish_exchange(conn, out);
+                self.probe_ended(engine, Outcome::Error, LoadReport::default());
+            }
+            (_, ConnectionPurpose::Release(id)) => {
+                self.releases.record_acknowledged(id, self.now);
+                self.finish_exchange(conn, out);
+            }
+        }
+    }
+
+    /// Handles an event of a connection that carries an attempt.
+    fn handle_attempt_event(
+        &mut self, exchange: &AttemptExchange, event: EngineEvent, piece: &mut Vec<u8>, out: &mut Vec<Output>,
+    ) {
+        let AttemptExchange { conn, request: id, attempt, is_prefill, load } = *exchange;
+        match event {
+            EngineEvent::Prefilled { transfer, usage } => {
+                self.finish_exchange(conn, out);
+                if let Some(request) = self.requests.get_mut(id) {
+                    request.prefill_completed(attempt, transfer, usage);
+                    let tokens = usage.prompt_tokens.saturating_sub(usage.cached_tokens());
+                    self.metrics.read(request.class_name(), tokens);
                 }
-                (_, ConnectionPurpose::Probe) => {
-                    self.finish_exchange(conn, out);
-                    self.probe_ended(engine, Outcome::Error, LoadReport::default());
+                self.ended(id, attempt, Outcome::Prefilled, usage.cached_tokens() as f64, load);
+            }
+            EngineEvent::Chunk(chunk) => {
+                if !self.chunk(id, attempt, &chunk, piece, out) {
+                    self.abort_connection(conn, out, Outcome::Cancelled);
                 }
-                (_, ConnectionPurpose::Attempt { .. }) => self.abort_connection(conn, out, Outcome::Error),
             }
-        }
-        if let Some(ConnectionPurpose::Attempt { request, .. }) = self.engines.get(conn).map(|l| l.purpose) {
-            self.write_stream(RequestId(request), &mut piece, out);
-            self.check_pace(RequestId(request), out);
+            EngineEvent::Done if !is_prefill => {
+                self.write_stream(id, piece, out);
+                self.finish_exchange(conn, out);
+                self.stream_done(id, attempt, out);
+            }
+            EngineEvent::Rejected { state_missing } => {
+                self.end_rejected_exchange(conn, out);
+                self.ended(id, attempt, Outcome::Rejected { state_missing }, 0.0, load);
+            }
+            EngineEvent::InvalidRequest(status, message) => {
+                self.end_rejected_exchange(conn, out);
+                self.request_is_invalid(id, attempt, status, message, out);
+            }
+            EngineEvent::Done
+            | EngineEvent::Metrics(_)
+            | EngineEvent::LoadReport(_)
+            | EngineEvent::Failed(_) => self.abort_connection(conn, out, Outcome::Error),
         }
     }
 
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -111,14 +111,7 @@
                 self.models(conn, received, Some(&path["/v1/models/".len()..]), out)
             }
             ("GET", "/health") => {
-                let outside = self.membership_obstacle();
-                let (status, word) = match outside {
-                    _ if self.shutdown.has_begun() => (503, "stopping"),
-                    Some(word) => (503, word),
-                    None if !self.holds_policy() => (503, "policy"),
-                    None => (200, "ok"),
-                };
-                self.answer(conn, status, &[], json!({"status": word}).to_string().as_bytes(), out);
+                self.answer_health(conn, out);
                 Ok(())
             }
             (_, "/v1/messages" | "/v1/messages/count_tokens" | "/v1/models" | "/health") => {
@@ -134,6 +127,17 @@
         }
     }
 
+    /// Answers whether this gateway takes requests.
+    fn answer_health(&mut self, conn: ConnId, out: &mut Vec<Output>) {
+        let (status, word) = match self.membership_obstacle() {
+            _ if self.shutdown.has_begun() => (503, "stopping"),
+            Some(word) => (503, word),
+            None if !self.holds_policy() => (503, "policy"),
+            None => (200, "ok"),
+        };
+        self.answer(conn, status, &[], json!({"status": word}).to_string().as_bytes(), out);
+    }
+
     /// What operators ask of the view of the fleet.
     fn handle_fleet_operation(&mut self, conn: ConnId, method: &str, path: &str, out: &mut Vec<Output>) {
         let Some(board) = self.fleet.clone() else { return };
@@ -240,20 +244,10 @@
             classify::traits(&self.settings, &received.head, caller, &messages_request, received.body.len())?;
         let model = std::mem::replace(&mut messages_request.model, traits.served_as.clone());
         let chat = messages_request.to_chat()?;
-        if let Err(turned) =
+        if let Err(error) =
             limits::check_admission(&self.settings.bounds, self.requests.len(), self.shutdown.has_begun())
         {
-            let (why, text) = match turned {
-                AdmissionError::TooManyRequests => {
-                    (RejectionReason::TooManyRequests, "too many requests are under way")
-                }
-                AdmissionError::Stopping => (RejectionReason::Stopping, "this router is stopping"),
-            };
-            self.metrics.refused(self.class_name(traits.class.0), why);
-            let error = ApiError::new(ErrorKind::Overloaded, text);
-            let (s, ms) = retry_after(limits::RETRY_AFTER);
-            let fields = [("retry-after", s.as_str()), ("retry-after-ms", &ms), ("x-should-retry", "true")];
-            self.reject_before_admission(conn, error.kind.status(), &error, &fields, out);
+            self.reject_not_admitted(conn, traits.class.0, error, out);
             return Ok(());
         }
         let (id, request_id) = self.requests.next_id();
@@ -300,6 +294,27 @@
         Ok(())
     }
 
+    /// Rejects a request that the gateway's own limits do not admit.
+    fn reject_not_admitted(
+        &mut self, conn: ConnId, class: usize, error: AdmissionError, out: &mut Vec<Output>,
+    ) {
+        let (reason, text) = match error {
+            AdmissionError::TooManyRequests => {
+                (RejectionReason::TooManyRequests, "too many requests are under way")
+            }
+            AdmissionError::Stopping => (RejectionReason::Stopping, "this router is stopping"),
+        };
+        self.metrics.refused(self.class_name(class), reason);
+        let error = ApiError::new(ErrorKind::Overloaded, text);
+        let (seconds, milliseconds) = retry_after(limits::RETRY_AFTER);
+        let fields = [
+            ("retry-after", seconds.as_str()),
+            ("retry-after-ms", &milliseconds),
+            ("x-should-retry", "true"),
+        ];
+        self.reject_before_admission(conn, error.kind.status(), &error, &fields, out);
+    }
+
     // ---- Leaving ------------------------------------------------------------------------------
 
     pub(crate) fn client_eof(&mut self, conn: ConnId, out: &mut Vec<Output>) {
