--- a/crates/gateway/src/classify.rs
+++ b/crates/gateway/src/classify.rs
@@ -1,4 +1,4 @@
-//! What the module is told of a request: class, tenant, session, shared beginning, length, time left, repeat.
+//! What the decision module is notified of a request: class, tenant, session, shared beginning, length, time left, repeat.
 //! Each is read from what the client sent; where a client says nothing, the rule is stated beside it.
 
 use crate::settings::GatewaySettings;
@@ -58,7 +58,7 @@
     pub(crate) shared_prefix: Option<u64>,
     pub(crate) prompt_tokens: f64,
     pub(crate) time_left: Duration,
-    /// The client's own time-out, if it told one.
+    /// The client's own timeout, if it sends one.
     pub(crate) told: Option<Duration>,
     pub(crate) repeat: bool,
     pub(crate) idempotency_key: Option<String>,
@@ -147,7 +147,7 @@
     (body_len as f64 / BYTES_PER_TOKEN + TOKENS_PER_MESSAGE * request.messages.len() as f64).ceil()
 }
 
-/// The client's own time-out. The public clients tell it in seconds.
+/// The client's own timeout. The public clients send it in seconds.
 fn client_timeout(head: &Head) -> Option<Duration> {
     let told = head.get("x-stainless-timeout").and_then(|v| v.parse::<f64>().ok());
     told.filter(|s| s.is_finite() && *s > 0.0).and_then(|s| Duration::try_from_secs_f64(s).ok())
--- a/crates/gateway/src/decisions.rs
+++ b/crates/gateway/src/decisions.rs
@@ -39,7 +39,7 @@
 
 /// What a module decided on one event.
 pub(crate) struct Decision {
-    /// The generation of the module.
+    /// The generation of the decision module.
     pub(crate) generation: u64,
     pub(crate) actions: Vec<Action>,
 }
--- a/crates/gateway/src/dispatch.rs
+++ b/crates/gateway/src/dispatch.rs
@@ -1,7 +1,7 @@
-//! Carries out what the module decides: attempts, cancels, probes, aborts, timers. Decides nothing itself.
+//! Dispatches what the decision modules decide: attempts, cancellations, probes, releases, timers. Decides nothing itself.
 
 use crate::engine_connection::{ConnectionPurpose, EngineConnection, State};
-use crate::gateway::{Decided, Gateway};
+use crate::gateway::Gateway;
 use crate::limits;
 use crate::request::{RequestEnd, POLICY};
 use crate::timer::Timer;
@@ -24,7 +24,7 @@
 }
 
 impl Gateway {
-    pub(crate) fn dispatch(&mut self, generation: u64, action: Decided, out: &mut Vec<Output>) {
+    pub(crate) fn dispatch(&mut self, generation: u64, action: Action, out: &mut Vec<Output>) {
         match action {
             Action::Send { request, engine, timeout: limit } => self.send(request, engine, limit, out),
             Action::Cancel { request, attempt } => self.cancel(request, attempt, out),
@@ -39,9 +39,9 @@
             Action::Probe(engine) => self.probe(engine, out),
             Action::CloseIdleConnections(engine) => self.close_idle(engine, out),
             Action::Log(line) => out.push(Output::Log(line)),
-            // The list is pushed to the front; it is at the module's hands already.
+            // The list is pushed to the gateway; it is at the decision module's hands already.
             Action::WatchEngines(_) | Action::FetchEngines => {}
-            // Settings say that there are no peers, places ahead or moved streams; the module asks for none.
+            // Settings say that there are no peers, places ahead or moved streams; the decision module asks for none.
             Action::SendToPeer { .. } | Action::Reserve { .. } | Action::MigrateStream(_) => {}
         }
     }
@@ -135,7 +135,7 @@
 
     fn cancel(&mut self, id: RequestId, attempt: usize, out: &mut Vec<Output>) {
         let Some(request) = self.requests.get(id) else { return };
-        // A stream that has begun is the client's; the module does not cancel it either.
+        // A stream that has begun is the client's; the decision module does not cancel it either.
         if request.streaming_attempt == Some(attempt) {
             return;
         }
@@ -242,7 +242,7 @@
         }
     }
 
-    /// Tells the module how an attempt ended, once.
+    /// Notifies the decision module how an attempt ended, once.
     pub(crate) fn ended(
         &mut self, id: RequestId, attempt: usize, outcome: Outcome, cached_tokens: f64, load: Option<Load>,
     ) {
@@ -269,7 +269,7 @@
         self.queue_event(generation, Event::AttemptEnded(ended));
     }
 
-    /// A load report as the module takes it; nothing where the site says that answers carry none.
+    /// A load report as the decision module takes it; nothing where the settings say that answers carry none.
     pub(crate) fn report(&self, load: &Load) -> LoadReport {
         if self.settings.decisions.report_source != ReportSource::Answers {
             return LoadReport::default();
@@ -287,7 +287,7 @@
     }
 }
 
-/// The published gauges in the module's terms.
+/// The published metrics of an engine in the decision module's terms.
 pub(crate) fn load_report(load: &Load) -> LoadReport {
     LoadReport {
         in_flight: load.running.zip(load.waiting).map(|(running, waiting)| running + waiting),
--- a/crates/gateway/src/engine_connection.rs
+++ b/crates/gateway/src/engine_connection.rs
@@ -1,8 +1,8 @@
 //! A connection to an engine: the client side of HTTP, one exchange at a time, and what its bytes mean.
 //!
-//! States and their time-outs: `Connecting` (the module's connect time), `Busy` (the exchange's own: the module's
+//! States and their timeouts: `Connecting` (the decision module's connect time), `Busy` (the exchange's own: the decision module's
 //! patience for attempts, `probe` for probes, `silent_stream` once an answer has begun), `Idle` (`engine_idle`). An
-//! abort call has `limits::LET_GO_CALL` for both connecting and its answer.
+//! release has `limits::RELEASE_EXCHANGE_TIMEOUT` for both connecting and its answer.
 
 use crate::engine_error::{self, EngineError};
 use crate::limits::{self, MAX_ENGINE_BODY};
@@ -19,11 +19,11 @@
 /// What a connection is used for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ConnectionPurpose {
-    /// An attempt: of which call, which of its attempts, and whether it reads only.
+    /// An attempt: of which request, which of its attempts, and whether it is a prefill.
     Attempt { request: u64, attempt: usize, is_prefill: bool },
     /// A probe of the engine's load.
     Probe,
-    /// An abort call; the number is that of what it says.
+    /// An release; the number is that of what it says.
     Release(ReleaseId),
 }
 
@@ -75,7 +75,7 @@
     /// Written when the connection stands.
     pub(crate) pending: Vec<u8>,
     pub(crate) paused: bool,
-    /// What the head of the present answer told of load.
+    /// The load report in the head of the present answer.
     pub(crate) load: Option<Load>,
     decoder: Decoder,
     events: sse::Decoder,
@@ -85,7 +85,7 @@
     pub(crate) is_reused: bool,
     /// The exchange is over and the connection can be used again.
     pub(crate) reusable: bool,
-    /// It was opened to say a word to let go, and has not answered yet.
+    /// It was opened to send a release, and has not answered yet.
     pub(crate) opened_for_release: bool,
 }
 
@@ -220,7 +220,7 @@
         }
     }
 
-    /// What a whole answer says.
+    /// What a complete answer says.
     fn whole(&self, status: u16, body: &[u8]) -> EngineEvent {
         match (status, self.purpose) {
             (200, ConnectionPurpose::Attempt { is_prefill: true, .. }) => match engine::read_answer(body) {
--- a/crates/gateway/src/engine_error.rs
+++ b/crates/gateway/src/engine_error.rs
@@ -9,7 +9,7 @@
 pub(crate) enum EngineError {
     /// Rejected; it never ran.
     Rejected { state_missing: bool },
-    /// The request is wrong, and would be at every engine: its client is told.
+    /// The request is wrong, and would be at every engine: its client gets the error.
     InvalidRequest(String),
     /// It failed and may have run.
     Failed,
--- a/crates/gateway/src/engine_list.rs
+++ b/crates/gateway/src/engine_list.rs
@@ -1,7 +1,7 @@
 //! The engines as this router knows them: the list, and what their own word adds to it (start times).
 //!
 //! The list says who is there and who drains; it knows no start times. These come from the engines' metrics, and
-//! the module is told of a restart as a changed entry, which is what makes it take an engine as cold.
+//! the decision module is notified of a restart as a changed entry, which is what makes it take an engine as cold.
 
 use crate::settings::{EngineSettings, KINDS};
 use slipreel::{CellId, Engine, EngineId, EngineState, Event, KindId, Listing, Role, ZoneId};
@@ -17,7 +17,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct EngineEntry {
     pub(crate) settings: EngineSettings,
-    /// When it last started, on the front's clock; `None`: not told, or long ago.
+    /// When it last started, on the gateway's clock; `None`: not told, or long ago.
     started: Option<Duration>,
     /// Whether it ever told its start.
     told: bool,
@@ -68,12 +68,12 @@
     }
 
     /// Takes a complete list. Engines that left stay known until the next list without them, since attempts may
-    /// still run there. Gives the event for the module and the engines that take nothing new from now on.
+    /// still run there. Gives the event for the decision module and the engines that take nothing new from now on.
     pub(crate) fn replace(&mut self, now: Duration, list: &[EngineSettings]) -> (Event, Vec<EngineId>) {
         let before = std::mem::take(&mut self.by_id);
         for settings in list {
             let id = engine_id(settings.addr);
-            // An engine in another role than before has started anew, whatever it says: the module takes a role
+            // An engine in another role than before has started anew, whatever it says: the decision module takes a role
             // only with a start time that it has not seen.
             let (started, told) = match before.get(&id) {
                 Some(m) if m.settings.role != settings.role => (Some(now), false),
@@ -103,7 +103,7 @@
         Some(Engine { id, state: member.settings.state, kind, zone, cell, started_at: member.started })
     }
 
-    /// An engine has told when it started. Gives the event for the module if that is news that matters: it has
+    /// An engine has told when it started. Gives the event for the decision module if that is news that matters: it has
     /// restarted, or it is seen for the first time and may still be cold.
     pub(crate) fn note_start(
         &mut self, now: Duration, id: EngineId, started: Duration, cold_time: Duration,
--- a/crates/gateway/src/engines.rs
+++ b/crates/gateway/src/engines.rs
@@ -1,4 +1,4 @@
-//! What the engines say and do: it becomes events for the module and pieces of the client's answer.
+//! Turns what engines send into events for the decision module and pieces of the client's answer.
 
 use crate::dispatch::load_report;
 use crate::engine_connection::{ConnectionPurpose, EngineEvent, State};
@@ -31,7 +31,7 @@
             return;
         };
         if let ConnectionPurpose::Attempt { request, .. } = connection.purpose {
-            // Where the module may not cancel, an attempt for a client that has left is not begun any more.
+            // Where the decision module may not cancel, an attempt for a client that has left is not begun any more.
             if self.requests.get(RequestId(request)).is_none_or(|request| request.is_closed) {
                 return self.abort_connection(conn, out, Outcome::NotSent);
             }
@@ -201,7 +201,7 @@
         }
     }
 
-    /// An attempt was turned away. On a kept connection that may be an answer left over from the exchange before, with this
+    /// An attempt was rejected. On a kept connection that may be an answer left over from the exchange before, with this
     /// attempt still at work: it is given up by closing the connection.
     fn end_rejected_exchange(&mut self, conn: ConnId, out: &mut Vec<Output>) {
         if self.engines.get(conn).is_some_and(|connection| !connection.is_reused) {
@@ -253,7 +253,7 @@
         if request.streaming_attempt.is_none() && MessageWriter::begins(chunk) {
             let taken = request.answer_began(attempt);
             let name = self.settings.classes.get(request.class).map_or("", |c| &c.name);
-            // Of a whole answer that begins anew the first beginning counts.
+            // Of a complete answer that begins anew the first beginning counts.
             if !request.is_restarted() {
                 self.metrics.first_token(name, now, request);
             }
@@ -304,7 +304,7 @@
             return self.ended(id, attempt, Outcome::Completed, 0.0, None);
         }
         if !request.stream {
-            // Nothing of it has gone out: the module settles whether another attempt follows.
+            // Nothing of it has gone out: the decision module settles whether another attempt follows.
             if let Some(request) = self.requests.get_mut(id) {
                 request.restart_answer();
             }
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -1,4 +1,5 @@
-//! The front as a machine: takes inputs in turn, fires timers, and lets the module decide until nothing is left.
+//! The gateway as a state machine: takes inputs in turn, fires timers, and lets the decision modules decide until no event
+//! is left.
 
 use crate::active_requests::ActiveRequests;
 use crate::client_connections::ClientConnections;
@@ -12,7 +13,7 @@
 use crate::settings::{EngineSettings, GatewaySettings};
 use crate::shutdown::Shutdown;
 use crate::timer::{Timer, Timers};
-use slipreel::{Action, EngineId, EngineState, Event, Listing, RequestId};
+use slipreel::{EngineId, EngineState, Event, Listing, RequestId};
 use slipreel_connections::{Client, ReleaseQueue, State as ClientState};
 use slipreel_consensus::PolicyHandle;
 use slipreel_membership::{MemberStatus, SharedView};
@@ -20,20 +21,20 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How many requests ended how, and what the front holds. Counters only grow.
+/// How many requests ended how, and what the gateway holds. Counters only grow.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
-    /// Requests told to the module.
+    /// Requests handed to the decision module.
     pub admitted: u64,
     /// Final answers by kind.
     pub completed: u64,
-    /// Rejected by the module.
+    /// Rejected by the decision module.
     pub rejected: u64,
     /// Failed.
     pub failed: u64,
-    /// Clients that left before their answer ended.
+    /// Clients that disconnected before their answer ended.
     pub disconnected: u64,
-    /// Answered without the module: bad input, unknown paths, the front's own bounds.
+    /// Answered without the decision module: bad input, unknown paths, the gateway's own bounds.
     pub rejected_before_admission: u64,
     /// Attempts sent to engines.
     pub attempts: u64,
@@ -54,17 +55,17 @@
     pub timers: usize,
 }
 
-/// News for a front: so many routers share the fleet from now on, this one counted. What was learnt stays.
+/// Owner message: how many routers share the fleet from now on, this one included. What was learnt stays.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RouterCount(pub u32);
 
 /// A router between clients and engines, without I/O and clock.
 ///
-/// Takes as [`Input::News`]: `Vec<EngineSettings>`, the complete list of engines; `Arc<GatewaySettings>`, new settings.
+/// Takes as [`Input::OwnerMessage`]: `Vec<EngineSettings>`, the complete list of engines; `Arc<GatewaySettings>`, new settings.
 pub struct Gateway {
     pub(crate) now: Duration,
     pub(crate) settings: Arc<GatewaySettings>,
-    /// Clock of the front at the epoch of wall time, if that is after the epoch: start times are told in wall time.
+    /// Clock of the gateway at the epoch of wall time, if that is after the epoch: engines report start times in wall time.
     pub(crate) epoch_ahead: Duration,
     pub(crate) decision_modules: DecisionModules,
     pub(crate) engine_list: EngineList,
@@ -72,7 +73,7 @@
     pub(crate) engines: EngineConnections,
     pub(crate) requests: ActiveRequests,
     pub(crate) timers: Timers,
-    /// What engines have to be told to let go of, until they have heard it.
+    /// State that engines still have to release.
     pub(crate) releases: ReleaseQueue,
     pub(crate) shutdown: Shutdown,
     pub(crate) counters: Counters,
@@ -80,17 +81,17 @@
     pub(crate) metrics: Metrics,
     /// The view of the fleet, where this process is a member of one.
     pub(crate) fleet: Option<Arc<SharedView>>,
-    /// The fleet's policy, where this process takes part in agreeing on one, and the epoch that this front acts by.
+    /// The fleet's policy, where this process takes part in agreeing on one, and the epoch by which this gateway admits requests.
     pub(crate) policy: Option<Arc<PolicyHandle>>,
     pub(crate) policy_epoch: u64,
-    /// Engines as they were listed, whoever is taken out.
+    /// Engines as they were listed, those included that operators have taken out.
     pub(crate) listed: Vec<EngineSettings>,
     /// Routers to reckon with by that view; it holds for settings that are read again too.
     routers: Option<u32>,
 }
 
 impl Gateway {
-    /// A front at its start. `seed` settles its chances and begins its request ids, so it is to be a new one at
+    /// A gateway at its start. `seed` settles its chances and begins its request ids, so it is to be a new one at
     /// each start. `wall` is the wall clock, since the epoch, at the clock's time `now`.
     pub fn new(settings: Arc<GatewaySettings>, seed: u64, now: Duration, wall: Duration) -> Self {
         let mut gateway = Gateway {
@@ -123,7 +124,7 @@
         gateway
     }
 
-    /// What it has done so far.
+    /// Its counters.
     pub fn counters(&self) -> Counters {
         self.counters
     }
@@ -144,7 +145,7 @@
         self.settings = settings;
     }
 
-    /// A site's settings as the module is handed them here.
+    /// The settings as the decision module is handed them here.
     pub(crate) fn decision_settings(&mut self, settings: &GatewaySettings) -> slipreel::Settings {
         let mut decisions = settings.decisions.clone();
         decisions.zone = self.engine_list.zone(&settings.zone);
@@ -430,7 +431,7 @@
     }
 }
 
-/// What the loss of a connection that carried something means for the module.
+/// What the loss of a connection that carried something means for the decision module.
 pub(crate) fn loss_outcome(loss: ConnectionLoss) -> slipreel::Outcome {
     match loss {
         ConnectionLoss::NotConnected => slipreel::Outcome::ConnectFailed,
@@ -438,6 +439,3 @@
         ConnectionLoss::Reset => slipreel::Outcome::Reset,
     }
 }
-
-/// Carried by [`Gateway::dispatch`]; here so that the two files name one type.
-pub(crate) type Decided = Action;
--- a/crates/gateway/src/limits.rs
+++ b/crates/gateway/src/limits.rs
@@ -1,7 +1,7 @@
-//! What the front itself turns away, so that its own memory and descriptors are bounded whatever comes.
+//! What the gateway itself turns away, so that its own memory and descriptors are bounded whatever comes.
 //!
-//! None of this looks at load or worth: that is the module's affair. These are the smallest bounds that keep the
-//! process alive, and what they turn away was never told to the module.
+//! None of this looks at load or worth: that is the decision module's affair. These are the smallest bounds that keep the
+//! process alive, and what they turn away was never handed to the decision module.
 
 use crate::settings::{Bounds, KINDS};
 use slipreel::{Limits, ReportSource, Settings, ZoneId};
@@ -60,7 +60,7 @@
     StartingClass { aim: ms(1_000), aim_per_1000: ms(40), patience: ms(6_000), window: ms(5_000) }
 }
 
-/// Starting values of what the module is handed, without classes and tenants: one router, what the brief's sites have
+/// Starting values of what the decision module is handed, without classes and tenants: one router, what the brief's sites have
 /// in common.
 pub fn starting_settings() -> Settings {
     Settings {
@@ -90,7 +90,7 @@
     }
 }
 
-/// How releases are retried: several times within the rule's half second once a link is back. The engines of this front
+/// How releases are retried: several times within the rule's half second once a link is back. The engines of this gateway
 /// end a request's work with its release, so nothing is repeated.
 pub(crate) const RELEASE_TIMING: ReleaseTiming =
     ReleaseTiming { retry: ms(200), repeat: ms(500), give_up: Duration::from_secs(30) };
@@ -98,7 +98,7 @@
 /// has answered before is left with the release until that is given up, as it is the first to work when a link is back.
 pub(crate) const RELEASE_EXCHANGE_TIMEOUT: Duration = ms(2_000);
 
-/// Why the front does not take a request.
+/// Why the gateway does not take a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AdmissionError {
     /// As many as may be under way are.
--- a/crates/gateway/src/message_writer.rs
+++ b/crates/gateway/src/message_writer.rs
@@ -90,12 +90,12 @@
         }
     }
 
-    /// Whether the engine has said that the answer is whole.
+    /// Whether the engine has said that the answer is complete.
     pub(crate) fn is_whole(&self) -> bool {
         self.finish.is_some()
     }
 
-    /// Writes the end of a whole answer.
+    /// Writes the end of a complete answer.
     pub(crate) fn finish(&mut self, out: &mut Vec<u8>) {
         let (reason, sequence) = self.finish.take().unwrap_or(("end_turn", None));
         self.answer.finish(reason, sequence.as_deref(), self.used(), out);
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -44,7 +44,7 @@
     Histogram::new(exponential_buckets(0.000_01, 2.0, 16))
 }
 
-/// Why a request was refused or turned away.
+/// Why a request was refused or rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RejectionReason {
     /// By the curve or as hopeless, before any attempt.
@@ -53,7 +53,7 @@
     OverQuota,
     /// After attempts that came to nothing.
     AttemptsFailed,
-    /// The front's own bound on requests under way.
+    /// The gateway's own bound on requests under way.
     TooManyRequests,
     /// The router is stopping.
     Stopping,
@@ -163,7 +163,7 @@
         r.register("open", "Connections, requests and words to let go that are open", self.open.clone());
     }
 
-    /// A request was told to the module.
+    /// A request was handed to the decision module.
     pub(crate) fn admitted(&self, name: &str) {
         self.admitted.get_or_create(&class(name)).inc();
         // What has not happened yet is told as 0, so that who sums knows the class.
--- a/crates/gateway/src/request.rs
+++ b/crates/gateway/src/request.rs
@@ -11,13 +11,13 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The field that names the epoch by which a request was taken, on its answer and on each call to an engine.
+/// The field that names the epoch by which a request was taken, on its answer and on each request to an engine.
 pub const POLICY: &str = "x-slipreel-policy";
 
 /// How a request ended. Each that was taken has exactly one of these, unless its client left.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RequestEnd {
-    /// The whole answer was written.
+    /// The complete answer was written.
     Completed,
     /// Rejected; trying again is harmless.
     Rejected,
@@ -40,7 +40,7 @@
 /// A request under way.
 pub(crate) struct ActiveRequest {
     pub(crate) id: RequestId,
-    /// Which of the front's routers decides for it.
+    /// The generation of the decision module that decides for it.
     pub(crate) generation: u64,
     pub(crate) client: ConnId,
     pub(crate) request_id: String,
@@ -51,13 +51,13 @@
     pub(crate) class: usize,
     pub(crate) idempotency: Idempotency,
     pub(crate) stream: bool,
-    /// When it had come in whole.
+    /// When it had been received completely.
     pub(crate) since: Duration,
     /// For how long engines were at work for it, up to the end of its last ended attempt.
     engine_time: Duration,
     /// When its client gives up waiting for the beginning.
     pub(crate) deadline: Duration,
-    /// When its client gives up waiting for a whole answer, if it says so.
+    /// When its client gives up waiting for a complete answer, if it says so.
     pub(crate) complete_by: Option<Duration>,
     chat: Map<String, Value>,
     max_tokens: u32,
@@ -76,7 +76,7 @@
     pub(crate) is_closed: bool,
 }
 
-/// What a new call is made of.
+/// What a new request is made of.
 pub(crate) struct NewRequest {
     pub(crate) id: RequestId,
     pub(crate) generation: u64,
@@ -177,7 +177,7 @@
         self.transfer = Some((self.attempts[attempt].engine, transfer));
     }
 
-    /// An attempt's answer has begun: it has fetched the state, which its reader has let go with that. Gives that
+    /// An attempt's answer has begun: it has fetched the state, which its reader has released with that. Gives that
     /// reader, once for each state.
     pub(crate) fn answer_began(&mut self, attempt: usize) -> Option<EngineId> {
         self.streaming_attempt = Some(attempt);
@@ -210,7 +210,7 @@
         self.writer.restart_answer();
     }
 
-    /// All that may be held for it and that no attempt reads now: to be let go of.
+    /// All that may be held for it and that no attempt reads now: to be released.
     pub(crate) fn release(&mut self) -> Vec<(EngineId, SocketAddr, String)> {
         self.transfer = None;
         let (out, free): (Vec<_>, Vec<_>) =
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Takes the requests that have come in whole, one after another as each is answered.
+    /// Handles the requests that were received completely, one after another as each is answered.
     fn read_requests(&mut self, conn: ConnId, out: &mut Vec<Output>) {
         loop {
             let now = self.now;
@@ -234,7 +234,7 @@
         Ok(())
     }
 
-    /// A message request: the module is told of it, unless it can't be taken at all.
+    /// A message request: the decision module is notified of it, unless it can't be taken at all.
     fn handle_messages_request(
         &mut self, conn: ConnId, received: &Received, out: &mut Vec<Output>,
     ) -> Result<(), ApiError> {
@@ -346,7 +346,7 @@
         let conn = streaming_attempt.and_then(|a| request.attempts[a].conn);
         self.requests.check_when_settled(id);
         self.queue_event(generation, Event::ClientDisconnected(id));
-        // The module leaves a stream that has begun to its client, and this one is gone.
+        // The decision module leaves a stream that has begun to its client, and this one is gone.
         if let Some(conn) = conn {
             self.engines.abandon(conn);
         }
@@ -397,7 +397,7 @@
         self.arm_client_timer(conn);
     }
 
-    /// Passes a piece of a stream on. A whole answer keeps it.
+    /// Passes a piece of a stream on. A complete answer keeps it.
     pub(crate) fn write_stream(&mut self, id: RequestId, piece: &mut Vec<u8>, out: &mut Vec<Output>) {
         let piece = std::mem::take(piece);
         let now = self.now;
@@ -413,7 +413,7 @@
         }
     }
 
-    /// The final answer of a request whose answer is whole.
+    /// The final answer of a request whose answer is complete.
     pub(crate) fn complete_request(&mut self, id: RequestId, out: &mut Vec<Output>) {
         let Some(request) = self.requests.get_open_mut(id) else { return };
         let (conn, stream, request_id) = (request.client, request.stream, request.request_id.clone());
@@ -471,7 +471,7 @@
         self.read_requests(conn, out);
     }
 
-    /// The module turns a request away.
+    /// The decision module rejects a request.
     pub(crate) fn reject_request(
         &mut self, id: RequestId, retry_after_time: Option<Duration>, over_share: bool, out: &mut Vec<Output>,
     ) {
@@ -491,7 +491,7 @@
         self.answer_with_error(id, &error, retry_after_time, RequestEnd::Rejected, out);
     }
 
-    /// The module fails a request: in time if its client still waits a while, else as a time-out.
+    /// The decision module fails a request: in time if its client still waits a while, else as a timeout.
     pub(crate) fn fail_request(&mut self, id: RequestId, out: &mut Vec<Output>) {
         let Some(request) = self.requests.get(id) else { return };
         let margin = self.settings.decisions.tick * 4;
@@ -503,7 +503,7 @@
         self.answer_with_error(id, &error, None, RequestEnd::Failed, out);
     }
 
-    /// A client that waits for a whole answer gives up now.
+    /// A client that waits for a complete answer gives up now.
     pub(crate) fn complete_answer_timed_out(&mut self, id: RequestId, out: &mut Vec<Output>) {
         let Some(request) = self.requests.get_open(id) else { return };
         let conn = request.streaming_attempt.and_then(|a| request.attempts[a].conn);
@@ -511,7 +511,7 @@
             ApiError::new(ErrorKind::Timeout, "the answer was not whole in the time that this request has");
         let generation = request.generation;
         self.answer_with_error(id, &error, None, RequestEnd::Failed, out);
-        // To the module its client is as good as gone: no attempt follows, and what is held is let go of.
+        // To the decision module its client is as good as gone: no attempt follows, and what is held is released.
         self.queue_event(generation, Event::ClientDisconnected(id));
         if let Some(conn) = conn {
             self.abort_connection(conn, out, Outcome::Cancelled);
@@ -526,7 +526,7 @@
             let Some(request) = self.requests.get(id) else { continue };
             let (generation, conn) =
                 (request.generation, request.streaming_attempt.and_then(|a| request.attempts[a].conn));
-            // For the module the client is as good as gone: it cancels and lets go.
+            // For the decision module the client is as good as gone: it cancels and releases.
             self.queue_event(generation, Event::ClientDisconnected(id));
             if let Some(conn) = conn {
                 self.abort_connection(conn, out, Outcome::Cancelled);
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -1,4 +1,4 @@
-//! What a front is handed at its start or at a reload: a site as it was configured. Decides nothing.
+//! What a gateway is handed at its start or at a reload: the settings as they were configured. Decides nothing.
 
 use slipreel::{EngineState, Role, Settings};
 use std::net::SocketAddr;
@@ -6,10 +6,10 @@
 pub use crate::limits::{starting_class, starting_settings, StartingClass};
 use std::time::Duration;
 
-/// A site: what the module is handed, and what the front needs beside it.
+/// Settings: what the decision module is handed, and what the gateway needs beside it.
 #[derive(Clone, Debug)]
 pub struct GatewaySettings {
-    /// Handed to the module as it is. Its kinds are [`KINDS`].
+    /// Handed to the decision module as it is. Its kinds are [`KINDS`].
     pub decisions: Settings,
     /// The classes, in the order of `settings.classes`.
     pub classes: Vec<ClassSettings>,
@@ -19,7 +19,7 @@
     pub tenants: Vec<TenantSettings>,
     /// The engines, unless a list comes from elsewhere.
     pub engines: Vec<EngineSettings>,
-    /// What the front bounds.
+    /// What the gateway bounds.
     pub bounds: Bounds,
     /// Engines that take nothing new whatever the list says, by name.
     pub taken_out: Vec<String>,
@@ -34,7 +34,7 @@
 /// The kinds of engine, by role: `KindId` is the position here.
 pub const KINDS: [Role; 3] = [Role::Prefill, Role::Decode, Role::Mixed];
 
-/// What the front knows of a class beside what the module does.
+/// What the gateway knows of a class beside what the decision module does.
 #[derive(Clone, Debug)]
 pub struct ClassSettings {
     /// Its name.
@@ -68,7 +68,7 @@
 /// An engine of the list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EngineSettings {
-    /// For the staff.
+    /// For operators.
     pub name: String,
     /// Where it is.
     pub addr: SocketAddr,
@@ -82,7 +82,7 @@
     pub state: EngineState,
 }
 
-/// What the front bounds. All of these have to be set; `slipreel-settings` names defaults.
+/// What the gateway bounds. All of these have to be set; `slipreel-settings` names defaults.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Bounds {
     /// Client connections at once; further ones are closed.
@@ -101,15 +101,15 @@
     pub engine_idle: Duration,
     /// After this an idle connection of a client is closed.
     pub client_idle: Duration,
-    /// In this time a head, and then a body, has to come in whole.
+    /// In this time a head, and then a body, has to come in completely.
     pub receive: Duration,
     /// A peer that takes nothing for so long while something waits for it is cut off.
     pub stalled_peer: Duration,
     /// An engine that says nothing for so long in the midst of an answer is given up.
     pub silent_stream: Duration,
-    /// In this time a probe or an abort call is answered, or counts as lost.
+    /// In this time a probe or an release is answered, or counts as lost.
     pub probe: Duration,
-    /// A request ends by then after the front was told to stop.
+    /// A request ends by then after the gateway was told to stop.
     pub stop: Duration,
     /// Whether a client that sends no more still waits for its answer.
     pub half_close: bool,
