--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -377,6 +377,23 @@
     }
 }
 
+impl Gateway {
+    /// Takes what the owner of this machine hands in; other types are ignored.
+    fn handle_owner_message(&mut self, message: &(dyn std::any::Any + Send + Sync), out: &mut Vec<Output>) {
+        if let Some(list) = message.downcast_ref::<Vec<EngineSettings>>() {
+            self.take_list(list, out);
+        } else if let Some(settings) = message.downcast_ref::<Arc<GatewaySettings>>() {
+            self.take_site(settings, out);
+        } else if let Some(board) = message.downcast_ref::<Arc<SharedView>>() {
+            self.fleet = Some(board.clone());
+        } else if let Some(handle) = message.downcast_ref::<Arc<PolicyHandle>>() {
+            self.policy = Some(handle.clone());
+        } else if let Some(routers) = message.downcast_ref::<RouterCount>() {
+            self.share_with(*routers);
+        }
+    }
+}
+
 impl Machine for Gateway {
     fn handle(&mut self, now: Duration, input: Input<'_>, out: &mut Vec<Output>) {
         self.now = self.now.max(now);
@@ -409,19 +426,7 @@
             | Input::Wake
             | Input::Datagram(..) => {}
             Input::Stop => self.stop(out),
-            Input::OwnerMessage(news) => {
-                if let Some(list) = news.downcast_ref::<Vec<EngineSettings>>() {
-                    self.take_list(list, out);
-                } else if let Some(settings) = news.downcast_ref::<Arc<GatewaySettings>>() {
-                    self.take_site(settings, out);
-                } else if let Some(board) = news.downcast_ref::<Arc<SharedView>>() {
-                    self.fleet = Some(board.clone());
-                } else if let Some(handle) = news.downcast_ref::<Arc<PolicyHandle>>() {
-                    self.policy = Some(handle.clone());
-                } else if let Some(routers) = news.downcast_ref::<RouterCount>() {
-                    self.share_with(*routers);
-                }
-            }
+            Input::OwnerMessage(message) => self.handle_owner_message(message, out),
         }
         self.run_decisions(out);
     }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -8,15 +8,16 @@
 //! 2. `serve` looks up its path, and `classify` reads off it what the decision module has to know;
 //! 3. `dispatch` turns actions into attempts (`request`) on connections to engines (`engine_connection`);
 //! 4. `engines` turns what engines send into events for the decision module and, by `message_writer`, into the answer;
-//! 5. `serve` writes the final answer.
+//! 5. `answers` writes the final answer.
 //!
 //! `engine_error` classifies error answers of engines, `limits` holds the gateway's own resource limits, `engine_list` the
-//! list of engines, `settings` the settings, `metrics` what is published, and `policy` applies the fleet's policy.
+//! list of engines, `settings` the settings, `metrics` what is published, `operators` what operators ask for, and `policy` applies the fleet's policy.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
 mod active_requests;
+mod answers;
 mod classify;
 mod client_connections;
 mod decisions;
@@ -30,6 +31,7 @@
 mod limits;
 mod message_writer;
 mod metrics;
+mod operators;
 mod policy;
 mod request;
 mod serve;
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -1,14 +1,14 @@
 //! The clients' side: what a request asks for, and its one final answer.
 
-use crate::classify;
+use crate::classify::{self, Caller, RequestAttributes};
 use crate::gateway::Gateway;
 use crate::limits::{self, AdmissionError};
-use crate::metrics::{self, RejectionReason};
-use crate::request::{ActiveRequest, NewRequest, RequestEnd, POLICY};
+use crate::metrics::RejectionReason;
+use crate::request::{ActiveRequest, NewRequest, POLICY};
 use serde_json::json;
 use slipreel::{Event, Outcome, RequestId};
 use slipreel_connections::{Received, State};
-use slipreel_protocol::http::{self, Malformed};
+use slipreel_protocol::http::Malformed;
 use slipreel_protocol::messages::{ApiError, ErrorKind, MessagesRequest};
 use slipreel_state_machine::{ConnId, ListenerId, Output};
 use std::time::Duration;
@@ -31,7 +31,7 @@
     }
 
     /// Handles the requests that were received completely, one after another as each is answered.
-    fn read_requests(&mut self, conn: ConnId, out: &mut Vec<Output>) {
+    pub(crate) fn read_requests(&mut self, conn: ConnId, out: &mut Vec<Output>) {
         loop {
             let now = self.now;
             let Some(client) = self.clients.get_mut(conn) else { return };
@@ -81,7 +81,7 @@
         self.client_done(conn, out);
     }
 
-    fn client_done(&mut self, conn: ConnId, out: &mut Vec<Output>) {
+    pub(crate) fn client_done(&mut self, conn: ConnId, out: &mut Vec<Output>) {
         let now = self.now;
         let Some(client) = self.clients.get_mut(conn) else { return };
         if client.finish_answer(now, out) {
@@ -138,70 +138,6 @@
         self.answer(conn, status, &[], json!({"status": word}).to_string().as_bytes(), out);
     }
 
-    /// What operators ask of the view of the fleet.
-    fn handle_fleet_operation(&mut self, conn: ConnId, method: &str, path: &str, out: &mut Vec<Output>) {
-        let Some(board) = self.fleet.clone() else { return };
-        let (what, name) = path["/fleet/".len()..].split_once('/').unwrap_or((&path["/fleet/".len()..], ""));
-        let done = json!({"done": true}).to_string();
-        let (status, text) = match (method, what, name) {
-            ("GET", "status", "") => (200, board.view().json(self.now)),
-            ("POST", "leave", "") => {
-                board.request_leave();
-                (202, done)
-            }
-            ("POST", "forget", name) if board.view().members.iter().any(|m| m.name == name) => {
-                let room = board.request_forget(name);
-                (if room { 202 } else { 503 }, done)
-            }
-            ("POST", "forget", name) => {
-                let error =
-                    ApiError::new(ErrorKind::NotFound, format!("{name:?}: expected the name of a member"));
-                return self.reject_before_admission(conn, 404, &error, &[], out);
-            }
-            _ => {
-                let what = format!(
-                    "{method} {path}: expected GET /fleet/status, POST /fleet/leave or /fleet/forget/NAME"
-                );
-                return self.reject_before_admission(
-                    conn,
-                    404,
-                    &ApiError::new(ErrorKind::NotFound, what),
-                    &[],
-                    out,
-                );
-            }
-        };
-        self.answer(conn, status, &[], text.as_bytes(), out);
-    }
-
-    /// What operators ask, on a port of their own.
-    fn handle_operator_request(&mut self, conn: ConnId, received: &Received, out: &mut Vec<Output>) {
-        let (method, path) = (received.method(), received.path());
-        match (method, path) {
-            ("GET", "/metrics") => {
-                let view = self.fleet.as_ref().map(|board| board.view().metrics());
-                let text = metrics::with(self.metrics.write(&self.snapshot()), view);
-                let text = metrics::with(text, self.policy_metrics());
-                self.answer(conn, 200, &[("content-type", metrics::MEDIA_TYPE)], text.as_bytes(), out);
-            }
-            (_, "/metrics") => {
-                let error =
-                    ApiError::new(ErrorKind::InvalidRequest, format!("{path} does not take {method}"));
-                self.reject_before_admission(conn, 405, &error, &[], out);
-            }
-            _ if path.starts_with("/policy/") && self.policy.is_some() => {
-                self.handle_policy_operation(conn, received, out);
-            }
-            _ if path.starts_with("/fleet/") && self.fleet.is_some() => {
-                self.handle_fleet_operation(conn, method, path, out);
-            }
-            _ => {
-                let error = ApiError::new(ErrorKind::NotFound, format!("no such path for operators: {path}"));
-                self.reject_before_admission(conn, 404, &error, &[], out);
-            }
-        }
-    }
-
     fn models(
         &mut self, conn: ConnId, received: &Received, one: Option<&str>, out: &mut Vec<Output>,
     ) -> Result<(), ApiError> {
@@ -270,26 +206,13 @@
             complete_within: traits.told,
             chat,
             max_tokens: messages_request.max_tokens,
-            key: traits.idempotency_key,
+            key: traits.idempotency_key.clone(),
             model,
         };
         self.requests.insert(ActiveRequest::new(new));
         self.counters.admitted += 1;
         self.metrics.admitted(self.class_name(traits.class.0));
-        let request = slipreel::Request {
-            id,
-            class: traits.class,
-            tenant: caller.tenant,
-            session: traits.session,
-            shared_prefix: traits.shared_prefix,
-            prompt_tokens: traits.prompt_tokens,
-            max_output_tokens: f64::from(messages_request.max_tokens),
-            client_timeout: traits.time_left,
-            complete_answer_timeout: (!messages_request.stream)
-                .then(|| traits.told.unwrap_or(traits.time_left)),
-            is_retry: traits.repeat,
-            is_resumption: false,
-        };
+        let request = decision_request(id, caller, &traits, &messages_request);
         self.queue_event(generation, Event::Request(request));
         Ok(())
     }
@@ -382,162 +305,6 @@
         }
     }
 
-    // ---- Out ----------------------------------------------------------------------------------
-
-    pub(crate) fn begin_stream(&mut self, id: RequestId, out: &mut Vec<Output>) {
-        let now = self.now;
-        let Some(request) = self.requests.get(id) else { return };
-        let Some(client) = self.clients.get_mut(request.client) else { return };
-        client.last_sent_at = now;
-        let epoch = request.epoch.map(|e| e.to_string());
-        let mut fields = vec![("request-id", request.request_id.as_str())];
-        fields.extend(epoch.as_ref().map(|e| (POLICY, e.as_str())));
-        client.begin_stream(&fields, out);
-        let conn = client.conn;
-        self.arm_client_timer(conn);
-    }
-
-    /// Passes a piece of a stream on. A complete answer keeps it.
-    pub(crate) fn write_stream(&mut self, id: RequestId, piece: &mut Vec<u8>, out: &mut Vec<Output>) {
-        let piece = std::mem::take(piece);
-        let now = self.now;
-        let Some(request) = self.requests.get(id).filter(|c| c.stream && !c.is_closed) else { return };
-        let Some(client) = self.clients.get_mut(request.client) else { return };
-        let (conn, idle) = (client.conn, client.unsent == 0);
-        if idle {
-            client.last_sent_at = now;
-        }
-        client.write(http::chunk(&piece), out);
-        if idle {
-            self.arm_client_timer(conn);
-        }
-    }
-
-    /// The final answer of a request whose answer is complete.
-    pub(crate) fn complete_request(&mut self, id: RequestId, out: &mut Vec<Output>) {
-        let Some(request) = self.requests.get_open_mut(id) else { return };
-        let (conn, stream, request_id) = (request.client, request.stream, request.request_id.clone());
-        let mut bytes = Vec::new();
-        request.writer.finish(&mut bytes);
-        let tokens = request.writer.used().output_tokens;
-        self.metrics.answered(request.class_name(), tokens);
-        self.record_end(id, RequestEnd::Completed);
-        if stream {
-            if let Some(client) = self.clients.get_mut(conn) {
-                let mut last = http::chunk(&bytes);
-                last.extend_from_slice(http::LAST_CHUNK);
-                client.write(last, out);
-            }
-            self.client_done(conn, out);
-        } else {
-            self.answer(conn, 200, &[("request-id", &request_id)], &bytes, out);
-        }
-        self.read_requests(conn, out);
-    }
-
-    /// The final answer of a request that gets no answer of an engine.
-    pub(crate) fn answer_with_error(
-        &mut self, id: RequestId, error: &ApiError, retry_after_time: Option<Duration>, end: RequestEnd,
-        out: &mut Vec<Output>,
-    ) {
-        let Some(request) = self.requests.get_open_mut(id) else { return };
-        let (conn, request_id) = (request.client, request.request_id.clone());
-        let must_not_repeat = end == RequestEnd::Failed && request.must_not_repeat();
-        if request.stream && request.streaming_attempt.is_some() {
-            let mut bytes = Vec::new();
-            request.writer.error(error, &request_id, &mut bytes);
-            let mut last = http::chunk(&bytes);
-            last.extend_from_slice(http::LAST_CHUNK);
-            self.record_end(id, end);
-            if let Some(client) = self.clients.get_mut(conn) {
-                client.close_after_answer();
-                client.write(last, out);
-            }
-            return self.client_done(conn, out);
-        }
-        self.record_end(id, end);
-        let (s, ms) = retry_after_time.map(retry_after).unzip();
-        let mut fields = vec![("request-id", request_id.as_str())];
-        if let (Some(s), Some(ms)) = (&s, &ms) {
-            fields.extend([("retry-after", s.as_str()), ("retry-after-ms", ms.as_str())]);
-        }
-        match end {
-            RequestEnd::Rejected => fields.push(("x-should-retry", "true")),
-            _ if must_not_repeat => fields.push(("x-should-retry", "false")),
-            _ => {}
-        }
-        let body = error.body(&request_id);
-        self.answer(conn, error.kind.status(), &fields, body.as_bytes(), out);
-        self.read_requests(conn, out);
-    }
-
-    /// The decision module rejects a request.
-    pub(crate) fn reject_request(
-        &mut self, id: RequestId, retry_after_time: Option<Duration>, over_share: bool, out: &mut Vec<Output>,
-    ) {
-        let error = if over_share {
-            ApiError::new(ErrorKind::RateLimit, "your share is used up and the fleet is busy")
-        } else {
-            ApiError::new(ErrorKind::Overloaded, "Overloaded")
-        };
-        if let Some(request) = self.requests.get_open(id) {
-            let why = match request.attempts.is_empty() {
-                false => RejectionReason::AttemptsFailed,
-                true if over_share => RejectionReason::OverQuota,
-                true => RejectionReason::Admission,
-            };
-            self.metrics.refused(request.class_name(), why);
-        }
-        self.answer_with_error(id, &error, retry_after_time, RequestEnd::Rejected, out);
-    }
-
-    /// The decision module fails a request: in time if its client still waits a while, else as a timeout.
-    pub(crate) fn fail_request(&mut self, id: RequestId, out: &mut Vec<Output>) {
-        let Some(request) = self.requests.get(id) else { return };
-        let margin = self.settings.decisions.tick * 4;
-        let error = if self.now + margin >= request.deadline {
-            ApiError::new(ErrorKind::Timeout, "no answer began in the time that this request has")
-        } else {
-            ApiError::new(ErrorKind::Api, "the request failed and may have run")
-        };
-        self.answer_with_error(id, &error, None, RequestEnd::Failed, out);
-    }
-
-    /// A client that waits for a complete answer gives up now.
-    pub(crate) fn complete_answer_timed_out(&mut self, id: RequestId, out: &mut Vec<Output>) {
-        let Some(request) = self.requests.get_open(id) else { return };
-        let conn = request.streaming_attempt.and_then(|a| request.attempts[a].conn);
-        let error =
-            ApiError::new(ErrorKind::Timeout, "the answer was not whole in the time that this request has");
-        let generation = request.generation;
-        self.answer_with_error(id, &error, None, RequestEnd::Failed, out);
-        // To the decision module its client is as good as gone: no attempt follows, and what is held is released.
-        self.queue_event(generation, Event::ClientDisconnected(id));
-        if let Some(conn) = conn {
-            self.abort_connection(conn, out, Outcome::Cancelled);
-        }
-    }
-
-    /// What still runs some time after a stop ends now.
-    pub(crate) fn end_at_shutdown_deadline(&mut self, out: &mut Vec<Output>) {
-        for id in self.requests.open_ids() {
-            let error = ApiError::new(ErrorKind::Api, "this router has stopped");
-            self.answer_with_error(id, &error, None, RequestEnd::Failed, out);
-            let Some(request) = self.requests.get(id) else { continue };
-            let (generation, conn) =
-                (request.generation, request.streaming_attempt.and_then(|a| request.attempts[a].conn));
-            // For the decision module the client is as good as gone: it cancels and releases.
-            self.queue_event(generation, Event::ClientDisconnected(id));
-            if let Some(conn) = conn {
-                self.abort_connection(conn, out, Outcome::Cancelled);
-            }
-        }
-        for conn in self.clients.ids() {
-            out.push(Output::CloseWhenSent(conn));
-            self.clients.remove(conn, &mut self.timers);
-        }
-    }
-
     /// Connections whose stream nobody waits for any more.
     pub(crate) fn drop_abandoned_connections(&mut self, out: &mut Vec<Output>) {
         for conn in self.engines.take_abandoned() {
@@ -546,6 +313,25 @@
     }
 }
 
+/// A request as the decision module takes it.
+fn decision_request(
+    id: RequestId, caller: Caller, traits: &RequestAttributes, messages_request: &MessagesRequest,
+) -> slipreel::Request {
+    slipreel::Request {
+        id,
+        class: traits.class,
+        tenant: caller.tenant,
+        session: traits.session,
+        shared_prefix: traits.shared_prefix,
+        prompt_tokens: traits.prompt_tokens,
+        max_output_tokens: f64::from(messages_request.max_tokens),
+        client_timeout: traits.time_left,
+        complete_answer_timeout: (!messages_request.stream).then(|| traits.told.unwrap_or(traits.time_left)),
+        is_retry: traits.repeat,
+        is_resumption: false,
+    }
+}
+
 /// The two fields that tell when to come back: whole seconds as HTTP has it, and milliseconds.
 pub(crate) fn retry_after(wait: Duration) -> (String, String) {
     let ms = wait.as_millis().max(1);
