--- a/crates/gateway/src/dispatch.rs
+++ b/crates/gateway/src/dispatch.rs
@@ -1,7 +1,7 @@
-//! Carries out what the module decides: attempts, cancels, probes, aborts, timers. Decides nothing itself.
+//! Dispatches what the decision modules decide: attempts, cancellations, probes, releases, timers. Decides nothing itself.
 
 use crate::engine_connection::{ConnectionPurpose, EngineConnection, State};
-use crate::gateway::{Decided, Gateway};
+use crate::gateway::Gateway;
 use crate::limits;
 use crate::request::{RequestEnd, POLICY};
 use crate::timer::Timer;
@@ -24,7 +24,7 @@
 }
 
 impl Gateway {
-    pub(crate) fn dispatch(&mut self, generation: u64, action: Decided, out: &mut Vec<Output>) {
+    pub(crate) fn dispatch(&mut self, generation: u64, action: Action, out: &mut Vec<Output>) {
         match action {
             Action::Send { request, engine, timeout: limit } => self.send(request, engine, limit, out),
             Action::Cancel { request, attempt } => self.cancel(request, attempt, out),
@@ -39,9 +39,9 @@
             Action::Probe(engine) => self.probe(engine, out),
             Action::CloseIdleConnections(engine) => self.close_idle(engine, out),
             Action::Log(line) => out.push(Output::Log(line)),
-            // The list is pushed to the front; it is at the module's hands already.
+            // The list is pushed to the gateway; it is at the decision module's hands already.
             Action::WatchEngines(_) | Action::FetchEngines => {}
-            // Settings say that there are no peers, places ahead or moved streams; the module asks for none.
+            // Settings say that there are no peers, places ahead or moved streams; the decision module asks for none.
             Action::SendToPeer { .. } | Action::Reserve { .. } | Action::MigrateStream(_) => {}
         }
     }
@@ -50,7 +50,7 @@
         let Some(role) = self.engine_list.role(engine) else { return self.never_sent(id, engine) };
         let Some(addr) = self.engine_list.addr(engine) else { return self.never_sent(id, engine) };
         let (now, via) = (self.now, format!("1.1 {}", self.settings.name));
-        let Some(request) = self.requests.get_mut(&id) else { return };
+        let Some(request) = self.requests.get_mut(id) else { return };
         let (attempt, bytes) = request.send(now, engine, addr, role, &via);
         let call_runs_once = request.idempotency != Idempotency::Idempotent;
         self.counters.attempts += 1;
@@ -62,7 +62,7 @@
         let connection = if is_prefill || !call_runs_once { Wanted::Any } else { Wanted::New };
         match self.exchange(engine, addr, purpose, bytes, connection, out) {
             Some(conn) => {
-                if let Some(request) = self.requests.get_mut(&id) {
+                if let Some(request) = self.requests.get_mut(id) {
                     request.attempts[attempt].conn = Some(conn);
                 }
                 if let Some(limit) = limit {
@@ -77,7 +77,7 @@
     /// An attempt at an engine that has left the list in this very moment.
     fn never_sent(&mut self, id: RequestId, engine: EngineId) {
         let now = self.now;
-        let Some(request) = self.requests.get_mut(&id) else { return };
+        let Some(request) = self.requests.get_mut(id) else { return };
         let attempt = request.attempts.len();
         request.attempts.push(crate::request::Attempt {
             engine,
@@ -134,8 +134,8 @@
     }
 
     fn cancel(&mut self, id: RequestId, attempt: usize, out: &mut Vec<Output>) {
-        let Some(request) = self.requests.get(&id) else { return };
-        // A stream that has begun is the client's; the module does not cancel it either.
+        let Some(request) = self.requests.get(id) else { return };
+        // A stream that has begun is the client's; the decision module does not cancel it either.
         if request.streaming_attempt == Some(attempt) {
             return;
         }
@@ -171,7 +171,7 @@
     }
 
     fn release(&mut self, id: RequestId, out: &mut Vec<Output>) {
-        let Some(request) = self.requests.get_mut(&id) else { return };
+        let Some(request) = self.requests.get_mut(id) else { return };
         for (engine, addr, name) in request.release() {
             self.engines.state_released(Some(engine));
             let id = self.releases.add(self.now, engine, addr, name);
@@ -242,13 +242,13 @@
         }
     }
 
-    /// Tells the module how an attempt ended, once.
+    /// Notifies the decision module how an attempt ended, once.
     pub(crate) fn ended(
         &mut self, id: RequestId, attempt: usize, outcome: Outcome, cached_tokens: f64, load: Option<Load>,
     ) {
         let now = self.now;
         let report = load.map(|l| self.report(&l)).unwrap_or_default();
-        let Some(request) = self.requests.get_mut(&id) else { return };
+        let Some(request) = self.requests.get_mut(id) else { return };
         let Some(a) = request.attempts.get_mut(attempt).filter(|a| a.in_flight) else { return };
         (a.in_flight, a.conn) = (false, None);
         let latency = now.saturating_sub(a.sent);
@@ -265,11 +265,11 @@
             report,
         };
         let generation = request.generation;
-        self.finished_requests.push(id);
+        self.requests.check_when_settled(id);
         self.queue_event(generation, Event::AttemptEnded(ended));
     }
 
-    /// A load report as the module takes it; nothing where the site says that answers carry none.
+    /// A load report as the decision module takes it; nothing where the settings say that answers carry none.
     pub(crate) fn report(&self, load: &Load) -> LoadReport {
         if self.settings.decisions.report_source != ReportSource::Answers {
             return LoadReport::default();
@@ -278,16 +278,16 @@
     }
 
     pub(crate) fn record_end(&mut self, id: RequestId, end: RequestEnd) {
-        if let Some(request) = self.requests.get_mut(&id) {
+        if let Some(request) = self.requests.get_mut(id) {
             request.is_closed = true;
-            self.finished_requests.push(id);
             self.metrics.ended(request.class_name(), end);
+            self.requests.check_when_settled(id);
             self.count(end);
         }
     }
 }
 
-/// The published gauges in the module's terms.
+/// The published metrics of an engine in the decision module's terms.
 pub(crate) fn load_report(load: &Load) -> LoadReport {
     LoadReport {
         in_flight: load.running.zip(load.waiting).map(|(running, waiting)| running + waiting),
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -1,37 +1,40 @@
-//! The front as a machine: takes inputs in turn, fires timers, and lets the module decide until nothing is left.
+//! The gateway as a state machine: takes inputs in turn, fires timers, and lets the decision modules decide until no event
+//! is left.
 
+use crate::active_requests::ActiveRequests;
 use crate::client_connections::ClientConnections;
+use crate::decisions::{Decision, DecisionModules};
 use crate::engine_connection::{ConnectionPurpose, State as ConnectionState};
 use crate::engine_connections::EngineConnections;
 use crate::engine_list::EngineList;
 use crate::limits;
 use crate::metrics::{Metrics, Snapshot};
-use crate::request::{ActiveRequest, RequestEnd};
+use crate::request::RequestEnd;
 use crate::settings::{EngineSettings, GatewaySettings};
+use crate::shutdown::Shutdown;
 use crate::timer::{Timer, Timers};
-use slipreel::{Action, EngineId, EngineState, Event, Listing, RequestId, Router};
+use slipreel::{EngineId, EngineState, Event, Listing, RequestId};
 use slipreel_connections::{Client, ReleaseQueue, State as ClientState};
 use slipreel_consensus::PolicyHandle;
 use slipreel_membership::{MemberStatus, SharedView};
 use slipreel_state_machine::{ConnId, ConnectionLoss, Input, Machine, Output};
-use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How many requests ended how, and what the front holds. Counters only grow.
+/// How many requests ended how, and what the gateway holds. Counters only grow.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
-    /// Requests told to the module.
+    /// Requests handed to the decision module.
     pub admitted: u64,
     /// Final answers by kind.
     pub completed: u64,
-    /// Rejected by the module.
+    /// Rejected by the decision module.
     pub rejected: u64,
     /// Failed.
     pub failed: u64,
-    /// Clients that left before their answer ended.
+    /// Clients that disconnected before their answer ended.
     pub disconnected: u64,
-    /// Answered without the module: bad input, unknown paths, the front's own bounds.
+    /// Answered without the decision module: bad input, unknown paths, the gateway's own bounds.
     pub rejected_before_admission: u64,
     /// Attempts sent to engines.
     pub attempts: u64,
@@ -52,73 +55,56 @@
     pub timers: usize,
 }
 
-/// News for a front: so many routers share the fleet from now on, this one counted. What was learnt stays.
+/// Owner message: how many routers share the fleet from now on, this one included. What was learnt stays.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RouterCount(pub u32);
 
-/// A router and the site that it was made from. After a reload the older one ends what it has taken.
-pub(crate) struct DecisionModule {
-    pub(crate) generation: u64,
-    pub(crate) router: Router,
-}
-
 /// A router between clients and engines, without I/O and clock.
 ///
-/// Takes as [`Input::News`]: `Vec<EngineSettings>`, the complete list of engines; `Arc<GatewaySettings>`, new settings.
+/// Takes as [`Input::OwnerMessage`]: `Vec<EngineSettings>`, the complete list of engines; `Arc<GatewaySettings>`, new settings.
 pub struct Gateway {
     pub(crate) now: Duration,
     pub(crate) settings: Arc<GatewaySettings>,
-    pub(crate) seed: u64,
-    /// Clock of the front at the epoch of wall time, if that is after the epoch: start times are told in wall time.
+    /// Clock of the gateway at the epoch of wall time, if that is after the epoch: engines report start times in wall time.
     pub(crate) epoch_ahead: Duration,
-    pub(crate) decision_modules: Vec<DecisionModule>,
+    pub(crate) decision_modules: DecisionModules,
     pub(crate) engine_list: EngineList,
     pub(crate) clients: ClientConnections,
     pub(crate) engines: EngineConnections,
-    pub(crate) requests: BTreeMap<RequestId, ActiveRequest>,
+    pub(crate) requests: ActiveRequests,
     pub(crate) timers: Timers,
-    /// What the module is to be told, and by whose router; `None`: all.
-    pub(crate) events: VecDeque<(Option<u64>, Event)>,
-    pub(crate) finished_requests: Vec<RequestId>,
-    /// What engines have to be told to let go of, until they have heard it.
+    /// State that engines still have to release.
     pub(crate) releases: ReleaseQueue,
-    pub(crate) next_request: u64,
-    pub(crate) stopping: bool,
-    stopped: bool,
+    pub(crate) shutdown: Shutdown,
     pub(crate) counters: Counters,
     /// By class name, as names outlive reloads.
     pub(crate) metrics: Metrics,
     /// The view of the fleet, where this process is a member of one.
     pub(crate) fleet: Option<Arc<SharedView>>,
-    /// The fleet's policy, where this process takes part in agreeing on one, and the epoch that this front acts by.
+    /// The fleet's policy, where this process takes part in agreeing on one, and the epoch by which this gateway admits requests.
     pub(crate) policy: Option<Arc<PolicyHandle>>,
     pub(crate) policy_epoch: u64,
-    /// Engines as they were listed, whoever is taken out.
+    /// Engines as they were listed, those included that operators have taken out.
     pub(crate) listed: Vec<EngineSettings>,
     /// Routers to reckon with by that view; it holds for settings that are read again too.
     routers: Option<u32>,
 }
 
 impl Gateway {
-    /// A front at its start. `seed` settles its chances and begins its request ids, so it is to be a new one at
+    /// A gateway at its start. `seed` settles its chances and begins its request ids, so it is to be a new one at
     /// each start. `wall` is the wall clock, since the epoch, at the clock's time `now`.
     pub fn new(settings: Arc<GatewaySettings>, seed: u64, now: Duration, wall: Duration) -> Self {
-        let mut front = Gateway {
+        let mut gateway = Gateway {
             now,
-            seed,
             epoch_ahead: wall.saturating_sub(now),
-            decision_modules: Vec::new(),
+            decision_modules: DecisionModules::new(seed),
             engine_list: EngineList::default(),
             clients: ClientConnections::default(),
             engines: EngineConnections::default(),
-            requests: BTreeMap::new(),
+            requests: ActiveRequests::new(seed),
             timers: Timers::default(),
-            events: VecDeque::new(),
-            finished_requests: Vec::new(),
             releases: ReleaseQueue::new(limits::RELEASE_TIMING),
-            next_request: 0,
-            stopping: false,
-            stopped: false,
+            shutdown: Shutdown::default(),
             counters: Counters::default(),
             metrics: Metrics::default(),
             fleet: None,
@@ -128,17 +114,17 @@
             routers: None,
             settings: settings.clone(),
         };
-        front.add_decision_module(settings.clone());
-        let list = front.effective_engine_list();
-        let (event, _) = front.engine_list.replace(now, &list);
+        gateway.add_decision_module(settings.clone());
+        let list = gateway.effective_engine_list();
+        let (event, _) = gateway.engine_list.replace(now, &list);
         // A router comes up with the list that it is given, which may be old.
         if let Event::Engines { engines, .. } = event {
-            front.events.push_back((None, Event::Engines { listing: Listing::Cached, engines }));
+            gateway.queue_event_for_all(Event::Engines { listing: Listing::Cached, engines });
         }
-        front
+        gateway
     }
 
-    /// What it has done so far.
+    /// Its counters.
     pub fn counters(&self) -> Counters {
         self.counters
     }
@@ -154,14 +140,12 @@
     }
 
     fn add_decision_module(&mut self, settings: Arc<GatewaySettings>) {
-        let generation = self.decision_modules.last().map_or(0, |b| b.generation + 1);
         let decision_settings = self.decision_settings(&settings);
-        let router = Router::new(decision_settings, self.seed.wrapping_add(generation));
-        self.decision_modules.push(DecisionModule { generation, router });
+        self.decision_modules.add(decision_settings);
         self.settings = settings;
     }
 
-    /// A site's settings as the module is handed them here.
+    /// The settings as the decision module is handed them here.
     pub(crate) fn decision_settings(&mut self, settings: &GatewaySettings) -> slipreel::Settings {
         let mut decisions = settings.decisions.clone();
         decisions.zone = self.engine_list.zone(&settings.zone);
@@ -172,7 +156,7 @@
     /// The view reckons with another number of routers: all that was learnt stays.
     fn share_with(&mut self, routers: RouterCount) {
         self.routers = Some(routers.0);
-        self.decision_modules.iter_mut().for_each(|b| b.router.set_router_count(routers.0));
+        self.decision_modules.set_router_count(routers.0);
     }
 
     /// Whether another process holds this one's name in the fleet, or is not yet known not to.
@@ -186,71 +170,54 @@
         }
     }
 
-    pub(crate) fn generation(&self) -> u64 {
-        self.decision_modules.last().map_or(0, |b| b.generation)
-    }
-
-    /// Tells the router that a call belongs to.
+    /// Queues an event for the decision module of one generation.
     pub(crate) fn queue_event(&mut self, generation: u64, event: Event) {
-        self.events.push_back((Some(generation), event));
+        self.decision_modules.queue(generation, event);
     }
 
-    /// Tells all routers.
+    /// Queues an event for all decision modules.
     pub(crate) fn queue_event_for_all(&mut self, event: Event) {
-        self.events.push_back((None, event));
+        self.decision_modules.queue_for_all(event);
     }
 
-    /// Lets the module decide until it has been told all; then forgets calls that are done.
+    /// Lets the decision modules decide until no event waits; then removes what is finished.
     fn run_decisions(&mut self, out: &mut Vec<Output>) {
-        let mut actions = Vec::new();
         self.drop_abandoned_connections(out);
-        while let Some((to, event)) = self.events.pop_front() {
-            for at in 0..self.decision_modules.len() {
-                let generation = self.decision_modules[at].generation;
-                // An heir is told of the ends of what it has inherited, too; what it asks for on that account is the first one's affair.
-                let inherits = matches!(event, Event::AttemptEnded(_) | Event::FirstToken { .. });
-                if to.is_some_and(|to| to != generation && !(inherits && to < generation)) {
-                    continue;
-                }
-                self.decision_modules[at].router.handle(self.now, event.clone(), &mut actions);
-                for action in std::mem::take(&mut actions) {
-                    if self.is_of_other_generation(generation, &action) {
-                        continue;
-                    }
-                    self.dispatch(generation, action, out);
+        while let Some(queued) = self.decision_modules.next_event() {
+            for index in 0..self.decision_modules.len() {
+                if let Some(decision) = self.decision_modules.handle(index, self.now, &queued) {
+                    self.dispatch_decision(decision, out);
                 }
             }
         }
-        for id in std::mem::take(&mut self.finished_requests) {
-            if self.requests.get(&id).is_some_and(ActiveRequest::is_finished) {
-                let held = self.requests.remove(&id).map(ActiveRequest::into_holders).unwrap_or_default();
-                held.into_iter().for_each(|engine| self.engines.state_released(Some(engine)));
-            }
+        for engine in self.requests.remove_finished() {
+            self.engines.state_released(Some(engine));
         }
-        if self.decision_modules.len() > 1 {
-            let current = self.generation();
-            let requests = &self.requests;
-            let used = |b: &DecisionModule| {
-                b.generation == current || requests.values().any(|c| c.generation == b.generation)
-            };
-            self.decision_modules.retain(used);
-        }
-        if self.stopping && !self.stopped && self.requests.is_empty() && self.clients.is_empty() {
-            self.stopped = true;
+        let requests = &self.requests;
+        self.decision_modules.remove_unused(|generation| requests.has_generation(generation));
+        if self.requests.is_empty() && self.clients.is_empty() && self.shutdown.finish() {
             out.push(Output::Stopped);
         }
     }
 
+    /// Dispatches the actions of a decision. A module that hears of another one's request takes no action on it.
+    fn dispatch_decision(&mut self, decision: Decision, out: &mut Vec<Output>) {
+        for action in decision.actions {
+            if !self.is_of_other_generation(decision.generation, &action) {
+                self.dispatch(decision.generation, action, out);
+            }
+        }
+    }
+
     // ---- Timers -----------------------------------------------------------------------------
 
     /// When a connection to an engine times out; `None` if it does not in its present state.
     fn engine_deadline(&self, conn: ConnId) -> Option<Duration> {
         let connection = self.engines.get(conn)?;
         let is_streaming = match connection.purpose {
-            ConnectionPurpose::Attempt { request, attempt, .. } => self
-                .requests
-                .get(&RequestId(request))
-                .is_some_and(|request| request.streaming_attempt == Some(attempt)),
+            ConnectionPurpose::Attempt { request, attempt, .. } => {
+                self.requests.is_streaming(RequestId(request), attempt)
+            }
             ConnectionPurpose::Probe | ConnectionPurpose::Release(_) => false,
         };
         connection.deadline(&self.settings, is_streaming)
@@ -352,7 +319,7 @@
     }
 
     fn stop(&mut self, out: &mut Vec<Output>) {
-        if std::mem::replace(&mut self.stopping, true) {
+        if !self.shutdown.begin() {
             return;
         }
         for conn in self.clients.ids() {
@@ -410,6 +377,23 @@
     }
 }
 
+impl Gateway {
+    /// Takes what the owner of this machine hands in; other types are ignored.
+    fn handle_owner_message(&mut self, message: &(dyn std::any::Any + Send + Sync), out: &mut Vec<Output>) {
+        if let Some(list) = message.downcast_ref::<Vec<EngineSettings>>() {
+            self.take_list(list, out);
+        } else if let Some(settings) = message.downcast_ref::<Arc<GatewaySettings>>() {
+            self.take_site(settings, out);
+        } else if let Some(board) = message.downcast_ref::<Arc<SharedView>>() {
+            self.fleet = Some(board.clone());
+        } else if let Some(handle) = message.downcast_ref::<Arc<PolicyHandle>>() {
+            self.policy = Some(handle.clone());
+        } else if let Some(routers) = message.downcast_ref::<RouterCount>() {
+            self.share_with(*routers);
+        }
+    }
+}
+
 impl Machine for Gateway {
     fn handle(&mut self, now: Duration, input: Input<'_>, out: &mut Vec<Output>) {
         self.now = self.now.max(now);
@@ -420,7 +404,7 @@
             Input::Accepted(conn, door) => {
                 let limits =
                     slipreel_protocol::http::Limits { body: self.settings.bounds.body, ..Default::default() };
-                if self.stopping || self.clients.len() >= self.settings.bounds.connections {
+                if self.shutdown.has_begun() || self.clients.len() >= self.settings.bounds.connections {
                     out.push(Output::Abort(conn));
                 } else {
                     self.clients.insert(Client::new(conn, door, self.now, limits, limits::MAX_PIPELINED));
@@ -442,19 +426,7 @@
             | Input::Wake
             | Input::Datagram(..) => {}
             Input::Stop => self.stop(out),
-            Input::OwnerMessage(news) => {
-                if let Some(list) = news.downcast_ref::<Vec<EngineSettings>>() {
-                    self.take_list(list, out);
-                } else if let Some(settings) = news.downcast_ref::<Arc<GatewaySettings>>() {
-                    self.take_site(settings, out);
-                } else if let Some(board) = news.downcast_ref::<Arc<SharedView>>() {
-                    self.fleet = Some(board.clone());
-                } else if let Some(handle) = news.downcast_ref::<Arc<PolicyHandle>>() {
-                    self.policy = Some(handle.clone());
-                } else if let Some(routers) = news.downcast_ref::<RouterCount>() {
-                    self.share_with(*routers);
-                }
-            }
+            Input::OwnerMessage(message) => self.handle_owner_message(message, out),
         }
         self.run_decisions(out);
     }
@@ -464,7 +436,7 @@
     }
 }
 
-/// What the loss of a connection that carried something means for the module.
+/// What the loss of a connection that carried something means for the decision module.
 pub(crate) fn loss_outcome(loss: ConnectionLoss) -> slipreel::Outcome {
     match loss {
         ConnectionLoss::NotConnected => slipreel::Outcome::ConnectFailed,
@@ -472,6 +444,3 @@
         ConnectionLoss::Reset => slipreel::Outcome::Reset,
     }
 }
-
-/// Carried by [`Gateway::dispatch`]; here so that the two files name one type.
-pub(crate) type Decided = Action;
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -1,14 +1,14 @@
 //! The clients' side: what a request asks for, and its one final answer.
 
-use crate::classify;
+use crate::classify::{self, Caller, RequestAttributes};
 use crate::gateway::Gateway;
 use crate::limits::{self, AdmissionError};
-use crate::metrics::{self, RejectionReason};
-use crate::request::{ActiveRequest, NewRequest, RequestEnd, POLICY};
+use crate::metrics::RejectionReason;
+use crate::request::{ActiveRequest, NewRequest, POLICY};
 use serde_json::json;
 use slipreel::{Event, Outcome, RequestId};
 use slipreel_connections::{Received, State};
-use slipreel_protocol::http::{self, Malformed};
+use slipreel_protocol::http::Malformed;
 use slipreel_protocol::messages::{ApiError, ErrorKind, MessagesRequest};
 use slipreel_state_machine::{ConnId, ListenerId, Output};
 use std::time::Duration;
@@ -30,8 +30,8 @@
         }
     }
 
-    /// Takes the requests that have come in whole, one after another as each is answered.
-    fn read_requests(&mut self, conn: ConnId, out: &mut Vec<Output>) {
+    /// Handles the requests that were received completely, one after another as each is answered.
+    pub(crate) fn read_requests(&mut self, conn: ConnId, out: &mut Vec<Output>) {
         loop {
             let now = self.now;
             let Some(client) = self.clients.get_mut(conn) else { return };
@@ -68,7 +68,7 @@
     pub(crate) fn answer(
         &mut self, conn: ConnId, status: u16, fields: &[(&str, &str)], body: &[u8], out: &mut Vec<Output>,
     ) {
-        let stopping = self.stopping;
+        let stopping = self.shutdown.has_begun();
         let epoch = self.epoch_of(conn);
         let Some(client) = self.clients.get_mut(conn) else { return };
         if stopping {
@@ -81,7 +81,7 @@
         self.client_done(conn, out);
     }
 
-    fn client_done(&mut self, conn: ConnId, out: &mut Vec<Output>) {
+    pub(crate) fn client_done(&mut self, conn: ConnId, out: &mut Vec<Output>) {
         let now = self.now;
         let Some(client) = self.clients.get_mut(conn) else { return };
         if client.finish_answer(now, out) {
@@ -92,8 +92,7 @@
     }
 
     fn request_id(&mut self) -> String {
-        self.next_request += 1;
-        format!("req_{:016x}{:08x}", self.seed, self.next_request)
+        self.requests.next_id().1
     }
 
     fn route(&mut self, conn: ConnId, received: &Received, out: &mut Vec<Output>) {
@@ -112,14 +111,7 @@
                 self.models(conn, received, Some(&path["/v1/models/".len()..]), out)
             }
             ("GET", "/health") => {
-                let outside = self.membership_obstacle();
-                let (status, word) = match outside {
-                    _ if self.stopping => (503, "stopping"),
-                    Some(word) => (503, word),
-                    None if !self.holds_policy() => (503, "policy"),
-                    None => (200, "ok"),
-                };
-                self.answer(conn, status, &[], json!({"status": word}).to_string().as_bytes(), out);
+                self.answer_health(conn, out);
                 Ok(())
             }
             (_, "/v1/messages" | "/v1/messages/count_tokens" | "/v1/models" | "/health") => {
@@ -135,68 +127,15 @@
         }
     }
 
-    /// What operators ask of the view of the fleet.
-    fn handle_fleet_operation(&mut self, conn: ConnId, method: &str, path: &str, out: &mut Vec<Output>) {
-        let Some(board) = self.fleet.clone() else { return };
-        let (what, name) = path["/fleet/".len()..].split_once('/').unwrap_or((&path["/fleet/".len()..], ""));
-        let done = json!({"done": true}).to_string();
-        let (status, text) = match (method, what, name) {
-            ("GET", "status", "") => (200, board.view().json(self.now)),
-            ("POST", "leave", "") => {
-                board.request_leave();
-                (202, done)
-            }
-            ("POST", "forget", name) if board.view().members.iter().any(|m| m.name == name) => {
-                let room = board.request_forget(name);
-                (if room { 202 } else { 503 }, done)
-            }
-            ("POST", "forget", name) => {
-                let error =
-                    ApiError::new(ErrorKind::NotFound, format!("{name:?}: expected the name of a member"));
-                return self.reject_before_admission(conn, 404, &error, &[], out);
-            }
-            _ => {
-                let what = format!(
-                    "{method} {path}: expected GET /fleet/status, POST /fleet/leave or /fleet/forget/NAME"
-                );
-                return self.reject_before_admission(
-                    conn,
-                    404,
-                    &ApiError::new(ErrorKind::NotFound, what),
-                    &[],
-                    out,
-                );
-            }
+    /// Answers whether this gateway takes requests.
+    fn answer_health(&mut self, conn: ConnId, out: &mut Vec<Output>) {
+        let (status, word) = match self.membership_obstacle() {
+            _ if self.shutdown.has_begun() => (503, "stopping"),
+            Some(word) => (503, word),
+            None if !self.holds_policy() => (503, "policy"),
+            None => (200, "ok"),
         };
-        self.answer(conn, status, &[], text.as_bytes(), out);
-    }
-
-    /// What operators ask, on a port of their own.
-    fn handle_operator_request(&mut self, conn: ConnId, received: &Received, out: &mut Vec<Output>) {
-        let (method, path) = (received.method(), received.path());
-        match (method, path) {
-            ("GET", "/metrics") => {
-                let view = self.fleet.as_ref().map(|board| board.view().metrics());
-                let text = metrics::with(self.metrics.write(&self.snapshot()), view);
-                let text = metrics::with(text, self.policy_metrics());
-                self.answer(conn, 200, &[("content-type", metrics::MEDIA_TYPE)], text.as_bytes(), out);
-            }
-            (_, "/metrics") => {
-                let error =
-                    ApiError::new(ErrorKind::InvalidRequest, format!("{path} does not take {method}"));
-                self.reject_before_admission(conn, 405, &error, &[], out);
-            }
-            _ if path.starts_with("/policy/") && self.policy.is_some() => {
-                self.handle_policy_operation(conn, received, out);
-            }
-            _ if path.starts_with("/fleet/") && self.fleet.is_some() => {
-                self.handle_fleet_operation(conn, method, path, out);
-            }
-            _ => {
-                let error = ApiError::new(ErrorKind::NotFound, format!("no such path for operators: {path}"));
-                self.reject_before_admission(conn, 404, &error, &[], out);
-            }
-        }
+        self.answer(conn, status, &[], json!({"status": word}).to_string().as_bytes(), out);
     }
 
     fn models(
@@ -231,7 +170,7 @@
         Ok(())
     }
 
-    /// A message request: the module is told of it, unless it can't be taken at all.
+    /// A message request: the decision module is notified of it, unless it can't be taken at all.
     fn handle_messages_request(
         &mut self, conn: ConnId, received: &Received, out: &mut Vec<Output>,
     ) -> Result<(), ApiError> {
@@ -241,25 +180,14 @@
             classify::traits(&self.settings, &received.head, caller, &messages_request, received.body.len())?;
         let model = std::mem::replace(&mut messages_request.model, traits.served_as.clone());
         let chat = messages_request.to_chat()?;
-        if let Err(turned) =
-            limits::check_admission(&self.settings.bounds, self.requests.len(), self.stopping)
+        if let Err(error) =
+            limits::check_admission(&self.settings.bounds, self.requests.len(), self.shutdown.has_begun())
         {
-            let (why, text) = match turned {
-                AdmissionError::TooManyRequests => {
-                    (RejectionReason::TooManyRequests, "too many requests are under way")
-                }
-                AdmissionError::Stopping => (RejectionReason::Stopping, "this router is stopping"),
-            };
-            self.metrics.refused(self.class_name(traits.class.0), why);
-            let error = ApiError::new(ErrorKind::Overloaded, text);
-            let (s, ms) = retry_after(limits::RETRY_AFTER);
-            let fields = [("retry-after", s.as_str()), ("retry-after-ms", &ms), ("x-should-retry", "true")];
-            self.reject_before_admission(conn, error.kind.status(), &error, &fields, out);
+            self.reject_not_admitted(conn, traits.class.0, error, out);
             return Ok(());
         }
-        let request_id = self.request_id();
-        let id = RequestId(self.next_request);
-        let generation = self.generation();
+        let (id, request_id) = self.requests.next_id();
+        let generation = self.decision_modules.generation();
         if let Some(client) = self.clients.get_mut(conn) {
             client.state = State::Serving(Some(id.0));
         }
@@ -278,30 +206,38 @@
             complete_within: traits.told,
             chat,
             max_tokens: messages_request.max_tokens,
-            key: traits.idempotency_key,
+            key: traits.idempotency_key.clone(),
             model,
         };
-        self.requests.insert(id, ActiveRequest::new(new));
+        self.requests.insert(ActiveRequest::new(new));
         self.counters.admitted += 1;
         self.metrics.admitted(self.class_name(traits.class.0));
-        let request = slipreel::Request {
-            id,
-            class: traits.class,
-            tenant: caller.tenant,
-            session: traits.session,
-            shared_prefix: traits.shared_prefix,
-            prompt_tokens: traits.prompt_tokens,
-            max_output_tokens: f64::from(messages_request.max_tokens),
-            client_timeout: traits.time_left,
-            complete_answer_timeout: (!messages_request.stream)
-                .then(|| traits.told.unwrap_or(traits.time_left)),
-            is_retry: traits.repeat,
-            is_resumption: false,
-        };
+        let request = decision_request(id, caller, &traits, &messages_request);
         self.queue_event(generation, Event::Request(request));
         Ok(())
     }
 
+    /// Rejects a request that the gateway's own limits do not admit.
+    fn reject_not_admitted(
+        &mut self, conn: ConnId, class: usize, error: AdmissionError, out: &mut Vec<Output>,
+    ) {
+        let (reason, text) = match error {
+            AdmissionError::TooManyRequests => {
+                (RejectionReason::TooManyRequests, "too many requests are under way")
+            }
+            AdmissionError::Stopping => (RejectionReason::Stopping, "this router is stopping"),
+        };
+        self.metrics.refused(self.class_name(class), reason);
+        let error = ApiError::new(ErrorKind::Overloaded, text);
+        let (seconds, milliseconds) = retry_after(limits::RETRY_AFTER);
+        let fields = [
+            ("retry-after", seconds.as_str()),
+            ("retry-after-ms", &milliseconds),
+            ("x-should-retry", "true"),
+        ];
+        self.reject_before_admission(conn, error.kind.status(), &error, &fields, out);
+    }
+
     // ---- Leaving ------------------------------------------------------------------------------
 
     pub(crate) fn client_eof(&mut self, conn: ConnId, out: &mut Vec<Output>) {
@@ -325,15 +261,15 @@
         self.clients.remove(conn, &mut self.timers);
         let State::Serving(Some(id)) = state else { return };
         let id = RequestId(id);
-        let Some(request) = self.requests.get_mut(&id).filter(|c| !c.is_closed) else { return };
+        let Some(request) = self.requests.get_open_mut(id) else { return };
         request.is_closed = true;
         self.counters.disconnected += 1;
         self.metrics.left();
         let (generation, streaming_attempt) = (request.generation, request.streaming_attempt);
         let conn = streaming_attempt.and_then(|a| request.attempts[a].conn);
-        self.finished_requests.push(id);
+        self.requests.check_when_settled(id);
         self.queue_event(generation, Event::ClientDisconnected(id));
-        // The module leaves a stream that has begun to its client, and this one is gone.
+        // The decision module leaves a stream that has begun to its client, and this one is gone.
         if let Some(conn) = conn {
             self.engines.abandon(conn);
         }
@@ -369,163 +305,6 @@
         }
     }
 
-    // ---- Out ----------------------------------------------------------------------------------
-
-    pub(crate) fn begin_stream(&mut self, id: RequestId, out: &mut Vec<Output>) {
-        let now = self.now;
-        let Some(request) = self.requests.get(&id) else { return };
-        let Some(client) = self.clients.get_mut(request.client) else { return };
-        client.last_sent_at = now;
-        let epoch = request.epoch.map(|e| e.to_string());
-        let mut fields = vec![("request-id", request.request_id.as_str())];
-        fields.extend(epoch.as_ref().map(|e| (POLICY, e.as_str())));
-        client.begin_stream(&fields, out);
-        let conn = client.conn;
-        self.arm_client_timer(conn);
-    }
-
-    /// Passes a piece of a stream on. A whole answer keeps it.
-    pub(crate) fn write_stream(&mut self, id: RequestId, piece: &mut Vec<u8>, out: &mut Vec<Output>) {
-        let piece = std::mem::take(piece);
-        let now = self.now;
-        let Some(request) = self.requests.get(&id).filter(|c| c.stream && !c.is_closed) else { return };
-        let Some(client) = self.clients.get_mut(request.client) else { return };
-        let (conn, idle) = (client.conn, client.unsent == 0);
-        if idle {
-            client.last_sent_at = now;
-        }
-        client.write(http::chunk(&piece), out);
-        if idle {
-            self.arm_client_timer(conn);
-        }
-    }
-
-    /// The final answer of a request whose answer is whole.
-    pub(crate) fn complete_request(&mut self, id: RequestId, out: &mut Vec<Output>) {
-        let Some(request) = self.requests.get_mut(&id).filter(|c| !c.is_closed) else { return };
-        let (conn, stream, request_id) = (request.client, request.stream, request.request_id.clone());
-        let mut bytes = Vec::new();
-        request.writer.finish(&mut bytes);
-        let tokens = request.writer.used().output_tokens;
-        self.metrics.answered(request.class_name(), tokens);
-        self.record_end(id, RequestEnd::Completed);
-        if stream {
-            if let Some(client) = self.clients.get_mut(conn) {
-                let mut last = http::chunk(&bytes);
-                last.extend_from_slice(http::LAST_CHUNK);
-                client.write(last, out);
-            }
-            self.client_done(conn, out);
-        } else {
-            self.answer(conn, 200, &[("request-id", &request_id)], &bytes, out);
-        }
-        self.read_requests(conn, out);
-    }
-
-    /// The final answer of a request that gets no answer of an engine.
-    pub(crate) fn answer_with_error(
-        &mut self, id: RequestId, error: &ApiError, retry_after_time: Option<Duration>, end: RequestEnd,
-        out: &mut Vec<Output>,
-    ) {
-        let Some(request) = self.requests.get_mut(&id).filter(|c| !c.is_closed) else { return };
-        let (conn, request_id) = (request.client, request.request_id.clone());
-        let must_not_repeat = end == RequestEnd::Failed && request.must_not_repeat();
-        if request.stream && request.streaming_attempt.is_some() {
-            let mut bytes = Vec::new();
-            request.writer.error(error, &request_id, &mut bytes);
-            let mut last = http::chunk(&bytes);
-            last.extend_from_slice(http::LAST_CHUNK);
-            self.record_end(id, end);
-            if let Some(client) = self.clients.get_mut(conn) {
-                client.close_after_answer();
-                client.write(last, out);
-            }
-            return self.client_done(conn, out);
-        }
-        self.record_end(id, end);
-        let (s, ms) = retry_after_time.map(retry_after).unzip();
-        let mut fields = vec![("request-id", request_id.as_str())];
-        if let (Some(s), Some(ms)) = (&s, &ms) {
-            fields.extend([("retry-after", s.as_str()), ("retry-after-ms", ms.as_str())]);
-        }
-        match end {
-            RequestEnd::Rejected => fields.push(("x-should-retry", "true")),
-            _ if must_not_repeat => fields.push(("x-should-retry", "false")),
-            _ => {}
-        }
-        let body = error.body(&request_id);
-        self.answer(conn, error.kind.status(), &fields, body.as_bytes(), out);
-        self.read_requests(conn, out);
-    }
-
-    /// The module turns a request away.
-    pub(crate) fn reject_request(
-        &mut self, id: RequestId, retry_after_time: Option<Duration>, over_share: bool, out: &mut Vec<Output>,
-    ) {
-        let error = if over_share {
-            ApiError::new(ErrorKind::RateLimit, "your share is used up and the fleet is busy")
-        } else {
-            ApiError::new(ErrorKind::Overloaded, "Overloaded")
-        };
-        if let Some(request) = self.requests.get(&id).filter(|c| !c.is_closed) {
-            let why = match request.attempts.is_empty() {
-                false => RejectionReason::AttemptsFailed,
-                true if over_share => RejectionReason::OverQuota,
-                true => RejectionReason::Admission,
-            };
-            self.metrics.refused(request.class_name(), why);
-        }
-        self.answer_with_error(id, &error, retry_after_time, RequestEnd::Rejected, out);
-    }
-
-    /// The module fails a request: in time if its client still waits a while, else as a time-out.
-    pub(crate) fn fail_request(&mut self, id: RequestId, out: &mut Vec<Output>) {
-        let Some(request) = self.requests.get(&id) else { return };
-        let margin = self.settings.decisions.tick * 4;
-        let error = if self.now + margin >= request.deadline {
-            ApiError::new(ErrorKind::Timeout, "no answer began in the time that this request has")
-        } else {
-            ApiError::new(ErrorKind::Api, "the request failed and may have run")
-        };
-        self.answer_with_error(id, &error, None, RequestEnd::Failed, out);
-    }
-
-    /// A client that waits for a whole answer gives up now.
-    pub(crate) fn complete_answer_timed_out(&mut self, id: RequestId, out: &mut Vec<Output>) {
-        let Some(request) = self.requests.get(&id).filter(|c| !c.is_closed) else { return };
-        let conn = request.streaming_attempt.and_then(|a| request.attempts[a].conn);
-        let error =
-            ApiError::new(ErrorKind::Timeout, "the answer was not whole in the time that this request has");
-        let generation = request.generation;
-        self.answer_with_error(id, &error, None, RequestEnd::Failed, out);
-        // To the module its client is as good as gone: no attempt follows, and what is held is let go of.
-        self.queue_event(generation, Event::ClientDisconnected(id));
-        if let Some(conn) = conn {
-            self.abort_connection(conn, out, Outcome::Cancelled);
-        }
-    }
-
-    /// What still runs some time after a stop ends now.
-    pub(crate) fn end_at_shutdown_deadline(&mut self, out: &mut Vec<Output>) {
-        let open: Vec<RequestId> = self.requests.values().filter(|c| !c.is_closed).map(|c| c.id).collect();
-        for id in open {
-            let error = ApiError::new(ErrorKind::Api, "this router has stopped");
-            self.answer_with_error(id, &error, None, RequestEnd::Failed, out);
-            let Some(request) = self.requests.get(&id) else { continue };
-            let (generation, conn) =
-                (request.generation, request.streaming_attempt.and_then(|a| request.attempts[a].conn));
-            // For the module the client is as good as gone: it cancels and lets go.
-            self.queue_event(generation, Event::ClientDisconnected(id));
-            if let Some(conn) = conn {
-                self.abort_connection(conn, out, Outcome::Cancelled);
-            }
-        }
-        for conn in self.clients.ids() {
-            out.push(Output::CloseWhenSent(conn));
-            self.clients.remove(conn, &mut self.timers);
-        }
-    }
-
     /// Connections whose stream nobody waits for any more.
     pub(crate) fn drop_abandoned_connections(&mut self, out: &mut Vec<Output>) {
         for conn in self.engines.take_abandoned() {
@@ -534,6 +313,25 @@
     }
 }
 
+/// A request as the decision module takes it.
+fn decision_request(
+    id: RequestId, caller: Caller, traits: &RequestAttributes, messages_request: &MessagesRequest,
+) -> slipreel::Request {
+    slipreel::Request {
+        id,
+        class: traits.class,
+        tenant: caller.tenant,
+        session: traits.session,
+        shared_prefix: traits.shared_prefix,
+        prompt_tokens: traits.prompt_tokens,
+        max_output_tokens: f64::from(messages_request.max_tokens),
+        client_timeout: traits.time_left,
+        complete_answer_timeout: (!messages_request.stream).then(|| traits.told.unwrap_or(traits.time_left)),
+        is_retry: traits.repeat,
+        is_resumption: false,
+    }
+}
+
 /// The two fields that tell when to come back: whole seconds as HTTP has it, and milliseconds.
 pub(crate) fn retry_after(wait: Duration) -> (String, String) {
     let ms = wait.as_millis().max(1);
