--- a/crates/fault-injection/src/judge.rs
+++ b/crates/fault-injection/src/judge.rs
@@ -234,7 +234,7 @@
         verdict.handed_out = verdict.handed_out.max(verdict.handed_out_last);
     }
 
-    /// Where each starts with the true count: the promise of `slipreel_membership::count`, whatever is cut from whom.
+    /// Where each starts with the true count: the promise of `slipreel_membership::router_count`, whatever is cut from whom.
     fn check_quota(&mut self) {
         if self.script.floor as usize >= self.script.routers && self.verdict.handed_out >= MOST_HANDED_OUT {
             self.verdict.wrong.push(format!(
