--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -164,7 +164,7 @@
         Action::WatchEngines(watch) => format!("WatchEngines({watch})"),
         Action::FetchEngines => "FetchEngines".to_owned(),
         Action::SendToPeer { to, body } => format!("TellPeer {{ to: {to:?}, body: {body:?} }}"),
-        Action::Log(line) => format!("Log({line:?})"),
+        Action::Log(event) => format!("Log({:?})", event.to_string()),
     }
 }
 
--- a/crates/adapter/src/wire/encode.rs
+++ b/crates/adapter/src/wire/encode.rs
@@ -78,7 +78,7 @@
         Action::CloseIdleConnections(engine) => (code::CLOSE_IDLE_CONNECTIONS, engine_bytes(*engine)),
         Action::MigrateStream(request) => (code::MIGRATE_STREAM, request.0.to_be_bytes().to_vec()),
         Action::WatchEngines(watch) => (code::WATCH_ENGINES, vec![u8::from(*watch)]),
-        Action::Log(line) => (code::LOG, counted(line.as_bytes())),
+        Action::Log(event) => (code::LOG, counted(event.to_string().as_bytes())),
         Action::FetchEngines => (code::FETCH_ENGINES, Vec::new()),
         Action::Send { request, engine, timeout } => {
             let timeout = optional_millis(*timeout);
--- a/crates/adapter/src/wire/tests.rs
+++ b/crates/adapter/src/wire/tests.rs
@@ -1,7 +1,8 @@
 use super::decode::outcome_of;
 use super::*;
 use slipreel::{
-    Action, CellId, EngineId, EngineState, Event, Listing, LoadReport, Outcome, RequestId, TimerId,
+    Action, CellId, EjectionCause, EngineId, EngineState, Event, Listing, LoadReport, LogEvent, Outcome,
+    RequestId, TimerId,
 };
 use slipreel_platform_settings::Column;
 use std::time::Duration;
@@ -106,7 +107,16 @@
         (Action::CloseIdleConnections(engine), "03 00000008 0003 0a124a07 2bc3".into()),
         (Action::MigrateStream(id), format!("04 0000000a {ID}")),
         (Action::WatchEngines(true), "05 00000003 0003 01".into()),
-        (Action::Log("hi".into()), "06 00000006 0003 0002 6869".into()),
+        (
+            Action::Log(LogEvent::EngineEjected {
+                engine,
+                duration: Duration::from_millis(1_250),
+                cause: EjectionCause::ConnectFailed,
+            }),
+            // "engine a124a072bc3 ejected for 1250 ms: no connection"
+            "06 00000039 0003 0035 656e67696e6520613132346130373262633320656a656374656420666f722031323530206d733a206e6f20636f6e6e656374696f6e"
+                .into(),
+        ),
         (Action::FetchEngines, "07 00000002 0003".into()),
         (
             Action::Send { request: id, engine, timeout: Some(wait) },
--- a/crates/gateway/src/carry.rs
+++ b/crates/gateway/src/carry.rs
@@ -37,7 +37,7 @@
             }
             Action::Probe(engine) => self.probe(engine, out),
             Action::CloseIdleConnections(engine) => self.close_idle(engine, out),
-            Action::Log(line) => out.push(Output::Log(line)),
+            Action::Log(event) => out.push(Output::Log(event.to_string())),
             // The list is pushed to the front; it is at the module's hands already.
             Action::WatchEngines(_) | Action::FetchEngines => {}
             // Settings say that there are no peers, places ahead or moved streams; the module asks for none.
--- a/crates/platform/src/dispatch.rs
+++ b/crates/platform/src/dispatch.rs
@@ -30,7 +30,7 @@
             Action::Probe(engine) => self.probe(engine, out),
             Action::CloseIdleConnections(engine) => self.close_idle(engine, out),
             Action::MigrateStream(request) => self.migrate_stream(request, out),
-            Action::Log(line) => self.log_limited(|| line, out),
+            Action::Log(event) => self.log_limited(|| event.to_string(), out),
             // The platform has no places to hold ahead and no way to talk to other routers, and its watch is always open.
             Action::Reserve { request, engine } => {
                 self.queue_event(Event::ReservationAnswered { request, engine, granted: false });
--- a/src/decisions/ejection.rs
+++ b/src/decisions/ejection.rs
@@ -8,7 +8,7 @@
 use super::router::Router;
 use super::timers::Timer;
 use super::token_bucket::TokenBucket;
-use crate::interface::{Action, EngineId};
+use crate::interface::{Action, EjectionCause, EngineId, LogEvent};
 use std::time::Duration;
 
 /// Duration of a first ejection, before a jitter of up to a quarter.
@@ -44,7 +44,9 @@
     }
 
     /// Leaves alone an engine that could not be connected to, with backoff; then a probe tries it.
-    pub(super) fn eject(&mut self, now: Duration, engine: EngineId, why: &str, actions: &mut Vec<Action>) {
+    pub(super) fn eject(
+        &mut self, now: Duration, engine: EngineId, cause: EjectionCause, actions: &mut Vec<Action>,
+    ) {
         let jitter = 1.0 + 0.25 * self.sample_probability();
         let Some(record) = self.engines.get_mut(&engine) else { return };
         if record.ejected.is_some_and(|until| now < until) {
@@ -55,10 +57,7 @@
         record.ejected = Some(now + length);
         self.engine_index.mark_changed(engine);
         self.set_timer(Timer::EjectionEnd(engine), length, actions);
-        actions.push(Action::Log(format!(
-            "engine {:x} ejected for {} ms: {why}",
-            engine.0,
-            length.as_millis()
-        )));
+        let event = LogEvent::EngineEjected { engine, duration: length, cause };
+        actions.push(Action::Log(event));
     }
 }
--- a/src/decisions/probes.rs
+++ b/src/decisions/probes.rs
@@ -6,7 +6,7 @@
 use super::router::Router;
 use super::timers::Timer;
 use crate::engine_index::two_at_random;
-use crate::interface::{Action, EngineId, LoadReport, Outcome, RequestId};
+use crate::interface::{Action, EjectionCause, EngineId, LoadReport, Outcome, RequestId};
 use std::time::Duration;
 
 /// Age from which load reports are asked for anew.
@@ -76,7 +76,7 @@
             self.record_contact(now, engine);
             self.record_report(now, engine, report);
         } else if record.is_ejected() {
-            self.eject(now, engine, "no answer to a probe", actions);
+            self.eject(now, engine, EjectionCause::ProbeUnanswered, actions);
         }
         for id in requests {
             let engines = &self.engines;
--- a/src/decisions/retries.rs
+++ b/src/decisions/retries.rs
@@ -11,7 +11,7 @@
 use super::requests::{ActiveRequest, Attempt, HeldState};
 use super::router::Router;
 use super::slow_start::SEND_RATE_WINDOW;
-use crate::interface::{Action, AttemptEnded, Idempotency, Outcome, RequestId, Role};
+use crate::interface::{Action, AttemptEnded, EjectionCause, Idempotency, Outcome, RequestId, Role};
 use std::time::Duration;
 
 /// How long an engine that rejected an attempt as full is passed over where others are usable.
@@ -121,7 +121,7 @@
                 *attempt_duration += MIN_SAMPLE_WEIGHT * (latency.as_secs_f64() - *attempt_duration);
                 self.record_success(now, engine, (read || begun.is_none()).then_some((latency, tokens)));
             }
-            Outcome::ConnectFailed => self.eject(now, engine, "no connection", actions),
+            Outcome::ConnectFailed => self.eject(now, engine, EjectionCause::ConnectFailed, actions),
             _ => {}
         }
         match over {
--- a/src/interface/actions.rs
+++ b/src/interface/actions.rs
@@ -1,6 +1,6 @@
 //! Actions: what a router asks its host to do.
 
-use super::{EngineId, RequestId, TimerId};
+use super::{EngineId, LogEvent, RequestId, TimerId};
 use std::time::Duration;
 
 /// What a router asks its host to do.
@@ -66,6 +66,6 @@
         /// The message.
         body: Vec<u8>,
     },
-    /// Write a line to the operators' log.
-    Log(String),
+    /// Write an event to the operators' log.
+    Log(LogEvent),
 }
--- a/src/interface/mod.rs
+++ b/src/interface/mod.rs
@@ -7,6 +7,7 @@
 mod engines;
 mod events;
 mod ids;
+mod log_events;
 mod requests;
 mod settings;
 
@@ -14,5 +15,6 @@
 pub use engines::*;
 pub use events::*;
 pub use ids::*;
+pub use log_events::*;
 pub use requests::*;
 pub use settings::*;
