--- a/src/decisions/attempts.rs
+++ b/src/decisions/attempts.rs
@@ -7,7 +7,7 @@
 use super::engines::Means;
 use super::probes::PROBE_TIMEOUT;
 use super::release::HELD_STATE_WAIT_SHARE;
-use super::requests::{Attempt, CandidateEngines, HeldState, PossibleRun};
+use super::requests::{ActiveRequest, Attempt, CandidateEngines, HeldState, PossibleRun};
 use super::router::Router;
 use super::timers::Timer;
 use super::token_bucket::TokenBucket;
@@ -22,64 +22,78 @@
 pub(super) const FIXED_COST_TOKENS: f64 = 500.0;
 
 impl Router {
-    /// Takes the next step of a request that has no attempt out: writes a held state, else reads.
+    /// Takes the next step of a request that has no attempt in flight: decodes from a held state, else prefills.
     pub(super) fn advance(&mut self, now: Duration, id: RequestId, actions: &mut Vec<Action>) {
         let Some(active) = self.requests.get(&id) else { return };
         if active.ended || active.waiting_until.is_some() || active.attempts.iter().any(|a| a.in_flight) {
             return;
         }
-        let left = self.settings.limits.max_attempts.saturating_sub(active.attempts.len());
+        let attempts_left = self.settings.limits.max_attempts.saturating_sub(active.attempts.len());
         self.refresh_index(now);
         let Some(active) = self.requests.get(&id) else { return };
-        let unsafe_now =
-            active.possible_run.is_some() && self.idempotency(active) == Idempotency::NotIdempotent;
-        // A repeat has to come in time: a new connection may take as long as it is given to come up.
-        let least = self.settings.limits.connect_timeout.max(PROBE_TIMEOUT);
-        let late = self.deduplication_window_left(now, active).is_some_and(|left| left <= least);
-        if left == 0 || unsafe_now || late || now >= active.deadline {
+        if attempts_left == 0 || now >= active.deadline || !self.may_send_again(now, active) {
             return self.abandon(id, actions);
         }
-        let (held, again) = (active.held.is_some(), !active.attempts.is_empty());
-        if active.candidates.as_ref().is_none_or(|c| c.attempt_count != active.attempts.len()) {
-            let attempt_count = active.attempts.len();
-            let (preferred, spill) =
-                if held { self.decode_candidates(now, id) } else { self.prefill_candidates(now, id, left) };
-            let Some(active) = self.requests.get_mut(&id) else { return };
-            active.candidates = Some(CandidateEngines {
-                attempt_count,
-                found_at: now,
-                includes_spill: false,
-                preferred,
-                spill,
-            });
-            if self.probe_candidates(now, id, false, actions) {
-                return;
-            }
-        }
-        // Those far can matter only where the near ones bear more than the request itself.
-        let Some(active) = self.requests.get(&id) else { return };
-        let near = active.candidates.as_ref().and_then(|c| self.least_loaded(now, active, &c.preferred));
-        if near.is_none_or(|(_, bears)| bears > active.request.prompt_tokens)
-            && self.probe_candidates(now, id, true, actions)
-        {
+        let (held, is_retry) = (active.held.is_some(), !active.attempts.is_empty());
+        if self.awaits_probes(now, id, attempts_left, actions) {
             return;
         }
         let target = self.choose_engine(now, id);
-        // State that could not be fetched may still wait where the writer could not reach it.
-        if !held && again {
+        // State that could not be fetched may still be held where the decode engine could not reach it.
+        if !held && is_retry {
             actions.push(Action::Release(id));
         }
         match target {
             Some(engine) => self.send(now, id, engine, actions),
-            None if left < 2 && !held => self.abandon(id, actions),
+            None if attempts_left < 2 && !held => self.abandon(id, actions),
             None => self.wait_for_engine(now, id, actions),
         }
     }
 
+    /// Whether the request has not run, or may run again by its idempotency. Another attempt with an idempotency key has
+    /// to arrive within the window: a new connection may take as long as it is given to be established.
+    fn may_send_again(&self, now: Duration, active: &ActiveRequest) -> bool {
+        let may_not_run_twice =
+            active.possible_run.is_some() && self.idempotency(active) == Idempotency::NotIdempotent;
+        let least = self.settings.limits.connect_timeout.max(PROBE_TIMEOUT);
+        let late = self.deduplication_window_left(now, active).is_some_and(|left| left <= least);
+        !may_not_run_twice && !late
+    }
+
+    /// Finds the candidates for the next attempt unless it has them, and probes those without recent news. Whether there
+    /// is an answer to wait for.
+    fn awaits_probes(
+        &mut self, now: Duration, id: RequestId, attempts_left: usize, actions: &mut Vec<Action>,
+    ) -> bool {
+        let Some(active) = self.requests.get(&id) else { return true };
+        let attempt_count = active.attempts.len();
+        if active.candidates.as_ref().is_none_or(|candidates| candidates.attempt_count != attempt_count) {
+            let (preferred, spill) = match active.held {
+                Some(_) => self.decode_candidates(now, id),
+                None => self.prefill_candidates(now, id, attempts_left),
+            };
+            let includes_spill = false;
+            let candidates =
+                CandidateEngines { attempt_count, found_at: now, includes_spill, preferred, spill };
+            let Some(active) = self.requests.get_mut(&id) else { return true };
+            active.candidates = Some(candidates);
+            if self.probe_candidates(now, id, false, actions) {
+                return true;
+            }
+        }
+        // The spill can matter only where the preferred engines have more load than the request itself.
+        let Some(active) = self.requests.get(&id) else { return true };
+        let preferred = active.candidates.as_ref().map(|candidates| &candidates.preferred);
+        let least_loaded = preferred.and_then(|engines| self.least_loaded(now, active, engines));
+        least_loaded.is_none_or(|(_, load)| load > active.request.prompt_tokens)
+            && self.probe_candidates(now, id, true, actions)
+    }
+
+    /// Sends the next attempt of a request to an engine.
     pub(super) fn send(&mut self, now: Duration, id: RequestId, engine: EngineId, actions: &mut Vec<Action>) {
-        let cold = self.engines.get(&engine).filter(|record| self.is_warming_up(now, record));
-        let cold_rate = cold.map(|record| self.warmup_send_rate(now, record));
-        // A repeat whose bytes a cut holds up would come after the window: it is given up before that.
+        let warming_up = self.engines.get(&engine).filter(|record| self.is_warming_up(now, record));
+        let warmup_rate = warming_up.map(|record| self.warmup_send_rate(now, record));
+        // A retry whose bytes a broken link delays would arrive after the window: it times out before that.
         let limit = self
             .requests
             .get(&id)
@@ -113,7 +127,7 @@
         (record.in_flight, record.attempts_waiting) = (record.in_flight + 1.0, record.attempts_waiting + 1.0);
         record.tokens_sent_since_report += prompt;
         let (role, own_pace) = (record.role, record.pace);
-        match cold_rate {
+        match warmup_rate {
             Some(rate) => {
                 let level = record.slow_start_level(now, rate) - prompt;
                 record.slow_start_budget = TokenBucket { level, updated_at: now };
@@ -125,15 +139,15 @@
         self.set_timer(Timer::AttemptPatience(id, attempt), patience, actions);
     }
 
-    /// How long an engine may say nothing at all under an attempt of this length. One slower than its role
-    /// has its own time: its work would be cancelled just before it ends, again and again.
+    /// How long an engine may stay silent under an attempt of this length. An engine slower than its role has a time of
+    /// its own: otherwise its work would be cancelled just before it ends, again and again.
     pub(super) fn patience(&self, role: Role, own_pace: f64, prompt: f64) -> Duration {
         let Means { pace, deviation, .. } = self.means[role as usize];
         let usual = (pace.max(own_pace) + PATIENCE_DEVIATIONS * deviation) * (prompt + FIXED_COST_TOKENS);
         MIN_PATIENCE.max(Duration::from_secs_f64(usual.min(MAX_WAIT.as_secs_f64())))
     }
 
-    /// Nothing is usable just now: wait a little, a held state never longer than part of its limit.
+    /// No engine is usable at present: the request waits a little, with held state no longer than a share of its limit.
     pub(super) fn wait_for_engine(&mut self, now: Duration, id: RequestId, actions: &mut Vec<Action>) {
         let patience = self.settings.held_state_limit.mul_f64(HELD_STATE_WAIT_SHARE);
         let Some(active) = self.requests.get_mut(&id) else { return };
@@ -148,14 +162,14 @@
         self.set_timer(Timer::Wait(id), PROBE_TIMEOUT, actions);
     }
 
-    /// An attempt has said nothing for its patience: its engine is lost or stalled, or its answer is. A read
-    /// goes elsewhere, and so does a write that may run twice. Harm: a long queue costs the work twice.
+    /// An attempt has been silent for its patience: its engine is lost or stalled, or its answer is. A prefill is
+    /// attempted elsewhere, and so is a decode that may run twice. Drawback: in a long queue the work is done twice.
     pub(super) fn on_patience_exhausted(&mut self, id: RequestId, attempt: usize, actions: &mut Vec<Action>) {
         let Some(active) = self.requests.get(&id).filter(|j| !j.ended) else { return };
-        let Some(a) = active.attempts.get(attempt).filter(|a| a.in_flight && a.begun.is_none()) else {
+        let Some(silent) = active.attempts.get(attempt).filter(|a| a.in_flight && a.begun.is_none()) else {
             return;
         };
-        let repeatable = a.read || self.idempotency(active) == Idempotency::Idempotent;
+        let repeatable = silent.read || self.idempotency(active) == Idempotency::Idempotent;
         if repeatable
             && self.settings.limits.max_attempts > active.attempts.len()
             && self.settings.limits.cancellation
--- a/src/decisions/decode_choice.rs
+++ b/src/decisions/decode_choice.rs
@@ -9,18 +9,18 @@
 use std::time::Duration;
 
 impl Router {
-    /// Power of two choices: two writers at random. Exception: moving state far is slow and priced, so a
-    /// pair of the reader's cell (else its zone) comes first, others only as spill.
+    /// Power of two choices: two decode engines at random. Exception: moving state to another cell is slow and charged, so
+    /// that a pair of the prefill engine's cell (else its zone) is preferred and others are the spill.
     pub(super) fn decode_candidates(
         &mut self, now: Duration, id: RequestId,
     ) -> (Vec<EngineId>, Vec<EngineId>) {
-        let (candidates, gone) = self.eligible_engines(now, id, Capability::Decode);
-        let reader = self.requests.get(&id).and_then(|active| self.engines.get(&active.held?.engine));
-        let place = reader.map(|record| (record.entry.cell, record.entry.zone));
-        let here = place.map(|(cell, zone)| candidates.in_cell_and_zone(cell, zone)).unwrap_or_default();
-        let around = place.map(|(cell, zone)| candidates.in_cell_or_zone(cell, zone)).unwrap_or_default();
-        for near in [&here[..], &around] {
-            let (missing, beyond) = split_by_membership(near, &gone);
+        let (candidates, excluded) = self.eligible_engines(now, id, Capability::Decode);
+        let prefill_engine = self.requests.get(&id).and_then(|active| self.engines.get(&active.held?.engine));
+        let place = prefill_engine.map(|record| (record.entry.cell, record.entry.zone));
+        let same_cell = place.map(|(cell, zone)| candidates.in_cell_and_zone(cell, zone)).unwrap_or_default();
+        let same_zone = place.map(|(cell, zone)| candidates.in_cell_or_zone(cell, zone)).unwrap_or_default();
+        for near in [&same_cell[..], &same_zone] {
+            let (missing, beyond) = split_by_membership(near, &excluded);
             if missing.len() == near.len() {
                 continue;
             }
@@ -33,7 +33,7 @@
             let two = two_at_random(other.len(), || self.sample_probability()).into_iter();
             return (pair, two.map(|k| candidates.id(other.nth(k))).collect());
         }
-        let all = RemainingPositions::new(candidates.len(), [&gone, &[]]);
+        let all = RemainingPositions::new(candidates.len(), [&excluded, &[]]);
         let two = two_at_random(all.len(), || self.sample_probability()).into_iter();
         (two.map(|k| candidates.id(all.nth(k))).collect(), Vec::new())
     }
--- a/src/decisions/ejection.rs
+++ b/src/decisions/ejection.rs
@@ -17,7 +17,7 @@
 pub(super) const MAX_EJECTION_DOUBLINGS: u32 = 3;
 
 impl Router {
-    /// An engine was heard of. If it could not be reached before, it counts as cold from now.
+    /// An engine has answered. If it was ejected, it counts as warming up from now.
     pub(super) fn record_contact(&mut self, now: Duration, engine: EngineId) {
         let Some(record) = self.engines.get_mut(&engine) else { return };
         record.last_heard = now;
@@ -28,7 +28,7 @@
         }
     }
 
-    /// An engine did its work: its latency is one more sample of its role's pace.
+    /// An engine did its work: its latency is a sample of its pace and of its role's.
     pub(super) fn record_success(
         &mut self, now: Duration, engine: EngineId, sample: Option<(Duration, f64)>,
     ) {
@@ -43,7 +43,7 @@
         means.pace += MIN_SAMPLE_WEIGHT * (pace - means.pace);
     }
 
-    /// Leaves alone an engine that could not be connected to, with backoff; then a probe tries it.
+    /// Ejects an engine that could not be connected to, with exponential backoff; then a probe tries it.
     pub(super) fn eject(
         &mut self, now: Duration, engine: EngineId, cause: EjectionCause, actions: &mut Vec<Action>,
     ) {
@@ -52,12 +52,12 @@
         if record.ejected.is_some_and(|until| now < until) {
             return;
         }
-        let length = (BASE_EJECTION_TIME * (1 << record.doublings)).mul_f64(jitter);
+        let duration = (BASE_EJECTION_TIME * (1 << record.doublings)).mul_f64(jitter);
         record.doublings = (record.doublings + 1).min(MAX_EJECTION_DOUBLINGS);
-        record.ejected = Some(now + length);
+        record.ejected = Some(now + duration);
         self.engine_index.mark_changed(engine);
-        self.set_timer(Timer::EjectionEnd(engine), length, actions);
-        let event = LogEvent::EngineEjected { engine, duration: length, cause };
+        self.set_timer(Timer::EjectionEnd(engine), duration, actions);
+        let event = LogEvent::EngineEjected { engine, duration, cause };
         actions.push(Action::Log(event));
     }
 }
--- a/src/decisions/engines.rs
+++ b/src/decisions/engines.rs
@@ -1,6 +1,6 @@
 //! What a router keeps for each engine and for each role of engines, and the endpoint list that names the engines.
 //!
-//! Decides when what was learnt of an engine is void: when the list tells another start or another role. Reads the
+//! Decides when what was learnt of an engine is void: when the list gives another start or another role. May read the
 //! list alone.
 
 use super::probes::RECENT_NEWS_AGE;
@@ -59,7 +59,7 @@
         self.entry.state == EngineState::Ready
     }
 
-    /// Whether its load was told a moment ago, or its life where it tells no load.
+    /// Whether its last load report is recent or, where it reports none, its last answer.
     pub(super) fn has_recent_news(&self, now: Duration) -> bool {
         now.saturating_sub(self.report.as_ref().map_or(self.last_heard, |(at, _)| *at)) < RECENT_NEWS_AGE
     }
@@ -100,6 +100,7 @@
 }
 
 impl Router {
+    /// Takes the complete endpoint list, or changes of it.
     pub(super) fn on_list(
         &mut self, now: Duration, listing: Listing, engines: Vec<Engine>, actions: &mut Vec<Action>,
     ) {
@@ -110,7 +111,7 @@
             }
             return;
         }
-        // A router comes up with the list that it last held.
+        // A router starts with the list that it cached last.
         if listing == Listing::Cached && self.settings.polls_engine_list {
             actions.push(Action::WatchEngines(true));
         }
@@ -121,25 +122,30 @@
             self.engine_index.note_list_change(self.engines.len() != before);
         }
         for entry in engines {
-            if entry.state == EngineState::Gone {
-                self.engine_index.note_list_change(self.engines.remove(&entry.id).is_some());
-                continue;
-            }
-            let Some(&role) = self.settings.kind_roles.get(entry.kind.0) else { continue };
-            let fresh = || EngineRecord::new(now, entry.clone(), role);
-            let place = |record: &EngineRecord| {
-                (record.role as usize, record.entry.state, record.entry.zone, record.entry.cell)
-            };
-            let before = self.engines.get(&entry.id).map(place);
-            let record = self.engines.entry(entry.id).or_insert_with(fresh);
-            if (record.entry.started_at, record.role) != (entry.started_at, role) {
-                // A restart, told or not: what was known of the engine is void, what is out there is not.
-                let EngineRecord { tokens_in_flight, in_flight, attempts_waiting, .. } = *record;
-                *record = EngineRecord { tokens_in_flight, in_flight, attempts_waiting, ..fresh() };
-            }
-            self.engine_index.mark_changed(entry.id);
-            record.entry = entry;
-            self.engine_index.note_list_change(before != Some(place(record)));
+            self.update_engine(now, entry);
+        }
+    }
+
+    /// Takes one entry of the endpoint list.
+    fn update_engine(&mut self, now: Duration, entry: Engine) {
+        if entry.state == EngineState::Gone {
+            self.engine_index.note_list_change(self.engines.remove(&entry.id).is_some());
+            return;
+        }
+        let Some(&role) = self.settings.kind_roles.get(entry.kind.0) else { return };
+        let fresh = || EngineRecord::new(now, entry.clone(), role);
+        let place = |record: &EngineRecord| {
+            (record.role as usize, record.entry.state, record.entry.zone, record.entry.cell)
+        };
+        let before = self.engines.get(&entry.id).map(place);
+        let record = self.engines.entry(entry.id).or_insert_with(fresh);
+        if (record.entry.started_at, record.role) != (entry.started_at, role) {
+            // A restart: what was known of the engine is void, and the attempts in flight are not.
+            let EngineRecord { tokens_in_flight, in_flight, attempts_waiting, .. } = *record;
+            *record = EngineRecord { tokens_in_flight, in_flight, attempts_waiting, ..fresh() };
         }
+        self.engine_index.mark_changed(entry.id);
+        record.entry = entry;
+        self.engine_index.note_list_change(before != Some(place(record)));
     }
 }
--- a/src/decisions/inspection.rs
+++ b/src/decisions/inspection.rs
@@ -23,13 +23,13 @@
         StateSizes { requests: self.requests.len(), timers: self.timers.len(), engines: self.engines.len() }
     }
 
-    /// So many routers share the fleet from now on, this one counted. All that was learnt stays: parts of quotas and of cold
-    /// budgets are worked out from the count each time.
+    /// From now on so many routers share the engines, this one included. All that was learnt stays: shares of quotas and of
+    /// slow start budgets are computed from the count each time.
     pub fn set_router_count(&mut self, routers: u32) {
         self.settings.router_count = routers.max(1);
     }
 
-    /// Its own attempts that it counts as out, by engine of the list.
+    /// The attempts in flight that it counts for each engine of the endpoint list.
     pub fn attempts_in_flight(&self) -> impl Iterator<Item = (EngineId, f64)> + '_ {
         self.engines.iter().map(|(&id, record)| (id, record.in_flight))
     }
--- a/src/decisions/placement.rs
+++ b/src/decisions/placement.rs
@@ -1,6 +1,6 @@
 //! Placement: which of its candidates a request goes to.
 //!
-//! Decides by the least load, with a spill to further candidates where a preferred one bears much more. May read load
+//! Decides by the least load, with a spill to further candidates where a preferred one has much more. May read load
 //! estimates, the router's own tokens in flight and slow start. See docs/design.md, "The mechanism", and the exceptions
 //! "spill", "lone readers" and "cold by report".
 
@@ -17,21 +17,22 @@
 const UNANSWERED_PROBE_TOKENS: f64 = 1e9;
 
 impl Router {
-    /// The preferred engine that bears least, unless another bears so much less that going there is quicker.
+    /// The preferred engine with the least load, unless one of the spill has so much less that it answers sooner.
     pub(super) fn choose_engine(&self, now: Duration, id: RequestId) -> Option<EngineId> {
         let active = self.requests.get(&id)?;
         let candidates = active.candidates.as_ref()?;
-        let (near, far) = (
+        let (preferred, spill) = (
             self.least_loaded(now, active, &candidates.preferred),
             self.least_loaded(now, active, &candidates.spill),
         );
         let spills =
-            |far| near.is_none_or(|(_, near)| near > SPILL_FACTOR * far + active.request.prompt_tokens);
-        far.filter(|&(_, far)| spills(far)).or(near).map(|(id, _)| id)
+            |load| preferred.is_none_or(|(_, own)| own > SPILL_FACTOR * load + active.request.prompt_tokens);
+        spill.filter(|&(_, load)| spills(load)).or(preferred).map(|(id, _)| id)
     }
 
-    /// Which engine bears least by its report (else its stage's mean) and our own tokens, and how many. One
-    /// that was asked and has not answered comes last: it is busy, cut off, dead or has no connection yet.
+    /// The engine with the least load by its report (else the mean of its stage) and this router's tokens in flight, and
+    /// that load in tokens. One that did not answer a probe comes last: it is busy, unreachable, dead or has no
+    /// connection yet.
     pub(super) fn least_loaded(
         &self, now: Duration, active: &ActiveRequest, engines: &[EngineId],
     ) -> Option<(EngineId, f64)> {
@@ -43,7 +44,7 @@
             };
             let load = self.saturation_parts(now, record).map(load);
             let load = load.unwrap_or_else(|| self.stage_saturation(now, record.role) * WAITING_THRESHOLD);
-            // A cold engine with half of its budget to do is full: its report is what all routers share.
+            // A warming engine with half of its budget queued is full: its report is what all routers have in common.
             let budget = self.settings.warmup_budget.as_secs_f64() * f64::from(self.settings.router_count);
             if budget > 0.0
                 && self.is_warming_up(now, record)
@@ -53,7 +54,7 @@
             }
             let unanswered =
                 if record.last_heard + RECENT_NEWS_AGE < found_at { UNANSWERED_PROBE_TOKENS } else { 0.0 };
-            // Exception: where no writer stands in its cell, all its states go far, which is slow and priced.
+            // Exception: without a decode engine in its cell, all its state is moved to others, which is slow and charged.
             let lacks_decode_engine =
                 record.role == Role::Prefill && !self.engine_index.has_decode_engine(record.entry.cell);
             let transfer =
--- a/src/decisions/prefill_affinity.rs
+++ b/src/decisions/prefill_affinity.rs
@@ -11,32 +11,34 @@
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Bounds of a reader's weight as a home; no unit. Readers have room for a quarter more.
+/// Bounds of the weight of a prefill engine; no unit. Prefill engines have capacity for a quarter more.
 const AFFINITY_WEIGHT_BOUNDS: [f64; 2] = [0.75, 1.25];
 /// How much more an engine of the own zone weighs; no unit. Most prompts prefer that zone, not all.
 const OWN_ZONE_WEIGHT: f64 = 2.5;
 
 impl Router {
-    /// Rendezvous hashing of the shared beginning, else the session: the top two usable readers, in the order
-    /// of the session; others only as spill. A mixed engine needs one attempt for both stages, others two.
+    /// Rendezvous hashing of the shared prefix, else of the session: the first two usable prefill engines are preferred, in
+    /// the order of the session; the next two are the spill. With one attempt left only an engine that does both stages in
+    /// one will do.
     pub(super) fn prefill_candidates(
         &mut self, now: Duration, id: RequestId, left: usize,
     ) -> (Vec<EngineId>, Vec<EngineId>) {
         let capability = if left >= 2 { Capability::Prefill } else { Capability::PrefillAndDecode };
-        let (_, gone) = self.eligible_engines(now, id, capability);
+        let (_, excluded) = self.eligible_engines(now, id, capability);
         let Some(active) = self.requests.get(&id) else { return Default::default() };
         let session = active.request.session;
         let key = active.request.shared_prefix.unwrap_or(session);
         let hash = |id: EngineId, key| xxh3_64_with_seed(&id.0.to_le_bytes(), key);
-        let mut homes = self.engine_index.top_ranked(capability, key, 4, &gone, |id| hash(id, key) >> 11);
-        let others = homes.split_off(homes.len().min(2));
-        homes.sort_by_key(|&id| hash(id, session));
-        (homes, others)
+        let mut preferred =
+            self.engine_index.top_ranked(capability, key, 4, &excluded, |id| hash(id, key) >> 11);
+        let spill = preferred.split_off(preferred.len().min(2));
+        preferred.sort_by_key(|&id| hash(id, session));
+        (preferred, spill)
     }
 
-    /// Puts the ready engines on their shelves. A reader is home in proportion to the writers of its cell, in
-    /// bounds: state that finds none goes far. Exception: a home in the router's own zone weighs more, as all
-    /// else crosses zones twice. Settled when the list changes, as nothing else moves it.
+    /// Rebuilds the index from the endpoint list. A prefill engine weighs in proportion to the decode engines of its cell,
+    /// in bounds, as state that finds none there is moved to another cell. Exception: one in the router's own zone weighs
+    /// more, as any other makes a request cross zones twice. Done when the list changes, as weights depend on it alone.
     pub(super) fn rebuild_index(&mut self) {
         let mut fleet = [0.0; 2];
         let mut cells: BTreeMap<CellId, [f64; 2]> = BTreeMap::new();
@@ -55,12 +57,13 @@
             let Engine { cell, zone, .. } = record.entry;
             let (role, ready) = (record.role as usize, record.is_ready());
             let [least, most] = if record.role == Role::Prefill { AFFINITY_WEIGHT_BOUNDS } else { [1.0; 2] };
-            let near = cells.get(&cell).copied().unwrap_or_default();
-            let own = if zone == self.settings.zone { OWN_ZONE_WEIGHT } else { 1.0 };
-            let weight = own * (ratio(near) / ratio(fleet)).clamp(least, most);
-            let alone = record.role == Role::Mixed
+            let in_cell = cells.get(&cell).copied().unwrap_or_default();
+            let zone_weight = if zone == self.settings.zone { OWN_ZONE_WEIGHT } else { 1.0 };
+            let weight = zone_weight * (ratio(in_cell) / ratio(fleet)).clamp(least, most);
+            let does_both = record.role == Role::Mixed
                 || record.role == Role::Decode && self.settings.decode_engines_prefill;
-            let capabilities = [alone || record.role == Role::Prefill, alone, record.role != Role::Prefill];
+            let capabilities =
+                [does_both || record.role == Role::Prefill, does_both, record.role != Role::Prefill];
             ListedEngine { id, role, ready, weight, cell, zone, capabilities }
         }));
     }
--- a/src/decisions/probes.rs
+++ b/src/decisions/probes.rs
@@ -11,7 +11,7 @@
 
 /// Age from which load reports are asked for anew.
 pub(super) const RECENT_NEWS_AGE: Duration = Duration::from_millis(600);
-/// Longest wait for the engines asked, and for one to become usable. A round trip with a new connection.
+/// Longest wait for answers to probes, and for an engine to become usable: a round trip with a new connection.
 pub(super) const PROBE_TIMEOUT: Duration = Duration::from_millis(30);
 
 impl Router {
@@ -56,6 +56,7 @@
         }
     }
 
+    /// Takes a load report, unless it is empty.
     pub(super) fn record_report(&mut self, now: Duration, engine: EngineId, report: LoadReport) {
         let reported = report != LoadReport::default();
         if let Some(record) = self.engines.get_mut(&engine).filter(|_| reported) {
@@ -64,6 +65,7 @@
         }
     }
 
+    /// A probe has ended: requests that wait for no other one take their next step.
     pub(super) fn on_probed(
         &mut self, now: Duration, engine: EngineId, outcome: Outcome, report: LoadReport,
         actions: &mut Vec<Action>,
@@ -95,6 +97,7 @@
         }
     }
 
+    /// Probes an engine, unless it is being probed or there are no probes.
     pub(super) fn probe(&mut self, engine: EngineId, actions: &mut Vec<Action>) {
         let allowed = self.settings.limits.probes;
         if let Some(record) = self.engines.get_mut(&engine).filter(|record| allowed && !record.probing) {
@@ -104,6 +107,7 @@
         }
     }
 
+    /// An attempt has begun to answer, or has ended before that.
     pub(super) fn stop_waiting(&mut self, engine: EngineId, sent: Duration, prompt: f64) {
         let Some(record) = self.engines.get_mut(&engine) else { return };
         record.attempts_waiting -= 1.0;
--- a/src/decisions/release.rs
+++ b/src/decisions/release.rs
@@ -9,18 +9,20 @@
 use crate::interface::{Action, Idempotency, RequestId};
 use std::time::Duration;
 
-/// Wait told with a refusal or before the list is asked for again, jittered by half. A full queue's time.
+/// Retry-After of a rejection, and the wait before the endpoint list is asked for again; jittered by half. About the
+/// time of a full queue.
 pub(super) const RETRY_AFTER: Duration = Duration::from_millis(1_000);
 /// Share of the limit on held state after which state that finds no decode engine is released; no unit.
 pub(super) const HELD_STATE_WAIT_SHARE: f64 = 0.5;
 
 impl Router {
-    /// No further attempt: the final answer, at once. Who is refused may come again after the window.
+    /// Gives the final answer without another attempt: a rejection where a retry by the client is safe, else a failure.
     pub(super) fn abandon(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(active) = self.requests.get(&id).filter(|j| !j.ended) else { return };
-        let harmless = active.possible_run.is_none() || self.idempotency(active) == Idempotency::Idempotent;
+        let retry_is_safe =
+            active.possible_run.is_none() || self.idempotency(active) == Idempotency::Idempotent;
         let over_quota = active.over_quota;
-        let answer = if harmless {
+        let answer = if retry_is_safe {
             let wait = RETRY_AFTER.mul_f64(0.5 + self.sample_probability());
             let retry_after = self.settings.limits.max_retry_after.map(|most| wait.min(most));
             Action::Reject { request: id, retry_after, over_quota }
@@ -30,7 +32,8 @@
         self.finish_request(id, Some(answer), actions);
     }
 
-    /// The one place where a request ends and lets go. A read still out comes through here again.
+    /// The one place where a request ends and what it holds is released. Called again when a prefill that is still in
+    /// flight ends.
     pub(super) fn finish_request(
         &mut self, id: RequestId, answer: Option<Action>, actions: &mut Vec<Action>,
     ) {
@@ -51,7 +54,8 @@
         }
     }
 
-    /// Its time is up, or longer by now; a whole answer that is being written ends by its host's bound.
+    /// The deadline has come, unless it was extended. A complete answer that is being decoded ends by the bound of its
+    /// host.
     pub(super) fn on_deadline(&mut self, now: Duration, id: RequestId, actions: &mut Vec<Action>) {
         let Some(active) = self.requests.get(&id) else { return };
         if now < active.deadline {
--- a/src/decisions/requests.rs
+++ b/src/decisions/requests.rs
@@ -11,7 +11,7 @@
 pub(super) struct ActiveRequest {
     pub(super) request: Request,
     pub(super) deadline: Duration,
-    /// The deadline from when its answer has begun, where nothing of it goes out before it is whole.
+    /// The deadline from when its answer has begun, where nothing of it is sent on before it is complete.
     pub(super) complete_answer_deadline: Option<Duration>,
     pub(super) attempts: Vec<Attempt>,
     /// The state that a prefill engine holds for it and that no attempt is to take.
@@ -29,6 +29,7 @@
 }
 
 /// One attempt of a request at an engine.
+#[derive(Clone, Copy)]
 pub(super) struct Attempt {
     pub(super) engine: EngineId,
     pub(super) sent: Duration,
--- a/src/decisions/retries.rs
+++ b/src/decisions/retries.rs
@@ -6,21 +6,23 @@
 
 use super::admission::rejection_probability;
 use super::ejection::{BASE_EJECTION_TIME, MAX_EJECTION_DOUBLINGS};
-use super::engines::{Means, MIN_SAMPLE_WEIGHT};
+use super::engines::MIN_SAMPLE_WEIGHT;
 use super::probes::PROBE_TIMEOUT;
-use super::requests::{ActiveRequest, Attempt, HeldState};
+use super::requests::{ActiveRequest, Attempt, HeldState, PossibleRun};
 use super::router::Router;
 use super::slow_start::SEND_RATE_WINDOW;
-use crate::interface::{Action, AttemptEnded, EjectionCause, Idempotency, Outcome, RequestId, Role};
+use crate::interface::{
+    Action, AttemptEnded, ClassId, EjectionCause, Idempotency, Outcome, Request, RequestId, Role, Settings,
+};
 use std::time::Duration;
 
 /// How long an engine that rejected an attempt as full is passed over where others are usable.
 const REJECTION_PAUSE: Duration = Duration::from_millis(250);
-/// The same where the engine reports room: it turns away what this class sends, and goes on doing so.
+/// The same where the engine reports room: it throttles the class, and will go on rejecting it.
 const THROTTLE_PAUSE: Duration = Duration::from_millis(20_000);
 
 impl Router {
-    /// How much longer a keyed request that may have run may come to an engine again.
+    /// How much longer a request with an idempotency key that may have run may be sent again; `None` for others.
     pub(super) fn deduplication_window_left(
         &self, now: Duration, active: &ActiveRequest,
     ) -> Option<Duration> {
@@ -29,104 +31,146 @@
         Some(at.saturating_add(window).saturating_sub(now))
     }
 
+    /// The first token of an attempt's answer has come.
     pub(super) fn on_first_token(
         &mut self, now: Duration, which: (RequestId, usize), latency: Duration, actions: &mut Vec<Action>,
     ) {
-        let Some(active) = self.requests.get_mut(&which.0) else { return };
-        let Some(a) = active.attempts.get_mut(which.1).filter(|a| a.in_flight && a.begun.is_none()) else {
-            return;
-        };
-        self.engine_index.mark_changed(a.engine);
-        a.begun = Some(latency);
-        // Of a whole answer nothing has gone out yet: if its writer is lost, its class says what may follow.
-        (active.ended, active.held) = (active.complete_answer_deadline.is_none(), None);
+        let (id, number) = which;
+        let waiting = |attempt: &&mut Attempt| attempt.in_flight && attempt.begun.is_none();
+        let Some(active) = self.requests.get_mut(&id) else { return };
+        let Some(attempt) = active.attempts.get_mut(number).filter(waiting) else { return };
+        self.engine_index.mark_changed(attempt.engine);
+        attempt.begun = Some(latency);
+        // Nothing of a complete answer has been sent on: if its decode engine is lost, the class says what may follow.
+        active.ended = active.complete_answer_deadline.is_none();
+        active.held = None;
         active.deadline = active.deadline.max(active.complete_answer_deadline.unwrap_or_default());
-        // The first token frees what else is held, but that word can be lost on a cut link.
-        actions.push(Action::Release(which.0));
-        let (engine, sent, prompt) = (a.engine, a.sent, active.request.prompt_tokens);
+        // The first token releases what else is held, but that message may be lost on a broken link.
+        actions.push(Action::Release(id));
+        let (engine, sent, prompt) = (attempt.engine, attempt.sent, active.request.prompt_tokens);
         self.stop_waiting(engine, sent, prompt);
         self.record_success(now, engine, Some((latency, prompt)));
     }
 
+    /// An attempt has ended: its request takes its next step, or is finished.
     pub(super) fn on_ended(&mut self, now: Duration, ended: AttemptEnded, actions: &mut Vec<Action>) {
-        let AttemptEnded { request: id, outcome, latency, .. } = ended;
-        let Some(active) = self.requests.get_mut(&id) else { return };
-        let Some(a) = active.attempts.get_mut(ended.attempt).filter(|a| a.in_flight) else { return };
-        self.engine_index.mark_changed(a.engine);
-        // One that found no state to fetch is not at fault: with the state read again it is as good as any.
-        let blameless = outcome == Outcome::Rejected { state_missing: true };
-        (a.in_flight, a.done) =
-            (false, blameless || a.read && matches!(outcome, Outcome::Prefilled | Outcome::Reset));
-        let Attempt { engine, sent, begun, read, tokens, state, .. } = *a;
-        let prompt = active.request.prompt_tokens;
+        let Some(closed) = self.close_attempt(now, &ended) else { return };
+        let Attempt { engine, sent, begun, .. } = closed.attempt;
+        let role = self.record_end_at_engine(now, ended.outcome, &closed);
+        if begun.is_none() {
+            self.stop_waiting(engine, sent, closed.prompt_tokens);
+        }
+        self.record_report(now, engine, ended.report);
+        match ended.outcome {
+            Outcome::Completed | Outcome::Prefilled => self.record_work(now, &ended, &closed, role),
+            Outcome::ConnectFailed => self.eject(now, engine, EjectionCause::ConnectFailed, actions),
+            _ => {}
+        }
+        match closed.request_ended {
+            true => self.finish_request(ended.request, None, actions),
+            false => self.advance(now, ended.request, actions),
+        }
+    }
+
+    /// Marks an attempt as ended and updates its request. `None` if no such attempt is in flight.
+    fn close_attempt(&mut self, now: Duration, ended: &AttemptEnded) -> Option<ClosedAttempt> {
+        let outcome = ended.outcome;
+        let active = self.requests.get_mut(&ended.request)?;
+        let attempt = active.attempts.get_mut(ended.attempt).filter(|attempt| attempt.in_flight)?;
+        self.engine_index.mark_changed(attempt.engine);
+        attempt.in_flight = false;
+        // A decode engine that found no state to fetch is not at fault: after another prefill it is as good as any.
+        attempt.done = outcome == Outcome::Rejected { state_missing: true }
+            || attempt.read && matches!(outcome, Outcome::Prefilled | Outcome::Reset);
+        let attempt = *attempt;
         active.ended |= ended.request_finished;
-        let left = self.settings.limits.max_attempts.saturating_sub(active.attempts.len());
-        let one_more = PROBE_TIMEOUT + self.settings.limits.connect_timeout;
-        let rest = BASE_EJECTION_TIME * self.settings.router_count.clamp(1, 1 << MAX_EJECTION_DOUBLINGS);
-        if outcome.proves_not_run()
-            && active.possible_run.as_ref().is_some_and(|run| run.attempt == ended.attempt)
-        {
+        let attempts_left = self.settings.limits.max_attempts.saturating_sub(active.attempts.len());
+        let proven = |run: &PossibleRun| outcome.proves_not_run() && run.attempt == ended.attempt;
+        if active.possible_run.as_ref().is_some_and(proven) {
             active.possible_run = None;
         }
-        active.held = match outcome {
-            Outcome::Prefilled => Some(HeldState { engine, since: now }),
-            Outcome::Completed | Outcome::Rejected { state_missing: true } => None,
-            _ if begun.is_some() => None,
-            // The state still waits unless it was fetched: asking another writer for it tells. With two
-            // attempts left that would leave too few, and the reader has kept the text: it is read again.
-            Outcome::Error | Outcome::Reset | Outcome::TimedOut | Outcome::Cancelled if left == 2 => None,
-            // It came to no writer, so its time runs on: kept if one more such write leaves enough.
-            Outcome::ConnectFailed | Outcome::NotSent => {
-                state.filter(|held| now + one_more <= held.since + self.settings.held_state_limit)
+        active.held = held_state_after(&self.settings, now, outcome, &attempt, attempts_left);
+        let Request { prompt_tokens, class, .. } = active.request;
+        Some(ClosedAttempt { attempt, prompt_tokens, class, request_ended: active.ended })
+    }
+
+    /// Takes an ended attempt from the load of its engine, and passes the engine over for a while if it rejected or
+    /// failed it. Gives the role of the engine; prefill if it is not in the list any more.
+    fn record_end_at_engine(&mut self, now: Duration, outcome: Outcome, closed: &ClosedAttempt) -> Role {
+        let engine = closed.attempt.engine;
+        let saturation = self.engines.get(&engine).and_then(|record| self.saturation(now, record));
+        let has_room = saturation.is_some_and(|load| rejection_probability(load, true) < 1.0);
+        let pause_factor = self.settings.router_count.clamp(1, 1 << MAX_EJECTION_DOUBLINGS);
+        let Some(record) = self.engines.get_mut(&engine) else { return Role::Prefill };
+        record.tokens_in_flight = (record.tokens_in_flight - closed.attempt.tokens).max(0.0);
+        record.in_flight -= 1.0;
+        record.passed_over_until.resize(self.settings.classes.len(), Duration::ZERO);
+        match outcome {
+            Outcome::Rejected { state_missing: true } => record.last_heard = now,
+            // An engine that fails at once seems idle and attracts all requests, and each of many routers sends it few.
+            Outcome::Error if closed.attempt.begun.is_none() => {
+                record.passed_over_until.fill(now + BASE_EJECTION_TIME * pause_factor);
             }
-            _ => state.map(|held| HeldState { since: now, ..held }),
-        };
-        let (over, class, mut role) = (active.ended, active.request.class.0, Role::Prefill);
-        let load = self.engines.get(&engine).and_then(|record| self.saturation(now, record));
-        let roomy = load.is_some_and(|load| rejection_probability(load, true) < 1.0);
-        if let Some(record) = self.engines.get_mut(&engine) {
-            record.tokens_in_flight = (record.tokens_in_flight - tokens).max(0.0);
-            record.in_flight -= 1.0;
-            record.passed_over_until.resize(self.settings.classes.len(), Duration::ZERO);
-            match outcome {
-                Outcome::Rejected { state_missing: true } => record.last_heard = now,
-                // One that errs at once seems idle and draws all, and each of many routers meets it rarely.
-                Outcome::Error if begun.is_none() => record.passed_over_until.fill(now + rest),
-                Outcome::Rejected { .. } => {
-                    record.last_heard = now;
-                    // What is turned away is not borne: jammed peers would seem to bear what no cold one can.
-                    let means = &mut self.means[record.role as usize];
-                    means.send_rate = (means.send_rate - prompt / SEND_RATE_WINDOW.as_secs_f64()).max(0.0);
-                    record.passed_over_until[class] =
-                        now + if roomy { THROTTLE_PAUSE } else { REJECTION_PAUSE };
-                }
-                _ => {}
+            Outcome::Rejected { .. } => {
+                record.last_heard = now;
+                // Rejected prompts are no sustained load: full engines would seem to serve more than a warming one can.
+                let means = &mut self.means[record.role as usize];
+                let rate = closed.prompt_tokens / SEND_RATE_WINDOW.as_secs_f64();
+                means.send_rate = (means.send_rate - rate).max(0.0);
+                let pause = if has_room { THROTTLE_PAUSE } else { REJECTION_PAUSE };
+                record.passed_over_until[closed.class.0] = now + pause;
             }
-            role = record.role;
+            _ => {}
         }
-        if begun.is_none() {
-            self.stop_waiting(engine, sent, prompt);
+        record.role
+    }
+
+    /// Takes the times of an attempt that did its work into the means.
+    fn record_work(&mut self, now: Duration, ended: &AttemptEnded, closed: &ClosedAttempt, role: Role) {
+        let Attempt { engine, begun, read, .. } = closed.attempt;
+        let prompt = closed.prompt_tokens;
+        let mut tokens = prompt;
+        if read {
+            tokens = (prompt - ended.cached_tokens).max(0.0);
+            self.uncached_share += MIN_SAMPLE_WEIGHT * (tokens / prompt.max(1.0) - self.uncached_share);
         }
-        self.record_report(now, engine, ended.report);
-        match outcome {
-            Outcome::Completed | Outcome::Prefilled => {
-                let mut tokens = prompt;
-                if read {
-                    tokens = (prompt - ended.cached_tokens).max(0.0);
-                    self.uncached_share +=
-                        MIN_SAMPLE_WEIGHT * (tokens / prompt.max(1.0) - self.uncached_share);
-                }
-                let Means { waiting_time, attempt_duration, .. } = &mut self.means[role as usize];
-                *waiting_time += MIN_SAMPLE_WEIGHT * (begun.unwrap_or(latency).as_secs_f64() - *waiting_time);
-                *attempt_duration += MIN_SAMPLE_WEIGHT * (latency.as_secs_f64() - *attempt_duration);
-                self.record_success(now, engine, (read || begun.is_none()).then_some((latency, tokens)));
-            }
-            Outcome::ConnectFailed => self.eject(now, engine, EjectionCause::ConnectFailed, actions),
-            _ => {}
+        let waiting_time = begun.unwrap_or(ended.latency).as_secs_f64();
+        let attempt_duration = ended.latency.as_secs_f64();
+        let means = &mut self.means[role as usize];
+        means.waiting_time += MIN_SAMPLE_WEIGHT * (waiting_time - means.waiting_time);
+        means.attempt_duration += MIN_SAMPLE_WEIGHT * (attempt_duration - means.attempt_duration);
+        let sample = (read || begun.is_none()).then_some((ended.latency, tokens));
+        self.record_success(now, engine, sample);
+    }
+}
+
+/// An attempt that has just ended, and what is needed of its request.
+struct ClosedAttempt {
+    attempt: Attempt,
+    prompt_tokens: f64,
+    class: ClassId,
+    /// The request has its final answer.
+    request_ended: bool,
+}
+
+/// The state that is still held for a request after the end of an attempt.
+fn held_state_after(
+    settings: &Settings, now: Duration, outcome: Outcome, attempt: &Attempt, attempts_left: usize,
+) -> Option<HeldState> {
+    match outcome {
+        Outcome::Prefilled => Some(HeldState { engine: attempt.engine, since: now }),
+        Outcome::Completed | Outcome::Rejected { state_missing: true } => None,
+        _ if attempt.begun.is_some() => None,
+        // The state is still held unless it was fetched, which another decode engine would find out. With two attempts
+        // left none would remain after that, and the prefill engine has cached the prompt: it prefills again.
+        Outcome::Error | Outcome::Reset | Outcome::TimedOut | Outcome::Cancelled if attempts_left == 2 => {
+            None
         }
-        match over {
-            true => self.finish_request(id, None, actions),
-            false => self.advance(now, id, actions),
+        // No decode engine was reached, so the time of the state runs on: kept if it allows one more such attempt.
+        Outcome::ConnectFailed | Outcome::NotSent => {
+            let one_more = PROBE_TIMEOUT + settings.limits.connect_timeout;
+            attempt.state.filter(|held| now + one_more <= held.since + settings.held_state_limit)
         }
+        _ => attempt.state.map(|held| HeldState { since: now, ..held }),
     }
 }
--- a/src/decisions/router.rs
+++ b/src/decisions/router.rs
@@ -37,7 +37,7 @@
 }
 
 impl Router {
-    /// A router that knows nothing yet but its settings; `seed` settles its chances.
+    /// A router that knows nothing yet but its settings; `seed` determines its random numbers.
     pub fn new(settings: Settings, seed: u64) -> Self {
         let worths = || settings.classes.iter().map(|c| c.priority_weight);
         let max_priority_weight = worths().fold(0.0, f64::max);
--- a/src/decisions/slow_start.rs
+++ b/src/decisions/slow_start.rs
@@ -10,17 +10,18 @@
 
 /// Time constant over which send rates are averaged.
 pub(super) const SEND_RATE_WINDOW: Duration = Duration::from_millis(5_000);
-/// Time in which all routers together may send a cold engine one prompt where nothing is known of warm ones.
+/// Time in which all routers together may send a warming engine one prompt where no sustained load is known.
 const INITIAL_WARMUP_INTERVAL: Duration = Duration::from_millis(1_000);
 
 impl Router {
-    /// Told to have started, or back from where it could not be reached: it may have restarted long before
-    /// the list says so, and what is sent meanwhile counts. Harm: after a mere cut its share comes late.
+    /// Whether an engine warms up: it has started by the endpoint list, or was reached again after an ejection. It may have
+    /// restarted long before the list says so, and what is sent meanwhile matters. Drawback: after a mere network fault
+    /// it gets its full share late.
     pub(super) fn is_warming_up(&self, now: Duration, record: &EngineRecord) -> bool {
         record.warming_up_since(now).is_some_and(|at| now < at.saturating_add(self.settings.warmup_time))
     }
 
-    /// The part of its work that an engine can do by now.
+    /// The share of its work that an engine can do at present; 1 when it is not warming up.
     pub(super) fn warmup_share(&self, now: Duration, record: &EngineRecord) -> f64 {
         let Some(since) = record.warming_up_since(now).filter(|_| self.is_warming_up(now, record)) else {
             return 1.0;
@@ -29,30 +30,31 @@
         self.settings.warmup_initial_share + (1.0 - self.settings.warmup_initial_share) * age.min(1.0)
     }
 
-    /// What this router may send a cold engine, tokens a second: its share of what a warm one bears.
+    /// Prompt tokens a second that this router may send a warming engine: a share of the sustained load of others.
     pub(super) fn warmup_send_rate(&self, now: Duration, record: &EngineRecord) -> f64 {
         let least =
             *self.mean_prompt / INITIAL_WARMUP_INTERVAL.as_secs_f64() / f64::from(self.settings.router_count);
         self.warmup_share(now, record) * self.means[record.role as usize].sustained_load.max(least)
     }
 
+    /// Takes a prompt that was sent to an engine which is not warming up into the send rate and the sustained load.
     pub(super) fn record_sustained_load(&mut self, now: Duration, role: Role, prompt: f64) {
-        let cold = |record: &&EngineRecord| {
+        let is_warming_up = |record: &&EngineRecord| {
             record.role == role && record.is_ready() && self.is_warming_up(now, record)
         };
-        let cold = self
+        let warming_up = self
             .engine_index
             .maybe_restricted
             .iter()
             .filter_map(|id| self.engines.get(id))
-            .filter(cold)
+            .filter(is_warming_up)
             .count();
-        let warm = self.engine_index.ready_count(role as usize).saturating_sub(cold).max(1) as f64;
+        let others = self.engine_index.ready_count(role as usize).saturating_sub(warming_up).max(1) as f64;
         let means = &mut self.means[role as usize];
         let age =
             now.saturating_sub(means.send_rate_updated_at).as_secs_f64() / SEND_RATE_WINDOW.as_secs_f64();
         means.send_rate = means.send_rate * (-age).exp() + prompt / SEND_RATE_WINDOW.as_secs_f64();
         means.send_rate_updated_at = now;
-        means.sustained_load += MIN_SAMPLE_WEIGHT * (means.send_rate / warm - means.sustained_load);
+        means.sustained_load += MIN_SAMPLE_WEIGHT * (means.send_rate / others - means.sustained_load);
     }
 }
--- a/src/decisions/successor.rs
+++ b/src/decisions/successor.rs
@@ -3,7 +3,7 @@
 //!
 //! Decides nothing: it copies. See docs/design-policy.md.
 
-use super::requests::{ActiveRequest, Attempt};
+use super::requests::ActiveRequest;
 use super::router::Router;
 use super::timers::Timer;
 use crate::interface::{Action, ClassId, Settings};
@@ -26,9 +26,10 @@
 }
 
 impl Router {
-    /// A router by other settings that knows what this one has learnt: load, pace, cold budgets, ejections, rests by class, what is left of
-    /// quotas by tenant. It counts this one's attempts as out, too: it is to be told of their ends as this one is, and what it asks for on their
-    /// account is not to be carried out. Timers that it needs are appended to `actions`.
+    /// A router with other settings that knows what this one has learnt: load, pace, slow start budgets, ejections, pauses
+    /// by class, and what is left of quotas by tenant. It counts this router's attempts as in flight, too: it is to be
+    /// told of their ends as this one is, and the actions that it asks for on their account are not to be carried out.
+    /// Timers that it needs are appended to `actions`.
     #[must_use]
     pub fn successor(
         &self, now: Duration, settings: Settings, places: &SettingsMapping, seed: u64,
@@ -45,15 +46,17 @@
         }
         successor.engines.clone_from(&self.engines);
         for record in successor.engines.values_mut() {
-            let rest = |place: &Option<usize>| place.and_then(|at| record.passed_over_until.get(at).copied());
-            let rests = places.classes.iter().map(|place| rest(place).unwrap_or_default()).collect();
-            record.passed_over_until = rests;
+            let until =
+                |place: &Option<usize>| place.and_then(|at| record.passed_over_until.get(at).copied());
+            let passed_over_until =
+                places.classes.iter().map(|place| until(place).unwrap_or_default()).collect();
+            record.passed_over_until = passed_over_until;
             record.requests_awaiting_probe.clear();
         }
         for (&id, active) in self.requests.iter().filter(|(_, j)| j.attempts.iter().any(|a| a.in_flight)) {
             let mut request = active.request.clone();
             request.class = places.new_class(request.class);
-            let attempts = active.attempts.iter().map(|a| Attempt { ..*a }).collect();
+            let attempts = active.attempts.clone();
             successor
                 .requests
                 .insert(id, ActiveRequest { request, attempts, ended: true, ..ActiveRequest::default() });
