--- a/crates/gateway/src/dispatch.rs
+++ b/crates/gateway/src/dispatch.rs
@@ -38,7 +38,7 @@
             }
             Action::Probe(engine) => self.probe(engine, out),
             Action::CloseIdleConnections(engine) => self.close_idle(engine, out),
-            Action::Log(line) => out.push(Output::Log(line)),
+            Action::Log(event) => out.push(Output::Log(event.to_string())),
             // The list is pushed to the gateway; it is at the decision module's hands already.
             Action::WatchEngines(_) | Action::FetchEngines => {}
             // Settings say that there are no peers, places ahead or moved streams; the decision module asks for none.
--- a/crates/platform/src/dispatch.rs
+++ b/crates/platform/src/dispatch.rs
@@ -32,7 +32,7 @@
             Action::Probe(engine) => self.probe(engine, out),
             Action::CloseIdleConnections(engine) => self.close_idle(engine, out),
             Action::MigrateStream(request) => self.migrate_stream(request, out),
-            Action::Log(line) => self.log_limited(|| LogEvent::Decision(line), out),
+            Action::Log(event) => self.log_limited(|| LogEvent::Decision(event), out),
             // The platform has no reservations and no messages between routers, and its watch is always open.
             Action::Reserve { request, engine } => {
                 self.queue_event(Event::ReservationAnswered { request, engine, granted: false });
--- a/crates/platform/src/log_event.rs
+++ b/crates/platform/src/log_event.rs
@@ -40,8 +40,8 @@
     WatchFailed(WatchFailure),
     /// The configuration file was replaced.
     ConfigReloaded { discovery: SocketAddr },
-    /// A line that the decision module put together.
-    Decision(String),
+    /// What the decision module reports.
+    Decision(slipreel::LogEvent),
     /// The periodic status.
     Status(Box<Status>),
 }
@@ -81,7 +81,7 @@
             LogEvent::ConfigReloaded { discovery } => {
                 write!(f, "the configuration was read again; discovery is at {discovery}")
             }
-            LogEvent::Decision(line) => f.write_str(line),
+            LogEvent::Decision(event) => write!(f, "{event}"),
             LogEvent::Status(status) => status.fmt(f),
         }
     }
--- a/crates/platform/src/log_event/tests.rs
+++ b/crates/platform/src/log_event/tests.rs
@@ -57,8 +57,13 @@
     let reloaded = LogEvent::ConfigReloaded { discovery: SocketAddr::from(([127, 0, 0, 9], 8500)) };
     let expected = "the configuration was read again; discovery is at 127.0.0.9:8500";
     assert_eq!(reloaded.to_string(), expected);
+    let ejected = slipreel::LogEvent::EngineEjected {
+        engine: slipreel::EngineId(0xf75e_e90a_1a01_58d6),
+        duration: std::time::Duration::from_millis(1135),
+        cause: slipreel::EjectionCause::ConnectFailed,
+    };
     let line = "engine f75ee90a1a0158d6 ejected for 1135 ms: no connection";
-    assert_eq!(LogEvent::Decision(line.to_owned()).to_string(), line);
+    assert_eq!(LogEvent::Decision(ejected).to_string(), line);
 }
 
 #[test]
