--- a/crates/cli/src/disk.rs
+++ b/crates/cli/src/disk.rs
@@ -1,4 +1,4 @@
-//! The file in which a voter keeps what it must not forget: appended and synced, or put in place whole.
+//! The file of a voter on disk: it is appended to and synced, or replaced atomically.
 
 use rustix::fs::FlockOperation;
 use slipreel_consensus::Disk;
@@ -7,56 +7,60 @@
 use std::path::{Path, PathBuf};
 
 /// The file's name in the folder of `[fleet]`.
-const NAME: &str = "accord";
+const FILE_NAME: &str = "accord";
 /// Bytes from which on a file is refused: a log of this program is never that long.
 const MAX_FILE_LEN: u64 = 1 << 30;
 
-/// A voter's file.
+/// The folder with a voter's file.
 pub(crate) struct Folder {
     folder: PathBuf,
     file: Option<File>,
 }
 
 impl Folder {
+    /// The folder at this path, which need not exist yet.
     pub(crate) fn new(folder: &Path) -> Folder {
         Folder { folder: folder.to_owned(), file: None }
     }
 
-    /// Takes the folder for this process as long as it runs. A second process on one folder would vote with the first one's promises.
+    /// Locks the folder for this process until the returned file is closed. A second process on one folder would vote with the first one's
+    /// promises.
     ///
     /// # Errors
-    /// Another process has it, or it can't be made.
-    pub(crate) fn take(folder: &Path) -> std::io::Result<File> {
+    /// Another process has locked it, or it can't be created.
+    pub(crate) fn lock(folder: &Path) -> std::io::Result<File> {
         std::fs::create_dir_all(folder)?;
         let lock = File::options().create(true).truncate(false).write(true).open(folder.join("lock"))?;
         rustix::fs::flock(&lock, FlockOperation::NonBlockingLockExclusive)?;
         Ok(lock)
     }
 
-    /// What stands there; nothing if there is none.
+    /// Reads the file; empty if there is none.
     pub(crate) fn read(folder: &Path) -> std::io::Result<Vec<u8>> {
-        let file = match File::open(folder.join(NAME)) {
+        let file = match File::open(folder.join(FILE_NAME)) {
             Err(e) if e.kind() == std::io::ErrorKind::NotFound => return Ok(Vec::new()),
             other => other?,
         };
         let mut bytes = Vec::new();
         file.take(MAX_FILE_LEN).read_to_end(&mut bytes)?;
         if bytes.len() as u64 == MAX_FILE_LEN {
-            return Err(std::io::Error::other(format!("{NAME}: expected fewer than {MAX_FILE_LEN} bytes")));
+            return Err(std::io::Error::other(format!(
+                "{FILE_NAME}: expected fewer than {MAX_FILE_LEN} bytes"
+            )));
         }
         Ok(bytes)
     }
 
     fn try_append(&mut self, bytes: &[u8], sync: bool) -> std::io::Result<()> {
-        // A file that was removed under a running router takes writes that nobody will find.
-        if !self.folder.join(NAME).exists() {
+        // Writes to a file that was removed while the router runs would be lost.
+        if !self.folder.join(FILE_NAME).exists() {
             return Err(std::io::Error::other(format!(
-                "{}/{NAME} is not there any more",
+                "{}/{FILE_NAME} is not there any more",
                 self.folder.display()
             )));
         }
         if self.file.is_none() {
-            self.file = Some(File::options().append(true).open(self.folder.join(NAME))?);
+            self.file = Some(File::options().append(true).open(self.folder.join(FILE_NAME))?);
         }
         let Some(file) = &mut self.file else { return Ok(()) };
         file.write_all(bytes)?;
@@ -69,12 +73,12 @@
     fn try_replace(&mut self, bytes: &[u8]) -> std::io::Result<()> {
         self.file = None;
         std::fs::create_dir_all(&self.folder)?;
-        let new = self.folder.join(format!("{NAME}.new"));
-        let mut file = File::create(&new)?;
+        let new_file = self.folder.join(format!("{FILE_NAME}.new"));
+        let mut file = File::create(&new_file)?;
         file.write_all(bytes)?;
         file.sync_all()?;
         drop(file);
-        std::fs::rename(&new, self.folder.join(NAME))?;
+        std::fs::rename(&new_file, self.folder.join(FILE_NAME))?;
         File::open(&self.folder)?.sync_all()
     }
 }
--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -1,4 +1,4 @@
-//! `fleet`: what a running router knows of its fleet, asked at its operators' port.
+//! `fleet`: the fleet as a running router sees it, by requests to its operators' port.
 
 use crate::{Failure, Outcome};
 use clap::{Args as ClapArgs, Subcommand};
@@ -8,17 +8,17 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// How often `watch` asks.
-const LOOK: Duration = Duration::from_millis(200);
-/// A router that does not answer by then is said not to.
-const ANSWER: Duration = Duration::from_secs(3);
-/// The longest answer that is read.
-const LONGEST: u64 = 4 << 20;
+/// How often `watch` polls the router.
+const WATCH_INTERVAL: Duration = Duration::from_millis(200);
+/// How long a router may take to connect or to answer.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(3);
+/// The longest answer that is read, bytes.
+const MAX_ANSWER_LEN: u64 = 4 << 20;
 
 #[derive(ClapArgs)]
 pub(crate) struct Args {
     #[command(subcommand)]
-    what: What,
+    command: FleetCommand,
 }
 
 #[derive(ClapArgs)]
@@ -29,7 +29,7 @@
 }
 
 #[derive(Subcommand)]
-enum What {
+enum FleetCommand {
     /// Who is there, as this router knows.
     Status {
         #[command(flatten)]
@@ -70,48 +70,52 @@
     },
 }
 
-/// Asks an operators' port; gives status and body.
-pub(crate) fn ask(at: SocketAddr, method: &str, path: &str) -> std::io::Result<(u16, String)> {
-    ask_with(at, method, path, "")
+/// The answer of a router.
+pub(crate) struct HttpAnswer {
+    pub(crate) status: u16,
+    pub(crate) body: String,
 }
 
-/// The same with something to say.
-pub(crate) fn ask_with(
-    at: SocketAddr, method: &str, path: &str, said: &str,
-) -> std::io::Result<(u16, String)> {
-    let mut stream = TcpStream::connect_timeout(&at, ANSWER)?;
-    stream.set_read_timeout(Some(ANSWER))?;
-    stream.set_write_timeout(Some(ANSWER))?;
+/// Sends a request to an operators' port, and reads the answer.
+pub(crate) fn http_request(
+    at: SocketAddr, method: &str, path: &str, body: &str,
+) -> std::io::Result<HttpAnswer> {
+    let mut stream = TcpStream::connect_timeout(&at, ANSWER_TIMEOUT)?;
+    stream.set_read_timeout(Some(ANSWER_TIMEOUT))?;
+    stream.set_write_timeout(Some(ANSWER_TIMEOUT))?;
     let head = format!(
-        "{method} {path} HTTP/1.1\r\nhost: {at}\r\ncontent-length: {}\r\nconnection: close\r\n\r\n{said}",
-        said.len()
+        "{method} {path} HTTP/1.1\r\nhost: {at}\r\ncontent-length: {}\r\nconnection: close\r\n\r\n{body}",
+        body.len()
     );
     stream.write_all(head.as_bytes())?;
     let mut text = String::new();
-    stream.take(LONGEST).read_to_string(&mut text)?;
-    let odd = || std::io::Error::new(std::io::ErrorKind::InvalidData, "not an answer of a router");
-    let status = text.get(9..12).and_then(|s| s.parse().ok()).ok_or_else(odd)?;
-    let body = text.split_once("\r\n\r\n").ok_or_else(odd)?.1;
-    Ok((status, body.to_owned()))
+    stream.take(MAX_ANSWER_LEN).read_to_string(&mut text)?;
+    let malformed = || std::io::Error::new(std::io::ErrorKind::InvalidData, "not an answer of a router");
+    let status = text.get(9..12).and_then(|digits| digits.parse().ok()).ok_or_else(malformed)?;
+    let body = text.split_once("\r\n\r\n").ok_or_else(malformed)?.1;
+    Ok(HttpAnswer { status, body: body.to_owned() })
 }
 
-fn need(at: SocketAddr, method: &str, path: &str) -> Result<String, Failure> {
-    let (status, body) = ask(at, method, path).map_err(|e| Failure::Run(format!("{at}: {e}")))?;
-    let why = || {
-        let told = serde_json::from_str::<Value>(&body).ok();
-        told.and_then(|v| v["error"]["message"].as_str().map(str::to_owned)).unwrap_or_else(|| body.clone())
+/// The body of an answer that reports success.
+fn successful_body(at: SocketAddr, method: &str, path: &str) -> Result<String, Failure> {
+    let answer = http_request(at, method, path, "").map_err(|e| Failure::Run(format!("{at}: {e}")))?;
+    let HttpAnswer { status, body } = answer;
+    let error_message = || {
+        let error = serde_json::from_str::<Value>(&body).ok();
+        let message = error.and_then(|error| error["error"]["message"].as_str().map(str::to_owned));
+        message.unwrap_or_else(|| body.clone())
     };
     match status {
         200 | 202 => Ok(body),
         404 if path == "/fleet/status" => Err(Failure::Run(format!(
             "{at}: this router is no member of a fleet: its settings have no [fleet]"
         ))),
-        _ => Err(Failure::Run(format!("{at}: {status}: {}", why()))),
+        _ => Err(Failure::Run(format!("{at}: {status}: {}", error_message()))),
     }
 }
 
 fn status(at: SocketAddr) -> Result<Value, Failure> {
-    let body = need(at, "GET", "/fleet/status")?;
+    let body = successful_body(at, "GET", "/fleet/status")?;
     serde_json::from_str(&body).map_err(|e| Failure::Run(format!("{at}: {e}")))
 }
 
@@ -133,29 +137,29 @@
         text(view, "digest"),
         view["routers"]
     );
-    let widest = members(view).iter().map(|m| text(m, "name").len()).max().unwrap_or(0).max(4);
+    let widest = members(view).iter().map(|member| text(member, "name").len()).max().unwrap_or(0).max(4);
     println!("{:widest$}  {:8}  {:>11}  {:21}  for", "name", "state", "incarnation", "address");
-    for m in members(view) {
-        let since = Duration::from_millis(m["since_ms"].as_u64().unwrap_or(0) / 100 * 100);
+    for member in members(view) {
+        let since = Duration::from_millis(member["since_ms"].as_u64().unwrap_or(0) / 100 * 100);
         println!(
             "{:widest$}  {:8}  {:>11}  {:21}  {since:?}{}",
-            text(m, "name"),
-            text(m, "state"),
-            m["incarnation"].to_string(),
-            text(m, "address"),
-            if m["left"] == true { ", left in order" } else { "" }
+            text(member, "name"),
+            text(member, "state"),
+            member["incarnation"].to_string(),
+            text(member, "address"),
+            if member["left"] == true { ", left in order" } else { "" }
         );
     }
 }
 
-/// What `watch` compares, a line each.
+/// The facts that `watch` compares, by their subjects.
 fn facts(view: &Value) -> BTreeMap<String, String> {
     let mut facts: BTreeMap<String, String> = members(view)
         .iter()
-        .map(|m| {
-            let what =
-                format!("{} incarnation {} at {}", text(m, "state"), m["incarnation"], text(m, "address"));
-            (format!("member {}", text(m, "name")), what)
+        .map(|member| {
+            let (state, address) = (text(member, "state"), text(member, "address"));
+            let fact = format!("{state} incarnation {} at {address}", member["incarnation"]);
+            (format!("member {}", text(member, "name")), fact)
         })
         .collect();
     let settled = if view["settled"] == true { "settled" } else { "not settled" };
@@ -165,10 +169,23 @@
     facts
 }
 
+fn print_changes(ms: u128, before: &BTreeMap<String, String>, now: &BTreeMap<String, String>) {
+    for (key, value) in now {
+        if before.get(key) != Some(value) {
+            println!("{ms} ms: {key}: {value}");
+        }
+    }
+    for key in before.keys().filter(|key| !now.contains_key(*key)) {
+        println!("{ms} ms: {key}: not listed any more");
+    }
+}
+
+/// Prints changes until `seconds` have passed; `None`: until the process is stopped.
 fn watch(at: SocketAddr, seconds: Option<u64>) {
     let start = std::time::Instant::now();
-    let (mut known, mut silent) = (BTreeMap::new(), false);
-    while seconds.is_none_or(|s| start.elapsed() < Duration::from_secs(s)) {
+    let mut known = BTreeMap::new();
+    let mut silent = false;
+    while seconds.is_none_or(|seconds| start.elapsed() < Duration::from_secs(seconds)) {
         let ms = start.elapsed().as_millis();
         match status(at) {
             Ok(view) => {
@@ -176,15 +193,7 @@
                 if std::mem::take(&mut silent) {
                     println!("{ms} ms: {at} answers again");
                 }
-                for (key, value) in &now {
-                    if known.get(key) != Some(value) {
-                        println!("{ms} ms: {key}: {value}");
-                    }
-                }
-                known
-                    .keys()
-                    .filter(|k| !now.contains_key(*k))
-                    .for_each(|k| println!("{ms} ms: {k}: not listed any more"));
+                print_changes(ms, &known, &now);
                 known = now;
             }
             Err(Failure::Code(_)) => {}
@@ -194,26 +203,28 @@
                 }
             }
         }
-        std::thread::sleep(LOOK);
+        std::thread::sleep(WATCH_INTERVAL);
     }
 }
 
 pub(crate) fn run(args: &Args) -> Outcome {
-    match &args.what {
-        What::Status { at, json: true } => println!("{}", need(at.at, "GET", "/fleet/status")?),
-        What::Status { at, json: false } => print(&status(at.at)?),
-        What::Watch { at, seconds } => watch(at.at, *seconds),
-        What::Leave { at } => {
-            need(at.at, "POST", "/fleet/leave")?;
+    match &args.command {
+        FleetCommand::Status { at, json: true } => {
+            println!("{}", successful_body(at.at, "GET", "/fleet/status")?);
+        }
+        FleetCommand::Status { at, json: false } => print(&status(at.at)?),
+        FleetCommand::Watch { at, seconds } => watch(at.at, *seconds),
+        FleetCommand::Leave { at } => {
+            successful_body(at.at, "POST", "/fleet/leave")?;
             println!("{}: says goodbye", at.at);
         }
-        What::Replace { old, with, at } => {
-            let with = with.as_ref().map(|w| format!("/{w}")).unwrap_or_default();
-            need(at.at, "POST", &format!("/policy/replace/{old}{with}"))?;
+        FleetCommand::Replace { old, with, at } => {
+            let with = with.as_ref().map(|name| format!("/{name}")).unwrap_or_default();
+            successful_body(at.at, "POST", &format!("/policy/replace/{old}{with}"))?;
             println!("{old}: another takes its vote; `slipreel policy status` shows who votes");
         }
-        What::Forget { name, at } => {
-            need(at.at, "POST", &format!("/fleet/forget/{name}"))?;
+        FleetCommand::Forget { name, at } => {
+            successful_body(at.at, "POST", &format!("/fleet/forget/{name}"))?;
             println!("{name}: declared gone");
         }
     }
--- a/crates/cli/src/member.rs
+++ b/crates/cli/src/member.rs
@@ -1,8 +1,8 @@
-//! `serve` as a member of a fleet: a thread of its own keeps the view, this side keeps the folder and passes on what follows.
+//! `serve` as a member of a fleet: membership and consensus run on a thread of their own; this side saves state and passes changes on.
 
 use crate::disk::Folder;
 use crate::{lines, Failure};
-use slipreel_consensus::storage::{read, StorageError};
+use slipreel_consensus::storage::{read, StorageError, StoredState};
 use slipreel_consensus::{
     CompiledPolicy, Consensus, Disk, InvalidPolicy, Member as Machine, MembershipDirectory, PolicyCompiler,
     PolicyHandle, Startup,
@@ -12,52 +12,54 @@
 use slipreel_membership::{Membership, MembershipSettings, Peers, SavedState, SharedView};
 use slipreel_settings::{changes, join, policy_of, Daemon, FleetSite};
 use std::io::Write;
+use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::sync::{Arc, Mutex, PoisonError};
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant, SystemTime};
 
-/// Least time between two writes of the folder, whatever changes.
-const WRITE: Duration = Duration::from_secs(1);
+/// Least time between two writes of the saved state, unless the incarnation changes.
+const MIN_WRITE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// This process's part in the policy that the fleet agrees on.
-struct Policy {
+/// The policy of the fleet, as this process takes part in it.
+struct FleetPolicy {
     handle: Arc<PolicyHandle>,
-    /// The router's own file as it was last read well: a policy is tried together with it.
-    own: Arc<Mutex<String>>,
+    /// The router's own settings as they were last valid: a policy is compiled together with them.
+    own_settings: Arc<Mutex<String>>,
     file: String,
-    /// The epoch that was last told of.
-    told: u64,
-    /// Held for as long as the process runs.
+    /// The last epoch whose differences from the file were logged.
+    logged_epoch: u64,
+    /// The lock of the folder, held for as long as the process runs.
     _lock: Option<std::fs::File>,
 }
 
-impl Policy {
-    fn own(&self) -> String {
-        self.own.lock().unwrap_or_else(PoisonError::into_inner).clone()
+impl FleetPolicy {
+    fn own_settings(&self) -> String {
+        self.own_settings.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// Says which keys of this router's file differ from the policy in force, when another one is.
-    fn look(&mut self) {
-        let shown = self.handle.status();
-        if shown.epoch == self.told {
+    /// Logs which keys of this router's file differ from the policy in force, once for each epoch.
+    fn log_differences(&mut self) {
+        let status = self.handle.status();
+        if status.epoch == self.logged_epoch {
             return;
         }
-        self.told = shown.epoch;
-        let Ok(own) = policy_of(&self.own(), &self.file) else { return };
-        for change in changes(&own.text, &shown.text).unwrap_or_default().iter().take(DIFFERENCES) {
+        self.logged_epoch = status.epoch;
+        let Ok(own) = policy_of(&self.own_settings(), &self.file) else { return };
+        for change in changes(&own.text, &status.text).unwrap_or_default().iter().take(MAX_LOGGED_DIFFERENCES)
+        {
             tracing::info!(
-                epoch = shown.epoch,
+                epoch = status.epoch,
                 "the policy in force, not this router's file, holds: {change}"
             );
         }
     }
 }
 
-/// Lines about what a file has otherwise than the policy in force.
-const DIFFERENCES: usize = 16;
+/// The most lines about differences between a file and the policy in force.
+const MAX_LOGGED_DIFFERENCES: usize = 16;
 
-/// A disk for a router without a folder: it does not vote, and nothing is kept.
+/// The disk of a router without a folder: it does not vote, and nothing is stored.
 struct NoDisk;
 
 impl Disk for NoDisk {
@@ -69,9 +71,9 @@
     }
 }
 
-/// Takes the folder. One that can't be written is no reason not to serve: the router does not vote, and says so.
+/// Locks the folder; `None`: it can't be written. The router serves all the same, but does not vote.
 fn lock(folder: &Path) -> Result<Option<std::fs::File>, Failure> {
-    match Folder::take(folder) {
+    match Folder::lock(folder) {
         Ok(lock) => Ok(Some(lock)),
         Err(e) if e.kind() == std::io::ErrorKind::WouldBlock => Err(Failure::Run(format!(
             "[fleet] folder: {}: another process uses it: expected a folder of this router's own",
@@ -81,19 +83,52 @@
     }
 }
 
-/// What a router needs to take part in the policy, where its settings want that.
+/// Compiles policies together with this router's own settings.
+fn compiler(own_settings: Arc<Mutex<String>>, file: String) -> Box<dyn PolicyCompiler> {
+    Box::new(move |policy: &str| {
+        let own = own_settings.lock().unwrap_or_else(PoisonError::into_inner).clone();
+        match join(&own, &file, policy) {
+            Ok(daemon) => Ok(Arc::new(daemon.site) as CompiledPolicy),
+            Err(faults) => Err(InvalidPolicy::new(lines(&faults))),
+        }
+    })
+}
+
+/// What a voter has on its disk, if it has one.
+struct DurableState {
+    stored: Option<Result<StoredState, StorageError>>,
+    disk: Box<dyn Disk>,
+    lock: Option<std::fs::File>,
+}
+
+impl DurableState {
+    fn open(folder: Option<&Path>) -> Result<DurableState, Failure> {
+        let Some(folder) = folder else {
+            return Ok(DurableState { stored: None, disk: Box::new(NoDisk), lock: None });
+        };
+        let lock = lock(folder)?;
+        // A file that can't be read may hold promises: the router acts by what the others decide, and does not vote.
+        let stored = match Folder::read(folder) {
+            Ok(bytes) => read(&bytes).map_err(StorageError::Log),
+            Err(error) => Err(StorageError::Unreadable(error)),
+        };
+        Ok(DurableState { stored: Some(stored), disk: Box::new(Folder::new(folder)), lock })
+    }
+}
+
+/// Consensus on the policy, if the settings name founders.
 fn consensus(
     site: &FleetSite, name: &str, config: &Path, clock: Clock, view: &Arc<SharedView>,
-) -> Result<Option<(Consensus, Policy)>, Failure> {
+) -> Result<Option<(Consensus, FleetPolicy)>, Failure> {
     if site.founders.is_empty() {
         return Ok(None);
     }
     let file = config.display().to_string();
     let text = std::fs::read_to_string(config).map_err(|e| Failure::Input(format!("{file}: {e}")))?;
     let policy = policy_of(&text, &file).map_err(|faults| Failure::Input(lines(&faults)))?;
-    let own = Arc::new(Mutex::new(text));
+    let own_settings = Arc::new(Mutex::new(text));
     let handle = Arc::new(PolicyHandle::default());
-    let settings = slipreel_consensus::ConsensusConfig {
+    let consensus_config = slipreel_consensus::ConsensusConfig {
         fleet: site.fleet.clone(),
         name: name.to_owned(),
         founders: site.founders.clone(),
@@ -101,63 +136,44 @@
         partition_mode: site.cut,
         max_datagram_len: site.datagram,
     };
-    let (of, with) = (file.clone(), own.clone());
-    let compiler: Box<dyn PolicyCompiler> = Box::new(move |policy: &str| {
-        let own = with.lock().unwrap_or_else(PoisonError::into_inner).clone();
-        match join(&own, &of, policy) {
-            Ok(daemon) => Ok(Arc::new(daemon.site) as CompiledPolicy),
-            Err(faults) => Err(InvalidPolicy::new(lines(&faults))),
-        }
-    });
-    let (found, disk, lock): (_, Box<dyn Disk>, _) = match &site.folder {
-        None => (None, Box::new(NoDisk), None),
-        Some(folder) => {
-            let lock = lock(folder)?;
-            // What can't be read may hold promises: the router serves by what the others agree on, and does not vote.
-            let found = match Folder::read(folder) {
-                Ok(stands) => read(&stands).map_err(StorageError::Log),
-                Err(error) => Err(StorageError::Unreadable(error)),
-            };
-            (Some(found), Box::new(Folder::new(folder)), lock)
-        }
-    };
-    let wall = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
-    let start = Startup {
-        stored: found,
+    let DurableState { stored, disk, lock } = DurableState::open(site.folder.as_deref())?;
+    let unix_time = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
+    let startup = Startup {
+        stored,
         disk,
-        compiler,
+        compiler: compiler(own_settings.clone(), file.clone()),
         directory: Box::new(MembershipDirectory(view.clone())),
         seed: rand::random(),
-        unix_time_at_zero: wall.saturating_sub(clock.now()),
+        unix_time_at_zero: unix_time.saturating_sub(clock.now()),
         handle: handle.clone(),
     };
-    let consensus = Consensus::new(settings, start, clock.now());
-    Ok(Some((consensus, Policy { handle, own, file, told: 0, _lock: lock })))
+    let consensus = Consensus::new(consensus_config, startup, clock.now());
+    Ok(Some((consensus, FleetPolicy { handle, own_settings, file, logged_epoch: 0, _lock: lock })))
 }
 
 /// The member of this process.
 pub(crate) struct Member {
-    board: Arc<SharedView>,
+    view: Arc<SharedView>,
     handle: EventLoopHandle<Machine>,
-    policy: Option<Policy>,
+    policy: Option<FleetPolicy>,
     thread: JoinHandle<()>,
     site: FleetSite,
     peers: Peers,
-    /// The book as it was last read, to see whether it has changed.
-    book: Option<String>,
-    kept: Arc<SavedState>,
-    written: Instant,
-    failing: bool,
-    routers: u32,
+    /// The address table as it was last read, to notice changes.
+    address_table_text: Option<String>,
+    saved_state: Arc<SavedState>,
+    last_write: Instant,
+    write_failed: bool,
+    router_count: u32,
 }
 
-fn file_of(folder: &Path) -> PathBuf {
+fn saved_state_file(folder: &Path) -> PathBuf {
     folder.join("fleet")
 }
 
-/// What the last life left; nothing if there is none, or if it can't be read, which is said.
-fn read_kept(folder: Option<&Path>) -> SavedState {
-    let Some(file) = folder.map(file_of) else { return SavedState::default() };
+/// Reads the state that the last process saved. The default if there is none, or if it can't be read, which is logged.
+fn read_saved_state(folder: Option<&Path>) -> SavedState {
+    let Some(file) = folder.map(saved_state_file) else { return SavedState::default() };
     let text = match std::fs::read_to_string(&file) {
         Ok(text) => text,
         Err(e) if e.kind() == std::io::ErrorKind::NotFound => return SavedState::default(),
@@ -172,163 +188,183 @@
     })
 }
 
-/// Writes the file so that it is never half there: another file, synced, takes its place, and the folder is synced.
-fn write_kept(folder: &Path, kept: &SavedState) -> std::io::Result<()> {
+/// Replaces the file atomically: a new file is written, synced and renamed, and the folder is synced.
+fn write_saved_state(folder: &Path, state: &SavedState) -> std::io::Result<()> {
     std::fs::create_dir_all(folder)?;
-    let (file, new) = (file_of(folder), folder.join("fleet.new"));
+    let file = saved_state_file(folder);
+    let new = folder.join("fleet.new");
     let mut out = std::fs::File::create(&new)?;
-    out.write_all(kept.encode().as_bytes())?;
+    out.write_all(state.encode().as_bytes())?;
     out.sync_all()?;
     drop(out);
     std::fs::rename(&new, &file)?;
     std::fs::File::open(folder)?.sync_all()
 }
 
+/// Whether settings differ that take effect at a start only.
+fn fixed_settings_differ(one: &FleetSite, other: &FleetSite) -> bool {
+    one.fleet != other.fleet
+        || one.listen != other.listen
+        || one.folder != other.folder
+        || one.datagram != other.datagram
+}
+
 fn peers(site: &FleetSite) -> Result<Peers, Failure> {
     site.peers().map_err(|faults| Failure::Input(lines(&faults)))
 }
 
-fn book_text(site: &FleetSite) -> Option<String> {
+fn address_table_text(site: &FleetSite) -> Option<String> {
     site.book.as_ref().and_then(|file| std::fs::read_to_string(file).ok())
 }
 
+fn membership_settings(daemon: &Daemon, site: &FleetSite) -> MembershipSettings {
+    MembershipSettings {
+        fleet: site.fleet.clone(),
+        name: daemon.site.name.clone(),
+        address: site.listen,
+        routers: daemon.threads as u32,
+        min_routers: daemon.site.settings.router_count,
+        max_datagram: site.datagram,
+    }
+}
+
+/// An event loop with this machine, which listens at `address`.
+fn event_loop(machine: Machine, clock: Clock, address: SocketAddr) -> Result<EventLoop<Machine>, Failure> {
+    let mut event_loop = EventLoop::new(clock).map_err(|e| Failure::Run(e.to_string()))?;
+    event_loop.on_log(|_, line| tracing::info!("{line}"));
+    let machine = event_loop.add(machine);
+    event_loop.listen_alone(machine, address).map_err(|e| Failure::Run(e.to_string()))?;
+    event_loop.listen_datagrams(machine, address).map_err(|e| Failure::Run(e.to_string()))?;
+    Ok(event_loop)
+}
+
+fn run_on_thread(mut event_loop: EventLoop<Machine>) -> Result<JoinHandle<()>, Failure> {
+    let run = move || {
+        if let Err(why) = event_loop.run() {
+            tracing::error!(%why, "the event loop of the fleet failed");
+        }
+    };
+    std::thread::Builder::new().name("fleet".into()).spawn(run).map_err(|e| Failure::Run(e.to_string()))
+}
+
 impl Member {
-    /// Starts it, where the settings have a section `[fleet]`. What outlives the process is written before anybody hears of it.
+    /// Starts the member, if the settings have a section `[fleet]`. State that must survive the process is written before it is sent.
     pub(crate) fn start(daemon: &Daemon, config: &Path, clock: Clock) -> Result<Option<Member>, Failure> {
         let Some(site) = daemon.fleet.clone() else { return Ok(None) };
-        let run = |e: std::io::Error| Failure::Run(e.to_string());
         let peers = peers(&site)?;
-        let settings = MembershipSettings {
-            fleet: site.fleet.clone(),
-            name: daemon.site.name.clone(),
-            address: site.listen,
-            routers: daemon.threads as u32,
-            min_routers: daemon.site.settings.router_count,
-            max_datagram: site.datagram,
-        };
-        let board = Arc::new(SharedView::default());
-        let before = read_kept(site.folder.as_deref());
-        let machine =
-            Membership::new(settings, peers.clone(), &before, rand::random(), clock.now(), board.clone());
-        let (consensus, policy) = consensus(&site, &daemon.site.name, config, clock, &board)?.unzip();
-        let machine = Machine::new(machine, consensus);
-        let mut looped = EventLoop::new(clock).map_err(run)?;
-        looped.on_log(|_, line| tracing::info!("{line}"));
-        let node = looped.add(machine);
-        let listen = |e: slipreel_event_loop::AddressError| Failure::Run(e.to_string());
-        looped.listen_alone(node, site.listen).map_err(listen)?;
-        looped.listen_datagrams(node, site.listen).map_err(listen)?;
-        let handle = looped.handle();
+        let view = Arc::new(SharedView::default());
+        let settings = membership_settings(daemon, &site);
+        let saved = read_saved_state(site.folder.as_deref());
+        let membership =
+            Membership::new(settings, peers.clone(), &saved, rand::random(), clock.now(), view.clone());
+        let (consensus, policy) = consensus(&site, &daemon.site.name, config, clock, &view)?.unzip();
+        let event_loop = event_loop(Machine::new(membership, consensus), clock, site.listen)?;
         let mut member = Member {
-            kept: board.saved_state(),
-            book: book_text(&site),
+            saved_state: view.saved_state(),
+            address_table_text: address_table_text(&site),
             site,
             peers,
-            written: Instant::now(),
-            failing: false,
-            routers: daemon.site.settings.router_count,
-            board,
-            handle,
+            last_write: Instant::now(),
+            write_failed: false,
+            router_count: daemon.site.settings.router_count,
+            view,
+            handle: event_loop.handle(),
             policy,
             thread: std::thread::spawn(|| {}),
         };
         member.write();
-        let thread = std::thread::Builder::new().name("fleet".into()).spawn(move || {
-            if let Err(why) = looped.run() {
-                tracing::error!(%why, "the event loop of the fleet failed");
-            }
-        });
-        member.thread = thread.map_err(run)?;
+        member.thread = run_on_thread(event_loop)?;
         tracing::info!(fleet = member.site.fleet, listen = %member.site.listen, "a member of a fleet");
         Ok(Some(member))
     }
 
-    /// Hands the view to the routers of this process.
-    pub(crate) fn introduce(&self, handles: &[EventLoopHandle<Front>]) {
-        let board: Arc<Arc<SharedView>> = Arc::new(self.board.clone());
-        handles.iter().for_each(|h| {
-            h.send(Command::Message(MachineId(0), board.clone()));
-            h.send(Command::Message(MachineId(0), Arc::new(Sharing(self.board.view().router_count))));
+    /// Shares the view and the policy with the routers of this process.
+    pub(crate) fn share_with(&self, handles: &[EventLoopHandle<Front>]) {
+        let view: Arc<Arc<SharedView>> = Arc::new(self.view.clone());
+        for router in handles {
+            router.send(Command::Message(MachineId(0), view.clone()));
+            router.send(Command::Message(MachineId(0), Arc::new(Sharing(self.view.view().router_count))));
             if let Some(policy) = &self.policy {
-                let handle: Arc<Arc<PolicyHandle>> = Arc::new(policy.handle.clone());
-                h.send(Command::Message(MachineId(0), handle));
+                let policy_handle: Arc<Arc<PolicyHandle>> = Arc::new(policy.handle.clone());
+                router.send(Command::Message(MachineId(0), policy_handle));
             }
-        });
+        }
     }
 
-    /// The settings of a file that is read again, with the policy in force in place of its own; `None`: the file's own policy holds.
+    /// The settings of a file that is reloaded, with the policy in force in place of its own; `None`: no policy is in force here, and the
+    /// file's own one is used.
     pub(crate) fn with_policy_in_force(&self, config: &Path) -> Option<Result<Daemon, String>> {
         let policy = self.policy.as_ref()?;
-        let shown = policy.handle.status();
+        let status = policy.handle.status();
         let text = match std::fs::read_to_string(config) {
             Ok(text) => text,
             Err(e) => return Some(Err(e.to_string())),
         };
-        if shown.epoch == 0 {
-            // Nothing is in force here yet, perhaps as this file did not go with it: it is tried with what the file says now.
-            *policy.own.lock().unwrap_or_else(PoisonError::into_inner) = text;
+        if status.epoch == 0 {
+            // No policy is in force here yet, perhaps as it did not compile with this file: it is compiled with the new content next.
+            *policy.own_settings.lock().unwrap_or_else(PoisonError::into_inner) = text;
             return None;
         }
-        Some(match join(&text, &policy.file, &shown.text) {
+        Some(match join(&text, &policy.file, &status.text) {
             Ok(daemon) => {
-                *policy.own.lock().unwrap_or_else(PoisonError::into_inner) = text;
+                *policy.own_settings.lock().unwrap_or_else(PoisonError::into_inner) = text;
                 Ok(daemon)
             }
             Err(faults) => Err(lines(&faults)),
         })
     }
 
-    /// Looks at what has changed: the view, what is to be kept, the book.
-    pub(crate) fn look(&mut self, handles: &[EventLoopHandle<Front>]) {
+    /// Acts on changes of the policy, the view, the saved state and the address table.
+    pub(crate) fn poll_changes(&mut self, handles: &[EventLoopHandle<Front>]) {
         if let Some(policy) = &mut self.policy {
-            policy.look();
+            policy.log_differences();
         }
-        let routers = self.board.view().router_count;
-        if routers != std::mem::replace(&mut self.routers, routers) {
-            tracing::info!(routers, "the fleet counts another number of routers");
-            handles.iter().for_each(|h| {
-                h.send(Command::Message(MachineId(0), Arc::new(Sharing(routers))));
-            });
+        let router_count = self.view.view().router_count;
+        if router_count != std::mem::replace(&mut self.router_count, router_count) {
+            tracing::info!(routers = router_count, "the fleet counts another number of routers");
+            for router in handles {
+                router.send(Command::Message(MachineId(0), Arc::new(Sharing(router_count))));
+            }
         }
-        let kept = self.board.saved_state();
-        if kept != self.kept {
+        let state = self.view.saved_state();
+        if state != self.saved_state {
             // A new incarnation is written at once, as it is in use already; contacts may wait.
-            if kept.incarnation != self.kept.incarnation || self.written.elapsed() >= WRITE {
-                self.kept = kept;
+            let is_new_incarnation = state.incarnation != self.saved_state.incarnation;
+            if is_new_incarnation || self.last_write.elapsed() >= MIN_WRITE_INTERVAL {
+                self.saved_state = state;
                 self.write();
             }
         }
-        if self.book != book_text(&self.site) {
-            self.book = book_text(&self.site);
+        if self.address_table_text != address_table_text(&self.site) {
+            self.address_table_text = address_table_text(&self.site);
             self.reload(None);
         }
     }
 
     fn write(&mut self) {
         let Some(folder) = &self.site.folder else { return };
-        self.written = Instant::now();
-        let result = write_kept(folder, &self.kept);
-        if let (Err(why), false) = (&result, self.failing) {
+        self.last_write = Instant::now();
+        let result = write_saved_state(folder, &self.saved_state);
+        if let (Err(why), false) = (&result, self.write_failed) {
             tracing::warn!(folder = %folder.display(), %why,
                 "the folder can't be written: after a restart this router waits until its last life is known to be over");
         }
-        self.failing = result.is_err();
+        self.write_failed = result.is_err();
     }
 
-    /// Seeds and book are read again; `None`: the book alone. What can't be read changes nothing.
+    /// Reloads seeds and address table; `None`: the address table alone. What can't be read changes nothing.
     pub(crate) fn reload(&mut self, site: Option<&FleetSite>) {
-        let mut new = self.site.clone();
+        let mut new_site = self.site.clone();
         if let Some(site) = site {
-            let fixed = |s: &FleetSite| (s.fleet.clone(), s.listen, s.folder.clone(), s.datagram);
-            if fixed(site) != fixed(&self.site) {
+            if fixed_settings_differ(site, &self.site) {
                 tracing::warn!("fleet, listen, folder and datagram of [fleet] change with a restart only");
             }
-            new.seeds.clone_from(&site.seeds);
-            new.book.clone_from(&site.book);
+            new_site.seeds.clone_from(&site.seeds);
+            new_site.book.clone_from(&site.book);
         }
-        match new.peers() {
+        match new_site.peers() {
             Ok(peers) => {
-                self.site = new;
+                self.site = new_site;
                 if peers != self.peers {
                     self.peers = peers.clone();
                     self.handle.send(Command::Message(MachineId(0), Arc::new(Arc::new(peers))));
@@ -338,12 +374,12 @@
         }
     }
 
-    /// Says goodbye.
+    /// Announces to the fleet that this member leaves.
     pub(crate) fn stop(&self) {
         self.handle.send(Command::Stop(MachineId(0)));
     }
 
-    /// Waits until the goodbye is said.
+    /// Waits until the announcement is sent.
     pub(crate) fn join(self) {
         let _ = self.thread.join();
     }
--- a/crates/cli/src/policy.rs
+++ b/crates/cli/src/policy.rs
@@ -1,6 +1,6 @@
-//! `policy`: the policy that a fleet has agreed on, asked and changed at a router's operators' port.
+//! `policy`: shows and changes the policy of a fleet, by requests to a router's operators' port.
 
-use crate::fleet::ask_with;
+use crate::fleet::{http_request, HttpAnswer};
 use crate::{lines, Failure, Outcome};
 use clap::{Args as ClapArgs, Subcommand};
 use serde_json::Value;
@@ -9,17 +9,17 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 
-/// How often the outcome of a change is asked for.
-const LOOK: Duration = Duration::from_millis(30);
+/// How often the outcome of a change is polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(30);
 /// Exit code: the change was dropped.
-const DROPPED: u8 = 3;
+const EXIT_DROPPED: u8 = 3;
 /// Exit code: its outcome is not known yet.
-const UNKNOWN: u8 = 4;
+const EXIT_UNKNOWN: u8 = 4;
 
 #[derive(ClapArgs)]
 pub(crate) struct Args {
     #[command(subcommand)]
-    what: What,
+    command: PolicyCommand,
 }
 
 #[derive(ClapArgs)]
@@ -45,7 +45,7 @@
 }
 
 #[derive(Subcommand)]
-enum What {
+enum PolicyCommand {
     /// The policy in force.
     Show {
         #[command(flatten)]
@@ -86,24 +86,53 @@
     },
 }
 
-/// What a router answers; `Err`: why it can't be asked, and whether it has heard the question for certain not.
-fn call(at: SocketAddr, method: &str, path: &str, body: &str) -> Result<(u16, Value), (String, bool)> {
-    let (status, text) = ask_with(at, method, path, body)
-        .map_err(|e| (format!("{at}: {e}"), e.kind() == std::io::ErrorKind::ConnectionRefused))?;
-    let value = serde_json::from_str(&text).map_err(|e| (format!("{at}: {e}"), false))?;
-    Ok((status, value))
+/// The answer of a router, with its JSON body.
+struct JsonAnswer {
+    status: u16,
+    value: Value,
 }
 
-fn need(at: SocketAddr, method: &str, path: &str, body: &str) -> Result<Value, Failure> {
-    let (status, value) = call(at, method, path, body).map_err(|(why, _)| Failure::Run(why))?;
-    let why = || value["error"]["message"].as_str().unwrap_or_default().to_owned();
+/// Why a request has no answer, as it is printed.
+enum RequestError {
+    /// The router has certainly not received the request.
+    NotReceived(String),
+    /// The router may have received the request.
+    NoAnswer(String),
+}
+
+impl From<RequestError> for Failure {
+    fn from(error: RequestError) -> Failure {
+        match error {
+            RequestError::NotReceived(reason) | RequestError::NoAnswer(reason) => Failure::Run(reason),
+        }
+    }
+}
+
+fn json_request(at: SocketAddr, method: &str, path: &str, body: &str) -> Result<JsonAnswer, RequestError> {
+    let answer = http_request(at, method, path, body).map_err(|error| {
+        let reason = format!("{at}: {error}");
+        match error.kind() {
+            std::io::ErrorKind::ConnectionRefused => RequestError::NotReceived(reason),
+            _ => RequestError::NoAnswer(reason),
+        }
+    })?;
+    let HttpAnswer { status, body } = answer;
+    let value =
+        serde_json::from_str(&body).map_err(|error| RequestError::NoAnswer(format!("{at}: {error}")))?;
+    Ok(JsonAnswer { status, value })
+}
+
+/// The body of an answer that reports success.
+fn successful_value(at: SocketAddr, method: &str, path: &str, body: &str) -> Result<Value, Failure> {
+    let JsonAnswer { status, value } = json_request(at, method, path, body)?;
+    let error_message = || value["error"]["message"].as_str().unwrap_or_default().to_owned();
     match status {
         200 | 202 => Ok(value),
-        400 => Err(Failure::Input(why())),
-        404 if why().starts_with("no such path") => Err(Failure::Run(format!(
+        400 => Err(Failure::Input(error_message())),
+        404 if error_message().starts_with("no such path") => Err(Failure::Run(format!(
             "{at}: this router does not agree on a policy with others: its [fleet] has no founders"
         ))),
-        _ => Err(Failure::Run(format!("{at}: {status}: {}", why()))),
+        _ => Err(Failure::Run(format!("{at}: {status}: {}", error_message()))),
     }
 }
 
@@ -121,12 +150,13 @@
     }
 }
 
-fn duration(text: &str) -> Result<Duration, Failure> {
+fn wait_duration(text: &str) -> Result<Duration, Failure> {
     <Duration as slipreel_settings::Value>::read(text)
         .map_err(|expected| Failure::Input(format!("--wait {text:?}: expected {expected}")))
 }
 
-fn read(file: &Path) -> Result<String, Failure> {
+/// The policy of a file.
+fn read_policy(file: &Path) -> Result<String, Failure> {
     let name = file.display().to_string();
     let text = std::fs::read_to_string(file).map_err(|e| Failure::Input(format!("{name}: {e}")))?;
     let policy = policy_of(&text, &name).map_err(|faults| Failure::Input(lines(&faults)))?;
@@ -136,40 +166,52 @@
     Ok(policy.text)
 }
 
-fn why(outcome: &Value) -> String {
+fn rejections_text(outcome: &Value) -> String {
     let all = outcome["why"].as_array().map_or(&[][..], Vec::as_slice);
-    let said: Vec<String> =
-        all.iter().map(|n| format!("{}: {}", text(n, "router"), text(n, "why"))).collect();
-    said.join("; ")
+    let rejection_text =
+        |rejection: &Value| format!("{}: {}", text(rejection, "router"), text(rejection, "why"));
+    let rejections: Vec<String> = all.iter().map(rejection_text).collect();
+    rejections.join("; ")
 }
 
-fn say(outcome: &Value) -> String {
+fn outcome_text(outcome: &Value) -> String {
     let id = text(outcome, "id");
     match text(outcome, "outcome") {
         "in force" => format!("{id}: in force as epoch {}", outcome["epoch"]),
-        "dropped" => format!("{id}: dropped: {}", why(outcome)),
+        "dropped" => format!("{id}: dropped: {}", rejections_text(outcome)),
         "pending" => format!("{id}: under way, waits for {}", names(&outcome["waits_for"])),
         _ => format!("{id}: unknown here"),
     }
 }
 
-/// Ends as the outcome says.
-fn end(outcome: &Value, json: bool) -> Outcome {
+/// Prints an outcome, and gives the exit code that belongs to it.
+fn report_outcome(outcome: &Value, json: bool) -> Outcome {
     if json {
         println!("{outcome}");
     } else {
-        println!("{}", say(outcome));
+        println!("{}", outcome_text(outcome));
     }
     match text(outcome, "outcome") {
         "in force" => Ok(()),
-        "dropped" => Err(Failure::Code(DROPPED)),
-        _ => Err(Failure::Code(UNKNOWN)),
+        "dropped" => Err(Failure::Code(EXIT_DROPPED)),
+        _ => Err(Failure::Code(EXIT_UNKNOWN)),
+    }
+}
+
+/// Whether a router has accepted a change; false: it is overloaded, and the change is to be sent again.
+fn was_accepted(at: SocketAddr, answer: &JsonAnswer) -> Result<bool, Failure> {
+    let error_message = || text(&answer.value["error"], "message");
+    match answer.status {
+        202 => Ok(true),
+        529 => Ok(false),
+        400 => Err(Failure::Input(error_message().to_owned())),
+        status => Err(Failure::Run(format!("{at}: {status}: {}", error_message()))),
     }
 }
 
 /// Sends a change and waits for its outcome.
-fn change(args: &Change, path: impl Fn(&str) -> String, body: &str) -> Outcome {
-    let (at, wait) = (args.at.at, duration(&args.wait)?);
+fn send_change(args: &Change, path: impl Fn(&str) -> String, body: &str) -> Outcome {
+    let (at, wait) = (args.at.at, wait_duration(&args.wait)?);
     let id = args.id.clone().unwrap_or_else(|| format!("p-{:016x}", rand::random::<u64>()));
     if args.id.is_none() {
         eprintln!("its id is {id}");
@@ -180,36 +222,35 @@
     let mut sent = false;
     loop {
         if !sent {
-            match call(at, "POST", &path(&id), body) {
-                Ok((202, _)) => sent = true,
-                // Sent again under its id it is the same change.
-                Ok((529, _)) | Err((_, false)) => {}
-                Ok((400, value)) => return Err(Failure::Input(text(&value["error"], "message").to_owned())),
-                Ok((status, value)) => {
-                    return Err(Failure::Run(format!("{at}: {status}: {}", text(&value["error"], "message"))))
+            match json_request(at, "POST", &path(&id), body) {
+                Ok(answer) => sent = was_accepted(at, &answer)?,
+                Err(error @ RequestError::NotReceived(_)) if Instant::now() >= until => {
+                    return Err(error.into());
                 }
-                Err((why, true)) if Instant::now() >= until => return Err(Failure::Run(why)),
-                Err((_, true)) => {}
+                // It is sent again: under its id it is the same change.
+                Err(_) => {}
             }
-        } else if let Ok((200, outcome)) = call(at, "GET", &format!("/policy/status/{id}"), "") {
+        } else if let Ok(JsonAnswer { status: 200, value: outcome }) =
+            json_request(at, "GET", &format!("/policy/status/{id}"), "")
+        {
             if matches!(text(&outcome, "outcome"), "in force" | "dropped") {
-                return end(&outcome, args.at.json);
+                return report_outcome(&outcome, args.at.json);
             }
             last = outcome;
         }
         if Instant::now() >= until {
-            return end(&last, args.at.json);
+            return report_outcome(&last, args.at.json);
         }
-        std::thread::sleep(LOOK.min(until.saturating_duration_since(Instant::now())));
+        std::thread::sleep(POLL_INTERVAL.min(until.saturating_duration_since(Instant::now())));
     }
 }
 
 fn status(at: &At, id: Option<&String>) -> Outcome {
     if let Some(id) = id {
-        let outcome = need(at.at, "GET", &format!("/policy/status/{id}"), "")?;
-        return end(&outcome, at.json);
+        let outcome = successful_value(at.at, "GET", &format!("/policy/status/{id}"), "")?;
+        return report_outcome(&outcome, at.json);
     }
-    let value = need(at.at, "GET", "/policy/status", "")?;
+    let value = successful_value(at.at, "GET", "/policy/status", "")?;
     if at.json {
         println!("{value}");
         return Ok(());
@@ -234,14 +275,14 @@
             names(&value["pending"]["waits_for"])
         );
     }
-    for trouble in value["trouble"].as_array().map_or(&[][..], Vec::as_slice) {
-        println!("trouble: {}", trouble.as_str().unwrap_or_default());
+    for fault in value["trouble"].as_array().map_or(&[][..], Vec::as_slice) {
+        println!("trouble: {}", fault.as_str().unwrap_or_default());
     }
     Ok(())
 }
 
 fn history(at: &At) -> Outcome {
-    let value = need(at.at, "GET", "/policy/history", "")?;
+    let value = successful_value(at.at, "GET", "/policy/history", "")?;
     if at.json {
         println!("{value}");
         return Ok(());
@@ -249,23 +290,24 @@
     if value["whole"] != true {
         println!("this router does not vote: it knows the last few alone");
     }
-    for o in value["outcomes"].as_array().map_or(&[][..], Vec::as_slice) {
-        let back = o["back_to"].as_u64().map_or(String::new(), |e| format!(", back to epoch {e}"));
+    for outcome in value["outcomes"].as_array().map_or(&[][..], Vec::as_slice) {
+        let restored = outcome["back_to"].as_u64();
+        let restored = restored.map_or(String::new(), |epoch| format!(", back to epoch {epoch}"));
         println!(
-            "{} s by {}'s clock, digest {}{back}: {}",
-            o["when"],
-            text(o, "from"),
-            text(o, "digest"),
-            say(o)
+            "{} s by {}'s clock, digest {}{restored}: {}",
+            outcome["when"],
+            text(outcome, "from"),
+            text(outcome, "digest"),
+            outcome_text(outcome)
         );
     }
     Ok(())
 }
 
 pub(crate) fn run(args: &Args) -> Outcome {
-    match &args.what {
-        What::Show { at } => {
-            let value = need(at.at, "GET", "/policy/text", "")?;
+    match &args.command {
+        PolicyCommand::Show { at } => {
+            let value = successful_value(at.at, "GET", "/policy/text", "")?;
             let shown = masked(text(&value, "text"));
             if at.json {
                 println!("{}", serde_json::json!({"epoch": value["epoch"], "text": shown}));
@@ -274,28 +316,28 @@
             }
             Ok(())
         }
-        What::Diff { file, at } => {
-            let proposed = read(file)?;
-            let value = need(at.at, "GET", "/policy/text", "")?;
-            let told =
+        PolicyCommand::Diff { file, at } => {
+            let proposed = read_policy(file)?;
+            let value = successful_value(at.at, "GET", "/policy/text", "")?;
+            let differences =
                 changes(text(&value, "text"), &proposed).map_err(|faults| Failure::Input(lines(&faults)))?;
             if at.json {
-                println!("{}", serde_json::json!({"epoch": value["epoch"], "changes": told}));
-            } else if told.is_empty() {
+                println!("{}", serde_json::json!({"epoch": value["epoch"], "changes": differences}));
+            } else if differences.is_empty() {
                 println!("nothing: it is the policy of epoch {}", value["epoch"]);
             } else {
-                told.iter().for_each(|line| println!("{line}"));
+                differences.iter().for_each(|line| println!("{line}"));
             }
             Ok(())
         }
-        What::Propose { file, change: args } => {
-            let proposed = read(file)?;
-            change(args, |id| format!("/policy/propose/{id}"), &proposed)
+        PolicyCommand::Propose { file, change: args } => {
+            let proposed = read_policy(file)?;
+            send_change(args, |id| format!("/policy/propose/{id}"), &proposed)
         }
-        What::Rollback { epoch, change: args } => {
-            change(args, |id| format!("/policy/rollback/{id}/{epoch}"), "")
+        PolicyCommand::Rollback { epoch, change: args } => {
+            send_change(args, |id| format!("/policy/rollback/{id}/{epoch}"), "")
         }
-        What::Status { id, at } => status(at, id.as_ref()),
-        What::History { at } => history(at),
+        PolicyCommand::Status { id, at } => status(at, id.as_ref()),
+        PolicyCommand::History { at } => history(at),
     }
 }
--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -69,7 +69,7 @@
     let mut member = Member::start(&daemon, config, clock)?;
     let (handles, threads) = start(&daemon, clock)?;
     if let Some(member) = &member {
-        member.introduce(&handles);
+        member.share_with(&handles);
     }
     tracing::info!(listen = %daemon.listen, threads = daemon.threads, engines = daemon.site.engines.len(), "serving");
     while !signals.stopped() && threads.iter().any(|t| !t.is_finished()) {
@@ -83,7 +83,7 @@
             });
         }
         if let Some(member) = &mut member {
-            member.look(&handles);
+            member.poll_changes(&handles);
         }
         if signals.take_reload() {
             reload(config, &mut daemon, &handles, member.as_mut());
