--- a/crates/consensus/src/transport.rs
+++ b/crates/consensus/src/transport.rs
@@ -83,9 +83,10 @@
             out.push(Output::Datagram(LISTENER, address, frame));
             return Delivery::Sent;
         }
-        match self.connections.send(now, to, address, frame, out) {
-            true => Delivery::Sent,
-            false => Delivery::ConnectionDropped,
+        if self.connections.send(now, to, address, frame, out) {
+            Delivery::Sent
+        } else {
+            Delivery::ConnectionDropped
         }
     }
 
--- a/crates/event-loop/src/slot_table.rs
+++ b/crates/event-loop/src/slot_table.rs
@@ -133,7 +133,7 @@
         &self, events: &mut Vec<epoll::Event>, timeout: Option<Duration>,
     ) -> std::io::Result<()> {
         let timeout = timeout.map(|timeout| Timespec {
-            tv_sec: timeout.as_secs() as i64,
+            tv_sec: i64::try_from(timeout.as_secs()).unwrap_or(i64::MAX),
             tv_nsec: i64::from(timeout.subsec_nanos()),
         });
         events.clear();
--- a/crates/fault-injection/src/processes.rs
+++ b/crates/fault-injection/src/processes.rs
@@ -40,7 +40,7 @@
 
 impl Process {
     fn signal(&self, signal: Signal) {
-        if let Some(pid) = Pid::from_raw(self.0.id() as i32) {
+        if let Some(pid) = i32::try_from(self.0.id()).ok().and_then(Pid::from_raw) {
             // One that has ended already needs no signal.
             let _ = kill_process(pid, signal);
         }
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -236,8 +236,10 @@
             ("requests", now.under_way),
             ("words", now.releases),
         ];
-        for (what, n) in open {
-            self.open.get_or_create(&Labels([("what", what.to_owned())])).set(n as i64);
+        for (what, count) in open {
+            self.open
+                .get_or_create(&Labels([("what", what.to_owned())]))
+                .set(i64::try_from(count).unwrap_or(i64::MAX));
         }
         let mut out = String::new();
         // Writing to a text does not fail.
--- a/crates/invariants/src/terms/shares.rs
+++ b/crates/invariants/src/terms/shares.rs
@@ -224,7 +224,8 @@
     let refused: usize = sessions.values().map(|(_, refused)| refused).sum();
     let chance = refused as f64 / requests.len().max(1) as f64;
     let throughout = sessions.values().filter(|(turns, refused)| turns == refused).count();
-    let expected: f64 = sessions.values().map(|&(turns, _)| chance.powi(turns as i32)).sum();
+    let expected: f64 =
+        sessions.values().map(|&(turns, _)| chance.powi(i32::try_from(turns).unwrap_or(i32::MAX))).sum();
     let is_over = throughout as f64 > expected + most_more * sessions.len() as f64;
     (is_over && requests.len() >= ENOUGH_REQUESTS).then(|| {
         format!(
--- a/crates/roles/src/controller.rs
+++ b/crates/roles/src/controller.rs
@@ -137,6 +137,7 @@
     }
 
     /// Reads the demand from what these routers publish, given an engine's throughput.
+    #[must_use]
     pub fn with_routers(mut self, routers: Vec<SocketAddr>, throughput: EngineThroughput) -> Self {
         self.source.routers = routers;
         self.source.throughput = throughput;
--- a/crates/test-servers/src/gate.rs
+++ b/crates/test-servers/src/gate.rs
@@ -44,6 +44,7 @@
     }
 
     /// Notes work that its machine sends and that waits on a cut link.
+    #[must_use]
     pub fn watched(mut self, ledger: Ledger) -> Self {
         self.ledger = Some(ledger);
         self
--- a/src/decisions/retries.rs
+++ b/src/decisions/retries.rs
@@ -66,9 +66,10 @@
             Outcome::ConnectFailed => self.eject(now, engine, EjectionCause::ConnectFailed, actions),
             _ => {}
         }
-        match closed.request_ended {
-            true => self.finish_request(ended.request, None, actions),
-            false => self.advance(now, ended.request, actions),
+        if closed.request_ended {
+            self.finish_request(ended.request, None, actions);
+        } else {
+            self.advance(now, ended.request, actions);
         }
     }
 
