--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -162,3 +162,16 @@
     };
     actions.iter().filter_map(timer).collect()
 }
+
+/// Lets time pass from timer to timer, until a set of actions holds what is looked for.
+pub fn wait_for(host: &mut Host, mut out: Vec<Action>, found: impl Fn(&[Action]) -> bool) -> Vec<Action> {
+    let mut due = Vec::new();
+    while !found(&out) {
+        due.extend(timers(&out).into_iter().map(|(timer, after)| (host.now + after, timer)));
+        due.sort_by_key(|&(at, _)| std::cmp::Reverse(at));
+        let (at, timer) = due.pop().expect("a timer that leads there");
+        host.now = at;
+        out = host.tell(Event::TimerFired(timer));
+    }
+    out
+}
--- a/tests/heir.rs
+++ b/tests/successor.rs
@@ -1,4 +1,4 @@
-//! New settings while a router runs: what was learnt stays, and what the first has out is counted until it ends.
+//! New settings while a router runs: what was learnt stays, and attempts in flight are counted until they end.
 
 mod common;
 
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn an_heir_counts_what_is_out_until_it_ends_and_knows_who_is_ejected() {
+fn a_successor_counts_attempts_in_flight_until_they_end_and_knows_the_ejected_engines() {
     let mut settings = settings(Idempotency::Idempotent);
     settings.tenants = vec![Tenant { quota_per_s: Some(0.1) }];
     let engines = (0..8).map(|id| engine(id, usize::from(id >= 4), 0)).collect();
