--- a/crates/platform/tests/common/cluster.rs
+++ b/crates/platform/tests/common/cluster.rs
@@ -1,5 +1,6 @@
 //! Several routers with their peers in virtual time, and routers that are broken on purpose.
 
+use super::actor::Actor;
 use super::{config, ms};
 use slipreel_invariants::terms::{judge, Break, Seen, Terms};
 use slipreel_platform::{Config, PlatformRouter};
@@ -165,32 +166,7 @@
 }
 
 /// Any participant of a cluster.
-pub enum Actor {
-    Router(Box<BrokenRouter>),
-    Engine(Box<Engine>),
-    Discovery(Box<Discovery>),
-    Clients(Box<Clients>),
-}
-
-impl Machine for Actor {
-    fn handle(&mut self, now: Duration, input: Input<'_>, out: &mut Vec<Output>) {
-        match self {
-            Actor::Router(machine) => machine.handle(now, input, out),
-            Actor::Engine(machine) => machine.handle(now, input, out),
-            Actor::Discovery(machine) => machine.handle(now, input, out),
-            Actor::Clients(machine) => machine.handle(now, input, out),
-        }
-    }
-
-    fn wake_at(&self) -> Option<Duration> {
-        match self {
-            Actor::Router(machine) => machine.wake_at(),
-            Actor::Engine(machine) => machine.wake_at(),
-            Actor::Discovery(machine) => machine.wake_at(),
-            Actor::Clients(machine) => machine.wake_at(),
-        }
-    }
-}
+pub type ClusterActor = Actor<BrokenRouter, Engine, Clients>;
 
 /// An entry of the list, in zone a and cell 1.
 pub fn entry(name: &str, is_prefill: bool, port: u16, status: &str, since: Duration) -> String {
@@ -206,7 +182,7 @@
 
 /// Several routers, each with an agent of discovery and clients of its own, and engines that all share.
 pub struct Cluster {
-    pub world: World<Actor>,
+    pub world: World<ClusterActor>,
     pub shared: Shared,
     agents: Vec<usize>,
     routers: Vec<usize>,
--- a/crates/platform/tests/common/day.rs
+++ b/crates/platform/tests/common/day.rs
@@ -1,9 +1,9 @@
 //! Days of a few routers among hostile engines in virtual time, all drawn from a seed, judged for repeats.
 
+use super::actor::Actor;
 use super::ms;
 use slipreel_invariants::repeats::{judge, Break, Terms};
 use slipreel_platform::{Config, PlatformRouter};
-use slipreel_state_machine::{Input, Machine, Output};
 use slipreel_test_servers::memory::{Delays, World};
 use slipreel_test_servers::platform::{
     list_entry, open_ledger, place_of, ClientLayout, DaySettings, Discovery, EngineDies, EngineLayout,
@@ -113,32 +113,7 @@
     pub log: Vec<(Duration, String)>,
 }
 
-enum Actor {
-    Router(Box<PlatformRouter>),
-    Engine(Box<HostileEngine>),
-    Discovery(Box<Discovery>),
-    Clients(Box<RepeatingClients>),
-}
-
-impl Machine for Actor {
-    fn handle(&mut self, now: Duration, input: Input<'_>, out: &mut Vec<Output>) {
-        match self {
-            Actor::Router(machine) => machine.handle(now, input, out),
-            Actor::Engine(machine) => machine.handle(now, input, out),
-            Actor::Discovery(machine) => machine.handle(now, input, out),
-            Actor::Clients(machine) => machine.handle(now, input, out),
-        }
-    }
-
-    fn wake_at(&self) -> Option<Duration> {
-        match self {
-            Actor::Router(machine) => machine.wake_at(),
-            Actor::Engine(machine) => machine.wake_at(),
-            Actor::Discovery(machine) => machine.wake_at(),
-            Actor::Clients(machine) => machine.wake_at(),
-        }
-    }
-}
+type DayActor = Actor<PlatformRouter, HostileEngine, RepeatingClients>;
 
 #[derive(Clone, Debug)]
 struct EngineState {
@@ -183,7 +158,7 @@
     settings: DaySettings,
     random: Random,
     ledger: SharedLedger,
-    world: World<Actor>,
+    world: World<DayActor>,
     engines: Vec<EngineState>,
     routers: Vec<Router>,
     clients: usize,
@@ -253,7 +228,7 @@
         self.routers.push(Router { machine, agent, listen, discovery: at, starts: 0 });
     }
 
-    fn router(&self, listen: SocketAddr, discovery: SocketAddr, salt: u64, known: &str) -> Actor {
+    fn router(&self, listen: SocketAddr, discovery: SocketAddr, salt: u64, known: &str) -> DayActor {
         let seed = self.day.seed * 1_000 + salt;
         let text = self.settings.router_config(self.day.routers, listen, discovery, seed, known);
         let config = Config::parse(&text).expect("a configuration that can be read");
--- a/crates/platform/tests/common/mod.rs
+++ b/crates/platform/tests/common/mod.rs
@@ -2,6 +2,7 @@
 //! messages that these exchange.
 #![allow(dead_code)]
 
+pub mod actor;
 pub mod cluster;
 pub mod day;
 
--- a/crates/platform/tests/fleet.rs
+++ b/crates/platform/tests/fleet.rs
@@ -8,13 +8,14 @@
 use std::time::Duration;
 
 mod common;
-use common::cluster::{entry, Actor, BrokenRouter, Variant};
+use common::actor::Actor;
+use common::cluster::{entry, BrokenRouter, ClusterActor, Variant};
 use common::{config, ms, DISCOVERY};
 
 const START: Duration = Duration::from_secs(1_000);
 
 struct Fleet {
-    world: World<Actor>,
+    world: World<ClusterActor>,
     shared: Shared,
     faults: Faults,
     router: usize,
