--- a/src/decisions/admission.rs
+++ b/src/decisions/admission.rs
@@ -1,11 +1,11 @@
 //! Admission: whether a request is worked on at all, before any work is done.
 //!
-//! Decides by the curve of saturation, by the tenant's quota and by the priority of the request's class. May read the
-//! saturation of the engines and the usual waits, and nothing of single engines.
+//! Decides by the curve of saturation, by the tenant's quota and by the priority of the request's class. May
+//! read the saturation of the engines and the usual waits, and nothing of single engines.
 //!
 //! The ordinary path is the llm-d probabilistic admitter: a droppable request is rejected with probability
-//! min(300 s^5, 1), s being the mean saturation of the engines. Protected requests pass. The design is cited in
-//! docs/design.md, "The mechanism".
+//! min(300 s^5, 1), s being the mean saturation of the engines. Protected requests pass. The design is cited
+//! in docs/design.md, "The mechanism".
 
 use super::engines::MIN_SAMPLE_WEIGHT;
 use super::requests::ActiveRequest;
@@ -76,16 +76,17 @@
         request.client_timeout.as_secs_f64() < usual_wait
     }
 
-    /// Lets the mean waiting times decay. Requests rejected by them bring no new samples, so that they would keep
-    /// rejecting after the congestion is over.
+    /// Lets the mean waiting times decay. Requests rejected by them bring no new samples, so that they would
+    /// keep rejecting after the congestion is over.
     pub(super) fn shorten_waiting_times(&mut self) {
         for means in &mut self.means {
             means.waiting_time *= 1.0 - MIN_SAMPLE_WEIGHT;
         }
     }
 
-    /// Whether the curve may reject this request: its priority weight is below the largest, by its class or because its
-    /// tenant is over its quota. Where all weights are equal, requests of the loosest latency objective are droppable.
+    /// Whether the curve may reject this request: its priority weight is below the largest, by its class or
+    /// because its tenant is over its quota. Where all weights are equal, requests of the loosest latency
+    /// objective are droppable.
     pub(super) fn droppable(&self, over_quota: bool, request: &Request) -> bool {
         let class = &self.settings.classes[request.class.0];
         let weight = class.priority_weight * if over_quota { self.settings.over_quota_weight } else { 1.0 };
@@ -106,9 +107,9 @@
     }
 }
 
-/// The probability of a rejection by the curve of the llm-d post. Exception: where it rejects all droppable requests,
-/// the remaining engines cannot serve the protected ones either; the same curve, at a share of the saturation, then
-/// holds for these.
+/// The probability of a rejection by the curve of the llm-d post. Exception: where it rejects all droppable
+/// requests, the remaining engines cannot serve the protected ones either; the same curve, at a share of the
+/// saturation, then holds for these.
 pub(super) fn rejection_probability(saturation: f64, droppable: bool) -> f64 {
     let curve = |saturation: f64| (REJECTION_CURVE_FACTOR * saturation.powi(REJECTION_CURVE_POWER)).min(1.0);
     match curve(saturation) {
--- a/src/decisions/attempts.rs
+++ b/src/decisions/attempts.rs
@@ -1,7 +1,7 @@
 //! Attempts: the next step of a request, its send and its timeout.
 //!
-//! Decides whether a request prefills, decodes, waits or is given up, and how long an attempt may stay silent. May read
-//! the whole state. See docs/design.md, "The mechanism" and the exception "own time".
+//! Decides whether a request prefills, decodes, waits or is given up, and how long an attempt may stay
+//! silent. May read the whole state. See docs/design.md, "The mechanism" and the exception "own time".
 
 use super::admission::MAX_WAIT;
 use super::engines::Means;
@@ -16,13 +16,15 @@
 
 /// The shortest time that an attempt may stay silent. Longer than a routine pause.
 const MIN_PATIENCE: Duration = Duration::from_millis(900);
-/// Mean deviations that an attempt may take beyond the mean; no unit. As in the retransmission timeout of TCP.
+/// Mean deviations that an attempt may take beyond the mean; no unit. As in the retransmission timeout of
+/// TCP.
 const PATIENCE_DEVIATIONS: f64 = 4.0;
 /// Added to prompts where latencies are compared, tokens: the fixed cost of an attempt.
 pub(super) const FIXED_COST_TOKENS: f64 = 500.0;
 
 impl Router {
-    /// Takes the next step of a request that has no attempt in flight: decodes from a held state, else prefills.
+    /// Takes the next step of a request that has no attempt in flight: decodes from a held state, else
+    /// prefills.
     pub(super) fn advance(&mut self, now: Duration, id: RequestId, actions: &mut Vec<Action>) {
         let Some(active) = self.requests.get(&id) else { return };
         if active.ended || active.waiting_until.is_some() || active.attempts.iter().any(|a| a.in_flight) {
@@ -50,8 +52,9 @@
         }
     }
 
-    /// Whether the request has not run, or may run again by its idempotency. Another attempt with an idempotency key has
-    /// to arrive within the window: a new connection may take as long as it is given to be established.
+    /// Whether the request has not run, or may run again by its idempotency. Another attempt with an
+    /// idempotency key has to arrive within the window: a new connection may take as long as it is given to
+    /// be established.
     fn may_send_again(&self, now: Duration, active: &ActiveRequest) -> bool {
         let may_not_run_twice =
             active.possible_run.is_some() && self.idempotency(active) == Idempotency::NotIdempotent;
@@ -60,8 +63,8 @@
         !may_not_run_twice && !late
     }
 
-    /// Finds the candidates for the next attempt unless it has them, and probes those without recent news. Whether there
-    /// is an answer to wait for.
+    /// Finds the candidates for the next attempt unless it has them, and probes those without recent news.
+    /// Whether there is an answer to wait for.
     fn awaits_probes(
         &mut self, now: Duration, id: RequestId, attempts_left: usize, actions: &mut Vec<Action>,
     ) -> bool {
@@ -139,15 +142,16 @@
         self.set_timer(Timer::AttemptPatience(id, attempt), patience, actions);
     }
 
-    /// How long an engine may stay silent under an attempt of this length. An engine slower than its role has a time of
-    /// its own: otherwise its work would be cancelled just before it ends, again and again.
+    /// How long an engine may stay silent under an attempt of this length. An engine slower than its role has
+    /// a time of its own: otherwise its work would be cancelled just before it ends, again and again.
     pub(super) fn patience(&self, role: Role, own_pace: f64, prompt: f64) -> Duration {
         let Means { pace, deviation, .. } = self.means[role as usize];
         let usual = (pace.max(own_pace) + PATIENCE_DEVIATIONS * deviation) * (prompt + FIXED_COST_TOKENS);
         MIN_PATIENCE.max(Duration::from_secs_f64(usual.min(MAX_WAIT.as_secs_f64())))
     }
 
-    /// No engine is usable at present: the request waits a little, with held state no longer than a share of its limit.
+    /// No engine is usable at present: the request waits a little, with held state no longer than a share of
+    /// its limit.
     pub(super) fn wait_for_engine(&mut self, now: Duration, id: RequestId, actions: &mut Vec<Action>) {
         let patience = self.settings.held_state_limit.mul_f64(HELD_STATE_WAIT_SHARE);
         let Some(active) = self.requests.get_mut(&id) else { return };
@@ -162,8 +166,9 @@
         self.set_timer(Timer::Wait(id), PROBE_TIMEOUT, actions);
     }
 
-    /// An attempt has been silent for its patience: its engine is lost or stalled, or its answer is. A prefill is
-    /// attempted elsewhere, and so is a decode that may run twice. Drawback: in a long queue the work is done twice.
+    /// An attempt has been silent for its patience: its engine is lost or stalled, or its answer is. A
+    /// prefill is attempted elsewhere, and so is a decode that may run twice. Drawback: in a long queue the
+    /// work is done twice.
     pub(super) fn on_patience_exhausted(&mut self, id: RequestId, attempt: usize, actions: &mut Vec<Action>) {
         let Some(active) = self.requests.get(&id).filter(|j| !j.ended) else { return };
         let Some(silent) = active.attempts.get(attempt).filter(|a| a.in_flight && a.begun.is_none()) else {
--- a/src/decisions/decode_choice.rs
+++ b/src/decisions/decode_choice.rs
@@ -9,8 +9,9 @@
 use std::time::Duration;
 
 impl Router {
-    /// Power of two choices: two decode engines at random. Exception: moving state to another cell is slow and charged, so
-    /// that a pair of the prefill engine's cell (else its zone) is preferred and others are the spill.
+    /// Power of two choices: two decode engines at random. Exception: moving state to another cell is slow
+    /// and charged, so that a pair of the prefill engine's cell (else its zone) is preferred and others are
+    /// the spill.
     pub(super) fn decode_candidates(
         &mut self, now: Duration, id: RequestId,
     ) -> (Vec<EngineId>, Vec<EngineId>) {
--- a/src/decisions/ejection.rs
+++ b/src/decisions/ejection.rs
@@ -1,7 +1,7 @@
 //! Outlier ejection: engines that cannot be connected to are left alone, with exponential backoff.
 //!
-//! Decides on failed connections alone; slow engines lose by their load instead. May read the state of one engine. See
-//! docs/design.md, the exceptions "panic" and "back means cold".
+//! Decides on failed connections alone; slow engines lose by their load instead. May read the state of one
+//! engine. See docs/design.md, the exceptions "panic" and "back means cold".
 
 use super::attempts::FIXED_COST_TOKENS;
 use super::engines::MIN_SAMPLE_WEIGHT;
--- a/src/decisions/eligibility.rs
+++ b/src/decisions/eligibility.rs
@@ -1,8 +1,9 @@
 //! Which engines are usable for the next attempt of a request.
 //!
-//! Decides by ejections, slow start, pauses after rejections and errors, earlier attempts of the same request, and where
-//! repeats of a request with an idempotency key are dropped. May read all that is kept of engines and of the request. See docs/design.md,
-//! the exceptions "panic", "cold by draw", "full by class" and "keyed reads in the group".
+//! Decides by ejections, slow start, pauses after rejections and errors, earlier attempts of the same
+//! request, and where repeats of a request with an idempotency key are dropped. May read all that is kept of
+//! engines and of the request. See docs/design.md, the exceptions "panic", "cold by draw", "full by class"
+//! and "keyed reads in the group".
 
 use super::engines::EngineRecord;
 use super::requests::{ActiveRequest, PossibleRun};
@@ -16,9 +17,9 @@
 const PANIC_SHARE: f64 = 0.5;
 
 impl Router {
-    /// The engines for a request's next attempt: those with the capability, and the ascending positions among them that
-    /// are not usable. Engines that it has tried, and those that just rejected its class or failed, are passed over while
-    /// there are others.
+    /// The engines for a request's next attempt: those with the capability, and the ascending positions among
+    /// them that are not usable. Engines that it has tried, and those that just rejected its class or failed,
+    /// are passed over while there are others.
     pub(super) fn eligible_engines(
         &mut self, now: Duration, id: RequestId, capability: Capability,
     ) -> (Arc<CandidateIndex>, Vec<u32>) {
@@ -80,12 +81,12 @@
         suspects
     }
 
-    /// The usable and the unusable ones of the suspects among `total` engines. Ejected engines are unusable, except under
-    /// the panic threshold: then connections are slow, and the engines not dead.
+    /// The usable and the unusable ones of the suspects among `total` engines. Ejected engines are unusable,
+    /// except under the panic threshold: then connections are slow, and the engines not dead.
     ///
-    /// A warming engine takes its share of the requests that would come to it, drawn by request: one prompt each of
-    /// hundreds of routers is too much. The share is smaller where few engines are left for that draw, as each of them
-    /// would get more.
+    /// A warming engine takes its share of the requests that would come to it, drawn by request: one prompt
+    /// each of hundreds of routers is too much. The share is smaller where few engines are left for that
+    /// draw, as each of them would get more.
     fn partition_usable(
         &self, now: Duration, active: &ActiveRequest, candidates: &CandidateIndex, total: usize,
         suspects: Vec<u32>,
@@ -109,8 +110,8 @@
         suspects.into_iter().partition(usable)
     }
 
-    /// Whether a request may be sent to this engine. With an idempotency key, once it may have run, it is prefilled and
-    /// decoded again only where duplicates are dropped.
+    /// Whether a request may be sent to this engine. With an idempotency key, once it may have run, it is
+    /// prefilled and decoded again only where duplicates are dropped.
     pub(super) fn may_repeat_at(&self, active: &ActiveRequest, record: &EngineRecord) -> bool {
         let Idempotency::WithKey { scope, .. } = self.idempotency(active) else { return true };
         let Some(PossibleRun { at, engine: first, .. }) = &active.possible_run else { return true };
--- a/src/decisions/engines.rs
+++ b/src/decisions/engines.rs
@@ -1,7 +1,8 @@
-//! What a router keeps for each engine and for each role of engines, and the endpoint list that names the engines.
+//! What a router keeps for each engine and for each role of engines, and the endpoint list that names the
+//! engines.
 //!
-//! Decides when what was learnt of an engine is void: when the list gives another start or another role. May read the
-//! list alone.
+//! Decides when what was learnt of an engine is void: when the list gives another start or another role. May
+//! read the list alone.
 
 use super::probes::RECENT_NEWS_AGE;
 use super::release::RETRY_AFTER;
--- a/src/decisions/index_refresh.rs
+++ b/src/decisions/index_refresh.rs
@@ -1,6 +1,7 @@
 //! Keeps the index of engines up to date with what this router knows of them.
 //!
-//! Decides nothing: it sorts engines by how their saturation enters the sums. May read the state of each engine.
+//! Decides nothing: it sorts engines by how their saturation enters the sums. May read the state of each
+//! engine.
 
 use super::engines::EngineRecord;
 use super::probes::RECENT_NEWS_AGE;
--- a/src/decisions/inspection.rs
+++ b/src/decisions/inspection.rs
@@ -1,5 +1,5 @@
-//! What a router holds, for its host to show and to check against its sockets, and the one setting that changes while
-//! it runs.
+//! What a router holds, for its host to show and to check against its sockets, and the one setting that
+//! changes while it runs.
 //!
 //! Decides nothing.
 
@@ -23,8 +23,8 @@
         StateSizes { requests: self.requests.len(), timers: self.timers.len(), engines: self.engines.len() }
     }
 
-    /// From now on so many routers share the engines, this one included. All that was learnt stays: shares of quotas and of
-    /// slow start budgets are computed from the count each time.
+    /// From now on so many routers share the engines, this one included. All that was learnt stays: shares of
+    /// quotas and of slow start budgets are computed from the count each time.
     pub fn set_router_count(&mut self, routers: u32) {
         self.settings.router_count = routers.max(1);
     }
--- a/src/decisions/mod.rs
+++ b/src/decisions/mod.rs
@@ -1,9 +1,9 @@
 //! Every decision of slipreel, one file a concern. Its events and actions are types of `src/interface`; what
 //! only looks things up is in `src/engine_index`. Nothing else decides.
 //!
-//! A request passes through `admission`, `prefill_affinity` or `decode_choice`, `probes`, `placement`, `attempts`,
-//! `retries` and `release`. `saturation`, `eligibility`, `ejection` and `slow_start` say what these may know of the
-//! engines.
+//! A request passes through `admission`, `prefill_affinity` or `decode_choice`, `probes`, `placement`,
+//! `attempts`, `retries` and `release`. `saturation`, `eligibility`, `ejection` and `slow_start` say what
+//! these may know of the engines.
 
 mod admission;
 mod attempts;
--- a/src/decisions/prefill_affinity.rs
+++ b/src/decisions/prefill_affinity.rs
@@ -1,8 +1,9 @@
-//! Prefill affinity: which prefill engines a prompt prefers, so that those which have cached its beginning get it.
+//! Prefill affinity: which prefill engines a prompt prefers, so that those which have cached its beginning
+//! get it.
 //!
-//! Decides by rendezvous hashing with weights. May read the endpoint list and the request, never the load: that comes
-//! into it in `placement.rs`. See docs/design.md, "The mechanism", and the exceptions "homes by writers" and "own
-//! zone".
+//! Decides by rendezvous hashing with weights. May read the endpoint list and the request, never the load:
+//! that comes into it in `placement.rs`. See docs/design.md, "The mechanism", and the exceptions "homes by
+//! writers" and "own zone".
 
 use super::router::Router;
 use crate::engine_index::{Capability, ListedEngine};
@@ -17,9 +18,9 @@
 const OWN_ZONE_WEIGHT: f64 = 2.5;
 
 impl Router {
-    /// Rendezvous hashing of the shared prefix, else of the session: the first two usable prefill engines are preferred, in
-    /// the order of the session; the next two are the spill. With one attempt left only an engine that does both stages in
-    /// one will do.
+    /// Rendezvous hashing of the shared prefix, else of the session: the first two usable prefill engines are
+    /// preferred, in the order of the session; the next two are the spill. With one attempt left only an
+    /// engine that does both stages in one will do.
     pub(super) fn prefill_candidates(
         &mut self, now: Duration, id: RequestId, left: usize,
     ) -> (Vec<EngineId>, Vec<EngineId>) {
@@ -36,9 +37,10 @@
         (preferred, spill)
     }
 
-    /// Rebuilds the index from the endpoint list. A prefill engine weighs in proportion to the decode engines of its cell,
-    /// in bounds, as state that finds none there is moved to another cell. Exception: one in the router's own zone weighs
-    /// more, as any other makes a request cross zones twice. Done when the list changes, as weights depend on it alone.
+    /// Rebuilds the index from the endpoint list. A prefill engine weighs in proportion to the decode engines
+    /// of its cell, in bounds, as state that finds none there is moved to another cell. Exception: one in the
+    /// router's own zone weighs more, as any other makes a request cross zones twice. Done when the list
+    /// changes, as weights depend on it alone.
     pub(super) fn rebuild_index(&mut self) {
         let mut fleet = [0.0; 2];
         let mut cells: BTreeMap<CellId, [f64; 2]> = BTreeMap::new();
--- a/src/decisions/probes.rs
+++ b/src/decisions/probes.rs
@@ -1,7 +1,7 @@
 //! Probes and load reports: which engines are asked for their load, and what their answers change.
 //!
-//! Decides by the age of the reports of a request's candidates. May read those ages and who is being probed. See
-//! docs/design.md, the exceptions "ask first" and "a refused request asks too".
+//! Decides by the age of the reports of a request's candidates. May read those ages and who is being probed.
+//! See docs/design.md, the exceptions "ask first" and "a refused request asks too".
 
 use super::router::Router;
 use super::timers::Timer;
@@ -11,13 +11,14 @@
 
 /// Age from which load reports are asked for anew.
 pub(super) const RECENT_NEWS_AGE: Duration = Duration::from_millis(600);
-/// Longest wait for answers to probes, and for an engine to become usable: a round trip with a new connection.
+/// Longest wait for answers to probes, and for an engine to become usable: a round trip with a new
+/// connection.
 pub(super) const PROBE_TIMEOUT: Duration = Duration::from_millis(30);
 
 impl Router {
-    /// Probes the preferred candidates, or those of the spill, whose reports are old: the request is then placed by
-    /// recent load though this router rarely sends to an engine. The spill is probed once. Whether there is an answer to
-    /// wait for.
+    /// Probes the preferred candidates, or those of the spill, whose reports are old: the request is then
+    /// placed by recent load though this router rarely sends to an engine. The spill is probed once. Whether
+    /// there is an answer to wait for.
     pub(super) fn probe_candidates(
         &mut self, now: Duration, id: RequestId, spill: bool, actions: &mut Vec<Action>,
     ) -> bool {
@@ -47,8 +48,8 @@
         waits
     }
 
-    /// Probes two engines without recent news. A router that rejects all requests would otherwise get no reports any
-    /// more, and go on rejecting.
+    /// Probes two engines without recent news. A router that rejects all requests would otherwise get no
+    /// reports any more, and go on rejecting.
     pub(super) fn probe_stale_engines(&mut self, now: Duration, actions: &mut Vec<Action>) {
         self.refresh_index(now);
         for k in two_at_random(self.engine_index.stale_count(), || self.sample_probability()) {
--- a/src/decisions/release.rs
+++ b/src/decisions/release.rs
@@ -1,7 +1,7 @@
 //! The end of a request: its final answer, and the release of all that is reserved for it.
 //!
-//! Decides whether a request that is given up is rejected, so that its client may come again, or failed. May read the
-//! request alone. See docs/design.md, "The rules".
+//! Decides whether a request that is given up is rejected, so that its client may come again, or failed. May
+//! read the request alone. See docs/design.md, "The rules".
 
 use super::requests::Attempt;
 use super::router::Router;
@@ -9,14 +9,15 @@
 use crate::interface::{Action, Idempotency, RequestId};
 use std::time::Duration;
 
-/// Retry-After of a rejection, and the wait before the endpoint list is asked for again; jittered by half. About the
-/// time of a full queue.
+/// Retry-After of a rejection, and the wait before the endpoint list is asked for again; jittered by half.
+/// About the time of a full queue.
 pub(super) const RETRY_AFTER: Duration = Duration::from_millis(1_000);
 /// Share of the limit on held state after which state that finds no decode engine is released; no unit.
 pub(super) const HELD_STATE_WAIT_SHARE: f64 = 0.5;
 
 impl Router {
-    /// Gives the final answer without another attempt: a rejection where a retry by the client is safe, else a failure.
+    /// Gives the final answer without another attempt: a rejection where a retry by the client is safe, else
+    /// a failure.
     pub(super) fn abandon(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(active) = self.requests.get(&id).filter(|j| !j.ended) else { return };
         let retry_is_safe =
@@ -32,8 +33,8 @@
         self.finish_request(id, Some(answer), actions);
     }
 
-    /// The one place where a request ends and what it holds is released. Called again when a prefill that is still in
-    /// flight ends.
+    /// The one place where a request ends and what it holds is released. Called again when a prefill that is
+    /// still in flight ends.
     pub(super) fn finish_request(
         &mut self, id: RequestId, answer: Option<Action>, actions: &mut Vec<Action>,
     ) {
@@ -54,8 +55,8 @@
         }
     }
 
-    /// The deadline has come, unless it was extended. A complete answer that is being decoded ends by the bound of its
-    /// host.
+    /// The deadline has come, unless it was extended. A complete answer that is being decoded ends by the
+    /// bound of its host.
     pub(super) fn on_deadline(&mut self, now: Duration, id: RequestId, actions: &mut Vec<Action>) {
         let Some(active) = self.requests.get(&id) else { return };
         if now < active.deadline {
--- a/src/decisions/retries.rs
+++ b/src/decisions/retries.rs
@@ -1,8 +1,8 @@
 //! Retries: what the beginning and the end of an attempt mean for its request and its engine.
 //!
-//! Decides whether held state survives, whether the attempt may have run, and what it teaches of its engine. May read
-//! the whole state. See docs/design.md, "The rules" and the exceptions "read again", "no third writer", "rest after an
-//! error", "full by class" and "keyed requests to their window's end".
+//! Decides whether held state survives, whether the attempt may have run, and what it teaches of its engine.
+//! May read the whole state. See docs/design.md, "The rules" and the exceptions "read again", "no third
+//! writer", "rest after an error", "full by class" and "keyed requests to their window's end".
 
 use super::admission::rejection_probability;
 use super::ejection::{BASE_EJECTION_TIME, MAX_EJECTION_DOUBLINGS};
@@ -22,7 +22,8 @@
 const THROTTLE_PAUSE: Duration = Duration::from_millis(20_000);
 
 impl Router {
-    /// How much longer a request with an idempotency key that may have run may be sent again; `None` for others.
+    /// How much longer a request with an idempotency key that may have run may be sent again; `None` for
+    /// others.
     pub(super) fn deduplication_window_left(
         &self, now: Duration, active: &ActiveRequest,
     ) -> Option<Duration> {
@@ -41,7 +42,8 @@
         let Some(attempt) = active.attempts.get_mut(number).filter(waiting) else { return };
         self.engine_index.mark_changed(attempt.engine);
         attempt.begun = Some(latency);
-        // Nothing of a complete answer has been sent on: if its decode engine is lost, the class says what may follow.
+        // Nothing of a complete answer has been sent on: if its decode engine is lost, the class says what
+        // may follow.
         active.ended = active.complete_answer_deadline.is_none();
         active.held = None;
         active.deadline = active.deadline.max(active.complete_answer_deadline.unwrap_or_default());
@@ -80,7 +82,8 @@
         let attempt = active.attempts.get_mut(ended.attempt).filter(|attempt| attempt.in_flight)?;
         self.engine_index.mark_changed(attempt.engine);
         attempt.in_flight = false;
-        // A decode engine that found no state to fetch is not at fault: after another prefill it is as good as any.
+        // A decode engine that found no state to fetch is not at fault: after another prefill it is as good
+        // as any.
         attempt.done = outcome == Outcome::Rejected { state_missing: true }
             || attempt.read && matches!(outcome, Outcome::Prefilled | Outcome::Reset);
         let attempt = *attempt;
@@ -95,8 +98,8 @@
         Some(ClosedAttempt { attempt, prompt_tokens, class, request_ended: active.ended })
     }
 
-    /// Takes an ended attempt from the load of its engine, and passes the engine over for a while if it rejected or
-    /// failed it. Gives the role of the engine; prefill if it is not in the list any more.
+    /// Takes an ended attempt from the load of its engine, and passes the engine over for a while if it
+    /// rejected or failed it. Gives the role of the engine; prefill if it is not in the list any more.
     fn record_end_at_engine(&mut self, now: Duration, outcome: Outcome, closed: &ClosedAttempt) -> Role {
         let engine = closed.attempt.engine;
         let saturation = self.engines.get(&engine).and_then(|record| self.saturation(now, record));
@@ -108,13 +111,15 @@
         record.passed_over_until.resize(self.settings.classes.len(), Duration::ZERO);
         match outcome {
             Outcome::Rejected { state_missing: true } => record.last_heard = now,
-            // An engine that fails at once seems idle and attracts all requests, and each of many routers sends it few.
+            // An engine that fails at once seems idle and attracts all requests, and each of many routers
+            // sends it few.
             Outcome::Error if closed.attempt.begun.is_none() => {
                 record.passed_over_until.fill(now + BASE_EJECTION_TIME * pause_factor);
             }
             Outcome::Rejected { .. } => {
                 record.last_heard = now;
-                // Rejected prompts are no sustained load: full engines would seem to serve more than a warming one can.
+                // Rejected prompts are no sustained load: full engines would seem to serve more than a
+                // warming one can.
                 let means = &mut self.means[record.role as usize];
                 let rate = closed.prompt_tokens / SEND_RATE_WINDOW.as_secs_f64();
                 means.send_rate = (means.send_rate - rate).max(0.0);
@@ -162,12 +167,14 @@
         Outcome::Prefilled => Some(HeldState { engine: attempt.engine, since: now }),
         Outcome::Completed | Outcome::Rejected { state_missing: true } => None,
         _ if attempt.begun.is_some() => None,
-        // The state is still held unless it was fetched, which another decode engine would find out. With two attempts
-        // left none would remain after that, and the prefill engine has cached the prompt: it prefills again.
+        // The state is still held unless it was fetched, which another decode engine would find out. With two
+        // attempts left none would remain after that, and the prefill engine has cached the prompt: it
+        // prefills again.
         Outcome::Error | Outcome::Reset | Outcome::TimedOut | Outcome::Cancelled if attempts_left == 2 => {
             None
         }
-        // No decode engine was reached, so the time of the state runs on: kept if it allows one more such attempt.
+        // No decode engine was reached, so the time of the state runs on: kept if it allows one more such
+        // attempt.
         Outcome::ConnectFailed | Outcome::NotSent => {
             let one_more = PROBE_TIMEOUT + settings.limits.connect_timeout;
             attempt.state.filter(|held| now + one_more <= held.since + settings.held_state_limit)
--- a/src/decisions/router.rs
+++ b/src/decisions/router.rs
@@ -1,7 +1,7 @@
 //! The decisions of one router: its whole state, and the dispatch of events to the files that decide.
 //!
-//! Decides nothing by itself. An event is handled to its end before the next one is taken, and the same events with
-//! the same seed give the same actions.
+//! Decides nothing by itself. An event is handled to its end before the next one is taken, and the same
+//! events with the same seed give the same actions.
 
 use super::admission::{INITIAL_PROMPT_TOKENS, QUOTA_DEPTH};
 use super::engines::{EngineRecord, Means, INITIAL_PACE};
--- a/src/decisions/saturation.rs
+++ b/src/decisions/saturation.rs
@@ -1,8 +1,8 @@
 //! Saturation and load estimates: how full an engine and a whole stage are.
 //!
-//! Decides what a load report is worth by its age and contents, and what stands in for one. May read reports, the
-//! router's own attempts since them and the means of each role. The two thresholds are those of docs/design.md,
-//! "The mechanism".
+//! Decides what a load report is worth by its age and contents, and what stands in for one. May read reports,
+//! the router's own attempts since them and the means of each role. The two thresholds are those of
+//! docs/design.md, "The mechanism".
 
 use super::engines::{EngineRecord, Means};
 use super::router::Router;
@@ -19,8 +19,8 @@
 const WAITING_PRIOR: f64 = 8.0;
 
 impl Router {
-    /// Mean saturation of the ready engines of a stage; one without a recent report takes the mean. Exception to the
-    /// post: of the two stages the fuller one counts, as idle engines of the other would hide it.
+    /// Mean saturation of the ready engines of a stage; one without a recent report takes the mean. Exception
+    /// to the post: of the two stages the fuller one counts, as idle engines of the other would hide it.
     pub(super) fn stage_saturation(&self, now: Duration, role: Role) -> f64 {
         let (mut sum, mut count) = (0.0, 0);
         for member in [Role::Prefill, Role::Decode, Role::Mixed] {
@@ -67,8 +67,8 @@
         Some((waiting / WAITING_THRESHOLD, memory))
     }
 
-    /// Prompt tokens in progress at a prefill engine that reports only its queue: those in its memory that it had not
-    /// cached. A long prompt that is being prefilled is in no queue, and delays all behind it.
+    /// Prompt tokens in progress at a prefill engine that reports only its queue: those in its memory that it
+    /// had not cached. A long prompt that is being prefilled is in no queue, and delays all behind it.
     pub(super) fn prefill_tokens_in_memory(&self, record: &EngineRecord) -> f64 {
         let Some((_, report)) = record.report.as_ref().filter(|_| record.role == Role::Prefill) else {
             return 0.0;
--- a/src/decisions/slow_start.rs
+++ b/src/decisions/slow_start.rs
@@ -1,7 +1,7 @@
 //! Slow start: how much work an engine gets while it warms up.
 //!
-//! Decides by the time since its start, or since it was reached again. May read the endpoint list and the rates that
-//! this router sends at. See docs/design.md, "A cold engine and the sum of all routers".
+//! Decides by the time since its start, or since it was reached again. May read the endpoint list and the
+//! rates that this router sends at. See docs/design.md, "A cold engine and the sum of all routers".
 
 use super::engines::{EngineRecord, MIN_SAMPLE_WEIGHT};
 use super::router::Router;
@@ -14,9 +14,9 @@
 const INITIAL_WARMUP_INTERVAL: Duration = Duration::from_millis(1_000);
 
 impl Router {
-    /// Whether an engine warms up: it has started by the endpoint list, or was reached again after an ejection. It may have
-    /// restarted long before the list says so, and what is sent meanwhile matters. Drawback: after a mere network fault
-    /// it gets its full share late.
+    /// Whether an engine warms up: it has started by the endpoint list, or was reached again after an
+    /// ejection. It may have restarted long before the list says so, and what is sent meanwhile matters.
+    /// Drawback: after a mere network fault it gets its full share late.
     pub(super) fn is_warming_up(&self, now: Duration, record: &EngineRecord) -> bool {
         record.warming_up_since(now).is_some_and(|at| now < at.saturating_add(self.settings.warmup_time))
     }
@@ -30,14 +30,16 @@
         self.settings.warmup_initial_share + (1.0 - self.settings.warmup_initial_share) * age.min(1.0)
     }
 
-    /// Prompt tokens a second that this router may send a warming engine: a share of the sustained load of others.
+    /// Prompt tokens a second that this router may send a warming engine: a share of the sustained load of
+    /// others.
     pub(super) fn warmup_send_rate(&self, now: Duration, record: &EngineRecord) -> f64 {
         let least =
             *self.mean_prompt / INITIAL_WARMUP_INTERVAL.as_secs_f64() / f64::from(self.settings.router_count);
         self.warmup_share(now, record) * self.means[record.role as usize].sustained_load.max(least)
     }
 
-    /// Takes a prompt that was sent to an engine which is not warming up into the send rate and the sustained load.
+    /// Takes a prompt that was sent to an engine which is not warming up into the send rate and the sustained
+    /// load.
     pub(super) fn record_sustained_load(&mut self, now: Duration, role: Role, prompt: f64) {
         let is_warming_up = |record: &&EngineRecord| {
             record.role == role && record.is_ready() && self.is_warming_up(now, record)
--- a/src/decisions/successor.rs
+++ b/src/decisions/successor.rs
@@ -1,5 +1,5 @@
-//! New settings while a router runs: a successor that knows all that the first router has learnt, and takes the requests
-//! from then on. The first ends what it has taken, by the settings under which it took it.
+//! New settings while a router runs: a successor that knows all that the first router has learnt, and takes
+//! the requests from then on. The first ends what it has taken, by the settings under which it took it.
 //!
 //! Decides nothing: it copies. See docs/design-policy.md.
 
@@ -26,10 +26,10 @@
 }
 
 impl Router {
-    /// A router with other settings that knows what this one has learnt: load, pace, slow start budgets, ejections, pauses
-    /// by class, and what is left of quotas by tenant. It counts this router's attempts as in flight, too: it is to be
-    /// told of their ends as this one is, and the actions that it asks for on their account are not to be carried out.
-    /// Timers that it needs are appended to `actions`.
+    /// A router with other settings that knows what this one has learnt: load, pace, slow start budgets,
+    /// ejections, pauses by class, and what is left of quotas by tenant. It counts this router's attempts as
+    /// in flight, too: it is to be told of their ends as this one is, and the actions that it asks for on
+    /// their account are not to be carried out. Timers that it needs are appended to `actions`.
     #[must_use]
     pub fn successor(
         &self, now: Duration, settings: Settings, places: &SettingsMapping, seed: u64,
