--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -29,7 +29,7 @@
         kind_roles: vec![Role::Prefill, Role::Decode, Role::Mixed],
         memory_tokens: vec![],
         decode_engines_prefill: false,
-        polls_engine_list: false,
+        requests_engine_list: false,
         report_source: ReportSource::Answers,
         limits: Limits {
             max_attempts: 6,
--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -1,4 +1,4 @@
-//! `serve`: the daemon. One thread a front, each a router of its own on the same port; this thread watches signals
+//! `serve`: the daemon. One thread a gateway, each a router of its own on the same port; this thread watches signals
 //! and the list of engines and passes on what changed.
 
 use crate::member::Member;
--- a/crates/consensus/src/consensus/operators.rs
+++ b/crates/consensus/src/consensus/operators.rs
@@ -6,7 +6,7 @@
 use slipreel_state_machine::Output;
 use std::time::Duration;
 
-/// An operator's request whose result is not known yet.
+/// An operator's request that the leader is not known to have taken yet.
 pub(super) struct PendingRequest {
     request: OperatorRequest,
     received_at: Duration,
@@ -25,7 +25,7 @@
 }
 
 impl Consensus {
-    /// Sends operators' requests to the leader until their results are known.
+    /// Sends operators' requests to the leader until they are known to be under way or to have a result.
     pub(super) fn forward_operator_requests(&mut self, now: Duration, out: &mut Vec<Output>) {
         for request in self.publisher.take_requests() {
             self.operator_requests.push(PendingRequest { request, received_at: now, sent_at: None });
--- a/crates/consensus/src/handle.rs
+++ b/crates/consensus/src/handle.rs
@@ -47,7 +47,8 @@
 pub struct PendingChange {
     /// The id of the proposal.
     pub id: String,
-    /// The routers that have not prepared it yet.
+    /// The routers that have not prepared it yet, as operators are shown them; `(leases of the last leader)` while these may be
+    /// valid, and none where the change is known from the log alone.
     pub waits_for: Vec<String>,
 }
 
--- a/crates/consensus/src/lease_holder.rs
+++ b/crates/consensus/src/lease_holder.rs
@@ -50,7 +50,7 @@
 
 /// Requests without an answer after which the leader counts as silent.
 const MAX_UNANSWERED_REQUESTS: u64 = 2;
-/// Requests that may be open at once.
+/// Requests that are kept for answers to them; the oldest give way.
 const MAX_OPEN_REQUESTS: usize = 256;
 
 /// The policy of the change under way.
@@ -74,7 +74,8 @@
     }
 }
 
-/// A request that the leader has not answered yet.
+/// A request that an answer may still refer to. One is kept after its first answer, as the leader may answer it again when a
+/// change takes hold; the oldest give way at the bound.
 struct OpenRequest {
     nonce: u64,
     /// A lease that is granted for it counts from this moment.
--- a/crates/event-loop/src/lib.rs
+++ b/crates/event-loop/src/lib.rs
@@ -1,6 +1,6 @@
 //! Drives state machines over sockets: one thread, epoll, non-blocking, no async runtime.
 //!
-//! A [`EventLoop`] hosts any number of machines of one type. It carries bytes and time and decides nothing; what waits
+//! An [`EventLoop`] hosts any number of machines of one type. It carries bytes and time and decides nothing; what waits
 //! for a peer is bounded by the machine, which is told what has been sent. It listens on and connects to loopback
 //! addresses alone, unless its caller lifts that for one event loop ([`EventLoop::allow_any_address`]).
 
--- a/crates/gateway/src/classify.rs
+++ b/crates/gateway/src/classify.rs
@@ -1,4 +1,4 @@
-//! What the decision module is notified of a request: class, tenant, session, shared beginning, length, time left, repeat.
+//! What the decision module is given of a request: class, tenant, session, shared beginning, length, time left, repeat.
 //! Each is read from what the client sent; where a client says nothing, the rule is stated beside it.
 
 use crate::settings::GatewaySettings;
--- a/crates/gateway/src/engine_connection.rs
+++ b/crates/gateway/src/engine_connection.rs
@@ -1,7 +1,7 @@
 //! A connection to an engine: the client side of HTTP, one exchange at a time, and what its bytes mean.
 //!
 //! States and their timeouts: `Connecting` (the decision module's connect time), `Busy` (the exchange's own: the decision module's
-//! patience for attempts, `probe` for probes, `silent_stream` once an answer has begun), `Idle` (`engine_idle`). An
+//! patience for attempts, `probe` for probes, `silent_stream` once an answer has begun), `Idle` (`engine_idle`). A
 //! release has `limits::RELEASE_EXCHANGE_TIMEOUT` for both connecting and its answer.
 
 use crate::engine_error::{self, EngineError};
@@ -23,7 +23,7 @@
     Attempt { request: u64, attempt: usize, is_prefill: bool },
     /// A probe of the engine's load.
     Probe,
-    /// An release; the number is that of what it says.
+    /// A release; the id is that of the release queue.
     Release(ReleaseId),
 }
 
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -61,7 +61,8 @@
 
 /// A router between clients and engines, without I/O and clock.
 ///
-/// Takes as [`Input::OwnerMessage`]: `Vec<EngineSettings>`, the complete list of engines; `Arc<GatewaySettings>`, new settings.
+/// Takes as [`Input::OwnerMessage`]: `Vec<EngineSettings>`, the complete list of engines; `Arc<GatewaySettings>`, new settings;
+/// [`RouterCount`]; `Arc<SharedView>`, the membership; `Arc<PolicyHandle>`, the policy that the fleet agrees on.
 pub struct Gateway {
     pub(crate) now: Duration,
     pub(crate) settings: Arc<GatewaySettings>,
@@ -200,7 +201,8 @@
         }
     }
 
-    /// Dispatches the actions of a decision. A module that hears of another one's request takes no action on it.
+    /// Dispatches the actions of a decision. What a module decides on a request of another generation is dropped: that
+    /// generation's own module decides on it.
     fn dispatch_decision(&mut self, decision: Decision, out: &mut Vec<Output>) {
         for action in decision.actions {
             if !self.is_of_other_generation(decision.generation, &action) {
--- a/crates/gateway/src/limits.rs
+++ b/crates/gateway/src/limits.rs
@@ -73,7 +73,7 @@
         kind_roles: KINDS.to_vec(),
         memory_tokens: vec![],
         decode_engines_prefill: false,
-        polls_engine_list: false,
+        requests_engine_list: false,
         report_source: ReportSource::Answers,
         limits: Limits {
             max_attempts: 6,
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -44,7 +44,7 @@
     Histogram::new(exponential_buckets(0.000_01, 2.0, 16))
 }
 
-/// Why a request was refused or rejected.
+/// Why a request was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RejectionReason {
     /// By the curve or as hopeless, before any attempt.
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -11,11 +11,11 @@
 pub struct GatewaySettings {
     /// Handed to the decision module as it is. Its kinds are [`KINDS`].
     pub decisions: Settings,
-    /// The classes, in the order of `settings.classes`.
+    /// The classes, in the order of `decisions.classes`.
     pub classes: Vec<ClassSettings>,
     /// The models that are offered.
     pub models: Vec<ModelSettings>,
-    /// The tenants, in the order of `settings.tenants`. Where there are none, any key or none is taken.
+    /// The tenants, in the order of `decisions.tenants`. Where there are none, any key or none is taken.
     pub tenants: Vec<TenantSettings>,
     /// The engines, unless a list comes from elsewhere.
     pub engines: Vec<EngineSettings>,
@@ -25,7 +25,7 @@
     pub taken_out: Vec<String>,
     /// Operators want no engine to change its role: shown to who changes them.
     pub roles_frozen: bool,
-    /// The zone of this router, by name; it goes into `settings.zone` as the list numbers it.
+    /// The zone of this router, by name; it goes into `decisions.zone` as the list numbers it.
     pub zone: String,
     /// Names this router to engines (`via`), and begins its request ids.
     pub name: String,
@@ -107,7 +107,7 @@
     pub stalled_peer: Duration,
     /// An engine that says nothing for so long in the midst of an answer is given up.
     pub silent_stream: Duration,
-    /// In this time a probe or an release is answered, or counts as lost.
+    /// In this time a probe or a release is answered, or counts as lost.
     pub probe: Duration,
     /// A request ends by then after the gateway was told to stop.
     pub stop: Duration,
--- a/crates/gateway/tests/connections.rs
+++ b/crates/gateway/tests/connections.rs
@@ -63,7 +63,7 @@
         out
     }
 
-    /// Lets time pass, waking the front when it asks for it.
+    /// Lets time pass, waking the gateway when it asks for it.
     fn pass(&mut self, time: Duration) -> Vec<Output> {
         let (end, mut out) = (self.now + time, Vec::new());
         while let Some(at) = self.gateway.wake_at().filter(|at| *at <= end) {
--- a/crates/membership/src/counters.rs
+++ b/crates/membership/src/counters.rs
@@ -1,4 +1,4 @@
-//! Counters of a member, which the metrics publish.
+//! Counters of a member. The metrics publish all but `table_full`.
 
 /// Counts since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
--- a/crates/membership/src/departure.rs
+++ b/crates/membership/src/departure.rs
@@ -1,5 +1,5 @@
 //! How far a member has come with leaving the fleet and with the shutdown of its process, which go by different rules: a member that
-//! an operator asked to leave goes on running, and a shutdown waits until the others were told.
+//! an operator asked to leave goes on running, and a shutdown waits until its leave messages are sent, of which one that yielded its name has none.
 
 use crate::timing;
 
--- a/crates/membership/src/name_conflict.rs
+++ b/crates/membership/src/name_conflict.rs
@@ -20,7 +20,7 @@
     pub record: MemberRecord,
     /// Its latest round that was heard of.
     pub round: u32,
-    /// When that round was first heard of, on this process's clock.
+    /// When it was last seen to have moved on, on this process's clock: the latest estimate of all reports of it.
     pub last_heard: Duration,
 }
 
--- a/crates/platform-settings/src/lib.rs
+++ b/crates/platform-settings/src/lib.rs
@@ -132,7 +132,7 @@
         kind_roles,
         memory_tokens: pairs.numbers("extra.tokens_by_kind")?,
         decode_engines_prefill: pairs.flag("extra.local_read")?,
-        polls_engine_list: pairs.word("discovery", &DISCOVERY_MODES, Some(false))?,
+        requests_engine_list: pairs.word("discovery", &DISCOVERY_MODES, Some(false))?,
         report_source: pairs.word("report.source", &REPORT_SOURCES, Some(ReportSource::None))?,
         limits,
         warmup_initial_share: pairs.number("rules.cold_share", Some(0.0))?.min(1.0),
--- a/crates/settings/src/site.rs
+++ b/crates/settings/src/site.rs
@@ -1,4 +1,4 @@
-//! From sections to a [`Site`]: defaults, and checks across sections.
+//! From sections to [`GatewaySettings`]: defaults, and checks across sections.
 
 use crate::doc::Doc;
 use crate::fleet::{read_fleet, FleetSite};
@@ -52,13 +52,13 @@
 /// What the daemon needs: a site, and what surrounds it.
 #[derive(Clone, Debug)]
 pub struct Daemon {
-    /// The site that each front is handed.
+    /// The settings that each gateway is started with.
     pub site: GatewaySettings,
     /// Where clients connect.
     pub listen: SocketAddr,
-    /// Where operators connect, for metrics: the first front's; the next ones take the ports after it.
+    /// Where operators connect, for metrics: the first gateway's; the next ones take the ports after it.
     pub operators: Option<SocketAddr>,
-    /// How many fronts run, each a router of its own on a thread of its own.
+    /// How many gateways run, each a router of its own on a thread of its own.
     pub threads: usize,
     /// A file in the `EndpointSlice` JSON format with the list of engines, if it comes from there.
     pub engines_file: Option<PathBuf>,
@@ -173,7 +173,7 @@
     let retry_after = doc.or(at, "retry_after", start.limits.max_retry_after.unwrap_or_default());
     Settings {
         router_count: routers,
-        // Named in the site; the front numbers it as its list does.
+        // Named in the settings; the gateway numbers it as its list does.
         zone: ZoneId(0),
         tick: doc.or(router, "tick", start.tick),
         classes,
@@ -182,7 +182,7 @@
         kind_roles: KINDS.to_vec(),
         memory_tokens: vec![],
         decode_engines_prefill: doc.or(at, "writers_read", start.decode_engines_prefill),
-        polls_engine_list: false,
+        requests_engine_list: false,
         report_source: doc.or(at, "reports", start.report_source),
         limits: Limits {
             max_attempts: at_least_one(doc, at, "attempts", start.limits.max_attempts),
--- a/crates/state-machine/src/lib.rs
+++ b/crates/state-machine/src/lib.rs
@@ -1,4 +1,4 @@
-//! The shape of every state machine in this project: the front, the engines and the clients.
+//! The shape of every state machine in this project: routers, members, engines and clients.
 //!
 //! A [`Machine`] does no I/O and has no clock. A driver hands it the time and what happened to its
 //! connections, and carries out the [`Output`]s that it appends. The same machine therefore runs over
--- a/src/decisions/engines.rs
+++ b/src/decisions/engines.rs
@@ -31,7 +31,7 @@
     pub(super) in_flight: f64,
     /// Those of them whose answer has not begun.
     pub(super) attempts_waiting: f64,
-    /// When it last answered an attempt or a probe.
+    /// When it last answered an attempt or a probe, was listed, or came back from an ejection.
     pub(super) last_heard: Duration,
     /// Until when it is ejected, as it could not be connected to.
     pub(super) ejected: Option<Duration>,
@@ -106,14 +106,14 @@
         &mut self, now: Duration, listing: Listing, engines: Vec<Engine>, actions: &mut Vec<Action>,
     ) {
         if listing == Listing::Failed {
-            if self.settings.polls_engine_list {
+            if self.settings.requests_engine_list {
                 let wait = RETRY_AFTER.mul_f64(0.5 + self.sample_probability());
                 self.set_timer(Timer::EndpointList, wait, actions);
             }
             return;
         }
         // A router starts with the list that it cached last.
-        if listing == Listing::Cached && self.settings.polls_engine_list {
+        if listing == Listing::Cached && self.settings.requests_engine_list {
             actions.push(Action::WatchEngines(true));
         }
         if listing != Listing::Changes {
--- a/src/interface/requests.rs
+++ b/src/interface/requests.rs
@@ -58,7 +58,7 @@
 }
 
 impl Outcome {
-    /// Whether it proves that the attempt never ran, so that it had no effect.
+    /// Whether it proves that the attempt had no effect: it never ran, or was a prefill, which has none.
     pub fn proves_not_run(self) -> bool {
         matches!(
             self,
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -116,7 +116,7 @@
     /// Whether a decode engine prefills a prompt itself when there is no state to fetch.
     pub decode_engines_prefill: bool,
     /// Whether the endpoint list has to be requested with [`Action::WatchEngines`](super::Action::WatchEngines).
-    pub polls_engine_list: bool,
+    pub requests_engine_list: bool,
     /// Where load reports come from.
     pub report_source: ReportSource,
     /// What the site allows.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -26,7 +26,7 @@
 //!     kind_roles: vec![Role::Prefill, Role::Decode],
 //!     memory_tokens: vec![],
 //!     decode_engines_prefill: false,
-//!     polls_engine_list: false,
+//!     requests_engine_list: false,
 //!     report_source: ReportSource::Answers,
 //!     limits: Limits {
 //!         max_attempts: 4,
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -30,7 +30,7 @@
         kind_roles: vec![Role::Prefill, Role::Decode, Role::Mixed],
         memory_tokens: vec![],
         decode_engines_prefill: false,
-        polls_engine_list: false,
+        requests_engine_list: false,
         report_source: ReportSource::Answers,
         limits: Limits {
             max_attempts: 4,
--- a/tests/engine_health.rs
+++ b/tests/engine_health.rs
@@ -134,9 +134,9 @@
 }
 
 #[test]
-fn the_endpoint_list_is_polled_again_after_a_failure() {
+fn the_endpoint_list_is_requested_again_after_a_failure() {
     let mut s = settings(Idempotency::Idempotent);
-    s.polls_engine_list = true;
+    s.requests_engine_list = true;
     let mut host = Host { router: Router::new(s, 1), now: ms(0), mute: false, waiting: None };
     let out = host.list(Listing::Cached, vec![]);
     assert!(out.contains(&Action::WatchEngines(true)));
