--- a/src/decisions/ejection.rs
+++ b/src/decisions/ejection.rs
@@ -17,7 +17,8 @@
 pub(super) const MAX_EJECTION_DOUBLINGS: u32 = 3;
 
 impl Router {
-    /// An engine has answered, or its ejection is over where probes are not allowed. If it was ejected, it counts as warming up from now.
+    /// An engine has answered, or its ejection is over where probes are not allowed. If it was ejected, it
+    /// counts as warming up from now.
     pub(super) fn record_contact(&mut self, now: Duration, engine: EngineId) {
         let Some(record) = self.engines.get_mut(&engine) else { return };
         record.last_heard = now;
