--- a/crates/platform/src/active_requests.rs
+++ b/crates/platform/src/active_requests.rs
@@ -1,4 +1,5 @@
-//! The requests in progress: by id and by client id, the memory that they hold, and which ids were forwarded recently.
+//! The requests in progress: by id and by client id, the memory that they hold, and which client ids were
+//! forwarded recently.
 
 use crate::recent_ids::RecentIds;
 use crate::request::ActiveRequest;
@@ -10,10 +11,10 @@
 #[derive(Debug, Default)]
 pub(crate) struct ActiveRequests {
     by_id: BTreeMap<RequestId, ActiveRequest>,
-    /// Requests that are not answered yet, by the id that their clients gave them.
+    /// Requests without a final answer, by the id that their clients gave them.
     by_client_id: HashMap<String, RequestId>,
     recently_forwarded: RecentIds,
-    /// Requests that may be done and can then be removed.
+    /// Requests that were closed or had an attempt end: [`ActiveRequests::remove_done`] checks these.
     maybe_done: Vec<RequestId>,
     /// Bytes of bodies that are held for further attempts.
     held_bytes: usize,
@@ -21,7 +22,7 @@
 }
 
 impl ActiveRequests {
-    /// An id that no request has had.
+    /// Returns a new id.
     pub(crate) fn next_id(&mut self) -> RequestId {
         self.last_id += 1;
         RequestId(self.last_id)
@@ -41,12 +42,12 @@
         self.by_id.get_mut(&id)
     }
 
-    /// A request that has not had its final answer.
+    /// A request that is still open: it has no final answer, and its client is connected.
     pub(crate) fn get_open(&self, id: RequestId) -> Option<&ActiveRequest> {
         self.get(id).filter(|request| !request.is_closed())
     }
 
-    /// The requests that have not had their final answer, in the order of their ids.
+    /// The open requests, in the order of their ids.
     pub(crate) fn open(&self) -> impl Iterator<Item = (RequestId, &ActiveRequest)> {
         self.by_id.iter().filter(|(_, request)| !request.is_closed()).map(|(&id, request)| (id, request))
     }
@@ -64,7 +65,7 @@
         self.by_id.is_empty()
     }
 
-    /// How many client ids of open requests are kept.
+    /// Number of client ids of open requests.
     pub(crate) fn client_id_count(&self) -> usize {
         self.by_client_id.len()
     }
@@ -74,7 +75,7 @@
         self.by_client_id.contains_key(client_id)
     }
 
-    /// A request of this client id goes to an engine.
+    /// Records that a request is forwarded to an engine.
     pub(crate) fn record_forwarded(&mut self, now: Duration, id: RequestId) {
         if let Some(request) = self.by_id.get(&id) {
             self.recently_forwarded.add(now, request.client_id());
@@ -91,7 +92,8 @@
         self.held_bytes
     }
 
-    /// The stream of an attempt begins: the client receives some of it, so the body is not sent again and is dropped.
+    /// Records that an attempt's stream begins. The client receives part of the answer, so the request is
+    /// never sent again and its body is dropped.
     pub(crate) fn begin_stream(&mut self, id: RequestId, attempt: usize) -> Option<&ActiveRequest> {
         let request = self.by_id.get_mut(&id)?;
         self.held_bytes = self.held_bytes.saturating_sub(request.held_bytes());
@@ -99,7 +101,7 @@
         Some(request)
     }
 
-    /// A request has its final answer, or needs none any more.
+    /// Closes a request: it has its final answer, or its client has left.
     pub(crate) fn close(&mut self, id: RequestId) {
         let Some(request) = self.by_id.get_mut(&id) else { return };
         if !request.close() {
@@ -112,8 +114,8 @@
         self.maybe_done.push(id);
     }
 
-    /// An attempt of it has ended, perhaps its last.
-    pub(crate) fn check_when_settled(&mut self, id: RequestId) {
+    /// Has [`ActiveRequests::remove_done`] check a request, one attempt of which has ended.
+    pub(crate) fn mark_maybe_done(&mut self, id: RequestId) {
         self.maybe_done.push(id);
     }
 
--- a/crates/platform/src/client_connections.rs
+++ b/crates/platform/src/client_connections.rs
@@ -1,4 +1,4 @@
-//! The client connections of a router: their timeouts, and which of them is closed when slots run out.
+//! The client connections of a router: their timeouts, and which one is evicted when no slot is free.
 
 use crate::resource_limits::ResourceLimits;
 use crate::timer::{Timer, Timers};
@@ -7,33 +7,34 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// A connection whose first request is incomplete is closed after this: within the 3 s that the protocol allows.
+/// A connection is closed if its first request is still incomplete after this. The protocol allows 3 s.
 const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(2_400);
-/// A request has to be complete within this after its first byte; for the same reason.
+/// Maximum time from the first byte of a request to its last, for the same reason.
 const RECEIVE_TIMEOUT: Duration = Duration::from_millis(2_400);
-/// A client that reads nothing for so long while bytes wait for it is disconnected.
+/// A client that reads nothing for this long while bytes wait for it is disconnected.
 const STALL_TIMEOUT: Duration = Duration::from_millis(10_000);
-/// A connection that has sent nothing for less is not closed to free a slot: its first request may be in transit.
+/// How long a connection counts as new after it was accepted. Its first request may still be in transit, so
+/// it is evicted only if there is no other candidate, and a shutdown does not close it yet.
 const NEW_CONNECTION_GRACE: Duration = Duration::from_millis(400);
 
-/// Connections that may be closed to free a slot, in the order in which they are chosen.
+/// Why a connection may be closed to free a slot. The variant that is declared first is evicted first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Eviction {
-    /// Its first request has been incomplete for a while.
-    LongAwaited,
-    /// It was answered and is idle.
+enum EvictionRank {
+    /// Its first request is still incomplete after [`NEW_CONNECTION_GRACE`].
+    SlowFirstRequest,
+    /// It has had an answer and is idle.
     Idle,
-    /// It has just been accepted and has sent nothing.
-    JustAccepted,
-    /// It has just been accepted, and a part of its first request was received.
-    JustReceiving,
+    /// It is new and has sent nothing.
+    NewAndSilent,
+    /// It is new, and part of its first request was received.
+    NewAndReceiving,
 }
 
-/// An idle connection, as a shutdown looks at it.
+/// An idle connection that a shutdown may close.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct IdleClient {
     pub(crate) conn: ConnId,
-    /// Until then its first request may be in transit; `None` if it has had one.
+    /// Until when its first request may be in transit; `None` if it has sent a request before.
     pub(crate) grace_until: Option<Duration>,
 }
 
@@ -41,7 +42,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct ClientConnections {
     by_id: ConnectionMap<Client>,
-    /// Connections whose first request is incomplete, and when they were accepted.
+    /// Connections whose first request is incomplete, with the time at which they were accepted.
     awaiting_first_request: HashMap<ConnId, Duration>,
 }
 
@@ -78,7 +79,7 @@
         self.awaiting_first_request.remove(&conn);
     }
 
-    /// A connection's first request, or a further one, is complete.
+    /// Records that a connection has received a complete request.
     pub(crate) fn request_received(&mut self, conn: ConnId) {
         self.awaiting_first_request.remove(&conn);
     }
@@ -87,12 +88,12 @@
         self.awaiting_first_request.contains_key(&conn)
     }
 
-    /// How many connections have not sent a complete request yet.
+    /// Number of connections that have not sent a complete request yet.
     pub(crate) fn awaiting_first_request_count(&self) -> usize {
         self.awaiting_first_request.len()
     }
 
-    /// From now on each connection closes after its answer.
+    /// Has each connection close after its next answer.
     pub(crate) fn close_after_next_answer(&mut self) {
         self.by_id.values_mut().for_each(Client::close_after_answer);
     }
@@ -107,8 +108,8 @@
         idle.into_iter().map(with_grace).collect()
     }
 
-    /// The connection to close so that a slot is free: one whose first request is incomplete after a while, else the one
-    /// that is idle longest, else one that has just been accepted. `None` if all are serving requests.
+    /// The connection to close to free a slot: one whose first request is slow, else the one that has been
+    /// idle longest, else a new one. `None` if all are busy with requests.
     pub(crate) fn eviction_candidate(&self, now: Duration) -> Option<ConnId> {
         let ranked = self.by_id.values().filter_map(|client| {
             let rank = self.eviction_rank(client, now)?;
@@ -117,34 +118,33 @@
         ranked.min().map(|(_, _, conn)| conn)
     }
 
-    fn eviction_rank(&self, client: &Client, now: Duration) -> Option<Eviction> {
-        let awaited_since = self.awaiting_first_request.get(&client.conn).copied();
-        let is_old = |since: Duration| now >= since + NEW_CONNECTION_GRACE;
-        match (awaited_since, client.state) {
+    fn eviction_rank(&self, client: &Client, now: Duration) -> Option<EvictionRank> {
+        let accepted_at = self.awaiting_first_request.get(&client.conn).copied();
+        let is_past_grace = |accepted_at: Duration| now >= accepted_at + NEW_CONNECTION_GRACE;
+        match (accepted_at, client.state) {
             (_, State::Serving(_)) | (None, State::Receiving) => None,
-            (None, State::Idle) => Some(Eviction::Idle),
-            (Some(since), _) if is_old(since) => Some(Eviction::LongAwaited),
-            (Some(_), State::Idle) => Some(Eviction::JustAccepted),
-            (Some(_), State::Receiving) => Some(Eviction::JustReceiving),
+            (None, State::Idle) => Some(EvictionRank::Idle),
+            (Some(accepted_at), _) if is_past_grace(accepted_at) => Some(EvictionRank::SlowFirstRequest),
+            (Some(_), State::Idle) => Some(EvictionRank::NewAndSilent),
+            (Some(_), State::Receiving) => Some(EvictionRank::NewAndReceiving),
         }
     }
 
-    /// When a connection times out; `None` if it does not in its present state.
+    /// When a connection times out; `None` if it has no timeout in its present state.
     pub(crate) fn deadline(&self, conn: ConnId, limits: &ResourceLimits) -> Option<Duration> {
         let client = self.by_id.get(conn)?;
-        let awaited_since = self.awaiting_first_request.get(&conn).copied();
-        let stalled = (client.unsent > 0).then(|| client.last_sent_at + STALL_TIMEOUT);
-        let by_state = match client.state {
-            State::Idle if awaited_since.is_some() => Some(client.since + FIRST_REQUEST_TIMEOUT),
+        let accepted_at = self.awaiting_first_request.get(&conn).copied();
+        let stall_deadline = (client.unsent > 0).then(|| client.last_sent_at + STALL_TIMEOUT);
+        let state_deadline = match client.state {
+            State::Idle if accepted_at.is_some() => Some(client.since + FIRST_REQUEST_TIMEOUT),
             State::Idle => Some(client.since + limits.client_idle_timeout(self.by_id.len())),
             State::Receiving => {
-                let first_request =
-                    awaited_since.map_or(Duration::MAX, |since| since + FIRST_REQUEST_TIMEOUT);
+                let first_request = accepted_at.map_or(Duration::MAX, |at| at + FIRST_REQUEST_TIMEOUT);
                 Some((client.since + RECEIVE_TIMEOUT).min(first_request))
             }
             State::Serving(_) => None,
         };
-        by_state.into_iter().chain(stalled).min()
+        state_deadline.into_iter().chain(stall_deadline).min()
     }
 
     /// Sets a connection's timer in place of the one that it had.
@@ -153,7 +153,7 @@
         self.by_id.arm_timer(conn, deadline, timers, Timer::Client(conn));
     }
 
-    /// A connection's timer has fired.
+    /// Handles the firing of a connection's timer.
     pub(crate) fn timer_fired(&mut self, conn: ConnId) {
         self.by_id.timer_fired(conn);
     }
--- a/crates/platform/src/clients.rs
+++ b/crates/platform/src/clients.rs
@@ -1,9 +1,9 @@
-//! The clients' side: complete requests are received, and each gets one final answer.
+//! The client side: receives complete requests and gives each one final answer.
 
 use crate::log_event::LogEvent;
 use crate::parse_request::{self, ParsedRequest};
 use crate::proof::AttemptEnd;
-use crate::request::{ActiveRequest, RequestTerms};
+use crate::request::{ActiveRequest, RequestParams};
 use crate::request_error::RequestError;
 use crate::resource_limits::MAX_HEAD_BYTES;
 use crate::router::PlatformRouter;
@@ -15,13 +15,14 @@
 
 /// The largest body of a client's request, in bytes. From the protocol.
 const MAX_REQUEST_BODY_BYTES: u64 = 256 << 10;
-/// Bytes of pipelined requests that may wait while one is being answered.
+/// Maximum bytes of pipelined requests that wait while one is being answered.
 const MAX_PIPELINED_BYTES: usize = 16 << 10;
 
 impl PlatformRouter {
     // ---- Requests -----------------------------------------------------------------------------------
 
-    /// A client has connected. Without a slot for it, another is evicted, or it is closed.
+    /// Handles a new client connection. If no slot is free, another connection is evicted; if none can be,
+    /// the new one is closed.
     pub(crate) fn accepted(&mut self, conn: ConnId, out: &mut Vec<Output>) {
         if self.clients.len() >= self.resource_limits.client_connections && !self.evict(out) {
             self.counters.rejected_before_admission += 1;
@@ -37,39 +38,40 @@
         self.arm_client_timer(conn);
     }
 
-    /// Frees a slot for one more client by closing one whose first request is incomplete after a while, else the one that is
-    /// idle longest, else one that has just connected. False if all are serving requests.
+    /// Frees a slot for one more client by closing the connection that
+    /// `ClientConnections::eviction_candidate` returns. False if all are busy with requests.
     pub(crate) fn evict(&mut self, out: &mut Vec<Output>) -> bool {
         let Some(conn) = self.clients.eviction_candidate(self.now) else { return false };
         let Some(client) = self.clients.get_mut(conn) else { return false };
         if client.state == State::Receiving {
-            // Its last byte may be in transit: a request that was received in part is answered before the connection is closed.
+            // The rest of its request may be in transit, so the request is answered before the connection is
+            // closed.
             client.close_after_answer();
             self.reject(conn, &RequestError::Evicted, out);
             return true;
         }
         self.counters.rejected_before_admission += 1;
-        // A connection that had an answer is closed in order: a reset would discard the answer if it is still in transit. A
-        // request that arrives just now was never read.
+        // A connection that has had an answer is closed gracefully: a reset would discard an answer that is
+        // still in transit. A request that arrives at this moment has not been read.
         let awaits_first_request = self.clients.awaits_first_request(conn);
         out.push(if awaits_first_request { Output::Abort(conn) } else { Output::CloseWhenSent(conn) });
         self.clients.remove(conn, &mut self.timers);
         true
     }
 
-    /// Bytes of a client were received.
+    /// Handles bytes from a client.
     pub(crate) fn client_data(&mut self, conn: ConnId, bytes: &[u8], out: &mut Vec<Output>) {
         let now = self.now;
         let Some(client) = self.clients.get_mut(conn) else { return };
-        let before = client.state;
+        let previous_state = client.state;
         client.feed(now, bytes, out);
         self.read_requests(conn, out);
-        if self.clients.get(conn).is_some_and(|client| client.state != before) {
+        if self.clients.get(conn).is_some_and(|client| client.state != previous_state) {
             self.arm_client_timer(conn);
         }
     }
 
-    /// Handles the complete requests that were received, each once the one before is answered.
+    /// Handles the complete requests that were received, each after the previous one was answered.
     fn read_requests(&mut self, conn: ConnId, out: &mut Vec<Output>) {
         loop {
             let now = self.now;
@@ -88,7 +90,7 @@
         }
     }
 
-    /// Answers requests to the router itself; all others are to be forwarded.
+    /// Answers requests to the router itself and admits all others.
     fn route(&mut self, conn: ConnId, received: Received, out: &mut Vec<Output>) {
         match (received.method(), received.path()) {
             ("GET", "/-/ready") => {
@@ -100,12 +102,12 @@
         }
     }
 
-    /// Admits a request, or rejects it without the decision module.
+    /// Admits a request, or rejects it without involving the decision module.
     fn admit(&mut self, conn: ConnId, received: Received, out: &mut Vec<Output>) {
         match self.check_admissible(&received) {
             Ok(parsed) => self.start_request(conn, parsed, received),
             Err(error) => {
-                // Out of memory is counted here and by `reject` as well.
+                // `reject` counts the request as well, so out of memory counts twice.
                 self.counters.rejected_before_admission += u64::from(error == RequestError::OutOfMemory);
                 self.reject(conn, &error, out);
             }
@@ -119,7 +121,7 @@
             return Err(RequestError::ShuttingDown);
         }
         if self.requests.is_id_in_use(&parsed.client_id) {
-            // The attempts and the answer of the open request are not affected.
+            // The open request with this id goes on.
             return Err(RequestError::IdInUse);
         }
         if self.requests.was_forwarded(self.now, &parsed.client_id) {
@@ -136,40 +138,41 @@
         let ParsedRequest { client_id, mut request } = parsed;
         let id = self.requests.next_id();
         request.id = id;
-        // The deadline counts from its last byte, also while it is queued behind the request before it.
+        // The deadline counts from the arrival of its last byte, including time in the queue behind the
+        // previous request.
         let deadline = received.arrived.saturating_add(request.client_timeout);
         request.client_timeout = deadline.saturating_sub(self.now);
         let class = self.profile.settings.classes.get(request.class.0);
         let idempotency = class.map_or(Idempotency::NotIdempotent, |class| class.idempotency);
-        let objective = class.map_or(Duration::MAX, |class| {
+        let latency_objective = class.map_or(Duration::MAX, |class| {
             let per_token = class.latency_objective_per_1000_tokens.mul_f64(request.prompt_tokens / 1e3);
             class.latency_objective + per_token
         });
         if let Some(client) = self.clients.get_mut(conn) {
             client.state = State::Serving(Some(id.0));
         }
-        let terms = RequestTerms {
-            runs_once: idempotency != Idempotency::Idempotent,
+        let params = RequestParams {
+            at_most_once: idempotency != Idempotency::Idempotent,
             deadline,
-            first_event_due: self.now.saturating_add(objective),
+            first_event_due: self.now.saturating_add(latency_objective),
             prompt_tokens: request.prompt_tokens as u64,
         };
-        self.requests.insert(id, ActiveRequest::new(client_id, conn, terms, received));
+        self.requests.insert(id, ActiveRequest::new(client_id, conn, params, received));
         self.counters.admitted += 1;
         self.queue_event(Event::Request(request));
     }
 
-    /// A client has closed its sending side.
+    /// Handles the close of a client's sending side.
     pub(crate) fn client_eof(&mut self, conn: ConnId, out: &mut Vec<Output>) {
-        // A client that closes its sending side counts as gone, whatever answer is still due.
+        // A client that closes its sending side counts as disconnected, even if an answer is still due.
         if self.clients.contains(conn) {
             out.push(Output::CloseWhenSent(conn));
-            self.client_gone(conn, out);
+            self.client_disconnected(conn, out);
         }
     }
 
-    /// A client has disconnected: its request needs no answer any more.
-    pub(crate) fn client_gone(&mut self, conn: ConnId, out: &mut Vec<Output>) {
+    /// Handles the disconnect of a client: its request needs no answer any more.
+    pub(crate) fn client_disconnected(&mut self, conn: ConnId, out: &mut Vec<Output>) {
         let request = match self.clients.get(conn).map(|client| client.state) {
             Some(State::Serving(Some(request))) => Some(RequestId(request)),
             _ => None,
@@ -187,18 +190,18 @@
         }
     }
 
-    /// Bytes for a client have left the driver.
+    /// Records that the driver has sent bytes to a client.
     pub(crate) fn client_sent(&mut self, conn: ConnId, sent: usize, out: &mut Vec<Output>) {
         let now = self.now;
         let Some(client) = self.clients.get_mut(conn) else { return };
         client.unsent = client.unsent.saturating_sub(sent);
         client.last_sent_at = now;
         if let State::Serving(Some(request)) = client.state {
-            self.check_pace(RequestId(request), out);
+            self.apply_backpressure(RequestId(request), out);
         }
     }
 
-    /// A client connection has timed out, by its state.
+    /// Handles the timeout of a client connection, depending on its state.
     pub(crate) fn client_timed_out(&mut self, conn: ConnId, out: &mut Vec<Output>) {
         let Some(client) = self.clients.get_mut(conn) else { return };
         match client.state {
@@ -210,10 +213,10 @@
                 out.push(Output::CloseWhenSent(conn));
                 self.clients.remove(conn, &mut self.timers);
             }
-            // It reads nothing of what was written to it.
+            // The client reads nothing of what was written to it.
             State::Serving(_) => {
                 out.push(Output::Abort(conn));
-                self.client_gone(conn, out);
+                self.client_disconnected(conn, out);
             }
         }
     }
@@ -237,11 +240,11 @@
             client.close_after_answer();
         }
         client.answer(status, fields, body, out);
-        self.client_done(conn, out);
+        self.after_answer(conn, out);
     }
 
-    /// An answer is written: the connection is kept or closed.
-    fn client_done(&mut self, conn: ConnId, out: &mut Vec<Output>) {
+    /// Keeps or closes the connection after a complete answer.
+    fn after_answer(&mut self, conn: ConnId, out: &mut Vec<Output>) {
         let now = self.now;
         let Some(client) = self.clients.get_mut(conn) else { return };
         if client.finish_answer(now, out) {
@@ -253,16 +256,16 @@
 
     /// Writes a final answer that is not a stream, then handles pipelined requests.
     fn answer_request(
-        &mut self, id: RequestId, status: u16, fields: &[(&str, &str)], why: &str, out: &mut Vec<Output>,
+        &mut self, id: RequestId, status: u16, fields: &[(&str, &str)], message: &str, out: &mut Vec<Output>,
     ) {
-        let Some(conn) = self.requests.get_open(id).map(ActiveRequest::client) else { return };
+        let Some(conn) = self.requests.get_open(id).map(ActiveRequest::client_conn) else { return };
         self.requests.close(id);
-        let body = serde_json::json!({ "error": why }).to_string();
+        let body = serde_json::json!({ "error": message }).to_string();
         self.answer(conn, status, fields, body.as_bytes(), out);
         self.read_requests(conn, out);
     }
 
-    /// The decision module rejects a request.
+    /// Rejects a request on behalf of the decision module.
     pub(crate) fn reject_request(
         &mut self, id: RequestId, retry_after: Option<Duration>, over_quota: bool, out: &mut Vec<Output>,
     ) {
@@ -280,7 +283,7 @@
         self.answer_request(id, status, &fields, "turned away; trying again is harmless", out);
     }
 
-    /// A request has failed, and no attempt is left for it.
+    /// Answers a request that has failed and gets no further attempt.
     pub(crate) fn fail_request(&mut self, id: RequestId, out: &mut Vec<Output>) {
         self.counters.failed += 1;
         self.counters.ended_without_event += 1;
@@ -288,7 +291,7 @@
         self.answer_request(id, 502, &[], "failed; it may have run", out);
     }
 
-    /// Logs how a request came to its end.
+    /// Logs the end of a request with its attempts.
     fn log_request_end(&mut self, id: RequestId, event: fn(String) -> LogEvent, out: &mut Vec<Output>) {
         let Some(trace) = self.requests.get(id).map(|request| request.trace(self.now)) else { return };
         self.log_limited(|| event(trace), out);
@@ -296,8 +299,8 @@
 
     /// Writes the head of a streamed answer.
     pub(crate) fn begin_stream(&mut self, id: RequestId, out: &mut Vec<Output>) {
-        let Some(client) = self.requests.get(id).map(ActiveRequest::client) else { return };
-        if let Some(client) = self.clients.get_mut(client) {
+        let Some(conn) = self.requests.get(id).map(ActiveRequest::client_conn) else { return };
+        if let Some(client) = self.clients.get_mut(conn) {
             if self.shutdown.has_begun() {
                 client.close_after_answer();
             }
@@ -307,27 +310,27 @@
 
     /// Writes events of a stream.
     pub(crate) fn write_events(&mut self, id: RequestId, events: &[u8], out: &mut Vec<Output>) {
-        let Some(client) = self.requests.get(id).map(ActiveRequest::client) else { return };
-        if let Some(client) = self.clients.get_mut(client) {
+        let Some(conn) = self.requests.get(id).map(ActiveRequest::client_conn) else { return };
+        if let Some(client) = self.clients.get_mut(conn) {
             client.write(http::chunk(events), out);
         }
     }
 
-    /// A stream is complete.
+    /// Completes a stream.
     pub(crate) fn complete_stream(&mut self, id: RequestId, out: &mut Vec<Output>) {
-        let Some(conn) = self.requests.get_open(id).map(ActiveRequest::client) else { return };
+        let Some(conn) = self.requests.get_open(id).map(ActiveRequest::client_conn) else { return };
         self.requests.close(id);
         self.counters.completed += 1;
         if let Some(client) = self.clients.get_mut(conn) {
             client.write(http::LAST_CHUNK.to_vec(), out);
         }
-        self.client_done(conn, out);
+        self.after_answer(conn, out);
         self.read_requests(conn, out);
     }
 
-    /// A stream has broken: the client's connection ends in order, without the last chunk.
+    /// Ends a stream that broke: closes the client's connection gracefully, without the last chunk.
     pub(crate) fn abort_stream(&mut self, id: RequestId, out: &mut Vec<Output>) {
-        let Some(conn) = self.requests.get_open(id).map(ActiveRequest::client) else { return };
+        let Some(conn) = self.requests.get_open(id).map(ActiveRequest::client_conn) else { return };
         self.log_request_end(id, |trace| LogEvent::StreamBroke { trace }, out);
         self.requests.close(id);
         self.counters.failed += 1;
@@ -338,7 +341,7 @@
         }
     }
 
-    /// A stream is migrated: it is cut off, and its client resumes it at another router.
+    /// Migrates a stream: cuts it off, so that its client resumes it at another router.
     pub(crate) fn migrate_stream(&mut self, id: RequestId, out: &mut Vec<Output>) {
         let Some(conn) = self.requests.get_open(id).and_then(ActiveRequest::streaming_connection) else {
             return;
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -1,4 +1,4 @@
-//! What a router is started with: the platform's configuration file.
+//! The configuration that a router is started with, parsed from the platform's configuration file.
 
 use crate::endpoint_list::{self, EndpointList, EndpointListError};
 use crate::resource_limits::ResourceLimits;
@@ -9,7 +9,7 @@
 /// Why a configuration cannot be used. `Display` names the field, the value found and what was expected.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
-    /// The file is no JSON.
+    /// The file is not JSON.
     #[error("no JSON: {0}")]
     NotJson(#[from] serde_json::Error),
     /// A field is missing.
@@ -26,7 +26,7 @@
         /// The value found.
         found: Value,
     },
-    /// A field holds no address.
+    /// A field is not an address.
     #[error("{field}: {found:?}: expected IP:PORT")]
     InvalidAddress {
         /// The path of the field.
@@ -34,7 +34,7 @@
         /// The value found.
         found: String,
     },
-    /// A limit is no number, or out of range.
+    /// A limit is not a number, or out of range.
     #[error("{field}: {found}: expected a number of 1 or more")]
     InvalidLimit {
         /// The path of the field.
@@ -42,7 +42,7 @@
         /// The value found.
         found: Value,
     },
-    /// The seed is no number in hex.
+    /// The seed is not a number in hex.
     #[error("seed: {0:?}: expected 1 to 16 hex digits")]
     InvalidSeed(String),
     /// The cached endpoint list cannot be read.
@@ -53,41 +53,44 @@
     InvalidSettings(SettingsError),
 }
 
-/// Limits from here on are rejected as mistakes.
+/// Limits of this size and above are rejected as mistakes.
 const MAX_LIMIT: f64 = 1e9;
 
 /// The configuration of a router.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// Its name, the same after a restart.
+    /// The router's name, which stays the same after a restart.
     pub name: String,
-    /// Where clients connect.
+    /// Address on which clients connect.
     pub listen: SocketAddr,
-    /// Where discovery is.
+    /// Address of discovery.
     pub discovery: SocketAddr,
-    /// Seed of its random draws; new at each start.
+    /// Seed of the random generators; new at each start.
     pub seed: u64,
-    /// What its process may hold.
+    /// Bounds on what the process may hold.
     pub resource_limits: ResourceLimits,
-    /// The endpoint list as this router last held it.
-    pub known: Option<EndpointList>,
+    /// The last endpoint list that this router held before it was restarted.
+    pub cached_endpoints: Option<EndpointList>,
     /// The settings.
     pub profile: Profile,
 }
 
 impl Config {
-    /// Reads the file's text.
+    /// Parses the text of the file.
     ///
     /// # Errors
-    /// The first field that is missing or can't be read.
+    /// The first field that is missing or cannot be read.
     pub fn parse(text: &str) -> Result<Config, ConfigError> {
         let value: Value = serde_json::from_str(text)?;
         let seed = get_text(&value, "seed")?;
         let limits = get(&value, "limits")?;
         let resource_limits =
             ResourceLimits::new(get_limit(limits, "sockets")?, get_limit(limits, "memory_mb")?);
-        let known = value.get("known").filter(|known| !known.is_null());
-        let known = known.map(endpoint_list::read).transpose().map_err(ConfigError::InvalidEndpointList)?;
+        let cached_endpoints = value.get("known").filter(|list| !list.is_null());
+        let cached_endpoints = cached_endpoints
+            .map(endpoint_list::parse)
+            .transpose()
+            .map_err(ConfigError::InvalidEndpointList)?;
         let profile = slipreel_platform_settings::from_json(get(&value, "settings")?);
         Ok(Config {
             name: get_text(&value, "name")?.to_owned(),
@@ -95,7 +98,7 @@
             discovery: get_address(&value, "discovery")?,
             seed: u64::from_str_radix(seed, 16).map_err(|_| ConfigError::InvalidSeed(seed.to_owned()))?,
             resource_limits,
-            known,
+            cached_endpoints,
             profile: profile.map_err(ConfigError::InvalidSettings)?,
         })
     }
@@ -117,7 +120,7 @@
         .map_err(|_| ConfigError::InvalidAddress { field: field.to_owned(), found: found.to_owned() })
 }
 
-/// A limit of the object `limits`.
+/// Reads a field of the object `limits`.
 fn get_limit(limits: &Value, name: &str) -> Result<usize, ConfigError> {
     let field = format!("limits.{name}");
     let Some(found) = limits.get(name) else { return Err(ConfigError::Missing { field }) };
--- a/crates/platform/src/config/tests.rs
+++ b/crates/platform/src/config/tests.rs
@@ -1,16 +1,16 @@
 use super::*;
 
-fn fault_of(text: &str) -> String {
-    Config::parse(text).map(|_| ()).expect_err("a configuration that cannot be used").to_string()
+fn error_text(text: &str) -> String {
+    Config::parse(text).map(|_| ()).expect_err("expected the configuration to be rejected").to_string()
 }
 
-/// The texts are shown to operators as the process starts or the file is replaced.
+/// Operators see these texts when the process starts or the file is replaced.
 #[test]
 fn an_error_names_the_field_the_value_and_what_was_expected() {
-    let good = r#"{"name":"n0","listen":"127.0.0.2:5000","discovery":"127.0.0.9:8500","seed":"8c1f",
+    let valid = r#"{"name":"n0","listen":"127.0.0.2:5000","discovery":"127.0.0.9:8500","seed":"8c1f",
         "limits":{"memory_mb":64,"sockets":256},"known":null,"settings":{}}"#;
-    assert!(fault_of("{").starts_with("no JSON: "));
-    for (from, to, fault) in [
+    assert!(error_text("{").starts_with("no JSON: "));
+    for (from, to, expected) in [
         (r#""seed":"8c1f","#, "", "seed: missing"),
         (r#""8c1f""#, "17", "seed: 17: expected text"),
         (r#""memory_mb":64,"#, "", "limits.memory_mb: missing"),
@@ -19,7 +19,7 @@
         (r#""127.0.0.2:5000""#, r#""localhost""#, r#"listen: "localhost": expected IP:PORT"#),
         ("8c1f", "seed", r#"seed: "seed": expected 1 to 16 hex digits"#),
     ] {
-        assert_eq!(fault_of(&good.replace(from, to)), fault);
+        assert_eq!(error_text(&valid.replace(from, to)), expected);
     }
-    assert!(fault_of(good).starts_with("settings: "), "{}", fault_of(good));
+    assert!(error_text(valid).starts_with("settings: "), "{}", error_text(valid));
 }
--- a/crates/platform/src/counters.rs
+++ b/crates/platform/src/counters.rs
@@ -1,21 +1,21 @@
-//! The counters of a router, and the keys by which the log lists them.
+//! The counters of a router, and the keys under which the log lists them.
 
 use std::fmt;
 
 /// Counters of requests, attempts and connections since the start of the process. They only grow.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
-    /// Requests that reached the decision module.
+    /// Requests that were passed to the decision module.
     pub admitted: u64,
-    /// Complete streams that were forwarded.
+    /// Streams that were forwarded completely.
     pub completed: u64,
     /// Requests rejected by the decision module.
     pub rejected: u64,
-    /// Requests that failed, by the decision module or as a stream broke.
+    /// Requests that failed: the decision module gave up on them, or their stream broke.
     pub failed: u64,
-    /// Requests whose clients left before their answer ended.
+    /// Requests whose clients disconnected before the end of the answer.
     pub disconnected: u64,
-    /// Requests and connections answered or closed without the decision module: malformed, or for want of capacity.
+    /// Requests and connections that were rejected without the decision module: malformed, or over capacity.
     pub rejected_before_admission: u64,
     /// Attempts sent to engines.
     pub attempts: u64,
@@ -27,32 +27,33 @@
     pub malformed_responses: u64,
     /// Connections opened to engines.
     pub engine_connections_opened: u64,
-    /// Load reports that came with answers or health checks and went to the decision module.
+    /// Load reports in answers and health checks that were passed to the decision module.
     pub load_reports: u64,
     /// Load reports that could not be read.
     pub malformed_load_reports: u64,
-    /// Requests rejected before any attempt: load shed, deadline unreachable, or no engine to send to.
+    /// Requests rejected before any attempt: load shedding, an unreachable deadline, or no eligible engine.
     pub rejected_without_attempt: u64,
-    /// Requests that failed or were rejected after attempts, or whose clients left while some were in flight.
+    /// Requests that ended before the first event of an answer: failed, rejected after attempts, or
+    /// disconnected.
     pub ended_without_event: u64,
-    /// First events that came later than the latency objective of their class.
+    /// First events that were later than the latency objective of their class.
     pub late_first_events: u64,
     /// Streams that broke after their first event.
     pub broken_streams: u64,
-    /// Attempts that were cancelled, broke or ended as errors.
+    /// Attempts that were cancelled or failed.
     pub wasted_attempts: u64,
-    /// Attempts at engines of another zone.
+    /// Attempts sent to engines in another zone.
     pub cross_zone_attempts: u64,
-    /// Prompt tokens of prefills that ended well.
+    /// Prompt tokens of successful prefills.
     pub prefilled_tokens: u64,
-    /// How many of these their prefill engines had cached.
+    /// Those of `prefilled_tokens` that the prefill engines had cached.
     pub cached_tokens: u64,
     /// Prompt tokens whose state was decoded outside the cell of their prefill engine.
     pub transferred_tokens: u64,
 }
 
 impl Counters {
-    /// The counters in the order of the log line, each under the key by which `slipreel losses` knows it.
+    /// The counters in the order of the log line, each with the key that `slipreel losses` reads.
     fn log_entries(&self) -> [(&'static str, u64); 22] {
         [
             ("taken", self.admitted),
@@ -81,8 +82,9 @@
     }
 }
 
-/// The text of the status line, which `slipreel losses` reads: `Tally { taken: 5, served: 4, .. }`. Its keys are older than
-/// the names of the fields and stay, so that logs of all versions can be read together.
+/// The counters as the status line lists them and `slipreel losses` reads them: `Tally { taken: 5, served: 4,
+/// .. }`. The keys are older than the names of the fields and stay, so that logs of all versions can be read
+/// together.
 impl fmt::Display for Counters {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("Tally { ")?;
--- a/crates/platform/src/counters/tests.rs
+++ b/crates/platform/src/counters/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// `slipreel losses` reads this line, key by key, also from logs of earlier versions.
+/// `slipreel losses` reads the keys of this line, also in logs of earlier versions.
 #[test]
 fn the_log_line_keeps_its_prefix_keys_and_order() {
     let counters = Counters {
--- a/crates/platform/src/decisions.rs
+++ b/crates/platform/src/decisions.rs
@@ -1,4 +1,4 @@
-//! The decision module and the events that wait for it.
+//! The decision module and the queue of its events.
 
 use slipreel::{Action, EngineId, Event, Router, Settings, StateSizes};
 use std::collections::{BTreeMap, VecDeque};
@@ -15,12 +15,12 @@
         Decisions { module: Router::new(settings.clone(), seed), events: VecDeque::new() }
     }
 
-    /// Queues an event behind those that wait.
+    /// Adds an event to the end of the queue.
     pub(crate) fn queue(&mut self, event: Event) {
         self.events.push_back(event);
     }
 
-    /// Hands the next event to the module and returns what it decides; `None` if no event waits.
+    /// Passes the next event to the module and returns its actions; `None` if the queue is empty.
     pub(crate) fn handle_next(&mut self, now: Duration) -> Option<Vec<Action>> {
         let event = self.events.pop_front()?;
         let mut actions = Vec::new();
@@ -33,7 +33,7 @@
         self.module.attempts_in_flight().map(|(engine, count)| (engine, count as usize)).collect()
     }
 
-    /// How much state the module keeps.
+    /// Sizes of the state that the module keeps.
     pub(crate) fn state_sizes(&self) -> StateSizes {
         self.module.state_sizes()
     }
--- a/crates/platform/src/discovery.rs
+++ b/crates/platform/src/discovery.rs
@@ -1,4 +1,5 @@
-//! Discovery's side: the watch of the endpoint list is opened, read and opened again, and its lists are applied.
+//! The discovery side: opens, reads and reopens the watch of the endpoint list, and applies the lists that it
+//! receives.
 
 use crate::config::Config;
 use crate::endpoint_list::EndpointList;
@@ -9,7 +10,7 @@
 use slipreel_state_machine::{ConnId, ConnectionLoss, Output};
 
 impl PlatformRouter {
-    /// The watch's timer has fired: it is opened, or closed if it has timed out.
+    /// Handles the firing of the watch's timer: opens the watch, or closes it if it has timed out.
     pub(crate) fn watch_due(&mut self, out: &mut Vec<Output>) {
         self.watch.timer_fired();
         match self.watch.due_step(self.now) {
@@ -18,7 +19,7 @@
                 self.watch.connecting(conn, self.now);
                 out.push(Output::Connect(conn, self.watch.addr()));
             }
-            Some(DueStep::GiveUp(timeout)) => {
+            Some(DueStep::Fail(timeout)) => {
                 self.watch_failed(WatchFailure::TimedOut(timeout), out);
                 if timeout.reopens_at_once() {
                     return self.watch_due(out);
@@ -29,14 +30,14 @@
         self.watch.arm_timer(&mut self.timers);
     }
 
-    /// The watch's connection is established.
+    /// Sends the request of the watch on its established connection.
     pub(crate) fn watch_connected(&mut self, conn: ConnId, out: &mut Vec<Output>) {
         let request = self.watch.connected(conn, self.now);
         out.push(Output::Write(conn, request));
         self.watch.arm_timer(&mut self.timers);
     }
 
-    /// The watch has failed: it is opened again, after a backoff or at once.
+    /// Closes a watch that has failed, and schedules the next after a backoff or at once.
     pub(crate) fn watch_failed(&mut self, failure: WatchFailure, out: &mut Vec<Output>) {
         if let Some(conn) = self.watch.conn() {
             out.push(Output::Abort(conn));
@@ -47,10 +48,10 @@
         self.watch.arm_timer(&mut self.timers);
     }
 
-    /// The watch's connection is lost. Without a descriptor for it, idle client connections and idle connections to
-    /// engines are closed for the next: the list takes precedence.
-    pub(crate) fn watch_lost(&mut self, why: ConnectionLoss, out: &mut Vec<Output>) {
-        let failure = if why == ConnectionLoss::Exhausted {
+    /// Handles the loss of the watch's connection. If there was no descriptor for it, an idle connection of a
+    /// client or to an engine is closed for the next attempt: the endpoint list takes precedence.
+    pub(crate) fn watch_lost(&mut self, loss: ConnectionLoss, out: &mut Vec<Output>) {
+        let failure = if loss == ConnectionLoss::Exhausted {
             self.free_descriptor(out);
             WatchFailure::NoDescriptor
         } else {
@@ -59,23 +60,24 @@
         self.watch_failed(failure, out);
     }
 
-    /// Closes a connection so that the process has a descriptor for another: an idle client's, else an engine's.
+    /// Closes a connection to free a descriptor: that of a client that can be evicted, else an idle one to an
+    /// engine.
     pub(crate) fn free_descriptor(&mut self, out: &mut Vec<Output>) {
         if !self.evict(out) {
             self.close_oldest_idle(out);
         }
     }
 
-    /// Bytes of the watch were received: applies the lists that they complete.
+    /// Handles bytes from the watch: applies the lists that they complete.
     pub(crate) fn watch_data(&mut self, bytes: &[u8], out: &mut Vec<Output>) {
         let mut lists = Vec::new();
-        let fed = self.watch.feed(self.now, bytes, &mut lists);
+        let result = self.watch.feed(self.now, bytes, &mut lists);
         for list in lists {
             self.apply_endpoint_list(list, out);
-            // The actions that follow from one list are dispatched by that list, not by the next.
+            // The actions for one list are dispatched before the next list is applied.
             self.run_decisions(out);
         }
-        match fed {
+        match result {
             Ok(()) => self.watch.arm_timer(&mut self.timers),
             Err(error) => self.watch_failed(WatchFailure::Unusable(error), out),
         }
@@ -87,20 +89,20 @@
             self.log_limited(|| event, out);
         }
         self.queue_event(changes.event);
-        // Attempts to an engine that drains or is gone are cancelled unless they were written to their last byte, and so can be
-        // retried elsewhere.
-        let is_affected = |engine| changes.closed.contains(&engine) || changes.moved.contains(&engine);
+        // Cancels attempts at engines that are unavailable or changed, unless their request was written
+        // completely. They provably never ran, so they can be retried elsewhere.
+        let is_affected = |engine| changes.unavailable.contains(&engine) || changes.changed.contains(&engine);
         for conn in self.engines.unwritten_attempts(is_affected) {
             self.cancel_connection(conn, Outcome::Cancelled, out);
         }
-        for engine in changes.closed.into_iter().chain(changes.moved) {
+        for engine in changes.unavailable.into_iter().chain(changes.changed) {
             self.engines.forget_reuse_history(engine);
             self.close_idle(engine, out);
         }
     }
 
-    /// The configuration file was replaced: the watch is opened at the new address; the current list stays until one comes from
-    /// there.
+    /// Applies a new configuration file: reopens the watch at the new address. The current list stays in use
+    /// until one is received from there.
     pub(crate) fn reload(&mut self, config: &Config, out: &mut Vec<Output>) {
         let event = LogEvent::ConfigReloaded { discovery: config.discovery };
         out.push(Output::Log(event.to_string()));
@@ -108,7 +110,7 @@
             if let Some(conn) = self.watch.conn() {
                 out.push(Output::Abort(conn));
             }
-            self.watch.move_to(config.discovery, self.now);
+            self.watch.change_address(config.discovery, self.now);
             self.watch.arm_timer(&mut self.timers);
             self.watch_due(out);
         }
--- a/crates/platform/src/dispatch.rs
+++ b/crates/platform/src/dispatch.rs
@@ -1,4 +1,4 @@
-//! Dispatches what the decision module decides: attempts, health checks, final answers.
+//! Dispatches the actions of the decision module: attempts, health checks, final answers.
 
 use crate::engine_connection::{ConnectionPurpose, EngineConnection, Exchange, State};
 use crate::log_event::LogEvent;
@@ -12,7 +12,7 @@
 use slipreel_state_machine::{ConnId, Output};
 use std::time::Duration;
 
-/// Connections for releases beyond the bound of those to engines.
+/// Connections for releases that may be opened beyond the limit of connections to engines.
 const EXTRA_RELEASE_CONNECTIONS: usize = 4;
 
 impl PlatformRouter {
@@ -33,7 +33,8 @@
             Action::CloseIdleConnections(engine) => self.close_idle(engine, out),
             Action::MigrateStream(request) => self.migrate_stream(request, out),
             Action::Log(event) => self.log_limited(|| LogEvent::Decision(event), out),
-            // The platform has no reservations and no messages between routers, and its watch is always open.
+            // The platform has no reservations and no messages between routers, and its watch of the engines
+            // always runs.
             Action::Reserve { request, engine } => {
                 self.queue_event(Event::ReservationAnswered { request, engine, granted: false });
             }
@@ -51,22 +52,22 @@
             request.release_withdrawn(holder);
         }
         let Some(endpoint) = self.endpoints.get(engine) else {
-            // It has just left the list.
+            // The engine has just left the list.
             let attempt = request.begin_attempt(now, engine, false);
-            return self.ended(id, attempt, AttemptEnd::never_ran(NeverRan::NotTried));
+            return self.attempt_ended(id, attempt, AttemptEnd::never_ran(NeverRan::NotTried));
         };
         let (addr, is_prefill) = (endpoint.addr, endpoint.role == Role::Prefill);
         let attempt = request.begin_attempt(now, engine, is_prefill);
         let bytes = request.message(now, addr);
-        let holds_last_byte = request.terms().runs_once && !is_prefill;
+        let holds_last_byte = request.params().at_most_once && !is_prefill;
         let prefill_engine = request.prefill_engine().filter(|_| !is_prefill);
-        let prompt_tokens = request.terms().prompt_tokens;
+        let prompt_tokens = request.params().prompt_tokens;
         self.count_attempt(engine, prefill_engine, prompt_tokens);
         self.requests.record_forwarded(now, id);
         let purpose = ConnectionPurpose::Attempt { request: id, attempt };
         let exchange = Exchange { engine, addr, purpose, request: bytes, holds_last_byte };
         let Some(conn) = self.open_for_attempt(exchange, out) else {
-            return self.ended(id, attempt, AttemptEnd::never_ran(NeverRan::NotTried));
+            return self.attempt_ended(id, attempt, AttemptEnd::never_ran(NeverRan::NotTried));
         };
         if let Some(request) = self.requests.get_mut(id) {
             request.set_connection(attempt, conn);
@@ -76,7 +77,7 @@
         }
     }
 
-    /// Counts an attempt; `prefill_engine`: whose state it fetches, if it is a decode.
+    /// Counts an attempt. `prefill_engine` is the engine whose state it fetches, if it is a decode.
     fn count_attempt(&mut self, engine: EngineId, prefill_engine: Option<EngineId>, prompt_tokens: u64) {
         self.counters.attempts += 1;
         let Some(endpoint) = self.endpoints.get(engine) else { return };
@@ -87,11 +88,12 @@
         }
     }
 
-    /// Opens a connection for an attempt. `None` if there is no slot for one.
+    /// Opens a connection for an attempt. `None` if no slot is free.
     ///
-    /// An attempt always gets a new connection. Answers name no request: on a reused connection a second answer to the
-    /// exchange before, however late, cannot be distinguished from the answer to the present one. Mistaken for it, it would
-    /// prove that a running attempt never ran, or leave a duplicate of it in flight at its engine.
+    /// An attempt always gets a new connection. Answers do not name their request: on a reused connection, a
+    /// late second answer to the previous exchange cannot be distinguished from the answer to the current
+    /// one. Mistaken for it, it would falsely prove that a running attempt never ran, or leave a duplicate of
+    /// the attempt in flight at its engine.
     fn open_for_attempt(&mut self, exchange: Exchange, out: &mut Vec<Output>) -> Option<ConnId> {
         if !self.free_connection_slot(exchange.purpose, out) {
             return None;
@@ -100,7 +102,7 @@
         Some(self.open(exchange, out))
     }
 
-    /// Puts a health check or a release on an idle connection or on a new one. False if there is no slot for one.
+    /// Starts a health check or a release on an idle connection or a new one. False if no slot is free.
     pub(crate) fn exchange(&mut self, exchange: Exchange, out: &mut Vec<Output>) -> bool {
         let now = self.now;
         match self.engines.reserve(exchange.engine, exchange.purpose, now) {
@@ -133,15 +135,16 @@
         conn
     }
 
-    /// Whether one more connection to an engine may be opened: at the bound the one that is idle longest is closed.
-    /// Releases may have a few beyond it: they must not wait until an attempt ends.
+    /// Whether one more connection to an engine may be opened. At the limit, the connection that has been
+    /// idle longest is closed. Releases may exceed the limit by [`EXTRA_RELEASE_CONNECTIONS`]: they must not
+    /// wait until an attempt ends.
     fn free_connection_slot(&mut self, purpose: ConnectionPurpose, out: &mut Vec<Output>) -> bool {
         let extra =
             if matches!(purpose, ConnectionPurpose::Release(_)) { EXTRA_RELEASE_CONNECTIONS } else { 0 };
         self.engines.len() < self.resource_limits.engine_connections + extra || self.close_oldest_idle(out)
     }
 
-    /// Closes the connection to an engine that is idle longest. False if none is idle.
+    /// Closes the engine connection that has been idle longest. False if none is idle.
     pub(crate) fn close_oldest_idle(&mut self, out: &mut Vec<Output>) -> bool {
         let Some(oldest) = self.engines.oldest_idle() else { return false };
         self.engines.remove(oldest, &mut self.timers);
@@ -152,7 +155,7 @@
     /// Cancels an attempt in flight.
     fn cancel(&mut self, id: RequestId, attempt: usize, out: &mut Vec<Output>) {
         let Some(request) = self.requests.get(id) else { return };
-        // A stream that has begun is being forwarded to the client; the decision module does not cancel it either.
+        // The stream is being forwarded to the client; the decision module does not cancel it either.
         if request.streaming_attempt() == Some(attempt) {
             return;
         }
@@ -161,21 +164,22 @@
         }
     }
 
-    /// Closes a connection at once; its exchange ends with `outcome`, or as never run if that is proven.
+    /// Closes a connection at once. Its exchange ends with `outcome`, or as never run if there is proof of
+    /// that.
     pub(crate) fn cancel_connection(&mut self, conn: ConnId, outcome: Outcome, out: &mut Vec<Output>) {
-        if let Some(end) = self.engines.get(conn).map(|connection| connection.given_up(outcome)) {
+        if let Some(end) = self.engines.get(conn).map(|connection| connection.end_if_aborted(outcome)) {
             self.abort_connection(conn, end, out);
         }
     }
 
-    /// Closes a connection at once; its exchange ends with `end`.
+    /// Closes a connection at once. Its exchange ends with `end`.
     pub(crate) fn abort_connection(&mut self, conn: ConnId, end: AttemptEnd, out: &mut Vec<Output>) {
         let Some(connection) = self.engines.remove(conn, &mut self.timers) else { return };
         out.push(Output::Abort(conn));
         self.exchange_ended(&connection, end, out);
     }
 
-    /// The exchange of a connection is over.
+    /// Handles the end of the exchange on a connection that was closed or lost.
     pub(crate) fn exchange_ended(
         &mut self, connection: &EngineConnection, end: AttemptEnd, out: &mut Vec<Output>,
     ) {
@@ -189,17 +193,19 @@
                 if let Some(proof) = end.proof() {
                     self.log_never_ran(request, attempt, proof, connection.since(), out);
                 }
-                self.attempt_broke(request, attempt, end, out);
+                self.attempt_failed(request, attempt, end, out);
             }
         }
     }
 
-    /// Logs why a decode that must not be repeated counts as never run, and so may be retried. These lines explain an effect
-    /// that occurs twice.
+    /// Logs why a decode that must not be repeated counts as never run, and so may be retried. If such a
+    /// request takes effect twice, these lines explain why.
     pub(crate) fn log_never_ran(
         &mut self, id: RequestId, attempt: usize, proof: NeverRan, since: Duration, out: &mut Vec<Output>,
     ) {
-        let Some(request) = self.requests.get(id).filter(|request| request.terms().runs_once) else { return };
+        let Some(request) = self.requests.get(id).filter(|request| request.params().at_most_once) else {
+            return;
+        };
         if request.attempt(attempt).is_none_or(Attempt::is_prefill) || !self.never_ran_log.take() {
             return;
         }
@@ -221,16 +227,16 @@
         }
     }
 
-    /// Reports to the decision module how an attempt ended, once.
-    pub(crate) fn ended(&mut self, id: RequestId, attempt: usize, end: AttemptEnd) {
+    /// Reports the end of an attempt to the decision module, at most once.
+    pub(crate) fn attempt_ended(&mut self, id: RequestId, attempt: usize, end: AttemptEnd) {
         let (now, outcome, cached_tokens) = (self.now, end.outcome(), end.cached_tokens());
         let Some(request) = self.requests.get_mut(id) else { return };
         let Some(ended) = request.attempt(attempt).filter(|attempt| attempt.in_flight()) else { return };
         let latency = now.saturating_sub(ended.sent_at());
-        request.ended(now, attempt, &end);
+        request.attempt_ended(now, attempt, &end);
         match outcome {
             Outcome::Prefilled => {
-                self.counters.prefilled_tokens += request.terms().prompt_tokens;
+                self.counters.prefilled_tokens += request.params().prompt_tokens;
                 self.counters.cached_tokens += cached_tokens as u64;
             }
             Outcome::Error | Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled => {
@@ -239,7 +245,7 @@
             _ => {}
         }
         let request_finished = request.is_closed();
-        self.requests.check_when_settled(id);
+        self.requests.mark_maybe_done(id);
         let report = self.report_from_answer(end.report());
         self.counters.load_reports += u64::from(report != LoadReport::default());
         self.queue_event(Event::AttemptEnded(AttemptEnded {
@@ -253,7 +259,7 @@
         }));
     }
 
-    /// The report of an answer; empty if by the settings answers hold none.
+    /// The load report of an answer; empty if the settings do not take reports from answers.
     fn report_from_answer(&self, report: LoadReport) -> LoadReport {
         match self.profile.settings.report_source {
             ReportSource::Answers => report,
@@ -268,9 +274,9 @@
         let Some(addr) = self.endpoints.get(engine).map(|endpoint| endpoint.addr) else {
             return self.probe_ended(engine, Outcome::NotSent, LoadReport::default());
         };
-        let reports =
+        let requests_report =
             self.profile.settings.report_source != ReportSource::None && !self.report_layout.is_empty();
-        let path = if reports { "/-/load" } else { "/-/healthy" };
+        let path = if requests_report { "/-/load" } else { "/-/healthy" };
         let request = http::request_head("GET", path, &[("host", &addr.to_string())], Framing::Length(0));
         self.counters.probes += 1;
         let purpose = ConnectionPurpose::Probe;
@@ -280,7 +286,7 @@
         }
     }
 
-    /// Reports to the decision module how a health check ended.
+    /// Reports the end of a health check to the decision module.
     pub(crate) fn probe_ended(&mut self, engine: EngineId, outcome: Outcome, report: LoadReport) {
         self.counters.load_reports += u64::from(report != LoadReport::default());
         self.queue_event(Event::ProbeEnded { engine, outcome, report });
--- a/crates/platform/src/endpoint_list.rs
+++ b/crates/platform/src/endpoint_list.rs
@@ -1,30 +1,32 @@
-//! The endpoint list as discovery sends it: complete or as changes, one JSON object at a time.
+//! Parses the endpoint list that discovery sends as a sequence of JSON objects, each complete or with changes
+//! only.
 
 use serde_json::Value;
 use slipreel::EngineState;
 use std::net::SocketAddr;
 
-/// The most engines of a list: far over any fleet, so that a line cannot exhaust memory.
+/// Maximum number of entries in a list: far above the size of any fleet, so that a list cannot exhaust
+/// memory.
 const MAX_ENTRIES: usize = 20_000;
-/// Whole numbers from here on are not exact in a float.
+/// Whole numbers of this size and above may not be exact in a float.
 const MAX_EXACT_FLOAT: f64 = 9e15;
 
 /// Why a list cannot be read. `Display` names the field, the value found and what was expected.
 #[derive(Debug, thiserror::Error)]
 pub enum EndpointListError {
-    /// The text is no JSON.
+    /// The text is not JSON.
     #[error("no JSON: {0}")]
     NotJson(#[from] serde_json::Error),
     /// A field is missing.
     #[error("{field}: missing")]
     Missing {
-        /// Its name.
+        /// The name of the field.
         field: &'static str,
     },
     /// A field holds something other than text.
     #[error("{field}: {found}: expected text")]
     NotText {
-        /// Its name.
+        /// The name of the field.
         field: &'static str,
         /// The value found.
         found: Value,
@@ -32,33 +34,33 @@
     /// A field holds something other than a whole number of 0 or more.
     #[error("{field}: {found}: expected a whole number of 0 or more")]
     NotWholeNumber {
-        /// Its name.
+        /// The name of the field.
         field: &'static str,
         /// The value found.
         found: Value,
     },
-    /// A status that is not known.
+    /// The status is unknown.
     #[error("status: {0:?}: expected Ready, Terminating or Gone")]
     UnknownStatus(String),
-    /// An address that cannot be read.
+    /// The address cannot be parsed.
     #[error("address: {0:?}: expected IP:PORT")]
     InvalidAddress(String),
-    /// A group beyond 32 bits.
+    /// The group does not fit into 32 bits.
     #[error("group: {0}: too large")]
     GroupTooLarge(u64),
-    /// The endpoints are no list.
+    /// The endpoints are not a list.
     #[error("endpoints: expected a list")]
     NotAList,
-    /// The list is too long.
+    /// The list has too many entries.
     #[error("endpoints: {0} entries: expected at most {MAX_ENTRIES}")]
     TooManyEntries(usize),
-    /// Whether the list is complete cannot be read.
+    /// The flag that says whether the list is complete cannot be read.
     #[error("snapshot: expected true or false")]
     InvalidSnapshot,
     /// An entry cannot be read.
     #[error("endpoints.{index}.{error}")]
     Entry {
-        /// Its place in the list.
+        /// Index of the entry in the list.
         index: usize,
         /// What is wrong with it.
         #[source]
@@ -70,13 +72,13 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct EndpointEntry {
     pub(crate) name: String,
-    /// `None` only if it is gone.
+    /// `None` only if the engine is gone.
     pub(crate) addr: Option<SocketAddr>,
     pub(crate) zone: String,
     pub(crate) kind: String,
     pub(crate) cell: u32,
     pub(crate) state: EngineState,
-    /// When it last started, wall time in milliseconds; 0: long ago.
+    /// When the engine last started, wall time in milliseconds; 0: long ago.
     pub(crate) since_ms: u64,
 }
 
@@ -85,9 +87,10 @@
 pub struct EndpointList {
     /// The version of the list.
     pub(crate) index: u64,
-    /// It holds all engines, not changes alone.
+    /// Whether the list holds all engines, not only changes.
     pub(crate) is_complete: bool,
-    /// It is of an earlier version than the one that is held, and was sent again when asked for.
+    /// Whether its version is older than that of the current list. Such a list is accepted if discovery sends
+    /// one again when the complete list is requested.
     pub(crate) is_older: bool,
     pub(crate) entries: Vec<EndpointEntry>,
 }
@@ -118,8 +121,8 @@
     }
 }
 
-/// Reads one entry. One that is gone holds its name alone.
-fn read_entry(value: &Value) -> Result<EndpointEntry, EndpointListError> {
+/// Parses one entry. An engine that is gone has only a name.
+fn parse_entry(value: &Value) -> Result<EndpointEntry, EndpointListError> {
     let state = parse_state(get_text(value, "status")?)?;
     let name = get_text(value, "name")?.to_owned();
     if state == EngineState::Gone {
@@ -147,44 +150,45 @@
     })
 }
 
-/// Reads one object.
+/// Parses one object.
 ///
 /// # Errors
-/// The first field that cannot be read. Nothing of the object counts then.
-pub(crate) fn read(value: &Value) -> Result<EndpointList, EndpointListError> {
+/// The first field that cannot be read. The whole object is then rejected.
+pub(crate) fn parse(value: &Value) -> Result<EndpointList, EndpointListError> {
     let entries = get(value, "endpoints")?.as_array().ok_or(EndpointListError::NotAList)?;
     if entries.len() > MAX_ENTRIES {
         return Err(EndpointListError::TooManyEntries(entries.len()));
     }
-    let read_numbered = |(index, entry): (usize, &Value)| {
-        read_entry(entry).map_err(|error| EndpointListError::Entry { index, error: Box::new(error) })
+    let parse_indexed = |(index, entry): (usize, &Value)| {
+        parse_entry(entry).map_err(|error| EndpointListError::Entry { index, error: Box::new(error) })
     };
-    let entries = entries.iter().enumerate().map(read_numbered).collect::<Result<_, _>>()?;
+    let entries = entries.iter().enumerate().map(parse_indexed).collect::<Result<_, _>>()?;
     let is_complete = get(value, "snapshot")?.as_bool().ok_or(EndpointListError::InvalidSnapshot)?;
     Ok(EndpointList { index: get_number(value, "index")?, is_complete, is_older: false, entries })
 }
 
-/// Takes the complete objects at the front of what a watch has sent so far, however they are spread over lines, hands
-/// each to `accept`, and leaves an incomplete one.
+/// Removes the complete objects at the front of the bytes received so far, however they are spread over
+/// lines, and passes the list of each to `accept`. An incomplete object stays in `received`.
 ///
 /// # Errors
-/// As [`read`], the text is no JSON, or `accept` fails. The objects before it have been accepted.
-pub(crate) fn take<E: From<EndpointListError>>(
+/// Those of [`parse`], text that is not JSON, and those of `accept`. The objects before the failed one have
+/// been accepted.
+pub(crate) fn take_complete<E: From<EndpointListError>>(
     received: &mut Vec<u8>, accept: &mut impl FnMut(EndpointList) -> Result<(), E>,
 ) -> Result<(), E> {
     let mut values = serde_json::Deserializer::from_slice(received).into_iter::<Value>();
-    let mut taken_bytes = 0;
+    let mut consumed = 0;
     let mut result = Ok(());
     while let (true, Some(value)) = (result.is_ok(), values.next()) {
         result = match value {
-            Ok(value) => read(&value).map_err(E::from).and_then(&mut *accept),
+            Ok(value) => parse(&value).map_err(E::from).and_then(&mut *accept),
             Err(error) if error.is_eof() => break,
             Err(error) => Err(EndpointListError::NotJson(error).into()),
         };
-        taken_bytes = values.byte_offset();
+        consumed = values.byte_offset();
     }
-    received.drain(..taken_bytes);
-    // Between two objects only the empty lines by which a watch shows that it is alive.
+    received.drain(..consumed);
+    // Between objects there are only the empty lines that a watch sends as keep-alives.
     if received.iter().all(u8::is_ascii_whitespace) {
         received.clear();
     }
--- a/crates/platform/src/endpoints.rs
+++ b/crates/platform/src/endpoints.rs
@@ -1,4 +1,4 @@
-//! The engines that discovery lists. An engine is identified by its name; its address may change.
+//! The engines that discovery lists. Engines are identified by name; their addresses may change.
 
 use crate::endpoint_list::{EndpointEntry, EndpointList};
 use crate::log_event::LogEvent;
@@ -17,42 +17,42 @@
     pub(crate) role: Role,
     pub(crate) zone: ZoneId,
     pub(crate) cell: CellId,
-    /// When bytes of it were last received; zero: never.
+    /// When bytes from it were last received; zero if never.
     pub(crate) last_contact: Duration,
     state: EngineState,
     since_ms: u64,
 }
 
-/// An engine's id: of its name alone, so that it is the same at every router.
+/// The id of an engine: a hash of its name alone, so that it is the same at every router.
 pub fn engine_id(name: &str) -> EngineId {
     EngineId(xxh3_64(name.as_bytes()))
 }
 
-/// The listed engines, and how names of the settings are numbered.
+/// The listed engines, with the numbers of the kinds and zones that the settings name.
 #[derive(Debug)]
 pub(crate) struct Endpoints {
     by_id: BTreeMap<EngineId, Endpoint>,
     kinds: Vec<(String, Role)>,
     zones: Vec<String>,
-    /// The zero of this router's clock, as wall time since the epoch.
+    /// The wall time, since the epoch, at which this router's clock is zero.
     clock_zero: Duration,
     has_list: bool,
 }
 
-/// What a list changed.
+/// The result of applying a list.
 pub(crate) struct EndpointChanges {
-    /// For the decision module.
+    /// The event for the decision module.
     pub(crate) event: Event,
-    /// Engines that take no new attempts any more.
-    pub(crate) closed: Vec<EngineId>,
-    /// Engines that have another address or role than before.
-    pub(crate) moved: Vec<EngineId>,
-    /// What to log on entries that were skipped.
+    /// Engines that accept no new attempts: draining, gone, or absent from a complete list.
+    pub(crate) unavailable: Vec<EngineId>,
+    /// Engines whose address or role has changed.
+    pub(crate) changed: Vec<EngineId>,
+    /// Log events on entries that were skipped.
     pub(crate) skipped: Vec<LogEvent>,
 }
 
 impl Endpoints {
-    /// `wall`: the wall clock since the epoch, at the router's time `now`.
+    /// `wall` is the wall time, since the epoch, at the router's time `now`.
     pub(crate) fn new(profile: &Profile, now: Duration, wall: Duration) -> Self {
         let roles = profile.settings.kind_roles.iter().copied();
         Endpoints {
@@ -77,7 +77,7 @@
         self.by_id.len()
     }
 
-    /// The engines, the one with the latest contact first.
+    /// The engines, most recent contact first.
     pub(crate) fn by_last_contact(&self) -> Vec<EngineId> {
         let contacts = self.by_id.iter().map(|(&id, endpoint)| (endpoint.last_contact, id));
         let mut contacts: Vec<(Duration, EngineId)> = contacts.collect();
@@ -85,60 +85,63 @@
         contacts.into_iter().map(|(_, id)| id).collect()
     }
 
-    /// When bytes of an engine were last received; zero if never, or if it is not listed.
+    /// When bytes from an engine were last received; zero if never, or if it is not listed.
     pub(crate) fn last_contact(&self, id: EngineId) -> Duration {
         self.get(id).map_or(Duration::ZERO, |endpoint| endpoint.last_contact)
     }
 
-    /// Bytes of an engine were received.
+    /// Records that bytes from an engine were received.
     pub(crate) fn record_contact(&mut self, id: EngineId, now: Duration) {
         if let Some(endpoint) = self.by_id.get_mut(&id) {
             endpoint.last_contact = now;
         }
     }
 
-    /// Whether an entry of a list older than the current one still counts. An engine that has left since, or drains, does
-    /// not come back by it; a restart that the current list did not contain does.
-    fn may_count_from_older_list(&self, entry: &EndpointEntry) -> bool {
-        let held = self.by_id.get(&engine_id(&entry.name));
-        held.is_some_and(|held| held.state == EngineState::Ready || entry.since_ms > held.since_ms)
+    /// Whether to apply an entry from a list that is older than the current one. It does not bring back an
+    /// engine that has left since or is draining, unless it reports a restart that the current list does not
+    /// contain.
+    fn applies_from_older_list(&self, entry: &EndpointEntry) -> bool {
+        let current = self.by_id.get(&engine_id(&entry.name));
+        current
+            .is_some_and(|current| current.state == EngineState::Ready || entry.since_ms > current.since_ms)
     }
 
-    /// Applies a list; `is_cached` if it is the one that the router was started with.
+    /// Applies a list. `is_cached` says that it is the one that the router was started with.
     ///
-    /// A list older than the current one does not count as complete: engines absent from it may have joined since.
+    /// A list that is older than the current one is not treated as complete: engines that are absent from it
+    /// may have joined since.
     pub(crate) fn apply(&mut self, mut list: EndpointList, is_cached: bool) -> EndpointChanges {
         self.has_list = true;
         if list.is_older {
             list.is_complete = false;
-            list.entries.retain(|entry| self.may_count_from_older_list(entry));
+            list.entries.retain(|entry| self.applies_from_older_list(entry));
         }
         let listing = match (list.is_complete, is_cached) {
             (_, true) => Listing::Cached,
             (true, false) => Listing::Complete,
             (false, false) => Listing::Changes,
         };
-        let mut closed = Vec::new();
+        let mut unavailable = Vec::new();
         if listing != Listing::Changes {
-            closed = self.remove_absent(&list.entries);
+            unavailable = self.remove_absent(&list.entries);
         }
-        let (mut engines, mut moved, mut skipped) = (Vec::new(), Vec::new(), Vec::new());
+        let (mut engines, mut changed, mut skipped) = (Vec::new(), Vec::new(), Vec::new());
         for entry in list.entries {
             let id = engine_id(&entry.name);
             if entry.state != EngineState::Ready {
-                closed.push(id);
+                unavailable.push(id);
             }
             if entry.state == EngineState::Gone {
                 self.by_id.remove(&id);
                 engines.push(Engine { id, state: entry.state, ..Engine::default() });
                 continue;
             }
-            match self.update(id, &entry, &mut moved) {
+            match self.update(id, &entry, &mut changed) {
                 Some(engine) => engines.push(engine),
                 None => skipped.push(LogEvent::UnknownEngineKind { engine: entry.name, kind: entry.kind }),
             }
         }
-        EndpointChanges { event: Event::Engines { listing, engines }, closed, moved, skipped }
+        EndpointChanges { event: Event::Engines { listing, engines }, unavailable, changed, skipped }
     }
 
     /// Removes the engines that a complete list does not name, and returns them.
@@ -151,8 +154,8 @@
         absent
     }
 
-    /// Adds or updates an engine. `None` if its kind is none of the settings.
-    fn update(&mut self, id: EngineId, entry: &EndpointEntry, moved: &mut Vec<EngineId>) -> Option<Engine> {
+    /// Adds or updates an engine. `None` if the settings do not name its kind.
+    fn update(&mut self, id: EngineId, entry: &EndpointEntry, changed: &mut Vec<EngineId>) -> Option<Engine> {
         let addr = entry.addr?;
         let kind = self.kinds.iter().position(|(name, _)| *name == entry.kind)?;
         let role = self.kinds[kind].1;
@@ -160,11 +163,12 @@
         let cell = CellId(entry.cell);
         let previous = self.by_id.get(&id);
         if previous.is_some_and(|previous| (previous.addr, previous.role) != (addr, role)) {
-            moved.push(id);
+            changed.push(id);
         }
         let endpoint = Endpoint {
             addr,
-            // Two names may have the same hash: the first name stays, all other fields are those of the last entry.
+            // Two names may have the same hash: the first name is kept, all other fields come from the last
+            // entry.
             name: previous.map_or_else(|| entry.name.clone(), |previous| previous.name.clone()),
             role,
             zone,
@@ -178,7 +182,7 @@
         Some(Engine { id, state: entry.state, kind: KindId(kind), zone, cell, started_at })
     }
 
-    /// The number of a zone. One that the settings don't name gets a number of its own.
+    /// The number of a zone. A zone that the settings do not name gets a new number.
     fn zone_id(&mut self, name: &str) -> ZoneId {
         let index = self.zones.iter().position(|zone| zone == name).unwrap_or_else(|| {
             self.zones.push(name.to_owned());
@@ -187,7 +191,8 @@
         ZoneId(index as u32)
     }
 
-    /// A wall time in milliseconds on this router's clock; `None` if it is before its zero, or 0 (unknown).
+    /// Converts a wall time in milliseconds to this router's clock; `None` if it is before the clock's zero,
+    /// or 0 (unknown).
     fn started_at(&self, since_ms: u64) -> Option<Duration> {
         let started_at = Duration::from_millis(since_ms).saturating_sub(self.clock_zero);
         (since_ms > 0 && !started_at.is_zero()).then_some(started_at)
--- a/crates/platform/src/engine_connection.rs
+++ b/crates/platform/src/engine_connection.rs
@@ -1,8 +1,8 @@
-//! A connection to an engine: the client side of HTTP, one exchange at a time.
+//! A connection to an engine: the client side of HTTP, with one exchange at a time.
 //!
-//! States and their timeouts: `Connecting` (the connect timeout of the settings), `Busy` (a health check or a release its
-//! own; an attempt that of the decision module, then `STREAM_SILENCE_TIMEOUT` once its stream is being forwarded), `Idle`
-//! (a fraction of the engine's).
+//! States and their timeouts: `Connecting` (the connect timeout of the settings); `Busy` (`PROBE_TIMEOUT` or
+//! `RELEASE_TIMEOUT`; for an attempt the timeout of the decision module, then `STREAM_SILENCE_TIMEOUT` once
+//! its stream is being forwarded); `Idle` (a fraction of the engine's idle timeout).
 
 use crate::load_report::ReportLayout;
 use crate::proof::{AttemptEnd, NeverRan};
@@ -14,21 +14,22 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A stream that is silent for so long is cancelled: under the 5 s after which its client would be left waiting.
+/// A stream that sends nothing for this long is cancelled: below the 5 s after which its client counts as
+/// left waiting.
 const STREAM_SILENCE_TIMEOUT: Duration = Duration::from_millis(4_200);
-/// A health check is answered within this, or counts as lost.
+/// A health check without an answer after this has failed.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(250);
-/// How long a connection for a release may take to carry it.
+/// Maximum time to send a release and receive its answer, opening the connection included.
 const RELEASE_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// The last byte of a request that must not be repeated is held back for so long: a peer that resets the connection as a
-/// request comes in is seen to do so in this time.
+/// How long the last byte of a request that must not be repeated is held back. A peer that resets the
+/// connection when a request arrives does so within this time.
 const LAST_BYTE_DELAY: Duration = Duration::from_millis(3);
 /// An idle connection to an engine is closed at this fraction of the engine's own idle timeout.
 const IDLE_FRACTION: f64 = 0.5;
 /// The engine's idle timeout where the settings name none.
 const DEFAULT_ENGINE_IDLE_TIMEOUT: Duration = Duration::from_millis(8_000);
 
-/// The timeouts of connections that come from the settings.
+/// The timeouts of engine connections that depend on the settings.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct EngineTimeouts {
     connect: Duration,
@@ -45,10 +46,10 @@
     }
 }
 
-/// What a connection is used for.
+/// The purpose of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ConnectionPurpose {
-    /// An attempt: of which request, and which of its attempts.
+    /// An attempt, identified by its request and its number.
     Attempt {
         request: RequestId,
         attempt: usize,
@@ -71,12 +72,12 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum State {
     Connecting,
-    /// It carries an exchange.
+    /// An exchange is in progress.
     Busy,
     Idle,
 }
 
-/// A request to an engine, as it is handed to a connection.
+/// A request to an engine, to be sent on a connection.
 #[derive(Debug)]
 pub(crate) struct Exchange {
     pub(crate) engine: EngineId,
@@ -84,10 +85,10 @@
     pub(crate) purpose: ConnectionPurpose,
     /// The bytes of the request.
     pub(crate) request: Vec<u8>,
-    /// The last byte of the request is written a moment after the rest.
+    /// Whether the last byte of the request is written `LAST_BYTE_DELAY` after the rest.
     ///
-    /// Some peers reset a connection as a request comes in; a request whose last byte was never written has not run, and
-    /// may go elsewhere though it must not be repeated.
+    /// Some peers reset a connection when a request arrives. A request whose last byte was never written has
+    /// not run, so it can be sent to another engine even if it must not be repeated.
     pub(crate) holds_last_byte: bool,
 }
 
@@ -101,17 +102,17 @@
     purpose: ConnectionPurpose,
     /// Since when the state lasts; while busy: when something was last received.
     since: Duration,
-    /// What of the request is still to be written: all until the connection is established, then the last byte if that is
-    /// held back.
+    /// The part of the request that is still to be written: all of it until the connection is established,
+    /// then the last byte if it is held back.
     pending: Vec<u8>,
     holds_last_byte: bool,
-    /// Bytes of the request that have not left the driver.
+    /// Bytes of the request that the driver has not sent yet.
     unsent: usize,
     paused: bool,
-    /// It has carried an exchange before: a late second answer to that cannot be distinguished from the answer
-    /// to the present one.
+    /// Whether it has carried an exchange before: a late second answer to that one cannot be distinguished
+    /// from the answer to the current one.
     is_reused: bool,
-    /// The same, and nothing of the answer to the present one has come.
+    /// Whether it is reused and nothing of the answer to the current exchange has been received.
     reuse_unproven: bool,
     response: ResponseParser,
 }
@@ -153,7 +154,7 @@
         self.state
     }
 
-    /// What its present exchange is, or while it is idle, what the last one was.
+    /// The purpose of the current exchange, or of the last one while the connection is idle.
     pub(crate) fn purpose(&self) -> ConnectionPurpose {
         self.purpose
     }
@@ -163,7 +164,7 @@
         self.since
     }
 
-    /// A further exchange begins on an idle connection. Returns what to write now.
+    /// Begins another exchange on an idle connection. Returns the bytes to write now.
     pub(crate) fn reuse(&mut self, exchange: Exchange, now: Duration) -> Vec<u8> {
         self.purpose = exchange.purpose;
         self.holds_last_byte = exchange.holds_last_byte;
@@ -174,13 +175,13 @@
         self.connected(now)
     }
 
-    /// Another form of the request is to be written, of which nothing has been.
+    /// Replaces the request, of which nothing has been written yet.
     pub(crate) fn replace_request(&mut self, request: Vec<u8>) {
         self.unsent = request.len();
         self.pending = request;
     }
 
-    /// It is established, and the exchange begins. Returns what to write now.
+    /// Begins the exchange on the established connection. Returns the bytes to write now.
     pub(crate) fn connected(&mut self, now: Duration) -> Vec<u8> {
         self.state = State::Busy;
         self.since = now;
@@ -192,20 +193,21 @@
         std::mem::replace(&mut self.pending, held)
     }
 
-    /// The exchange has ended in order. Returns whether reading was paused, and has to be resumed.
+    /// Makes the connection idle after a completed exchange. Returns whether reading was paused and has to be
+    /// resumed.
     pub(crate) fn become_idle(&mut self, now: Duration) -> bool {
         self.state = State::Idle;
         self.since = now;
         std::mem::take(&mut self.paused)
     }
 
-    /// Whether another exchange may follow one that has ended in order. An answer that came before all was sent is none to
-    /// the whole request.
+    /// Whether another exchange may follow a completed one. An answer that was received before the whole
+    /// request was sent does not answer the whole request.
     pub(crate) fn is_reusable(&self) -> bool {
         self.response.allows_reuse() && self.unsent == 0
     }
 
-    /// Bytes of the request have left the driver.
+    /// Records that the driver has sent bytes of the request.
     pub(crate) fn bytes_sent(&mut self, sent: usize) {
         self.unsent = self.unsent.saturating_sub(sent);
     }
@@ -214,14 +216,14 @@
         self.paused
     }
 
-    /// Reading is paused or resumed: silence counts from here.
+    /// Records that reading is paused or resumed. The silence timeout restarts.
     pub(crate) fn set_paused(&mut self, paused: bool, now: Duration) {
         self.paused = paused;
         self.since = now;
     }
 
-    /// When it times out; `None` if it does not in its present state. `is_streaming` returns whether an attempt's
-    /// stream is being forwarded.
+    /// When the connection times out; `None` if it has no timeout in its present state. `is_streaming`
+    /// returns whether an attempt's stream is being forwarded.
     pub(crate) fn deadline(
         &self, timeouts: &EngineTimeouts, is_streaming: impl Fn(RequestId, usize) -> bool,
     ) -> Option<Duration> {
@@ -248,13 +250,13 @@
         self.state == State::Busy && !self.pending.is_empty()
     }
 
-    /// The last byte of its request, to be written now.
+    /// Takes the held last byte of the request, to be written now.
     pub(crate) fn take_last_byte(&mut self) -> Vec<u8> {
         std::mem::take(&mut self.pending)
     }
 
-    /// Proof that its request never came to the engine completely. That bytes were not reported as sent proves nothing:
-    /// the report may be late, and a write that fails may have arrived.
+    /// Proof that the engine never received the complete request. Bytes that were not reported as sent prove
+    /// nothing: the report may be late, and a failed write may still have arrived.
     pub(crate) fn proof_of_never_written(&self) -> Option<NeverRan> {
         match self.state {
             State::Connecting => Some(NeverRan::Cancelled),
@@ -263,28 +265,31 @@
         }
     }
 
-    /// How the exchange ends if the connection is closed here.
-    pub(crate) fn given_up(&self, outcome: Outcome) -> AttemptEnd {
+    /// How the exchange ends if the router closes the connection now.
+    pub(crate) fn end_if_aborted(&self, outcome: Outcome) -> AttemptEnd {
         self.proof_of_never_written().map_or_else(|| AttemptEnd::may_have_run(outcome), AttemptEnd::never_ran)
     }
 
-    /// Proof by an answer which states that nothing ran: the first on its connection, which can be to no other request.
+    /// Proof by an answer which states that nothing ran. Only the first exchange of a connection counts: its
+    /// answer cannot belong to another request.
     pub(crate) fn proof_of_rejection(&self, answer: &Answer) -> Option<NeverRan> {
-        let is_proof = answer.says_never_ran() && !self.is_reused;
-        is_proof.then(|| NeverRan::Rejected { state_missing: answer.says_state_missing() })
+        let is_proof = answer.claims_never_ran() && !self.is_reused;
+        is_proof.then(|| NeverRan::Rejected { state_missing: answer.claims_state_missing() })
     }
 
-    /// Whether it was reused and broke before anything of the answer came.
+    /// Whether it was reused and has not received anything of the current answer.
     pub(crate) fn is_reuse_unproven(&self) -> bool {
         self.reuse_unproven && self.state == State::Busy
     }
 
-    /// Something of the answer has come. Returns whether that proves that reusing it worked.
-    pub(crate) fn prove_reuse(&mut self) -> bool {
+    /// Records that part of the answer was received. Returns whether that is the first proof that reusing the
+    /// connection worked.
+    pub(crate) fn take_reuse_proof(&mut self) -> bool {
         std::mem::take(&mut self.reuse_unproven)
     }
 
-    /// Parses bytes of the engine; appends the response events that they complete. Nothing more is to be fed after [`ResponseEvent::Malformed`].
+    /// Parses bytes from the engine and appends the response events that they complete. Must not be called
+    /// again after [`ResponseEvent::Malformed`].
     pub(crate) fn feed(
         &mut self, now: Duration, bytes: &[u8], layout: &ReportLayout, events: &mut Vec<ResponseEvent>,
     ) {
@@ -292,7 +297,7 @@
         self.response.feed(bytes, layout, events);
     }
 
-    /// How many load reports could not be read since this was last asked.
+    /// Number of malformed load reports since the last call.
     pub(crate) fn take_malformed_reports(&mut self) -> u64 {
         self.response.take_malformed_reports()
     }
--- a/crates/platform/src/engine_connections.rs
+++ b/crates/platform/src/engine_connections.rs
@@ -1,4 +1,5 @@
-//! The connections to engines: their timers, which idle one carries the next exchange, and how reuse has gone so far.
+//! The connections to engines: their timers, which idle connection carries the next exchange, and whether
+//! reuse has worked so far.
 
 use crate::engine_connection::{ConnectionPurpose, EngineConnection, State};
 use crate::timer::{Timer, Timers};
@@ -8,13 +9,13 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A connection is idle for at least so long after an answer before it is used again: an engine that closes it, or sends
-/// a second answer, is seen to do so in this time.
+/// Minimum time for which a connection is idle before it is reused. An engine that closes it after an answer,
+/// or sends a second answer, does so within this time.
 const IDLE_BEFORE_REUSE: Duration = Duration::from_millis(8);
-/// Idle connections that are kept to one engine.
+/// Maximum number of idle connections to one engine.
 const MAX_IDLE_PER_ENGINE: usize = 1;
-/// Connections to one engine: bounded by the resource limits alone. One less than the largest number, as the pool lets
-/// health checks and releases have one more.
+/// Limit of connections to one engine: none, as the resource limits bound their total. One less than the
+/// maximum of the type, because the pool allows one more for health checks and releases.
 const MAX_CONNECTIONS_PER_ENGINE: usize = usize::MAX - 1;
 
 /// The connections to engines.
@@ -27,7 +28,7 @@
 }
 
 impl EngineConnections {
-    /// An id for a connection that this router opens, to an engine or to discovery.
+    /// Returns a new id for a connection that this router opens, to an engine or to discovery.
     pub(crate) fn next_id(&mut self) -> ConnId {
         self.last_id += 1;
         ConnId::opened(self.last_id)
@@ -45,7 +46,7 @@
         self.by_id.get_mut(conn)
     }
 
-    /// Removes a connection, its timer and its place in the pool.
+    /// Removes a connection, its timer and its slot in the pool.
     pub(crate) fn remove(&mut self, conn: ConnId, timers: &mut Timers) -> Option<EngineConnection> {
         let connection = self.by_id.remove(conn, timers)?;
         self.pool.remove(connection.engine(), conn);
@@ -56,12 +57,12 @@
         self.by_id.len()
     }
 
-    /// How many carry an exchange, or are being opened for one.
+    /// Number of connections that carry an exchange or are being opened for one.
     pub(crate) fn busy_count(&self) -> usize {
         self.by_id.values().filter(|connection| connection.state() != State::Idle).count()
     }
 
-    /// How many engines the pool and the reuse history keep entries of.
+    /// Number of entries of engines in the pool and in the reuse history.
     pub(crate) fn tracked_engines(&self) -> usize {
         self.pool.len() + self.reuse_history.len()
     }
@@ -77,8 +78,8 @@
         counts
     }
 
-    /// Connections with attempts to these engines that have not been written, or not to their last byte, in the order of
-    /// their ids.
+    /// Connections with attempts at these engines whose requests have not been written completely, in the
+    /// order of their ids.
     pub(crate) fn unwritten_attempts(&self, is_to: impl Fn(EngineId) -> bool) -> Vec<ConnId> {
         self.by_id.sorted_ids(|connection| {
             let is_unwritten = connection.state() == State::Connecting || connection.is_holding_last_byte();
@@ -87,7 +88,7 @@
         })
     }
 
-    /// The connection that is idle longest.
+    /// The connection that has been idle longest.
     pub(crate) fn oldest_idle(&self) -> Option<ConnId> {
         let idle = self.by_id.values().filter(|connection| connection.state() == State::Idle);
         idle.min_by_key(|connection| (connection.since(), connection.conn())).map(EngineConnection::conn)
@@ -102,14 +103,14 @@
         self.pool.has_idle(engine)
     }
 
-    /// Takes a place in the pool for an attempt, which always opens a connection of its own.
+    /// Reserves a slot in the pool for an attempt, which always opens a new connection.
     pub(crate) fn reserve_new(&mut self, engine: EngineId) {
         self.pool.reserve_new(engine);
     }
 
-    /// Takes a place in the pool for a health check or a release: an idle connection, or one to be opened.
+    /// Reserves a slot in the pool for a health check or a release: an idle connection, or one to be opened.
     pub(crate) fn reserve(&mut self, engine: EngineId, purpose: ConnectionPurpose, now: Duration) -> Slot {
-        // A release is retried if its connection breaks, and is sent as soon as possible.
+        // Releases are urgent, and are retried if the connection breaks: they may reuse any idle connection.
         let (pool_purpose, idle_since) = match purpose {
             ConnectionPurpose::Release(_) => (Purpose::Release, now),
             _ if self.reuse_history.allows_reuse(engine) => {
@@ -120,7 +121,7 @@
         self.pool.reserve(engine, MAX_CONNECTIONS_PER_ENGINE, pool_purpose, idle_since)
     }
 
-    /// Releases a place for which no connection could be opened.
+    /// Frees a reserved slot for which no connection could be opened.
     pub(crate) fn cancel_reservation(&mut self, engine: EngineId) {
         // No connection has this id.
         self.pool.remove(engine, ConnId::opened(0));
@@ -131,29 +132,30 @@
         self.pool.put_idle(engine, conn, MAX_IDLE_PER_ENGINE, now);
     }
 
-    /// A reused connection has answered.
+    /// Records that a reused connection received an answer.
     pub(crate) fn record_reuse_success(&mut self, engine: EngineId) {
         self.reuse_history.record(engine, false);
     }
 
-    /// A connection broke: if it was reused and had not answered yet, that counts against reuse.
+    /// Records the loss of a connection. It counts against reuse if the connection was reused and had
+    /// received nothing of the answer.
     pub(crate) fn record_loss(&mut self, connection: &EngineConnection) {
         if connection.is_reuse_unproven() {
             self.reuse_history.record(connection.engine(), true);
         }
     }
 
-    /// An engine has left, or has another address or role.
+    /// Forgets whether reuse worked with an engine that is unavailable or has another address or role.
     pub(crate) fn forget_reuse_history(&mut self, engine: EngineId) {
         self.reuse_history.forget(engine);
     }
 
-    /// Sets a connection's timer in place of the one that it had; none if it does not time out.
+    /// Replaces a connection's timer; sets none if `deadline` is `None`.
     pub(crate) fn arm_timer(&mut self, conn: ConnId, deadline: Option<Duration>, timers: &mut Timers) {
         self.by_id.arm_timer(conn, deadline, timers, Timer::Engine(conn));
     }
 
-    /// A connection's timer has fired.
+    /// Handles the firing of a connection's timer.
     pub(crate) fn timer_fired(&mut self, conn: ConnId) {
         self.by_id.timer_fired(conn);
     }
--- a/crates/platform/src/engines.rs
+++ b/crates/platform/src/engines.rs
@@ -1,4 +1,5 @@
-//! The engines' side: responses become events for the decision module, and the events of one stream the client's answer.
+//! The engine side: turns responses into events for the decision module, and forwards the events of one
+//! stream to the client.
 
 use crate::engine_connection::{ConnectionPurpose, EngineConnection, State};
 use crate::log_event::LogEvent;
@@ -11,15 +12,15 @@
 use slipreel_connections::ReleaseId;
 use slipreel_state_machine::{ConnId, ConnectionLoss, Output};
 
-/// Bytes that may wait for a client before its engine's connection is paused.
+/// Bytes waiting for a client above which its engine's connection is paused.
 const MAX_UNSENT_BYTES: usize = 64 << 10;
-/// The status by which a prefill engine confirms that it has prefilled a prompt.
+/// The status with which a prefill engine confirms that it has prefilled a prompt.
 const PREFILLED: u16 = 202;
 /// The status with which an engine acknowledges a release.
 const RELEASED: u16 = 204;
 
 impl PlatformRouter {
-    /// A connection to an engine is established.
+    /// Sends the request on an established connection to an engine.
     pub(crate) fn engine_connected(&mut self, conn: ConnId, out: &mut Vec<Output>) {
         let now = self.now;
         if self.request_is_over(conn) {
@@ -39,8 +40,9 @@
         self.arm_engine_timer(conn);
     }
 
-    /// Whether a connection is to carry an attempt for a request that is over: its client has left, or it has its answer.
-    /// Where the decision module may not cancel attempts, those in flight go on, but those not sent yet are not sent any more.
+    /// Whether a connection carries an attempt for a request that is over: its client has left, or it has its
+    /// answer. Even where the settings forbid the decision module to cancel attempts in flight, an attempt
+    /// that is not written yet is no longer sent.
     fn request_is_over(&self, conn: ConnId) -> bool {
         match self.engines.get(conn).map(EngineConnection::purpose) {
             Some(ConnectionPurpose::Attempt { request, .. }) => {
@@ -50,24 +52,24 @@
         }
     }
 
-    /// Bytes for an engine have left the driver.
+    /// Records that the driver has sent bytes to an engine.
     pub(crate) fn engine_sent(&mut self, conn: ConnId, sent: usize) {
         if let Some(connection) = self.engines.get_mut(conn) {
             connection.bytes_sent(sent);
         }
     }
 
-    /// Bytes of an engine were received.
+    /// Handles bytes from an engine.
     pub(crate) fn engine_data(&mut self, conn: ConnId, bytes: &[u8], out: &mut Vec<Output>) {
         let now = self.now;
         let Some(connection) = self.engines.get_mut(conn) else { return };
         if connection.state() != State::Busy {
-            // Unsolicited bytes: what follows them could be mistaken for the next answer.
+            // Unsolicited bytes: later ones could be mistaken for the next answer.
             return self.abort_connection(conn, AttemptEnd::may_have_run(Outcome::Error), out);
         }
         let engine = connection.engine();
         let was_holding_last_byte = connection.is_holding_last_byte();
-        let proves_reuse = connection.prove_reuse();
+        let proves_reuse = connection.take_reuse_proof();
         let mut events = Vec::new();
         connection.feed(now, bytes, &self.report_layout, &mut events);
         self.counters.malformed_load_reports += connection.take_malformed_reports();
@@ -75,8 +77,9 @@
             self.engines.record_reuse_success(engine);
         }
         self.endpoints.record_contact(engine, now);
-        // Before its last byte is written, a rejection alone can be the answer to a request. Guards against mistaking a late
-        // second answer of the exchange before for a stream, or for proof that this one never ran.
+        // Until the last byte of a request is written, its only possible answer is a rejection. Guards
+        // against mistaking a late second answer of the previous exchange for a stream, or for proof that
+        // this attempt never ran.
         if was_holding_last_byte && !matches!(&events[..], [ResponseEvent::Answer(answer)] if answer.not_run)
         {
             self.counters.malformed_responses += 1;
@@ -87,32 +90,33 @@
         }
         let purpose = self.engines.get(conn).map(EngineConnection::purpose);
         if let Some(ConnectionPurpose::Attempt { request, .. }) = purpose {
-            self.check_pace(request, out);
+            self.apply_backpressure(request, out);
         }
     }
 
-    /// A connection to an engine is lost, or could not be opened.
-    pub(crate) fn engine_lost(&mut self, conn: ConnId, why: ConnectionLoss, out: &mut Vec<Output>) {
+    /// Handles a connection to an engine that was lost or could not be opened.
+    pub(crate) fn engine_lost(&mut self, conn: ConnId, loss: ConnectionLoss, out: &mut Vec<Output>) {
         if let Some(connection) = self.engines.remove(conn, &mut self.timers) {
-            if why == ConnectionLoss::Exhausted {
-                // Frees a slot for the next one: connections to engines take precedence over idle clients.
+            if loss == ConnectionLoss::Exhausted {
+                // Frees a descriptor for the next attempt: connections to engines take precedence over idle
+                // clients.
                 self.evict(out);
             }
             self.engines.record_loss(&connection);
-            self.exchange_ended(&connection, end_of_lost(why, &connection), out);
+            self.exchange_ended(&connection, end_after_loss(loss, &connection), out);
         }
     }
 
-    /// An engine has closed its sending side.
+    /// Handles the close of an engine's sending side.
     pub(crate) fn engine_eof(&mut self, conn: ConnId, out: &mut Vec<Output>) {
         if let Some(connection) = self.engines.remove(conn, &mut self.timers) {
             out.push(Output::Abort(conn));
             self.engines.record_loss(&connection);
-            self.exchange_ended(&connection, end_of_lost(ConnectionLoss::Reset, &connection), out);
+            self.exchange_ended(&connection, end_after_loss(ConnectionLoss::Reset, &connection), out);
         }
     }
 
-    /// A connection has timed out, by its state.
+    /// Handles the timeout of a connection, depending on its state.
     pub(crate) fn engine_timed_out(&mut self, conn: ConnId, out: &mut Vec<Output>) {
         let Some(connection) = self.engines.get(conn) else { return };
         match connection.state() {
@@ -128,7 +132,7 @@
         }
     }
 
-    /// Completes a request whose last byte was held back, unless it is over.
+    /// Writes the last byte of a request that was held back, unless the request is over.
     fn write_last_byte(&mut self, conn: ConnId, out: &mut Vec<Output>) {
         if self.request_is_over(conn) {
             return self.cancel_connection(conn, Outcome::Cancelled, out);
@@ -139,7 +143,8 @@
         self.arm_engine_timer(conn);
     }
 
-    /// An attempt has timed out by the decision module, unless its stream has begun.
+    /// Handles the timeout that the decision module set for an attempt. It does not apply once the stream has
+    /// begun.
     pub(crate) fn attempt_timed_out(&mut self, id: RequestId, attempt: usize, out: &mut Vec<Output>) {
         let Some(request) = self.requests.get(id).filter(|request| request.streaming_attempt().is_none())
         else {
@@ -150,7 +155,7 @@
         }
     }
 
-    /// Handles a response, or a part of one, by the purpose of its connection.
+    /// Handles a response, or part of one, depending on the purpose of its connection.
     fn handle_response(&mut self, conn: ConnId, event: ResponseEvent, out: &mut Vec<Output>) {
         let Some(connection) = self.engines.get(conn) else { return };
         let engine = connection.engine();
@@ -162,7 +167,7 @@
                 }
             }
             (ResponseEvent::End(report), ConnectionPurpose::Attempt { request, attempt }) => {
-                self.exchange_finished(conn, out);
+                self.exchange_completed(conn, out);
                 self.stream_ended(request, attempt, report.unwrap_or_default(), out);
             }
             (ResponseEvent::Answer(answer), ConnectionPurpose::Attempt { request, attempt }) => {
@@ -192,26 +197,26 @@
     }
 
     fn probe_answered(&mut self, conn: ConnId, engine: EngineId, answer: &Answer, out: &mut Vec<Output>) {
-        self.exchange_finished(conn, out);
+        self.exchange_completed(conn, out);
         let body = std::str::from_utf8(&answer.body).ok();
-        let report = answer.report.or_else(|| self.report_layout.read(body?));
+        let report = answer.report.or_else(|| self.report_layout.parse(body?));
         let outcome = if answer.status == 200 { Outcome::Completed } else { Outcome::Error };
         self.probe_ended(engine, outcome, report.unwrap_or_default());
     }
 
     fn release_answered(&mut self, conn: ConnId, release: ReleaseId, answer: &Answer, out: &mut Vec<Output>) {
-        // No other status answers a release. Guards against mistaking a late second answer of the exchange before for an
-        // acknowledgement.
+        // No other status acknowledges a release. Guards against mistaking a late second answer of the
+        // previous exchange for an acknowledgement.
         if answer.status != RELEASED {
             self.counters.malformed_responses += 1;
             return self.abort_connection(conn, AttemptEnd::may_have_run(Outcome::Error), out);
         }
         self.releases.record_acknowledged(release, self.now);
-        self.exchange_finished(conn, out);
+        self.exchange_completed(conn, out);
     }
 
-    /// An exchange has ended in order: its connection is kept for the next, or closed.
-    fn exchange_finished(&mut self, conn: ConnId, out: &mut Vec<Output>) {
+    /// Handles a completed exchange: the connection is kept for the next one, or closed.
+    fn exchange_completed(&mut self, conn: ConnId, out: &mut Vec<Output>) {
         let now = self.now;
         let Some(connection) = self.engines.get_mut(conn) else { return };
         let engine = connection.engine();
@@ -222,8 +227,8 @@
         if !is_listed || !connection.is_reusable() {
             return self.close_connection(conn, out);
         }
-        // Each attempt opens a connection. For health checks and releases the one that answered last is kept: it is the
-        // likeliest to work.
+        // Attempts never reuse connections. For health checks and releases only the connection with the
+        // latest answer is kept: it is the likeliest to work.
         for older in self.engines.idle_to(engine) {
             self.close_connection(older, out);
         }
@@ -232,13 +237,14 @@
         self.send_waiting_release(conn, out);
     }
 
-    /// Closes a connection without an exchange.
+    /// Closes a connection that carries no exchange.
     fn close_connection(&mut self, conn: ConnId, out: &mut Vec<Output>) {
         self.engines.remove(conn, &mut self.timers);
         out.push(Output::Abort(conn));
     }
 
-    /// An attempt was answered otherwise than by a stream: its outcome, by the protocol's table.
+    /// Handles an answer to an attempt that is not a stream. Its outcome follows the protocol's table of
+    /// statuses.
     fn attempt_answered(
         &mut self, conn: ConnId, id: RequestId, attempt: usize, answer: &Answer, out: &mut Vec<Output>,
     ) {
@@ -265,16 +271,16 @@
             self.log_limited(|| LogEvent::PrefilledAnswerToDecode, out);
             self.close_connection(conn, out);
         } else {
-            self.exchange_finished(conn, out);
+            self.exchange_completed(conn, out);
         }
         if end.outcome() == Outcome::Error {
-            return self.attempt_broke(id, attempt, end, out);
+            return self.attempt_failed(id, attempt, end, out);
         }
-        self.ended(id, attempt, end);
+        self.attempt_ended(id, attempt, end);
     }
 
-    /// An attempt failed. If its stream had begun, the request fails with it.
-    pub(crate) fn attempt_broke(
+    /// Handles the failure of an attempt. If its stream had begun, the request fails as well.
+    pub(crate) fn attempt_failed(
         &mut self, id: RequestId, attempt: usize, end: AttemptEnd, out: &mut Vec<Output>,
     ) {
         if self
@@ -284,10 +290,10 @@
         {
             self.abort_stream(id, out);
         }
-        self.ended(id, attempt, end);
+        self.attempt_ended(id, attempt, end);
     }
 
-    /// Forwards events of a stream to the client. False if its request is over.
+    /// Forwards events of a stream to the client. False if the request is over.
     fn forward_events(
         &mut self, id: RequestId, attempt: usize, events: &[u8], out: &mut Vec<Output>,
     ) -> bool {
@@ -299,14 +305,14 @@
         true
     }
 
-    /// The first event of a request's stream was received.
+    /// Handles the first event of a request's stream.
     fn first_event(&mut self, id: RequestId, attempt: usize, out: &mut Vec<Output>) {
         let now = self.now;
         let Some(request) = self.requests.begin_stream(id, attempt) else { return };
-        self.counters.late_first_events += u64::from(now > request.terms().first_event_due);
-        let Some(begun) = request.attempt(attempt) else { return };
-        let conn = begun.conn();
-        let latency = now.saturating_sub(begun.sent_at());
+        self.counters.late_first_events += u64::from(now > request.params().first_event_due);
+        let Some(streaming) = request.attempt(attempt) else { return };
+        let conn = streaming.conn();
+        let latency = now.saturating_sub(streaming.sent_at());
         self.queue_event(Event::FirstToken { request: id, attempt, latency });
         self.begin_stream(id, out);
         if let Some(conn) = conn {
@@ -314,52 +320,52 @@
         }
     }
 
-    /// The last chunk of a stream was received.
+    /// Handles the last chunk of a stream.
     fn stream_ended(&mut self, id: RequestId, attempt: usize, report: LoadReport, out: &mut Vec<Output>) {
         if self.requests.get(id).is_some_and(|request| request.streaming_attempt() == Some(attempt)) {
             self.complete_stream(id, out);
-            self.ended(id, attempt, AttemptEnd::completed().with_report(report));
+            self.attempt_ended(id, attempt, AttemptEnd::completed().with_report(report));
         } else {
-            // A stream without an event is no answer.
+            // A stream without any event is not an answer.
             let end = AttemptEnd::may_have_run(Outcome::Error).with_report(report);
-            self.attempt_broke(id, attempt, end, out);
+            self.attempt_failed(id, attempt, end, out);
         }
     }
 
-    /// Pauses or resumes the engine's connection by how many bytes wait for the client.
-    pub(crate) fn check_pace(&mut self, id: RequestId, out: &mut Vec<Output>) {
+    /// Pauses or resumes reading from the engine, depending on how many bytes wait for the client.
+    pub(crate) fn apply_backpressure(&mut self, id: RequestId, out: &mut Vec<Output>) {
         let Some(request) = self.requests.get(id) else { return };
         let Some(conn) = request.streaming_connection() else { return };
-        let client = request.client();
+        let client = request.client_conn();
         let Some(unsent) = self.clients.get(client).map(|client| client.unsent) else { return };
         let now = self.now;
         let Some(connection) = self.engines.get_mut(conn) else { return };
-        // Hysteresis, so that a client that reads steadily does not toggle it with each write.
+        // Hysteresis, so that a client that reads steadily does not toggle the connection with each write.
         let limit = if connection.is_paused() { MAX_UNSENT_BYTES / 2 } else { MAX_UNSENT_BYTES };
-        let pauses = unsent > limit;
-        if pauses != connection.is_paused() {
-            connection.set_paused(pauses, now);
-            out.push(if pauses { Output::Pause(conn) } else { Output::Resume(conn) });
+        let should_pause = unsent > limit;
+        if should_pause != connection.is_paused() {
+            connection.set_paused(should_pause, now);
+            out.push(if should_pause { Output::Pause(conn) } else { Output::Resume(conn) });
             self.arm_engine_timer(conn);
             self.arm_client_timer(client);
         }
     }
 }
 
-/// Prompt tokens that a prefill found cached; 0 if its body holds no valid number.
+/// Prompt tokens that the prefill engine had cached; 0 if the body holds no valid number.
 fn cached_tokens(body: &[u8]) -> f64 {
     let value = serde_json::from_slice::<serde_json::Value>(body).ok();
     let tokens = value.as_ref().and_then(|value| value.get("cached_tokens")?.as_f64());
     tokens.filter(|tokens| (0.0..=MAX_TOKENS).contains(tokens)).unwrap_or(0.0)
 }
 
-/// How an exchange ends if its connection is lost. A request that had not been written completely never ran.
-fn end_of_lost(why: ConnectionLoss, connection: &EngineConnection) -> AttemptEnd {
-    match (why, connection.proof_of_never_written()) {
+/// How an exchange ends whose connection is lost. A request that was not written completely never ran.
+fn end_after_loss(loss: ConnectionLoss, connection: &EngineConnection) -> AttemptEnd {
+    match (loss, connection.proof_of_never_written()) {
         (ConnectionLoss::NotConnected, Some(_)) => AttemptEnd::never_ran(NeverRan::NotConnected),
         (ConnectionLoss::Exhausted, Some(_)) => AttemptEnd::never_ran(NeverRan::NotTried),
-        // It was established, so its engine could be reached: reported as a failure to connect, each such reset would have
-        // the engine ejected for a second.
+        // The connection was established, so the engine is reachable. If it were reported as a failure to
+        // connect, each such reset would eject the engine for a second.
         (ConnectionLoss::Reset, Some(proof)) => AttemptEnd::never_ran(proof),
         (_, None) => AttemptEnd::may_have_run(Outcome::Reset),
     }
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,27 +1,36 @@
-//! The platform's protocol as a state machine without I/O and clock: clients on one side, engines and discovery on the
-//! other.
+//! The platform's protocol as a state machine without I/O and clock: clients on one side, engines and
+//! discovery on the other.
 //!
 //! A [`PlatformRouter`] is a [`Machine`](slipreel_state_machine::Machine). It holds the decision module
-//! (`slipreel::Router`), queues events for it about what happens on the sockets, and dispatches the actions that it
-//! decides. A request's way through the files:
+//! (`slipreel::Router`), queues events for it about what happens on the sockets, and dispatches the actions
+//! that it returns. A request passes through these files:
 //!
-//! 1. `clients`: bytes of a client become one complete request; `parse_request` reads from its head what the decision
-//!    module gets, and `request_error` says why a request is rejected before that;
-//! 2. `dispatch`: the module's actions become attempts on connections (`engine_connection`), health checks, and
-//!    releases of held state (`release`);
-//! 3. `engines`: responses of engines (parsed by `response`) become events for the module, and the events of one stream the client's answer;
+//! 1. `clients`: a client's bytes become one complete request; `parse_request` takes from its head what the
+//!    decision module needs, and `request_error` lists the reasons for which a request is rejected before
+//!    that;
+//! 2. `dispatch`: the module's actions become attempts on connections (`engine_connection`), health checks,
+//!    and releases of held state (`release`);
+//! 3. `engines`: responses of engines (parsed by `response`) become events for the module, and the events of
+//!    one stream become the client's answer;
 //! 4. `clients`: the one final answer is written.
 //!
-//! The router composes types that own their state, each with one job: `client_connections` and `engine_connections`
-//! (connections with their timers, who is evicted, which connection is reused), `active_requests` (requests by id and by
-//! client id, the memory that they hold, ids that were forwarded lately), `endpoints` and `watch` (the listed engines, and
-//! how discovery is asked for them), `shutdown`, `decisions` (the module and its queue of events), `counters`,
-//! `log_limiter` (what is logged is a `log_event`), and `resource_limits`. `router` takes the inputs and fires the timers; `discovery` does for discovery
-//! what `clients` and `engines` do for theirs.
+//! The router is composed of types that own their state, each with one responsibility:
 //!
-//! `request` is one request in progress, `endpoint_list` and `load_report` parse what discovery and engines send, `proof`
-//! is evidence that an attempt never ran, `recent_ids` a bounded memory of ids, `timer` says what timers are for, and
-//! `config` what a router is started with.
+//! - `client_connections` and `engine_connections`: connections with their timers, which connection is
+//!   evicted, and which one is reused;
+//! - `active_requests`: requests by id and by client id, the memory that they hold, and recently forwarded
+//!   ids;
+//! - `endpoints` and `watch`: the listed engines, and the connection to discovery that keeps the list up to
+//!   date;
+//! - `shutdown`, `decisions` (the module and its queue of events), `counters`, `log_limiter` (which limits
+//!   the `log_event`s that are written), and `resource_limits`.
+//!
+//! `router` receives the inputs and fires the timers. `discovery` handles discovery as `clients` and
+//! `engines` handle their sides.
+//!
+//! `request` is one request in progress. `endpoint_list` and `load_report` parse what discovery and engines
+//! send. `proof` is evidence that an attempt never ran, `recent_ids` a bounded set of ids, `timer` lists the
+//! purposes of timers, and `config` is the configuration that a router is started with.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/crates/platform/src/load_report.rs
+++ b/crates/platform/src/load_report.rs
@@ -1,4 +1,4 @@
-//! A load report in text: `inflight=7,queue=2,util=0.61`, with the fields that the settings name.
+//! Parses load reports: text such as `inflight=7,queue=2,util=0.61` with the fields that the settings name.
 
 use slipreel::LoadReport;
 use slipreel_platform_settings::{Column, Profile};
@@ -10,23 +10,23 @@
     column: Column,
 }
 
-/// Which fields load reports have, and what each means.
+/// The fields of load reports and the meaning of each.
 #[derive(Clone, Debug)]
 pub(crate) struct ReportLayout {
     fields: Vec<ReportField>,
 }
 
 impl ReportLayout {
-    /// The layout that the settings give.
+    /// The layout that the settings define.
     pub(crate) fn of(profile: &Profile) -> Self {
         let columns = profile.column_names.iter().zip(&profile.columns);
         let fields = columns.map(|(name, &column)| ReportField { name: name.clone(), column }).collect();
         ReportLayout { fields }
     }
 
-    /// Parses a report. `None` if it is malformed (a name without a value, or a value that is no number of 0 or more) or
-    /// holds no known field. Fields that the settings don't name are skipped.
-    pub(crate) fn read(&self, text: &str) -> Option<LoadReport> {
+    /// Parses a report. `None` if it is malformed (a name without a value, or a value that is not a number of
+    /// 0 or more) or holds no known field. Fields that the settings do not name are skipped.
+    pub(crate) fn parse(&self, text: &str) -> Option<LoadReport> {
         let mut report = LoadReport::default();
         for field in text.trim().split(',') {
             let (name, value) = field.trim().split_once('=')?;
@@ -44,7 +44,7 @@
         (report != LoadReport::default()).then_some(report)
     }
 
-    /// Whether the settings name no field: engines report nothing.
+    /// Whether the settings name no fields, so that engines report nothing.
     pub(crate) fn is_empty(&self) -> bool {
         self.fields.is_empty()
     }
--- a/crates/platform/src/log_event.rs
+++ b/crates/platform/src/log_event.rs
@@ -1,5 +1,5 @@
-//! What a router logs. Operators' pages quote these texts and `slipreel losses` reads some of them, so they keep the words
-//! of earlier versions.
+//! The events that a router logs. The operators' documentation quotes these texts and `slipreel losses` reads
+//! some of them, so they keep the wording of earlier versions.
 
 use crate::counters::Counters;
 use crate::proof::NeverRan;
@@ -11,13 +11,13 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// One event that is logged. `Display` gives the text of its line.
+/// A log event. `Display` writes the text of its line.
 #[derive(Debug)]
 pub(crate) enum LogEvent {
-    /// The decision module rejected a request. Its trace is that of
+    /// The decision module rejected a request. `trace` comes from
     /// [`ActiveRequest::trace`](crate::request::ActiveRequest::trace), as in all events.
     RequestRejected { trace: String },
-    /// A request failed, and no attempt is left for it.
+    /// A request failed and gets no further attempt.
     RequestFailed { trace: String },
     /// The stream of a request broke after its first event.
     StreamBroke { trace: String },
@@ -30,23 +30,23 @@
         client_id: String,
         attempt: usize,
         proof: NeverRan,
-        /// How long its connection had been in its state.
+        /// How long its connection had been in its last state.
         time_in_state: Duration,
         trace: String,
     },
-    /// An entry of the endpoint list was skipped: the settings don't name its kind of engine.
+    /// An entry of the endpoint list was skipped: the settings do not name its kind of engine.
     UnknownEngineKind { engine: String, kind: String },
-    /// The watch of the endpoint list was given up; it is opened again.
+    /// The watch of the endpoint list failed; it is opened again.
     WatchFailed(WatchFailure),
     /// The configuration file was replaced.
     ConfigReloaded { discovery: SocketAddr },
-    /// What the decision module reports.
+    /// An event of the decision module.
     Decision(slipreel::LogEvent),
     /// The periodic status.
     Status(Box<Status>),
 }
 
-/// How much state a router holds, and its counters.
+/// The content of the status line: how much state a router holds, and its counters.
 #[derive(Debug)]
 pub(crate) struct Status {
     pub(crate) held: HeldState,
--- a/crates/platform/src/log_event/tests.rs
+++ b/crates/platform/src/log_event/tests.rs
@@ -6,7 +6,7 @@
 }
 
 #[test]
-fn ends_of_requests_begin_with_the_words_that_losses_reads() {
+fn lines_on_request_ends_begin_with_the_words_that_losses_reads() {
     let expected = |word: &str| format!("{word}: {}", trace());
     assert_eq!(LogEvent::RequestRejected { trace: trace() }.to_string(), expected("refused"));
     assert_eq!(LogEvent::RequestFailed { trace: trace() }.to_string(), expected("failed"));
--- a/crates/platform/src/parse_request.rs
+++ b/crates/platform/src/parse_request.rs
@@ -1,4 +1,4 @@
-//! Parses the head of a client's request into the request that the decision module gets.
+//! Parses the head of a client's request into the request for the decision module.
 
 use crate::request_error::RequestError;
 use slipreel::{ClassId, Request, TenantId};
@@ -8,24 +8,24 @@
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// The most tokens that a request may claim.
+/// Maximum number of tokens that a request may state.
 pub(crate) const MAX_TOKENS: f64 = 1e7;
-/// The longest request id, in bytes.
+/// Maximum length of a request id, in bytes.
 const MAX_REQUEST_ID_BYTES: usize = 128;
-/// The most digits, the decimal point included, of a deadline.
+/// Maximum number of digits of a deadline, the decimal point included.
 const MAX_DEADLINE_DIGITS: usize = 15;
-/// Characters to a token, where a request does not state the length of its prompt.
+/// Estimated characters per token, for a request that does not state the length of its prompt.
 const CHARACTERS_PER_TOKEN: f64 = 4.0;
 
-/// What a client asks for, and the id by which it knows its request.
+/// A parsed request, with the id that its client gave it.
 #[derive(Debug)]
 pub(crate) struct ParsedRequest {
     pub(crate) client_id: String,
-    /// All but the id of the decision module.
+    /// The request for the decision module, without its id.
     pub(crate) request: Request,
 }
 
-/// The contents of the field `X-Extras`. Names that are not known are checked and skipped.
+/// The content of the header field `X-Extras`. Unknown names are checked and skipped.
 #[derive(Debug, Default)]
 struct Extras {
     shared_prefix: Option<u64>,
@@ -33,7 +33,7 @@
     max_output_tokens: Option<f64>,
 }
 
-/// A length in tokens.
+/// Parses a number of tokens.
 fn parse_tokens(name: &str, text: &str) -> Result<f64, RequestError> {
     match text.parse::<f64>() {
         Ok(tokens) if (0.0..=MAX_TOKENS).contains(&tokens) => Ok(tokens),
@@ -41,7 +41,7 @@
     }
 }
 
-/// A time as `4800m` (milliseconds) or `4800000u` (microseconds).
+/// Parses a time such as `4800m` (milliseconds) or `4800000u` (microseconds).
 fn parse_time(text: &str) -> Option<Duration> {
     let (number, unit) = text.split_at_checked(text.len().checked_sub(1)?)?;
     let is_digit = |byte: u8| byte.is_ascii_digit() || byte == b'.';
@@ -57,14 +57,14 @@
     Duration::try_from_secs_f64(seconds).ok()
 }
 
-/// An opaque id as a number: its own if it is one in hex, else a hash of its bytes.
+/// Converts an opaque id to a number: its value if it is hex, else a hash of its bytes.
 fn parse_key(text: &str) -> u64 {
     let is_short = !text.is_empty() && text.len() <= 16;
     let hex = is_short.then(|| u64::from_str_radix(text, 16).ok()).flatten();
     hex.unwrap_or_else(|| xxh3_64(text.as_bytes()))
 }
 
-/// The value of a field that may be given once. An empty one counts as absent.
+/// The value of a header field that may be given only once. An empty value counts as absent.
 fn single_field<'a>(head: &'a Head, name: &'static str) -> Result<Option<&'a str>, RequestError> {
     let mut values = head.fields().filter(|&(field, _)| field == name).map(|(_, value)| value);
     match (values.next(), values.next()) {
@@ -88,7 +88,7 @@
     index.map(ClassId).ok_or_else(|| RequestError::UnknownClass(name.to_owned()))
 }
 
-/// The tenant; the first one where the settings name none.
+/// The tenant; the first one if the settings name no tenants.
 fn parse_tenant(profile: &Profile, head: &Head) -> Result<TenantId, RequestError> {
     let name = single_field(head, "x-tenant")?;
     if profile.tenants.is_empty() {
@@ -121,7 +121,7 @@
 /// Parses a request.
 ///
 /// # Errors
-/// The first field that is missing or cannot be read.
+/// The first header field that is missing or invalid.
 pub(crate) fn parse(profile: &Profile, received: &Received) -> Result<ParsedRequest, RequestError> {
     let head = &received.head;
     let client_id = parse_client_id(head)?;
--- a/crates/platform/src/parse_request/tests.rs
+++ b/crates/platform/src/parse_request/tests.rs
@@ -22,13 +22,13 @@
     received
 }
 
-const GOOD: &str =
+const VALID_FIELDS: &str =
     "X-Request-Id: 9b1f\r\nX-Class: recap\r\nX-Tenant: acme\r\nX-Key: 10\r\nX-Deadline: 4800m\r\n\
                     X-Extras: prefix=5c0f6e1a2b3d4c59,prompt_len=5120,prefix_len=2048,max_out=800\r\n";
 
 #[test]
 fn a_request_is_parsed_from_its_head() {
-    let parsed = parse(&profile(), &received(GOOD)).unwrap();
+    let parsed = parse(&profile(), &received(VALID_FIELDS)).unwrap();
     let request = &parsed.request;
     assert_eq!(
         (parsed.client_id.as_str(), request.class, request.tenant, request.session),
@@ -39,13 +39,18 @@
         (Some(0x5c0f_6e1a_2b3d_4c59), 5120.0, 800.0)
     );
     assert_eq!((request.client_timeout, request.is_retry), (Duration::from_millis(4800), false));
-    let more = format!("{GOOD}X-Retry: 1\r\n").replace("4800m", "1500u");
-    let parsed = parse(&profile(), &received(&more)).unwrap();
+    let with_retry = format!("{VALID_FIELDS}X-Retry: 1\r\n").replace("4800m", "1500u");
+    let parsed = parse(&profile(), &received(&with_retry)).unwrap();
     assert_eq!((parsed.request.client_timeout, parsed.request.is_retry), (Duration::from_micros(1500), true));
-    let again = parse(&profile(), &received(&more.replace("X-Retry: 1", "X-Retry: again"))).unwrap().request;
-    assert_eq!((again.is_retry, again.is_resumption), (false, true));
-    let short = GOOD.split("X-Extras").next().unwrap();
-    assert_eq!(parse(&profile(), &received(short)).unwrap().request.prompt_tokens, 2.0, "by its body");
+    let resumption =
+        parse(&profile(), &received(&with_retry.replace("X-Retry: 1", "X-Retry: again"))).unwrap().request;
+    assert_eq!((resumption.is_retry, resumption.is_resumption), (false, true));
+    let without_extras = VALID_FIELDS.split("X-Extras").next().unwrap();
+    assert_eq!(
+        parse(&profile(), &received(without_extras)).unwrap().request.prompt_tokens,
+        2.0,
+        "estimated from the body"
+    );
 }
 
 #[test]
@@ -67,7 +72,7 @@
         ("prompt_len=5120", "prompt_len"),
         ("max_out=800", "max_out=inf"),
     ] {
-        let parsed = parse(&profile(), &received(&GOOD.replace(from, to)));
+        let parsed = parse(&profile(), &received(&VALID_FIELDS.replace(from, to)));
         assert_eq!(parsed.map(|_| ()).unwrap_err().status(), 400, "{to}");
     }
 }
--- a/crates/platform/src/proof.rs
+++ b/crates/platform/src/proof.rs
@@ -1,24 +1,25 @@
-//! How attempts end, and proof that one never ran. Only with a [`NeverRan`] can an attempt be reported to the decision module
-//! as not run; every other attempt may have run.
+//! How attempts end, and proof that one never ran. Only an attempt with a [`NeverRan`] is reported to the
+//! decision module as not run; every other attempt may have run.
 
 use slipreel::{LoadReport, Outcome};
 use std::fmt;
 
-/// Evidence that an attempt never ran.
+/// Proof that an attempt never ran.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum NeverRan {
-    /// The engine has left the list, or there is no slot for a connection: nothing was tried.
+    /// The engine has left the list, or there was no slot for a connection: nothing was tried.
     NotTried,
-    /// The connection was never established, so that nothing was written to it.
+    /// The connection was never established, so nothing was written to it.
     NotConnected,
-    /// The connection was closed here before it was established.
+    /// The router closed the connection before it was established.
     Cancelled,
-    /// The last byte of the request is still held back here. A write that failed, or that was not reported yet, is no such
-    /// proof: the engine may have all of it.
+    /// The router still holds back the last byte of the request. A write that failed, or was not reported
+    /// yet, is no such proof: the engine may have received all of it.
     LastByteHeld,
-    /// The engine answered so, on a connection that carried no exchange before, so that the answer can be to no other request.
+    /// The engine rejected the request, on a connection without an earlier exchange, so the answer cannot
+    /// belong to another request.
     Rejected {
-        /// There was no state to fetch.
+        /// Whether the reason was that there was no state to fetch.
         state_missing: bool,
     },
 }
@@ -60,28 +61,29 @@
         AttemptEnd { outcome, proof, cached_tokens: 0.0, report: LoadReport::default() }
     }
 
-    /// It provably never ran.
+    /// The end of an attempt that provably never ran.
     pub(crate) fn never_ran(proof: NeverRan) -> Self {
         AttemptEnd::new(proof.outcome(), Some(proof))
     }
 
-    /// It failed, was interrupted or cancelled, and may have run. An outcome that would prove more counts as an error.
+    /// The end of an attempt that failed, or was interrupted or cancelled, and may have run. An outcome that
+    /// would prove the contrary is replaced by an error.
     pub(crate) fn may_have_run(outcome: Outcome) -> Self {
         AttemptEnd::new(if outcome.proves_not_run() { Outcome::Error } else { outcome }, None)
     }
 
-    /// A stream came to its end.
+    /// The end of a complete stream.
     pub(crate) fn completed() -> Self {
         AttemptEnd::new(Outcome::Completed, None)
     }
 
-    /// A prefill engine has prefilled the prompt, of which it had so many tokens cached. Only for attempts at prefill
-    /// engines, which have no effect.
+    /// The end of a prefill, with the number of prompt tokens that the engine had cached. Only for attempts
+    /// at prefill engines: a prefill has no side effects.
     pub(crate) fn prefilled(cached_tokens: f64) -> Self {
         AttemptEnd { cached_tokens, ..AttemptEnd::new(Outcome::Prefilled, None) }
     }
 
-    /// The same with the engine's load.
+    /// Adds the engine's load report.
     #[must_use]
     pub(crate) fn with_report(self, report: LoadReport) -> Self {
         AttemptEnd { report, ..self }
@@ -92,17 +94,17 @@
         self.outcome
     }
 
-    /// What proves that it never ran.
+    /// The proof that it never ran, if there is one.
     pub(crate) fn proof(&self) -> Option<NeverRan> {
         self.proof
     }
 
-    /// Prompt tokens that a prefill found cached.
+    /// Prompt tokens that the prefill engine had cached.
     pub(crate) fn cached_tokens(&self) -> f64 {
         self.cached_tokens
     }
 
-    /// The engine's load; empty if it was not reported.
+    /// The engine's load report; empty if there was none.
     pub(crate) fn report(&self) -> LoadReport {
         self.report
     }
--- a/crates/platform/src/recent_ids.rs
+++ b/crates/platform/src/recent_ids.rs
@@ -1,27 +1,30 @@
-//! Ids of requests that were forwarded recently.
+//! The ids of requests that were forwarded recently.
 //!
-//! Every request carries a new id, a client's retry included. One that comes again after its answer would run a second time
-//! under the same id, so it is rejected. Only a hash of each id is kept, and a bounded number of them.
+//! Every request carries a new id, a client's retry included. A request whose id was used before would run a
+//! second time under the same id, so it is rejected. Only a hash of each id is kept, and a bounded number of
+//! them.
 
 use std::collections::{HashSet, VecDeque};
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// How many ids are kept. Above 136 a second the oldest are dropped before [`RETENTION`] has passed.
+/// Maximum number of ids. Above 136 requests a second the oldest ids are dropped before [`RETENTION`] has
+/// passed.
 const CAPACITY: usize = 8_192;
-/// How long an id is kept: longer than usual deadlines of clients. The deduplication windows of classes are not considered.
+/// How long an id is kept: longer than usual deadlines of clients. Independent of the deduplication windows
+/// of classes.
 const RETENTION: Duration = Duration::from_secs(60);
 
 /// A bounded set of recent ids.
 #[derive(Debug, Default)]
 pub(crate) struct RecentIds {
     hashes: HashSet<u64>,
-    /// In the order in which they were added, and when.
+    /// The hashes in the order in which they were added, with the times.
     order: VecDeque<(Duration, u64)>,
 }
 
 impl RecentIds {
-    /// Adds an id, or leaves it at its earlier time if it is kept already.
+    /// Adds an id. One that is present already keeps its earlier time.
     pub(crate) fn add(&mut self, now: Duration, id: &str) {
         self.remove_expired(now);
         let hash = xxh3_64(id.as_bytes());
--- a/crates/platform/src/release.rs
+++ b/crates/platform/src/release.rs
@@ -1,8 +1,9 @@
-//! Releases: state that a request may have left at an engine is released until an engine acknowledges it.
+//! Releases: requests to free the state that a request may have left at an engine, sent until an engine
+//! acknowledges them.
 //!
-//! Any running engine accepts a release for all engines. So it is sent where it is likeliest to arrive: to the engine with
-//! the latest contact, on an established connection; to another engine at each retry; and on any connection that has just
-//! been answered on.
+//! Any running engine accepts a release for all engines. So a release goes where it is likeliest to arrive:
+//! to the engine with the latest contact, on an established connection; to another engine at each retry; and
+//! on any connection that has just received an answer.
 
 use crate::engine_connection::{ConnectionPurpose, EngineConnection, Exchange};
 use crate::router::PlatformRouter;
@@ -14,23 +15,27 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Stands in for the address of a holder that has left the list; nothing is sent there.
-const NOWHERE: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::UNSPECIFIED), 0);
+/// Placeholder for the address of a holder that has left the list; nothing is sent there.
+const PLACEHOLDER_ADDR: SocketAddr =
+    SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::UNSPECIFIED), 0);
 
-/// A release that was not acknowledged is sent again after this, to another engine if possible: several times within the
-/// half second of the protocol's rule on held state.
+/// Time after which an unacknowledged release is sent again, to another engine if possible: several times
+/// within the half second that the protocol allows for freeing held state.
 const RELEASE_RETRY_INTERVAL: Duration = Duration::from_millis(120);
-/// A release that no engine has acknowledged for so long expires: longer than any outage on record.
+/// Time after which a release that no engine has acknowledged expires: longer than any outage on record.
 const RELEASE_EXPIRY: Duration = Duration::from_millis(60_000);
-/// A release that was sent so long ago without an answer is sent on any connection that has just answered, too.
+/// Time after which an unanswered release is also sent on any connection that has just received an answer.
 const RELEASE_STALE_AFTER: Duration = Duration::from_millis(20);
-/// An engine from which bytes came so long after the end of an attempt has seen that end: nothing of it is in transit.
+/// An engine has seen the end of an attempt if it sent bytes this long after it: nothing of the attempt is in
+/// transit any more.
 const CANCELLATION_SEEN_AFTER: Duration = Duration::from_millis(30);
-/// State may appear so long after its prefill was cancelled: an engine that hangs or is cut off for as long continues the
-/// prefill before it sees that its connection was closed. Not every engine drops a prefill whose deadline has passed.
+/// How long after the cancellation of a prefill its state may still appear: an engine that hangs or is cut
+/// off continues the prefill before it sees that its connection was closed. Not every engine drops a prefill
+/// whose deadline has passed.
 const RELEASE_REPEAT_PERIOD: Duration = Duration::from_millis(8_000);
 
-/// How releases are retried. They are repeated at the pace of the rule on held state, whose slack covers a retry.
+/// The times at which releases are retried and repeated. They are repeated at the interval of the settings'
+/// limit on held state; its slack covers a retry.
 pub(crate) fn release_timing(settings: &Settings) -> ReleaseTiming {
     ReleaseTiming {
         retry: RELEASE_RETRY_INTERVAL,
@@ -40,11 +45,11 @@
 }
 
 impl PlatformRouter {
-    /// Releases what is held for a request, in place of an earlier, unfinished release of it.
+    /// Releases the state that is held for a request. Replaces an earlier, unacknowledged release for it.
     pub(crate) fn release(&mut self, id: RequestId, out: &mut Vec<Output>) {
         let Some(request) = self.requests.get_mut(id) else { return };
         let Some(&holder) = request.state_holders().first() else { return };
-        let addr = self.endpoints.get(holder).map_or(NOWHERE, |endpoint| endpoint.addr);
+        let addr = self.endpoints.get(holder).map_or(PLACEHOLDER_ADDR, |endpoint| endpoint.addr);
         let release = self.releases.add(self.now, holder, addr, request.client_id().to_owned());
         let unconfirmed = request.unconfirmed_attempts();
         if !unconfirmed.is_empty() {
@@ -57,7 +62,7 @@
         self.release_due(release, out);
     }
 
-    /// A release may be due: it is sent until it is acknowledged or has expired.
+    /// Runs the next step of a release. It is sent until it is acknowledged or has expired.
     pub(crate) fn release_due(&mut self, id: ReleaseId, out: &mut Vec<Output>) {
         match self.releases.step(id, self.now) {
             ReleaseStep::Over => {}
@@ -66,7 +71,7 @@
             }
             ReleaseStep::Send(release) => {
                 self.timers.set(self.now + RELEASE_RETRY_INTERVAL, Timer::Release(id));
-                if release.repeats && self.is_confirmed(&release) {
+                if release.repeats && self.is_end_confirmed(&release) {
                     self.releases.stop_repeating(id);
                 }
                 for engine in self.release_targets(id, &release) {
@@ -76,17 +81,17 @@
         }
     }
 
-    /// Whether bytes of every engine with a cancelled or interrupted attempt came late enough after its end to show that the
-    /// engine has seen it.
-    fn is_confirmed(&self, release: &Release) -> bool {
+    /// Whether every engine with a cancelled or interrupted attempt has sent bytes late enough after the end
+    /// of the attempt to show that it has seen it.
+    fn is_end_confirmed(&self, release: &Release) -> bool {
         release.unconfirmed.iter().all(|attempt| {
             self.endpoints.last_contact(attempt.engine) >= attempt.ended + CANCELLATION_SEEN_AFTER
         })
     }
 
-    /// To which engines a release is sent now. Of those to which it was not sent yet: the one with the latest contact that has
-    /// an idle connection; and, after a failed attempt, one with later contact still, to which a connection has to be
-    /// opened.
+    /// The engines to which a release is sent now, of those to which it was not sent yet: the one with the
+    /// latest contact among those with an idle connection; and, if there is none or the release was already
+    /// sent without success, the one with the latest contact of all, to which a connection has to be opened.
     fn release_targets(&mut self, id: ReleaseId, release: &Release) -> Vec<EngineId> {
         let engines = self.endpoints.by_last_contact();
         let mut candidates: Vec<EngineId> =
@@ -96,9 +101,9 @@
             candidates = engines;
         }
         let connected = candidates.iter().position(|&engine| self.engines.has_idle_to(engine));
-        let mut targets: Vec<EngineId> = connected.map(|at| candidates[at]).into_iter().collect();
-        let opens = connected.is_none() || (connected > Some(0) && !release.asked.is_empty());
-        if opens && self.releases.may_open(release.holder, self.now, RELEASE_RETRY_INTERVAL) {
+        let mut targets: Vec<EngineId> = connected.map(|index| candidates[index]).into_iter().collect();
+        let opens_connection = connected.is_none() || (connected > Some(0) && !release.asked.is_empty());
+        if opens_connection && self.releases.may_open(release.holder, self.now, RELEASE_RETRY_INTERVAL) {
             targets.extend(candidates.first());
         }
         targets
@@ -115,12 +120,12 @@
         self.exchange(Exchange { engine, addr, purpose, request, holds_last_byte: false }, out);
     }
 
-    /// A connection was answered on and is idle: the oldest waiting release is sent on it, so that many can follow each other
-    /// on one working connection while all others are silent.
+    /// Sends the oldest waiting release on a connection that has just received an answer and is idle, so that
+    /// many releases can follow each other on one working connection while all others are silent.
     pub(crate) fn send_waiting_release(&mut self, conn: ConnId, out: &mut Vec<Output>) {
         let Some(engine) = self.engines.get(conn).map(EngineConnection::engine) else { return };
-        let stale = self.now.saturating_sub(RELEASE_STALE_AFTER);
-        let Some(id) = self.releases.oldest_waiting(stale) else { return };
+        let stale_before = self.now.saturating_sub(RELEASE_STALE_AFTER);
+        let Some(id) = self.releases.oldest_waiting(stale_before) else { return };
         let Some(release) = self.releases.get(id).cloned() else { return };
         self.send_release(id, &release, engine, out);
     }
--- a/crates/platform/src/request.rs
+++ b/crates/platform/src/request.rs
@@ -1,4 +1,5 @@
-//! One request in progress: its client, what is forwarded to engines, its attempts, and the state that may be held for it.
+//! One request in progress: its client, the message for engines, its attempts, and the state that engines may
+//! hold for it.
 
 use crate::proof::AttemptEnd;
 use slipreel::{EngineId, Outcome};
@@ -8,7 +9,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The fields of a request that are forwarded to engines: what its body is, and its idempotency key.
+/// The header fields that are forwarded to engines: the type of the body, and the idempotency key.
 const FORWARDED_FIELDS: [&str; 2] = ["content-type", "idempotency-key"];
 
 fn forwarded_fields(received: &Received) -> Vec<(&'static str, String)> {
@@ -16,7 +17,7 @@
     FORWARDED_FIELDS.into_iter().filter_map(field).collect()
 }
 
-/// An outcome as it is written in the log. `slipreel losses` groups requests by these words.
+/// The text of an outcome in the log. `slipreel losses` groups requests by these words.
 fn outcome_name(outcome: Outcome) -> String {
     match outcome {
         Outcome::Completed => "Ok".to_owned(),
@@ -29,7 +30,7 @@
     }
 }
 
-/// One attempt, as far as the wire goes.
+/// One attempt, as sent to an engine.
 #[derive(Debug)]
 pub(crate) struct Attempt {
     engine: EngineId,
@@ -39,11 +40,11 @@
     sent_at: Duration,
     /// When it ended.
     ended_at: Duration,
-    /// Has no outcome yet.
+    /// Whether it has no outcome yet.
     in_flight: bool,
-    /// Whether its engine may hold state for it: it was a prefill that may have come there.
+    /// Whether its engine may hold state for it: it is a prefill that may have reached the engine.
     may_hold_state: bool,
-    /// How it ended.
+    /// Its outcome, once it has ended.
     outcome: Option<Outcome>,
     /// Whether its engine prefills the prompt for another that decodes.
     is_prefill: bool,
@@ -77,16 +78,16 @@
     }
 }
 
-/// The terms on which a request is forwarded.
+/// The properties of a request that decide how it is forwarded.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct RequestTerms {
-    /// It must not be repeated freely: it is not idempotent, or idempotent by its key alone.
-    pub(crate) runs_once: bool,
+pub(crate) struct RequestParams {
+    /// Whether it must run at most once: it is not idempotent, or idempotent only by its key.
+    pub(crate) at_most_once: bool,
     /// When its client stops waiting for the first event.
     pub(crate) deadline: Duration,
     /// When its first event is due by the latency objective of its class.
     pub(crate) first_event_due: Duration,
-    /// Length of its prompt, tokens.
+    /// Length of its prompt, in tokens.
     pub(crate) prompt_tokens: u64,
 }
 
@@ -96,30 +97,32 @@
     /// What its client and the engines know it by.
     client_id: String,
     /// The connection of its client.
-    client: ConnId,
-    terms: RequestTerms,
+    client_conn: ConnId,
+    params: RequestParams,
     method: String,
     target: String,
-    /// Fields that go on to engines as they came.
+    /// Header fields that are forwarded to engines unchanged.
     forwarded: Vec<(&'static str, String)>,
     body: Vec<u8>,
     attempts: Vec<Attempt>,
     /// The attempt whose stream is forwarded to the client.
     streaming_attempt: Option<usize>,
-    /// It has its final answer, or its client has left.
+    /// Whether it has its final answer, or its client has left.
     is_closed: bool,
     /// The release of its state that is not acknowledged.
     release: Option<ReleaseId>,
-    /// The engine whose release was withdrawn as another attempt was sent, and is still to be sent.
-    withdrawn_from: Option<EngineId>,
+    /// The engine whose release was withdrawn when another attempt was sent, and still has to be sent.
+    withdrawn_holder: Option<EngineId>,
 }
 
 impl ActiveRequest {
-    pub(crate) fn new(client_id: String, client: ConnId, terms: RequestTerms, received: Received) -> Self {
+    pub(crate) fn new(
+        client_id: String, client_conn: ConnId, params: RequestParams, received: Received,
+    ) -> Self {
         ActiveRequest {
             client_id,
-            client,
-            terms,
+            client_conn,
+            params,
             method: received.method().to_owned(),
             target: received.target().to_owned(),
             forwarded: forwarded_fields(&received),
@@ -128,7 +131,7 @@
             streaming_attempt: None,
             is_closed: false,
             release: None,
-            withdrawn_from: None,
+            withdrawn_holder: None,
         }
     }
 
@@ -138,15 +141,15 @@
     }
 
     /// The connection of its client.
-    pub(crate) fn client(&self) -> ConnId {
-        self.client
+    pub(crate) fn client_conn(&self) -> ConnId {
+        self.client_conn
     }
 
-    pub(crate) fn terms(&self) -> &RequestTerms {
-        &self.terms
+    pub(crate) fn params(&self) -> &RequestParams {
+        &self.params
     }
 
-    /// An attempt by its number; `None` if there is none of this number.
+    /// An attempt by its number; `None` if there is no such attempt.
     pub(crate) fn attempt(&self, attempt: usize) -> Option<&Attempt> {
         self.attempts.get(attempt)
     }
@@ -177,7 +180,8 @@
         self.is_closed
     }
 
-    /// It has its final answer, or needs none any more. Returns whether it was open before.
+    /// Closes the request: it has its final answer, or needs none any more. Returns whether it was open
+    /// before.
     pub(crate) fn close(&mut self) -> bool {
         !std::mem::replace(&mut self.is_closed, true)
     }
@@ -192,12 +196,12 @@
         self.attempts.iter().rev().find(|attempt| attempt.is_prefill).map(|attempt| attempt.engine)
     }
 
-    /// The connection on which the stream comes that is forwarded to the client, while it comes.
+    /// The connection of the stream that is being forwarded to the client, until the stream ends.
     pub(crate) fn streaming_connection(&self) -> Option<ConnId> {
         self.attempts.get(self.streaming_attempt?)?.conn
     }
 
-    /// Bytes that it holds for further attempts.
+    /// Bytes of the body, held for further attempts.
     pub(crate) fn held_bytes(&self) -> usize {
         self.body.len()
     }
@@ -217,10 +221,10 @@
         self.attempts.len() - 1
     }
 
-    /// The bytes of the request to an engine. They hold what is left of the deadline at `now`: a connection may take long to
-    /// be established.
+    /// The bytes of the request to an engine. They state the time left until the deadline at `now`, as a
+    /// connection may take long to be established.
     pub(crate) fn message(&self, now: Duration, addr: SocketAddr) -> Vec<u8> {
-        let left = self.terms.deadline.saturating_sub(now).as_micros();
+        let left = self.params.deadline.saturating_sub(now).as_micros();
         let (host, left) = (addr.to_string(), format!("{left}u"));
         let mut fields =
             vec![("host", host.as_str()), ("x-request-id", &self.client_id), ("x-deadline", &left)];
@@ -231,8 +235,8 @@
         bytes
     }
 
-    /// An attempt has ended. One that provably never ran holds nothing.
-    pub(crate) fn ended(&mut self, now: Duration, attempt: usize, end: &AttemptEnd) {
+    /// Records the end of an attempt. If it provably never ran, its engine holds no state for it.
+    pub(crate) fn attempt_ended(&mut self, now: Duration, attempt: usize, end: &AttemptEnd) {
         let Some(attempt) = self.attempts.get_mut(attempt) else { return };
         attempt.in_flight = false;
         attempt.conn = None;
@@ -241,26 +245,26 @@
         attempt.may_hold_state &= end.proof().is_none();
     }
 
-    /// An attempt's stream has begun: it has fetched the state that the last prefill left.
+    /// Records that an attempt's stream has begun: it has fetched the state that the last prefill left.
     pub(crate) fn begin_stream(&mut self, attempt: usize) {
         self.streaming_attempt = Some(attempt);
-        // A request of which the client has received some of the answer is never retried.
+        // A request whose client has received part of the answer is never retried.
         self.body = Vec::new();
         if let Some(prefill) = self.attempts[..attempt].iter_mut().rfind(|attempt| attempt.may_hold_state) {
             prefill.may_hold_state = false;
         }
     }
 
-    /// The engines that may hold state for it that no attempt in flight uses; the last one first.
+    /// The engines that may hold state which no attempt in flight uses, the latest first.
     pub(crate) fn state_holders(&self) -> Vec<EngineId> {
         let holding =
             self.attempts.iter().rev().filter(|attempt| attempt.may_hold_state && !attempt.in_flight);
-        holding.map(|attempt| attempt.engine).chain(self.withdrawn_from).collect()
+        holding.map(|attempt| attempt.engine).chain(self.withdrawn_holder).collect()
     }
 
-    /// Attempts after whose end state may still appear: they were cancelled or interrupted, and until its engine has seen
-    /// that, a prefill may still leave its state there, and a decode that waits for state may still keep it from being
-    /// released. A prefill whose answer could not be parsed was cancelled, too.
+    /// Attempts after whose end state may still appear: they were cancelled or interrupted. Until the engine
+    /// has seen that, a prefill may still leave its state there, and a decode that waits for state may
+    /// prevent its release. A prefill whose answer could not be parsed was cancelled as well.
     pub(crate) fn unconfirmed_attempts(&self) -> Vec<UnconfirmedAttempt> {
         let is_unconfirmed = |attempt: &&Attempt| match attempt.outcome {
             Some(Outcome::Reset | Outcome::TimedOut | Outcome::Cancelled) => true,
@@ -273,30 +277,30 @@
             .collect()
     }
 
-    /// Its state is being released.
+    /// Records that its state is being released.
     pub(crate) fn begin_release(&mut self, release: ReleaseId) {
         self.release = Some(release);
-        self.withdrawn_from = None;
+        self.withdrawn_holder = None;
         let ended = self.attempts.iter_mut().filter(|attempt| !attempt.in_flight);
         ended.for_each(|attempt| attempt.may_hold_state = false);
     }
 
-    /// A release that is not acknowledged is withdrawn: sent again later it could release state that a new attempt uses. It
-    /// remains to be sent then.
+    /// Records that an unacknowledged release is withdrawn: if it were retried, it could release state that a
+    /// new attempt uses. It has to be sent after that attempt.
     pub(crate) fn release_withdrawn(&mut self, holder: EngineId) {
         self.release = None;
-        self.withdrawn_from = Some(holder);
+        self.withdrawn_holder = Some(holder);
     }
 
-    /// Its attempts so far, as they are written in the log. `slipreel losses` groups requests by these words.
+    /// The text of its attempts so far in the log. `slipreel losses` groups requests by these words.
     pub(crate) fn trace(&self, now: Duration) -> String {
         let attempts: Vec<String> = self.attempts.iter().map(|attempt| attempt.trace(now)).collect();
-        let kind = if self.terms.runs_once { "runs once" } else { "repeatable" };
-        let left = self.terms.deadline.saturating_sub(now).as_millis();
+        let kind = if self.params.at_most_once { "runs once" } else { "repeatable" };
+        let left = self.params.deadline.saturating_sub(now).as_millis();
         format!("{kind}, {left} ms left: {}", attempts.join(", "))
     }
 
-    /// Whether nothing more can come of it.
+    /// Whether it is closed and no attempt is in flight, so that it can be removed.
     pub(crate) fn is_done(&self) -> bool {
         self.is_closed && self.attempts.iter().all(|attempt| !attempt.in_flight)
     }
--- a/crates/platform/src/request_error.rs
+++ b/crates/platform/src/request_error.rs
@@ -3,21 +3,23 @@
 use crate::parse_request::MAX_TOKENS;
 use slipreel_protocol::http::Malformed;
 
-/// Why a request is rejected before admission. `Display` gives the text of the answer, [`RequestError::status`] its status.
+/// Why a request is rejected before admission. `Display` writes the text of the answer,
+/// [`RequestError::status`] returns its status.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub(crate) enum RequestError {
-    /// What has come is no request of HTTP/1.1, or exceeds a limit.
+    /// The bytes are not an HTTP/1.1 request, or exceed a limit.
     #[error("{}", .0.why)]
     Malformed(Malformed),
-    /// The request was incomplete at its timeout.
+    /// The request was still incomplete at its timeout.
     #[error("the request did not come whole in time")]
     ReceiveTimeout,
-    /// The connection was chosen to free a slot for another client.
+    /// The connection is closed to free a slot for another client.
     #[error("no room is left for it")]
     Evicted,
     #[error("no such path")]
     UnknownPath,
-    /// Everything that was admitted before has its answer by now, and the process may be killed at any time.
+    /// The shutdown is past its deadline: all requests have their answers, and the process may be killed at
+    /// any time.
     #[error("this router is about to end")]
     ShuttingDown,
     #[error("X-Request-Id: a request of this id is open")]
--- a/crates/platform/src/request_error/tests.rs
+++ b/crates/platform/src/request_error/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// The texts and statuses are answers on the wire: clients may go by them.
+/// The texts and statuses are sent to clients, which may depend on them.
 #[test]
 fn each_error_keeps_its_status_and_text() {
     let malformed = Malformed { status: 431, why: "a head over 16384 bytes".to_owned() };
--- a/crates/platform/src/resource_limits.rs
+++ b/crates/platform/src/resource_limits.rs
@@ -1,39 +1,42 @@
-//! The bounds on what a router process holds, and how long idle client connections may use them.
+//! The limits on what a router process holds, and on how long client connections may be idle.
 //!
-//! None of this looks at load or priority: that is the decision module's concern. A router runs on a small machine with
-//! a fixed number of descriptors and a fixed amount of memory; what exceeds them is rejected before admission.
+//! These limits do not consider load or priority, which the decision module handles. A router runs on a small
+//! machine with a fixed number of descriptors and a fixed amount of memory; what exceeds them is rejected
+//! before admission.
 
 use std::time::Duration;
 
-/// Descriptors that a process has before any peer connects: standard streams, epoll, wake-up, signals, listener, two
-/// for discovery while it reconnects, a file that is read, the driver's reserve.
+/// Descriptors that a process uses besides those of clients and engines: standard streams, epoll, wake-up,
+/// signals, listener, two for discovery while it reconnects, a file that is read, the driver's reserve.
 const RESERVED_DESCRIPTORS: usize = 20;
-/// The largest head of a message, in bytes: as common servers take.
+/// Maximum size of a message head, in bytes: the limit of common servers.
 pub(crate) const MAX_HEAD_BYTES: usize = 16 << 10;
-/// How long a client's connection may be idle between requests: longer than usual pauses of conversations, short enough
-/// that connections whose clients never come back are reclaimed.
+/// How long a client connection may be idle between requests: longer than usual pauses in conversations, and
+/// short enough to reclaim connections whose clients do not return.
 const CLIENT_IDLE_TIMEOUT: Duration = Duration::from_millis(15_000);
-/// The same while more than half of the clients' descriptors are in use. The protocol allows it from 2 s.
+/// The same while more than half of the descriptors for clients are in use. The protocol allows a minimum of
+/// 2 s.
 const CROWDED_CLIENT_IDLE_TIMEOUT: Duration = Duration::from_millis(2_200);
 
-/// What a router process may hold.
+/// The limits of a router process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ResourceLimits {
-    /// Descriptors in all.
+    /// Descriptors in total.
     pub descriptors: usize,
-    /// Client connections at once.
+    /// Concurrent client connections.
     pub client_connections: usize,
-    /// Connections to engines at once.
+    /// Concurrent connections to engines.
     pub engine_connections: usize,
-    /// Bytes of request bodies that are held for further attempts, in all.
+    /// Total bytes of request bodies that are held for further attempts.
     pub request_bytes: usize,
 }
 
 impl ResourceLimits {
-    /// Shares out `descriptors` descriptors and `memory_mb` MB of memory.
+    /// Divides `descriptors` descriptors and `memory_mb` MB of memory.
     ///
-    /// Clients hold at most a third of the descriptors for requests, and each request has one attempt in flight, so half
-    /// for each side is enough; some are left for connections that are closing and for releases.
+    /// Requests of clients use at most a third of the descriptors, and each request has one attempt in
+    /// flight, so just under half for each side is enough. The rest is left for connections that are closing
+    /// and for releases.
     pub fn new(descriptors: usize, memory_mb: usize) -> Self {
         let usable = descriptors.saturating_sub(RESERVED_DESCRIPTORS);
         let per_side = (usable * 45 / 100).max(2);
@@ -45,12 +48,12 @@
         }
     }
 
-    /// Descriptors of connections that the driver may hold, those that are closing included.
+    /// Connections that the driver may hold, closing ones included.
     pub fn driver_connections(&self) -> usize {
         self.descriptors.saturating_sub(RESERVED_DESCRIPTORS).max(4)
     }
 
-    /// How long a client's connection may be idle while `client_connections` are open.
+    /// How long a client connection may be idle while `client_connections` are open.
     pub(crate) fn client_idle_timeout(&self, client_connections: usize) -> Duration {
         if client_connections * 2 > self.client_connections {
             CROWDED_CLIENT_IDLE_TIMEOUT
--- a/crates/platform/src/resource_limits/tests.rs
+++ b/crates/platform/src/resource_limits/tests.rs
@@ -8,7 +8,7 @@
         assert!(connections + RESERVED_DESCRIPTORS <= descriptors, "{limits:?}");
         assert!(
             limits.client_connections * 3 >= descriptors || descriptors < 256,
-            "a third is for requests: {limits:?}"
+            "clients need a third for requests: {limits:?}"
         );
     }
 }
--- a/crates/platform/src/response.rs
+++ b/crates/platform/src/response.rs
@@ -1,16 +1,16 @@
-//! Parses the responses of an engine: answers, streams of events, and the load reports that come with both.
+//! Parses the responses of an engine: answers, event streams, and the load reports in both.
 
 use crate::load_report::ReportLayout;
 use crate::resource_limits::MAX_HEAD_BYTES;
 use slipreel::LoadReport;
 use slipreel_protocol::http::{Decoder, Head, Item, Limits, Malformed, Side, Start};
 
-/// The largest stream of an engine, in bytes: over what the protocol allows, far under what would exhaust memory. A chunk that claims
-/// more is malformed as soon as its size is read.
+/// Maximum size of a stream, in bytes: above what the protocol allows, far below what would exhaust memory. A
+/// chunk that states more is malformed as soon as its size is read.
 const MAX_STREAM_BYTES: u64 = 1 << 20;
-/// The largest event of a stream, and the largest answer that is not a stream, in bytes.
+/// Maximum size of an event of a stream, and of an answer that is not a stream, in bytes.
 const MAX_EVENT_BYTES: usize = 64 << 10;
-/// How much of an unexpected line of a stream is logged, in bytes.
+/// Maximum number of bytes that are logged of an unexpected line in a stream.
 const MAX_LOGGED_LINE_BYTES: usize = 40;
 
 /// The statuses with which an engine rejects an attempt, each with `X-Not-Run: 1`.
@@ -23,25 +23,25 @@
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Answer {
     pub(crate) status: u16,
-    /// It carries `X-Not-Run: 1`: nothing ran.
+    /// Whether it has the field `X-Not-Run: 1`: nothing ran.
     pub(crate) not_run: bool,
     pub(crate) body: Vec<u8>,
     pub(crate) report: Option<LoadReport>,
 }
 
 impl Answer {
-    /// Whether by the protocol it states that the attempt never ran.
-    pub(crate) fn says_never_ran(&self) -> bool {
+    /// Whether it claims, by the protocol, that the attempt never ran.
+    pub(crate) fn claims_never_ran(&self) -> bool {
         self.not_run && matches!(self.status, UNAVAILABLE | DEADLINE_PASSED | STATE_MISSING)
     }
 
-    /// Whether it states that there was no state to fetch.
-    pub(crate) fn says_state_missing(&self) -> bool {
+    /// Whether it claims that there was no state to fetch.
+    pub(crate) fn claims_state_missing(&self) -> bool {
         self.status == STATE_MISSING
     }
 }
 
-/// Why a response cannot be parsed, or is not expected. `Display` gives the text of the log line.
+/// Why a response is malformed or unexpected. `Display` writes the text of the log line.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub(crate) enum ResponseError {
     #[error("{}", .0.why)]
@@ -62,23 +62,23 @@
     UnfinishedEvent,
 }
 
-/// A part of a response that is complete.
+/// A complete part of a response.
 #[derive(Debug, PartialEq)]
 pub(crate) enum ResponseEvent {
-    /// Complete events of a stream, as they came.
+    /// Complete events of a stream, unchanged.
     Events(Vec<u8>),
-    /// The stream's last chunk, and the last report that came with it.
+    /// The end of a stream, with its last load report.
     End(Option<LoadReport>),
     /// A complete answer that is not a stream.
     Answer(Answer),
-    /// The connection serves no further use.
+    /// The response cannot be used, and neither can the connection.
     Malformed(ResponseError),
 }
 
-/// What a good response to an exchange is.
+/// The response that is expected to a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ExpectedResponse {
-    /// With status 200 a stream of events, else an answer.
+    /// An event stream if the status is 200, else an answer.
     Stream,
     /// An answer.
     Answer,
@@ -87,32 +87,32 @@
 /// The body that is being received.
 #[derive(Debug)]
 enum Body {
-    /// None: before the head, or after one that is to be skipped (1xx).
+    /// No body: before the head, or after an interim head (1xx).
     None,
     Answer(Answer),
-    /// Bytes since the last complete event.
+    /// A stream: the bytes since its last complete event.
     Stream(Vec<u8>),
 }
 
 /// The load reports of a response.
 #[derive(Debug, Default)]
 struct Reports {
-    /// The last one that could be read.
+    /// The last valid one.
     latest: Option<LoadReport>,
-    /// Those that could not be read and were not counted yet.
+    /// Number of malformed ones that were not counted yet.
     malformed: u64,
 }
 
 impl Reports {
-    fn read(&mut self, text: &str, layout: &ReportLayout) {
-        match layout.read(text) {
+    fn record(&mut self, text: &str, layout: &ReportLayout) {
+        match layout.parse(text) {
             Some(report) => self.latest = Some(report),
             None => self.malformed += 1,
         }
     }
 }
 
-/// Parses the responses on one connection, one exchange after another.
+/// Parses the responses on one connection, one after another.
 #[derive(Debug)]
 pub(crate) struct ResponseParser {
     expected: ExpectedResponse,
@@ -134,41 +134,42 @@
         }
     }
 
-    /// A further exchange begins on the connection.
+    /// Begins another exchange on the connection.
     pub(crate) fn begin(&mut self, expected: ExpectedResponse) {
         self.expected = expected;
         self.body = Body::None;
         self.keeps_alive = false;
     }
 
-    /// Whether the connection can carry another exchange after a response that has ended: the engine keeps it open, and has
-    /// sent nothing beyond the response. Bytes beyond it could not be attributed to a response.
+    /// Whether the connection can carry another exchange after a complete response: the engine keeps it open,
+    /// and has sent nothing beyond the response. Further bytes could not be attributed to a response.
     pub(crate) fn allows_reuse(&self) -> bool {
         self.keeps_alive && self.decoder.buffered() == 0
     }
 
-    /// How many load reports could not be read since this was last asked.
+    /// Number of malformed load reports since the last call.
     pub(crate) fn take_malformed_reports(&mut self) -> u64 {
         std::mem::take(&mut self.reports.malformed)
     }
 
-    /// Parses bytes; appends the events that they complete. Nothing more is to be fed after [`ResponseEvent::Malformed`].
+    /// Parses bytes and appends the events that they complete. Must not be called again after
+    /// [`ResponseEvent::Malformed`].
     pub(crate) fn feed(&mut self, bytes: &[u8], layout: &ReportLayout, events: &mut Vec<ResponseEvent>) {
         self.decoder.feed(bytes);
-        if let Err(error) = self.read_items(layout, events) {
+        if let Err(error) = self.handle_items(layout, events) {
             events.push(ResponseEvent::Malformed(error));
         }
     }
 
-    fn read_items(
+    fn handle_items(
         &mut self, layout: &ReportLayout, events: &mut Vec<ResponseEvent>,
     ) -> Result<(), ResponseError> {
         while let Some(item) = self.decoder.next_item().map_err(ResponseError::Malformed)? {
             match item {
-                Item::Head(head) => self.read_head(&head, layout)?,
-                Item::Body(piece) => self.read_body(&piece, layout, events)?,
+                Item::Head(head) => self.handle_head(&head, layout)?,
+                Item::Body(piece) => self.handle_body(&piece, layout, events)?,
                 Item::End => {
-                    if self.read_end(layout, events)? {
+                    if self.handle_end(layout, events)? {
                         break;
                     }
                 }
@@ -177,19 +178,19 @@
         Ok(())
     }
 
-    fn read_head(&mut self, head: &Head, layout: &ReportLayout) -> Result<(), ResponseError> {
+    fn handle_head(&mut self, head: &Head, layout: &ReportLayout) -> Result<(), ResponseError> {
         let Start::Response { status } = head.start else { return Err(ResponseError::NotAResponse) };
         match status {
-            // It would make it another protocol.
+            // The connection would switch to another protocol.
             101 => return Err(ResponseError::SwitchingProtocols),
-            // Interim: the answer follows.
+            // An interim response: the final one follows.
             ..200 => return Ok(()),
             _ => {}
         }
         self.keeps_alive = head.keep_alive;
         self.reports.latest = None;
         if let Some(text) = head.get("x-load") {
-            self.reports.read(text, layout);
+            self.reports.record(text, layout);
         }
         self.body = if status == 200 && self.expected == ExpectedResponse::Stream {
             let content_type = head.get("content-type").unwrap_or_default();
@@ -204,7 +205,7 @@
         Ok(())
     }
 
-    fn read_body(
+    fn handle_body(
         &mut self, piece: &[u8], layout: &ReportLayout, events: &mut Vec<ResponseEvent>,
     ) -> Result<(), ResponseError> {
         match &mut self.body {
@@ -216,13 +217,13 @@
                 }
                 Ok(())
             }
-            Body::Stream(unread) => {
-                unread.extend_from_slice(piece);
+            Body::Stream(buffered) => {
+                buffered.extend_from_slice(piece);
                 let mut complete = Vec::new();
-                let result = take_blocks(unread, layout, &mut self.reports, &mut complete);
+                let result = take_blocks(buffered, layout, &mut self.reports, &mut complete);
                 push_events(complete, events);
                 result?;
-                if unread.len() > MAX_EVENT_BYTES {
+                if buffered.len() > MAX_EVENT_BYTES {
                     return Err(ResponseError::EventTooLarge);
                 }
                 Ok(())
@@ -230,19 +231,19 @@
         }
     }
 
-    /// The end of a message. Whether the exchange is over.
-    fn read_end(
+    /// Handles the end of a message. Returns whether the exchange is over.
+    fn handle_end(
         &mut self, layout: &ReportLayout, events: &mut Vec<ResponseEvent>,
     ) -> Result<bool, ResponseError> {
         match std::mem::replace(&mut self.body, Body::None) {
             Body::None => return Ok(false),
             Body::Answer(answer) => events.push(ResponseEvent::Answer(answer)),
-            Body::Stream(unread) => {
-                if lines(&unread).any(|line| !is_event_line(line)) {
+            Body::Stream(buffered) => {
+                if lines(&buffered).any(|line| !is_event_line(line)) {
                     return Err(ResponseError::UnfinishedEvent);
                 }
                 let mut complete = Vec::new();
-                take_block(&unread, layout, &mut self.reports, &mut complete);
+                take_block(&buffered, layout, &mut self.reports, &mut complete);
                 push_events(complete, events);
                 events.push(ResponseEvent::End(self.reports.latest));
             }
@@ -253,8 +254,8 @@
 
 /// Whether a line is valid in a stream of events.
 fn is_event_line(line: &[u8]) -> bool {
-    const STARTS: [&[u8]; 5] = [b":", b"data:", b"event:", b"id:", b"retry:"];
-    line.is_empty() || STARTS.iter().any(|start| line.starts_with(start))
+    const PREFIXES: [&[u8]; 5] = [b":", b"data:", b"event:", b"id:", b"retry:"];
+    line.is_empty() || PREFIXES.iter().any(|prefix| line.starts_with(prefix))
 }
 
 fn lines(block: &[u8]) -> impl Iterator<Item = &[u8]> {
@@ -267,14 +268,14 @@
     }
 }
 
-/// Takes the blocks that have ended off the front of a stream, and leaves what has come in part. Complete events go to
-/// `complete`.
+/// Removes the complete blocks at the front of a stream and appends their events to `complete`. An incomplete
+/// block stays.
 fn take_blocks(
-    unread: &mut Vec<u8>, layout: &ReportLayout, reports: &mut Reports, complete: &mut Vec<u8>,
+    buffered: &mut Vec<u8>, layout: &ReportLayout, reports: &mut Reports, complete: &mut Vec<u8>,
 ) -> Result<(), ResponseError> {
     let mut start = 0;
-    for end in 1..=unread.len() {
-        let block = &unread[start..end];
+    for end in 1..=buffered.len() {
+        let block = &buffered[start..end];
         if !block.ends_with(b"\n\n") && !block.ends_with(b"\n\r\n") {
             continue;
         }
@@ -285,16 +286,16 @@
         take_block(block, layout, reports, complete);
         start = end;
     }
-    unread.drain(..start);
+    buffered.drain(..start);
     Ok(())
 }
 
-/// Appends an event as it came. A block of comments alone is none, and may hold a report.
+/// Appends an event unchanged. A block that only holds comments is not an event, but may hold a load report.
 fn take_block(block: &[u8], layout: &ReportLayout, reports: &mut Reports, complete: &mut Vec<u8>) {
     let mut has_event = false;
     for line in lines(block).filter(|line| !line.is_empty()) {
         match line.strip_prefix(b":") {
-            Some(comment) => read_comment(comment, layout, reports),
+            Some(comment) => parse_comment(comment, layout, reports),
             None => has_event = true,
         }
     }
@@ -303,10 +304,10 @@
     }
 }
 
-fn read_comment(comment: &[u8], layout: &ReportLayout, reports: &mut Reports) {
+fn parse_comment(comment: &[u8], layout: &ReportLayout, reports: &mut Reports) {
     let Ok(text) = std::str::from_utf8(comment) else { return };
     match text.trim().split_once(':') {
-        Some((name, report)) if name.eq_ignore_ascii_case("x-load") => reports.read(report, layout),
+        Some((name, report)) if name.eq_ignore_ascii_case("x-load") => reports.record(report, layout),
         _ => {}
     }
 }
--- a/crates/platform/src/router.rs
+++ b/crates/platform/src/router.rs
@@ -1,5 +1,5 @@
-//! The router as a state machine: takes inputs in turn, fires timers, and lets the decision module decide until no event
-//! is left.
+//! The router as a state machine: takes one input at a time, fires timers, and runs the decision module until
+//! its queue is empty.
 
 use crate::active_requests::ActiveRequests;
 use crate::client_connections::ClientConnections;
@@ -27,9 +27,9 @@
 /// The time between two status lines.
 const STATUS_INTERVAL: Duration = Duration::from_millis(10_000);
 
-/// A router on the platform, without I/O and clock.
+/// A router of the platform, without I/O and clock.
 ///
-/// Takes as [`Input::OwnerMessage`]: a [`Config`], when the file was replaced.
+/// Accepts a [`Config`] as [`Input::OwnerMessage`] when the configuration file was replaced.
 pub struct PlatformRouter {
     pub(crate) now: Duration,
     pub(crate) resource_limits: ResourceLimits,
@@ -47,7 +47,7 @@
     pub(crate) shutdown: Shutdown,
     pub(crate) counters: Counters,
     pub(crate) never_ran_log: NeverRanLogBudget,
-    log: LogLimiter,
+    log_limiter: LogLimiter,
 }
 
 /// How much state a router holds, by kind.
@@ -61,14 +61,14 @@
     pub requests: usize,
     /// Timers that are set.
     pub timers: usize,
-    /// Releases that are not acknowledged.
+    /// Unacknowledged releases.
     pub releases: usize,
 }
 
 impl PlatformRouter {
-    /// A router at its start. `wall` is the wall clock, since the epoch, at the clock's time `now`.
+    /// Creates a router. `wall` is the wall time, since the epoch, at the clock's time `now`.
     pub fn new(config: Config, now: Duration, wall: Duration) -> Self {
-        let Config { discovery, seed, resource_limits, known, profile, .. } = config;
+        let Config { discovery, seed, resource_limits, cached_endpoints, profile, .. } = config;
         let mut router = PlatformRouter {
             now,
             resource_limits,
@@ -85,12 +85,12 @@
             shutdown: Shutdown::new(profile.longest_wait),
             counters: Counters::default(),
             never_ran_log: NeverRanLogBudget::default(),
-            log: LogLimiter::default(),
+            log_limiter: LogLimiter::default(),
             profile,
         };
-        if let Some(known) = known {
-            router.watch.resume_from(known.index);
-            let changes = router.endpoints.apply(known, true);
+        if let Some(list) = cached_endpoints {
+            router.watch.resume_from(list.index);
+            let changes = router.endpoints.apply(list, true);
             router.queue_event(changes.event);
         }
         router.watch.arm_timer(&mut router.timers);
@@ -98,12 +98,12 @@
         router
     }
 
-    /// What it has done so far.
+    /// Its counters since the start.
     pub fn counters(&self) -> Counters {
         self.counters
     }
 
-    /// How much state it holds.
+    /// How much state the router holds.
     pub fn held_state(&self) -> HeldState {
         HeldState {
             client_connections: self.clients.len(),
@@ -114,22 +114,23 @@
         }
     }
 
-    /// Attempts in flight on connections, by engine.
+    /// Number of attempts in flight on connections, by engine.
     pub fn attempts_on_connections(&self) -> BTreeMap<EngineId, usize> {
         self.engines.attempts_in_flight()
     }
 
-    /// Attempts in flight as the decision module counts them, of the engines that are listed.
+    /// Number of attempts in flight as the decision module counts them, by listed engine.
     pub fn attempts_by_decision_module(&self) -> BTreeMap<EngineId, usize> {
         self.decisions.attempts_in_flight()
     }
 
-    /// How much state the decision module keeps.
+    /// Sizes of the state that the decision module keeps.
     pub fn decision_state_sizes(&self) -> StateSizes {
         self.decisions.state_sizes()
     }
 
-    /// Entries of the tables that go by engine and by client, beside those of [`PlatformRouter::held_state`].
+    /// Number of entries in the tables by engine and by client that [`PlatformRouter::held_state`] does not
+    /// count.
     pub fn table_entries(&self) -> usize {
         self.endpoints.len()
             + self.requests.client_id_count()
@@ -142,7 +143,7 @@
         self.decisions.queue(event);
     }
 
-    /// Lets the decision module handle all queued events; then removes requests that are done.
+    /// Runs the decision module until its queue is empty, then removes requests that are done.
     pub(crate) fn run_decisions(&mut self, out: &mut Vec<Output>) {
         while let Some(actions) = self.decisions.handle_next(self.now) {
             for action in actions {
@@ -153,21 +154,21 @@
         self.end_when_done(out);
     }
 
-    /// Logs an event on a fault of a peer, at a limited rate.
+    /// Logs an event at a limited rate. For events that peers can cause.
     pub(crate) fn log_limited(&mut self, event: impl FnOnce() -> LogEvent, out: &mut Vec<Output>) {
-        if let Some(line) = self.log.limit(self.now, event) {
+        if let Some(line) = self.log_limiter.limit(self.now, event) {
             out.push(Output::Log(line));
         }
     }
 
     // ---- Timers -----------------------------------------------------------------------------
 
-    /// Sets a client connection's timer for when it times out next.
+    /// Sets a client connection's timer to its next timeout.
     pub(crate) fn arm_client_timer(&mut self, conn: ConnId) {
         self.clients.arm_timer(conn, &self.resource_limits, &mut self.timers);
     }
 
-    /// Sets the timer of a connection to an engine for when it times out next.
+    /// Sets the timer of a connection to an engine to its next timeout.
     pub(crate) fn arm_engine_timer(&mut self, conn: ConnId) {
         let deadline = self.engine_deadline(conn);
         self.engines.arm_timer(conn, deadline, &mut self.timers);
@@ -178,7 +179,7 @@
         self.engines.get(conn)?.deadline(&self.engine_timeouts, is_streaming)
     }
 
-    fn fire(&mut self, timer: Timer, out: &mut Vec<Output>) {
+    fn handle_timer(&mut self, timer: Timer, out: &mut Vec<Output>) {
         match timer {
             Timer::Decision(timer) => self.queue_event(Event::TimerFired(timer)),
             Timer::Client(conn) => self.client_timer_fired(conn, out),
@@ -187,8 +188,8 @@
             Timer::Release(id) => self.release_due(id, out),
             Timer::Watch => self.watch_due(out),
             Timer::Shutdown => self.shutdown_step(out),
-            // Whether the router ends is decided after each input.
-            Timer::ListenerClosed => self.await_end_of_listening(),
+            // Whether the router can end is checked after each input.
+            Timer::ListenerClosed => self.arm_listener_timer(),
             Timer::Status => self.status_due(out),
         }
     }
@@ -211,7 +212,7 @@
 
     fn run_timers(&mut self, out: &mut Vec<Output>) {
         while let Some(timer) = self.timers.pop(self.now) {
-            self.fire(timer, out);
+            self.handle_timer(timer, out);
             self.run_decisions(out);
         }
     }
@@ -237,11 +238,11 @@
 
     // ---- Inputs -----------------------------------------------------------------------------
 
-    /// An input of any kind, after the timers that were due.
+    /// Handles an input of any kind, after the timers that were due.
     fn handle_input(&mut self, input: &Input<'_>, out: &mut Vec<Output>) {
         match *input {
             Input::Accepted(conn, _) => self.accepted(conn, out),
-            // The resource limits hold for what the settings allow; the system may allow less.
+            // The configuration sets the resource limits, but the system may allow fewer descriptors.
             Input::DescriptorsExhausted(_) => self.free_descriptor(out),
             Input::Connected(conn) | Input::Data(conn, _) | Input::Eof(conn) | Input::Lost(conn, _)
                 if self.watch.is_connection(conn) =>
@@ -270,36 +271,37 @@
         }
     }
 
-    /// An input on a client connection, other than its bytes, which come before the timers.
+    /// Handles an input on a client connection, except bytes, which are handled before the timers.
     fn handle_client_input(&mut self, input: &Input<'_>, out: &mut Vec<Output>) {
         match *input {
-            // Half-closed counts as closed: in the protocol no client closes its sending side and still reads.
+            // A half-closed connection counts as closed: by the protocol, no client closes its sending side
+            // and still reads.
             Input::Eof(conn) | Input::PeerClosedWhilePaused(conn) => self.client_eof(conn, out),
             Input::Sent(conn, sent) => self.client_sent(conn, sent, out),
-            Input::Lost(conn, _) => self.client_gone(conn, out),
+            Input::Lost(conn, _) => self.client_disconnected(conn, out),
             _ => {}
         }
     }
 
-    /// An input on the connection to discovery.
+    /// Handles an input on the connection to discovery.
     fn handle_watch_input(&mut self, input: &Input<'_>, out: &mut Vec<Output>) {
         match *input {
             Input::Connected(conn) => self.watch_connected(conn, out),
             Input::Data(_, bytes) => self.watch_data(bytes, out),
             Input::Eof(_) => self.watch_failed(WatchFailure::Closed, out),
-            Input::Lost(_, why) => self.watch_lost(why, out),
+            Input::Lost(_, loss) => self.watch_lost(loss, out),
             _ => {}
         }
     }
 
-    /// An input on a connection to an engine.
+    /// Handles an input on a connection to an engine.
     fn handle_engine_input(&mut self, input: &Input<'_>, out: &mut Vec<Output>) {
         match *input {
             Input::Connected(conn) => self.engine_connected(conn, out),
             Input::Data(conn, bytes) => self.engine_data(conn, bytes, out),
             Input::Eof(conn) => self.engine_eof(conn, out),
             Input::Sent(conn, sent) => self.engine_sent(conn, sent),
-            Input::Lost(conn, why) => self.engine_lost(conn, why, out),
+            Input::Lost(conn, loss) => self.engine_lost(conn, loss, out),
             _ => {}
         }
     }
@@ -308,13 +310,13 @@
 impl Machine for PlatformRouter {
     fn handle(&mut self, now: Duration, input: Input<'_>, out: &mut Vec<Output>) {
         self.now = self.now.max(now);
-        // The driver hands over the connections that wait at the listener before it wakes the router. Guards against an end
-        // between the two, after which nothing would serve these connections.
+        // The driver passes on the connections that were pending at the listener before it wakes the router.
+        // If the router ended between the two, nothing would serve these connections.
         if matches!(input, Input::Wake) {
-            self.shutdown.connections_handed_over();
+            self.shutdown.pending_connections_received();
         }
-        // A client's bytes were there before its idle timeout or the end of a shutdown: the driver has read them, so the
-        // connection must not be closed as idle first.
+        // Bytes from a client are handled before timers: the driver has already read them, so neither the
+        // idle timeout nor the end of a shutdown may close the connection as idle first.
         if let Input::Data(conn, bytes) = input {
             if !conn.is_opened() {
                 self.client_data(conn, bytes, out);
@@ -322,7 +324,7 @@
                 return self.run_timers(out);
             }
         }
-        // Otherwise timers that are due come before the input, whatever order the driver found them in.
+        // For all other inputs, due timers come first, in whatever order the driver found them.
         self.run_timers(out);
         self.handle_input(&input, out);
         self.run_decisions(out);
--- a/crates/platform/src/shutdown.rs
+++ b/crates/platform/src/shutdown.rs
@@ -1,4 +1,4 @@
-//! The graceful shutdown of a router: from the stop signal until nothing is left to do.
+//! The graceful shutdown of a router: from the stop signal until all work is done.
 
 use crate::router::PlatformRouter;
 use crate::timer::Timer;
@@ -6,33 +6,34 @@
 use slipreel_state_machine::Output;
 use std::time::Duration;
 
-/// After the stop signal a router still accepts requests for so long: new clients have to be answered. From the protocol.
-const GRACE: Duration = Duration::from_millis(700);
-/// So long after the start of a shutdown streams are migrated, where clients resume them: late enough for most to end by
-/// themselves, and early enough that the next router in a rolling restart is still up.
+/// How long after the stop signal a router still accepts requests: new clients have to be answered. From the
+/// protocol.
+const GRACE_PERIOD: Duration = Duration::from_millis(700);
+/// Time from the start of a shutdown to the migration of streams, if clients resume them: late enough for
+/// most streams to end by themselves, and early enough that the next router in a rolling restart still runs.
 const STREAM_MIGRATION_DELAY: Duration = Duration::from_millis(2_400);
-/// The longest client wait that counts for the time until the kill. From the protocol.
+/// Limit of a client's wait in the time until the process is killed. From the protocol.
 const MAX_CLIENT_WAIT: Duration = Duration::from_millis(3_000);
-/// How long before the kill everything has to be answered.
-const MARGIN: Duration = Duration::from_millis(450);
-/// The shortest delay after which the router is woken by its driver rather than at the same time.
+/// How long before the process is killed all requests have to be answered.
+const KILL_MARGIN: Duration = Duration::from_millis(450);
+/// The shortest timer with which the driver wakes the router again, instead of running it at the same time.
 const MIN_WAKE_DELAY: Duration = Duration::from_millis(1);
 
-/// How far a router that shuts down is with its listener.
+/// The state of the listener during a shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ListenerState {
     Open,
-    /// The driver closes it, and hands over the connections that wait at it.
+    /// The driver closes it, and passes on the connections that are pending at it.
     Closing,
     Closed,
 }
 
-/// What a router does once nothing is left to do in a shutdown.
+/// The next step of a router in a shutdown once all work is done.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum FinalStep {
-    /// Close the listener, so that clients which have just connected are still answered.
+    /// Close the listener. Clients that have just connected are still answered.
     StopListening,
-    /// The listener is being closed.
+    /// Wait until the listener is closed.
     Wait,
     /// End.
     Stop,
@@ -43,33 +44,34 @@
 /// The state of a shutdown.
 #[derive(Debug)]
 pub(crate) struct Shutdown {
-    /// When it began; `None` while the router runs.
+    /// When it began; `None` if it has not begun.
     began: Option<Duration>,
     listener: ListenerState,
     is_stopped: bool,
-    /// The time after its start by which all has to be answered: the process is killed soon after.
+    /// Time from its start by which all requests have to be answered: the process is killed soon after.
     deadline: Duration,
 }
 
 impl Shutdown {
-    /// A router that is not shutting down. `longest_wait`: how long a client of any class waits at most, if that is known.
+    /// The state of a router that is not shutting down. `longest_wait` is the longest time that a client of
+    /// any class waits, if known.
     pub(crate) fn new(longest_wait: Option<Duration>) -> Self {
         let longest_wait = longest_wait.unwrap_or(Duration::MAX).min(MAX_CLIENT_WAIT);
         Shutdown {
             began: None,
             listener: ListenerState::Open,
             is_stopped: false,
-            deadline: (longest_wait + GRACE).saturating_sub(MARGIN),
+            deadline: (longest_wait + GRACE_PERIOD).saturating_sub(KILL_MARGIN),
         }
     }
 
-    /// Begins a shutdown. Returns the times at which its steps are due; `None` if it had begun before.
+    /// Begins a shutdown. Returns the times at which its steps are due; `None` if it had already begun.
     pub(crate) fn begin(&mut self, now: Duration) -> Option<[Duration; 3]> {
         if self.has_begun() {
             return None;
         }
         self.began = Some(now);
-        Some([GRACE, STREAM_MIGRATION_DELAY, self.deadline].map(|step| now + step))
+        Some([GRACE_PERIOD, STREAM_MIGRATION_DELAY, self.deadline].map(|step| now + step))
     }
 
     pub(crate) fn has_begun(&self) -> bool {
@@ -80,23 +82,23 @@
         self.began.is_some_and(|began| now >= began + time)
     }
 
-    /// Whether streams that are still open are to be migrated.
+    /// Whether open streams are to be migrated.
     pub(crate) fn migrates_streams(&self, now: Duration) -> bool {
         self.has_lasted(now, STREAM_MIGRATION_DELAY)
     }
 
-    /// Whether all has to be answered by now.
+    /// Whether all requests have to be answered by now.
     pub(crate) fn is_past_deadline(&self, now: Duration) -> bool {
         self.has_lasted(now, self.deadline)
     }
 
-    /// Whether a router that has nothing left to do may end.
+    /// Whether the grace period is over, so that a router without work may end.
     pub(crate) fn may_end(&self, now: Duration) -> bool {
-        self.has_lasted(now, GRACE)
+        self.has_lasted(now, GRACE_PERIOD)
     }
 
-    /// Nothing is left to do: the router ends in two steps. First it stops listening, so that clients which have just
-    /// connected are still answered; it stops for good when there were none, or all of them have left.
+    /// The next step of a router without work. It ends in two steps: it stops listening, and still answers
+    /// clients that have just connected; it stops once there are none of these, or all have left.
     pub(crate) fn next_final_step(&mut self) -> FinalStep {
         if self.is_stopped {
             return FinalStep::Stopped;
@@ -118,8 +120,9 @@
         self.listener == ListenerState::Closing
     }
 
-    /// The driver has handed over the connections that waited at the listener, if that is being closed.
-    pub(crate) fn connections_handed_over(&mut self) {
+    /// Records that the driver has passed on all connections that were pending at a listener that is being
+    /// closed.
+    pub(crate) fn pending_connections_received(&mut self) {
         if self.is_listener_closing() {
             self.listener = ListenerState::Closed;
         }
@@ -127,7 +130,7 @@
 }
 
 impl PlatformRouter {
-    /// The router is stopped: sets the timers of the steps of its shutdown.
+    /// Handles the stop signal: sets the timers for the steps of the shutdown.
     pub(crate) fn begin_shutdown(&mut self) {
         let Some(steps) = self.shutdown.begin(self.now) else { return };
         self.clients.close_after_next_answer();
@@ -136,7 +139,8 @@
         }
     }
 
-    /// Closes idle connections. One that was accepted just now is kept for a moment: its first request may be in transit.
+    /// Closes idle connections. A new connection is kept for a short time: its first request may be in
+    /// transit.
     fn close_idle_clients(&mut self, out: &mut Vec<Output>) {
         for client in self.clients.idle() {
             if let Some(until) = client.grace_until.filter(|&until| until > self.now) {
@@ -148,8 +152,8 @@
         }
     }
 
-    /// The steps of a shutdown: idle connections are closed; streams that would be cut off are migrated, where clients
-    /// resume them; at the deadline, requests whose stream has not begun are answered.
+    /// Runs the steps of a shutdown that are due: closes idle connections; migrates streams that would be cut
+    /// off, if clients resume them; at the deadline, fails requests whose stream has not begun.
     pub(crate) fn shutdown_step(&mut self, out: &mut Vec<Output>) {
         self.close_idle_clients(out);
         let migrates_streams = self.profile.resumes && self.shutdown.migrates_streams(self.now);
@@ -166,7 +170,7 @@
         }
     }
 
-    /// Ends once nothing is left to do in a shutdown.
+    /// Ends the router once all work of a shutdown is done.
     pub(crate) fn end_when_done(&mut self, out: &mut Vec<Output>) {
         let is_released = self.releases.is_empty() || self.shutdown.is_past_deadline(self.now);
         let is_done = self.requests.is_empty() && self.clients.is_empty() && is_released;
@@ -176,7 +180,7 @@
         match self.shutdown.next_final_step() {
             FinalStep::StopListening => {
                 out.push(Output::StopListening);
-                self.await_end_of_listening();
+                self.arm_listener_timer();
             }
             FinalStep::Wait | FinalStep::Stopped => {}
             FinalStep::Stop => {
@@ -186,8 +190,8 @@
         }
     }
 
-    /// Wakes the router once its driver has executed all outputs.
-    pub(crate) fn await_end_of_listening(&mut self) {
+    /// Has the driver wake the router once it has executed all outputs.
+    pub(crate) fn arm_listener_timer(&mut self) {
         if self.shutdown.is_listener_closing() {
             self.timers.set(self.now + MIN_WAKE_DELAY, Timer::ListenerClosed);
         }
