--- a/crates/platform/src/timer.rs
+++ b/crates/platform/src/timer.rs
@@ -1,4 +1,4 @@
-//! What the timers of a router are for.
+//! The timers of a router and their purposes.
 
 use slipreel::{RequestId, TimerId};
 use slipreel_connections::{ReleaseId, TimerWheel};
@@ -7,10 +7,10 @@
 /// All timers of a router.
 pub(crate) type Timers = TimerWheel<Timer>;
 
-/// Why a timer was set.
+/// The purpose of a timer.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Timer {
-    /// The decision module asked for it.
+    /// A timer of the decision module.
     Decision(TimerId),
     /// A client connection may have timed out.
     Client(ConnId),
@@ -24,7 +24,7 @@
     Watch,
     /// The next step of a shutdown is due.
     Shutdown,
-    /// The driver has handed over all connections that waited at the listener when it was closed.
+    /// The driver has passed on all connections that were pending at the listener when it was closed.
     ListenerClosed,
     /// The status line is due.
     Status,
--- a/crates/platform/src/watch.rs
+++ b/crates/platform/src/watch.rs
@@ -1,8 +1,9 @@
-//! The watch of the endpoint list at discovery: one at a time, opened again after a jittered backoff when it breaks, hangs or can't be read.
+//! The watch of the endpoint list at discovery: a long-lived response that sends each change of the list.
+//! There is one at a time; if it breaks, hangs or is malformed, it is opened again after a jittered backoff.
 //!
-//! Whatever happens to a watch, the list that discovery would send has to be here 6 s later. So every stage of a watch has
-//! a timeout, the backoff between two is bounded, and their sum is below that. After a watch that failed the complete list
-//! is requested: what it missed need not be in the changes that the next one sends.
+//! However a watch fails, the router must have the current list within 6 s. So every stage of a watch has a
+//! timeout, the backoff between two watches is bounded, and their sum is below that. After a failed watch the
+//! complete list is requested: the changes that it missed may not be among those that the next watch sends.
 
 use crate::endpoint_list::{self, EndpointList, EndpointListError};
 use crate::resource_limits::MAX_HEAD_BYTES;
@@ -14,25 +15,25 @@
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// The largest object of discovery, in bytes.
+/// Maximum size of an object from discovery, in bytes.
 const MAX_OBJECT_BYTES: usize = 4 << 20;
-/// A watch sends something every 2 s; silent for so long it hangs.
+/// Silence after which a watch counts as hanging. Discovery sends something every 2 s.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(3_700);
-/// The fraction of `SILENCE_TIMEOUT` by which each call may wait less: hundreds of routers that lost discovery in one
-/// moment must not all reconnect in one.
+/// The fraction of `SILENCE_TIMEOUT` by which jitter may shorten it: hundreds of routers that lose discovery
+/// at the same moment must not all reconnect at once.
 const SILENCE_TIMEOUT_JITTER: f64 = 0.2;
-/// The complete list has to arrive within this after the head of the answer.
+/// Maximum time from the head of the answer to the complete list.
 const FIRST_LIST_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// A head or an object that is incomplete for so long fails the watch: what follows would be parsed as its rest.
+/// Maximum time for which a head or an object may be incomplete. Later bytes would be parsed as its rest.
 const PARTIAL_MESSAGE_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// The time in which the connection has to be established.
+/// Maximum time to establish the connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// The shortest wait before a watch is opened again after a failure.
 const MIN_BACKOFF: Duration = Duration::from_millis(100);
-/// The most that jitter adds to the backoff after a first failure, so that hundreds of routers don't reconnect together; it
-/// doubles with each further failure.
+/// Maximum jitter that is added to the backoff after a first failure, so that hundreds of routers do not
+/// reconnect at once. It doubles with each further failure.
 const INITIAL_BACKOFF_JITTER: Duration = Duration::from_millis(700);
-/// The most that jitter adds to the backoff after any number of failures.
+/// Maximum jitter that is added to the backoff after any number of failures.
 const MAX_BACKOFF_JITTER: Duration = Duration::from_millis(1_900);
 
 /// The state of the watch.
@@ -40,13 +41,13 @@
 enum State {
     /// Not to be opened before this time.
     Waiting(Duration),
-    /// Its connection is being established, since when.
+    /// Its connection is being established, since this time.
     Connecting(ConnId, Duration),
-    /// Its connection is established; when something was last received.
+    /// Its connection is established; bytes were last received at this time.
     Open(ConnId, Duration),
 }
 
-/// Which timeout of a watch has passed. `Display` gives the text of the log line.
+/// The timeout of a watch that has passed. `Display` writes the text of the log line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(crate) enum WatchTimeout {
     #[error("nothing was heard of it for too long")]
@@ -60,14 +61,15 @@
 }
 
 impl WatchTimeout {
-    /// Whether the next watch is opened without a backoff: the agent on this machine counts as reachable whether a watch
-    /// is established or not.
+    /// Whether the next watch is opened without a backoff. After silence it is: discovery has a local agent
+    /// on this machine, which counts as reachable whether a watch is established or not.
     pub(crate) fn reopens_at_once(self) -> bool {
         self == WatchTimeout::Silent
     }
 }
 
-/// Why the bytes of a watch cannot be used, so that it has to be opened again. `Display` gives the text of the log line.
+/// Why the bytes of a watch cannot be used, so that it has to be opened again. `Display` writes the text of
+/// the log line.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum WatchError {
     #[error("{}", .0.why)]
@@ -84,7 +86,7 @@
     ObjectTooLarge,
 }
 
-/// Why a watch has failed. `Display` gives the text of the log line.
+/// Why a watch has failed. `Display` writes the text of the log line.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum WatchFailure {
     /// Discovery has closed its connection.
@@ -96,7 +98,7 @@
     /// The process has no descriptor for its connection.
     #[error("no descriptor is left")]
     NoDescriptor,
-    /// It is overdue.
+    /// One of its timeouts has passed.
     #[error(transparent)]
     TimedOut(WatchTimeout),
     /// The bytes received cannot be used.
@@ -111,13 +113,13 @@
     }
 }
 
-/// What a watch calls for when it is due.
+/// The step of a watch that is due.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum DueStep {
-    /// Its backoff is over: a connection is to be opened.
+    /// Open a connection: the backoff is over.
     Open,
-    /// It has timed out.
-    GiveUp(WatchTimeout),
+    /// Fail the watch: it has timed out.
+    Fail(WatchTimeout),
 }
 
 /// The watch of the endpoint list.
@@ -128,25 +130,26 @@
     timer: Option<TimerKey>,
     /// Version of the current list.
     index: u64,
-    /// The complete list is requested, whatever its version: the last one could not be applied, or the last watch failed.
+    /// Whether to request the complete list, whatever its version: the last list could not be applied, or the
+    /// last watch failed.
     needs_complete_list: bool,
-    /// Since when the head of its answer, a good one, has come and no object after it.
-    answered: Option<Duration>,
-    /// The head of its answer has come.
+    /// When the head of a successful answer was received; `None` once a list has followed it.
+    list_awaited_since: Option<Duration>,
+    /// Whether the head of its answer was received.
     has_head: bool,
     decoder: Decoder,
-    /// What has been received since its last complete object.
+    /// The bytes received since its last complete object.
     received: Vec<u8>,
-    /// Since when a head or an object has been received in part.
+    /// Since when a head or an object is incomplete.
     partial_since: Option<Duration>,
-    /// Watches that failed in a row since the last list.
+    /// Number of consecutive failed watches since the last list.
     failures: u32,
-    /// The last list was older than the current one. A complete one that is older again counts, if it was requested:
-    /// discovery has started over.
+    /// Whether the last list was older than the current one. If the complete list is then requested and is
+    /// older as well, it is accepted: discovery has restarted its versions.
     last_list_was_older: bool,
-    /// How long this watch may be silent; jittered, as hundreds of routers see the same silence.
+    /// How long this watch may be silent, with jitter, as hundreds of routers see the same silence.
     silence_timeout: Duration,
-    /// State of the generator of jitter, apart from that of the decision module.
+    /// State of the random generator for jitter, separate from that of the decision module.
     jitter_state: u64,
 }
 
@@ -154,7 +157,7 @@
     Decoder::new(Side::Client, Limits { head: MAX_HEAD_BYTES, body: u64::MAX, ..Limits::default() })
 }
 
-/// The longest backoff after so many failures in a row.
+/// The longest backoff after this many consecutive failures.
 fn max_backoff(failures: u32) -> Duration {
     let spread = INITIAL_BACKOFF_JITTER * (1 << failures.saturating_sub(1).min(8));
     MIN_BACKOFF + spread.min(MAX_BACKOFF_JITTER)
@@ -168,7 +171,7 @@
             timer: None,
             index: 0,
             needs_complete_list: true,
-            answered: None,
+            list_awaited_since: None,
             has_head: false,
             decoder: decoder(),
             received: Vec::new(),
@@ -176,12 +179,12 @@
             failures: 0,
             last_list_was_older: false,
             silence_timeout: SILENCE_TIMEOUT,
-            // Seeds that lie close together have to draw far apart from the first draw on.
+            // Hashed, so that similar seeds give different jitter from the first draw on.
             jitter_state: xxh3_64(&seed.to_le_bytes()) | 1,
         }
     }
 
-    /// The list that the router starts with is of this version.
+    /// Sets the version of the list that the router starts with.
     pub(crate) fn resume_from(&mut self, index: u64) {
         self.index = index;
         self.needs_complete_list = false;
@@ -191,7 +194,7 @@
         self.addr
     }
 
-    /// Whether this is its connection.
+    /// Whether `conn` is the connection of the watch.
     pub(crate) fn is_connection(&self, conn: ConnId) -> bool {
         self.conn() == Some(conn)
     }
@@ -212,9 +215,9 @@
             State::Open(_, received_at) => {
                 let partial_message =
                     self.partial_since.map_or(Duration::MAX, |since| since + PARTIAL_MESSAGE_TIMEOUT);
-                // Guards against a watch that sends its empty lines and never the complete list.
+                // Guards against a watch that only sends keep-alive lines and never the complete list.
                 let first_list = self
-                    .answered
+                    .list_awaited_since
                     .filter(|_| self.needs_complete_list)
                     .map_or(Duration::MAX, |at| at + FIRST_LIST_TIMEOUT);
                 partial_message.min(first_list).min(received_at + self.silence_timeout)
@@ -222,18 +225,18 @@
         }
     }
 
-    /// What it calls for now; `None` if it is not due.
+    /// The step that is due now; `None` if none is.
     pub(crate) fn due_step(&self, now: Duration) -> Option<DueStep> {
         if self.due() > now {
             return None;
         }
         Some(match self.state {
             State::Waiting(_) => DueStep::Open,
-            State::Connecting(..) | State::Open(..) => DueStep::GiveUp(self.timeout(now)),
+            State::Connecting(..) | State::Open(..) => DueStep::Fail(self.timeout(now)),
         })
     }
 
-    /// Which timeout has passed when it is due.
+    /// The timeout that has passed, if the watch is due.
     fn timeout(&self, now: Duration) -> WatchTimeout {
         match self.state {
             State::Open(_, received_at) if received_at + self.silence_timeout <= now => WatchTimeout::Silent,
@@ -243,18 +246,18 @@
         }
     }
 
-    /// Its connection is being opened.
+    /// Records that its connection is being opened.
     pub(crate) fn connecting(&mut self, conn: ConnId, now: Duration) {
         self.state = State::Connecting(conn, now);
     }
 
-    /// Discovery is at another address: the next watch is opened there at once.
-    pub(crate) fn move_to(&mut self, addr: SocketAddr, now: Duration) {
+    /// Sets another address of discovery: the next watch is opened there at once.
+    pub(crate) fn change_address(&mut self, addr: SocketAddr, now: Duration) {
         self.addr = addr;
-        self.reopen_at(now);
+        self.schedule_reopen(now);
     }
 
-    /// Sets its timer in place of the one that it had.
+    /// Replaces its timer.
     pub(crate) fn arm_timer(&mut self, timers: &mut Timers) {
         if let Some(key) = self.timer.take() {
             timers.cancel(key);
@@ -262,30 +265,31 @@
         self.timer = Some(timers.set(self.due(), Timer::Watch));
     }
 
-    /// Its timer has fired.
+    /// Records that its timer has fired.
     pub(crate) fn timer_fired(&mut self) {
         self.timer = None;
     }
 
-    /// It has failed at `now`. The next one requests the complete list after a backoff, or at once.
+    /// Records that the watch has failed. The next one requests the complete list, after a backoff or at
+    /// once.
     pub(crate) fn failed(&mut self, now: Duration, reopens_at_once: bool) {
         self.needs_complete_list = true;
         self.failures = if reopens_at_once { 0 } else { self.failures.saturating_add(1) };
         let wait = MIN_BACKOFF + (max_backoff(self.failures) - MIN_BACKOFF).mul_f64(self.next_jitter());
-        self.reopen_at(if reopens_at_once { now } else { now + wait });
+        self.schedule_reopen(if reopens_at_once { now } else { now + wait });
     }
 
-    /// It is over; the next one is opened at `at`. An incomplete message is dropped.
-    fn reopen_at(&mut self, at: Duration) {
+    /// Ends the watch; the next one is opened at `at`. Drops an incomplete message.
+    fn schedule_reopen(&mut self, at: Duration) {
         self.state = State::Waiting(at);
         self.has_head = false;
-        self.answered = None;
+        self.list_awaited_since = None;
         self.decoder = decoder();
         self.received = Vec::new();
         self.partial_since = None;
     }
 
-    /// Its connection is established. Returns the request to write.
+    /// Records that its connection is established. Returns the request to write.
     pub(crate) fn connected(&mut self, conn: ConnId, now: Duration) -> Vec<u8> {
         self.state = State::Open(conn, now);
         self.silence_timeout = SILENCE_TIMEOUT.mul_f64(1.0 - SILENCE_TIMEOUT_JITTER * self.next_jitter());
@@ -295,10 +299,11 @@
         http::request_head("GET", &target, &[("host", &host)], Framing::Length(0))
     }
 
-    /// Parses bytes; appends the lists that they complete.
+    /// Parses bytes and appends the lists that they complete.
     ///
     /// # Errors
-    /// What cannot be parsed, or is older than the current list: the watch has to be opened again. The lists before it count.
+    /// Input that cannot be parsed, or a list that is older than the current one: the watch has to be opened
+    /// again. The lists before it are in `out` and remain valid.
     pub(crate) fn feed(
         &mut self, now: Duration, bytes: &[u8], out: &mut Vec<EndpointList>,
     ) -> Result<(), WatchError> {
@@ -306,28 +311,28 @@
             *received_at = now;
         }
         self.decoder.feed(bytes);
-        // Lists before bytes that cannot be parsed count.
-        let read = self.read_items(now);
+        // An error is returned only after the lists before the malformed bytes were taken.
+        let result = self.handle_items(now);
         let count_before = out.len();
         self.take_lists(out)?;
         if out.len() > count_before {
-            self.answered = None;
+            self.list_awaited_since = None;
             self.failures = 0;
             self.partial_since = None;
         }
-        // A head that arrives byte by byte keeps the connection alive just as an incomplete object does.
+        // A head that arrives byte by byte resets the silence timeout, as an incomplete object does.
         let is_partial = !self.received.is_empty() || !self.has_head || self.decoder.buffered() > 0;
         self.partial_since = is_partial.then(|| self.partial_since.unwrap_or(now));
-        read
+        result
     }
 
-    fn read_items(&mut self, now: Duration) -> Result<(), WatchError> {
+    fn handle_items(&mut self, now: Duration) -> Result<(), WatchError> {
         while let Some(item) = self.decoder.next_item().map_err(WatchError::Malformed)? {
             match item {
                 Item::Head(head) => match head.start {
                     Start::Response { status: 200 } => {
                         self.has_head = true;
-                        self.answered = Some(now);
+                        self.list_awaited_since = Some(now);
                         self.partial_since = None;
                     }
                     Start::Response { status: 100..=199 } => {}
@@ -341,14 +346,14 @@
         Ok(())
     }
 
-    /// Takes the complete objects off the received bytes; appends their lists to `out`.
+    /// Removes the complete objects from the received bytes and appends their lists to `out`.
     fn take_lists(&mut self, out: &mut Vec<EndpointList>) -> Result<(), WatchError> {
         let Watch { received, index, needs_complete_list, last_list_was_older, .. } = self;
         let mut accept = |mut list: EndpointList| {
             let is_older = list.index < *index;
-            let came_again = std::mem::replace(last_list_was_older, is_older);
-            let has_started_over = came_again && list.is_complete && *needs_complete_list;
-            if is_older && !has_started_over {
+            let previous_was_older = std::mem::replace(last_list_was_older, is_older);
+            let discovery_restarted = previous_was_older && list.is_complete && *needs_complete_list;
+            if is_older && !discovery_restarted {
                 return Err(WatchError::OlderList { received: list.index, held: *index });
             }
             *index = list.index;
@@ -358,16 +363,16 @@
             out.push(list);
             Ok(())
         };
-        let taken = endpoint_list::take(received, &mut accept);
-        if taken.is_err() {
+        let result = endpoint_list::take_complete(received, &mut accept);
+        if result.is_err() {
             self.needs_complete_list = true;
         } else if self.received.len() > MAX_OBJECT_BYTES {
             return Err(WatchError::ObjectTooLarge);
         }
-        taken
+        result
     }
 
-    /// A number from 0 to 1, exclusive (xorshift).
+    /// Returns a random number from 0 to 1, exclusive (xorshift).
     fn next_jitter(&mut self) -> f64 {
         self.jitter_state ^= self.jitter_state << 13;
         self.jitter_state ^= self.jitter_state >> 7;
--- a/crates/platform/src/watch/tests.rs
+++ b/crates/platform/src/watch/tests.rs
@@ -1,21 +1,21 @@
-//! What a watch says is taken whole, and a call that fails is followed by another in time.
+//! Lists are applied only when complete, and a failed watch is followed by the next in time.
 
 use super::*;
 
-/// From when discovery has a change and can be reached, a router has to know it after this. From the protocol.
+/// A router must know a change this long after discovery has it and is reachable. From the protocol.
 const CHANGE_NOTIFICATION_DEADLINE: Duration = Duration::from_millis(6_000);
 
 const HEAD: &[u8] = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-fn line(index: u64, whole: bool) -> String {
-    format!("{{\"index\":{index},\"snapshot\":{whole},\"endpoints\":[]}}\n")
+fn line(index: u64, is_complete: bool) -> String {
+    format!("{{\"index\":{index},\"snapshot\":{is_complete},\"endpoints\":[]}}\n")
 }
 
-fn open(holds: u64) -> Watch {
+fn open_watch(index: u64) -> Watch {
     let mut watch = Watch::new(SocketAddr::from(([127, 0, 0, 1], 1)), Duration::ZERO, 7);
-    watch.resume_from(holds);
+    watch.resume_from(index);
     let request = watch.connected(ConnId::opened(1), Duration::ZERO);
-    assert!(String::from_utf8_lossy(&request).contains(&format!("after={holds} ")));
+    assert!(String::from_utf8_lossy(&request).contains(&format!("after={index} ")));
     watch.feed(Duration::ZERO, HEAD, &mut Vec::new()).unwrap();
     watch
 }
@@ -24,43 +24,44 @@
 fn lists_in_pieces_of_any_size_and_empty_lines_are_parsed() {
     let text = format!("\n{}\n{}", line(42, true), line(43, false));
     let bytes: Vec<u8> = text.bytes().flat_map(|byte| http::chunk(&[byte])).collect();
-    let (mut watch, mut out) = (open(41), Vec::new());
-    for b in &bytes {
-        watch.feed(Duration::from_secs(3), &[*b], &mut out).unwrap();
+    let (mut watch, mut out) = (open_watch(41), Vec::new());
+    for byte in &bytes {
+        watch.feed(Duration::from_secs(3), &[*byte], &mut out).unwrap();
     }
     assert_eq!(
         out.iter().map(|list| (list.index, list.is_complete)).collect::<Vec<_>>(),
         [(42, true), (43, false)]
     );
     assert_eq!(watch.due(), Duration::from_secs(3) + watch.silence_timeout);
-    let least = SILENCE_TIMEOUT.mul_f64(1.0 - SILENCE_TIMEOUT_JITTER);
-    assert!((least..=SILENCE_TIMEOUT).contains(&watch.silence_timeout), "{:?}", watch.silence_timeout);
+    let shortest = SILENCE_TIMEOUT.mul_f64(1.0 - SILENCE_TIMEOUT_JITTER);
+    assert!((shortest..=SILENCE_TIMEOUT).contains(&watch.silence_timeout), "{:?}", watch.silence_timeout);
 }
 
 #[test]
 fn an_older_or_malformed_list_is_rejected_and_the_complete_list_requested() {
     for text in [line(40, true), "{\"index\"]".to_owned() + "\n", line(39, false)] {
-        let (mut watch, mut out) = (open(41), Vec::new());
+        let (mut watch, mut out) = (open_watch(41), Vec::new());
         assert!(watch.feed(Duration::ZERO, &http::chunk(text.as_bytes()), &mut out).is_err());
         assert!(out.is_empty());
-        watch.reopen_at(Duration::ZERO);
+        watch.schedule_reopen(Duration::ZERO);
         let request = String::from_utf8(watch.connected(ConnId::opened(2), Duration::ZERO)).unwrap();
         assert!(request.contains("after=0 "), "{request}");
         watch.feed(Duration::ZERO, HEAD, &mut out).unwrap();
         let requested = http::chunk(line(7, true).as_bytes());
-        let taken = watch.feed(Duration::ZERO, &requested, &mut out);
+        let result = watch.feed(Duration::ZERO, &requested, &mut out);
         if text.starts_with("{\"index\"]") {
-            // Nothing said before that discovery had gone back: one that lags behind must not undo what is held. Told
-            // again, it has begun anew.
-            assert!(taken.is_err() && out.is_empty(), "{text}");
+            // The previous watch sent no older list, so this instance of discovery may only lag behind, and
+            // must not undo the current list. If the next watch sends an older list again, discovery has
+            // restarted its versions.
+            assert!(result.is_err() && out.is_empty(), "{text}");
             watch.failed(Duration::ZERO, false);
             watch.connected(ConnId::opened(3), Duration::ZERO);
             watch.feed(Duration::ZERO, HEAD, &mut out).unwrap();
             watch.feed(Duration::ZERO, &requested, &mut out).unwrap();
         } else {
-            taken.unwrap();
+            result.unwrap();
         }
-        assert_eq!(out.len(), 1, "a whole list that was asked for counts");
+        assert_eq!(out.len(), 1, "a complete list that was requested is accepted");
     }
 }
 
@@ -72,19 +73,19 @@
     };
     let text = format!("{}\n\n{}{}\n\n", pretty(42), pretty(43), line(44, false));
     for size in [1, 7, 50, text.len()] {
-        let (mut watch, mut out) = (open(41), Vec::new());
+        let (mut watch, mut out) = (open_watch(41), Vec::new());
         for piece in text.as_bytes().chunks(size) {
             watch.feed(Duration::ZERO, &http::chunk(piece), &mut out).unwrap();
         }
         assert_eq!(out.iter().map(|list| list.index).collect::<Vec<_>>(), [42, 43, 44], "pieces of {size}");
-        assert!(watch.received.is_empty(), "nothing is kept of what was taken");
+        assert!(watch.received.is_empty(), "no bytes of parsed lists are kept");
     }
 }
 
 #[test]
 fn complete_lists_before_a_failure_count() {
     for end in ["0\r\n\r\n", "zz\r\n"] {
-        let (mut watch, mut out) = (open(41), Vec::new());
+        let (mut watch, mut out) = (open_watch(41), Vec::new());
         let bytes = [http::chunk(line(42, false).as_bytes()), end.into()].concat();
         assert!(watch.feed(Duration::ZERO, &bytes, &mut out).is_err());
         assert_eq!(out.len(), 1, "{end:?}");
@@ -93,7 +94,7 @@
 
 #[test]
 fn an_object_over_the_size_limit_fails_the_watch() {
-    let (mut watch, mut out) = (open(41), Vec::new());
+    let (mut watch, mut out) = (open_watch(41), Vec::new());
     let endless = http::chunk(format!("[\"{}\",\n", "x".repeat(60_000)).as_bytes());
     let fed = (0..200).map(|_| watch.feed(Duration::ZERO, &endless, &mut out)).find(Result::is_err);
     assert!(fed.is_some() && out.is_empty() && watch.received.len() < 2 * MAX_OBJECT_BYTES);
@@ -101,9 +102,9 @@
 
 #[test]
 fn an_incomplete_line_is_dropped_with_its_connection() {
-    let (mut watch, mut out) = (open(41), Vec::new());
+    let (mut watch, mut out) = (open_watch(41), Vec::new());
     watch.feed(Duration::ZERO, &http::chunk(b"{\"index\":42,"), &mut out).unwrap();
-    watch.reopen_at(Duration::ZERO);
+    watch.schedule_reopen(Duration::ZERO);
     let request = String::from_utf8(watch.connected(ConnId::opened(2), Duration::ZERO)).unwrap();
     assert!(request.contains("after=41 "));
     watch.feed(Duration::ZERO, HEAD, &mut out).unwrap();
@@ -111,8 +112,8 @@
     assert_eq!(out.len(), 1);
 }
 
-/// The arithmetic of the protocol's 6 s: whatever a call came to, it ends, the longest back-off with all its jitter passes,
-/// a connection comes up as late as it may, and the list still comes in time.
+/// Checks the timeouts against the protocol's 6 s: however a watch fails, its timeout, the longest backoff
+/// with all its jitter, the slowest connection and the answer fit into that time.
 #[test]
 fn the_longest_gap_between_two_lists_stays_within_six_seconds() {
     let answer = Duration::from_millis(300);
@@ -122,32 +123,33 @@
     for stage in [Duration::ZERO, CONNECT_TIMEOUT, PARTIAL_MESSAGE_TIMEOUT, FIRST_LIST_TIMEOUT] {
         assert!(stage + longest + next < CHANGE_NOTIFICATION_DEADLINE - Duration::from_secs(1), "{stage:?}");
     }
-    // A silent one is followed at once, also if that one's connection never comes up.
+    // A silent watch is reopened at once. The limit holds even if the connection of the next one is never
+    // established.
     assert!(SILENCE_TIMEOUT + next < CHANGE_NOTIFICATION_DEADLINE);
     assert!(SILENCE_TIMEOUT + CONNECT_TIMEOUT + max_backoff(1) + answer < CHANGE_NOTIFICATION_DEADLINE);
-    // The least patience is longer than one line that is due every 2 s and late by 0.9 s.
+    // The shortest silence timeout allows for a keep-alive, due every 2 s, that is 0.9 s late.
     assert!(SILENCE_TIMEOUT.mul_f64(1.0 - SILENCE_TIMEOUT_JITTER) > Duration::from_millis(2_900));
 }
 
 #[test]
 fn each_failure_doubles_the_max_backoff_to_its_bound_and_a_list_resets_it() {
-    // The longest of many draws comes near the bound, the shortest near the least.
+    // The longest of many backoffs is close to the maximum, the shortest close to the minimum.
     let mut waits = [(Duration::MAX, Duration::ZERO); 5];
     for seed in 1..400 {
         let mut watch = Watch::new(SocketAddr::from(([127, 0, 0, 1], 1)), Duration::ZERO, seed * 7_919);
-        for (least, most) in &mut waits {
+        for (shortest, longest) in &mut waits {
             watch.failed(Duration::ZERO, false);
-            (*least, *most) = (watch.due().min(*least), watch.due().max(*most));
+            (*shortest, *longest) = (watch.due().min(*shortest), watch.due().max(*longest));
             watch.connected(ConnId::opened(1), Duration::ZERO);
         }
     }
-    for (n, (least, most)) in waits.iter().enumerate() {
-        let bound = max_backoff(n as u32 + 1);
-        assert!(*least >= MIN_BACKOFF && *least < MIN_BACKOFF + bound / 10, "{waits:?}");
-        assert!(*most <= bound && *most > bound.mul_f64(0.9), "{waits:?}");
+    for (n, (shortest, longest)) in waits.iter().enumerate() {
+        let max = max_backoff(n as u32 + 1);
+        assert!(*shortest >= MIN_BACKOFF && *shortest < MIN_BACKOFF + max / 10, "{waits:?}");
+        assert!(*longest <= max && *longest > max.mul_f64(0.9), "{waits:?}");
     }
     assert_eq!(max_backoff(2) - MIN_BACKOFF, INITIAL_BACKOFF_JITTER * 2);
-    let mut watch = open(41);
+    let mut watch = open_watch(41);
     (0..4).for_each(|_| watch.failed(Duration::ZERO, false));
     watch.connected(ConnId::opened(1), Duration::ZERO);
     watch.feed(Duration::ZERO, HEAD, &mut Vec::new()).unwrap();
@@ -156,23 +158,23 @@
     assert!(watch.due() <= max_backoff(1));
 }
 
-/// Guards against an answer that keeps its connection alive byte by byte: a head of which one came a second was waited for
-/// without end.
+/// Guards against an answer that keeps its connection alive byte by byte: a head that arrived at one byte a
+/// second never timed out.
 #[test]
 fn a_head_or_an_object_that_arrives_too_slowly_fails_the_watch() {
     let object = http::chunk(line(42, true).as_bytes());
-    let whole = [HEAD, &object].concat();
+    let response = [HEAD, &object].concat();
     for (from, what) in [(0, "head"), (HEAD.len(), "object"), (HEAD.len() + 1, "object that has begun")] {
         let mut watch = Watch::new(SocketAddr::from(([127, 0, 0, 1], 1)), Duration::ZERO, 7);
         watch.connected(ConnId::opened(1), Duration::ZERO);
-        watch.feed(Duration::ZERO, &whole[..from], &mut Vec::new()).unwrap();
+        watch.feed(Duration::ZERO, &response[..from], &mut Vec::new()).unwrap();
         let mut now = Duration::ZERO;
-        for b in &whole[from..] {
+        for byte in &response[from..] {
             now += Duration::from_millis(400);
             if watch.due() <= now {
                 break;
             }
-            watch.feed(now, &[*b], &mut Vec::new()).unwrap();
+            watch.feed(now, &[*byte], &mut Vec::new()).unwrap();
         }
         assert!(
             watch.due() <= now && now <= PARTIAL_MESSAGE_TIMEOUT + Duration::from_millis(800),
@@ -184,12 +186,12 @@
 
 #[test]
 fn after_a_failure_the_complete_list_is_required_and_empty_lines_do_not_suffice() {
-    let mut watch = open(41);
+    let mut watch = open_watch(41);
     watch.failed(Duration::ZERO, false);
     let request = String::from_utf8(watch.connected(ConnId::opened(2), Duration::ZERO)).unwrap();
     assert!(
         request.contains("after=0 "),
-        "what the failed one had missed is in no list of changes: {request}"
+        "the changes that the failed watch missed may not be sent again: {request}"
     );
     watch.feed(Duration::ZERO, HEAD, &mut Vec::new()).unwrap();
     let mut now = Duration::ZERO;
@@ -199,7 +201,7 @@
         assert!(now < Duration::from_secs(2));
     }
     assert_eq!(now, FIRST_LIST_TIMEOUT);
-    // One that has told its list may go on without news for as long as it likes.
+    // A watch that has sent its list may go on without changes for any time.
     watch.failed(now, false);
     watch.connected(ConnId::opened(3), now);
     watch.feed(now, HEAD, &mut Vec::new()).unwrap();
