--- a/crates/platform/src/release.rs
+++ b/crates/platform/src/release.rs
@@ -30,8 +30,8 @@
 /// transit any more.
 const CANCELLATION_SEEN_AFTER: Duration = Duration::from_millis(30);
 /// How long after the cancellation of a prefill its state may still appear: an engine that hangs or is cut
-/// off continues the prefill before it sees that its connection was closed. Not every engine drops a prefill
-/// whose deadline has passed.
+/// off for that long continues the prefill before it sees that its connection was closed. Not every engine
+/// drops a prefill whose deadline has passed.
 const RELEASE_REPEAT_PERIOD: Duration = Duration::from_millis(8_000);
 
 /// The times at which releases are retried and repeated. They are repeated at the interval of the settings'
--- a/crates/platform/src/watch/tests.rs
+++ b/crates/platform/src/watch/tests.rs
@@ -96,8 +96,8 @@
 fn an_object_over_the_size_limit_fails_the_watch() {
     let (mut watch, mut out) = (open_watch(41), Vec::new());
     let endless = http::chunk(format!("[\"{}\",\n", "x".repeat(60_000)).as_bytes());
-    let fed = (0..200).map(|_| watch.feed(Duration::ZERO, &endless, &mut out)).find(Result::is_err);
-    assert!(fed.is_some() && out.is_empty() && watch.received.len() < 2 * MAX_OBJECT_BYTES);
+    let error = (0..200).map(|_| watch.feed(Duration::ZERO, &endless, &mut out)).find(Result::is_err);
+    assert!(error.is_some() && out.is_empty() && watch.received.len() < 2 * MAX_OBJECT_BYTES);
 }
 
 #[test]
