--- a/crates/consensus/src/bootstrap.rs
+++ b/crates/consensus/src/bootstrap.rs
@@ -1,8 +1,10 @@
-//! The bootstrap of a fleet: how the founders agree on the first configuration.
+//! Bootstraps a fleet: the founders agree on its first configuration.
 //!
-//! All founders must be present and in no configuration; the founder named first then writes the first one. A majority is not enough: a founder
-//! that has lost its disk looks like one that never had one, and two of three such founders could found a second fleet beside the first. The
-//! first policy is the one that most founders start with; among equals, that of the founder named first.
+//! All founders must be reachable and have no configuration; the founder listed first then creates the first
+//! one. A majority is not enough: a founder that has lost its disk can't be distinguished from one that never
+//! had a configuration, and two of three such founders could bootstrap a second fleet beside the first. The
+//! first policy is the one that most founders were started with; in a tie, that of the founder listed first
+//! among them.
 
 use crate::configuration::Configuration;
 use crate::policy_state::PolicyState;
@@ -12,10 +14,10 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The time after which what a founder announced does not count any more.
+/// How long the announcement of a founder is valid.
 const ANNOUNCEMENT_LIFETIME: Duration = timing::BOOTSTRAP_INTERVAL.saturating_mul(4);
 
-/// What a founder has announced of itself.
+/// A founder, as it has announced itself.
 #[derive(Clone)]
 struct Founder {
     peer: Peer,
@@ -24,18 +26,22 @@
     received_at: Duration,
 }
 
-/// What this founder knows of the others.
+/// The state of a founder during the bootstrap: the announcements of the other founders.
 pub(crate) struct Bootstrap {
     founders: Vec<String>,
     announced: BTreeMap<String, Founder>,
     /// When this founder announces itself next.
-    pub(crate) next: Duration,
+    pub(crate) next_announcement_at: Duration,
 }
 
 impl Bootstrap {
-    /// The state at the start of a founder without a configuration.
+    /// The initial state of a founder that has no configuration.
     pub(crate) fn new(founders: &[String]) -> Bootstrap {
-        Bootstrap { founders: founders.to_vec(), announced: BTreeMap::new(), next: Duration::ZERO }
+        Bootstrap {
+            founders: founders.to_vec(),
+            announced: BTreeMap::new(),
+            next_announcement_at: Duration::ZERO,
+        }
     }
 
     /// The other founders.
@@ -43,7 +49,8 @@
         self.founders.iter().filter(move |founder| *founder != me)
     }
 
-    /// Takes the announcement of a founder that is in no configuration.
+    /// Records the announcement of a founder that has no configuration. Routers that are not founders or have
+    /// no disk are ignored.
     pub(crate) fn record_announcement(&mut self, now: Duration, from: &Peer, policy: String) {
         if self.founders.contains(&from.name) && from.disk != 0 {
             let founder = Founder { peer: from.clone(), policy, received_at: now };
@@ -51,8 +58,8 @@
         }
     }
 
-    /// The first configuration, if this founder is the one named first and all others have announced themselves lately.
-    /// `unix_s`: the wall clock, seconds since 1970.
+    /// The first configuration, if this founder is the one listed first and all others have announced
+    /// themselves recently. `unix_s`: the wall clock, seconds since 1970.
     pub(crate) fn first_configuration(
         &self, now: Duration, me: &Peer, policy: &str, unix_s: u64,
     ) -> Option<Configuration> {
@@ -67,9 +74,10 @@
             }
             founders.push(founder.clone());
         }
-        let votes = |policy: &String| founders.iter().filter(|founder| founder.policy == *policy).count();
-        // The last of equal maxima is taken: in reverse order that is the founder named first.
-        let first = founders.iter().rev().max_by_key(|founder| votes(&founder.policy))?;
+        let supporters =
+            |policy: &String| founders.iter().filter(|founder| founder.policy == *policy).count();
+        // `max_by_key` returns the last of equal maxima: in reverse order, that is the founder listed first.
+        let first = founders.iter().rev().max_by_key(|founder| supporters(&founder.policy))?;
         let identity = |peer: &Peer| VoterIdentity { name: peer.name.clone(), disk: peer.disk };
         let voters = founders.iter().map(|founder| identity(&founder.peer)).collect();
         Some(Configuration {
--- a/crates/consensus/src/bootstrap/tests.rs
+++ b/crates/consensus/src/bootstrap/tests.rs
@@ -10,7 +10,10 @@
     let mut bootstrap = Bootstrap::new(&founders);
     let ms = Duration::from_millis;
     bootstrap.record_announcement(ms(0), &peer("b"), "two".into());
-    assert!(bootstrap.first_configuration(ms(1), &peer("a"), "one", 0).is_none(), "c is missing");
+    assert!(
+        bootstrap.first_configuration(ms(1), &peer("a"), "one", 0).is_none(),
+        "c has not announced itself"
+    );
     bootstrap.record_announcement(ms(1), &peer("x"), "two".into());
     bootstrap.record_announcement(ms(1), &peer("c"), "two".into());
     let configuration =
@@ -32,5 +35,5 @@
     bootstrap.record_announcement(ms(1_000), &peer("c"), "three".into());
     let configuration =
         bootstrap.first_configuration(ms(1_001), &peer("a"), "one", 0).expect("all have announced");
-    assert_eq!(configuration.initial_state.text, "one", "of equally many the first founder's");
+    assert_eq!(configuration.initial_state.text, "one", "in a tie, the policy of the first founder");
 }
--- a/crates/consensus/src/consensus.rs
+++ b/crates/consensus/src/consensus.rs
@@ -1,4 +1,5 @@
-//! The state machine of one router: it receives and sends frames, persists state before it sends what depends on it, and runs timers.
+//! The state machine of one router: it receives and sends frames, persists state before it sends any message
+//! that depends on that state, and runs timers.
 
 mod leading;
 mod operators;
@@ -26,35 +27,36 @@
 /// The timers of the machine.
 struct Timers {
     next_tick: Duration,
-    /// When the leader has something to do next, if this router leads.
+    /// When the leader's next duty is due, if this router leads.
     leader_due: Option<Duration>,
 }
 
-/// A router's part in consensus: its vote, if it has one, its lease, and its leadership while it leads.
+/// The consensus state machine of one router: its state as a voter, if it is one, its lease, and its state as
+/// leader while it leads.
 pub struct Consensus {
     config: ConsensusConfig,
     me: Peer,
-    /// This router as a voter of the present configuration, if it is one.
+    /// The state as a voter of the current configuration; `None`: this router is not a voter.
     voter: Option<Voter>,
     leadership: Leadership,
     lease_holder: LeaseHolder,
-    /// Until this founder knows of a first configuration.
+    /// Set on a founder until it knows a first configuration.
     bootstrap: Option<Bootstrap>,
     durable_file: DurableFile,
-    /// Why the stored log was refused: the router does not vote then.
-    log_refused: Option<String>,
+    /// Why the stored log was rejected, in which case the router does not vote.
+    stored_log_error: Option<String>,
     transport: Transport,
     operator_requests: Vec<PendingRequest>,
     publisher: StatusPublisher,
     timers: Timers,
     unix_time_at_zero: Duration,
-    /// Which of the other routers is asked next while no leader is known.
+    /// Selects the router that is asked next for a lease while no leader is known.
     next_candidate: usize,
     stopped: bool,
 }
 
 impl Consensus {
-    /// A router at its start.
+    /// Creates the state machine of a router that starts, with the state that it has stored.
     pub fn new(config: ConsensusConfig, startup: Startup, now: Duration) -> Consensus {
         let transport = Transport::new(config.fleet.clone(), config.max_datagram_len, startup.directory);
         let mut consensus = Consensus {
@@ -64,7 +66,7 @@
             lease_holder: LeaseHolder::new(startup.compiler),
             bootstrap: None,
             durable_file: DurableFile::new(startup.disk),
-            log_refused: None,
+            stored_log_error: None,
             transport,
             operator_requests: Vec::new(),
             publisher: StatusPublisher::new(startup.handle),
@@ -77,9 +79,10 @@
         match startup.stored {
             None => {}
             Some(Ok(stored)) => consensus.recover(now, stored, startup.seed),
-            // It may have promised something that it can't read any more: it does not vote, and the file stays for the operator.
+            // The router may have made a promise that it can no longer read, so it must not vote. The file is
+            // kept for the operator.
             Some(Err(error)) => {
-                consensus.log_refused = Some(format!("does not vote: its log is refused: {error}"));
+                consensus.stored_log_error = Some(format!("does not vote: its log is refused: {error}"));
             }
         }
         consensus
@@ -91,42 +94,44 @@
         self.voter = stored
             .configuration
             .and_then(|stored| Voter::new(stored.configuration, &identity, stored.persisted));
-        // The whole file anew: it ends with a complete frame, and a folder that can't be written is known from the beginning.
+        // Rewriting the whole file ensures that it ends with a complete frame, and detects at start-up a
+        // folder that can't be written.
         self.durable_file.rewrite(now, self.me.disk, self.voter.as_ref());
         if self.voter.is_none() && self.config.founders.contains(&self.me.name) {
             self.bootstrap = Some(Bootstrap::new(&self.config.founders));
         }
     }
 
-    /// Whether it votes.
+    /// Whether this router is a voter and its disk can be written.
     pub fn votes(&self) -> bool {
         self.voter.is_some() && self.durable_file.is_healthy()
     }
 
-    /// Whether it leads the voters, as far as it knows.
+    /// Whether this router leads the voters, as far as it knows.
     pub fn leads(&self) -> bool {
         self.votes() && self.voter.as_ref().is_some_and(Voter::leads)
     }
 
-    /// The lease by which it takes requests.
+    /// The lease under which this router accepts requests.
     pub fn current_lease(&self) -> Lease {
         self.lease_holder.lease()
     }
 
-    /// The state after all entries that it knows to be decided, if it votes.
+    /// The state after all entries that this router knows to be decided, if it is a voter.
     pub fn policy_state(&self) -> Option<&PolicyState> {
         self.voter.as_ref().map(Voter::policy_state)
     }
 
-    /// The number of the present configuration; 0: it is a voter of none.
+    /// The number of the current configuration; 0: this router is not a voter.
     fn configuration_number(&self) -> u32 {
         self.voter.as_ref().map_or(0, |voter| voter.configuration.number)
     }
 
-    /// Writes what was stored since the last time. False: it is not on the disk, and nothing that rests on it may be sent.
+    /// Writes the state that is not on the disk yet. Returns false if it is still not on the disk; then no
+    /// message that depends on it may be sent.
     fn persist(&mut self, now: Duration, out: &mut Vec<Output>) -> bool {
         match self.durable_file.persist(now, self.me.disk, self.voter.as_ref()) {
-            Persisted::Yes => true,
+            Persisted::Written => true,
             Persisted::Recovered => {
                 out.push(Output::Log("policy: the folder can be written again; this router votes".into()));
                 true
@@ -147,8 +152,8 @@
         }
     }
 
-    /// Enters a configuration, on a state that was decided.
-    fn enter(&mut self, now: Duration, configuration: Configuration, out: &mut Vec<Output>) {
+    /// Enters a configuration, whose initial state has been decided.
+    fn enter_configuration(&mut self, now: Duration, configuration: Configuration, out: &mut Vec<Output>) {
         let (number, voters) = (configuration.number, configuration.voters.len());
         self.voter = Voter::new(configuration, &identity_of(&self.me), PersistedState::default());
         self.bootstrap = None;
@@ -166,14 +171,15 @@
         }
     }
 
-    /// Frames to a peer may be lost: the voters agree anew on where they stand.
+    /// Makes the voters synchronise their logs again, as frames to a peer may have been lost.
     fn resynchronise(&mut self, peer: &str) {
         if let Some(voter) = &mut self.voter {
             voter.resynchronise(peer);
         }
     }
 
-    /// The router to ask for a lease: the leader, or one after the other of those who may know it.
+    /// The router to ask for a lease: the leader, if it is known and answers, or else each of the routers
+    /// that may know it in turn.
     fn lease_request_target(&self) -> Option<String> {
         if self.leads() {
             return Some(self.me.name.clone());
@@ -208,10 +214,10 @@
 
     fn bootstrap_fleet(&mut self, now: Duration, out: &mut Vec<Output>) {
         let Some(bootstrap) = &mut self.bootstrap else { return };
-        if now < bootstrap.next || !self.durable_file.is_healthy() {
+        if now < bootstrap.next_announcement_at || !self.durable_file.is_healthy() {
             return;
         }
-        bootstrap.next = now + timing::BOOTSTRAP_INTERVAL;
+        bootstrap.next_announcement_at = now + timing::BOOTSTRAP_INTERVAL;
         let unix_s = (self.unix_time_at_zero + now).as_secs();
         if let Some(configuration) = bootstrap.first_configuration(now, &self.me, &self.config.policy, unix_s)
         {
@@ -226,7 +232,7 @@
     fn enter_first_configuration(
         &mut self, now: Duration, configuration: Configuration, out: &mut Vec<Output>,
     ) {
-        self.enter(now, configuration.clone(), out);
+        self.enter_configuration(now, configuration.clone(), out);
         if !self.durable_file.is_healthy() {
             return;
         }
@@ -241,7 +247,7 @@
         if now < self.timers.next_tick {
             return;
         }
-        // A process that did not run does not make up for the ticks that it missed.
+        // Ticks that were missed while the process did not run are not made up for.
         self.timers.next_tick = now + timing::TICK;
         if let (Some(voter), true) = (&mut self.voter, self.durable_file.is_healthy()) {
             voter.tick();
@@ -262,7 +268,7 @@
         }
     }
 
-    /// Gives its lease back, so that no change waits for it, and does nothing more.
+    /// Releases the lease, so that no change waits for this router, and ignores all further input.
     fn stop(&mut self, now: Duration, out: &mut Vec<Output>) {
         let request = self.lease_holder.release();
         self.publish();
@@ -277,7 +283,7 @@
     fn handle_input(&mut self, now: Duration, input: Input<'_>, out: &mut Vec<Output>) {
         match input {
             Input::Datagram(_, _, bytes) => {
-                if let Some(frame) = self.transport.datagram(now, bytes, out) {
+                if let Some(frame) = self.transport.decode_datagram(now, bytes, out) {
                     self.receive(now, frame, out);
                 }
             }
--- a/crates/consensus/src/consensus/leading.rs
+++ b/crates/consensus/src/consensus/leading.rs
@@ -1,4 +1,5 @@
-//! Progress after each input: state is persisted first, then messages are sent, then the leader's duties are done.
+//! What follows each input: state is persisted first, then messages are sent, then the leader's duties are
+//! carried out.
 
 use super::Consensus;
 use crate::configuration::Configuration;
@@ -8,11 +9,13 @@
 use slipreel_state_machine::Output;
 use std::time::Duration;
 
-/// Steps of [`Consensus::progress`] for one input; each follows from the one before, and a few are enough.
+/// The most steps of [`Consensus::progress`] for one input. Each is a consequence of the one before; a few
+/// are enough.
 const MAX_STEPS_PER_INPUT: usize = 16;
 
 impl Consensus {
-    /// Persists, applies, sends and leads until nothing more follows from the input.
+    /// Persists, applies, sends and leads until the input has no further consequences. Then requests a lease,
+    /// if a request is due.
     pub(super) fn progress(&mut self, now: Duration, out: &mut Vec<Output>) {
         for _ in 0..MAX_STEPS_PER_INPUT {
             if !self.progress_once(now, out) {
@@ -23,12 +26,13 @@
             self.request_lease(now, out);
             // A leader grants its own request as soon as it is confirmed.
             if self.durable_file.is_healthy() {
-                self.lead(now, out);
+                self.carry_out_leader_duties(now, out);
             }
         }
     }
 
-    /// One step: writes what is to be stored, applies what is decided, sends messages, leads. Whether another step may follow from it.
+    /// One step: writes unwritten state, applies decided entries, sends messages, and carries out the
+    /// leader's duties. Returns whether another step may be needed.
     fn progress_once(&mut self, now: Duration, out: &mut Vec<Output>) -> bool {
         if !self.persist(now, out) {
             return false;
@@ -43,14 +47,14 @@
             self.enter_next_configuration(now, next, out);
             return true;
         }
-        self.lead(now, out) || applied.entries > 0
+        self.carry_out_leader_duties(now, out) || applied.entries > 0
     }
 
-    /// Enters the configuration that follows the present one, and sends it to the voters that join. The others apply the same entry by
-    /// themselves, or ask.
+    /// Enters the configuration that follows the current one, and sends it to the voters that join. The other
+    /// voters apply the same entry themselves, or request the configuration.
     fn enter_next_configuration(&mut self, now: Duration, next: Configuration, out: &mut Vec<Output>) {
         let old = self.voter.as_ref().map(|voter| voter.configuration.voters.clone()).unwrap_or_default();
-        self.enter(now, next.clone(), out);
+        self.enter_configuration(now, next.clone(), out);
         for voter in next.voters.iter().filter(|voter| !old.contains(voter)) {
             if voter.name != self.me.name {
                 self.send(now, &voter.name, Body::Configuration(next.clone()), out);
@@ -58,8 +62,9 @@
         }
     }
 
-    /// What a leader does. Whether it appended to the log.
-    fn lead(&mut self, now: Duration, out: &mut Vec<Output>) -> bool {
+    /// Carries out the duties of the leader, if this router leads. Returns whether it appended an entry to
+    /// the log.
+    fn carry_out_leader_duties(&mut self, now: Duration, out: &mut Vec<Output>) -> bool {
         let Some(voter) = &mut self.voter else { return false };
         if !self.leadership.sync_term(now, voter) {
             if !voter.leads() {
@@ -67,10 +72,11 @@
             }
             return false;
         }
-        let changed_grants = self.leadership.changed_grants(now, voter);
+        let announcement_grants = self.leadership.announcement_grants(now, voter);
         let action = self.leadership.next_action(now, voter);
-        let begins = action.is_none() && self.leadership.begin_round(voter);
-        let heartbeat = if begins { voter.begin_heartbeat_round(now) } else { voter.resend_heartbeat(now) };
+        let begins_round = action.is_none() && self.leadership.begin_round(voter);
+        let heartbeat =
+            if begins_round { voter.begin_heartbeat_round(now) } else { voter.resend_heartbeat(now) };
         let appended = action.is_some();
         match action {
             Some(LeaderAction::Append(entry)) => voter.append(entry),
@@ -79,7 +85,7 @@
         }
         let confirmed = voter.finish_confirmed_round();
         let names: Vec<String> = voter.configuration.voters.iter().map(|voter| voter.name.clone()).collect();
-        self.send_grants(now, changed_grants, out);
+        self.send_grants(now, announcement_grants, out);
         if let Some(heartbeat) = heartbeat {
             self.send_heartbeat(now, &names, heartbeat, out);
         }
@@ -99,7 +105,7 @@
         }
     }
 
-    /// A majority has confirmed that this router leads: it grants the leases that were asked for before.
+    /// Answers the lease requests that waited for a majority to confirm that this router leads.
     pub(super) fn grant_confirmed(&mut self, now: Duration, out: &mut Vec<Output>) {
         if let Some(voter) = &self.voter {
             let grants = self.leadership.round_confirmed(now, voter);
--- a/crates/consensus/src/consensus/operators.rs
+++ b/crates/consensus/src/consensus/operators.rs
@@ -1,4 +1,4 @@
-//! Operators' requests on their way to the leader.
+//! Forwards operators' requests to the leader.
 
 use super::Consensus;
 use crate::timing;
@@ -6,7 +6,7 @@
 use slipreel_state_machine::Output;
 use std::time::Duration;
 
-/// An operator's request that the leader is not known to have taken yet.
+/// An operator's request that the leader is not yet known to have accepted.
 pub(super) struct PendingRequest {
     request: OperatorRequest,
     received_at: Duration,
@@ -25,7 +25,7 @@
 }
 
 impl Consensus {
-    /// Sends operators' requests to the leader until they are known to be under way or to have a result.
+    /// Sends each operator's request to the leader until it expires or is known to be pending or completed.
     pub(super) fn forward_operator_requests(&mut self, now: Duration, out: &mut Vec<Output>) {
         for request in self.publisher.take_requests() {
             self.operator_requests.push(PendingRequest { request, received_at: now, sent_at: None });
@@ -44,7 +44,7 @@
         self.operator_requests = requests;
     }
 
-    /// Whether the leader is known to have taken a request.
+    /// Whether the leader is known to have accepted a proposal, or to have replaced a voter as requested.
     fn is_done(&self, request: &OperatorRequest) -> bool {
         match request {
             OperatorRequest::Propose(proposal) => self.knows_proposal(&proposal.id),
--- a/crates/consensus/src/consensus/receive.rs
+++ b/crates/consensus/src/consensus/receive.rs
@@ -19,7 +19,7 @@
         }
         match body {
             Body::Vote { configuration, message } => {
-                self.receive_vote(now, &from, configuration, message, out);
+                self.receive_library_message(now, &from, configuration, message, out);
             }
             Body::Heartbeat(heartbeat) => self.receive_heartbeat(now, &from, heartbeat, out),
             Body::HeartbeatAck { term, round } => {
@@ -54,7 +54,7 @@
         }
     }
 
-    fn receive_vote(
+    fn receive_library_message(
         &mut self, now: Duration, from: &Peer, number: u32, message: Message<Entry>, out: &mut Vec<Output>,
     ) {
         if !self.durable_file.is_healthy() {
@@ -71,10 +71,10 @@
         }
     }
 
-    /// A leader asks the voters whether it still leads.
+    /// Handles the heartbeat of a leader, which asks the voters to confirm that it still leads.
     fn receive_heartbeat(&mut self, now: Duration, from: &Peer, heartbeat: Heartbeat, out: &mut Vec<Output>) {
         let confirms = self.durable_file.is_healthy()
-            && self.voter.as_mut().is_some_and(|voter| voter.acknowledges(now, &heartbeat));
+            && self.voter.as_mut().is_some_and(|voter| voter.handle_heartbeat(now, &heartbeat));
         if confirms {
             self.send(
                 now,
@@ -91,7 +91,7 @@
         if self.leads() {
             return self.leadership.record_request(now, from, None, request);
         }
-        // The router may not reach the leader itself: the request is forwarded.
+        // The sender may be unable to reach the leader, so the request is forwarded.
         let leader = self.voter.as_ref().and_then(Voter::leader).or(self.lease_holder.leader());
         let leader = leader.map(str::to_owned).filter(|leader| *leader != self.me.name);
         if let Some(leader) = leader.filter(|leader| *leader != from.name) {
@@ -118,27 +118,28 @@
 
     fn receive_configuration(&mut self, now: Duration, configuration: Configuration, out: &mut Vec<Output>) {
         let own_number = self.configuration_number();
-        let votes = configuration.voters.contains(&identity_of(&self.me));
-        let concerns = votes || own_number > 0;
+        let is_voter = configuration.voters.contains(&identity_of(&self.me));
+        let is_relevant = is_voter || own_number > 0;
         let can_store = self.durable_file.is_healthy() && self.me.disk != 0;
-        if configuration.number > own_number && concerns && can_store {
-            self.enter(now, configuration, out);
+        if configuration.number > own_number && is_relevant && can_store {
+            self.enter_configuration(now, configuration, out);
         }
     }
 
-    /// Asks a peer that seems to know a later configuration than `known` for it.
+    /// Requests the current configuration from a peer that seems to know a later one than number `known`.
     fn request_configuration(&mut self, now: Duration, peer: &Peer, known: u32, out: &mut Vec<Output>) {
         if self.transport.may_exchange_configuration(now, &peer.name) {
             self.send(now, &peer.name, Body::ConfigurationRequest(known), out);
         }
     }
 
-    /// Sends the present configuration to a peer that knows only the one of number `known`, if it concerns that peer.
+    /// Sends the current configuration to a peer that knows only number `known`, if that peer is or was a
+    /// voter.
     fn send_configuration(&mut self, now: Duration, peer: &Peer, known: u32, out: &mut Vec<Output>) {
         let Some(configuration) = self.voter.as_ref().map(|voter| &voter.configuration) else { return };
-        // A peer that voted before and does not vote any more must learn that, too.
-        let concerns = configuration.voters.contains(&identity_of(peer)) || known > 0;
-        if configuration.number > known && concerns && self.durable_file.is_healthy() {
+        // A peer that was a voter and no longer is must learn that, too.
+        let is_relevant = configuration.voters.contains(&identity_of(peer)) || known > 0;
+        if configuration.number > known && is_relevant && self.durable_file.is_healthy() {
             let configuration = configuration.clone();
             if self.transport.may_exchange_configuration(now, &peer.name) {
                 self.send(now, &peer.name, Body::Configuration(configuration), out);
--- a/crates/consensus/src/consensus/status.rs
+++ b/crates/consensus/src/consensus/status.rs
@@ -1,4 +1,4 @@
-//! Publishing to the rest of the process: the permit, and the status for operators.
+//! Publishes the permit, and the status for operators, to the rest of the process.
 
 use super::Consensus;
 use crate::handle::{PendingChange, Permit, PolicyHandle, RouterStatus};
@@ -9,7 +9,8 @@
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-/// The parts of a status by which a change of it is noticed: the status as a whole holds long histories.
+/// The parts of a status that are compared to detect a change. The whole status is not compared, as it holds
+/// long histories.
 #[derive(PartialEq, Eq)]
 struct StatusFingerprint {
     configuration: u32,
@@ -21,7 +22,7 @@
     outcomes: usize,
 }
 
-/// How changes ended, as far as this router remembers.
+/// The outcomes of changes and the earlier policies that this router has kept.
 struct History {
     outcomes: Vec<ProposalOutcome>,
     forgotten: u64,
@@ -40,7 +41,7 @@
         StatusPublisher { handle, published_status: None, published_lease: None }
     }
 
-    /// Requests that operators have made since the last call.
+    /// Takes the requests that operators have submitted since the last call.
     pub(super) fn take_requests(&self) -> VecDeque<OperatorRequest> {
         self.handle.take_requests()
     }
@@ -112,9 +113,9 @@
         }
     }
 
-    /// Why this router does not act by the epoch in force, or does not vote.
+    /// Why this router does not apply the policy in force, or does not vote.
     fn faults(&self) -> Vec<String> {
-        let mut faults: Vec<String> = self.log_refused.iter().cloned().collect();
+        let mut faults: Vec<String> = self.stored_log_error.iter().cloned().collect();
         if let Some(why) = self.durable_file.error() {
             faults.push(format!("does not vote: the folder can't be written: {why}"));
         }
@@ -166,7 +167,8 @@
         Some(PendingChange { id, waits_for: Vec::new() })
     }
 
-    /// Whether a voter knows all that its leader has reported: one that has just started may lack what the others have decided since.
+    /// Whether a voter has applied everything up to the version that its leader reported. One that has just
+    /// started may lack entries that the others have decided since.
     fn has_caught_up(&self, voter: &Voter) -> bool {
         self.lease_holder.leader().is_some() && self.lease_holder.version() <= voter.version()
     }
--- a/crates/consensus/src/disk.rs
+++ b/crates/consensus/src/disk.rs
@@ -1,4 +1,4 @@
-//! The durable file of a voter: the interface to the disk, and what happens while it can't be written.
+//! The durable file of a voter: the interface to the disk, and the handling of failed writes.
 
 use crate::configuration::Configuration;
 use crate::storage::VoterStorage;
@@ -7,17 +7,19 @@
 use std::io;
 use std::time::Duration;
 
-/// Where a voter keeps what it must not forget. A call that returns without an error has been carried out for good.
+/// The durable storage of a voter. A call that returns without an error has been carried out.
 pub trait Disk: Send {
-    /// Appends to the file. `sync`: the bytes must outlast a crash from now on.
+    /// Appends to the file. `sync`: the bytes must survive a crash once the call has returned; otherwise a
+    /// crash may lose them.
     ///
     /// # Errors
-    /// Why it could not; the content of the file is unknown then, and [`Disk::replace`] comes next.
+    /// Why the bytes could not be written. The content of the file is then unknown, and the caller calls
+    /// [`Disk::replace`] next.
     fn append(&mut self, bytes: &[u8], sync: bool) -> io::Result<()>;
     /// Replaces the whole file atomically: a crash leaves either the old or the new content.
     ///
     /// # Errors
-    /// Why it could not.
+    /// Why the file could not be replaced.
     fn replace(&mut self, bytes: &[u8]) -> io::Result<()>;
 }
 
@@ -27,19 +29,20 @@
     error: io::Error,
 }
 
-/// What came of writing the storage's new content.
+/// The result of [`DurableFile::persist`].
 pub(crate) enum Persisted {
-    /// All of it is on the disk.
-    Yes,
-    /// All of it is on the disk again, after writes that failed.
+    /// All state is on the disk.
+    Written,
+    /// All state is on the disk again, after writes that failed.
     Recovered,
-    /// The write failed now.
+    /// This write failed.
     Failed,
-    /// An earlier write failed, and it is not time to try again or it failed again.
+    /// An earlier write failed, and the next attempt is not due yet or has failed as well.
     StillFailing,
 }
 
-/// The file of this router as a voter. While it can't be written the router must send nothing that rests on its votes.
+/// The file that holds this router's state as a voter. While it can't be written, the router must send
+/// nothing that depends on that state.
 pub(crate) struct DurableFile {
     disk: Box<dyn Disk>,
     failure: Option<WriteFailure>,
@@ -50,7 +53,7 @@
         DurableFile { disk, failure: None }
     }
 
-    /// Whether all that the voter has stored is on the disk, as far as is known.
+    /// Whether the last write succeeded.
     pub(crate) fn is_healthy(&self) -> bool {
         self.failure.is_none()
     }
@@ -60,18 +63,19 @@
         self.failure.as_ref().map(|failure| &failure.error)
     }
 
-    /// Writes the whole file, with what was stored in memory alone until now.
+    /// Writes the whole file, including state that has only been in memory until now.
     pub(crate) fn rewrite(&mut self, now: Duration, disk_id: u64, voter: Option<&Voter>) {
         let empty = VoterStorage::default();
         let (storage, configuration): (&VoterStorage, Option<&Configuration>) = match voter {
             Some(voter) => (voter.storage(), Some(&voter.configuration)),
             None => (&empty, None),
         };
-        let file = storage.file(disk_id, configuration);
+        let file = storage.compacted_file(disk_id, configuration);
         self.failure = self.disk.replace(&file).err().map(|error| WriteFailure { at: now, error });
     }
 
-    /// Writes what was stored since the last call.
+    /// Writes the state that was recorded since the last call. After a failed write, rewrites the whole file
+    /// once the next attempt is due.
     pub(crate) fn persist(&mut self, now: Duration, disk_id: u64, voter: Option<&Voter>) -> Persisted {
         if let Some(failure) = &self.failure {
             if now < failure.at + timing::DISK_RETRY_INTERVAL {
@@ -81,10 +85,10 @@
             return if self.is_healthy() { Persisted::Recovered } else { Persisted::StillFailing };
         }
         let Some(unwritten) = voter.and_then(|voter| voter.storage().take_unwritten()) else {
-            return Persisted::Yes;
+            return Persisted::Written;
         };
         match self.disk.append(&unwritten.bytes, unwritten.must_sync) {
-            Ok(()) => Persisted::Yes,
+            Ok(()) => Persisted::Written,
             Err(error) => {
                 self.failure = Some(WriteFailure { at: now, error });
                 Persisted::Failed
--- a/crates/consensus/src/handle.rs
+++ b/crates/consensus/src/handle.rs
@@ -1,5 +1,5 @@
-//! The interface between the consensus machine and the rest of the process: the permit to take requests, the status for operators, and their
-//! requests.
+//! The interface between the consensus machine and the rest of the process: the permit to take requests, the
+//! status for operators, and their requests.
 
 use crate::lease_holder::CompiledPolicy;
 use crate::policy_state::{EarlierPolicy, Proposal, ProposalOutcome, Rejection};
@@ -15,14 +15,14 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum PartitionMode {
-    /// It takes no requests, so that two policies are never in force at once.
+    /// It accepts no requests, so that two policies are never in force at once.
     #[default]
     Refuse,
-    /// It goes on by the last epoch that it knew, and learns of a change when the partition is over.
+    /// It continues under the last epoch that it knew, and learns of a change when the partition is over.
     Serve,
 }
 
-/// The permit by which a router takes requests.
+/// The permit under which a router accepts requests.
 #[derive(Clone, Default)]
 pub struct Permit {
     /// The epoch; 0: none is known yet.
@@ -31,24 +31,25 @@
     pub until: Duration,
     /// Its compiled policy.
     pub policy: Option<CompiledPolicy>,
-    /// What holds after the lease has ended.
+    /// What the router does after the lease has ended.
     pub partition_mode: PartitionMode,
 }
 
 impl Permit {
-    /// Whether a request may be taken by this epoch at `now`.
+    /// Whether a request may be accepted under this epoch at `now`.
     pub fn holds(&self, now: Duration) -> bool {
         self.policy.is_some() && (now < self.until || self.partition_mode == PartitionMode::Serve)
     }
 }
 
-/// A change under way.
+/// A pending change.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PendingChange {
     /// The id of the proposal.
     pub id: String,
-    /// The routers that have not prepared it yet, as operators are shown them; `(leases of the last leader)` while these may be
-    /// valid, and none where the change is known from the log alone.
+    /// The routers that have not prepared it yet, as operators see them. While leases of an earlier leader
+    /// may be valid, `(leases of the last leader)` is listed too. Empty if the change is known only from the
+    /// log.
     pub waits_for: Vec<String>,
 }
 
@@ -57,13 +58,13 @@
 pub struct RouterStatus {
     /// The name of the router.
     pub name: String,
-    /// The epoch by which it acts; 0: none yet.
+    /// The epoch whose policy it applies; 0: none yet.
     pub epoch: u64,
     /// The digest of its policy.
     pub digest: u64,
     /// Its policy.
     pub text: String,
-    /// The change under way.
+    /// The pending change.
     pub pending: Option<PendingChange>,
     /// The name of the leader, as far as this router knows.
     pub leader: Option<String>,
@@ -73,15 +74,16 @@
     pub votes: bool,
     /// The outcomes of changes, the oldest first: all that are kept if it votes, the last few if not.
     pub outcomes: Vec<ProposalOutcome>,
-    /// How many outcomes were dropped because there were too many.
+    /// How many of the oldest outcomes were discarded because there were too many.
     pub forgotten: u64,
     /// The policies of earlier epochs that can be restored, the oldest first; empty if it does not vote.
     pub earlier_policies: Vec<EarlierPolicy>,
-    /// Why it does not act by the epoch in force, or does not vote.
+    /// Why it does not apply the policy in force, or does not vote.
     pub faults: Vec<String>,
 }
 
-/// The handle that the machine and the rest of the process share. Reading the permit and the status never blocks.
+/// The handle that the machine and the rest of the process share. Reading the permit and the status never
+/// blocks.
 #[derive(Default)]
 pub struct PolicyHandle {
     epoch: AtomicU64,
@@ -97,7 +99,7 @@
 }
 
 impl PolicyHandle {
-    /// The present permit.
+    /// The current permit.
     pub fn permit(&self) -> Arc<Permit> {
         self.permit.load_full()
     }
@@ -107,12 +109,13 @@
         self.epoch.load(Ordering::Acquire)
     }
 
-    /// The present status.
+    /// The current status.
     pub fn status(&self) -> Arc<RouterStatus> {
         self.status.load_full()
     }
 
-    /// Queues an operator's request for the machine. False: too many wait, or it is too long.
+    /// Queues an operator's request for the machine. Returns false if too many are waiting or the request is
+    /// too long.
     pub fn submit(&self, request: OperatorRequest) -> bool {
         let mut requests = self.requests.lock().unwrap_or_else(PoisonError::into_inner);
         let known = requests.iter().any(|queued| queued.deduplication_key() == request.deduplication_key());
@@ -130,7 +133,7 @@
         std::mem::take(&mut *self.requests.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
-    /// Sets the permit. The machine calls it, and so do tests that simulate a router.
+    /// Sets the permit. Called by the machine, and by tests that simulate a router.
     pub fn set_permit(&self, permit: Permit) {
         let epoch = permit.epoch;
         self.permit.store(Arc::new(permit));
@@ -142,21 +145,21 @@
     }
 }
 
-/// How a proposal stands, as this router knows.
+/// The status of a proposal, as far as this router knows.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ProposalStatus {
     /// It is, or was, in force as this epoch.
     InForce(u64),
-    /// It never will be.
+    /// It was not put in force, and never will be.
     Dropped(ProposalOutcome),
-    /// It is under way.
+    /// It is pending, and waits for these routers.
     Pending(Vec<String>),
-    /// This router can't tell.
+    /// This router does not know the proposal or its outcome.
     Unknown,
 }
 
 impl RouterStatus {
-    /// How a proposal stands.
+    /// The status of a proposal.
     pub fn proposal_status(&self, id: &str) -> ProposalStatus {
         if let Some(outcome) = self.outcomes.iter().rev().find(|outcome| outcome.id == id) {
             return match outcome.epoch {
@@ -170,13 +173,13 @@
         }
     }
 
-    /// The text that `policy status --json` prints. `holds`: requests are taken now.
-    pub fn status_json(&self, holds: bool) -> serde_json::Value {
+    /// The JSON that `policy status --json` prints. `serving`: whether requests are accepted now.
+    pub fn status_json(&self, serving: bool) -> serde_json::Value {
         serde_json::json!({
             "name": self.name,
             "epoch": self.epoch,
             "digest": format!("{:016x}", self.digest),
-            "serving": holds,
+            "serving": serving,
             "pending": self.pending.as_ref().map(|change| serde_json::json!({
                 "id": change.id, "epoch": self.epoch + 1, "waits_for": change.waits_for})),
             "leader": self.leader,
@@ -186,13 +189,13 @@
         })
     }
 
-    /// The text that `policy history --json` prints.
+    /// The JSON that `policy history --json` prints.
     pub fn history_json(&self) -> serde_json::Value {
         let outcomes: Vec<serde_json::Value> = self.outcomes.iter().map(outcome_json).collect();
         serde_json::json!({"outcomes": outcomes, "forgotten": self.forgotten, "whole": self.votes})
     }
 
-    /// The text that `policy status ID --json` prints.
+    /// The JSON that `policy status ID --json` prints.
     pub fn proposal_json(&self, id: &str) -> serde_json::Value {
         match self.proposal_status(id) {
             ProposalStatus::InForce(epoch) => {
@@ -206,7 +209,8 @@
         }
     }
 
-    /// A proposal that restores the policy of an epoch; `None`: that policy is not kept here. `unix_s`: the wall clock, seconds since 1970.
+    /// A proposal that restores the policy of an epoch; `None`: that policy is not kept here. `unix_s`: the
+    /// wall clock, seconds since 1970.
     pub fn rollback_proposal(&self, epoch: u64, id: String, unix_s: u64) -> Option<Proposal> {
         let text = if epoch == self.epoch {
             self.text.clone()
--- a/crates/consensus/src/leadership.rs
+++ b/crates/consensus/src/leadership.rs
@@ -1,8 +1,9 @@
-//! The duties of a leader: granting leases, and deciding changes.
+//! The duties of a leader: granting leases and deciding changes.
 //!
-//! A leader grants a lease only after a majority of the voters has confirmed that it led when the request had arrived. It puts a change in force
-//! when every router that may still act by the old epoch has prepared the new policy and holds no more than a short lease. It can't know which
-//! leases an earlier leader granted: it waits as long as the longest of them lasts.
+//! A leader grants a lease only after a majority of the voters has confirmed that it still led after the
+//! request had arrived. It puts a change in force when every router that may still apply the policy of the
+//! old epoch has prepared the new one and holds no more than a short lease. It can't know which leases an
+//! earlier leader granted, so it waits as long as the longest of them lasts.
 
 use crate::policy_state::{Decision, Entry, PolicyState, Proposal, Rejection};
 use crate::reconfiguration::{self, LiveRouter, VoterReplacement};
@@ -13,17 +14,17 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Routers that may hold a lease; requests of further ones are ignored.
+/// The most routers that may hold a lease; requests of further ones are ignored.
 const MAX_HOLDERS: usize = 4_096;
-/// Routers that are named among those for which a change waits.
-const MAX_NAMED_ROUTERS: usize = timing::RECENT_OUTCOMES;
+/// The most routers that are named as those for which a change waits.
+const MAX_NAMED_ROUTERS: usize = timing::MAX_RECENT_OUTCOMES;
 
 /// What the leader knows of a router that holds or requests leases.
 struct HolderRecord {
-    /// Since when it has held leases without a gap.
+    /// Since when it has held leases without interruption.
     held_since: Duration,
     last_request_at: Duration,
-    /// Until when it may hold one, on the leader's clock.
+    /// Until when it may hold a lease, on the leader's clock.
     until: Duration,
     /// Its last request.
     request: LeaseRequest,
@@ -50,8 +51,8 @@
         has_prepared(&self.request, id) && self.last_long_grant < self.request.short_leases_since
     }
 
-    /// The lease that it may be granted. While a change is under way no long lease is granted, and a short one only to a router that has
-    /// prepared the change.
+    /// The lease that it may be granted. While a change is pending, no long lease is granted, and a short one
+    /// only to a router that has prepared the change.
     fn permitted_lease(&self, pending: Option<&Proposal>) -> Duration {
         match pending {
             None => timing::LEASE,
@@ -60,7 +61,7 @@
         }
     }
 
-    /// Records that its last request is granted this lease; zero: none.
+    /// Records that its last request is granted a lease of this duration; zero: none is granted.
     fn record_grant(&mut self, now: Duration, lease: Duration) {
         if !lease.is_zero() {
             self.until = self.until.max(now + timing::with_clock_drift(lease));
@@ -70,7 +71,7 @@
         }
     }
 
-    /// Whether it knows the text of a change that it was told to prepare.
+    /// Whether it has answered the prepare request of this change, and so knows the text.
     fn knows_change(&self, id: &str) -> bool {
         self.request.prepare_response.as_ref().is_some_and(|response| response.id == id)
     }
@@ -79,11 +80,11 @@
 /// Routers whose requests wait for a majority to confirm that this leader leads.
 type WaitingRouters = BTreeSet<Peer>;
 
-/// What all routers are told at once when it changes: the epoch, and the change under way.
+/// What is announced to all routers at once when it changes: the epoch and the pending change.
 #[derive(Default, PartialEq, Eq)]
 struct Announcement {
     epoch: u64,
-    /// The change under way, once it can be decided.
+    /// The id of the pending change, once it can be decided.
     pending_id: Option<String>,
 }
 
@@ -97,21 +98,21 @@
 #[derive(Default)]
 pub struct Leadership {
     term: Term,
-    /// Since when it has led with all its entries decided.
+    /// Since when all entries that the leader found in its log have been decided.
     leading_since: Option<Duration>,
     holders: BTreeMap<Peer, HolderRecord>,
     waiting: WaitingRouters,
-    /// Routers whose requests the present round of heartbeats confirms.
+    /// Routers whose requests the current round of heartbeats will confirm.
     confirming: WaitingRouters,
     requests: Vec<OperatorRequest>,
-    /// The change whose decision is appended and not yet decided by a majority.
+    /// The id of the change whose decision is in the log but not yet decided by a majority.
     deciding: Option<String>,
     waiting_change: Option<WaitingChange>,
     reconfigured_at: Duration,
     /// What the last grants announced to all routers.
     announced: Announcement,
-    /// How many entries were applied at that time.
-    announced_at: usize,
+    /// The number of applied entries at the time of that announcement.
+    applied_when_announced: usize,
 }
 
 /// A grant, and where it is sent.
@@ -125,17 +126,18 @@
     pub grant: Grant,
 }
 
-/// What a leader asks of the voters.
+/// What a leader replicates to the voters.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LeaderAction {
     /// Appends this entry to the log.
     Append(Entry),
-    /// Ends the configuration in favour of one with these voters.
+    /// Ends the configuration; the next one has these voters.
     Reconfigure(Vec<VoterIdentity>),
 }
 
 impl Leadership {
-    /// Starts afresh if another term has begun. Whether this voter leads with all its entries decided.
+    /// Resets the state if another term has begun. Returns whether this voter leads and the entries that it
+    /// found in its log are decided.
     pub fn sync_term(&mut self, now: Duration, voter: &Voter) -> bool {
         let leads = voter.leads();
         if !leads || voter.term() != self.term {
@@ -143,9 +145,9 @@
             *self =
                 Leadership { term: voter.term(), requests, reconfigured_at: now, ..Leadership::default() };
         }
-        if leads && self.leading_since.is_none() && voter.is_settled() {
+        if leads && self.leading_since.is_none() && voter.all_entries_decided() {
             self.leading_since = Some(now);
-            (self.announced, self.announced_at) =
+            (self.announced, self.applied_when_announced) =
                 (self.announcement(now, voter.policy_state()), voter.applied());
         }
         leads && self.leading_since.is_some()
@@ -160,10 +162,10 @@
         }
         let holder = self.holders.entry(from.clone()).or_insert_with(|| HolderRecord::new(now));
         if request.nonce <= holder.request.nonce {
-            return; // It was overtaken by a newer one.
+            return; // A newer request has overtaken this one.
         }
         if request.released {
-            // It has given up its lease, and ignores grants that are still on their way.
+            // The router has given up its lease, and ignores grants that are still in flight.
             holder.until = now;
             holder.last_request_at = now;
             holder.request = request;
@@ -175,7 +177,8 @@
             holder.held_since = now;
         }
         if holder.last_long_grant < request.short_leases_since {
-            // It gave up its earlier leases with this request, and no long one was granted since.
+            // The router gave up its earlier leases with request `short_leases_since`, and no long one was
+            // granted after that.
             holder.until = now + timing::with_clock_drift(timing::SHORT_LEASE);
         }
         holder.last_request_at = now;
@@ -184,7 +187,7 @@
         self.waiting.insert(from);
     }
 
-    /// Whether a round of heartbeats is to begin; it then confirms the requests that wait.
+    /// Returns whether a round of heartbeats must begin. If so, that round will confirm the waiting requests.
     pub fn begin_round(&mut self, voter: &Voter) -> bool {
         if self.deciding.is_some()
             || voter.is_ending()
@@ -197,11 +200,13 @@
         true
     }
 
-    /// A majority has confirmed the round: the grants for the requests that it confirms.
+    /// The grants for the requests that a round confirms, once a majority has confirmed the round.
     pub fn round_confirmed(&mut self, now: Duration, voter: &Voter) -> Vec<AddressedGrant> {
         if self.deciding.is_some() || voter.is_ending() {
-            // The decision under way may end the epoch at any moment, so these requests are answered after it. When the configuration ends,
-            // the next one's leader relies on it that no lease is granted here any more: their majorities need not share a voter.
+            // The decision that is being replicated may end the epoch at any moment, so these requests are
+            // answered after it. When the configuration is ending, the leader of the next one relies on no
+            // lease being granted in this one any more, since the majorities of the two need not share a
+            // voter.
             let confirming = std::mem::take(&mut self.confirming);
             self.waiting.extend(confirming);
             return Vec::new();
@@ -210,8 +215,8 @@
         self.grants(now, &confirmed, voter, true)
     }
 
-    /// Grants for the last requests of these routers. `confirmed`: a majority has confirmed since that this leader leads; otherwise no lease is
-    /// granted.
+    /// Grants for the last requests of these routers. `confirmed`: a majority has confirmed, after those
+    /// requests arrived, that this leader leads; otherwise no lease is granted.
     fn grants(&mut self, now: Duration, to: &[Peer], voter: &Voter, confirmed: bool) -> Vec<AddressedGrant> {
         let unprepared = self.unprepared_routers(now, voter.policy_state());
         to.iter().filter_map(|peer| self.grant(now, peer, voter, &unprepared, confirmed)).collect()
@@ -247,8 +252,9 @@
         Some(AddressedGrant { peer: peer.clone(), forwarder: holder.forwarder.clone(), grant })
     }
 
-    /// Grants that announce what was decided since the last call to all routers at once, as further answers to their last requests.
-    pub fn changed_grants(&mut self, now: Duration, voter: &Voter) -> Vec<AddressedGrant> {
+    /// Grants that announce a change of the epoch or of the pending change to all routers at once, as further
+    /// answers to their last requests.
+    pub fn announcement_grants(&mut self, now: Duration, voter: &Voter) -> Vec<AddressedGrant> {
         let policy_state = voter.policy_state();
         if self
             .deciding
@@ -261,9 +267,11 @@
         if self.leading_since.is_none() || self.deciding.is_some() || self.announced == announcement {
             return Vec::new();
         }
-        // Entries applied since were decided in this leader's term, by a majority, after those requests: that confirms them as a round does.
-        // Nothing confirms them if only time has passed, and then no lease is granted.
-        let confirmed = voter.applied() > std::mem::replace(&mut self.announced_at, voter.applied());
+        // Entries applied since the last announcement were decided in this leader's term, by a majority,
+        // after those requests arrived. That confirms the requests as a round of heartbeats does. If only
+        // time has passed, nothing confirms them, and no lease is granted.
+        let confirmed =
+            voter.applied() > std::mem::replace(&mut self.applied_when_announced, voter.applied());
         self.announced = announcement;
         let is_recent =
             |holder: &HolderRecord| now < holder.last_request_at + timing::LEASE && !holder.request.released;
@@ -272,7 +280,8 @@
         self.grants(now, &recent, voter, confirmed)
     }
 
-    /// The routers for which the change under way waits, as they may act by the old epoch for longer than a short lease.
+    /// The routers for which the pending change waits, as they may apply the policy of the old epoch for
+    /// longer than a short lease.
     fn unprepared_routers(&self, now: Duration, policy_state: &PolicyState) -> Vec<String> {
         let Some(pending) = &policy_state.pending else { return Vec::new() };
         let is_unprepared = |holder: &HolderRecord| now < holder.until && !holder.is_prepared(&pending.id);
@@ -285,7 +294,8 @@
         names
     }
 
-    /// The change under way, once it can be decided: no router is told of it, and no lease is shortened for it, before.
+    /// The pending change, once it can be decided. Before that, it is not sent to any router and no lease is
+    /// shortened for it.
     fn decidable_change<'a>(&self, now: Duration, policy_state: &'a PolicyState) -> Option<&'a Proposal> {
         policy_state.pending.as_ref().filter(|_| self.can_decide(now))
     }
@@ -300,7 +310,7 @@
         self.leading_since.is_some_and(|since| now >= since + timing::with_clock_drift(timing::LEASE))
     }
 
-    /// Queues an operator's request. False: too many wait.
+    /// Queues an operator's request. Returns false if too many are waiting.
     pub fn queue_request(&mut self, request: OperatorRequest) -> bool {
         let key = request.deduplication_key();
         if self.requests.iter().any(|queued| queued.deduplication_key() == key) {
@@ -315,12 +325,15 @@
 
     /// The next action of the leader, if there is one.
     pub fn next_action(&mut self, now: Duration, voter: &Voter) -> Option<LeaderAction> {
-        if self.leading_since.is_none() || self.deciding.is_some() || voter.is_ending() || !voter.is_settled()
+        if self.leading_since.is_none()
+            || self.deciding.is_some()
+            || voter.is_ending()
+            || !voter.all_entries_decided()
         {
             return None;
         }
         self.holders
-            .retain(|_, holder| now < holder.until.max(holder.last_request_at + timing::HOLDER_EXPIRY));
+            .retain(|_, holder| now < holder.until.max(holder.last_request_at + timing::LEASE_HOLDER_EXPIRY));
         let policy_state = voter.policy_state();
         if let Some(pending) = &policy_state.pending {
             let action = self.decide_pending(now, policy_state, pending)?;
@@ -345,7 +358,7 @@
         }
     }
 
-    /// Decides the change under way, if it can be decided now.
+    /// Decides the pending change, if it can be decided now.
     fn decide_pending(
         &mut self, now: Duration, policy_state: &PolicyState, pending: &Proposal,
     ) -> Option<LeaderAction> {
@@ -360,15 +373,15 @@
         if unprepared.is_empty() {
             return decide(Decision::InForce);
         }
-        if now < self.waiting_since(now, &pending.id) + timing::CHANGE_DEADLINE {
+        if now < self.waiting_since(now, &pending.id) + timing::CHANGE_TIMEOUT {
             return None;
         }
-        let reason = format!("has not tried it within {} s", timing::CHANGE_DEADLINE.as_secs());
+        let reason = format!("has not prepared it within {} s", timing::CHANGE_TIMEOUT.as_secs());
         let overdue = |router: String| Rejection { router, reason: reason.clone() };
         decide(Decision::Dropped(unprepared.into_iter().map(overdue).collect()))
     }
 
-    /// Since when a change has waited to be decided: from now on if it has not waited before.
+    /// Since when a change has waited to be decided. If it has not waited before, the wait begins now.
     fn waiting_since(&mut self, now: Duration, id: &str) -> Duration {
         match &self.waiting_change {
             Some(waiting) if waiting.id == id => waiting.since,
@@ -387,7 +400,7 @@
         let replacement = self.next_replacement();
         let voters = &voter.configuration.voters;
         let log_is_full = voter.applied() >= timing::MAX_LOG_ENTRIES;
-        // A configuration with the same voters begins a new log.
+        // If the log is full, a configuration with the same voters begins a new one.
         let next = reconfiguration::next_voters(voters, &live, replacement.as_ref())
             .or_else(|| log_is_full.then(|| voters.clone()))?;
         self.reconfigured_at = now;
@@ -414,7 +427,8 @@
         }
     }
 
-    /// When the change under way may have to be looked at next; never a time that has passed, which would be due again at once.
+    /// When the pending change must be checked again. Times that have passed are left out, as they would be
+    /// due again at once.
     pub fn next_due(&self, now: Duration, voter: &Voter) -> Option<Duration> {
         voter.policy_state().pending.as_ref()?;
         let earlier_leases_end = self.leading_since? + timing::with_clock_drift(timing::LEASE);
@@ -423,7 +437,7 @@
     }
 }
 
-/// Stands among the names for which a change waits while leases of an earlier leader may be valid.
+/// Listed among the routers for which a change waits while leases of an earlier leader may be valid.
 pub const PREVIOUS_LEADER_LEASES: &str = "(leases of the last leader)";
 
 fn has_prepared(request: &LeaseRequest, id: &str) -> bool {
@@ -431,7 +445,8 @@
     response.is_some_and(|response| response.id == id && response.rejection.is_none())
 }
 
-/// Whether a router needs the text of the policy in force: it acts by another one, and has not just prepared this one as a change.
+/// Whether a router needs the text of the policy in force: it applies another one, and has not just prepared
+/// this one as a change.
 fn lacks_policy(request: &LeaseRequest, policy_state: &PolicyState) -> bool {
     let last = policy_state.outcomes.back().filter(|outcome| outcome.epoch == Some(policy_state.epoch));
     let just_prepared = last.is_some_and(|outcome| has_prepared(request, &outcome.id));
--- a/crates/consensus/src/lease_holder.rs
+++ b/crates/consensus/src/lease_holder.rs
@@ -1,9 +1,10 @@
-//! The lease of one router: by which epoch it may take requests, and until when.
+//! The lease of one router: the epoch under which it may accept requests, and until when.
 //!
-//! A router requests leases from the leader. A granted lease counts from the moment at which the request was sent, on the router's own clock.
-//! Without a valid lease the router can't know whether its epoch still holds, and takes no requests by it. While a change is under way the
-//! router compiles the new policy, gives up its long lease for one of [`timing::SHORT_LEASE`], and reports both in one request: grants for
-//! earlier requests do not count any more.
+//! A router requests leases from the leader. A granted lease starts at the time at which the request was
+//! sent, on the router's own clock. Without a valid lease the router can't know whether its epoch is still in
+//! force, and accepts no requests under it. While a change is pending, the router compiles the new policy,
+//! replaces its long lease by one of [`timing::SHORT_LEASE`], and reports both in one request. Grants for
+//! earlier requests are ignored from then on.
 
 use crate::handle::PendingChange;
 use crate::policy_state::{digest, ProposalOutcome};
@@ -15,16 +16,16 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A compiled policy; the process that hosts the router knows its type.
+/// A compiled policy. Only the process that hosts the router knows its type.
 pub type CompiledPolicy = Arc<dyn Any + Send + Sync>;
 
-/// Why a router can't act by a policy. Its text is sent to the leader and shown to operators.
+/// Why a router can't apply a policy. The text is sent to the leader and shown to operators.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{0}")]
 pub struct InvalidPolicy(String);
 
 impl InvalidPolicy {
-    /// `reason`: place, value and what was expected.
+    /// `reason`: position, value and what was expected.
     pub fn new(reason: impl Into<String>) -> InvalidPolicy {
         InvalidPolicy(reason.into())
     }
@@ -48,18 +49,19 @@
     }
 }
 
-/// Requests without an answer after which the leader counts as silent.
+/// The most requests without an answer before the leader counts as silent.
 const MAX_UNANSWERED_REQUESTS: u64 = 2;
-/// Requests that are kept for answers to them; the oldest give way.
+/// The most requests that are kept to be matched with answers; the oldest are discarded.
 const MAX_OPEN_REQUESTS: usize = 256;
 
-/// The policy of the change under way.
+/// The policy of the pending change.
 struct PreparedPolicy {
     id: String,
     text: String,
     digest: u64,
     compiled: Result<CompiledPolicy, InvalidPolicy>,
-    /// The first request that reported it; `None`: none has yet. Grants for earlier requests do not count any more.
+    /// The number of the first request that reported it; `None`: none has yet. Grants for earlier requests
+    /// are ignored.
     first_reported: Option<u64>,
 }
 
@@ -74,15 +76,15 @@
     }
 }
 
-/// A request that an answer may still refer to. One is kept after its first answer, as the leader may answer it again when a
-/// change takes hold; the oldest give way at the bound.
+/// A request that a grant may still answer. It is kept after its first answer, as the leader may answer it
+/// again when a change comes into force; above the limit, the oldest requests are discarded.
 struct OpenRequest {
     nonce: u64,
-    /// A lease that is granted for it counts from this moment.
+    /// A lease that is granted for it starts at this time.
     sent_at: Duration,
 }
 
-/// The right to take requests by an epoch.
+/// The right to accept requests under an epoch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Lease {
     /// The epoch; 0: none is known yet.
@@ -91,7 +93,7 @@
     pub until: Duration,
 }
 
-/// The state machine by which a router requests leases and acts by the epoch that they are for.
+/// The state machine that requests a router's leases and applies the policy of the leased epoch.
 pub struct LeaseHolder {
     compiler: Box<dyn PolicyCompiler>,
     epoch: u64,
@@ -107,7 +109,7 @@
     pending_change: Option<PendingChange>,
     prepared: Option<PreparedPolicy>,
     open_requests: VecDeque<OpenRequest>,
-    nonce: u64,
+    last_nonce: u64,
     /// The number of the last request that was answered.
     last_answered: u64,
     next_request_at: Duration,
@@ -115,10 +117,10 @@
     policy_error: Option<InvalidPolicy>,
 }
 
-/// What a grant changed.
+/// The effects of a grant.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct GrantEffect {
-    /// The router acts by another epoch now.
+    /// The router has entered another epoch.
     pub epoch_changed: bool,
     /// A request is due at once.
     pub request_due: bool,
@@ -142,34 +144,34 @@
             pending_change: None,
             prepared: None,
             open_requests: VecDeque::new(),
-            nonce: 0,
+            last_nonce: 0,
             last_answered: 0,
             next_request_at: Duration::ZERO,
             policy_error: None,
         }
     }
 
-    /// The epoch by which it acts; 0: none yet.
+    /// The epoch whose policy the router applies; 0: none yet.
     pub fn epoch(&self) -> u64 {
         self.epoch
     }
 
-    /// The policy of that epoch.
+    /// The policy of the epoch that the router is in.
     pub fn text(&self) -> &str {
         &self.text
     }
 
-    /// The compiled policy of that epoch.
+    /// The compiled policy of the epoch that the router is in.
     pub fn policy(&self) -> Option<&CompiledPolicy> {
         self.policy.as_ref()
     }
 
-    /// When its lease on that epoch ends, on its own clock.
+    /// When the router's lease on its epoch ends, on its own clock.
     pub fn until(&self) -> Duration {
         self.until
     }
 
-    /// The lease that it holds or held last.
+    /// The lease that the router holds or held last.
     pub fn lease(&self) -> Lease {
         Lease { epoch: self.epoch, until: self.until }
     }
@@ -189,7 +191,7 @@
         self.version
     }
 
-    /// The change under way.
+    /// The pending change.
     pub fn pending_change(&self) -> Option<&PendingChange> {
         self.pending_change.as_ref()
     }
@@ -204,9 +206,9 @@
         self.policy_error.as_ref()
     }
 
-    /// Whether the leader has not answered the last requests, so that another router is to be asked.
+    /// Whether the leader has not answered the last requests, so that another router must be asked.
     pub fn leader_is_silent(&self) -> bool {
-        self.nonce > self.last_answered + MAX_UNANSWERED_REQUESTS
+        self.last_nonce > self.last_answered + MAX_UNANSWERED_REQUESTS
     }
 
     /// When the next request is due.
@@ -214,18 +216,19 @@
         self.next_request_at
     }
 
-    /// The request to send now. It reports the prepared change, if there is one, and then gives up the long lease.
+    /// Creates the request to send now. If a change is prepared, the request reports it and the long lease is
+    /// given up.
     pub fn next_request(&mut self, now: Duration) -> LeaseRequest {
-        self.nonce += 1;
+        self.last_nonce += 1;
         self.shorten_lease_for_change(now);
-        self.open_requests.push_back(OpenRequest { nonce: self.nonce, sent_at: now });
+        self.open_requests.push_back(OpenRequest { nonce: self.last_nonce, sent_at: now });
         if self.open_requests.len() > MAX_OPEN_REQUESTS {
             self.open_requests.pop_front();
         }
         self.next_request_at = now + self.request_interval(now);
         let accepted = self.prepared.as_ref().filter(|prepared| prepared.is_accepted());
         LeaseRequest {
-            nonce: self.nonce,
+            nonce: self.last_nonce,
             epoch: self.epoch,
             digest: self.digest,
             version: self.version,
@@ -235,12 +238,14 @@
         }
     }
 
-    /// While a change is prepared, the long lease ends with the next request, whether that is answered or not.
+    /// While a change is prepared, the long lease ends with the next request, whether or not that is
+    /// answered.
     fn shorten_lease_for_change(&mut self, now: Duration) {
         let Some(prepared) = self.prepared.as_mut().filter(|prepared| prepared.is_accepted()) else { return };
         if prepared.first_reported.is_none() {
-            prepared.first_reported = Some(self.nonce);
-            // Late grants for earlier requests must not bring a long lease back, neither now nor after the change.
+            prepared.first_reported = Some(self.last_nonce);
+            // Late grants for earlier requests must not restore a long lease, neither now nor after the
+            // change.
             self.open_requests.clear();
         }
         self.until = self.until.min(now + timing::SHORT_LEASE);
@@ -252,17 +257,18 @@
         } else if now < self.until {
             timing::RENEW_INTERVAL
         } else {
-            timing::SEEK_INTERVAL
+            timing::ACQUIRE_INTERVAL
         }
     }
 
-    /// Gives up the lease. The request tells the leader, so that no change waits for this router.
+    /// Gives up the lease. Returns the request that informs the leader, so that no change waits for this
+    /// router.
     pub fn release(&mut self) -> LeaseRequest {
-        self.nonce += 1;
+        self.last_nonce += 1;
         self.open_requests.clear();
         self.until = Duration::ZERO;
         LeaseRequest {
-            nonce: self.nonce,
+            nonce: self.last_nonce,
             epoch: self.epoch,
             digest: self.digest,
             released: true,
@@ -296,9 +302,9 @@
         effect
     }
 
-    /// Compiles the policy of the change under way, once, and forgets that of a change which is over.
+    /// Compiles the policy of the pending change, once, and discards that of a change that is over.
     fn prepare_change(&mut self, now: Duration, request: Option<PrepareRequest>, effect: &mut GrantEffect) {
-        // A change that the leader does not name any more is over: the long lease may come back.
+        // A change that the leader does not report any more is over, and long leases are permitted again.
         let id = request.as_ref().map(|request| &request.id);
         if self.prepared.as_ref().is_some_and(|prepared| Some(&prepared.id) != id) {
             self.prepared = None;
@@ -324,15 +330,15 @@
         self.next_request_at = now;
     }
 
-    /// The lease counts from the moment at which the request was sent. Nothing counts that was granted before a prepared change shortened
-    /// the lease.
+    /// Extends the lease, counted from the time at which the request was sent. Grants from before a prepared
+    /// change shortened the lease are ignored.
     fn extend_lease(&mut self, now: Duration, nonce: u64, lease_ms: u32, effect: GrantEffect) {
         let open = self.open_requests.iter().find(|open| open.nonce == nonce);
         let Some(sent_at) = open.map(|open| open.sent_at) else { return };
-        let counts = self.prepared.as_ref().is_none_or(|prepared| {
+        let is_valid = self.prepared.as_ref().is_none_or(|prepared| {
             !prepared.is_accepted() || prepared.first_reported.is_some_and(|first| first <= nonce)
         });
-        if !counts {
+        if !is_valid {
             return;
         }
         self.until = self.until.max(sent_at + Duration::from_millis(u64::from(lease_ms)));
@@ -341,7 +347,8 @@
         }
     }
 
-    /// Another epoch is in force: enters it with the policy that was prepared for it, or with the one that came with the grant.
+    /// Enters another epoch that is in force, with the policy that was prepared for it, or with the one that
+    /// came with the grant.
     fn enter_epoch(
         &mut self, epoch: u64, new_digest: u64, granted_text: Option<String>, effect: &mut GrantEffect,
     ) {
@@ -352,10 +359,10 @@
                 let compiled = self.compiler.compile(&text);
                 (text, compiled)
             }
-            // The next request tells the leader that the policy is missing here.
+            // The digest in the next request informs the leader that the policy is missing here.
             _ => return effect.request_due = true,
         };
-        // The lease on the earlier epoch is over, even if the policy of the new one can't be compiled.
+        // The lease on the earlier epoch ends, even if the policy of the new one can't be compiled.
         self.until = Duration::ZERO;
         match compiled {
             Ok(policy) => {
--- a/crates/consensus/src/lease_holder/tests.rs
+++ b/crates/consensus/src/lease_holder/tests.rs
@@ -29,7 +29,7 @@
     holder.apply_grant(MS(1_900), grant(request.nonce, 1, "one", 3_000));
     assert_eq!((holder.epoch(), holder.until()), (1, MS(4_000)));
     holder.apply_grant(MS(1_900), grant(99, 1, "one", 3_000));
-    assert_eq!(holder.until(), MS(4_000), "an answer to no question");
+    assert_eq!(holder.until(), MS(4_000), "the grant answers no request");
 }
 
 #[test]
@@ -37,7 +37,7 @@
     let mut holder = lease_holder();
     let first = holder.next_request(MS(0));
     holder.apply_grant(MS(1), grant(first.nonce, 1, "one", 3_000));
-    let before = holder.next_request(MS(100));
+    let long_request = holder.next_request(MS(100));
     let announced =
         Grant { prepare_request: Some(prepare("x", "two")), lease_ms: 0, ..grant(0, 1, "one", 0) };
     assert!(holder.apply_grant(MS(110), announced.clone()).request_due);
@@ -46,7 +46,10 @@
     assert_eq!(holder.until(), MS(111) + timing::SHORT_LEASE);
     holder.apply_grant(
         MS(112),
-        Grant { prepare_request: announced.prepare_request.clone(), ..grant(before.nonce, 1, "one", 3_000) },
+        Grant {
+            prepare_request: announced.prepare_request.clone(),
+            ..grant(long_request.nonce, 1, "one", 3_000)
+        },
     );
     assert_eq!(holder.until(), MS(111) + timing::SHORT_LEASE, "granted before the change was prepared");
     let next = holder.next_request(MS(131));
@@ -58,7 +61,7 @@
     let effect = holder.apply_grant(MS(140), Grant { text: None, ..grant(next.nonce, 2, "two", 3_000) });
     assert!(effect.epoch_changed && holder.epoch() == 2 && holder.until() == MS(3_131));
     holder.apply_grant(MS(150), grant(next.nonce, 1, "one", 3_000));
-    assert_eq!(holder.epoch(), 2, "no way back");
+    assert_eq!(holder.epoch(), 2, "a router does not return to an earlier epoch");
 }
 
 #[test]
@@ -78,7 +81,7 @@
         .apply_grant(MS(20), Grant { text: Some("bad".into()), ..grant(request.nonce, 2, "bad", 3_000) });
     assert!(
         !effect.epoch_changed && holder.policy_error().is_some() && holder.until() == Duration::ZERO,
-        "it can't act by it"
+        "the policy can't be compiled"
     );
 }
 
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -1,23 +1,25 @@
-//! Policy changes that come into force on all routers of a fleet or on none.
+//! Replicated policy changes, which come into force on all routers of a fleet or on none.
 //!
-//! Up to nine routers vote on one sequence of policies (epochs). Every router, voter or not, holds a lease on the epoch by which it acts, and
-//! takes no requests without one. `docs/design-policy.md` compares this design with others and states the guarantees.
+//! Up to nine routers, the voters, agree on one sequence of policies; each policy that comes into force
+//! begins an epoch. Every router, voter or not, holds a lease on the epoch whose policy it applies. What it
+//! does without a valid lease is configured as [`PartitionMode`]: by default it accepts no requests.
+//! `docs/design-policy.md` compares this design with others and states the guarantees.
 //!
-//! [`Consensus`] is the state machine of one router, and [`Member`] puts it and membership behind one address. [`PolicyHandle`] is its interface to
-//! the rest of the process.
+//! [`Consensus`] is the state machine of one router, and [`Member`] combines it with membership behind one
+//! network address. [`PolicyHandle`] is the interface to the rest of the process.
 //!
 //! | module | what it does |
 //! | --- | --- |
-//! | `consensus` | the state machine: input, persistence, leading, status, operators' requests |
+//! | `consensus` | the state machine: input, persistence, leader duties, status, operators' requests |
 //! | [`leadership`] | grants leases and decides changes, as leader |
-//! | [`lease_holder`] | requests leases and acts by the epoch that they are for |
+//! | [`lease_holder`] | requests leases and applies the policy of the leased epoch |
 //! | [`policy_state`] | the replicated state, and the entries that change it |
 //! | [`reconfiguration`], `configuration`, `voter_identity` | which routers vote |
-//! | `voter` | one voter of one configuration, on the library `omnipaxos` |
-//! | `bootstrap`, `startup` | the first configuration of a fleet, and the start of a router |
+//! | `voter` | one voter in one configuration, on top of the library `omnipaxos` |
+//! | `bootstrap`, `startup` | the first configuration of a fleet, and the start-up parameters of a router |
 //! | [`storage`], [`log`], `disk` | the durable state of a voter, its file format, and the disk |
 //! | [`wire`], `transport`, `peer_connections` | messages, and how they reach peers |
-//! | `member`, `handle` | the connection to membership, and to the rest of the process |
+//! | `member`, `handle` | the integration with membership, and the interface to the rest of the process |
 //! | [`timing`] | intervals, timeouts and limits |
 
 #![forbid(unsafe_code)]
--- a/crates/consensus/src/log.rs
+++ b/crates/consensus/src/log.rs
@@ -1,8 +1,10 @@
-//! The format of the durable log: one frame for each atomic write, so that a crash during a write loses that write and no other.
+//! The format of the durable log: one frame for each atomic write, so that a crash during a write loses that
+//! write and no other.
 //!
-//! A file is a line that names its version, then frames: length, checksum (xxh3 of the length and the content), content. An incomplete last
-//! frame was never acknowledged to anybody, and is dropped. An incomplete frame with others behind it is damage, and the file is refused: a
-//! voter that has lost a promise must not vote.
+//! A file is a line that names its version, then frames: length, checksum (xxh3 of the length and the
+//! content), content. An incomplete last frame was never acknowledged to any peer, and is discarded. A
+//! damaged frame followed by complete ones means that the file is corrupt, and the file is rejected: a voter
+//! that has lost a promise must not vote.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
@@ -11,10 +13,10 @@
 const FRAME_HEADER_LEN: usize = 12;
 /// The longest frame, bytes.
 pub const MAX_FRAME_LEN: usize = 64 << 20;
-/// Bytes of the first line that the error about another version shows.
+/// The most bytes of the first line that the error about another version shows.
 const MAX_SHOWN_VERSION_LEN: usize = 80;
 
-/// Why a log file is refused.
+/// Why a log file is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum LogError {
     /// The file is of another version.
@@ -23,13 +25,13 @@
         /// Its first line.
         String,
     ),
-    /// A frame is damaged with others behind it.
+    /// A damaged frame is followed by complete ones.
     #[error("byte {0}: a damaged frame with others behind it")]
     DamagedFrame(
         /// Where it begins, bytes from the start of the file.
         usize,
     ),
-    /// The content of a complete frame is no record.
+    /// The content of a complete frame is not a record.
     #[error("byte {offset}: a whole frame that is no record: {source}")]
     NotARecord {
         /// Where the frame begins, bytes from the start of the file.
@@ -37,7 +39,7 @@
         /// What was wrong with its content.
         source: postcard::Error,
     },
-    /// A record of writes stands before that of the configuration which they belong to.
+    /// A record of writes precedes the record of the configuration that they belong to.
     #[error("byte {offset}: notes before a configuration: expected its terms first")]
     WritesBeforeConfiguration {
         /// Where its frame begins, bytes from the start of the file.
@@ -73,14 +75,15 @@
 pub struct StoredFrames<'a> {
     /// The frames, in the order of the file.
     pub frames: Vec<StoredFrame<'a>>,
-    /// Bytes of the file up to the end of the last complete frame: the process ended while it wrote what follows.
+    /// Bytes of the file up to the end of the last complete frame. The process ended while it wrote the bytes
+    /// after it.
     pub valid_len: usize,
 }
 
 /// Reads the frames of a file.
 ///
 /// # Errors
-/// The file is of another version, or a frame is damaged with others behind it.
+/// The file is of another version, or a damaged frame is followed by complete ones.
 pub fn read_frames(file: &[u8]) -> Result<StoredFrames<'_>, LogError> {
     if file.len() < FILE_HEADER.len() && FILE_HEADER.starts_with(file) {
         return Ok(StoredFrames::default());
@@ -116,7 +119,7 @@
     (checksum == checksum_of(len, content)).then_some(content)
 }
 
-/// Whether a complete frame with content stands anywhere behind a damaged one.
+/// Whether a complete frame with content follows anywhere after a damaged one.
 fn complete_frame_follows(rest: &[u8]) -> bool {
     (1..rest.len().saturating_sub(FRAME_HEADER_LEN))
         .any(|offset| complete_frame(&rest[offset..]).is_some_and(|content| !content.is_empty()))
--- a/crates/consensus/src/log/tests.rs
+++ b/crates/consensus/src/log/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn incomplete_last_frame_is_dropped_and_damaged_frame_before_others_is_refused() {
+fn incomplete_last_frame_is_dropped_and_damaged_frame_before_others_is_rejected() {
     let mut file = FILE_HEADER.to_vec();
     let ends: Vec<usize> = [&b"one"[..], b"two two", b"three"]
         .iter()
@@ -11,7 +11,7 @@
         })
         .collect();
     for cut in 0..=file.len() {
-        let read = read_frames(&file[..cut]).expect("only the end is missing");
+        let read = read_frames(&file[..cut]).expect("only the last frame is incomplete");
         let complete = ends.iter().filter(|end| **end <= cut).count();
         assert_eq!(read.frames.len(), complete, "cut at {cut}");
         assert!(read.valid_len <= cut);
@@ -24,7 +24,11 @@
     }
     let mut last = file.clone();
     *last.last_mut().expect("bytes") ^= 1;
-    assert_eq!(read_frames(&last).map(|read| read.frames.len()), Ok(2), "the last one was being written");
+    assert_eq!(
+        read_frames(&last).map(|read| read.frames.len()),
+        Ok(2),
+        "an incomplete last frame is discarded"
+    );
     let newer = [&b"slipreel accord 2\n"[..], &file[FILE_HEADER.len()..]].concat();
     assert_eq!(read_frames(&newer), Err(LogError::Version("slipreel accord 2".into())));
 }
--- a/crates/consensus/src/member.rs
+++ b/crates/consensus/src/member.rs
@@ -1,4 +1,5 @@
-//! Membership and consensus behind one address: each datagram and connection goes to the machine that its first bytes identify.
+//! Membership and consensus behind one address: each datagram and connection goes to the machine that its
+//! first bytes identify.
 
 use crate::consensus::Consensus;
 use crate::peer_connections::PeerConnections;
@@ -11,12 +12,12 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Connections at once whose first bytes have not come yet.
+/// The most concurrent connections whose first bytes have not arrived yet.
 const MAX_UNIDENTIFIED_CONNECTIONS: usize = 64;
 /// How long the first bytes of a connection may take.
 const IDENTIFICATION_DEADLINE: Duration = Duration::from_secs(2);
 
-/// A connection whose first bytes have not come yet: it is not known which machine it is for.
+/// A connection whose first bytes have not arrived yet, so that it is not known which machine it is for.
 struct UnidentifiedConnection {
     listener: ListenerId,
     accepted_at: Duration,
@@ -29,16 +30,16 @@
     }
 }
 
-/// A member of a fleet: its membership, and its part in consensus where that is configured.
+/// A member of a fleet: its membership machine, and its consensus machine if that is configured.
 pub struct Member {
     membership: Membership,
     consensus: Option<Consensus>,
     unidentified: BTreeMap<ConnId, UnidentifiedConnection>,
-    /// Connections from peers that are for consensus.
+    /// Connections from peers that the first bytes have identified as being for consensus.
     consensus_connections: BTreeSet<ConnId>,
 }
 
-/// The peers that membership knows.
+/// The directory of the peers that membership knows.
 pub struct MembershipDirectory(pub Arc<SharedView>);
 
 impl PeerDirectory for MembershipDirectory {
@@ -52,7 +53,7 @@
 }
 
 impl Member {
-    /// A member with these two machines.
+    /// Creates a member from these two machines.
     pub fn new(membership: Membership, consensus: Option<Consensus>) -> Member {
         Member {
             membership,
@@ -82,7 +83,8 @@
         self.consensus_connections.contains(&conn) || PeerConnections::is_consensus_connection(conn)
     }
 
-    /// Adds to the first bytes of a connection. Once they identify its machine, that one receives the connection and all its bytes.
+    /// Buffers the first bytes of a connection. Once they identify the machine that it is for, that machine
+    /// receives the connection and all its bytes.
     fn identify(&mut self, now: Duration, conn: ConnId, bytes: &[u8], out: &mut Vec<Output>) {
         let Some(unidentified) = self.unidentified.get_mut(&conn) else { return };
         unidentified.buffer.extend(bytes);
@@ -109,7 +111,7 @@
         self.unidentified.insert(conn, unidentified);
     }
 
-    /// Closes connections whose first bytes did not come in time.
+    /// Closes connections whose first bytes did not arrive in time.
     fn close_unidentified(&mut self, now: Duration, out: &mut Vec<Output>) {
         let overdue = self.unidentified.iter().filter(|(_, unidentified)| now >= unidentified.deadline());
         let overdue: Vec<ConnId> = overdue.map(|(conn, _)| *conn).collect();
@@ -119,7 +121,7 @@
         }
     }
 
-    /// Hands an input to the machine that it concerns, or to both.
+    /// Passes an input to the machine that it is for, or to both.
     fn route(&mut self, now: Duration, input: Input<'_>, out: &mut Vec<Output>) {
         match input {
             Input::Datagram(_, _, bytes) if bytes.starts_with(&MAGIC) => {
@@ -148,7 +150,7 @@
         }
     }
 
-    /// Forgets connections that a machine has ended: they bring no further input.
+    /// Forgets connections that a machine has closed, as no further input arrives for them.
     fn forget_closed(&mut self, out: &[Output]) {
         for output in out {
             if let Output::Abort(conn) | Output::CloseWhenSent(conn) = output {
--- a/crates/consensus/src/peer_connections.rs
+++ b/crates/consensus/src/peer_connections.rs
@@ -1,5 +1,6 @@
-//! Connections to peers, for frames that must arrive in order or that are too long for a datagram: one for each peer, with an acknowledgement for
-//! each frame. A connection with a frame that is not acknowledged in time is aborted, and the caller learns to which peer frames may be lost.
+//! Connections to peers, for frames that must arrive in order or that are too long for a datagram. Each peer
+//! has one connection, and each frame is acknowledged. A connection with a frame that is not acknowledged in
+//! time is aborted, and the caller learns the peer to which frames may have been lost.
 
 use crate::timing;
 use slipreel_state_machine::{ConnId, Output};
@@ -34,7 +35,8 @@
         self.unacked.is_empty() && now >= self.last_used + IDLE_TIMEOUT
     }
 
-    /// Whether a further frame of this length would be too much. One frame is always accepted.
+    /// Whether a further frame of this length would exceed the limit. A frame is always accepted if no other
+    /// is unacknowledged.
     fn is_full_for(&self, frame_len: usize) -> bool {
         self.unacked_bytes > 0 && self.unacked_bytes + frame_len > timing::MAX_UNACKED_BYTES
     }
@@ -43,20 +45,20 @@
 /// The connections to all peers, by name.
 pub struct PeerConnections {
     connections: BTreeMap<String, PeerConnection>,
-    by_conn: BTreeMap<ConnId, String>,
+    peer_by_conn: BTreeMap<ConnId, String>,
     last_id: u64,
 }
 
 /// Set in the ids of connections that consensus opens, so that they differ from those of membership.
 const CONSENSUS_CONNECTION_BIT: u64 = 1 << 40;
-/// A connection that has carried nothing for so long is closed.
+/// How long a connection may be idle before it is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
 impl Default for PeerConnections {
     fn default() -> Self {
         PeerConnections {
             connections: BTreeMap::new(),
-            by_conn: BTreeMap::new(),
+            peer_by_conn: BTreeMap::new(),
             last_id: CONSENSUS_CONNECTION_BIT,
         }
     }
@@ -65,7 +67,7 @@
 impl PeerConnections {
     /// Whether a connection is open or being opened to a peer.
     pub fn contains(&self, conn: ConnId) -> bool {
-        self.by_conn.contains_key(&conn)
+        self.peer_by_conn.contains_key(&conn)
     }
 
     /// Whether consensus opened the connection of this id.
@@ -73,7 +75,8 @@
         conn.is_opened() && conn.0 & CONSENSUS_CONNECTION_BIT != 0
     }
 
-    /// Sends a frame. False: too many bytes wait for this peer, and its connection was aborted with all of them.
+    /// Sends a frame. Returns false if too many bytes are unacknowledged by this peer; its connection is then
+    /// aborted, and this frame and all of them may be lost.
     pub fn send(
         &mut self, now: Duration, name: &str, to: SocketAddr, frame: Vec<u8>, out: &mut Vec<Output>,
     ) -> bool {
@@ -97,11 +100,11 @@
     fn connection_to(
         &mut self, now: Duration, name: &str, to: SocketAddr, out: &mut Vec<Output>,
     ) -> &mut PeerConnection {
-        let (last_id, by_conn) = (&mut self.last_id, &mut self.by_conn);
+        let (last_id, peer_by_conn) = (&mut self.last_id, &mut self.peer_by_conn);
         self.connections.entry(name.to_owned()).or_insert_with(|| {
             *last_id += 1;
             let conn = ConnId::opened(*last_id);
-            by_conn.insert(conn, name.to_owned());
+            peer_by_conn.insert(conn, name.to_owned());
             out.push(Output::Connect(conn, to));
             PeerConnection {
                 conn,
@@ -114,17 +117,18 @@
         })
     }
 
-    /// A connection is established: sends the frames that wait for it.
+    /// Handles an established connection: sends the frames that wait for it.
     pub fn connected(&mut self, conn: ConnId, out: &mut Vec<Output>) {
-        let connection = self.by_conn.get(&conn).and_then(|name| self.connections.get_mut(name));
+        let connection = self.peer_by_conn.get(&conn).and_then(|name| self.connections.get_mut(name));
         let Some(connection) = connection else { return out.push(Output::Abort(conn)) };
         connection.open = true;
         out.extend(connection.queue.drain(..).map(|frame| Output::Write(conn, frame)));
     }
 
-    /// The peer has acknowledged the oldest `frames` frames.
+    /// Records that the peer has acknowledged the oldest `frames` frames.
     pub fn acknowledge(&mut self, conn: ConnId, frames: usize) {
-        let Some(connection) = self.by_conn.get(&conn).and_then(|name| self.connections.get_mut(name)) else {
+        let Some(connection) = self.peer_by_conn.get(&conn).and_then(|name| self.connections.get_mut(name))
+        else {
             return;
         };
         for _ in 0..frames {
@@ -132,21 +136,22 @@
         }
     }
 
-    /// A connection is lost. The peer to which it led, if frames may be lost with it.
+    /// Removes a connection that is lost. Returns the name of its peer if frames may have been lost.
     pub fn lost(&mut self, conn: ConnId) -> Option<String> {
-        let name = self.by_conn.remove(&conn)?;
+        let name = self.peer_by_conn.remove(&conn)?;
         let connection = self.connections.remove(&name)?;
         (!connection.unacked.is_empty()).then_some(name)
     }
 
     fn abort(&mut self, name: &str, out: &mut Vec<Output>) {
         if let Some(connection) = self.connections.remove(name) {
-            self.by_conn.remove(&connection.conn);
+            self.peer_by_conn.remove(&connection.conn);
             out.push(Output::Abort(connection.conn));
         }
     }
 
-    /// Aborts connections with overdue acknowledgements, and idle ones. The peers to which frames may be lost.
+    /// Aborts connections with overdue acknowledgements, and idle ones. Returns the names of the peers to
+    /// which frames may have been lost.
     pub fn close_overdue(&mut self, now: Duration, out: &mut Vec<Output>) -> Vec<String> {
         let overdue = self.peers_where(|connection| connection.is_overdue(now));
         let idle = self.peers_where(|connection| connection.is_idle(now));
--- a/crates/consensus/src/peer_connections/tests.rs
+++ b/crates/consensus/src/peer_connections/tests.rs
@@ -17,7 +17,7 @@
     assert_eq!(connections.close_overdue(ms(501), &mut out), ["a"]);
     assert_eq!(out, [Output::Abort(conn)]);
     out.clear();
-    assert!(connections.send(ms(600), "a", to, vec![3], &mut out), "on a new connection");
+    assert!(connections.send(ms(600), "a", to, vec![3], &mut out), "the frame is sent on a new connection");
     let [Output::Connect(conn, _)] = out[..] else { panic!("{out:?}") };
     assert_eq!(connections.lost(conn), Some("a".into()));
     assert_eq!(connections.lost(conn), None);
--- a/crates/consensus/src/policy_state.rs
+++ b/crates/consensus/src/policy_state.rs
@@ -1,6 +1,7 @@
-//! The replicated state: the policy in force, the change under way, and the outcomes of earlier changes.
+//! The replicated state: the policy in force, the pending change, and the outcomes of earlier changes.
 //!
-//! Every voter applies the same entries in the same order and comes to the same state. It depends neither on leases nor on time.
+//! Every voter applies the same entries in the same order and reaches the same state, which depends neither
+//! on leases nor on time.
 
 use crate::timing;
 use crate::voter_identity::VoterIdentity;
@@ -11,26 +12,26 @@
 /// A proposed change of the policy.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Proposal {
-    /// Makes the proposal idempotent: one that is sent twice counts once.
+    /// Makes the proposal idempotent: one that is submitted twice counts once.
     pub id: String,
     /// The policy, in its canonical form.
     pub text: String,
     /// The router to which it was submitted.
     pub from: String,
-    /// When it was submitted by that router's wall clock, seconds since 1970. Only shown to operators.
+    /// When it was submitted, by that router's wall clock, in seconds since 1970. Only shown to operators.
     pub submitted_unix_s: u64,
-    /// The epoch that must be in force; 0: any.
+    /// The epoch that must be in force when the change begins; 0: any.
     pub base_epoch: u64,
-    /// The epoch whose policy it restores, in a rollback.
+    /// The epoch whose policy it restores, if it is a rollback.
     pub restores_epoch: Option<u64>,
 }
 
-/// Why a router can't take a policy.
+/// Why a router can't apply a policy.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Rejection {
     /// The name of the router.
     pub router: String,
-    /// The reason: place, value and what was expected.
+    /// The reason: position, value and what was expected.
     pub reason: String,
 }
 
@@ -39,18 +40,18 @@
 pub enum Decision {
     /// Its policy is in force from now on.
     InForce,
-    /// Its policy never was and never will be in force.
+    /// Its policy is never put in force.
     Dropped(Vec<Rejection>),
 }
 
 /// An entry of the replicated log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Entry {
-    /// A change begins; every router is to prepare it.
+    /// A change begins; every router must prepare it.
     Propose(Proposal),
     /// The change of this id is decided.
     Decide(String, Decision),
-    /// The configuration ends here, in favour of one with these voters; entries after this one have no effect.
+    /// Ends the configuration; the next one has these voters. Entries after this one have no effect.
     Reconfigure(Vec<VoterIdentity>),
 }
 
@@ -61,13 +62,13 @@
     pub id: String,
     /// The router to which it was submitted.
     pub from: String,
-    /// When it was submitted by that router's wall clock, seconds since 1970. Only shown to operators.
+    /// When it was submitted, by that router's wall clock, in seconds since 1970. Only shown to operators.
     pub submitted_unix_s: u64,
     /// The digest of the policy.
     pub digest: u64,
     /// The epoch that it began; `None`: it was dropped.
     pub epoch: Option<u64>,
-    /// The epoch whose policy it restored, in a rollback.
+    /// The epoch whose policy it restored, if it was a rollback.
     pub restores_epoch: Option<u64>,
     /// Why it was dropped.
     pub rejections: Vec<Rejection>,
@@ -82,11 +83,11 @@
     pub digest: u64,
     /// The policy in force.
     pub text: String,
-    /// The change under way.
+    /// The pending change.
     pub pending: Option<Proposal>,
     /// The outcomes of changes, the oldest first.
     pub outcomes: VecDeque<ProposalOutcome>,
-    /// How many outcomes were dropped because there were too many.
+    /// How many of the oldest outcomes were discarded because there were too many.
     pub forgotten: u64,
     /// Policies of earlier epochs, the oldest first.
     earlier_policies: VecDeque<EarlierPolicy>,
@@ -101,19 +102,19 @@
     pub text: String,
 }
 
-/// Why a change can't begin. The text reaches operators as the reason of a rejection.
+/// Why a change can't begin. Operators see the text as the reason of a rejection.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ProposalConflict {
-    /// Another change is under way.
+    /// Another change is pending.
     #[error("change {id} is under way: expected one at a time")]
     ChangePending {
         /// The id of that change.
         id: String,
     },
-    /// It was made on top of an epoch that is not in force.
+    /// It is based on an epoch that is not in force.
     #[error("made for epoch {base_epoch}: expected {in_force}, which is in force")]
-    OtherEpoch {
-        /// The epoch on top of which it was made.
+    BaseEpochNotInForce {
+        /// The epoch on which it is based.
         base_epoch: u64,
         /// The epoch in force.
         in_force: u64,
@@ -142,7 +143,7 @@
         policy_state
     }
 
-    /// The outcome of a change; `None`: it has not ended, or its outcome was dropped.
+    /// The outcome of a change; `None`: it has not ended, or its outcome was discarded.
     pub fn outcome(&self, id: &str) -> Option<&ProposalOutcome> {
         self.outcomes.iter().rev().find(|outcome| outcome.id == id)
     }
@@ -166,14 +167,14 @@
     /// Whether a change can begin now.
     ///
     /// # Errors
-    /// Another change is under way, or the proposal is based on another epoch.
+    /// Another change is pending, or the proposal is based on another epoch.
     pub fn check(&self, proposal: &Proposal) -> Result<(), ProposalConflict> {
         if let Some(other) = self.pending.as_ref().filter(|other| other.id != proposal.id) {
             return Err(ProposalConflict::ChangePending { id: other.id.clone() });
         }
         if proposal.base_epoch != 0 && proposal.base_epoch != self.epoch {
             let (base_epoch, in_force) = (proposal.base_epoch, self.epoch);
-            return Err(ProposalConflict::OtherEpoch { base_epoch, in_force });
+            return Err(ProposalConflict::BaseEpochNotInForce { base_epoch, in_force });
         }
         Ok(())
     }
@@ -242,7 +243,7 @@
 
     /// The last outcomes, for routers that do not vote.
     pub fn recent_outcomes(&self) -> Vec<ProposalOutcome> {
-        let skipped = self.outcomes.len().saturating_sub(timing::RECENT_OUTCOMES);
+        let skipped = self.outcomes.len().saturating_sub(timing::MAX_RECENT_OUTCOMES);
         self.outcomes.iter().skip(skipped).cloned().collect()
     }
 }
--- a/crates/consensus/src/policy_state/tests.rs
+++ b/crates/consensus/src/policy_state/tests.rs
@@ -20,10 +20,10 @@
     assert_eq!(
         policy_state.outcome("y").map(|outcome| (outcome.epoch, outcome.rejections.len())),
         Some((None, 1)),
-        "one at a time"
+        "only one change may be pending"
     );
     policy_state.apply(&Entry::Decide("z".into(), Decision::InForce));
-    assert_eq!(policy_state.epoch, 1, "of another change");
+    assert_eq!(policy_state.epoch, 1, "the decision is on a change that is not pending");
     policy_state.apply(&Entry::Decide("x".into(), Decision::InForce));
     assert_eq!(
         (policy_state.epoch, policy_state.text.as_str(), policy_state.text_of(1)),
@@ -32,12 +32,12 @@
     let before = policy_state.clone();
     policy_state.apply(&propose("x", "four"));
     policy_state.apply(&Entry::Decide("x".into(), Decision::Dropped(Vec::new())));
-    assert_eq!(policy_state, before, "what has ended stays ended");
+    assert_eq!(policy_state, before, "a change that has ended is not reopened");
     let late = Proposal { id: "l".into(), base_epoch: 1, ..proposal_template() };
     policy_state.apply(&Entry::Propose(late));
     assert!(
         policy_state.outcome("l").is_some_and(|outcome| outcome.epoch.is_none()),
-        "made for an epoch that is over"
+        "based on an epoch that is not in force"
     );
 }
 
--- a/crates/consensus/src/reconfiguration.rs
+++ b/crates/consensus/src/reconfiguration.rs
@@ -1,8 +1,9 @@
-//! The choice of voters. In a fleet of up to [`timing::MAX_VOTERS`] routers all vote; in a larger one those that joined first do, and the others
-//! learn from them.
+//! Selects the voters. In a fleet of up to [`timing::MAX_VOTERS`] routers, all routers vote; in a larger one,
+//! those that joined first vote and the others learn from them.
 //!
-//! One voter changes at a time, and only while a majority of the new voters is live. A router that has lost its disk replaces itself under a new
-//! identity: its promises are gone, so the old identity must never vote again. A voter that is only silent stays one until an operator
+//! A reconfiguration changes one voter, and only while a majority of the new voters is live. A router that
+//! has lost its disk becomes a voter under a new identity in place of the old one: its promises are lost, so
+//! the old identity must never vote again. A voter that is merely silent remains a voter until an operator
 //! replaces it.
 
 use crate::timing;
@@ -12,15 +13,15 @@
 /// A router that holds a lease.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LiveRouter {
-    /// Name and disk; a disk of 0 is none, and can't store promises.
+    /// Its name and disk. Disk 0 means that it has none and can't store promises.
     pub identity: VoterIdentity,
-    /// For how long it has held leases without a gap.
+    /// How long it has held leases without interruption.
     pub held_for: Duration,
 }
 
 impl LiveRouter {
-    /// Whether it has held leases for long enough to become a voter.
-    fn is_proven(&self) -> bool {
+    /// Whether it has held leases for long enough to become a voter, see [`timing::MIN_LEASE_BEFORE_VOTING`].
+    fn has_min_lease_time(&self) -> bool {
         self.held_for >= timing::MIN_LEASE_BEFORE_VOTING
     }
 
@@ -38,7 +39,7 @@
     pub new: Option<String>,
 }
 
-/// The voters of the next configuration; `None`: they stay as they are.
+/// The voters of the next configuration; `None`: the voters do not change.
 pub fn next_voters(
     voters: &[VoterIdentity], live: &[LiveRouter], replacement: Option<&VoterReplacement>,
 ) -> Option<Vec<VoterIdentity>> {
@@ -53,7 +54,7 @@
     has_live_majority(&changed, live).then_some(changed)
 }
 
-/// Live routers with a disk that are no voters, those first that have held leases longest.
+/// Live routers with a disk that are not voters; the one that has held leases longest comes first.
 fn candidates<'a>(voters: &[VoterIdentity], live: &'a [LiveRouter]) -> Vec<&'a LiveRouter> {
     let votes = |router: &LiveRouter| voters.iter().any(|voter| voter.name == router.identity.name);
     let mut candidates: Vec<&LiveRouter> =
@@ -76,17 +77,18 @@
     Some(changed)
 }
 
-/// The voters with a new identity for one that is live with another disk than the one it voted with.
+/// The voters with a new identity for one that is live with a different disk than it votes with.
 fn replace_lost_disk(voters: &[VoterIdentity], live: &[LiveRouter]) -> Option<Vec<VoterIdentity>> {
     live.iter().find_map(|router| {
         let identity = &router.identity;
         let has_other_disk =
             |voter: &VoterIdentity| voter.name == identity.name && voter.disk != identity.disk;
         let index = voters.iter().position(has_other_disk)?;
-        // The lease of its earlier incarnation may not have ended yet. If that one has held leases for longer, the disk is not lost.
+        // The router may still hold a lease under its old identity. If the old identity has held leases for
+        // longer, the disk is not lost.
         let voter_is_live =
             live.iter().any(|other| other.identity == voters[index] && other.held_for > router.held_for);
-        if !router.has_disk() || voter_is_live || !router.is_proven() {
+        if !router.has_disk() || voter_is_live || !router.has_min_lease_time() {
             return None;
         }
         let mut changed = voters.to_vec();
@@ -95,13 +97,14 @@
     })
 }
 
-/// The voters with one more, if there may be more and a proven candidate exists.
+/// The voters and one more, if there are fewer than the maximum and a candidate has held leases for long
+/// enough.
 fn add_voter(voters: &[VoterIdentity], candidates: &[&LiveRouter]) -> Option<Vec<VoterIdentity>> {
-    let proven = candidates.iter().find(|router| router.is_proven())?;
+    let joining = candidates.iter().find(|router| router.has_min_lease_time())?;
     if voters.len() >= timing::MAX_VOTERS {
         return None;
     }
-    Some(voters.iter().cloned().chain([proven.identity.clone()]).collect())
+    Some(voters.iter().cloned().chain([joining.identity.clone()]).collect())
 }
 
 /// Whether a majority of these voters is live.
--- a/crates/consensus/src/startup.rs
+++ b/crates/consensus/src/startup.rs
@@ -1,4 +1,4 @@
-//! What a router is configured with and given at its start.
+//! The configuration and the start-up parameters of a router.
 
 use crate::disk::Disk;
 use crate::handle::{PartitionMode, PolicyHandle};
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How other routers are found by name.
+/// Finds other routers by name.
 pub trait PeerDirectory: Send {
     /// The address of the router of this name, if it is known.
     fn address(&self, name: &str) -> Option<SocketAddr>;
@@ -16,26 +16,27 @@
     fn names(&self) -> Vec<String>;
 }
 
-/// The configuration of a router's part in consensus.
+/// The consensus configuration of a router.
 #[derive(Clone, Debug)]
 pub struct ConsensusConfig {
     /// The fleet's name.
     pub fleet: String,
     /// This router's name.
     pub name: String,
-    /// The routers that bootstrap the fleet, by name; the first of them writes the first configuration.
+    /// The routers that bootstrap the fleet, by name; the first of them creates the first configuration.
     pub founders: Vec<String>,
     /// The policy in this router's own file, in canonical form.
     pub policy: String,
-    /// What the router does while it can't know whether its epoch holds.
+    /// What the router does while it has no valid lease, and so can't know whether its epoch is still in
+    /// force.
     pub partition_mode: PartitionMode,
-    /// The longest datagram that it sends, bytes.
+    /// The longest datagram that the router sends, bytes.
     pub max_datagram_len: usize,
 }
 
-/// What a router is given at its start.
+/// The start-up parameters of a router.
 pub struct Startup {
-    /// What its disk held; `None`: it has no disk, and does not vote.
+    /// The state that was read from its disk; `None`: the router has no disk, and does not vote.
     pub stored: Option<Result<StoredState, StorageError>>,
     /// Its disk.
     pub disk: Box<dyn Disk>,
@@ -43,10 +44,10 @@
     pub compiler: Box<dyn PolicyCompiler>,
     /// Finds other routers.
     pub directory: Box<dyn PeerDirectory>,
-    /// A random number, another at each start.
+    /// A random number, different at each start.
     pub seed: u64,
-    /// The wall clock at time zero of the machine's clock, as time since 1970. Shown to operators, used for nothing.
+    /// The wall clock at time zero of the machine's clock, as time since 1970. Only shown to operators.
     pub unix_time_at_zero: Duration,
-    /// Where the machine meets the rest of the process.
+    /// The interface between the machine and the rest of the process.
     pub handle: Arc<PolicyHandle>,
 }
--- a/crates/consensus/src/storage.rs
+++ b/crates/consensus/src/storage.rs
@@ -1,7 +1,8 @@
 //! The storage of a voter, in memory and as records for its disk: the consensus library writes through it.
 //!
-//! The library takes each write for done when its call returns. Here it is done in memory and recorded; the machine writes the recorded writes to
-//! the disk, as one frame, before it sends any message that depends on them.
+//! The library treats a write as durable once its call has returned. Here the write is applied in memory and
+//! recorded; the machine appends the recorded writes to the file on the disk, as one frame, before it sends
+//! any message that depends on them.
 
 use crate::configuration::Configuration;
 use crate::log::{encode_frame, read_frames, LogError, StoredFrame, StoredFrames, FILE_HEADER};
@@ -24,22 +25,22 @@
     Accepted(Ballot),
     /// The number of decided entries.
     Decided(usize),
-    /// From this index on the log holds these entries.
+    /// The log contains these entries from this index on, and none after them.
     Entries(usize, Vec<Entry>),
 }
 
 /// A frame of the file.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 enum Record {
-    /// Which disk this is; the first frame of each file.
+    /// The id of the disk; the first frame of each file.
     Disk(u64),
-    /// A configuration begins; nothing before it counts.
+    /// A configuration begins; writes before it are obsolete.
     Configuration(Box<Configuration>),
     /// Writes that were recorded together.
     Writes(Vec<StorageWrite>),
 }
 
-/// What a voter has stored in its present configuration.
+/// The state that a voter has stored in its current configuration.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PersistedState {
     promise: Option<Ballot>,
@@ -69,7 +70,7 @@
         self.unwritten.push(write);
     }
 
-    /// The writes that lead from an empty state to this one.
+    /// The writes that turn an empty state into this one.
     fn as_writes(&self) -> Vec<StorageWrite> {
         let mut writes = Vec::new();
         writes.extend(self.promise.map(StorageWrite::Promise));
@@ -80,11 +81,12 @@
     }
 }
 
-/// Recorded writes as bytes that the file is extended by.
+/// Recorded writes, encoded as a frame to append to the file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct UnwrittenFrame {
     pub(crate) bytes: Vec<u8>,
-    /// Whether the bytes must be synced before a message that depends on them is sent. What is decided can be learnt again from the others.
+    /// Whether the bytes must be synced before a message that depends on them is sent. The number of decided
+    /// entries need not be, as it can be learnt again from the other voters.
     pub(crate) must_sync: bool,
 }
 
@@ -112,8 +114,9 @@
         Some(UnwrittenFrame { bytes, must_sync })
     }
 
-    /// The bytes of a compacted file that holds this state. Recorded writes are part of it and need not be written any more.
-    pub(crate) fn file(&self, disk: u64, configuration: Option<&Configuration>) -> Vec<u8> {
+    /// The bytes of a compacted file that holds this state. It includes the recorded writes, which need not
+    /// be appended any more.
+    pub(crate) fn compacted_file(&self, disk: u64, configuration: Option<&Configuration>) -> Vec<u8> {
         let mut state = self.state();
         state.unwritten.clear();
         let mut file = FILE_HEADER.to_vec();
@@ -138,20 +141,20 @@
         state.entries.len() > state.decided
     }
 
-    /// Whether the configuration is to end, decided or not.
+    /// Whether the log holds the entry that ends the configuration, decided or not.
     pub(crate) fn is_ending(&self) -> bool {
         self.state().entries.iter().any(|entry| matches!(entry, Entry::Reconfigure(_)))
     }
 }
 
 fn serialize<T: Serialize>(value: &T) -> Vec<u8> {
-    // Writing into memory fails for types that say their length only later; there are none here.
+    // Serialising into memory only fails for sequences of unknown length; there are none here.
     postcard::to_stdvec(value).unwrap_or_default()
 }
 
 /// The bytes of a voter's file at the beginning of a configuration.
 pub fn initial_file(disk: u64, configuration: &Configuration) -> Vec<u8> {
-    VoterStorage::default().file(disk, Some(configuration))
+    VoterStorage::default().compacted_file(disk, Some(configuration))
 }
 
 /// A configuration, and what a voter had stored in it.
@@ -166,7 +169,7 @@
 /// The content of a voter's file.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct StoredState {
-    /// Which disk it is; `None`: an empty one.
+    /// The id of the disk; `None`: the file is empty.
     pub disk: Option<u64>,
     /// The last configuration in the file, with the state in it.
     pub configuration: Option<StoredConfiguration>,
@@ -180,15 +183,15 @@
     /// The file can't be read.
     #[error("byte 0: {0}")]
     Unreadable(#[source] std::io::Error),
-    /// Its content is refused.
+    /// Its content is rejected.
     #[error(transparent)]
     Log(#[from] LogError),
 }
 
-/// Reads a file.
+/// Decodes the content of a voter's file.
 ///
 /// # Errors
-/// Where it is damaged.
+/// The file is of another version or damaged.
 pub fn read(file: &[u8]) -> Result<StoredState, LogError> {
     let StoredFrames { frames, valid_len } = read_frames(file)?;
     let mut stored = StoredState { valid_len, ..StoredState::default() };
@@ -220,8 +223,10 @@
                 StorageOp::SetPromise(ballot) => self.set_promise(ballot)?,
                 StorageOp::SetDecidedIndex(decided) => self.set_decided_idx(decided)?,
                 StorageOp::SetAcceptedRound(ballot) => self.set_accepted_round(ballot)?,
-                // A configuration's log is short and ends with the configuration: it is never trimmed. It ends by an entry of its own: the library's
-                // stop sign is counted again whenever logs are synchronised, and voters then disagree for ever on how far they are.
+                // The log of a configuration is short and ends with the configuration, so it is never
+                // trimmed. It ends with an `Entry::Reconfigure` and not with the library's stop sign: the
+                // library counts its stop sign again whenever logs are synchronised, and voters would then
+                // disagree forever on the length of their logs.
                 StorageOp::SetStopsign(_)
                 | StorageOp::SetCompactedIdx(_)
                 | StorageOp::Trim(_)
--- a/crates/consensus/src/storage/tests.rs
+++ b/crates/consensus/src/storage/tests.rs
@@ -10,7 +10,7 @@
         initial_state: PolicyState::founded("one", "a", 5),
     };
     let mut storage = VoterStorage::default();
-    let mut file = storage.file(9, Some(&configuration));
+    let mut file = storage.compacted_file(9, Some(&configuration));
     let ballot = Ballot::with(3, 2, 0, 1);
     let decide = |id: &str| Entry::Decide(id.into(), crate::policy_state::Decision::InForce);
     storage.set_promise(ballot).expect("in memory");
@@ -22,10 +22,10 @@
     file.extend(storage.take_unwritten().expect("writes were recorded").bytes);
     storage.set_decided_idx(1).expect("in memory");
     let unwritten = storage.take_unwritten().expect("writes were recorded");
-    assert!(!unwritten.must_sync, "what is decided can be learnt again");
+    assert!(!unwritten.must_sync, "the number of decided entries can be learnt again");
     file.extend(unwritten.bytes);
     let appended = read(&file).expect("an undamaged file");
-    let compacted = read(&storage.file(9, Some(&configuration))).expect("an undamaged file");
+    let compacted = read(&storage.compacted_file(9, Some(&configuration))).expect("an undamaged file");
     assert_eq!(appended.disk, Some(9));
     assert_eq!(appended.configuration, compacted.configuration);
     let StoredConfiguration { configuration: read_configuration, persisted } =
@@ -36,7 +36,8 @@
     assert!(storage.has_undecided());
 }
 
-/// Files of a voter as the build before issue 50 wrote them: one appended to, and the same state compacted. Never generated again.
+/// Files of a voter as the build before issue 50 wrote them: one with appended writes, and one with the same
+/// state compacted. They must not be regenerated.
 const APPENDED_FILE: &[u8] = include_bytes!("../../tests/data/voter-file-appended.bin");
 const COMPACTED_FILE: &[u8] = include_bytes!("../../tests/data/voter-file-compacted.bin");
 
@@ -59,9 +60,10 @@
     crate::policy_state::Decision::Dropped(vec![rejection])
 }
 
-/// The configuration of the fixture: three voters, on a state with two epochs, a dropped change and one under way.
+/// The configuration of the fixture: three voters, and a state with two epochs, a dropped change and a
+/// pending one.
 fn stored_configuration() -> Configuration {
-    let member = |name: &str, disk| VoterIdentity { name: name.into(), disk };
+    let voter = |name: &str, disk| VoterIdentity { name: name.into(), disk };
     let mut initial_state = PolicyState::founded("first policy", "router-a", 1_763_000_000);
     let second =
         crate::policy_state::Proposal { base_epoch: 1, restores_epoch: None, ..stored_proposal("second") };
@@ -70,7 +72,7 @@
     initial_state.apply(&Entry::Propose(stored_proposal("dropped")));
     initial_state.apply(&Entry::Decide("dropped".into(), stored_rejection()));
     initial_state.apply(&Entry::Propose(stored_proposal("pending")));
-    let voters = vec![member("router-a", 11), member("router-b", 300), member("router-c", u64::MAX)];
+    let voters = vec![voter("router-a", 11), voter("router-b", 300), voter("router-c", u64::MAX)];
     Configuration { number: 7, voters, initial_state }
 }
 
@@ -86,7 +88,7 @@
 /// A file to which the fixture's writes were appended, and the storage after them.
 fn appended_file() -> (Vec<u8>, VoterStorage) {
     let mut storage = VoterStorage::default();
-    let mut file = storage.file(300, Some(&stored_configuration()));
+    let mut file = storage.compacted_file(300, Some(&stored_configuration()));
     storage.set_promise(Ballot::with(7, 5, 1, 2)).expect("in memory");
     storage.set_accepted_round(Ballot::with(7, 4, 0, 3)).expect("in memory");
     storage.append_entries(stored_entries()).expect("in memory");
@@ -100,7 +102,7 @@
 #[test]
 fn files_of_an_earlier_build_are_read_to_the_same_state() {
     for (name, file) in [("appended", APPENDED_FILE), ("compacted", COMPACTED_FILE)] {
-        let stored = read(file).expect("a file of the build before");
+        let stored = read(file).expect("a valid file");
         assert_eq!((stored.disk, stored.valid_len), (Some(300), file.len()), "{name}");
         let StoredConfiguration { configuration, persisted } = stored.configuration.expect("a configuration");
         assert_eq!(configuration, stored_configuration(), "{name}");
@@ -114,5 +116,5 @@
 fn files_are_written_as_an_earlier_build_wrote_them() {
     let (file, storage) = appended_file();
     assert_eq!(file, APPENDED_FILE);
-    assert_eq!(storage.file(300, Some(&stored_configuration())), COMPACTED_FILE);
+    assert_eq!(storage.compacted_file(300, Some(&stored_configuration())), COMPACTED_FILE);
 }
--- a/crates/consensus/src/transport.rs
+++ b/crates/consensus/src/transport.rs
@@ -1,4 +1,5 @@
-//! Frames out and in: datagrams and ordered connections to peers, connections from peers, and limits on both.
+//! Sends and receives frames: datagrams and ordered connections to peers, connections from peers, and limits
+//! on both.
 
 use crate::peer_connections::PeerConnections;
 use crate::startup::PeerDirectory;
@@ -9,13 +10,13 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Connections from peers at once.
+/// The most concurrent connections from peers.
 const MAX_INBOUND_CONNECTIONS: usize = 64;
-/// Peers whose last configuration message is remembered.
-const MAX_CONFIGURATION_RECIPIENTS: usize = 4_096;
-/// Bytes beside the content that a connection may have buffered of one frame.
+/// The most peers for which the time of the last configuration message is kept.
+const MAX_CONFIGURATION_PEERS: usize = 4_096;
+/// Bytes that a connection may buffer beyond the longest content of a frame.
 const FRAME_OVERHEAD: usize = 64;
-/// Least time between two log lines about bytes that are no frames.
+/// The least time between two log lines about invalid frames.
 const FRAME_ERROR_LOG_INTERVAL: Duration = Duration::from_secs(10);
 /// The byte that acknowledges a frame.
 const ACK: u8 = 1;
@@ -23,7 +24,7 @@
 
 /// A connection from a peer.
 struct InboundConnection {
-    /// The part of a frame that has come.
+    /// The received part of an incomplete frame.
     buffer: Vec<u8>,
     last_received: Duration,
 }
@@ -31,9 +32,9 @@
 /// Whether a frame was sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Delivery {
-    /// It is on its way, or the peer has no known address.
+    /// The frame was sent, or discarded because the address of the peer is not known.
     Sent,
-    /// The connection to the peer was given up, with all frames that it had not acknowledged.
+    /// The connection to the peer was aborted, along with all frames that the peer had not acknowledged.
     ConnectionDropped,
 }
 
@@ -44,9 +45,9 @@
     directory: Box<dyn PeerDirectory>,
     pub(crate) connections: PeerConnections,
     inbound: BTreeMap<ConnId, InboundConnection>,
-    /// When a peer was last sent a configuration, or asked for one.
-    configuration_sent: BTreeMap<String, Duration>,
-    frame_error_logged: Option<Duration>,
+    /// When a configuration was last sent to a peer or requested from it.
+    configuration_exchanged_at: BTreeMap<String, Duration>,
+    frame_error_logged_at: Option<Duration>,
 }
 
 impl Transport {
@@ -57,8 +58,8 @@
             directory,
             connections: PeerConnections::default(),
             inbound: BTreeMap::new(),
-            configuration_sent: BTreeMap::new(),
-            frame_error_logged: None,
+            configuration_exchanged_at: BTreeMap::new(),
+            frame_error_logged_at: None,
         }
     }
 
@@ -72,7 +73,8 @@
         self.fleet == fleet
     }
 
-    /// Sends a message to the router of a name: in a datagram if it fits and order does not count, otherwise on a connection.
+    /// Sends a message to the router of this name: in a datagram if it fits and need not arrive in order,
+    /// otherwise on a connection.
     pub(crate) fn send(
         &mut self, now: Duration, from: &Peer, to: &str, body: Body, out: &mut Vec<Output>,
     ) -> Delivery {
@@ -90,21 +92,22 @@
         }
     }
 
-    /// Whether a peer may be sent a configuration or asked for one, which is not done for each of its messages.
+    /// Whether a configuration may be sent to a peer or requested from it now. This is limited in rate, as
+    /// each message of the peer could be a reason for it.
     pub(crate) fn may_exchange_configuration(&mut self, now: Duration, name: &str) -> bool {
-        let last = self.configuration_sent.get(name).copied();
-        let may = last.is_none_or(|at| now >= at + timing::BOOTSTRAP_INTERVAL);
-        if may {
-            if self.configuration_sent.len() >= MAX_CONFIGURATION_RECIPIENTS {
-                self.configuration_sent.clear();
+        let last = self.configuration_exchanged_at.get(name).copied();
+        let allowed = last.is_none_or(|at| now >= at + timing::BOOTSTRAP_INTERVAL);
+        if allowed {
+            if self.configuration_exchanged_at.len() >= MAX_CONFIGURATION_PEERS {
+                self.configuration_exchanged_at.clear();
             }
-            self.configuration_sent.insert(name.to_owned(), now);
+            self.configuration_exchanged_at.insert(name.to_owned(), now);
         }
-        may
+        allowed
     }
 
-    /// A peer has connected. If there are too many, the connection that has been silent longest is closed: a peer that was cut off leaves
-    /// connections that never end.
+    /// Accepts a connection from a peer. If there are too many, the one that has been silent longest is
+    /// closed, as a peer that was cut off leaves connections that are never closed.
     pub(crate) fn accept(&mut self, now: Duration, conn: ConnId, out: &mut Vec<Output>) {
         if self.inbound.len() >= MAX_INBOUND_CONNECTIONS {
             let oldest = self.inbound.iter().min_by_key(|(_, inbound)| inbound.last_received);
@@ -116,7 +119,7 @@
         self.inbound.insert(conn, InboundConnection { buffer: Vec::new(), last_received: now });
     }
 
-    /// Adds bytes to what a connection has received. False: it is not one of these.
+    /// Buffers the bytes that a connection has received. Returns false if it is not a connection from a peer.
     pub(crate) fn receive(&mut self, now: Duration, conn: ConnId, bytes: &[u8]) -> bool {
         let Some(inbound) = self.inbound.get_mut(&conn) else { return false };
         inbound.last_received = now;
@@ -124,8 +127,8 @@
         true
     }
 
-    /// The next complete frame of a connection, which is acknowledged. A connection that sends no frames is closed. `received`: bytes that
-    /// came last, for the log.
+    /// Takes and acknowledges the next complete frame of a connection. A connection with an invalid frame is
+    /// closed. `received`: the number of bytes that arrived last, for the log.
     pub(crate) fn next_frame(
         &mut self, now: Duration, conn: ConnId, received: usize, out: &mut Vec<Output>,
     ) -> Option<Frame> {
@@ -146,8 +149,10 @@
         None
     }
 
-    /// The frame of a datagram.
-    pub(crate) fn datagram(&mut self, now: Duration, bytes: &[u8], out: &mut Vec<Output>) -> Option<Frame> {
+    /// Decodes the frame in a datagram.
+    pub(crate) fn decode_datagram(
+        &mut self, now: Duration, bytes: &[u8], out: &mut Vec<Output>,
+    ) -> Option<Frame> {
         let error = match Frame::decode(bytes) {
             Ok(Some(decoded)) => return Some(decoded.frame),
             Ok(None) => FrameError::Checksum,
@@ -158,13 +163,14 @@
     }
 
     fn log_frame_error(&mut self, now: Duration, error: &FrameError, out: &mut Vec<Output>) {
-        if self.frame_error_logged.is_none_or(|at| now >= at + FRAME_ERROR_LOG_INTERVAL) {
-            self.frame_error_logged = Some(now);
+        if self.frame_error_logged_at.is_none_or(|at| now >= at + FRAME_ERROR_LOG_INTERVAL) {
+            self.frame_error_logged_at = Some(now);
             out.push(Output::Log(format!("policy: not taken: {error}")));
         }
     }
 
-    /// The peer has closed a connection. The router that it led to, if frames may be lost with it.
+    /// Handles a connection that the peer has closed. Returns the name of the peer if frames to it may have
+    /// been lost.
     pub(crate) fn closed_by_peer(&mut self, conn: ConnId, out: &mut Vec<Output>) -> Option<String> {
         if self.inbound.remove(&conn).is_some() || self.connections.contains(conn) {
             out.push(Output::Abort(conn));
@@ -172,7 +178,7 @@
         self.connections.lost(conn)
     }
 
-    /// A connection is lost. The router that it led to, if frames may be lost with it.
+    /// Handles a connection that is lost. Returns the name of the peer if frames to it may have been lost.
     pub(crate) fn lost(&mut self, conn: ConnId) -> Option<String> {
         self.inbound.remove(&conn);
         self.connections.lost(conn)
--- a/crates/consensus/src/voter.rs
+++ b/crates/consensus/src/voter.rs
@@ -1,9 +1,11 @@
-//! One voter in one configuration: a wrapper of the consensus library, and the rounds of heartbeats by which voters confirm that their leader
-//! still leads.
+//! One voter in one configuration: a wrapper of the consensus library, and the rounds of heartbeats by which
+//! voters confirm that their leader still leads.
 //!
-//! The library (`omnipaxos`) orders the entries and elects leaders that reach a majority, also in partial network partitions. A leader that was
-//! replaced while it was cut off does not learn that from the library, and would go on granting leases. Therefore a leader sends heartbeats: each
-//! voter that has promised to follow no newer leader confirms, and a majority of confirmations proves that the leader led after it sent them.
+//! The library (`omnipaxos`) orders the entries and elects leaders that reach a majority, even in partial
+//! network partitions. A leader that was replaced while it was cut off does not learn that from the library,
+//! and would continue to grant leases. Therefore a leader sends heartbeats: each voter that has not promised
+//! to follow a newer leader confirms, and confirmations by a majority prove that the leader still led after
+//! it had sent the heartbeats.
 
 use crate::configuration::Configuration;
 use crate::policy_state::{Entry, PolicyState};
@@ -17,7 +19,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// Messages for which the library reserves memory.
+/// The number of messages for which the library reserves memory.
 const LIBRARY_BUFFER_LEN: usize = 64;
 
 /// A term of a leader; later terms are greater.
@@ -29,32 +31,33 @@
     pub configuration: u32,
     /// The ballot's number.
     pub ballot: u32,
-    /// The leader's number in the configuration.
+    /// The leader's node id in the configuration.
     pub voter: u64,
 }
 
-/// A leader's heartbeat to the voters, with the position of its log, so that voters that lag notice.
+/// A leader's heartbeat to the voters. It contains the position of the leader's log, so that a voter that
+/// lags notices it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Heartbeat {
     /// The term of the leader.
     pub term: Term,
-    /// Numbers the round.
+    /// The number of the round.
     pub round: u64,
-    /// Entries in its log.
+    /// The number of entries in its log.
     pub log_len: usize,
-    /// Entries that it knows to be decided.
+    /// The number of entries that it knows to be decided.
     pub decided_len: usize,
 }
 
 /// How entries are replicated.
 enum Replication {
-    /// To the other voters, by the consensus library.
+    /// Among several voters, by the consensus library.
     Replicated(Box<OmniPaxos<Entry, VoterStorage>>),
-    /// To nobody: a single voter decides by itself.
+    /// Not at all: a single voter decides by itself.
     SingleVoter,
 }
 
-/// A round of heartbeats under way.
+/// A round of heartbeats in progress.
 struct HeartbeatRound {
     number: u64,
     sent_at: Duration,
@@ -63,7 +66,7 @@
 
 /// What [`Voter::apply`] has applied.
 pub(crate) struct Applied {
-    /// How many entries.
+    /// The number of entries.
     pub(crate) entries: usize,
     /// The configuration that follows, if the last entry ended this one.
     pub(crate) next_configuration: Option<Configuration>,
@@ -76,7 +79,7 @@
     pub(crate) message: Message<Entry>,
 }
 
-/// How far a voter's log is.
+/// The lengths of a voter's log and of its decided part.
 struct LogPosition {
     log_len: usize,
     decided_len: usize,
@@ -90,15 +93,16 @@
     storage: VoterStorage,
     policy_state: PolicyState,
     applied: usize,
-    /// The round of heartbeats that is under way, if it leads.
+    /// The round of heartbeats in progress, if this voter leads.
     round: Option<HeartbeatRound>,
     rounds_begun: u64,
-    /// Since when it lags behind its leader, if it follows one.
+    /// Since when this voter has lagged behind the leader that it follows.
     lagging_since: Option<Duration>,
 }
 
 impl Voter {
-    /// A voter at its start, with the state that it had persisted; `None`: `identity` is not a voter of the configuration.
+    /// Creates a voter with the state that it has persisted; `None`: `identity` is not a voter of the
+    /// configuration, or the library rejects the configuration.
     pub(crate) fn new(
         configuration: Configuration, identity: &VoterIdentity, persisted: PersistedState,
     ) -> Option<Voter> {
@@ -126,17 +130,17 @@
         &self.storage
     }
 
-    /// The state after all that this voter knows to be decided.
+    /// The state after all entries that this voter knows to be decided.
     pub(crate) fn policy_state(&self) -> &PolicyState {
         &self.policy_state
     }
 
-    /// Entries applied in this configuration.
+    /// The number of entries applied in this configuration.
     pub(crate) fn applied(&self) -> usize {
         self.applied
     }
 
-    /// The version of that state.
+    /// The version of the replicated state.
     pub(crate) fn version(&self) -> StateVersion {
         StateVersion { configuration: self.configuration.number, applied: self.applied as u64 }
     }
@@ -149,7 +153,7 @@
         self.configuration.voters.len() / 2 + 1
     }
 
-    /// The leader that this voter has promised to follow.
+    /// The term of the leader that this voter has promised to follow.
     pub(crate) fn term(&self) -> Term {
         let configuration = self.configuration.number;
         match &self.replication {
@@ -161,12 +165,12 @@
         }
     }
 
-    /// The name of that leader.
+    /// The name of the leader that this voter has promised to follow.
     pub(crate) fn leader(&self) -> Option<&str> {
         self.voter(self.term().voter).map(|voter| voter.name.as_str())
     }
 
-    /// Whether this voter leads, as far as it knows, and holds all that was ever decided.
+    /// Whether this voter leads, as far as it knows, and has all entries that were ever decided.
     pub(crate) fn leads(&self) -> bool {
         match &self.replication {
             Replication::SingleVoter => true,
@@ -174,12 +178,12 @@
         }
     }
 
-    /// Whether all that it holds is decided.
-    pub(crate) fn is_settled(&self) -> bool {
+    /// Whether all entries in the log are decided.
+    pub(crate) fn all_entries_decided(&self) -> bool {
         !self.storage.has_undecided()
     }
 
-    /// Whether the configuration is about to end.
+    /// Whether the log holds the entry that ends the configuration.
     pub(crate) fn is_ending(&self) -> bool {
         self.storage.is_ending()
     }
@@ -195,13 +199,13 @@
                 let _ = self.storage.set_decided_idx(log_len);
             }
             Replication::Replicated(library) => {
-                // Refused only after the library's own stop sign, which is not used.
+                // The library rejects entries only after its own stop sign, which is not used.
                 let _ = library.append(entry);
             }
         }
     }
 
-    /// Ends the configuration in favour of one with these voters.
+    /// Appends the entry that ends the configuration; the next one has these voters.
     pub(crate) fn end_configuration(&mut self, voters: &[VoterIdentity]) {
         self.append(Entry::Reconfigure(voters.to_vec()));
     }
@@ -213,7 +217,8 @@
         }
     }
 
-    /// Handles a message of the consensus library. One from a voter that this configuration does not have is ignored.
+    /// Handles a message of the consensus library. A message from a voter that is not part of this
+    /// configuration is ignored.
     pub(crate) fn receive(&mut self, from: &VoterIdentity, message: Message<Entry>) {
         let known = node_id_of(&self.configuration, from) == Some(message.get_sender())
             && message.get_receiver() == self.me;
@@ -222,7 +227,7 @@
         }
     }
 
-    /// Takes the messages that wait to be sent. The storage must be persisted before.
+    /// Takes the messages that wait to be sent. The storage must be persisted before they are sent.
     pub(crate) fn take_messages(&mut self) -> Vec<OutgoingMessage> {
         let mut messages = Vec::new();
         if let Replication::Replicated(library) = &mut self.replication {
@@ -235,7 +240,7 @@
         messages.into_iter().filter_map(addressed).collect()
     }
 
-    /// Messages to or from a voter may be lost: the library synchronises the logs again.
+    /// Makes the library synchronise the logs again, as messages to or from a voter may have been lost.
     pub(crate) fn resynchronise(&mut self, name: &str) {
         let index = self.configuration.voters.iter().position(|voter| voter.name == name);
         let node_id = index.map(|index| index as NodeId + 1).filter(|node_id| *node_id != self.me);
@@ -264,7 +269,8 @@
         Applied { entries: entries.len(), next_configuration }
     }
 
-    /// Begins a round, as leader; the heartbeat is to be sent to all other voters. `None`: a round is under way.
+    /// Begins a round, as leader. Returns the heartbeat to send to all other voters; `None`: a round is
+    /// already in progress.
     pub(crate) fn begin_heartbeat_round(&mut self, now: Duration) -> Option<Heartbeat> {
         if self.round.is_some() {
             return None;
@@ -275,7 +281,7 @@
         Some(self.heartbeat())
     }
 
-    /// The heartbeat of the round that is under way, if it is time to send it again.
+    /// The heartbeat of the round in progress, if it is time to send it again.
     pub(crate) fn resend_heartbeat(&mut self, now: Duration) -> Option<Heartbeat> {
         let round = self.round.as_mut().filter(|round| now >= round.sent_at + timing::HEARTBEAT_RETRY)?;
         round.sent_at = now;
@@ -296,8 +302,9 @@
         }
     }
 
-    /// Whether this voter confirms a heartbeat: it has promised to follow no newer leader.
-    pub(crate) fn acknowledges(&mut self, now: Duration, heartbeat: &Heartbeat) -> bool {
+    /// Handles a leader's heartbeat. Returns whether this voter confirms it, as it has not promised to follow
+    /// a newer leader. If the voter has lagged for too long, it also synchronises its log again.
+    pub(crate) fn handle_heartbeat(&mut self, now: Duration, heartbeat: &Heartbeat) -> bool {
         if heartbeat.term != self.term() {
             return false;
         }
@@ -308,7 +315,7 @@
         if !behind {
             self.lagging_since = None;
         } else if now >= *self.lagging_since.get_or_insert(now) + timing::LAG_TIMEOUT {
-            // A message may have been lost for good, with none after it that would show the gap.
+            // A message may have been lost, with no later message that would reveal the gap.
             self.lagging_since = None;
             let leader = self.leader().unwrap_or_default().to_owned();
             self.resynchronise(&leader);
@@ -316,7 +323,8 @@
         true
     }
 
-    /// Records that a voter has confirmed a round. True: a majority has, so the round is over, and this voter led after it began.
+    /// Records that a voter has confirmed a round. Returns true if a majority has now confirmed it: the round
+    /// is over, and this voter still led after it began.
     pub(crate) fn record_ack(&mut self, from: &VoterIdentity, term: Term, number: u64) -> bool {
         if term != self.term() || !self.leads() {
             self.round = None;
@@ -330,7 +338,7 @@
         self.finish_confirmed_round()
     }
 
-    /// Ends the round that is under way if a majority has confirmed it. Whether it has.
+    /// Ends the round in progress if a majority has confirmed it. Returns whether it has.
     pub(crate) fn finish_confirmed_round(&mut self) -> bool {
         let majority = self.majority();
         let confirmed =
@@ -341,14 +349,14 @@
         confirmed
     }
 
-    /// Forgets the round that is under way, as this voter does not lead any more.
+    /// Discards the round in progress, as this voter does not lead any more.
     pub(crate) fn abandon_round(&mut self) {
         self.round = None;
     }
 }
 
 impl Replication {
-    /// `None`: the library refuses the configuration.
+    /// `None`: the library rejects the configuration.
     fn new(configuration: &Configuration, me: NodeId, storage: &VoterStorage) -> Option<Replication> {
         if configuration.voters.len() == 1 {
             return Some(Replication::SingleVoter);
@@ -371,7 +379,7 @@
     }
 }
 
-/// The id by which the library knows a voter: its place in the configuration, from 1 on.
+/// The node id of a voter in the library: its position in the configuration, counted from 1.
 fn node_id_of(configuration: &Configuration, identity: &VoterIdentity) -> Option<NodeId> {
     let index = configuration.voters.iter().position(|voter| voter == identity)?;
     Some(index as NodeId + 1)
--- a/crates/consensus/src/wire.rs
+++ b/crates/consensus/src/wire.rs
@@ -1,7 +1,8 @@
-//! The messages that routers exchange about policy, and their encoding: one frame each, in a datagram if it fits, or on a connection if it does
-//! not or if order counts.
+//! The messages that routers exchange about policy, and their encoding. Each message is one frame, sent in a
+//! datagram, or on a connection if it is too long for a datagram or must arrive in order.
 //!
-//! A frame is `slAC`, a version, the length of the content, its checksum, the content. An incomplete frame is never decoded.
+//! A frame is `slAC`, a version, the length of the content, its checksum, the content. An incomplete frame is
+//! never decoded.
 
 use crate::configuration::Configuration;
 use crate::policy_state::{Proposal, ProposalOutcome};
@@ -13,9 +14,10 @@
 
 /// The first bytes of each frame, on connections and in datagrams.
 pub const MAGIC: [u8; 4] = *b"slAC";
-/// The version of the encoding. A frame of another version is refused with an error that names it.
+/// The version of the encoding. A frame of another version is rejected with an error that shows its version.
 pub const VERSION: u8 = 1;
-/// The longest frame, bytes: several times the longest policy, as a state carries earlier policies.
+/// The longest frame, bytes: several times the longest policy, as a replicated state contains earlier
+/// policies.
 pub const MAX_FRAME_LEN: usize = 32 << 20;
 const FRAME_HEADER_LEN: usize = 13;
 /// The longest name of a fleet or a router, and the longest id of a proposal, bytes.
@@ -41,31 +43,33 @@
     pub applied: u64,
 }
 
-/// How a router answers a [`PrepareRequest`].
+/// A router's answer to a [`PrepareRequest`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PrepareResponse {
     /// The proposal's id.
     pub id: String,
-    /// Why the router can't act by the policy; `None`: it can.
+    /// Why the router can't apply the policy; `None`: it can.
     pub rejection: Option<String>,
 }
 
-/// A router requests a lease on its epoch, and reports its state.
+/// A router's request for a lease on its epoch, with a report of its state.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseRequest {
-    /// Numbers the request. A lease that is granted for it counts from the moment at which it was sent.
+    /// The number of the request. A lease that is granted for it starts at the time at which the request was
+    /// sent.
     pub nonce: u64,
-    /// The epoch by which the router acts; 0: none yet.
+    /// The epoch whose policy the router applies; 0: none yet.
     pub epoch: u64,
-    /// The digest of the policy that it has.
+    /// The digest of the policy that the router applies.
     pub digest: u64,
-    /// The version of the state that it knows, as [`Grant::version`].
+    /// The version of the state that the router knows, as [`Grant::version`].
     pub version: StateVersion,
-    /// The change that it has prepared or rejected.
+    /// Its answer about the pending change, once it has prepared or rejected that.
     pub prepare_response: Option<PrepareResponse>,
-    /// It has given up all leases that were granted for requests before this one, and wants short leases only; 0: it has not.
+    /// The number of the request with which the router gave up all leases granted for earlier ones, to accept
+    /// only short leases from then on; 0: it has not given them up.
     pub short_leases_since: u64,
-    /// It takes no requests any more, and expects no answer.
+    /// The router has released its lease: it accepts no requests any more, and expects no answer.
     pub released: bool,
 }
 
@@ -74,7 +78,7 @@
 pub struct PrepareRequest {
     /// The id of the proposal.
     pub id: String,
-    /// The policy; `None`: the router has it already.
+    /// The policy; `None`: the router already has it.
     pub text: Option<String>,
     /// The routers for which the change waits.
     pub waits_for: Vec<String>,
@@ -95,24 +99,25 @@
     pub digest: u64,
     /// How long the lease lasts from when the request was sent, ms; 0: none is granted.
     pub lease_ms: u32,
-    /// The policy, if the router has another one.
+    /// The policy in force, if the router has another one.
     pub text: Option<String>,
-    /// The change under way.
+    /// The pending change.
     pub prepare_request: Option<PrepareRequest>,
     /// The version of the state that the grant describes.
     pub version: StateVersion,
-    /// How the last changes ended, if the router knows another version.
+    /// The outcomes of the last changes, if the router knows another version.
     pub recent: Option<Vec<ProposalOutcome>>,
     /// The names of the voters.
     pub voters: Vec<String>,
 }
 
-/// A request that an operator made to some router, on its way to the leader.
+/// An operator's request, submitted to any router and forwarded to the leader.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum OperatorRequest {
-    /// Changes the policy.
+    /// Proposes a change of the policy.
     Propose(Proposal),
-    /// Replaces a voter that is gone for good by the named router, or by the one that has held leases longest.
+    /// Replaces a voter that is permanently gone by the named router, or by the one that has held leases
+    /// longest.
     Replace {
         /// The voter that is gone.
         old: String,
@@ -131,7 +136,7 @@
         /// The message.
         message: Message<Entry>,
     },
-    /// A leader's heartbeat: it asks the voters whether it still leads.
+    /// A leader's heartbeat, which asks the voters to confirm that it still leads.
     Heartbeat(Heartbeat),
     /// A voter confirms that it has promised to follow no newer leader.
     HeartbeatAck {
@@ -140,7 +145,7 @@
         /// The number of the confirmed round.
         round: u64,
     },
-    /// A router requests a lease.
+    /// A router's request for a lease.
     LeaseRequest(LeaseRequest),
     /// A lease request, forwarded to the leader by another voter.
     ForwardedLeaseRequest {
@@ -162,9 +167,10 @@
     OperatorRequest(OperatorRequest),
     /// The announcement of a founder without a configuration, with the policy in its own file.
     Bootstrap(String),
-    /// Asks for the present configuration. The sender knows the one of this number, which may have ended; 0: it has none.
+    /// Requests the current configuration. The sender knows the one with this number, which may have ended;
+    /// 0: it knows none.
     ConfigurationRequest(u32),
-    /// The present configuration.
+    /// The current configuration.
     Configuration(Configuration),
 }
 
@@ -188,7 +194,7 @@
     pub encoded_len: usize,
 }
 
-/// Why bytes are not a frame.
+/// Why bytes can't be decoded as a frame.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FrameError {
     /// They don't begin with [`MAGIC`].
@@ -197,7 +203,7 @@
     /// The frame is of another version.
     #[error("version {0}: expected {VERSION}")]
     Version(u8),
-    /// The frame is longer than this build takes: its length in bytes.
+    /// The frame is longer than this build accepts. Its length in bytes.
     #[error("{0} bytes: expected {MAX_FRAME_LEN} at most")]
     TooLong(usize),
     /// The frame was changed or cut short on the way.
@@ -211,7 +217,7 @@
 impl Frame {
     /// Encodes the frame.
     pub fn encode(&self) -> Vec<u8> {
-        // Writing into memory fails for types that say their length only later; there are none here.
+        // Serialising into memory only fails for sequences of unknown length; there are none here.
         let content = postcard::to_stdvec(self).unwrap_or_default();
         let mut out = Vec::with_capacity(FRAME_HEADER_LEN + content.len());
         out.extend(MAGIC);
@@ -225,7 +231,7 @@
     /// Decodes the frame at the beginning of some bytes; `None`: more bytes are needed.
     ///
     /// # Errors
-    /// The bytes are no frame, or a frame that is refused.
+    /// The bytes are not a frame, or the frame is rejected.
     pub fn decode(bytes: &[u8]) -> Result<Option<DecodedFrame>, FrameError> {
         let received_magic = &bytes[..bytes.len().min(MAGIC.len())];
         if !MAGIC.starts_with(received_magic) {
@@ -253,7 +259,7 @@
 }
 
 impl OperatorRequest {
-    /// Requests with the same key are the same request, sent again.
+    /// Requests with the same key count as one request that was sent repeatedly.
     pub(crate) fn deduplication_key(&self) -> String {
         match self {
             OperatorRequest::Propose(proposal) => format!("propose {}", proposal.id),
--- a/crates/consensus/src/wire/tests.rs
+++ b/crates/consensus/src/wire/tests.rs
@@ -2,7 +2,7 @@
 use crate::policy_state;
 
 #[test]
-fn incomplete_frame_needs_more_bytes_and_changed_frame_is_refused() {
+fn incomplete_frame_needs_more_bytes_and_changed_frame_is_rejected() {
     let from = Peer { name: "a".into(), disk: 3, incarnation: 4 };
     let request = LeaseRequest {
         nonce: 7,
@@ -26,7 +26,7 @@
     assert_eq!(Frame::decode(b"slFT").err(), Some(FrameError::NotAFrame));
 }
 
-/// One frame of each kind as the build before issue 50 encoded them. Never generated again.
+/// One frame of each kind as the build before issue 50 encoded them. They must not be regenerated.
 const FRAMES: &[u8] = include_bytes!("../../tests/data/wire-frames.bin");
 
 fn sent_peer(name: &str) -> Peer {
@@ -128,13 +128,13 @@
 }
 
 fn sent_bodies() -> Vec<Body> {
-    let round = Heartbeat { term: sent_term(), round: 1, log_len: 2, decided_len: 3 };
+    let leader_heartbeat = Heartbeat { term: sent_term(), round: 1, log_len: 2, decided_len: 3 };
     let replace = |new| OperatorRequest::Replace { old: "router-c".into(), new };
-    let [accept, heartbeat] = sent_vote_messages();
+    let [accept, election_heartbeat] = sent_vote_messages();
     vec![
         Body::Vote { configuration: 7, message: accept },
-        Body::Vote { configuration: 7, message: heartbeat },
-        Body::Heartbeat(round),
+        Body::Vote { configuration: 7, message: election_heartbeat },
+        Body::Heartbeat(leader_heartbeat),
         Body::HeartbeatAck { term: sent_term(), round: 1 },
         Body::LeaseRequest(sent_lease_request()),
         Body::ForwardedLeaseRequest { origin: sent_peer("router-d"), request: sent_lease_request() },
@@ -161,7 +161,7 @@
     let mut rest = FRAMES;
     for body in sent_bodies() {
         let DecodedFrame { frame, encoded_len } =
-            Frame::decode(rest).expect("a frame of the build before").expect("complete");
+            Frame::decode(rest).expect("a valid frame").expect("complete");
         assert_eq!((frame.fleet.as_str(), frame.from), ("fleet", sent_peer("router-a")));
         assert_eq!(format!("{:?}", frame.body), format!("{body:?}"));
         rest = &rest[encoded_len..];
