--- a/crates/consensus/src/consensus/leading.rs
+++ b/crates/consensus/src/consensus/leading.rs
@@ -47,7 +47,7 @@
             self.enter_next_configuration(now, next, out);
             return true;
         }
-        self.carry_out_leader_duties(now, out) || applied.entries > 0
+        self.carry_out_leader_duties(now, out) || applied.entry_count > 0
     }
 
     /// Enters the configuration that follows the current one, and sends it to the voters that join. The other
--- a/crates/consensus/src/consensus/status.rs
+++ b/crates/consensus/src/consensus/status.rs
@@ -19,7 +19,7 @@
     pending: Option<PendingChange>,
     leader: Option<String>,
     faults: Vec<String>,
-    outcomes: usize,
+    outcome_count: usize,
 }
 
 /// The outcomes of changes and the earlier policies that this router has kept.
@@ -75,7 +75,7 @@
     }
 
     fn fingerprint(&self) -> StatusFingerprint {
-        let outcomes = match self.policy_state() {
+        let outcome_count = match self.policy_state() {
             Some(state) => state.outcomes.len() + state.forgotten as usize,
             None => self.lease_holder.recent_outcomes().len(),
         };
@@ -90,7 +90,7 @@
             pending: self.pending(),
             leader: self.leader().map(str::to_owned),
             faults: self.faults(),
-            outcomes,
+            outcome_count,
         }
     }
 
--- a/crates/consensus/src/disk.rs
+++ b/crates/consensus/src/disk.rs
@@ -25,7 +25,7 @@
 
 /// A write that failed.
 struct WriteFailure {
-    at: Duration,
+    failed_at: Duration,
     error: io::Error,
 }
 
@@ -71,14 +71,14 @@
             None => (&empty, None),
         };
         let file = storage.compacted_file(disk_id, configuration);
-        self.failure = self.disk.replace(&file).err().map(|error| WriteFailure { at: now, error });
+        self.failure = self.disk.replace(&file).err().map(|error| WriteFailure { failed_at: now, error });
     }
 
     /// Writes the state that was recorded since the last call. After a failed write, rewrites the whole file
     /// once the next attempt is due.
     pub(crate) fn persist(&mut self, now: Duration, disk_id: u64, voter: Option<&Voter>) -> Persisted {
         if let Some(failure) = &self.failure {
-            if now < failure.at + timing::DISK_RETRY_INTERVAL {
+            if now < failure.failed_at + timing::DISK_RETRY_INTERVAL {
                 return Persisted::StillFailing;
             }
             self.rewrite(now, disk_id, voter);
@@ -90,7 +90,7 @@
         match self.disk.append(&unwritten.bytes, unwritten.must_sync) {
             Ok(()) => Persisted::Written,
             Err(error) => {
-                self.failure = Some(WriteFailure { at: now, error });
+                self.failure = Some(WriteFailure { failed_at: now, error });
                 Persisted::Failed
             }
         }
--- a/crates/consensus/src/handle.rs
+++ b/crates/consensus/src/handle.rs
@@ -1,5 +1,5 @@
-//! The interface between the consensus machine and the rest of the process: the permit to take requests, the
-//! status for operators, and their requests.
+//! The interface between the consensus machine and the rest of the process: the permit to accept requests,
+//! the status for operators, and their requests.
 
 use crate::lease_holder::CompiledPolicy;
 use crate::policy_state::{EarlierPolicy, Proposal, ProposalOutcome, Rejection};
@@ -118,8 +118,9 @@
     /// too long.
     pub fn submit(&self, request: OperatorRequest) -> bool {
         let mut requests = self.requests.lock().unwrap_or_else(PoisonError::into_inner);
-        let known = requests.iter().any(|queued| queued.deduplication_key() == request.deduplication_key());
-        if known {
+        let is_queued =
+            requests.iter().any(|queued| queued.deduplication_key() == request.deduplication_key());
+        if is_queued {
             return true;
         }
         let accepted = requests.len() < timing::MAX_OPERATOR_REQUESTS && request.is_within_limits();
--- a/crates/consensus/src/leadership.rs
+++ b/crates/consensus/src/leadership.rs
@@ -25,12 +25,12 @@
     held_since: Duration,
     last_request_at: Duration,
     /// Until when it may hold a lease, on the leader's clock.
-    until: Duration,
+    lease_until: Duration,
     /// Its last request.
     request: LeaseRequest,
-    /// The number of the last request that was granted a long lease.
-    last_long_grant: u64,
-    /// The voter that forwards its requests.
+    /// The number of the last request that was granted a long lease; 0: none was.
+    last_long_grant_nonce: u64,
+    /// The voter that forwarded its last request.
     forwarder: Option<String>,
 }
 
@@ -39,16 +39,16 @@
         HolderRecord {
             held_since: now,
             last_request_at: now,
-            until: Duration::ZERO,
+            lease_until: Duration::ZERO,
             request: LeaseRequest::default(),
-            last_long_grant: 0,
+            last_long_grant_nonce: 0,
             forwarder: None,
         }
     }
 
     /// Whether it has prepared a change and holds no more than a short lease.
     fn is_prepared(&self, id: &str) -> bool {
-        has_prepared(&self.request, id) && self.last_long_grant < self.request.short_leases_since
+        has_prepared(&self.request, id) && self.last_long_grant_nonce < self.request.short_leases_since
     }
 
     /// The lease that it may be granted. While a change is pending, no long lease is granted, and a short one
@@ -64,10 +64,10 @@
     /// Records that its last request is granted a lease of this duration; zero: none is granted.
     fn record_grant(&mut self, now: Duration, lease: Duration) {
         if !lease.is_zero() {
-            self.until = self.until.max(now + timing::with_clock_drift(lease));
+            self.lease_until = self.lease_until.max(now + timing::with_clock_drift(lease));
         }
         if lease > timing::SHORT_LEASE {
-            self.last_long_grant = self.request.nonce;
+            self.last_long_grant_nonce = self.request.nonce;
         }
     }
 
@@ -101,12 +101,12 @@
     /// Since when all entries that the leader found in its log have been decided.
     leading_since: Option<Duration>,
     holders: BTreeMap<Peer, HolderRecord>,
-    waiting: WaitingRouters,
+    waiting_routers: WaitingRouters,
     /// Routers whose requests the current round of heartbeats will confirm.
-    confirming: WaitingRouters,
+    confirming_routers: WaitingRouters,
     requests: Vec<OperatorRequest>,
     /// The id of the change whose decision is in the log but not yet decided by a majority.
-    deciding: Option<String>,
+    deciding_id: Option<String>,
     waiting_change: Option<WaitingChange>,
     reconfigured_at: Duration,
     /// What the last grants announced to all routers.
@@ -166,52 +166,52 @@
         }
         if request.released {
             // The router has given up its lease, and ignores grants that are still in flight.
-            holder.until = now;
+            holder.lease_until = now;
             holder.last_request_at = now;
             holder.request = request;
-            self.waiting.remove(&from);
-            self.confirming.remove(&from);
+            self.waiting_routers.remove(&from);
+            self.confirming_routers.remove(&from);
             return;
         }
-        if now > holder.until {
+        if now > holder.lease_until {
             holder.held_since = now;
         }
-        if holder.last_long_grant < request.short_leases_since {
+        if holder.last_long_grant_nonce < request.short_leases_since {
             // The router gave up its earlier leases with request `short_leases_since`, and no long one was
             // granted after that.
-            holder.until = now + timing::with_clock_drift(timing::SHORT_LEASE);
+            holder.lease_until = now + timing::with_clock_drift(timing::SHORT_LEASE);
         }
         holder.last_request_at = now;
         holder.request = request;
         holder.forwarder = forwarder;
-        self.waiting.insert(from);
+        self.waiting_routers.insert(from);
     }
 
     /// Returns whether a round of heartbeats must begin. If so, that round will confirm the waiting requests.
     pub fn begin_round(&mut self, voter: &Voter) -> bool {
-        if self.deciding.is_some()
+        if self.deciding_id.is_some()
             || voter.is_ending()
-            || !self.confirming.is_empty()
-            || self.waiting.is_empty()
+            || !self.confirming_routers.is_empty()
+            || self.waiting_routers.is_empty()
         {
             return false;
         }
-        self.confirming = std::mem::take(&mut self.waiting);
+        self.confirming_routers = std::mem::take(&mut self.waiting_routers);
         true
     }
 
     /// The grants for the requests that a round confirms, once a majority has confirmed the round.
     pub fn round_confirmed(&mut self, now: Duration, voter: &Voter) -> Vec<AddressedGrant> {
-        if self.deciding.is_some() || voter.is_ending() {
+        if self.deciding_id.is_some() || voter.is_ending() {
             // The decision that is being replicated may end the epoch at any moment, so these requests are
             // answered after it. When the configuration is ending, the leader of the next one relies on no
             // lease being granted in this one any more, since the majorities of the two need not share a
             // voter.
-            let confirming = std::mem::take(&mut self.confirming);
-            self.waiting.extend(confirming);
+            let confirming = std::mem::take(&mut self.confirming_routers);
+            self.waiting_routers.extend(confirming);
             return Vec::new();
         }
-        let confirmed: Vec<Peer> = std::mem::take(&mut self.confirming).into_iter().collect();
+        let confirmed: Vec<Peer> = std::mem::take(&mut self.confirming_routers).into_iter().collect();
         self.grants(now, &confirmed, voter, true)
     }
 
@@ -257,14 +257,14 @@
     pub fn announcement_grants(&mut self, now: Duration, voter: &Voter) -> Vec<AddressedGrant> {
         let policy_state = voter.policy_state();
         if self
-            .deciding
+            .deciding_id
             .as_ref()
             .is_some_and(|id| policy_state.pending.as_ref().is_none_or(|pending| pending.id != *id))
         {
-            self.deciding = None;
+            self.deciding_id = None;
         }
         let announcement = self.announcement(now, policy_state);
-        if self.leading_since.is_none() || self.deciding.is_some() || self.announced == announcement {
+        if self.leading_since.is_none() || self.deciding_id.is_some() || self.announced == announcement {
             return Vec::new();
         }
         // Entries applied since the last announcement were decided in this leader's term, by a majority,
@@ -284,7 +284,8 @@
     /// longer than a short lease.
     fn unprepared_routers(&self, now: Duration, policy_state: &PolicyState) -> Vec<String> {
         let Some(pending) = &policy_state.pending else { return Vec::new() };
-        let is_unprepared = |holder: &HolderRecord| now < holder.until && !holder.is_prepared(&pending.id);
+        let is_unprepared =
+            |holder: &HolderRecord| now < holder.lease_until && !holder.is_prepared(&pending.id);
         let unprepared = self.holders.iter().filter(|(_, holder)| is_unprepared(holder));
         let names = unprepared.map(|(peer, _)| peer.name.clone());
         let mut names: Vec<String> = names.take(MAX_NAMED_ROUTERS).collect();
@@ -326,18 +327,19 @@
     /// The next action of the leader, if there is one.
     pub fn next_action(&mut self, now: Duration, voter: &Voter) -> Option<LeaderAction> {
         if self.leading_since.is_none()
-            || self.deciding.is_some()
+            || self.deciding_id.is_some()
             || voter.is_ending()
             || !voter.all_entries_decided()
         {
             return None;
         }
-        self.holders
-            .retain(|_, holder| now < holder.until.max(holder.last_request_at + timing::LEASE_HOLDER_EXPIRY));
+        self.holders.retain(|_, holder| {
+            now < holder.lease_until.max(holder.last_request_at + timing::LEASE_HOLDER_EXPIRY)
+        });
         let policy_state = voter.policy_state();
         if let Some(pending) = &policy_state.pending {
             let action = self.decide_pending(now, policy_state, pending)?;
-            self.deciding = Some(pending.id.clone());
+            self.deciding_id = Some(pending.id.clone());
             return Some(action);
         }
         self.waiting_change = None;
@@ -409,7 +411,7 @@
 
     /// The routers that may hold a lease.
     fn live_routers(&self, now: Duration) -> Vec<LiveRouter> {
-        let live = self.holders.iter().filter(|(_, holder)| now < holder.until);
+        let live = self.holders.iter().filter(|(_, holder)| now < holder.lease_until);
         live.map(|(peer, holder)| LiveRouter {
             identity: VoterIdentity { name: peer.name.clone(), disk: peer.disk },
             held_for: now.saturating_sub(holder.held_since),
@@ -432,7 +434,7 @@
     pub fn next_due(&self, now: Duration, voter: &Voter) -> Option<Duration> {
         voter.policy_state().pending.as_ref()?;
         let earlier_leases_end = self.leading_since? + timing::with_clock_drift(timing::LEASE);
-        let lease_ends = self.holders.values().map(|holder| holder.until);
+        let lease_ends = self.holders.values().map(|holder| holder.lease_until);
         lease_ends.chain([earlier_leases_end]).filter(|at| *at > now).min()
     }
 }
--- a/crates/consensus/src/lease_holder.rs
+++ b/crates/consensus/src/lease_holder.rs
@@ -317,8 +317,8 @@
     }
 
     fn compile_change(&mut self, now: Duration, request: &PrepareRequest, effect: &mut GrantEffect) {
-        let known = self.prepared.as_ref().is_some_and(|prepared| prepared.id == request.id);
-        let (false, Some(text)) = (known, &request.text) else { return };
+        let is_prepared = self.prepared.as_ref().is_some_and(|prepared| prepared.id == request.id);
+        let (false, Some(text)) = (is_prepared, &request.text) else { return };
         self.prepared = Some(PreparedPolicy {
             id: request.id.clone(),
             text: text.clone(),
--- a/crates/consensus/src/policy_state.rs
+++ b/crates/consensus/src/policy_state.rs
@@ -183,9 +183,9 @@
     pub fn apply(&mut self, entry: &Entry) {
         match entry {
             Entry::Propose(proposal) => {
-                let known = self.outcome(&proposal.id).is_some()
+                let is_known = self.outcome(&proposal.id).is_some()
                     || self.pending.as_ref().is_some_and(|pending| pending.id == proposal.id);
-                if known {
+                if is_known {
                     return;
                 }
                 match self.check(proposal) {
--- a/crates/consensus/src/reconfiguration.rs
+++ b/crates/consensus/src/reconfiguration.rs
@@ -56,9 +56,9 @@
 
 /// Live routers with a disk that are not voters; the one that has held leases longest comes first.
 fn candidates<'a>(voters: &[VoterIdentity], live: &'a [LiveRouter]) -> Vec<&'a LiveRouter> {
-    let votes = |router: &LiveRouter| voters.iter().any(|voter| voter.name == router.identity.name);
+    let is_voter = |router: &LiveRouter| voters.iter().any(|voter| voter.name == router.identity.name);
     let mut candidates: Vec<&LiveRouter> =
-        live.iter().filter(|router| router.has_disk() && !votes(router)).collect();
+        live.iter().filter(|router| router.has_disk() && !is_voter(router)).collect();
     candidates.sort_by_key(|router| (std::cmp::Reverse(router.held_for), &router.identity));
     candidates
 }
--- a/crates/consensus/src/transport.rs
+++ b/crates/consensus/src/transport.rs
@@ -128,14 +128,14 @@
     }
 
     /// Takes and acknowledges the next complete frame of a connection. A connection with an invalid frame is
-    /// closed. `received`: the number of bytes that arrived last, for the log.
+    /// closed. `received_len`: the number of bytes that arrived last, for the log.
     pub(crate) fn next_frame(
-        &mut self, now: Duration, conn: ConnId, received: usize, out: &mut Vec<Output>,
+        &mut self, now: Duration, conn: ConnId, received_len: usize, out: &mut Vec<Output>,
     ) -> Option<Frame> {
         let buffer = &mut self.inbound.get_mut(&conn)?.buffer;
         let error = match Frame::decode(buffer) {
             Ok(None) if buffer.len() <= MAX_FRAME_LEN + FRAME_OVERHEAD => return None,
-            Ok(None) => FrameError::TooLong(received),
+            Ok(None) => FrameError::TooLong(received_len),
             Err(error) => error,
             Ok(Some(DecodedFrame { frame, encoded_len })) => {
                 buffer.drain(..encoded_len);
--- a/crates/consensus/src/voter.rs
+++ b/crates/consensus/src/voter.rs
@@ -67,7 +67,7 @@
 /// What [`Voter::apply`] has applied.
 pub(crate) struct Applied {
     /// The number of entries.
-    pub(crate) entries: usize,
+    pub(crate) entry_count: usize,
     /// The configuration that follows, if the last entry ended this one.
     pub(crate) next_configuration: Option<Configuration>,
 }
@@ -145,7 +145,7 @@
         StateVersion { configuration: self.configuration.number, applied: self.applied as u64 }
     }
 
-    fn voter(&self, node_id: NodeId) -> Option<&VoterIdentity> {
+    fn voter_of(&self, node_id: NodeId) -> Option<&VoterIdentity> {
         self.configuration.voters.get((node_id as usize).checked_sub(1)?)
     }
 
@@ -167,7 +167,7 @@
 
     /// The name of the leader that this voter has promised to follow.
     pub(crate) fn leader(&self) -> Option<&str> {
-        self.voter(self.term().voter).map(|voter| voter.name.as_str())
+        self.voter_of(self.term().voter).map(|voter| voter.name.as_str())
     }
 
     /// Whether this voter leads, as far as it knows, and has all entries that were ever decided.
@@ -234,7 +234,7 @@
             library.take_outgoing_messages(&mut messages);
         }
         let addressed = |message: Message<Entry>| {
-            let to = self.voter(message.get_receiver())?.name.clone();
+            let to = self.voter_of(message.get_receiver())?.name.clone();
             Some(OutgoingMessage { to, message })
         };
         messages.into_iter().filter_map(addressed).collect()
@@ -266,7 +266,7 @@
             }),
             _ => None,
         };
-        Applied { entries: entries.len(), next_configuration }
+        Applied { entry_count: entries.len(), next_configuration }
     }
 
     /// Begins a round, as leader. Returns the heartbeat to send to all other voters; `None`: a round is
--- a/crates/consensus/tests/explore.rs
+++ b/crates/consensus/tests/explore.rs
@@ -111,11 +111,11 @@
     /// The open connections: from the opener and its number of the connection to the accepter and its number
     /// of it.
     connections: BTreeMap<(usize, u64), (usize, u64)>,
-    accepted: u64,
+    accepted_connections: u64,
     starts: u64,
     /// A hash of all input of each router.
     input_hashes: [u64; ROUTERS],
-    down: Option<usize>,
+    crashed_router: Option<usize>,
     /// The newest epoch that a router has been in, and since when.
     newest_epoch: (u64, Duration),
     overlap: Duration,
@@ -142,10 +142,10 @@
             disks,
             in_flight: VecDeque::new(),
             connections: BTreeMap::new(),
-            accepted: 0,
+            accepted_connections: 0,
             starts: 0,
             input_hashes: [0; ROUTERS],
-            down: None,
+            crashed_router: None,
             newest_epoch: (0, Duration::ZERO),
             overlap: Duration::ZERO,
             reached_epochs: [0; ROUTERS],
@@ -290,8 +290,8 @@
                     return self
                         .deliver_input(from, Input::Lost(ConnId(number), ConnectionLoss::NotConnected));
                 }
-                self.accepted += 1;
-                let accepted = self.accepted;
+                self.accepted_connections += 1;
+                let accepted = self.accepted_connections;
                 self.connections.insert((from, number), (to, accepted));
                 self.hash_input(to, &("accepted", accepted));
                 self.deliver_input(to, Input::Accepted(ConnId(accepted), ListenerId(0)));
@@ -328,7 +328,7 @@
 
     fn crash(&mut self, router: usize) {
         self.machines[router] = None;
-        self.down = Some(router);
+        self.crashed_router = Some(router);
         let is_lost = |opener: &usize, accepter: &usize| *opener == router || *accepter == router;
         let lost: Vec<((usize, u64), (usize, u64))> = self
             .connections
@@ -344,7 +344,7 @@
         }
     }
 
-    fn choose(&mut self, choice: Choice) {
+    fn take_step(&mut self, choice: Choice) {
         match choice {
             Choice::Deliver => self.deliver_next(),
             Choice::Lose => {
@@ -360,7 +360,7 @@
             Choice::PassTime => self.pass_time(),
             Choice::Crash(router) => self.crash(router),
             Choice::Restart => {
-                if let Some(router) = self.down.take() {
+                if let Some(router) = self.crashed_router.take() {
                     self.start(router);
                 }
             }
@@ -368,7 +368,7 @@
     }
 
     fn change_is_complete(&self) -> bool {
-        self.down.is_none()
+        self.crashed_router.is_none()
             && self.in_flight.is_empty()
             && self.epochs().iter().all(|epoch| *epoch == self.newest_epoch.0)
             && self.handles.iter().all(|handle| handle.status().pending.is_none())
@@ -377,7 +377,8 @@
 
     fn fingerprint(&self) -> u64 {
         let mut hasher = DefaultHasher::new();
-        (self.input_hashes, self.now, self.down, &self.in_flight, &self.connections).hash(&mut hasher);
+        (self.input_hashes, self.now, self.crashed_router, &self.in_flight, &self.connections)
+            .hash(&mut hasher);
         hasher.finish()
     }
 }
@@ -392,7 +393,7 @@
     complete: bool,
     can_lose: bool,
     several_in_flight: bool,
-    down: bool,
+    router_is_down: bool,
 }
 
 impl PartialEq for State {
@@ -444,7 +445,7 @@
                 Some((steps, simulation)) if path.starts_with(&steps) => (steps.len(), simulation),
                 _ => (0, Simulation::new()),
             };
-            path[done..].iter().for_each(|choice| simulation.choose(*choice));
+            path[done..].iter().for_each(|choice| simulation.take_step(*choice));
             let statuses: Vec<ProposalStatus> =
                 simulation.handles.iter().map(|handle| handle.status().proposal_status("x")).collect();
             let in_force = statuses.iter().any(|status| matches!(status, ProposalStatus::InForce(_)));
@@ -461,7 +462,7 @@
                     .iter()
                     .any(|message| matches!(message, InFlight::Datagram { .. })),
                 several_in_flight: simulation.in_flight.len() > 1,
-                down: simulation.down.is_some(),
+                router_is_down: simulation.crashed_router.is_some(),
             };
             *last.borrow_mut() = Some((path.to_vec(), simulation));
             state
@@ -485,7 +486,7 @@
         let is_permitted = |kind: usize| {
             disturbances[kind] < self.max_by_kind[kind] && disturbances.iter().sum::<usize>() < self.max_total
         };
-        if is_permitted(0) && !state.down {
+        if is_permitted(0) && !state.router_is_down {
             actions.extend((0..ROUTERS).map(Choice::Crash));
         }
         if is_permitted(1) && state.can_lose {
@@ -499,7 +500,7 @@
         }
         // The crashed router starts again at once, or after some time.
         let steps_since_crash = state.path.iter().rev().position(|choice| matches!(choice, Choice::Crash(_)));
-        if state.down && steps_since_crash.is_some_and(|n| n % 24 == 0) {
+        if state.router_is_down && steps_since_crash.is_some_and(|n| n % 24 == 0) {
             actions.push(Choice::Restart);
         }
         actions.push(Choice::Deliver);
@@ -522,16 +523,16 @@
     }
 }
 
-fn explore(model: ChangeModel, states: usize) {
+fn explore(model: ChangeModel, target_states: usize) {
     let begin = std::time::Instant::now();
     let ChangeModel { max_by_kind, max_total, depth } = model;
-    let checker = model.checker().target_state_count(states).spawn_dfs().join();
+    let checker = model.checker().target_state_count(target_states).spawn_dfs().join();
     println!(
         "disturbances {max_by_kind:?}, {max_total} in all, {depth} choices: {} states, {} of them different, {:.1} s, {}",
         checker.state_count(),
         checker.unique_state_count(),
         begin.elapsed().as_secs_f64(),
-        if checker.state_count() < states { "all of them" } else { "cut short" }
+        if checker.state_count() < target_states { "all of them" } else { "cut short" }
     );
     checker.assert_properties();
 }
