--- a/crates/consensus/src/leadership.rs
+++ b/crates/consensus/src/leadership.rs
@@ -378,7 +378,7 @@
         if now < self.waiting_since(now, &pending.id) + timing::CHANGE_TIMEOUT {
             return None;
         }
-        let reason = format!("has not prepared it within {} s", timing::CHANGE_TIMEOUT.as_secs());
+        let reason = format!("has not tried it within {} s", timing::CHANGE_TIMEOUT.as_secs());
         let overdue = |router: String| Rejection { router, reason: reason.clone() };
         decide(Decision::Dropped(unprepared.into_iter().map(overdue).collect()))
     }
