--- a/crates/membership/src/departure.rs
+++ b/crates/membership/src/departure.rs
@@ -1,21 +1,23 @@
-//! How far a member has come with leaving the fleet and with the shutdown of its process, which go by different rules: a member that
-//! an operator asked to leave goes on running, and a shutdown waits until its leave messages are sent, of which one that yielded its name has none.
+//! The progress of leaving the fleet and of shutting down the process.
+//!
+//! The two are separate: a member that an operator asked to leave goes on running. A shutdown waits until the
+//! leave messages are sent; a member that has yielded its name sends none.
 
 use crate::timing;
 
-/// The announcement that this member leaves.
+/// The progress of announcing that this member leaves.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum Announcement {
-    /// It is a member and does not leave.
+    /// The member is not leaving.
     #[default]
     None,
-    /// It is announced for this many more rounds; more than 0.
-    RoundsLeft(u32),
-    /// It was announced; no more messages are sent.
+    /// The number of rounds that will still announce it; at least 1.
+    RemainingRounds(u32),
+    /// The announcement is complete, and the member sends no more messages.
     Finished,
 }
 
-/// The shutdown of the process.
+/// The progress of shutting down the process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum Shutdown {
     #[default]
@@ -24,7 +26,7 @@
     Finished,
 }
 
-/// Leaving and shutdown.
+/// Tracks leaving and shutdown.
 #[derive(Debug, Default)]
 pub(crate) struct Departure {
     announcement: Announcement,
@@ -32,35 +34,35 @@
 }
 
 impl Departure {
-    /// Whether this member leaves or has left.
+    /// Whether this member is leaving or has left.
     pub(crate) fn is_leaving(&self) -> bool {
         self.announcement != Announcement::None
     }
 
-    /// Whether the announcement is finished.
+    /// Whether the announcement is complete.
     pub(crate) fn is_announced(&self) -> bool {
         self.announcement == Announcement::Finished
     }
 
-    /// Begins the announcement, in [`timing::LEAVE_ROUNDS`] rounds.
+    /// Begins the announcement, which takes [`timing::LEAVE_ROUNDS`] rounds.
     pub(crate) fn begin_announcement(&mut self) {
-        self.announcement = Announcement::RoundsLeft(timing::LEAVE_ROUNDS);
+        self.announcement = Announcement::RemainingRounds(timing::LEAVE_ROUNDS);
     }
 
-    /// Counts a round in which the announcement was sent.
+    /// Counts one round of the announcement, if one is in progress.
     pub(crate) fn count_round(&mut self) {
-        if let Announcement::RoundsLeft(rounds) = self.announcement {
+        if let Announcement::RemainingRounds(rounds) = self.announcement {
             self.announcement =
-                if rounds > 1 { Announcement::RoundsLeft(rounds - 1) } else { Announcement::Finished };
+                if rounds > 1 { Announcement::RemainingRounds(rounds - 1) } else { Announcement::Finished };
         }
     }
 
-    /// The process is to end.
+    /// Records that the process is shutting down.
     pub(crate) fn request_shutdown(&mut self) {
         self.shutdown = Shutdown::Requested;
     }
 
-    /// Finishes a shutdown that was requested; whether there was one.
+    /// Finishes a requested shutdown. Returns whether one had been requested.
     pub(crate) fn finish_shutdown(&mut self) -> bool {
         let was_requested = self.shutdown == Shutdown::Requested;
         if was_requested {
@@ -69,7 +71,7 @@
         was_requested
     }
 
-    /// Whether the machine has stopped.
+    /// Whether the shutdown is finished; the machine ignores all input from then on.
     pub(crate) fn is_shut_down(&self) -> bool {
         self.shutdown == Shutdown::Finished
     }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,20 +1,25 @@
-//! Membership of the fleet by gossip: which routers are there, as far as one process can know.
+//! Fleet membership by gossip: each router keeps its own view of which other routers are running.
 //!
-//! Every member counts its own rounds (its heartbeat) and five times a second sends a few others the latest round that it knows of each
-//! member, with the time since it first heard of that round ([`slipreel_protocol::membership`]). A member whose round does not advance
-//! becomes suspect and then gone. Nobody decides for others: each process works out the states by itself, from ages that need no common
-//! clock. `docs/design-fleet.md` compares this with other designs, SWIM among them.
+//! Every member counts its own rounds (its heartbeat). Five times a second it sends a few other members the
+//! latest round that it knows of each member, with the time since it first received that round
+//! ([`slipreel_protocol::membership`]). A member whose round does not advance becomes suspect and then gone.
+//! There is no coordinator: each process works out the states by itself, from ages, so the clocks of the
+//! members need not agree. `docs/design-fleet.md` compares this with other designs, SWIM among them.
 //!
 //! What each [`MemberState`] means:
 //!
-//! - `alive`: a new round of this incarnation was heard of, directly or through others, less than [`timing::suspect_after`] ago;
-//! - `suspect`: not for that long. This proves nothing, and nothing follows from it;
-//! - `gone`: not for [`timing::gone_after`], or the member has left. Leaving proves that it takes no new work. Silence does not prove
-//!   that the process has ended: a crash, a partition that no third member bridges, and a process that is not scheduled look the same.
+//! - `alive`: a new round of this incarnation was received, directly or through others, less than
+//!   [`timing::suspect_after`] ago;
+//! - `suspect`: no new round was received for that long. This proves nothing about the member, and no
+//!   decision depends on it;
+//! - `gone`: no new round was received for [`timing::gone_after`], or the member has left. A member that has
+//!   left takes no new work. Silence does not prove that the process has ended: a crash, a partition that no
+//!   third member bridges, and a process that is not scheduled look the same.
 //!
-//! [`Membership`] is the state machine; [`MemberTable`] holds what is known of each other member; [`router_count`] decides how many routers
-//! quotas are divided by; [`name_conflict`] decides between two processes of one name; [`MembershipView`] and [`SharedView`] are what the
-//! rest of the process sees; [`SavedState`] outlives the process.
+//! [`Membership`] is the state machine and [`MemberTable`] its table of the other members. [`router_count`]
+//! decides how many routers quotas are divided by, and [`name_conflict`] which of two processes of one name
+//! yields. The rest of the process reads [`MembershipView`] and [`SharedView`]. [`SavedState`] is stored and
+//! read again at the next start.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -1,7 +1,9 @@
-//! A member as a state machine: it takes inputs with their time and gives outputs, without I/O and without a clock.
+//! The state machine of a member. It takes inputs with their time and produces outputs, and does no I/O and
+//! reads no clock itself.
 //!
-//! The machine is cut by concern: [`sending`] (dissemination), [`receiving`] (merging of messages and replies), [`rounds`] (heartbeat
-//! rounds, joining and leaving), [`own_name`] (conflicts about this member's name) and [`publishing`] (view, saved state and log).
+//! Its methods are in one module per concern: [`sending`] (dissemination), [`receiving`] (merging of
+//! messages, and replies), [`rounds`] (heartbeat rounds, joining and leaving), [`own_name`] (conflicts about
+//! this member's name) and [`publishing`] (view, saved state and log).
 
 mod own_name;
 mod publishing;
@@ -25,7 +27,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// What this member says of itself.
+/// This member's own record, round and status.
 struct LocalMember {
     record: MemberRecord,
     /// The number of rounds since the start.
@@ -33,10 +35,10 @@
     status: MemberStatus,
 }
 
-/// The timing of rounds, and of this process itself.
+/// When this process started, last handled an input and runs its next round.
 struct RoundTimer {
     started: Duration,
-    /// When the last input came: a long gap means that this process did not run.
+    /// Time of the last input. A long gap since then means that this process was suspended.
     last_input: Duration,
     next_round: Duration,
 }
@@ -45,7 +47,7 @@
 struct ViewAgreement {
     /// A hash of this member's view.
     digest: u64,
-    /// When the view changed last.
+    /// When this member's view last changed.
     last_change: Duration,
     /// When another member last reported a different view.
     last_disagreement: Duration,
@@ -66,7 +68,7 @@
 struct ConflictState {
     /// The process that holds the name, if one is known.
     holder: Option<NameConflict>,
-    /// When another process of this name was last told to yield.
+    /// When this member last sent its claim to another process of this name, so that it yields.
     last_notice: Option<Duration>,
 }
 
@@ -74,7 +76,7 @@
 #[derive(Default)]
 struct Synchronisation {
     connections: StateSync,
-    /// When this member last asked another one for its full state as the views differed.
+    /// When this member last requested another one's full state because their views differed.
     last_request: Option<Duration>,
 }
 
@@ -97,8 +99,9 @@
 }
 
 impl Membership {
-    /// A member at its start. `saved_state` is what its last incarnation saved; `seed` has to differ at each start. The state to
-    /// save is in `shared` from the beginning: it has to be written before the machine runs.
+    /// Creates a member. `saved_state` is what the previous incarnation saved; `seed` must differ at each
+    /// start. The new state to save is in `shared` when this returns, and must be stored before the machine
+    /// runs.
     pub fn new(
         settings: MembershipSettings, peers: Peers, saved_state: &SavedState, seed: u64, now: Duration,
         shared: Arc<SharedView>,
@@ -138,27 +141,28 @@
         membership
     }
 
-    /// What it knows of the other members.
+    /// The table of the other members.
     pub fn table(&self) -> &MemberTable {
         &self.table
     }
 
-    /// Its status.
+    /// The status of this member.
     pub fn status(&self) -> MemberStatus {
         self.local.status
     }
 
-    /// A hash of its view; equal on all members that know the same members.
+    /// A hash of this member's view. It is equal on all members that know the same members.
     pub fn digest(&self) -> u64 {
         self.agreement.digest
     }
 
-    /// Messages and changes since the start.
+    /// Counts of messages and changes since the start.
     pub fn counters(&self) -> Counters {
         self.counters
     }
 
-    /// Its incarnation, which grows when it takes its name back from an earlier one.
+    /// The incarnation of this member. It increases while the process runs if the member takes its name over
+    /// from a dead predecessor or refutes that it was declared gone.
     pub fn incarnation(&self) -> u64 {
         self.local.record.incarnation
     }
@@ -168,8 +172,8 @@
         router_count::router_count(now, self.local_routers(), &self.table)
     }
 
-    /// Whether it is a member, and nothing has changed and no member has reported a different view for
-    /// [`timing::SETTLED_AFTER`].
+    /// Whether this process is a member whose view has not changed, and no member has reported a different
+    /// view, for [`timing::SETTLED_AFTER`].
     pub fn is_settled(&self, now: Duration) -> bool {
         self.local.status == MemberStatus::Ready && self.agreement.is_settled(now)
     }
@@ -196,7 +200,7 @@
     }
 }
 
-/// Draws an index below `len`; 0 if there is none.
+/// Draws an index below `len` at random; 0 if `len` is 0.
 fn random_index(rng: &mut Xoshiro256PlusPlus, len: usize) -> usize {
     (rng.next_u64() % len.max(1) as u64) as usize
 }
@@ -235,7 +239,7 @@
     }
 
     fn wake_at(&self) -> Option<Duration> {
-        // Synchronisations that time out are aborted with the round after their time.
+        // Synchronisations that have timed out are aborted at the next round.
         (!self.departure.is_shut_down()).then_some(self.timer.next_round)
     }
 }
--- a/crates/membership/src/membership/own_name.rs
+++ b/crates/membership/src/membership/own_name.rs
@@ -9,14 +9,14 @@
 use std::time::Duration;
 
 impl Membership {
-    /// Takes a report about a record of this member's name.
+    /// Handles a reported record that has this member's own name.
     pub(super) fn merge_own_name(
         &mut self, now: Duration, record: &MemberRecord, heartbeat: Option<&Heartbeat>, out: &mut Vec<Output>,
     ) {
         let own = &self.local.record;
         if record.nonce == own.nonce && record.incarnation <= own.incarnation {
-            let is_present = record.incarnation == own.incarnation;
-            if record.has_left && is_present && !self.departure.is_leaving() {
+            let is_current = record.incarnation == own.incarnation;
+            if record.has_left && is_current && !self.departure.is_leaving() {
                 self.refute_declared_gone(now, record.incarnation, out);
             }
             return;
@@ -29,9 +29,9 @@
         }
     }
 
-    /// This incarnation was declared gone although it runs: it goes on as the next one.
-    fn refute_declared_gone(&mut self, now: Duration, declared_gone: u64, out: &mut Vec<Output>) {
-        self.begin_incarnation_after(now, declared_gone);
+    /// Continues as the next incarnation after this one was declared gone although it runs.
+    fn refute_declared_gone(&mut self, now: Duration, gone_incarnation: u64, out: &mut Vec<Output>) {
+        self.begin_incarnation_after(now, gone_incarnation);
         out.push(Output::Log(format!(
             "fleet: was declared gone and is not; goes on as incarnation {}",
             self.local.record.incarnation
@@ -45,7 +45,8 @@
         self.publish_saved_state(now);
     }
 
-    /// Resolves a conflict with another process of this member's name, which had come to `round` so long ago.
+    /// Handles a claim of another process to this member's name. `round` is the latest known round of that
+    /// process, and `age` the time since that round was first received.
     pub(super) fn resolve_conflict(
         &mut self, now: Duration, record: &MemberRecord, round: u32, age: Duration, out: &mut Vec<Output>,
     ) {
@@ -78,15 +79,16 @@
         self.publish_view(now);
     }
 
-    /// This member holds the name: the other process is told to yield.
+    /// Keeps the name and sends this member's claim to the other process, so that it yields.
     fn hold_name(&mut self, now: Duration, other: &MemberRecord, out: &mut Vec<Output>) {
         let MemberRecord { incarnation, address, .. } = other;
         let what =
-            format!("another process of this name, incarnation {incarnation} at {address}, is to yield");
+            format!("another process of this name, incarnation {incarnation} at {address}, must yield");
         self.log_rejection(now, &what, out);
-        // No third member tells it: the others keep the incarnation that they knew first, and their address tables lead to that
-        // one. Untold, both of two processes that started at about the same time went on. At most once a round, as two that
-        // both hold the name for a while would otherwise answer each other without end.
+        // No third member informs the other process: the others keep the incarnation that they knew first,
+        // and their address tables lead to that one. Without this message, two processes that started at
+        // about the same time would both go on. It is sent at most once per round, as two processes that both
+        // hold the name for a while would otherwise reply to each other endlessly.
         let is_due = self.conflict.last_notice.is_none_or(|notice| now >= notice + timing::ROUND_INTERVAL);
         let own = &self.local.record;
         let is_ready = self.local.status == MemberStatus::Ready;
@@ -99,11 +101,12 @@
         }
     }
 
-    /// A process that held this member's name and has been silent for long was its predecessor: the name is taken back.
+    /// Takes the name over if the process that held it has left or been silent for long enough to count as a
+    /// dead predecessor.
     pub(super) fn take_name_from_predecessor(&mut self, now: Duration, out: &mut Vec<Output>) {
-        let members = self.table.present_count() + 1;
+        let member_count = self.table.present_count() + 1;
         let resolved =
-            self.conflict.holder.take_if(|holder| name_conflict::is_resolved(now, holder, members));
+            self.conflict.holder.take_if(|holder| name_conflict::is_resolved(now, holder, member_count));
         let was_challenged = self.local.status == MemberStatus::Challenged;
         if let Some(predecessor) = resolved.filter(|_| was_challenged) {
             let incarnation = predecessor.record.incarnation;
--- a/crates/membership/src/membership/publishing.rs
+++ b/crates/membership/src/membership/publishing.rs
@@ -1,4 +1,4 @@
-//! What this member shows: log lines, the view, and the state to save.
+//! Log lines, and publication of the view and of the state to save.
 
 use super::Membership;
 use crate::saved_state::{Contact, MAX_CONTACTS};
@@ -7,12 +7,13 @@
 use slipreel_state_machine::Output;
 use std::time::Duration;
 
-/// The most changes that are logged at once; the rest is counted.
+/// The maximum number of changes that are logged one by one at a time; one line gives the number of the
+/// others.
 const MAX_LOGGED_CHANGES: usize = 24;
-/// Where counters alone have changed, the view is published once in so many rounds: five seconds.
+/// While nothing but counters changes, the view is published once per this many rounds: every five seconds.
 const ROUNDS_PER_COUNTER_UPDATE: u32 = 25;
 
-/// What the published view depends on beside the counters of messages.
+/// The values that are published as soon as they change, unlike the message counters.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) struct PublishedState {
     is_settled: bool,
@@ -23,14 +24,14 @@
 }
 
 impl Membership {
-    /// Logs a rejected message or claim, as far as the limit on such lines allows.
+    /// Logs a rejected message or claim, subject to the rate limit for such lines.
     pub(super) fn log_rejection(&mut self, now: Duration, what: &str, out: &mut Vec<Output>) {
         if let Some(times) = self.rejection_log.count(now) {
             out.push(Output::Log(format!("fleet: not taken ({times} since the last line): {what}")));
         }
     }
 
-    /// Logs what has changed in the table, and updates the digest.
+    /// Logs and counts the changes in the table since the last call, and updates the digest.
     pub(super) fn apply_changes(&mut self, now: Duration, out: &mut Vec<Output>) {
         let changes = self.table.take_changes();
         if changes.is_empty() {
@@ -46,14 +47,15 @@
         }
     }
 
-    /// Publishes the state that should outlive this process.
+    /// Publishes the state to be stored for the next start.
     pub(super) fn publish_saved_state(&self, now: Duration) {
         let present = self
             .table
             .present()
             .map(|entry| Contact { name: entry.record.name.clone(), address: entry.record.address });
         let mut contacts: Vec<Contact> = present.take(MAX_CONTACTS).collect();
-        // Contacts of earlier incarnations stay: a member that is alone has no new ones, and may be alone because of a partition.
+        // Contacts of earlier incarnations are kept: a member that sees no others has no new contacts, and
+        // may be in a partition.
         for saved in &self.addresses.contacts {
             if contacts.len() < MAX_CONTACTS && contacts.iter().all(|contact| contact.name != saved.name) {
                 contacts.push(saved.clone());
@@ -67,7 +69,7 @@
         });
     }
 
-    /// Publishes the view if it has changed.
+    /// Publishes the view if it has changed, or if counters are due ([`ROUNDS_PER_COUNTER_UPDATE`]).
     pub(super) fn publish_view(&mut self, now: Duration) {
         let state = PublishedState {
             is_settled: self.is_settled(now),
@@ -133,7 +135,7 @@
         let from = change.from.map_or_else(|| "unknown".to_owned(), |state| state.to_string());
         out.push(Output::Log(format!(
             "fleet: member={} incarnation={} from={from} to={} why=\"{}\"",
-            change.name, change.incarnation, change.to, change.why
+            change.name, change.incarnation, change.to, change.reason
         )));
     }
     if changes.len() > MAX_LOGGED_CHANGES {
--- a/crates/membership/src/membership/receiving.rs
+++ b/crates/membership/src/membership/receiving.rs
@@ -1,4 +1,4 @@
-//! Received messages: what is merged into the table, and what is replied.
+//! Received messages: merging them into the table, and replies.
 
 use super::Membership;
 use crate::state_sync::SyncProgress;
@@ -10,9 +10,9 @@
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::time::Duration;
 
-/// The most records that one message requests by their ids.
+/// The maximum number of records that one message requests by their ids.
 const MAX_REQUESTED_IDS: usize = 32;
-/// Stands in log lines for the address of a peer whose connection does not tell it.
+/// Logged as the peer address of a connection, as the machine does not know that address.
 const UNKNOWN_ADDRESS: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::UNSPECIFIED), 0);
 
 impl Membership {
@@ -29,16 +29,16 @@
         }
     }
 
-    /// Takes bytes of a synchronisation over TCP.
+    /// Handles bytes received on a synchronisation connection.
     pub(super) fn receive_stream(
         &mut self, now: Duration, conn: ConnId, bytes: &[u8], out: &mut Vec<Output>,
     ) {
         match self.synchronisation.connections.receive(conn, bytes, out) {
             SyncProgress::Incomplete => {}
             SyncProgress::Invalid(error) => self.reject_undecodable(now, error, UNKNOWN_ADDRESS, out),
-            SyncProgress::Complete { message, reply_owed } => {
+            SyncProgress::Complete { message, needs_reply } => {
                 self.counters.synchronisations += 1;
-                if reply_owed {
+                if needs_reply {
                     out.push(Output::Write(conn, self.full_state_frame(now)));
                     out.push(Output::CloseWhenSent(conn));
                 }
@@ -68,7 +68,8 @@
         self.log_rejection(now, &what, out);
     }
 
-    /// Merges a message; the ids of unknown members to request from its sender, or `None` if the message was not merged.
+    /// Merges a message. Returns the ids of unknown members to request from its sender, or `None` if the
+    /// message was not merged.
     fn merge_message(&mut self, now: Duration, message: &Message, out: &mut Vec<Output>) -> Option<Vec<u64>> {
         if message.fleet != self.settings.fleet {
             self.reject_other_fleet(now, message, out);
@@ -77,7 +78,7 @@
         let sender = &message.sender;
         let has_own_name = sender.name == self.local.record.name;
         if has_own_name && sender.nonce == self.local.record.nonce {
-            return None; // Its own message, which came back by a seed that is its own address.
+            return None; // Its own message, sent to a seed that is an address of this member.
         }
         self.counters.received += 1;
         if has_own_name {
@@ -113,7 +114,8 @@
         outcome
     }
 
-    /// Tells a process that another one holds its name, at the address that it states: the address table leads to the holder.
+    /// Informs a process that another one holds its name. The message goes to the address in the sender's
+    /// record, as the address table may lead to the holder.
     fn notify_superseded(&mut self, now: Duration, sender: &MemberRecord, out: &mut Vec<Output>) {
         let Some(entry) = self.table.get(&sender.name) else { return };
         let gossip =
@@ -135,7 +137,7 @@
         }
     }
 
-    /// Merges heartbeats; the ids of those whose members are not known.
+    /// Merges heartbeats. Returns the ids of unknown members, at most [`MAX_REQUESTED_IDS`].
     fn merge_heartbeats(&mut self, now: Duration, message: &Message, out: &mut Vec<Output>) -> Vec<u64> {
         let mut unknown_ids = Vec::new();
         for heartbeat in &message.heartbeats {
@@ -157,7 +159,7 @@
         unknown_ids
     }
 
-    /// Replies to a datagram with what its sender asked for, and asks for what is missing here.
+    /// Replies to a datagram with what its sender requested, and requests what is missing here.
     fn reply(&mut self, now: Duration, message: &Message, requested_ids: Vec<u64>, out: &mut Vec<Output>) {
         let to = self.address_of(&message.sender);
         if message.flags.wants_full_state {
@@ -170,7 +172,7 @@
                 self.send(to, &reply, out);
             }
         }
-        let wants_full_state = self.begins_full_state_request(now, message.digest);
+        let wants_full_state = self.should_request_full_state(now, message.digest);
         if wants_full_state || !requested_ids.is_empty() {
             let flags = Flags { wants_full_state, ..Flags::default() };
             let request = Message { requested_ids, ..self.message(flags, Gossip::default()) };
@@ -178,18 +180,19 @@
         }
     }
 
-    /// Whether to ask a member for its full state: its view differs although nothing changes here, so one of the two has missed
-    /// something that is no longer retransmitted.
-    fn begins_full_state_request(&mut self, now: Duration, digest: u64) -> bool {
+    /// Whether to request the full state of a member now; if so, the time is recorded. It is requested if
+    /// that member's view differs although this view is stable: one of the two has missed a record that is no
+    /// longer retransmitted.
+    fn should_request_full_state(&mut self, now: Duration, digest: u64) -> bool {
         let last_request = &mut self.synchronisation.last_request;
         let is_due =
             last_request.is_none_or(|requested| now >= requested + timing::FULL_STATE_REQUEST_INTERVAL);
         let views_differ = digest != self.agreement.digest && self.agreement.is_unchanged(now);
-        let begins = views_differ && self.local.status == MemberStatus::Ready && is_due;
-        if begins {
+        let should_request = views_differ && self.local.status == MemberStatus::Ready && is_due;
+        if should_request {
             *last_request = Some(now);
         }
-        begins
+        should_request
     }
 }
 
--- a/crates/membership/src/membership/rounds.rs
+++ b/crates/membership/src/membership/rounds.rs
@@ -1,17 +1,18 @@
-//! Rounds: joining, leaving, failure detection, and suspension of this process.
+//! Heartbeat rounds, joining, leaving, and detection that this process was suspended.
 
 use super::{random_index, Membership};
 use crate::{router_count, timing, MemberStatus};
 use slipreel_state_machine::Output;
 use std::time::Duration;
 
-/// A round begins this share of [`timing::ROUND_INTERVAL`] after the one before, at least, in thousandths.
+/// Minimum time from one round to the next, in thousandths of [`timing::ROUND_INTERVAL`].
 const MIN_INTERVAL_PERMILLE: u32 = 900;
-/// The number of intervals that are drawn from, each a thousandth longer than the one before.
+/// The number of possible times between rounds, each a thousandth of [`timing::ROUND_INTERVAL`] longer than
+/// the one before.
 const INTERVAL_CHOICES: usize = 201;
 
 impl Membership {
-    /// Detects that this process did not run for a while: silence of others in that time says nothing.
+    /// Detects that this process was suspended, and discounts the silence of other members in that time.
     pub(super) fn detect_suspension(&mut self, now: Duration, out: &mut Vec<Output>) {
         let gap = now.saturating_sub(self.timer.last_input);
         self.timer.last_input = now;
@@ -19,8 +20,8 @@
             return;
         }
         self.table.discount_suspension(gap);
-        // Nor does it prove that the holder of the name is dead: a challenged process that was suspended would take the name
-        // from one that runs.
+        // This includes the holder of this member's name: otherwise a challenged process that was suspended
+        // would take the name from one that runs.
         if let Some(holder) = &mut self.conflict.holder {
             holder.last_heard += gap;
         }
@@ -37,7 +38,7 @@
         self.schedule_next_round(now);
         self.handle_operator_requests(out);
         if self.local.status == MemberStatus::Yielded {
-            return self.finish(now, out);
+            return self.finish_without_sending(now, out);
         }
         let own = self.local_routers();
         let retains_silent = router_count::silent_outweigh_present(own, &self.table);
@@ -46,7 +47,7 @@
         self.stop_joining_if_alone(now, out);
         self.apply_changes(now, out);
         if self.departure.is_announced() {
-            return self.finish(now, out);
+            return self.finish_without_sending(now, out);
         }
         self.send_round(now, out);
         self.departure.count_round();
@@ -70,30 +71,31 @@
         }
     }
 
-    /// Ends joining where there is nobody to join, or nobody has answered for [`timing::JOIN_TIMEOUT`].
+    /// Ends joining if no other member is known, or none has answered for [`timing::JOIN_TIMEOUT`].
     fn stop_joining_if_alone(&mut self, now: Duration, out: &mut Vec<Output>) {
-        let knows_nobody = self.absent_members().is_empty() && self.table.is_empty();
+        let knows_no_member = self.absent_members().is_empty() && self.table.is_empty();
         let has_timed_out = now >= self.timer.started + timing::JOIN_TIMEOUT;
-        if self.local.status != MemberStatus::Joining || !(knows_nobody || has_timed_out) {
+        if self.local.status != MemberStatus::Joining || !(knows_no_member || has_timed_out) {
             return;
         }
         self.local.status = MemberStatus::Ready;
-        if !knows_nobody {
+        if !knows_no_member {
             out.push(Output::Log(
                 "fleet: no seed and no contact answers; goes on alone and keeps asking".into(),
             ));
         }
     }
 
-    /// Ends a round of a member that sends nothing any more, and the machine if the process is to end.
-    fn finish(&mut self, now: Duration, out: &mut Vec<Output>) {
+    /// Ends a round of a member that no longer sends messages, and stops the machine if a shutdown was
+    /// requested.
+    fn finish_without_sending(&mut self, now: Duration, out: &mut Vec<Output>) {
         if self.departure.finish_shutdown() {
             out.push(Output::Stopped);
         }
         self.publish_view(now);
     }
 
-    /// Begins to leave the fleet: tells some members at once, and the others through the next rounds.
+    /// Begins to leave the fleet: informs some members at once, and the others in the following rounds.
     pub(super) fn leave(&mut self, out: &mut Vec<Output>) {
         if self.departure.is_leaving() || self.local.status == MemberStatus::Yielded {
             return;
@@ -101,7 +103,7 @@
         self.local.record.has_left = true;
         self.local.status = MemberStatus::Left;
         self.departure.begin_announcement();
-        self.send_farewells(out);
+        self.send_leave_messages(out);
         out.push(Output::Log("fleet: said goodbye".into()));
     }
 }
--- a/crates/membership/src/membership/sending.rs
+++ b/crates/membership/src/membership/sending.rs
@@ -1,4 +1,4 @@
-//! Dissemination: what this member sends to whom.
+//! Dissemination: the messages that this member sends, and their receivers.
 
 use super::{random_index, Membership};
 use crate::table::{max_encoded_len, Gossip};
@@ -8,10 +8,11 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The only socket of this machine.
+/// The UDP socket of this machine.
 const SOCKET: ListenerId = ListenerId(0);
-/// The most members that are told at once that this one leaves; the others hear of it through them.
-const MAX_IMMEDIATE_FAREWELLS: usize = 32;
+/// The maximum number of members that are informed at once that this one leaves; the others learn it from
+/// them.
+const MAX_IMMEDIATE_LEAVE_MESSAGES: usize = 32;
 
 const WANTS_FULL_STATE: Flags =
     Flags { wants_full_state: true, exceeds_datagram: false, is_full_state: false };
@@ -33,7 +34,7 @@
         }
     }
 
-    /// The bytes that records and heartbeats of a datagram may take beside its header.
+    /// The maximum encoded length of the records and heartbeats in a datagram, in bytes.
     pub(super) fn max_gossip_len(&self) -> usize {
         let sender_len = max_encoded_len(&self.local.record);
         let header_len = 9 + 1 + self.settings.fleet.len() + sender_len + 5 + 8 + 1 + 3 * 2;
@@ -55,7 +56,8 @@
         self.send(to, &message, out);
     }
 
-    /// Sends all that is known; if it does not fit in a datagram, as much as fits and a request to synchronise over TCP.
+    /// Sends the full state. If it does not fit in a datagram, sends as much as fits and a request to
+    /// synchronise over TCP.
     pub(super) fn send_full_state(&mut self, now: Duration, to: SocketAddr, out: &mut Vec<Output>) {
         let full_state = self.table.full_state(now);
         if full_state.max_encoded_len() > self.max_gossip_len() {
@@ -65,21 +67,22 @@
         self.send(to, &message, out);
     }
 
-    /// All that is known, as it goes over TCP.
+    /// The full state, framed for TCP.
     pub(super) fn full_state_frame(&self, now: Duration) -> Vec<u8> {
         frame(&self.message(IS_FULL_STATE, self.table.full_state(now)))
     }
 
-    /// Tells some members at once that this one leaves.
-    pub(super) fn send_farewells(&mut self, out: &mut Vec<Output>) {
+    /// Informs some members at once that this one leaves.
+    pub(super) fn send_leave_messages(&mut self, out: &mut Vec<Output>) {
         let present = self.table.present().map(|entry| self.address_of(&entry.record));
-        let receivers: Vec<SocketAddr> = present.take(MAX_IMMEDIATE_FAREWELLS).collect();
+        let receivers: Vec<SocketAddr> = present.take(MAX_IMMEDIATE_LEAVE_MESSAGES).collect();
         let message = self.message(Flags::default(), Gossip::default());
         receivers.into_iter().for_each(|to| self.send(to, &message, out));
     }
 
-    /// Sends the messages of one round: to randomly drawn members of the view and, while joining or every few rounds, to some
-    /// that are not in the view, which is what joins the sides of a partition again.
+    /// Sends the messages of one round: to randomly drawn members of the view and, while joining or in one of
+    /// [`timing::ROUNDS_PER_RECONNECT`] rounds, to members that are not in the view, which reconnects the
+    /// sides of a partition.
     pub(super) fn send_round(&mut self, now: Duration, out: &mut Vec<Output>) {
         self.local.round += 1;
         let mut present: Vec<SocketAddr> =
@@ -100,11 +103,12 @@
         }
     }
 
-    /// Addresses of members that are not in the view and may be running.
+    /// The addresses of members that are not in the view and may be running.
     pub(super) fn absent_members(&self) -> Vec<SocketAddr> {
         self.addresses.absent(&self.local.record, &self.table)
     }
 
+    /// Removes a random address from the list.
     fn draw(&mut self, addresses: &mut Vec<SocketAddr>) -> Option<SocketAddr> {
         if addresses.is_empty() {
             return None;
--- a/crates/membership/src/name_conflict.rs
+++ b/crates/membership/src/name_conflict.rs
@@ -1,13 +1,16 @@
-//! Two processes of one name: which one yields, and how a dead predecessor is told from a process that runs.
+//! Conflicts between two processes of one name: which one yields, and how a dead predecessor is distinguished
+//! from a running process.
 //!
-//! The process of the higher incarnation holds the name. Of two with one incarnation, as where a second process is started without the
-//! folder of the first, the one that has run for clearly longer holds it: a stray newcomer must not push out a router that serves. If they
-//! started at about the same time, the higher nonce does.
+//! The process of the higher incarnation holds the name. Two processes can have the same incarnation, for
+//! example if the second was started without the folder of the first. Then the one that has run for clearly
+//! longer holds the name, so that a process started by mistake does not displace a router that serves. If
+//! they started at about the same time, the one with the higher nonce holds it.
 //!
-//! A process that learns of another one that holds its name is challenged: it may be a predecessor, whose folder was lost, or a process
-//! that runs. A challenged process is not ready. If a round of the other was counted after this one's start, it runs, and this one yields
-//! for good: which of two may run is for the operators to decide. If it stays silent for as long as makes a member gone, it was a
-//! predecessor, and this one takes the next incarnation.
+//! A process that learns of another one that holds its name is challenged, and not ready. The other one may
+//! be a predecessor whose folder was lost, or a running process. If it counted a round after this process
+//! started, it runs, and this process yields for good: operators have to decide which of the two may run. If
+//! it stays silent for as long as makes a member gone, it was a predecessor, and this process takes the next
+//! incarnation.
 
 use crate::timing;
 use slipreel_protocol::membership::MemberRecord;
@@ -16,40 +19,42 @@
 /// Another process that holds this one's name.
 #[derive(Clone, Debug)]
 pub struct NameConflict {
-    /// Its record.
+    /// The record of that process.
     pub record: MemberRecord,
-    /// Its latest round that was heard of.
+    /// The latest round of it that was received.
     pub round: u32,
-    /// When it was last seen to have moved on, on this process's clock: the latest estimate of all reports of it.
+    /// When its round last advanced, on this process's clock: the latest estimate from all reports.
     pub last_heard: Duration,
 }
 
-/// What follows from a report of another process of the own name.
+/// The outcome of a report that another process has this one's name.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ConflictOutcome {
-    /// This process holds the name; the other one has to yield.
+    /// This process holds the name, and the other one must yield.
     Holds,
-    /// The other process takes precedence but may be dead: wait.
+    /// The other process takes precedence but may be dead: this process waits.
     Challenged,
-    /// The other process runs and holds the name: this one yields.
+    /// The other process runs and holds the name: this process yields.
     Yields,
 }
 
-/// A process and its latest round, which decide who holds a name.
+/// A process's claim to a name, which is compared with that of another process.
 #[derive(Clone, Copy, Debug)]
 pub struct NameClaim<'a> {
     /// The record of the process.
     pub record: &'a MemberRecord,
-    /// Its latest round; for another process the latest one heard of, which is never later than its true one.
+    /// Its latest round. For another process this is the latest one received, which is never ahead of its
+    /// current one.
     pub round: u32,
 }
 
-/// Rounds by which one of two processes with one incarnation has to lead to count as the older: 5 s, more than reports are usually late.
-/// Each process sees itself further ahead of the other than it is, so both can't yield; one that sees it differently for a while holds the
-/// name, and soon hears the other's true round.
+/// Of two processes with the same incarnation, one that is ahead by more than this many rounds counts as the
+/// older one. That is 5 s, longer than reports are usually delayed. As reports are delayed, each process sees
+/// itself further ahead than it is, so the two can't both yield. Both may hold the name for a while, until
+/// one receives the other's current round.
 const MIN_LEAD_ROUNDS: u32 = 25;
 
-/// Whether the own claim takes precedence over another one.
+/// Whether this process's claim takes precedence over another one.
 fn takes_precedence(own: NameClaim<'_>, other: NameClaim<'_>) -> bool {
     if own.record.incarnation != other.record.incarnation {
         return own.record.incarnation > other.record.incarnation;
@@ -60,8 +65,8 @@
     own.record.nonce > other.record.nonce
 }
 
-/// Evaluates a report, so long old, of another process of the own name; `conflict` keeps what is known of the holder. `started` is when
-/// this process started.
+/// Evaluates a report of another process of this one's name. `age` is the age of the report, `started` the
+/// time at which this process started, and `conflict` what is known of the holder, which is updated.
 pub fn evaluate_claim(
     now: Duration, started: Duration, own: NameClaim<'_>, conflict: &mut Option<NameConflict>,
     reported: NameClaim<'_>, age: Duration,
@@ -92,9 +97,10 @@
     }
 }
 
-/// Whether the holder has left or been silent for so long that the name is free, in a fleet of `members`.
-pub fn is_resolved(now: Duration, conflict: &NameConflict, members: usize) -> bool {
-    conflict.record.has_left || now.saturating_sub(conflict.last_heard) >= timing::gone_after(members)
+/// Whether the holder has left or been silent for so long that the name is free, in a fleet of this many
+/// members.
+pub fn is_resolved(now: Duration, conflict: &NameConflict, member_count: usize) -> bool {
+    conflict.record.has_left || now.saturating_sub(conflict.last_heard) >= timing::gone_after(member_count)
 }
 
 #[cfg(test)]
--- a/crates/membership/src/saved_state/tests.rs
+++ b/crates/membership/src/saved_state/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn encoded_state_is_decoded_and_truncated_or_foreign_file_is_refused() {
+fn encoded_state_is_decoded_and_truncated_or_other_file_is_rejected() {
     let address = SocketAddr::from(([127, 0, 0, 1], 9));
     let state =
         SavedState { incarnation: 7, router_count: 3, contacts: vec![Contact { name: "a".into(), address }] };
--- a/crates/membership/src/shared_view.rs
+++ b/crates/membership/src/shared_view.rs
@@ -1,4 +1,4 @@
-//! The state that the membership's thread shares with the rest of the process. Readers never wait for the writer.
+//! State that the membership thread shares with the rest of the process. Reading the view never blocks.
 
 use crate::{MembershipView, SavedState};
 use arc_swap::ArcSwap;
@@ -6,10 +6,11 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex};
 
-/// The most names that may wait to be declared gone.
+/// The maximum number of pending requests to declare a member gone.
 const MAX_PENDING_FORGETS: usize = 64;
 
-/// The latest view and saved state of a [`crate::Membership`], and the operators' requests that it has yet to handle.
+/// The latest view and saved state of a [`crate::Membership`], and operators' requests that it has not
+/// handled yet.
 #[derive(Debug, Default)]
 pub struct SharedView {
     view: ArcSwap<MembershipView>,
@@ -24,17 +25,18 @@
         self.view.load_full()
     }
 
-    /// The latest state that should outlive the process.
+    /// The latest state to be stored for the next start.
     pub fn saved_state(&self) -> Arc<SavedState> {
         self.saved_state.load_full()
     }
 
-    /// Requests, for an operator, that this member leaves the fleet.
+    /// Requests, on behalf of an operator, that this member leaves the fleet.
     pub fn request_leave(&self) {
         self.leave_requested.store(true, Ordering::Release);
     }
 
-    /// Requests, for an operator, that a member is declared gone for good. False if too many such requests wait.
+    /// Requests, on behalf of an operator, that a member is declared gone for good. Returns false if too many
+    /// such requests are pending.
     pub fn request_forget(&self, name: &str) -> bool {
         let Ok(mut requests) = self.forget_requests.lock() else { return false };
         let has_capacity = requests.len() < MAX_PENDING_FORGETS;
--- a/crates/membership/src/state_sync.rs
+++ b/crates/membership/src/state_sync.rs
@@ -1,7 +1,8 @@
-//! State synchronisation over TCP (anti-entropy): two members exchange their full states where those do not fit in a datagram.
+//! State synchronisation over TCP (anti-entropy): two members exchange their full states if those do not fit
+//! in a datagram.
 //!
-//! The connections are bounded in number, size and time, so that a peer that trickles bytes or never answers costs one connection
-//! for [`timing::SYNC_TIMEOUT`] and nothing else.
+//! The connections are limited in number, size and time: a peer that sends its bytes slowly or never answers
+//! takes up one connection for [`timing::SYNC_TIMEOUT`] and nothing else.
 
 use crate::timing;
 use slipreel_protocol::membership::{unframe, DecodeError, Message, MAX_MESSAGE_LEN};
@@ -10,10 +11,10 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Bytes of the length before a message on TCP.
+/// Length of the prefix that states the length of a message on TCP, in bytes.
 const LENGTH_PREFIX_LEN: usize = 4;
 
-/// What one connection has received.
+/// The bytes that one connection has received, and when it was opened.
 struct SyncConnection {
     opened_at: Duration,
     received: Vec<u8>,
@@ -29,7 +30,7 @@
     }
 }
 
-/// The synchronisation that this member has begun.
+/// A synchronisation that this member has begun.
 struct OutgoingSync {
     conn: ConnId,
     connection: SyncConnection,
@@ -43,12 +44,12 @@
     opened_count: u64,
 }
 
-/// What received bytes have completed.
+/// The progress of a synchronisation after some bytes were received.
 pub(crate) enum SyncProgress {
     /// The message is not complete yet.
     Incomplete,
-    /// The peer's message; `reply_owed`: it has not received ours yet.
-    Complete { message: Box<Message>, reply_owed: bool },
+    /// The peer's message. `needs_reply` is true if this member has not sent its own message yet.
+    Complete { message: Box<Message>, needs_reply: bool },
     /// The bytes are not a message.
     Invalid(DecodeError),
 }
@@ -72,11 +73,11 @@
         self.accepted.insert(conn, SyncConnection::new(now));
     }
 
-    /// Takes received bytes. A connection that has received a complete or invalid message is in progress no longer.
+    /// Handles received bytes. After a complete or invalid message the connection is no longer in progress.
     pub(crate) fn receive(&mut self, conn: ConnId, bytes: &[u8], out: &mut Vec<Output>) -> SyncProgress {
         let outgoing = self.outgoing.as_mut().filter(|outgoing| outgoing.conn == conn);
         let outgoing = outgoing.map(|outgoing| &mut outgoing.connection);
-        let reply_owed = outgoing.is_none();
+        let needs_reply = outgoing.is_none();
         let Some(connection) = outgoing.or(self.accepted.get_mut(&conn)) else {
             return SyncProgress::Incomplete;
         };
@@ -87,26 +88,27 @@
                 return SyncProgress::Incomplete;
             }
             Ok(None) => SyncProgress::Invalid(DecodeError::TooLong(received_len)),
-            Ok(Some(message)) => SyncProgress::Complete { message: Box::new(message), reply_owed },
+            Ok(Some(message)) => SyncProgress::Complete { message: Box::new(message), needs_reply },
             Err(error) => SyncProgress::Invalid(error),
         };
         self.remove(conn);
         match &progress {
             // The caller sends the reply, then closes the connection.
-            SyncProgress::Complete { reply_owed: true, .. } => {}
+            SyncProgress::Complete { needs_reply: true, .. } => {}
             SyncProgress::Complete { .. } => out.push(Output::CloseWhenSent(conn)),
             _ => out.push(Output::Abort(conn)),
         }
         progress
     }
 
-    /// Removes a connection that is over.
+    /// Removes a connection that has ended.
     pub(crate) fn remove(&mut self, conn: ConnId) {
         self.accepted.remove(&conn);
         self.outgoing = self.outgoing.take().filter(|outgoing| outgoing.conn != conn);
     }
 
-    /// The peer sends no more: a message that is not complete by now never will be.
+    /// Handles the end of the peer's stream. A message that is incomplete by then stays so, and the
+    /// connection is aborted.
     pub(crate) fn end_of_stream(&mut self, conn: ConnId, out: &mut Vec<Output>) {
         let is_outgoing = self.outgoing.as_ref().is_some_and(|outgoing| outgoing.conn == conn);
         if is_outgoing || self.accepted.contains_key(&conn) {
--- a/crates/membership/src/table.rs
+++ b/crates/membership/src/table.rs
@@ -1,11 +1,14 @@
-//! What a member knows of the others: for each name one incarnation, its latest round and when that was first heard of.
+//! The table of the other members: for each name one incarnation, its latest round and when that round was
+//! first received.
 //!
 //! The rules of merging ([`merge`]) make all tables converge without coordination:
 //!
-//! - of two incarnations of one name the higher one stays for good; of two processes with one incarnation the one that was known first
-//!   stays until it is gone: which of the two may go on they settle themselves ([`crate::name_conflict`]);
-//! - of two rounds of one incarnation the higher stays, with the time at which it was *first* heard of here, less the age that was
-//!   reported. An equal round changes nothing: otherwise the age of a dead member would shrink by the network delay with each exchange;
+//! - the higher of two incarnations of one name replaces the lower one for good. Of two processes with the
+//!   same incarnation the one that was known first stays until it is gone; the two resolve the conflict
+//!   between themselves ([`crate::name_conflict`]);
+//! - the higher of two rounds of one incarnation replaces the lower one, with the time at which it was
+//!   *first* received here, less its reported age. An equal round changes nothing: otherwise each exchange
+//!   would make a dead member look younger by the network delay;
 //! - leaving is final for an incarnation.
 
 mod dissemination;
@@ -21,7 +24,8 @@
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use xxhash_rust::xxh3::Xxh3;
 
-/// Ids of superseded incarnations that are remembered, so that their records are not requested.
+/// The maximum number of ids of superseded incarnations that are kept, so that their records are not
+/// requested.
 const MAX_TOMBSTONES: usize = 512;
 
 /// The other members by name.
@@ -64,12 +68,12 @@
         self.entries.is_empty()
     }
 
-    /// The name of the member whose present incarnation has this id.
+    /// The name of the member whose current incarnation has this id.
     pub fn name_by_id(&self, id: u64) -> Option<&str> {
         self.names_by_id.get(&id).map(String::as_str)
     }
 
-    /// Whether an id is that of an incarnation that was superseded by another one.
+    /// Whether this is the id of an incarnation that another one has superseded.
     pub fn has_tombstone(&self, id: u64) -> bool {
         self.tombstones.contains(&id)
     }
@@ -79,7 +83,8 @@
         std::mem::take(&mut self.changes)
     }
 
-    /// A hash over the members that are not gone, suspects and `own` included; equal on all processes that know the same members.
+    /// A hash of the members that are not gone (suspects included) and of `own`. It is equal on all processes
+    /// that know the same members.
     pub fn digest(&self, own: &MemberRecord) -> u64 {
         let mut hash = Xxh3::new();
         let mut own = Some(own);
--- a/crates/membership/src/table/dissemination.rs
+++ b/crates/membership/src/table/dissemination.rs
@@ -1,4 +1,4 @@
-//! Which records and heartbeats a message carries.
+//! Selection of the records and heartbeats that a message carries.
 
 use super::{MemberEntry, MemberTable};
 use slipreel_protocol::membership::{
@@ -7,10 +7,11 @@
 use std::cmp::Reverse;
 use std::time::Duration;
 
-/// Bytes that an encoded heartbeat usually takes: rounds of some days and ages of some seconds.
+/// Usual length of an encoded heartbeat in bytes: its id, a round after a few days, and an age of a few
+/// seconds.
 const USUAL_HEARTBEAT_LEN: usize = 8 + 4 + 2;
 
-/// Records and heartbeats for one message.
+/// The records and heartbeats of one message.
 #[derive(Clone, Debug, Default)]
 pub struct Gossip {
     /// Full records of members.
@@ -20,7 +21,8 @@
 }
 
 impl Gossip {
-    /// The most bytes that the lists take when encoded, each record having its heartbeat.
+    /// The maximum encoded length in bytes, if each record has its heartbeat and there are no other
+    /// heartbeats.
     pub fn max_encoded_len(&self) -> usize {
         self.records.iter().map(|record| max_encoded_len(record) + MAX_HEARTBEAT_LEN).sum()
     }
@@ -32,9 +34,10 @@
 }
 
 impl MemberTable {
-    /// Selects what goes into a message of at most `max_len` bytes: records that are still to be retransmitted, then
-    /// heartbeats, the latest ones in one half of the capacity and randomly drawn ones in the other, so that in a large fleet
-    /// no member's rounds wait for long. `random_index` draws an index below its argument.
+    /// Selects records and heartbeats for a message, up to `max_len` bytes: first records that are still to
+    /// be retransmitted, then heartbeats. Half of the heartbeats are the most recent ones and half are drawn
+    /// at random, so that in a large fleet no member's rounds are delayed for long. `random_index` draws an
+    /// index below its argument.
     pub fn select_gossip(
         &mut self, now: Duration, max_len: usize, random_index: impl FnMut(usize) -> usize,
     ) -> Gossip {
@@ -55,14 +58,15 @@
         gossip
     }
 
-    /// All members that are not gone.
+    /// The records and heartbeats of all members that are not gone.
     pub fn full_state(&self, now: Duration) -> Gossip {
         let mut gossip = Gossip::default();
         self.present().for_each(|entry| gossip.push(now, entry));
         gossip
     }
 
-    /// The members with these ids, as far as they are known and fit in `max_len` bytes.
+    /// The records and heartbeats of the members with these ids, as far as they are known and fit in
+    /// `max_len` bytes.
     pub fn records_by_id(&self, now: Duration, ids: &[u64], max_len: usize) -> Gossip {
         let mut remaining_len = max_len;
         let mut gossip = Gossip::default();
@@ -78,7 +82,7 @@
     }
 }
 
-/// At most `capacity` of the entries: half of them the latest heard of, the others drawn at random.
+/// Selects at most `capacity` entries: half of them with the most recent rounds, the others drawn at random.
 fn select_heartbeats(
     mut entries: Vec<&MemberEntry>, capacity: usize, mut random_index: impl FnMut(usize) -> usize,
 ) -> Vec<&MemberEntry> {
@@ -96,12 +100,12 @@
     entries
 }
 
-/// The most bytes that an encoded record takes.
+/// The maximum encoded length of a record, in bytes.
 pub(crate) fn max_encoded_len(record: &MemberRecord) -> usize {
     MAX_RECORD_LEN_WITHOUT_NAME + record.name.len()
 }
 
-/// The heartbeat by which other members are told of an entry's latest round.
+/// The heartbeat that reports an entry's latest round to other members.
 pub(crate) fn heartbeat_of(now: Duration, entry: &MemberEntry) -> Heartbeat {
     let age = now.saturating_sub(entry.last_heard).as_millis();
     Heartbeat { record_id: entry.id, round: entry.round, age_ms: u32::try_from(age).unwrap_or(u32::MAX) }
--- a/crates/membership/src/table/member.rs
+++ b/crates/membership/src/table/member.rs
@@ -1,4 +1,4 @@
-//! What the table holds of one member, and what happens to it.
+//! An entry of the table, and the outcomes and changes of merging.
 
 #[cfg(doc)]
 use super::MemberTable;
@@ -6,15 +6,15 @@
 use std::fmt;
 use std::time::Duration;
 
-/// The state of a member as far as this process knows; the crate's documentation says what each state means.
+/// The state of a member as far as this process knows. The crate's documentation explains each state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum MemberState {
-    /// Its rounds advance.
+    /// Its round advances.
     Alive,
-    /// No new round was heard of for a while.
+    /// No new round was received for [`crate::timing::suspect_after`].
     Suspect,
-    /// No new round was heard of for long, or it has left.
+    /// No new round was received for [`crate::timing::gone_after`], or the member has left.
     Gone,
 }
 
@@ -28,43 +28,44 @@
     }
 }
 
-/// What is known of one member.
+/// What the table holds of one member.
 #[derive(Clone, Debug)]
 pub struct MemberEntry {
-    /// The record of its present incarnation.
+    /// The record of its current incarnation.
     pub record: MemberRecord,
     /// The record's [`MemberRecord::id`].
     pub id: u64,
-    /// The latest round heard of.
+    /// The latest round that was received.
     pub round: u32,
-    /// When that round was first heard of here, less the age that it had then.
+    /// When that round was first received here, less the age that was reported with it.
     pub last_heard: Duration,
     /// The state as of the last [`MemberTable::update_states`].
     pub state: MemberState,
-    /// When it entered that state.
+    /// When the member entered that state.
     pub state_since: Duration,
-    /// The name of the member that last reported on it.
+    /// The name of the member that reported the latest round, or that the member left.
     pub reported_by: String,
-    /// How many more messages carry its full record.
+    /// The number of further messages that carry the full record.
     pub(super) retransmissions_left: u32,
 }
 
 /// The outcome of merging a record or heartbeat.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MergeOutcome {
-    /// A name or an incarnation that was not known.
+    /// The name or incarnation was not known and was added.
     New,
-    /// A later round of a known incarnation.
+    /// The round of a known incarnation advanced.
     Advanced,
     /// The member has left.
     Left,
-    /// Nothing new.
+    /// The report contained nothing new.
     Unchanged,
     /// Another incarnation of this name takes precedence.
     Superseded,
-    /// The table has no capacity for another name.
+    /// The table is full, and the name was not known.
     TableFull,
-    /// The member is not known and has been silent for so long that it counts as gone.
+    /// An unknown member that has left or whose round is so old that it counts as gone, or a heartbeat of an
+    /// unknown id.
     Stale,
 }
 
@@ -75,10 +76,10 @@
     pub name: String,
     /// Its incarnation.
     pub incarnation: u64,
-    /// The state before; `None`: the member was not known.
+    /// The state before, or `None` if the member was not known.
     pub from: Option<MemberState>,
-    /// The state from now on.
+    /// The state after the change.
     pub to: MemberState,
-    /// The cause, for operators.
-    pub why: String,
+    /// The reason, for the log.
+    pub reason: String,
 }
--- a/crates/membership/src/table/merge.rs
+++ b/crates/membership/src/table/merge.rs
@@ -1,23 +1,24 @@
-//! Merging of records and heartbeats that other members report; the rules stand in the documentation of the table.
+//! Merging of records and heartbeats that other members report. The documentation of the table states the
+//! rules.
 
 use super::{MemberChange, MemberEntry, MemberState, MemberTable, MergeOutcome, MAX_TOMBSTONES};
 use crate::timing;
 use slipreel_protocol::membership::MemberRecord;
 use std::time::Duration;
 
-/// What a reported record means for the entry of its name.
+/// How a reported record relates to the entry of its name.
 enum Precedence {
-    /// It is the known incarnation, which has this id.
+    /// The record is of the known incarnation, which has this id.
     SameIncarnation(u64),
-    /// It takes the place of what is known of the name, if anything is.
+    /// The record replaces the entry, or is the first of its name.
     Replaces,
-    /// It is not taken.
+    /// The record is not merged.
     Rejected(MergeOutcome),
 }
 
 impl MemberTable {
-    /// Merges a full record with its latest round, as reported by the member `reported_by`. The local member's own record is
-    /// never in this table.
+    /// Merges a full record with its latest round, as reported by the member `reported_by`. The local
+    /// member's own record is never in this table.
     pub fn merge_record(
         &mut self, now: Duration, record: &MemberRecord, round: u32, age: Duration, reported_by: &str,
     ) -> MergeOutcome {
@@ -37,13 +38,14 @@
     }
 
     fn precedence(&self, record: &MemberRecord, age: Duration) -> Precedence {
-        let members = self.present_count() + 1;
+        let member_count = self.present_count() + 1;
         let Some(known) = self.entries.get(&record.name) else {
             if self.entries.len() >= timing::MAX_MEMBERS {
                 return Precedence::Rejected(MergeOutcome::TableFull);
             }
-            // Members that have not forgotten it yet still report on one that is long gone; it stays forgotten here.
-            if record.has_left || age >= timing::gone_after(members) {
+            // Other members may still report a long-gone member that this one has forgotten; it is not added
+            // again.
+            if record.has_left || age >= timing::gone_after(member_count) {
                 return Precedence::Rejected(MergeOutcome::Stale);
             }
             return Precedence::Replaces;
@@ -58,18 +60,18 @@
         if known.record.nonce == record.nonce {
             return Precedence::SameIncarnation(known.id);
         }
-        if known.state == MemberState::Gone && age < timing::suspect_after(members) {
+        if known.state == MemberState::Gone && age < timing::suspect_after(member_count) {
             Precedence::Replaces
         } else {
             Precedence::Rejected(MergeOutcome::Superseded)
         }
     }
 
-    /// Puts a record in the place of what is known of its name.
+    /// Adds a record, or replaces the entry of its name by it.
     fn replace(
         &mut self, now: Duration, record: &MemberRecord, round: u32, age: Duration, reported_by: &str,
     ) {
-        let members = self.present_count() + 1;
+        let member_count = self.present_count() + 1;
         let state = if record.has_left { MemberState::Gone } else { MemberState::Alive };
         let id = record.id();
         let entry = MemberEntry {
@@ -80,7 +82,7 @@
             state,
             state_since: now,
             reported_by: reported_by.to_owned(),
-            retransmissions_left: timing::retransmissions(members),
+            retransmissions_left: timing::retransmissions(member_count),
         };
         let previous = self.entries.insert(record.name.clone(), entry);
         if let Some(previous) = &previous {
@@ -93,7 +95,7 @@
             incarnation: record.incarnation,
             from: previous.map(|previous| previous.state),
             to: state,
-            why: format!("a new life at {}, told by {reported_by}", record.address),
+            reason: format!("a new incarnation at {}, reported by {reported_by}", record.address),
         });
     }
 
@@ -115,22 +117,22 @@
             return MergeOutcome::Unchanged;
         }
         entry.round = round;
-        // Never earlier than before: a later round may have come by a slower path.
+        // The time never moves back: a later round may have taken a slower path.
         entry.last_heard = entry.last_heard.max(now.saturating_sub(age));
         reported_by.clone_into(&mut entry.reported_by);
         MergeOutcome::Advanced
     }
 
-    /// Marks a member as having left; false if it is not known or has left already. An operator who declares a member gone for
-    /// good does the same.
+    /// Marks a member as having left, also where an operator declares it gone for good. Returns false if it
+    /// is not known or has left already.
     pub fn mark_left(&mut self, name: &str, reported_by: &str) -> bool {
-        let members = self.present_count() + 1;
+        let member_count = self.present_count() + 1;
         let Some(entry) = self.entries.get_mut(name).filter(|entry| !entry.record.has_left) else {
             return false;
         };
         entry.record.has_left = true;
         reported_by.clone_into(&mut entry.reported_by);
-        entry.retransmissions_left = timing::retransmissions(members);
+        entry.retransmissions_left = timing::retransmissions(member_count);
         true
     }
 }
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -1,4 +1,5 @@
-//! The membership view as operators and the rest of the process see it: as values, JSON and metrics. It decides nothing.
+//! The membership view for operators and the rest of the process, as values, JSON and metrics. It makes no
+//! decisions.
 
 use crate::table::MemberState;
 use crate::Counters;
@@ -9,33 +10,34 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum MemberStatus {
-    /// It has started and looks for the others.
+    /// It has started and is looking for other members.
     #[default]
     Joining,
     /// It is a member.
     Ready,
-    /// Another process of its name is known, which may be dead or alive.
+    /// Another process that holds its name is known, which may be dead or alive.
     Challenged,
-    /// Another process holds its name. Final: an operator has to end one of the two.
+    /// Another process runs and holds its name. This status is final: an operator has to end one of the two
+    /// processes.
     Yielded,
     /// It has announced that it leaves.
     Left,
 }
 
-/// One member, as operators see it.
+/// One member in the view.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemberView {
-    /// Its name.
+    /// The name of the member.
     pub name: String,
-    /// Where this router reaches it.
+    /// The address at which this router reaches it.
     pub address: SocketAddr,
     /// Its incarnation.
     pub incarnation: u64,
-    /// Its state, as far as this process knows.
+    /// Its state as far as this process knows.
     pub state: MemberState,
-    /// When it entered that state, on this process's clock.
+    /// When it entered that state, on this process's clock. For this process itself, when it started.
     pub since: Duration,
-    /// Whether it has left by itself or was declared gone by an operator.
+    /// Whether it has left, or was declared gone by an operator.
     pub has_left: bool,
 }
 
@@ -48,17 +50,18 @@
     pub name: String,
     /// Its incarnation.
     pub incarnation: u64,
-    /// Its status.
+    /// The status of this member.
     pub status: MemberStatus,
-    /// Whether nothing has changed and no member has reported a different view for [`crate::timing::SETTLED_AFTER`].
+    /// Whether nothing has changed and no member has reported a different view for
+    /// [`crate::timing::SETTLED_AFTER`].
     pub is_settled: bool,
-    /// A hash over the members that are not gone; equal views have equal digests.
+    /// A hash of the members that are not gone; equal views have equal digests.
     pub digest: u64,
     /// The number of routers that quotas are divided by, from [`crate::router_count`].
     pub router_count: u32,
-    /// All listed members, this one included, sorted by name.
+    /// All known members, this one included, sorted by name.
     pub members: Vec<MemberView>,
-    /// Messages and changes since the start.
+    /// Counts of messages and changes since the start.
     pub counters: Counters,
 }
 
@@ -88,7 +91,7 @@
                 left: member.has_left,
             })
             .collect();
-        let shown = serde_json::json!({
+        let json = serde_json::json!({
             "name": self.name,
             "fleet": self.fleet,
             "incarnation": self.incarnation,
@@ -98,7 +101,7 @@
             "routers": self.router_count,
             "members": members,
         });
-        shown.to_string()
+        json.to_string()
     }
 
     /// The number of members in a state.
@@ -115,11 +118,11 @@
                 out += &format!("slipreel_fleet_{name}{labels} {value}\n");
             }
         };
-        let of = |state: MemberState| (format!("{{state=\"{state}\"}}"), self.count(state) as u64);
+        let sample = |state: MemberState| (format!("{{state=\"{state}\"}}"), self.count(state) as u64);
         gauge(
             "members",
             "Members by state.",
-            &[of(MemberState::Alive), of(MemberState::Gone), of(MemberState::Suspect)],
+            &[sample(MemberState::Alive), sample(MemberState::Gone), sample(MemberState::Suspect)],
         );
         gauge("routers", "Routers to reckon with.", &[(String::new(), u64::from(self.router_count))]);
         gauge("settled", "Whether the view is settled.", &[(String::new(), u64::from(self.is_settled))]);
--- a/crates/membership/tests/stored_data.rs
+++ b/crates/membership/tests/stored_data.rs
@@ -1,9 +1,9 @@
-//! The file in which a member saves its state is the same for builds before and after: one that an earlier build wrote
-//! is read, and the same state is written as the same bytes.
+//! Compatibility of the saved-state file with earlier builds: a file from an earlier build decodes to the
+//! same state, and that state is encoded as the same bytes.
 
 use slipreel_membership::{Contact, SavedState};
 
-/// Written by the build before the types of this crate were renamed.
+/// A file that was written by a build from before the types of this crate were renamed.
 const STORED: &str = include_str!("data/fleet");
 
 fn state() -> SavedState {
@@ -23,11 +23,11 @@
 }
 
 #[test]
-fn a_file_of_an_earlier_build_is_read_to_the_same_state() {
+fn file_of_an_earlier_build_is_decoded_to_the_same_state() {
     assert_eq!(SavedState::decode(STORED), Ok(state()));
 }
 
 #[test]
-fn the_same_state_is_written_as_the_same_bytes() {
+fn state_is_encoded_as_the_same_bytes_as_by_an_earlier_build() {
     assert_eq!(state().encode(), STORED);
 }
