--- a/src/decisions/admission.rs
+++ b/src/decisions/admission.rs
@@ -1,11 +1,11 @@
-//! Admission: whether a request is worked on at all, before any work is done.
+//! Admission: whether to accept a request, before any work is done for it.
 //!
-//! Decides by the curve of saturation, by the tenant's quota and by the priority of the request's class. May
-//! read the saturation of the engines and the usual waits, and nothing of single engines.
+//! Decides by the saturation of the engines, the tenant's quota and the priority of the request's class.
+//! Reads the saturation of each stage and the mean waiting times, but no state of single engines.
 //!
 //! The ordinary path is the llm-d probabilistic admitter: a droppable request is rejected with probability
-//! min(300 s^5, 1), s being the mean saturation of the engines. Protected requests pass. The design is cited
-//! in docs/design.md, "The mechanism".
+//! min(300 s^5, 1), where s is the mean saturation of the engines. Protected requests pass. The design is
+//! cited in docs/design.md, "The mechanism".
 
 use super::engines::MIN_SAMPLE_WEIGHT;
 use super::requests::ActiveRequest;
@@ -14,19 +14,19 @@
 use crate::interface::{Action, Request, Role};
 use std::time::Duration;
 
-/// Factor of the rejection curve; no unit. From the llm-d post.
+/// Factor of the rejection curve; no unit. From the blog post on the llm-d admitter.
 const REJECTION_CURVE_FACTOR: f64 = 300.0;
-/// Power of the rejection curve; no unit. From the llm-d post.
+/// Exponent of the rejection curve; no unit. From the same post.
 const REJECTION_CURVE_POWER: i32 = 5;
-/// Share of the saturation that counts for protected requests; no unit.
+/// Share of the saturation at which the curve is evaluated for protected requests; no unit.
 const PROTECTED_SATURATION_SHARE: f64 = 0.8;
-/// Requests that the token bucket of a tenant holds; with fewer, a chance burst would exceed the quota.
+/// Capacity of the token bucket of a tenant, requests. With less, random bursts would exceed the quota.
 pub(super) const QUOTA_DEPTH: f64 = 8.0;
-/// Mean prompt assumed before the first request, tokens. Any plausible length does.
+/// Mean prompt length assumed before the first request, tokens. Any plausible value will do.
 pub(super) const INITIAL_PROMPT_TOKENS: f64 = 1_000.0;
-/// Ticks before the timeout of a client at which it is answered: one to send the answer, one to spare.
+/// How many ticks before its timeout a client is answered: one to send the answer, one in reserve.
 const ANSWER_TICKS: u32 = 2;
-/// The longest wait: timers of hosts have an upper bound.
+/// The longest wait, as the timers of hosts have an upper bound.
 pub(super) const MAX_WAIT: Duration = Duration::from_secs(3_600);
 
 impl Router {
@@ -69,31 +69,33 @@
         self.advance(now, id, actions);
     }
 
-    /// Whether the client will have left before an answer usually begins: abandoned attempts use up capacity.
+    /// Whether the client will time out before an answer usually begins. Attempts for such clients would only
+    /// waste capacity.
     pub(super) fn deadline_is_unreachable(&self, request: &Request) -> bool {
         let usual_wait =
             self.means[Role::Prefill as usize].waiting_time + self.means[Role::Decode as usize].waiting_time;
         request.client_timeout.as_secs_f64() < usual_wait
     }
 
-    /// Lets the mean waiting times decay. Requests rejected by them bring no new samples, so that they would
-    /// keep rejecting after the congestion is over.
+    /// Lets the mean waiting times decay. Requests that are rejected because of them yield no new samples, so
+    /// that without the decay they would be rejected even after the congestion is over.
     pub(super) fn shorten_waiting_times(&mut self) {
         for means in &mut self.means {
             means.waiting_time *= 1.0 - MIN_SAMPLE_WEIGHT;
         }
     }
 
-    /// Whether the curve may reject this request: its priority weight is below the largest, by its class or
-    /// because its tenant is over its quota. Where all weights are equal, requests of the loosest latency
-    /// objective are droppable.
+    /// Whether the rejection curve applies to this request: its priority weight is below the largest, by its
+    /// class or because its tenant is over its quota. Where all weights are equal, requests of the loosest
+    /// latency objective are droppable.
     pub(super) fn droppable(&self, over_quota: bool, request: &Request) -> bool {
         let class = &self.settings.classes[request.class.0];
         let weight = class.priority_weight * if over_quota { self.settings.over_quota_weight } else { 1.0 };
         weight < self.max_priority_weight || self.loosest_objective == Some(class.latency_objective)
     }
 
-    /// Whether the tenant is over this router's share of its quota; otherwise the request is taken from it.
+    /// Whether the tenant is over this router's share of its quota. If not, the request counts towards it,
+    /// unless it is marked as a retry.
     pub(super) fn exceeds_quota(&mut self, now: Duration, request: &Request) -> bool {
         let tenant = request.tenant.0;
         let quota = self.settings.tenants.get(tenant).and_then(|t| t.quota_per_s);
@@ -107,9 +109,9 @@
     }
 }
 
-/// The probability of a rejection by the curve of the llm-d post. Exception: where it rejects all droppable
-/// requests, the remaining engines cannot serve the protected ones either; the same curve, at a share of the
-/// saturation, then holds for these.
+/// The probability of rejection by the llm-d curve. Exception: where the curve rejects all droppable
+/// requests, the engines cannot serve all protected ones either. The curve then applies to these, too, at a
+/// share of the saturation.
 pub(super) fn rejection_probability(saturation: f64, droppable: bool) -> f64 {
     let curve = |saturation: f64| (REJECTION_CURVE_FACTOR * saturation.powi(REJECTION_CURVE_POWER)).min(1.0);
     match curve(saturation) {
--- a/src/decisions/attempts.rs
+++ b/src/decisions/attempts.rs
@@ -1,7 +1,7 @@
-//! Attempts: the next step of a request, its send and its timeout.
+//! Attempts: the next step of a request, and the sending and timeout of its attempts.
 //!
-//! Decides whether a request prefills, decodes, waits or is given up, and how long an attempt may stay
-//! silent. May read the whole state. See docs/design.md, "The mechanism" and the exception "own time".
+//! Decides whether a request is prefilled, decoded, made to wait or abandoned, and how long an attempt may
+//! stay silent. Reads the whole state. See docs/design.md, "The mechanism" and the exception "own time".
 
 use super::admission::MAX_WAIT;
 use super::engines::Means;
@@ -14,17 +14,17 @@
 use crate::interface::{Action, EngineId, Idempotency, RequestId, Role};
 use std::time::Duration;
 
-/// The shortest time that an attempt may stay silent. Longer than a routine pause.
+/// The shortest time that an attempt may stay silent. Longer than the routine pauses of an engine.
 const MIN_PATIENCE: Duration = Duration::from_millis(900);
-/// Mean deviations that an attempt may take beyond the mean; no unit. As in the retransmission timeout of
+/// How many mean deviations beyond the mean an attempt may take; no unit. As in the retransmission timeout of
 /// TCP.
 const PATIENCE_DEVIATIONS: f64 = 4.0;
-/// Added to prompts where latencies are compared, tokens: the fixed cost of an attempt.
+/// Fixed cost of an attempt, tokens; added to the prompt length where latencies are related to it.
 pub(super) const FIXED_COST_TOKENS: f64 = 500.0;
 
 impl Router {
-    /// Takes the next step of a request that has no attempt in flight: decodes from a held state, else
-    /// prefills.
+    /// Takes the next step of a request that has no attempt in flight: a decode if state is held for it, else
+    /// a prefill.
     pub(super) fn advance(&mut self, now: Duration, id: RequestId, actions: &mut Vec<Action>) {
         let Some(active) = self.requests.get(&id) else { return };
         if active.ended || active.waiting_until.is_some() || active.attempts.iter().any(|a| a.in_flight) {
@@ -41,7 +41,8 @@
             return;
         }
         let target = self.choose_engine(now, id);
-        // State that could not be fetched may still be held where the decode engine could not reach it.
+        // State that could not be fetched may still be held at a prefill engine that the decode engine could
+        // not reach.
         if !held && is_retry {
             actions.push(Action::Release(id));
         }
@@ -53,18 +54,18 @@
     }
 
     /// Whether the request has not run, or may run again by its idempotency. Another attempt with an
-    /// idempotency key has to arrive within the window: a new connection may take as long as it is given to
-    /// be established.
+    /// idempotency key has to arrive within the window, even if a new connection takes the full connection
+    /// timeout.
     fn may_send_again(&self, now: Duration, active: &ActiveRequest) -> bool {
-        let may_not_run_twice =
+        let must_not_run_twice =
             active.possible_run.is_some() && self.idempotency(active) == Idempotency::NotIdempotent;
-        let least = self.settings.limits.connect_timeout.max(PROBE_TIMEOUT);
-        let late = self.deduplication_window_left(now, active).is_some_and(|left| left <= least);
-        !may_not_run_twice && !late
+        let margin = self.settings.limits.connect_timeout.max(PROBE_TIMEOUT);
+        let late = self.deduplication_window_left(now, active).is_some_and(|left| left <= margin);
+        !must_not_run_twice && !late
     }
 
-    /// Finds the candidates for the next attempt unless it has them, and probes those without recent news.
-    /// Whether there is an answer to wait for.
+    /// Determines the candidates for the next attempt unless they are known, and probes the stale ones.
+    /// Returns whether the request has to wait for an answer.
     fn awaits_probes(
         &mut self, now: Duration, id: RequestId, attempts_left: usize, actions: &mut Vec<Action>,
     ) -> bool {
@@ -84,7 +85,7 @@
                 return true;
             }
         }
-        // The spill can matter only where the preferred engines have more load than the request itself.
+        // The spill can matter only where each preferred engine has a load larger than the prompt.
         let Some(active) = self.requests.get(&id) else { return true };
         let preferred = active.candidates.as_ref().map(|candidates| &candidates.preferred);
         let least_loaded = preferred.and_then(|engines| self.least_loaded(now, active, engines));
@@ -96,32 +97,31 @@
     pub(super) fn send(&mut self, now: Duration, id: RequestId, engine: EngineId, actions: &mut Vec<Action>) {
         let warming_up = self.engines.get(&engine).filter(|record| self.is_warming_up(now, record));
         let warmup_rate = warming_up.map(|record| self.warmup_send_rate(now, record));
-        // A retry whose bytes a broken link delays would arrive after the window: it times out before that.
-        let limit = self
-            .requests
-            .get(&id)
-            .and_then(|j| Some(self.deduplication_window_left(now, j)?.saturating_sub(PROBE_TIMEOUT)));
+        // A retry that a broken link delays must not arrive after the window, so it times out before that.
+        let timeout = self.requests.get(&id).and_then(|active| {
+            Some(self.deduplication_window_left(now, active)?.saturating_sub(PROBE_TIMEOUT))
+        });
         let Some(active) = self.requests.get_mut(&id) else { return };
         let Some(record) = self.engines.get_mut(&engine) else { return };
         self.engine_index.mark_changed(engine);
         let prompt = active.request.prompt_tokens;
-        let read = record.role == Role::Prefill;
-        let tokens = if read { prompt } else { prompt + active.request.max_output_tokens };
-        let (sent, state) = (now, active.held.take());
+        let is_prefill = record.role == Role::Prefill;
+        let tokens = if is_prefill { prompt } else { prompt + active.request.max_output_tokens };
+        let (sent_at, state_to_fetch) = (now, active.held.take());
         active.attempts.push(Attempt {
             engine,
-            sent,
+            sent_at,
             tokens,
-            read,
+            is_prefill,
             in_flight: true,
-            begun: None,
-            done: false,
-            state,
+            first_token_latency: None,
+            engine_reusable: false,
+            state_to_fetch,
         });
-        if !read && active.possible_run.is_none() {
+        if !is_prefill && active.possible_run.is_none() {
             active.possible_run = Some(PossibleRun {
                 attempt: active.attempts.len() - 1,
-                at: now,
+                sent_at: now,
                 engine: record.entry.clone(),
             });
         }
@@ -137,21 +137,23 @@
             }
             None => self.record_sustained_load(now, role, prompt),
         }
-        actions.push(Action::Send { request: id, engine, timeout: limit.filter(|_| !read) });
+        actions.push(Action::Send { request: id, engine, timeout: timeout.filter(|_| !is_prefill) });
         let patience = self.patience(role, own_pace, prompt);
         self.set_timer(Timer::AttemptPatience(id, attempt), patience, actions);
     }
 
-    /// How long an engine may stay silent under an attempt of this length. An engine slower than its role has
-    /// a time of its own: otherwise its work would be cancelled just before it ends, again and again.
+    /// How long an engine may stay silent on an attempt with a prompt of this length. For an engine slower
+    /// than the mean of its role, its own pace counts: otherwise its attempts would all be cancelled just
+    /// before they end.
     pub(super) fn patience(&self, role: Role, own_pace: f64, prompt: f64) -> Duration {
         let Means { pace, deviation, .. } = self.means[role as usize];
         let usual = (pace.max(own_pace) + PATIENCE_DEVIATIONS * deviation) * (prompt + FIXED_COST_TOKENS);
         MIN_PATIENCE.max(Duration::from_secs_f64(usual.min(MAX_WAIT.as_secs_f64())))
     }
 
-    /// No engine is usable at present: the request waits a little, with held state no longer than a share of
-    /// its limit.
+    /// Lets the request wait for [`PROBE_TIMEOUT`], as no engine is usable at present. A request with held
+    /// state is abandoned after a share of the limit on held state, any other after half of the client's
+    /// timeout.
     pub(super) fn wait_for_engine(&mut self, now: Duration, id: RequestId, actions: &mut Vec<Action>) {
         let patience = self.settings.held_state_limit.mul_f64(HELD_STATE_WAIT_SHARE);
         let Some(active) = self.requests.get_mut(&id) else { return };
@@ -166,15 +168,17 @@
         self.set_timer(Timer::Wait(id), PROBE_TIMEOUT, actions);
     }
 
-    /// An attempt has been silent for its patience: its engine is lost or stalled, or its answer is. A
-    /// prefill is attempted elsewhere, and so is a decode that may run twice. Drawback: in a long queue the
-    /// work is done twice.
+    /// Handles an attempt that has been silent for its whole patience: the engine or the answer is lost or
+    /// stalled. A prefill is cancelled and attempted elsewhere, and so is a decode that may run twice.
+    /// Drawback: when an engine merely has a long queue, its work is done twice.
     pub(super) fn on_patience_exhausted(&mut self, id: RequestId, attempt: usize, actions: &mut Vec<Action>) {
-        let Some(active) = self.requests.get(&id).filter(|j| !j.ended) else { return };
-        let Some(silent) = active.attempts.get(attempt).filter(|a| a.in_flight && a.begun.is_none()) else {
+        let Some(active) = self.requests.get(&id).filter(|active| !active.ended) else { return };
+        let Some(silent) =
+            active.attempts.get(attempt).filter(|a| a.in_flight && a.first_token_latency.is_none())
+        else {
             return;
         };
-        let repeatable = silent.read || self.idempotency(active) == Idempotency::Idempotent;
+        let repeatable = silent.is_prefill || self.idempotency(active) == Idempotency::Idempotent;
         if repeatable
             && self.settings.limits.max_attempts > active.attempts.len()
             && self.settings.limits.cancellation
--- a/src/decisions/index_refresh.rs
+++ b/src/decisions/index_refresh.rs
@@ -1,10 +1,10 @@
-//! Keeps the index of engines up to date with what this router knows of them.
+//! Keeps the index of engines up to date with the state of the engines.
 //!
-//! Decides nothing: it sorts engines by how their saturation enters the sums. May read the state of each
-//! engine.
+//! Makes no decisions: it determines how the saturation of each engine enters the sums. Reads the state of
+//! all engines.
 
 use super::engines::EngineRecord;
-use super::probes::RECENT_NEWS_AGE;
+use super::probes::STALE_AFTER;
 use super::router::Router;
 use super::saturation::{MEMORY_THRESHOLD, REPORT_LIFETIME};
 use crate::engine_index::{EngineStatus, SaturationTerm};
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 impl Router {
-    /// Brings the bookkeeping up to date: lists, what has happened to engines, what has run out.
+    /// Updates the index after changes of the endpoint list, changes of engines, and expiries.
     pub(super) fn refresh_index(&mut self, now: Duration) {
         if self.engine_index.take_list_change() {
             self.rebuild_index();
@@ -25,12 +25,14 @@
         }
     }
 
+    /// What the index needs to know of one engine.
     pub(super) fn engine_status(&self, now: Duration, record: &EngineRecord) -> EngineStatus {
         let report = record.report.as_ref();
         let reported = report.filter(|_| self.settings.report_source != ReportSource::None).map(|(_, r)| r);
         let term = match (self.saturation(now, record).filter(|_| record.is_ready()), reported) {
             (None, _) => SaturationTerm::Unknown,
-            // Counts of requests weigh by means over all engines, which move without news of any.
+            // The weight of a request count comes from means over all engines, which change without a report
+            // of this engine.
             (Some(_), Some(r)) if r.waiting_tokens.is_none() => {
                 let memory = r.memory_share.unwrap_or(0.0) / MEMORY_THRESHOLD;
                 let (idle, kind) = (
@@ -49,11 +51,13 @@
             }
             (Some(load), _) => SaturationTerm::Fixed(load),
         };
-        let stale =
-            record.is_ready() && !record.is_ejected() && !record.probing && !record.has_recent_news(now);
+        let stale = record.is_ready()
+            && !record.is_ejected()
+            && !record.probe_in_flight
+            && !record.has_fresh_information(now);
         let maybe_restricted =
             record.is_passed_over(now) || record.is_ejected() || self.is_warming_up(now, record);
-        let stale_at = report.map_or(record.last_heard, |(at, _)| *at) + RECENT_NEWS_AGE;
+        let stale_at = report.map_or(record.last_contact, |(at, _)| *at) + STALE_AFTER;
         let expires_at = report.map(|(at, _)| *at + REPORT_LIFETIME + Duration::from_nanos(1));
         let due = [Some(stale_at), expires_at].into_iter().flatten().filter(|&at| at > now).min();
         EngineStatus { role: record.role as usize, term, stale, maybe_restricted, due }
--- a/src/decisions/inspection.rs
+++ b/src/decisions/inspection.rs
@@ -1,7 +1,7 @@
-//! What a router holds, for its host to show and to check against its sockets, and the one setting that
-//! changes while it runs.
+//! Sizes of the router's state, which its host displays and checks against its sockets, and the one setting
+//! that can change while the router runs.
 //!
-//! Decides nothing.
+//! Makes no decisions.
 
 use super::router::Router;
 use crate::interface::EngineId;
@@ -11,25 +11,25 @@
 pub struct StateSizes {
     /// Requests in progress.
     pub requests: usize,
-    /// Timers that are set.
+    /// Pending timers.
     pub timers: usize,
-    /// Engines of the list.
+    /// Engines in the endpoint list.
     pub engines: usize,
 }
 
 impl Router {
-    /// How many requests, timers and engines it holds.
+    /// The numbers of requests, timers and engines that the router holds.
     pub fn state_sizes(&self) -> StateSizes {
         StateSizes { requests: self.requests.len(), timers: self.timers.len(), engines: self.engines.len() }
     }
 
-    /// From now on so many routers share the engines, this one included. All that was learnt stays: shares of
+    /// Sets how many routers share the engines, including this one. What was learnt stays valid, as shares of
     /// quotas and of slow start budgets are computed from the count each time.
     pub fn set_router_count(&mut self, routers: u32) {
         self.settings.router_count = routers.max(1);
     }
 
-    /// The attempts in flight that it counts for each engine of the endpoint list.
+    /// For each engine of the endpoint list, the number of this router's attempts in flight.
     pub fn attempts_in_flight(&self) -> impl Iterator<Item = (EngineId, f64)> + '_ {
         self.engines.iter().map(|(&id, record)| (id, record.in_flight))
     }
--- a/src/decisions/mod.rs
+++ b/src/decisions/mod.rs
@@ -1,9 +1,9 @@
-//! Every decision of slipreel, one file a concern. Its events and actions are types of `src/interface`; what
-//! only looks things up is in `src/engine_index`. Nothing else decides.
+//! All decisions of slipreel, with one file for each concern. The types of events and actions are in
+//! `src/interface`, and lookups that make no decisions are in `src/engine_index`.
 //!
 //! A request passes through `admission`, `prefill_affinity` or `decode_choice`, `probes`, `placement`,
-//! `attempts`, `retries` and `release`. `saturation`, `eligibility`, `ejection` and `slow_start` say what
-//! these may know of the engines.
+//! `attempts`, `retries` and `release`. These assess the engines by means of `saturation`, `eligibility`,
+//! `ejection` and `slow_start`.
 
 mod admission;
 mod attempts;
--- a/src/decisions/placement.rs
+++ b/src/decisions/placement.rs
@@ -1,25 +1,25 @@
 //! Placement: which of its candidates a request goes to.
 //!
-//! Decides by the least load, with a spill to further candidates where a preferred one has much more. May
-//! read load estimates, the router's own tokens in flight and slow start. See docs/design.md, "The
+//! Decides by the least load, with a spill to further candidates where the preferred ones have much more.
+//! Reads load estimates, the router's own tokens in flight and slow start. See docs/design.md, "The
 //! mechanism", and the exceptions "spill", "lone readers" and "cold by report".
 
-use super::probes::RECENT_NEWS_AGE;
+use super::probes::STALE_AFTER;
 use super::requests::ActiveRequest;
 use super::router::Router;
 use super::saturation::WAITING_THRESHOLD;
 use crate::interface::{EngineId, RequestId, Role};
 use std::time::Duration;
 
-/// A request spills over where its preferred engine has more load than this factor times that of another; no
-/// unit.
+/// A request spills over where the load of its preferred engine exceeds that of another by more than this
+/// factor; no unit.
 const SPILL_FACTOR: f64 = 2.0;
-/// Load assumed of an engine that did not answer a probe, tokens: more than that of any other.
+/// Load added for an engine that did not answer a probe, tokens: more than the load of any other.
 const UNANSWERED_PROBE_TOKENS: f64 = 1e9;
 
 impl Router {
-    /// The preferred engine with the least load, unless one of the spill has so much less that it answers
-    /// sooner.
+    /// The preferred engine with the least load, unless an engine of the spill has so much less load that it
+    /// will answer sooner.
     pub(super) fn choose_engine(&self, now: Duration, id: RequestId) -> Option<EngineId> {
         let active = self.requests.get(&id)?;
         let candidates = active.candidates.as_ref()?;
@@ -32,9 +32,9 @@
         spill.filter(|&(_, load)| spills(load)).or(preferred).map(|(id, _)| id)
     }
 
-    /// The engine with the least load by its report (else the mean of its stage) and this router's tokens in
-    /// flight, and that load in tokens. One that did not answer a probe comes last: it is busy, unreachable,
-    /// dead or has no connection yet.
+    /// The engine with the least load, and that load in tokens: the load by its report (else the mean of its
+    /// stage) plus this router's tokens in flight. An engine that did not answer a probe comes last: it is
+    /// busy, unreachable, dead or not connected yet.
     pub(super) fn least_loaded(
         &self, now: Duration, active: &ActiveRequest, engines: &[EngineId],
     ) -> Option<(EngineId, f64)> {
@@ -46,8 +46,8 @@
             };
             let load = self.saturation_parts(now, record).map(load);
             let load = load.unwrap_or_else(|| self.stage_saturation(now, record.role) * WAITING_THRESHOLD);
-            // A warming engine with half of its budget queued is full: its report is what all routers have in
-            // common.
+            // A warming engine with half of its budget queued is full. Its report is the only figure that
+            // includes the load from all routers.
             let budget = self.settings.warmup_budget.as_secs_f64() * f64::from(self.settings.router_count);
             if budget > 0.0
                 && self.is_warming_up(now, record)
@@ -56,9 +56,9 @@
                 return None;
             }
             let unanswered =
-                if record.last_heard + RECENT_NEWS_AGE < found_at { UNANSWERED_PROBE_TOKENS } else { 0.0 };
-            // Exception: without a decode engine in its cell, all its state is moved to others, which is slow
-            // and charged.
+                if record.last_contact + STALE_AFTER < found_at { UNANSWERED_PROBE_TOKENS } else { 0.0 };
+            // Exception: if there is no decode engine in its cell, its state has to be moved to another cell,
+            // which is slow and charged.
             let lacks_decode_engine =
                 record.role == Role::Prefill && !self.engine_index.has_decode_engine(record.entry.cell);
             let transfer =
--- a/src/decisions/release.rs
+++ b/src/decisions/release.rs
@@ -1,7 +1,7 @@
-//! The end of a request: its final answer, and the release of all that is reserved for it.
+//! The end of a request: its final answer, and the release of all state held for it.
 //!
-//! Decides whether a request that is given up is rejected, so that its client may come again, or failed. May
-//! read the request alone. See docs/design.md, "The rules".
+//! Decides whether a request that is abandoned is rejected, so that its client may retry, or failed. Reads
+//! the request only. See docs/design.md, "The rules".
 
 use super::requests::Attempt;
 use super::router::Router;
@@ -9,23 +9,23 @@
 use crate::interface::{Action, Idempotency, RequestId};
 use std::time::Duration;
 
-/// Retry-After of a rejection, and the wait before the endpoint list is asked for again; jittered by half.
-/// About the time of a full queue.
+/// Retry-After of a rejection, and the wait before the endpoint list is requested again; both with jitter of
+/// up to one half. About the time that a full queue takes to drain.
 pub(super) const RETRY_AFTER: Duration = Duration::from_millis(1_000);
-/// Share of the limit on held state after which state that finds no decode engine is released; no unit.
+/// Share of the limit on held state after which state without a usable decode engine is released; no unit.
 pub(super) const HELD_STATE_WAIT_SHARE: f64 = 0.5;
 
 impl Router {
-    /// Gives the final answer without another attempt: a rejection where a retry by the client is safe, else
-    /// a failure.
+    /// Ends a request without another attempt: with a rejection if a retry by the client is safe, else with a
+    /// failure.
     pub(super) fn abandon(&mut self, id: RequestId, actions: &mut Vec<Action>) {
-        let Some(active) = self.requests.get(&id).filter(|j| !j.ended) else { return };
+        let Some(active) = self.requests.get(&id).filter(|active| !active.ended) else { return };
         let retry_is_safe =
             active.possible_run.is_none() || self.idempotency(active) == Idempotency::Idempotent;
         let over_quota = active.over_quota;
         let answer = if retry_is_safe {
             let wait = RETRY_AFTER.mul_f64(0.5 + self.sample_probability());
-            let retry_after = self.settings.limits.max_retry_after.map(|most| wait.min(most));
+            let retry_after = self.settings.limits.max_retry_after.map(|max| wait.min(max));
             Action::Reject { request: id, retry_after, over_quota }
         } else {
             Action::Fail(id)
@@ -33,8 +33,8 @@
         self.finish_request(id, Some(answer), actions);
     }
 
-    /// The one place where a request ends and what it holds is released. Called again when a prefill that is
-    /// still in flight ends.
+    /// Ends a request and releases the state held for it; every request ends here. Called again when a
+    /// prefill ends that was still in flight.
     pub(super) fn finish_request(
         &mut self, id: RequestId, answer: Option<Action>, actions: &mut Vec<Action>,
     ) {
@@ -42,9 +42,9 @@
         active.ended = true;
         actions.extend(answer);
         if self.settings.limits.cancellation {
-            let open = |(_, a): &(usize, &Attempt)| a.in_flight && a.begun.is_none();
-            let open = active.attempts.iter().enumerate().filter(open);
-            actions.extend(open.map(|(attempt, _)| Action::Cancel { request: id, attempt }));
+            let unanswered = |(_, a): &(usize, &Attempt)| a.in_flight && a.first_token_latency.is_none();
+            let unanswered = active.attempts.iter().enumerate().filter(unanswered);
+            actions.extend(unanswered.map(|(attempt, _)| Action::Cancel { request: id, attempt }));
         }
         if !active.attempts.is_empty() {
             actions.push(Action::Release(id));
@@ -55,14 +55,14 @@
         }
     }
 
-    /// The deadline has come, unless it was extended. A complete answer that is being decoded ends by the
-    /// bound of its host.
+    /// Handles the timer of the deadline, which may have been extended since. A complete answer that is being
+    /// decoded is left to the host, which bounds its time.
     pub(super) fn on_deadline(&mut self, now: Duration, id: RequestId, actions: &mut Vec<Action>) {
         let Some(active) = self.requests.get(&id) else { return };
         if now < active.deadline {
             return self.set_timer(Timer::Deadline(id), active.deadline - now, actions);
         }
-        if !active.attempts.iter().any(|a| a.in_flight && a.begun.is_some()) {
+        if !active.attempts.iter().any(|a| a.in_flight && a.first_token_latency.is_some()) {
             self.finish_request(id, Some(Action::Fail(id)), actions);
         }
     }
--- a/src/decisions/retries.rs
+++ b/src/decisions/retries.rs
@@ -1,8 +1,8 @@
-//! Retries: what the beginning and the end of an attempt mean for its request and its engine.
+//! Retries: the effect of the first token and of the end of an attempt on its request and its engine.
 //!
-//! Decides whether held state survives, whether the attempt may have run, and what it teaches of its engine.
-//! May read the whole state. See docs/design.md, "The rules" and the exceptions "read again", "no third
-//! writer", "rest after an error", "full by class" and "keyed requests to their window's end".
+//! Decides whether state is still held, whether the attempt may have run, and what is learnt from it about
+//! the engine. Reads the whole state. See docs/design.md, "The rules" and the exceptions "read again", "no
+//! third writer", "rest after an error", "full by class" and "keyed requests to their window's end".
 
 use super::admission::rejection_probability;
 use super::ejection::{BASE_EJECTION_TIME, MAX_EJECTION_DOUBLINGS};
@@ -16,51 +16,51 @@
 };
 use std::time::Duration;
 
-/// How long an engine that rejected an attempt as full is passed over where others are usable.
+/// How long an engine that rejected an attempt because it is full is passed over where others are usable.
 const REJECTION_PAUSE: Duration = Duration::from_millis(250);
-/// The same where the engine reports room: it throttles the class, and will go on rejecting it.
+/// The same for an engine that reports spare capacity: it throttles the class and will go on rejecting it.
 const THROTTLE_PAUSE: Duration = Duration::from_millis(20_000);
 
 impl Router {
-    /// How much longer a request with an idempotency key that may have run may be sent again; `None` for
-    /// others.
+    /// How much longer a request with an idempotency key that may have run may be sent again; `None` for any
+    /// other request.
     pub(super) fn deduplication_window_left(
         &self, now: Duration, active: &ActiveRequest,
     ) -> Option<Duration> {
-        let at = active.possible_run.as_ref()?.at;
+        let sent_at = active.possible_run.as_ref()?.sent_at;
         let Idempotency::WithKey { window, .. } = self.idempotency(active) else { return None };
-        Some(at.saturating_add(window).saturating_sub(now))
+        Some(sent_at.saturating_add(window).saturating_sub(now))
     }
 
-    /// The first token of an attempt's answer has come.
+    /// Handles the first token of an attempt.
     pub(super) fn on_first_token(
         &mut self, now: Duration, which: (RequestId, usize), latency: Duration, actions: &mut Vec<Action>,
     ) {
         let (id, number) = which;
-        let waiting = |attempt: &&mut Attempt| attempt.in_flight && attempt.begun.is_none();
+        let waiting = |attempt: &&mut Attempt| attempt.in_flight && attempt.first_token_latency.is_none();
         let Some(active) = self.requests.get_mut(&id) else { return };
         let Some(attempt) = active.attempts.get_mut(number).filter(waiting) else { return };
         self.engine_index.mark_changed(attempt.engine);
-        attempt.begun = Some(latency);
-        // Nothing of a complete answer has been sent on: if its decode engine is lost, the class says what
-        // may follow.
+        attempt.first_token_latency = Some(latency);
+        // Nothing of an answer that is sent only when complete has reached the client: if the decode engine
+        // is lost, the idempotency of the class determines whether it may be retried.
         active.ended = active.complete_answer_deadline.is_none();
         active.held = None;
         active.deadline = active.deadline.max(active.complete_answer_deadline.unwrap_or_default());
-        // The first token releases what else is held, but that message may be lost on a broken link.
+        // The first token makes the engines release the state, but that message may be lost on a broken link.
         actions.push(Action::Release(id));
-        let (engine, sent, prompt) = (attempt.engine, attempt.sent, active.request.prompt_tokens);
-        self.stop_waiting(engine, sent, prompt);
+        let (engine, sent_at, prompt) = (attempt.engine, attempt.sent_at, active.request.prompt_tokens);
+        self.stop_waiting(engine, sent_at, prompt);
         self.record_success(now, engine, Some((latency, prompt)));
     }
 
-    /// An attempt has ended: its request takes its next step, or is finished.
-    pub(super) fn on_ended(&mut self, now: Duration, ended: AttemptEnded, actions: &mut Vec<Action>) {
+    /// Handles the end of an attempt: its request takes its next step or is finished.
+    pub(super) fn on_attempt_ended(&mut self, now: Duration, ended: AttemptEnded, actions: &mut Vec<Action>) {
         let Some(closed) = self.close_attempt(now, &ended) else { return };
-        let Attempt { engine, sent, begun, .. } = closed.attempt;
+        let Attempt { engine, sent_at, first_token_latency, .. } = closed.attempt;
         let role = self.record_end_at_engine(now, ended.outcome, &closed);
-        if begun.is_none() {
-            self.stop_waiting(engine, sent, closed.prompt_tokens);
+        if first_token_latency.is_none() {
+            self.stop_waiting(engine, sent_at, closed.prompt_tokens);
         }
         self.record_report(now, engine, ended.report);
         match ended.outcome {
@@ -82,10 +82,10 @@
         let attempt = active.attempts.get_mut(ended.attempt).filter(|attempt| attempt.in_flight)?;
         self.engine_index.mark_changed(attempt.engine);
         attempt.in_flight = false;
-        // A decode engine that found no state to fetch is not at fault: after another prefill it is as good
-        // as any.
-        attempt.done = outcome == Outcome::Rejected { state_missing: true }
-            || attempt.read && matches!(outcome, Outcome::Prefilled | Outcome::Reset);
+        // A decode engine that found no state to fetch is not at fault: after another prefill it may be used
+        // like any other.
+        attempt.engine_reusable = outcome == Outcome::Rejected { state_missing: true }
+            || attempt.is_prefill && matches!(outcome, Outcome::Prefilled | Outcome::Reset);
         let attempt = *attempt;
         active.ended |= ended.request_finished;
         let attempts_left = self.settings.limits.max_attempts.saturating_sub(active.attempts.len());
@@ -98,8 +98,8 @@
         Some(ClosedAttempt { attempt, prompt_tokens, class, request_ended: active.ended })
     }
 
-    /// Takes an ended attempt from the load of its engine, and passes the engine over for a while if it
-    /// rejected or failed it. Gives the role of the engine; prefill if it is not in the list any more.
+    /// Subtracts an ended attempt from the load of its engine, and passes the engine over for a while if it
+    /// rejected the attempt or failed. Returns the role of the engine, or prefill if it is no longer listed.
     fn record_end_at_engine(&mut self, now: Duration, outcome: Outcome, closed: &ClosedAttempt) -> Role {
         let engine = closed.attempt.engine;
         let saturation = self.engines.get(&engine).and_then(|record| self.saturation(now, record));
@@ -110,16 +110,16 @@
         record.in_flight -= 1.0;
         record.passed_over_until.resize(self.settings.classes.len(), Duration::ZERO);
         match outcome {
-            Outcome::Rejected { state_missing: true } => record.last_heard = now,
-            // An engine that fails at once seems idle and attracts all requests, and each of many routers
-            // sends it few.
-            Outcome::Error if closed.attempt.begun.is_none() => {
+            Outcome::Rejected { state_missing: true } => record.last_contact = now,
+            // An engine that fails at once seems idle and attracts requests from all routers. The more
+            // routers there are, the fewer failures each one sees, so the pause grows with their number.
+            Outcome::Error if closed.attempt.first_token_latency.is_none() => {
                 record.passed_over_until.fill(now + BASE_EJECTION_TIME * pause_factor);
             }
             Outcome::Rejected { .. } => {
-                record.last_heard = now;
-                // Rejected prompts are no sustained load: full engines would seem to serve more than a
-                // warming one can.
+                record.last_contact = now;
+                // Rejected prompts do not count as sustained load. Otherwise full engines would seem to serve
+                // more than they do, and warming ones would get too large a budget.
                 let means = &mut self.means[record.role as usize];
                 let rate = closed.prompt_tokens / SEND_RATE_WINDOW.as_secs_f64();
                 means.send_rate = (means.send_rate - rate).max(0.0);
@@ -131,54 +131,54 @@
         record.role
     }
 
-    /// Takes the times of an attempt that did its work into the means.
+    /// Updates the means with the times of an attempt that has done its work.
     fn record_work(&mut self, now: Duration, ended: &AttemptEnded, closed: &ClosedAttempt, role: Role) {
-        let Attempt { engine, begun, read, .. } = closed.attempt;
+        let Attempt { engine, first_token_latency, is_prefill, .. } = closed.attempt;
         let prompt = closed.prompt_tokens;
         let mut tokens = prompt;
-        if read {
+        if is_prefill {
             tokens = (prompt - ended.cached_tokens).max(0.0);
             self.uncached_share += MIN_SAMPLE_WEIGHT * (tokens / prompt.max(1.0) - self.uncached_share);
         }
-        let waiting_time = begun.unwrap_or(ended.latency).as_secs_f64();
+        let waiting_time = first_token_latency.unwrap_or(ended.latency).as_secs_f64();
         let attempt_duration = ended.latency.as_secs_f64();
         let means = &mut self.means[role as usize];
         means.waiting_time += MIN_SAMPLE_WEIGHT * (waiting_time - means.waiting_time);
         means.attempt_duration += MIN_SAMPLE_WEIGHT * (attempt_duration - means.attempt_duration);
-        let sample = (read || begun.is_none()).then_some((ended.latency, tokens));
+        let sample = (is_prefill || first_token_latency.is_none()).then_some((ended.latency, tokens));
         self.record_success(now, engine, sample);
     }
 }
 
-/// An attempt that has just ended, and what is needed of its request.
+/// An attempt that has just ended, and the properties of its request that matter then.
 struct ClosedAttempt {
     attempt: Attempt,
     prompt_tokens: f64,
     class: ClassId,
-    /// The request has its final answer.
+    /// The request needs no further answer.
     request_ended: bool,
 }
 
-/// The state that is still held for a request after the end of an attempt.
+/// The state that is still held for a request after the end of an attempt, if any.
 fn held_state_after(
     settings: &Settings, now: Duration, outcome: Outcome, attempt: &Attempt, attempts_left: usize,
 ) -> Option<HeldState> {
     match outcome {
         Outcome::Prefilled => Some(HeldState { engine: attempt.engine, since: now }),
         Outcome::Completed | Outcome::Rejected { state_missing: true } => None,
-        _ if attempt.begun.is_some() => None,
-        // The state is still held unless it was fetched, which another decode engine would find out. With two
-        // attempts left none would remain after that, and the prefill engine has cached the prompt: it
-        // prefills again.
+        _ if attempt.first_token_latency.is_some() => None,
+        // The state may or may not have been fetched. Another decode attempt would find out, but with two
+        // attempts left there would not be enough for a prefill and a decode after it. As the prefill engine
+        // has cached the prompt, it prefills again at once.
         Outcome::Error | Outcome::Reset | Outcome::TimedOut | Outcome::Cancelled if attempts_left == 2 => {
             None
         }
-        // No decode engine was reached, so the time of the state runs on: kept if it allows one more such
-        // attempt.
+        // No decode engine was reached, so the state has been held all the time: it is kept if its limit
+        // allows one more such attempt.
         Outcome::ConnectFailed | Outcome::NotSent => {
             let one_more = PROBE_TIMEOUT + settings.limits.connect_timeout;
-            attempt.state.filter(|held| now + one_more <= held.since + settings.held_state_limit)
+            attempt.state_to_fetch.filter(|held| now + one_more <= held.since + settings.held_state_limit)
         }
-        _ => attempt.state.map(|held| HeldState { since: now, ..held }),
+        _ => attempt.state_to_fetch.map(|held| HeldState { since: now, ..held }),
     }
 }
--- a/src/decisions/router.rs
+++ b/src/decisions/router.rs
@@ -1,7 +1,7 @@
-//! The decisions of one router: its whole state, and the dispatch of events to the files that decide.
+//! The state of one router, and the dispatch of events to the files that make the decisions.
 //!
-//! Decides nothing by itself. An event is handled to its end before the next one is taken, and the same
-//! events with the same seed give the same actions.
+//! Makes no decisions itself. Each event is handled completely before the next one, and the same events with
+//! the same seed give the same actions.
 
 use super::admission::{INITIAL_PROMPT_TOKENS, QUOTA_DEPTH};
 use super::engines::{EngineRecord, Means, INITIAL_PACE};
@@ -15,7 +15,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The decisions of one router.
+/// A router: it takes events and returns actions, without I/O or a clock of its own.
 pub struct Router {
     pub(super) settings: Settings,
     pub(super) rng: Xoshiro256PlusPlus,
@@ -23,27 +23,30 @@
     pub(super) requests: BTreeMap<RequestId, ActiveRequest>,
     pub(super) timers: BTreeMap<TimerId, Timer>,
     pub(super) next_timer: u64,
-    /// Of each tenant's quota, in requests; this router's share of it.
+    /// For each tenant, a bucket of requests that refills at this router's share of the quota.
     pub(super) quotas: Vec<TokenBucket>,
     pub(super) max_priority_weight: f64,
-    /// The latency objective whose classes are droppable; `None` where priority weights differ.
+    /// The loosest latency objective, whose classes are droppable. `None` if priority weights differ or if
+    /// all objectives are equal.
     pub(super) loosest_objective: Option<Duration>,
     pub(super) mean_prompt: RunningMean,
-    /// Mean share of a prompt that its prefill engine had not cached.
+    /// Mean share of a prompt that the prefill engine has not cached.
     pub(super) uncached_share: f64,
+    /// Means for each role.
     pub(super) means: [Means; 3],
-    /// Bookkeeping, so that no decision walks all engines.
+    /// An index, so that no decision has to scan all engines.
     pub(super) engine_index: EngineIndex,
 }
 
 impl Router {
-    /// A router that knows nothing yet but its settings; `seed` determines its random numbers.
+    /// A router without any engines or requests; `seed` determines its random numbers.
     pub fn new(settings: Settings, seed: u64) -> Self {
-        let worths = || settings.classes.iter().map(|c| c.priority_weight);
-        let max_priority_weight = worths().fold(0.0, f64::max);
-        let equal = worths().all(|w| w >= max_priority_weight);
-        let aims = || settings.classes.iter().map(|c| c.latency_objective);
-        let loosest_objective = aims().max().filter(|&loose| equal && aims().any(|a| a < loose));
+        let weights = || settings.classes.iter().map(|class| class.priority_weight);
+        let max_priority_weight = weights().fold(0.0, f64::max);
+        let equal = weights().all(|weight| weight >= max_priority_weight);
+        let objectives = || settings.classes.iter().map(|class| class.latency_objective);
+        let loosest_objective =
+            objectives().max().filter(|&loosest| equal && objectives().any(|objective| objective < loosest));
         let quotas = settings
             .tenants
             .iter()
@@ -66,24 +69,25 @@
         }
     }
 
-    /// Takes one event at `now` and appends what to do about it to `actions`.
+    /// Handles one event at `now` and appends the resulting actions to `actions`.
     pub fn handle(&mut self, now: Duration, event: Event, actions: &mut Vec<Action>) {
         match event {
-            Event::Engines { listing, engines } => self.on_list(now, listing, engines, actions),
+            Event::Engines { listing, engines } => self.on_endpoint_list(now, listing, engines, actions),
             Event::Request(request) => self.on_request(now, request, actions),
             Event::FirstToken { request, attempt, latency } => {
                 self.on_first_token(now, (request, attempt), latency, actions);
             }
-            Event::AttemptEnded(ended) => self.on_ended(now, ended, actions),
+            Event::AttemptEnded(ended) => self.on_attempt_ended(now, ended, actions),
             Event::ClientDisconnected(id) => self.finish_request(id, None, actions),
             Event::TimerFired(timer) => self.on_timer(now, timer, actions),
             Event::ProbeEnded { engine, outcome, report } => {
-                self.on_probed(now, engine, outcome, report, actions);
+                self.on_probe_ended(now, engine, outcome, report, actions);
             }
             Event::ReservationAnswered { .. } | Event::PeerMessage { .. } => {}
         }
     }
 
+    /// A random number from 0 to 1.
     pub(super) fn sample_probability(&mut self) -> f64 {
         (self.rng.next_u64() >> 11) as f64 / (1u64 << 53) as f64
     }
--- a/src/decisions/timers.rs
+++ b/src/decisions/timers.rs
@@ -1,23 +1,23 @@
-//! Timers: why each one was set, and what is due when it fires.
+//! Timers: why each one was set, and what to do when it fires.
 //!
-//! Decides only whether a timer that fires is still of use. May read the requests and engines that it names.
+//! Decides only whether a timer that has fired still matters. Reads the requests and engines that it names.
 
 use super::requests::ActiveRequest;
 use super::router::Router;
 use crate::interface::{Action, EngineId, RequestId, TimerId};
 use std::time::Duration;
 
-/// Why a timer was set, and so what is due when it fires.
+/// Why a timer was set, which determines what to do when it fires.
 pub(super) enum Timer {
-    /// The request is to have its final answer.
+    /// The request must have its final answer.
     Deadline(RequestId),
-    /// The attempt of this number may stay silent no longer.
+    /// The attempt of this number has been silent for its whole patience.
     AttemptPatience(RequestId, usize),
     /// The request has waited long enough for an engine or for answers to probes.
     Wait(RequestId),
     /// The ejection of the engine ends.
     EjectionEnd(EngineId),
-    /// The endpoint list is to be asked for again.
+    /// The endpoint list has to be requested again.
     EndpointList,
 }
 
@@ -30,9 +30,9 @@
     }
 
     pub(super) fn on_timer(&mut self, now: Duration, timer: TimerId, actions: &mut Vec<Action>) {
-        let open = |id: &RequestId| self.requests.get(id).is_some_and(|j| !j.ended);
+        let is_open = |id: &RequestId| self.requests.get(id).is_some_and(|active| !active.ended);
         match self.timers.remove(&timer) {
-            Some(Timer::Deadline(id)) if open(&id) => self.on_deadline(now, id, actions),
+            Some(Timer::Deadline(id)) if is_open(&id) => self.on_deadline(now, id, actions),
             Some(Timer::AttemptPatience(id, attempt)) => self.on_patience_exhausted(id, attempt, actions),
             Some(Timer::Wait(id)) => {
                 let due =
@@ -43,8 +43,10 @@
                 }
             }
             Some(Timer::EjectionEnd(engine)) => {
-                let due =
-                    self.engines.get(&engine).is_some_and(|record| record.is_ejected() && !record.probing);
+                let due = self
+                    .engines
+                    .get(&engine)
+                    .is_some_and(|record| record.is_ejected() && !record.probe_in_flight);
                 match self.settings.limits.probes {
                     true if due => self.probe(engine, actions),
                     false if due => self.record_contact(now, engine),
--- a/src/engine_index/marks.rs
+++ b/src/engine_index/marks.rs
@@ -1,6 +1,6 @@
-//! Marks on positions that are counted and numbered in logarithmic time.
+//! A set of marked positions that finds the k-th mark in logarithmic time.
 
-/// Marks on positions, counted and numbered in logarithmic time by a binary indexed tree.
+/// A set of marked positions; a binary indexed tree finds the k-th mark in logarithmic time.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct MarkedPositions {
     set: Vec<bool>,
@@ -9,7 +9,7 @@
 }
 
 impl MarkedPositions {
-    /// No marks on `n` positions.
+    /// `n` positions without marks.
     pub(crate) fn new(n: usize) -> Self {
         MarkedPositions { set: vec![false; n], tree: vec![0; n + 1], count: 0 }
     }
--- a/src/engine_index/mean.rs
+++ b/src/engine_index/mean.rs
@@ -1,8 +1,8 @@
-//! A running mean whose first samples weigh more.
+//! A running mean whose first samples have a larger weight.
 
 use std::ops::Deref;
 
-/// A running mean of samples. Its initial value counts as one of them, so that a few samples already matter.
+/// A running mean of samples. The initial value counts as one sample, so that a few samples replace it.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct RunningMean {
     value: f64,
@@ -10,12 +10,12 @@
 }
 
 impl RunningMean {
-    /// A mean that starts from a value.
+    /// A mean with this initial value.
     pub(crate) fn from(value: f64) -> Self {
         RunningMean { value, samples: 1.0 }
     }
 
-    /// Takes one more sample, which weighs as much as each before it, but never less than `min_weight`.
+    /// Adds a sample with the same weight as each of the samples before it, but at least `min_weight`.
     pub(crate) fn add(&mut self, sample: f64, min_weight: f64) {
         self.samples += 1.0;
         self.value += min_weight.max(1.0 / self.samples) * (sample - self.value);
--- a/src/engine_index/mod.rs
+++ b/src/engine_index/mod.rs
@@ -1,8 +1,9 @@
-//! An index of the engines, so that no decision scans the whole list: engines by what they can do, by cell and by zone;
-//! sums of their saturation that are updated engine by engine; and when what is known of an engine runs out.
+//! An index of the engines, so that no decision has to scan the whole list. It holds the engines by
+//! capability, by cell and by zone, sums of their saturation that are updated engine by engine, and the times
+//! at which the information about each engine expires.
 //!
-//! Nothing here decides: each structure answers what a scan over all engines in the order of their ids would, and the
-//! tests compare it with that scan.
+//! The index makes no decisions: each query returns what a scan over all engines in the order of their ids
+//! would return, and the tests compare it with that scan.
 
 mod candidates;
 mod due_times;
@@ -23,37 +24,37 @@
 use std::time::Duration;
 use sums::{ExactSum, SumOfMaxima};
 
-/// Positions that are cached for a key: enough that some of them are usable nearly always.
+/// Positions cached for each key. With this many, enough of them are nearly always usable.
 const CACHED_POSITIONS: usize = 12;
 
-/// Changed engines beyond twice the size of the list before duplicates are removed.
+/// How far the list of changed engines may exceed twice the number of engines before duplicates are removed.
 const CHANGED_MARGIN: usize = 64;
 
-/// Keys for which positions are cached at most, half a megabyte; when it is reached the cache is cleared.
+/// Maximum number of keys in the cache, half a megabyte; the cache is cleared when it is reached.
 const MAX_CACHED_KEYS: usize = 4_096;
 
 /// How the saturation of an engine enters the sums of its role.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) enum SaturationTerm {
-    /// Not at all.
+    /// It is left out.
     #[default]
     Unknown,
-    /// With this value until there is news of the engine.
+    /// As this value, which is constant until something about the engine changes.
     Fixed(f64),
-    /// With the larger of `count` times the weight of a request, which changes, and `minimum`.
+    /// As the larger of `minimum` and `count` times the weight of a request, which changes over time.
     CountWeighted {
-        /// Which kind of count, 0 or 1; each has a weight of its own.
+        /// The kind of count: 0 for queued requests, 1 for those in progress. Each kind has its own weight.
         kind: usize,
-        /// Requests that the engine reports.
+        /// Number of requests that the engine reports.
         count: f64,
         /// Saturation of its memory.
         minimum: f64,
     },
-    /// It changes without news of the engine and is worked out for each query.
+    /// As a value that changes without an update of the engine and is computed for each query.
     Varying,
 }
 
-/// What an engine has to be capable of to be a candidate for an attempt.
+/// What an engine must be able to do to be a candidate for an attempt.
 #[derive(Clone, Copy)]
 pub(crate) enum Capability {
     /// It can prefill.
@@ -74,7 +75,7 @@
     pub(crate) weight: f64,
     pub(crate) cell: CellId,
     pub(crate) zone: ZoneId,
-    /// Whether it has each [`Capability`]; counts only if it is ready.
+    /// Whether it has each [`Capability`]; ignored unless it is ready.
     pub(crate) capabilities: [bool; 3],
 }
 
@@ -82,29 +83,29 @@
 pub(crate) struct EngineStatus {
     pub(crate) role: usize,
     pub(crate) term: SaturationTerm,
-    /// There is no recent news of it, so that asking for its load is of use.
+    /// What is known of its load is out of date, so that a probe is useful.
     pub(crate) stale: bool,
     /// It is ejected, warming up or passed over for some class.
     pub(crate) maybe_restricted: bool,
-    /// When any of this changes by time alone.
+    /// When any of these fields changes merely because time passes.
     pub(crate) due: Option<Duration>,
 }
 
-/// The index. Whoever changes an engine or the list reports it here. Before a query, every engine that
-/// [`next_outdated`](Self::next_outdated) gives has to be updated.
+/// The index of the engines. Each change of an engine or of the list has to be reported to it. Before a
+/// query, every engine that [`next_outdated`](Self::next_outdated) returns has to be updated.
 #[derive(Default)]
 pub(crate) struct EngineIndex {
     candidates: [Arc<CandidateIndex>; 3],
-    /// By capability and key: the positions of the first few, so that a key seen before costs no scan.
+    /// By capability and key: the highest-ranked positions, so that a key seen before needs no scan.
     ranked_cache: [HashMap<u64, Vec<u32>>; 3],
     engine_ids: Vec<EngineId>,
-    /// The role and term with which each engine is in the sums.
+    /// The role and term that each engine has in the sums.
     terms: Vec<(usize, SaturationTerm)>,
     ready: [usize; 3],
     sums: [ExactSum; 3],
     count_weighted: [[SumOfMaxima; 2]; 3],
     varying: [BTreeSet<EngineId>; 3],
-    /// Engines that may be ejected, warming up or passed over: a few more than are.
+    /// Engines that may be ejected, warming up or passed over: a superset of those that are.
     pub(crate) maybe_restricted: BTreeSet<EngineId>,
     stale: MarkedPositions,
     due_times: DueTimes,
@@ -114,22 +115,22 @@
 }
 
 impl EngineIndex {
-    /// Reports that something of an engine has changed.
+    /// Reports that an engine has changed.
     pub(crate) fn mark_changed(&mut self, id: EngineId) {
         self.changed.push(id);
-        // An idle router is probed for days without a query: duplicates are removed so that this stays bounded.
+        // An idle router may probe engines for days without a query: removing duplicates bounds the list.
         if self.changed.len() > 2 * self.engine_ids.len() + CHANGED_MARGIN {
             self.changed.sort_unstable();
             self.changed.dedup();
         }
     }
 
-    /// Reports whether the list has changed.
+    /// Reports whether the endpoint list has changed.
     pub(crate) fn note_list_change(&mut self, list_changed: bool) {
         self.list_changed |= list_changed;
     }
 
-    /// Whether the list has changed since the last call, so that the index has to be rebuilt.
+    /// Whether the endpoint list has changed since the last call, so that the index has to be rebuilt.
     pub(crate) fn take_list_change(&mut self) -> bool {
         std::mem::take(&mut self.list_changed)
     }
@@ -156,7 +157,7 @@
         self.changed.clone_from(&self.engine_ids);
     }
 
-    /// An engine that has to be updated by now.
+    /// Removes and returns an engine that has to be updated by now.
     pub(crate) fn next_outdated(&mut self, now: Duration) -> Option<EngineId> {
         self.due_times.pop(now).or_else(|| self.changed.pop())
     }
@@ -206,8 +207,8 @@
         self.candidates[capability as usize].clone()
     }
 
-    /// The first `n` engines with a capability for this key (see [`CandidateIndex::top_ranked`]), without those at the
-    /// ascending positions `excluded`.
+    /// The first `n` engines with a capability for this key (see [`CandidateIndex::top_ranked`]), without
+    /// those at the ascending positions `excluded`.
     pub(crate) fn top_ranked(
         &mut self, capability: Capability, key: u64, n: usize, excluded: &[u32],
         hash: impl Fn(EngineId) -> u64,
@@ -235,29 +236,30 @@
         self.candidates[Capability::Decode as usize].has_cell(cell)
     }
 
-    /// How many of a role are ready.
+    /// How many engines of a role are ready.
     pub(crate) fn ready_count(&self, role: usize) -> usize {
         self.ready[role]
     }
 
-    /// The sum of saturations over the engines of a role whose term the index holds, at these weights of the two kinds
-    /// of counts; how many engines that are; and those that have to be worked out one by one.
+    /// For the engines of a role whose terms the index holds: the sum of their saturations, at these weights
+    /// of the two kinds of counts, and how many there are. Also the engines whose saturation has to be
+    /// computed one by one.
     pub(crate) fn saturation_sums(
         &self, role: usize, weights: [f64; 2],
     ) -> (f64, usize, &BTreeSet<EngineId>) {
         let (mut sum, mut count) = (self.sums[role].value(), self.sums[role].count);
-        for (maxima, weight) in self.count_weighted[role].iter().zip(weights) {
-            (sum, count) = (sum + maxima.sum(weight), count + maxima.len());
+        for (sum_of_maxima, weight) in self.count_weighted[role].iter().zip(weights) {
+            (sum, count) = (sum + sum_of_maxima.sum(weight), count + sum_of_maxima.len());
         }
         (sum, count, &self.varying[role])
     }
 
-    /// How many engines there is no recent news of.
+    /// How many engines are stale.
     pub(crate) fn stale_count(&self) -> usize {
         self.stale.len()
     }
 
-    /// Number `k` of these, from 0, which has to exist.
+    /// The stale engine number `k`, from 0, which has to exist.
     pub(crate) fn nth_stale(&self, k: usize) -> EngineId {
         self.engine_ids[self.stale.nth(k)]
     }
--- a/src/engine_index/positions.rs
+++ b/src/engine_index/positions.rs
@@ -1,14 +1,14 @@
-//! Arithmetic on positions in a list: what remains without some of them, and two of them at random.
+//! Arithmetic on positions in a list: the positions that remain when some are excluded, and random pairs.
 
-/// The positions below `total` that remain when some are left out.
+/// The positions below `total` that remain when some are excluded.
 pub(crate) struct RemainingPositions<'a> {
     total: usize,
-    /// The positions left out: two ascending lists that have none in common.
+    /// The excluded positions: two ascending lists that have none in common.
     excluded: [&'a [u32]; 2],
 }
 
 impl<'a> RemainingPositions<'a> {
-    /// All positions below `total` but those of two ascending lists that have none in common.
+    /// All positions below `total` except those of two ascending lists that have none in common.
     pub(crate) fn new(total: usize, excluded: [&'a [u32]; 2]) -> Self {
         RemainingPositions { total, excluded }
     }
@@ -20,13 +20,16 @@
 
     /// The remaining position number `k`, from 0.
     pub(crate) fn nth(&self, k: usize) -> usize {
-        let up_to = |at: usize| -> usize {
-            self.excluded.iter().map(|list| list.partition_point(|&w| (w as usize) <= at)).sum()
+        let excluded_up_to = |end: usize| -> usize {
+            self.excluded
+                .iter()
+                .map(|list| list.partition_point(|&position| (position as usize) <= end))
+                .sum()
         };
         let (mut low, mut high) = (k, self.total);
         while low < high {
             let mid = usize::midpoint(low, high);
-            if mid + 1 - up_to(mid) > k {
+            if mid + 1 - excluded_up_to(mid) > k {
                 high = mid;
             } else {
                 low = mid + 1;
@@ -36,25 +39,25 @@
     }
 }
 
-/// Splits the second of two ascending lists: its entries that are also in the first, as indices into the first, and the
-/// others as they are.
+/// Splits the second of two ascending lists into the entries that are also in the first, given as indices
+/// into the first, and the other entries, unchanged.
 pub(crate) fn split_by_membership(first: &[u32], second: &[u32]) -> (Vec<u32>, Vec<u32>) {
-    let (mut both, mut other) = (Vec::new(), Vec::new());
-    for &w in second {
-        match first.binary_search(&w) {
-            Ok(at) => both.push(at as u32),
-            Err(_) => other.push(w),
+    let (mut shared, mut others) = (Vec::new(), Vec::new());
+    for &position in second {
+        match first.binary_search(&position) {
+            Ok(at) => shared.push(at as u32),
+            Err(_) => others.push(position),
         }
     }
-    (both, other)
+    (shared, others)
 }
 
-/// Two different numbers below `n` at random, fewer if there are fewer: the last number takes the place of the first
-/// drawn. `chance` gives numbers from 0 to 1.
-pub(crate) fn two_at_random(n: usize, mut chance: impl FnMut() -> f64) -> Vec<usize> {
+/// Two different random numbers below `n`, or as many as there are. If the second draw repeats the first, it
+/// becomes the last number. `probability` returns random numbers from 0 to 1.
+pub(crate) fn two_at_random(n: usize, mut probability: impl FnMut() -> f64) -> Vec<usize> {
     let mut pair = Vec::new();
     for left in [n, n.saturating_sub(1)].into_iter().filter(|&left| left > 0) {
-        let at = (chance() * left as f64) as usize;
+        let at = (probability() * left as f64) as usize;
         pair.push(if pair.first() == Some(&at) { n - 1 } else { at });
     }
     pair
--- a/src/engine_index/sums.rs
+++ b/src/engine_index/sums.rs
@@ -1,15 +1,15 @@
-//! Sums over engines that are updated one engine at a time and leave no rounding behind.
+//! Sums over engines that are updated one engine at a time without accumulating rounding errors.
 
 use crate::interface::EngineId;
 use std::cmp::Ordering;
 use std::collections::BTreeMap;
 
-/// A sum from which terms can be subtracted exactly: fixed point with 80 fractional bits, so that terms from 2^-27 on
-/// are exact, and the sum differs from one of floats only where that one rounds.
+/// A sum from which terms can be subtracted exactly. It is in fixed point with 80 fractional bits, so that
+/// terms from 2^-27 on are exact, and it differs from a sum of floats only where that one rounds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct ExactSum {
     total: i128,
-    /// How many terms there are.
+    /// Number of terms.
     pub(crate) count: usize,
 }
 
@@ -35,18 +35,18 @@
     }
 }
 
-/// The sum of max(count x weight, minimum) over many engines, for a weight that differs from one query to the next.
+/// The sum of max(count x weight, minimum) over many engines, for a weight that differs from query to query.
 ///
-/// The first argument of an engine's maximum is the larger one from the weight minimum / count on. Engines with similar
-/// quotients share a bucket with its sums: the sums of all buckets but one are used as they are, and the engines of that
-/// one are gone through.
+/// For each engine, count x weight is the larger argument from the weight minimum / count on. Engines with
+/// similar quotients share a bucket, which keeps the sums of its counts and minimums. A query uses these sums
+/// for all buckets but the one that contains the weight, whose engines it evaluates one by one.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct SumOfMaxima {
     buckets: BTreeMap<u16, QuotientBucket>,
     len: usize,
 }
 
-/// Engines whose quotients of minimum and count are similar.
+/// The engines whose quotients minimum / count fall into the same bucket.
 #[derive(Clone, Debug, Default)]
 struct QuotientBucket {
     counts: ExactSum,
@@ -62,19 +62,19 @@
     minimum: f64,
 }
 
-/// The bucket of a quotient, sixteen to a doubling: the exponent and the four highest bits of the fraction, which sort as
-/// the numbers do.
+/// The bucket of a quotient; there are sixteen for each doubling. The key is the exponent and the four
+/// highest bits of the fraction, which sort in the same order as the numbers.
 fn bucket_key(quotient: f64) -> u16 {
     (quotient.max(0.0).to_bits() >> 48) as u16
 }
 
 impl SumOfMaxima {
-    /// How many engines there are.
+    /// Number of engines.
     pub(crate) fn len(&self) -> usize {
         self.len
     }
 
-    /// Adds an engine; `count` has to be over 0.
+    /// Adds an engine; `count` has to be greater than 0.
     pub(crate) fn add(&mut self, id: EngineId, count: f64, minimum: f64) {
         let bucket = self.buckets.entry(bucket_key(minimum / count)).or_default();
         bucket.counts.add(count);
@@ -83,7 +83,7 @@
         self.len += 1;
     }
 
-    /// Subtracts an engine that was added with the same figures.
+    /// Subtracts an engine that was added with the same `count` and `minimum`.
     pub(crate) fn subtract(&mut self, id: EngineId, count: f64, minimum: f64) {
         let key = bucket_key(minimum / count);
         let Some(bucket) = self.buckets.get_mut(&key) else { return };
@@ -97,10 +97,10 @@
         }
     }
 
-    /// The sum at a weight.
+    /// The sum for this weight.
     pub(crate) fn sum(&self, weight: f64) -> f64 {
-        let mixed = bucket_key(weight);
-        let term = |(key, bucket): (&u16, &QuotientBucket)| match key.cmp(&mixed) {
+        let weight_key = bucket_key(weight);
+        let term = |(key, bucket): (&u16, &QuotientBucket)| match key.cmp(&weight_key) {
             Ordering::Less => bucket.counts.value() * weight,
             Ordering::Greater => bucket.minimums.value(),
             Ordering::Equal => {
--- a/src/interface/actions.rs
+++ b/src/interface/actions.rs
@@ -15,7 +15,7 @@
         /// Timeout of this attempt; `None` if it may last until the client gives up.
         timeout: Option<Duration>,
     },
-    /// Cancel one attempt; its end is reported all the same.
+    /// Cancel one attempt. The host still reports its end.
     Cancel {
         /// Identifies the request.
         request: RequestId,
@@ -26,7 +26,7 @@
     Reject {
         /// Identifies the request.
         request: RequestId,
-        /// Time after which the client may retry, if it honours that.
+        /// Time after which the client should retry; `None` if clients do not honour Retry-After.
         retry_after: Option<Duration>,
         /// Whether the tenant was over its quota when the request came in.
         over_quota: bool,
@@ -44,7 +44,7 @@
     },
     /// End a running stream gracefully so that its client resumes it elsewhere.
     MigrateStream(RequestId),
-    /// Set a timer, which is answered by [`Event::TimerFired`](super::Event::TimerFired).
+    /// Set a timer. [`Event::TimerFired`](super::Event::TimerFired) reports that it has fired.
     SetTimer {
         /// Identifies the timer.
         timer: TimerId,
--- a/src/interface/engines.rs
+++ b/src/interface/engines.rs
@@ -32,7 +32,7 @@
     pub started_at: Option<Duration>,
 }
 
-/// How an update of the endpoint list is to be read.
+/// How to interpret an update of the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Listing {
     /// It holds changed entries only.
@@ -45,12 +45,12 @@
     Failed,
 }
 
-/// Load that an engine reports; what it does not report is `None`.
+/// Load that an engine reports. Figures that it does not report are `None`.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
     /// Requests in progress, waiting ones included.
     pub in_flight: Option<f64>,
-    /// Requests that wait.
+    /// Requests that are queued.
     pub queued: Option<f64>,
     /// Share of its slots in use.
     pub slot_share: Option<f64>,
--- a/src/interface/events.rs
+++ b/src/interface/events.rs
@@ -1,9 +1,9 @@
-//! Events: what a router is told.
+//! Events: the inputs of a router.
 
 use super::{AttemptEnded, Engine, EngineId, Listing, LoadReport, Outcome, Request, RequestId, TimerId};
 use std::time::Duration;
 
-/// What a router is told; handed to [`Router::handle`](crate::Router::handle).
+/// An input of a router, passed to [`Router::handle`](crate::Router::handle).
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// An update of the endpoint list.
@@ -13,7 +13,7 @@
         /// The entries.
         engines: Vec<Engine>,
     },
-    /// A request has come in from a client; it is owed one final answer.
+    /// A client has sent a request, which must get exactly one final answer.
     Request(Request),
     /// The first token of an answer has arrived.
     FirstToken {
@@ -30,12 +30,12 @@
     ReservationAnswered {
         /// Identifies the request.
         request: RequestId,
-        /// The engine that was asked.
+        /// The engine.
         engine: EngineId,
         /// Whether the reservation was made.
         granted: bool,
     },
-    /// The client has disconnected; no answer is owed any more.
+    /// The client has disconnected; its request needs no answer any more.
     ClientDisconnected(RequestId),
     /// A timer has fired.
     TimerFired(TimerId),
--- a/src/interface/ids.rs
+++ b/src/interface/ids.rs
@@ -1,14 +1,14 @@
-//! Identifiers of engines, requests and timers, and positions in the settings.
+//! Identifiers of engines, requests and timers, and indices into the settings.
 
-/// An engine, the same at every router and across restarts of its process.
+/// Identifies an engine, with the same value at every router and across restarts of the engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct EngineId(pub u64);
 
-/// A request; an id is never used twice.
+/// Identifies a request; an id is never used twice.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RequestId(pub u64);
 
-/// A timer that the router has set with [`Action::SetTimer`](super::Action::SetTimer).
+/// Identifies a timer that the router has set with [`Action::SetTimer`](super::Action::SetTimer).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TimerId(pub u64);
 
--- a/src/interface/log_events.rs
+++ b/src/interface/log_events.rs
@@ -1,19 +1,19 @@
-//! Log events: what a router reports to operators. `Display` gives the line of the log.
+//! Log events: what a router reports to operators. `Display` formats the log line.
 
 use super::EngineId;
 use std::fmt;
 use std::time::Duration;
 
-/// Something that operators are told of.
+/// An event that is reported to operators.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LogEvent {
-    /// An engine gets no requests for a while.
+    /// An engine was ejected: it gets no requests for a while.
     EngineEjected {
         /// The engine.
         engine: EngineId,
         /// Time from now until it is tried again.
         duration: Duration,
-        /// What was observed of it.
+        /// Why it was ejected.
         cause: EjectionCause,
     },
 }
--- a/src/interface/mod.rs
+++ b/src/interface/mod.rs
@@ -1,7 +1,8 @@
-//! The types at the boundary of the decision module: what a [`Router`](crate::Router) is told and what it asks for.
+//! The types at the boundary of the decision module: the events that a [`Router`](crate::Router) takes and
+//! the actions that it returns.
 //!
-//! Points in time are [`Duration`](std::time::Duration)s since the start of a clock of the host's choosing that never goes
-//! back. Lengths are in tokens. Nothing here decides anything.
+//! Points in time are [`Duration`](std::time::Duration)s since the start of a monotonic clock that the host
+//! chooses. Lengths are in tokens. These types make no decisions.
 
 mod actions;
 mod engines;
--- a/src/interface/requests.rs
+++ b/src/interface/requests.rs
@@ -14,7 +14,7 @@
     pub tenant: TenantId,
     /// Hash of the session that it belongs to.
     pub session: u64,
-    /// Hash of the prompt prefix that it shares with other sessions, if it does.
+    /// Hash of the prompt prefix that it shares with other sessions, if there is one.
     pub shared_prefix: Option<u64>,
     /// Length of the prompt, tokens.
     pub prompt_tokens: f64,
@@ -22,8 +22,8 @@
     pub max_output_tokens: f64,
     /// How long until the client gives up.
     pub client_timeout: Duration,
-    /// For an answer that is sent only when it is complete: how long until the client gives up on it. `None` if the
-    /// answer is streamed, or if its class reports no first token.
+    /// For an answer that is sent only when it is complete: how long until the client gives up on it. `None`
+    /// if the answer is streamed, or if its class reports no first token.
     pub complete_answer_timeout: Option<Duration>,
     /// Whether the client marks it as a retry.
     pub is_retry: bool,
@@ -34,18 +34,18 @@
 /// How an attempt or a probe has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Completed, or the probe was answered.
+    /// The attempt is complete, or the probe was answered.
     Completed,
-    /// The prompt is prefilled, and its state is held at the prefill engine.
+    /// The prompt is prefilled, and the prefill engine holds its state.
     Prefilled,
     /// The engine failed; the attempt may have run.
     Error,
     /// The engine rejected it; it never ran.
     Rejected {
-        /// There was no state to fetch.
+        /// Whether it was rejected because there was no state to fetch.
         state_missing: bool,
     },
-    /// No answer in time; it may have run or still run.
+    /// No answer in time; it may have run or still be running.
     TimedOut,
     /// No connection in time; it never ran.
     ConnectFailed,
@@ -58,7 +58,8 @@
 }
 
 impl Outcome {
-    /// Whether it proves that the attempt had no effect: it never ran, or was a prefill, which has none.
+    /// Whether it proves that the attempt had no effect: it never ran, or it was a prefill, which has no
+    /// effect.
     pub fn proves_not_run(self) -> bool {
         matches!(
             self,
@@ -78,10 +79,10 @@
     pub outcome: Outcome,
     /// Time since the attempt was sent.
     pub latency: Duration,
-    /// Whether the request is finished with it, so that no answer is owed any more.
+    /// Whether the request ends with it and needs no further answer.
     pub request_finished: bool,
     /// Prompt tokens that the prefill found in the engine's cache.
     pub cached_tokens: f64,
-    /// The load that the engine reported with it.
+    /// The load that the engine reported with its answer.
     pub report: LoadReport,
 }
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of a router: request classes, tenants, engine kinds, and what the site allows.
+//! The settings of a router: request classes, tenants, engine kinds, and limits of the deployment.
 
 use super::ZoneId;
 use std::time::Duration;
@@ -8,26 +8,26 @@
 pub enum Idempotency {
     /// May run any number of times.
     Idempotent,
-    /// Each request has an idempotency key: the engines of `scope` drop repeats for `window` after the first attempt that
-    /// may have run.
+    /// Each request has an idempotency key: the engines of `scope` drop duplicates for `window` after the
+    /// first attempt that may have run.
     WithKey {
-        /// The engines that recognise each other's repeats.
+        /// The engines among which duplicates are recognised.
         scope: DeduplicationScope,
-        /// How long they recognise them.
+        /// How long duplicates are recognised.
         window: Duration,
     },
     /// Must never run twice.
     NotIdempotent,
 }
 
-/// The engines among which repeats with an idempotency key are recognised.
+/// The engines among which duplicates of a request with an idempotency key are recognised.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeduplicationScope {
-    /// All of them.
+    /// All engines.
     All,
-    /// Those of one zone.
+    /// The engines of one zone.
     Zone,
-    /// Those of one cell.
+    /// The engines of one cell.
     Cell,
 }
 
@@ -38,7 +38,8 @@
     pub latency_objective: Duration,
     /// What is added to the objective for each 1,000 prompt tokens.
     pub latency_objective_per_1000_tokens: Duration,
-    /// What one request is worth; no unit.
+    /// Relative priority of its requests: under overload those below the highest weight are rejected first;
+    /// no unit.
     pub priority_weight: f64,
     /// Whether a request may run more than once.
     pub idempotency: Idempotency,
@@ -53,7 +54,7 @@
     pub quota_per_s: Option<f64>,
 }
 
-/// Which stages an engine works on.
+/// Which stages of a request an engine works on.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Role {
     /// Prefill: reads prompts.
@@ -76,7 +77,7 @@
     None,
 }
 
-/// What the site allows.
+/// Limits of the deployment that a router has to keep to.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limits {
     /// Maximum number of attempts for one request.
@@ -87,9 +88,9 @@
     pub probes: bool,
     /// Whether two attempts of one request may be in flight at once.
     pub hedged_requests: bool,
-    /// The longest Retry-After that clients honour; `None` if they honour none.
+    /// The longest Retry-After that clients honour; `None` if they ignore it.
     pub max_retry_after: Option<Duration>,
-    /// After this time an attempt without a connection ends as
+    /// Time to establish a connection, after which an attempt ends as
     /// [`Outcome::ConnectFailed`](super::Outcome::ConnectFailed).
     pub connect_timeout: Duration,
 }
@@ -101,7 +102,7 @@
     pub router_count: u32,
     /// The zone of this router.
     pub zone: ZoneId,
-    /// Minimum time between two batches of events.
+    /// Minimum time between two batches of events that the host hands over.
     pub tick: Duration,
     /// The request classes.
     pub classes: Vec<Class>,
@@ -111,23 +112,24 @@
     pub over_quota_weight: f64,
     /// The role of each kind of engine.
     pub kind_roles: Vec<Role>,
-    /// The memory of each kind of engine, tokens; empty if unknown.
+    /// Capacity of the memory of each kind of engine, tokens; empty if unknown.
     pub memory_tokens: Vec<f64>,
     /// Whether a decode engine prefills a prompt itself when there is no state to fetch.
     pub decode_engines_prefill: bool,
-    /// Whether the endpoint list has to be requested with [`Action::WatchEngines`](super::Action::WatchEngines).
+    /// Whether the endpoint list has to be requested with
+    /// [`Action::WatchEngines`](super::Action::WatchEngines).
     pub requests_engine_list: bool,
     /// Where load reports come from.
     pub report_source: ReportSource,
-    /// What the site allows.
+    /// Limits of the deployment.
     pub limits: Limits,
-    /// Share of its capacity that an engine has at least when it starts.
+    /// Minimum share of its full capacity that an engine has just after its start.
     pub warmup_initial_share: f64,
-    /// Time from its start after which an engine is warmed up.
+    /// Time from its start until an engine is warmed up.
     pub warmup_time: Duration,
-    /// How much work an engine that warms up may get at once from all routers, as time at its capacity by then; zero if
-    /// unknown.
+    /// Work that an engine that is warming up may get in one burst from all routers together, expressed as
+    /// time at the capacity that it has by then; zero if unknown.
     pub warmup_budget: Duration,
-    /// State held at an engine has to be fetched or released within this time.
+    /// Maximum time for which an engine may hold state before it is fetched or released.
     pub held_state_limit: Duration,
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,8 @@
-//! slipreel makes the decisions of a front (router) for a model service in which one set of
-//! servers reads prompts and another writes the answers.
+//! slipreel makes the routing decisions for a language-model service in which separate engines
+//! prefill prompts and decode answers.
 //!
-//! The crate is sans-I/O: the host feeds a [`Router`] what happens and carries out the
-//! [`Action`]s that it gets back. A router sees only its own traffic, and the same events with
+//! The crate is sans-I/O: the host passes each [`Event`] to a [`Router`] and carries out the
+//! [`Action`]s that it returns. A router sees only its own traffic, and the same events with
 //! the same seed give the same actions.
 //!
 //! ```
@@ -71,7 +71,7 @@
 //!     }),
 //!     &mut actions,
 //! );
-//! // The prompt goes to the only reader first.
+//! // The prompt goes to the only prefill engine first.
 //! assert!(actions.iter().any(|a| matches!(a, Action::Send { engine: EngineId(1), .. })));
 //! ```
 
