--- a/src/decisions/admission.rs
+++ b/src/decisions/admission.rs
@@ -72,9 +72,9 @@
     /// Whether the client will time out before an answer usually begins. Attempts for such clients would only
     /// waste capacity.
     pub(super) fn deadline_is_unreachable(&self, request: &Request) -> bool {
-        let usual_wait =
+        let mean_wait =
             self.means[Role::Prefill as usize].waiting_time + self.means[Role::Decode as usize].waiting_time;
-        request.client_timeout.as_secs_f64() < usual_wait
+        request.client_timeout.as_secs_f64() < mean_wait
     }
 
     /// Lets the mean waiting times decay. Requests that are rejected because of them yield no new samples, so
--- a/src/decisions/attempts.rs
+++ b/src/decisions/attempts.rs
@@ -147,8 +147,8 @@
     /// before they end.
     pub(super) fn patience(&self, role: Role, own_pace: f64, prompt: f64) -> Duration {
         let Means { pace, deviation, .. } = self.means[role as usize];
-        let usual = (pace.max(own_pace) + PATIENCE_DEVIATIONS * deviation) * (prompt + FIXED_COST_TOKENS);
-        MIN_PATIENCE.max(Duration::from_secs_f64(usual.min(MAX_WAIT.as_secs_f64())))
+        let seconds = (pace.max(own_pace) + PATIENCE_DEVIATIONS * deviation) * (prompt + FIXED_COST_TOKENS);
+        MIN_PATIENCE.max(Duration::from_secs_f64(seconds.min(MAX_WAIT.as_secs_f64())))
     }
 
     /// Lets the request wait for [`PROBE_TIMEOUT`], as no engine is usable at present. A request with held
--- a/src/decisions/eligibility.rs
+++ b/src/decisions/eligibility.rs
@@ -32,8 +32,8 @@
         let (usable, unusable) = self.partition_usable(now, active, &candidates, total, maybe_unusable);
         excluded.extend(unusable);
         let class = active.request.class.0;
-        let passed_over = |at: &u32| {
-            let engine = candidates.id(*at as usize);
+        let passed_over = |position: &u32| {
+            let engine = candidates.id(*position as usize);
             let until = |record: &EngineRecord| record.passed_over_until.get(class).copied();
             active.attempts.iter().any(|attempt| attempt.engine == engine && !attempt.engine_reusable)
                 || self.engines.get(&engine).and_then(until).is_some_and(|until| now < until)
@@ -63,8 +63,9 @@
         if !has_key || active.possible_run.is_none() {
             return Vec::new();
         }
-        let record = |at: u32| self.engines.get(&candidates.id(at as usize));
-        let disallowed = |&at: &u32| !record(at).is_some_and(|record| self.may_repeat_at(active, record));
+        let record = |position: u32| self.engines.get(&candidates.id(position as usize));
+        let disallowed =
+            |&position: &u32| !record(position).is_some_and(|record| self.may_repeat_at(active, record));
         (0..candidates.len() as u32).filter(disallowed).collect()
     }
 
@@ -78,7 +79,7 @@
             restricted.chain(tried).filter_map(|id| candidates.position(id)).collect();
         maybe_unusable.sort_unstable();
         maybe_unusable.dedup();
-        maybe_unusable.retain(|at| excluded.binary_search(at).is_err());
+        maybe_unusable.retain(|position| excluded.binary_search(position).is_err());
         maybe_unusable
     }
 
@@ -93,15 +94,17 @@
         &self, now: Duration, active: &ActiveRequest, candidates: &CandidateIndex, total: usize,
         maybe_unusable: Vec<u32>,
     ) -> (Vec<u32>, Vec<u32>) {
-        let record = |at: u32| self.engines.get(&candidates.id(at as usize));
-        let ejected = |at: u32| record(at).is_some_and(EngineRecord::is_ejected);
-        let reachable = total - maybe_unusable.iter().filter(|&&at| ejected(at)).count();
+        let record = |position: u32| self.engines.get(&candidates.id(position as usize));
+        let ejected = |position: u32| record(position).is_some_and(EngineRecord::is_ejected);
+        let reachable = total - maybe_unusable.iter().filter(|&&position| ejected(position)).count();
         let in_panic = (reachable as f64) < PANIC_SHARE * total as f64;
         let is_sampled = |record: &EngineRecord, factor: f64| {
             active.sampled_probability < self.warmup_share(now, record) * factor
         };
-        let unavailable = |at: u32| ejected(at) || record(at).is_some_and(|record| !is_sampled(record, 1.0));
-        let available = total - maybe_unusable.iter().filter(|&&at| unavailable(at)).count();
+        let unavailable = |position: u32| {
+            ejected(position) || record(position).is_some_and(|record| !is_sampled(record, 1.0))
+        };
+        let available = total - maybe_unusable.iter().filter(|&&position| unavailable(position)).count();
         let available_share = available as f64 / (PANIC_SHARE * total.max(1) as f64);
         let ejected_or_sampled =
             |record: &EngineRecord| record.is_ejected() || is_sampled(record, available_share.min(1.0));
@@ -110,7 +113,8 @@
         let admits = |record: &EngineRecord| {
             !self.is_warming_up(now, record) || ejected_or_sampled(record) && has_budget(record)
         };
-        let usable = |at: &u32| (in_panic || !ejected(*at)) && record(*at).is_some_and(admits);
+        let usable =
+            |position: &u32| (in_panic || !ejected(*position)) && record(*position).is_some_and(admits);
         maybe_unusable.into_iter().partition(usable)
     }
 
--- a/src/decisions/index_refresh.rs
+++ b/src/decisions/index_refresh.rs
@@ -59,7 +59,7 @@
             record.is_passed_over(now) || record.is_ejected() || self.is_warming_up(now, record);
         let stale_at = report.map_or(record.last_contact, |(at, _)| *at) + STALE_AFTER;
         let expires_at = report.map(|(at, _)| *at + REPORT_LIFETIME + Duration::from_nanos(1));
-        let due = [Some(stale_at), expires_at].into_iter().flatten().filter(|&at| at > now).min();
-        EngineStatus { role: record.role as usize, term, stale, maybe_restricted, due }
+        let refresh_at = [Some(stale_at), expires_at].into_iter().flatten().filter(|&at| at > now).min();
+        EngineStatus { role: record.role as usize, term, stale, maybe_restricted, refresh_at }
     }
 }
--- a/src/engine_index/candidates.rs
+++ b/src/engine_index/candidates.rs
@@ -19,13 +19,13 @@
 impl CandidateIndex {
     /// Adds an engine, whose id has to be above those added before.
     pub(crate) fn push(&mut self, id: EngineId, weight: f64, cell: CellId, zone: ZoneId) {
-        let at = self.ids.len() as u32;
+        let position = self.ids.len() as u32;
         self.ids.push(id);
         self.weights.push(weight);
         self.max_weight = self.max_weight.max(weight);
         self.zones.push(zone);
-        self.by_cell.entry(cell).or_default().push(at);
-        self.by_zone.entry(zone).or_default().push(at);
+        self.by_cell.entry(cell).or_default().push(position);
+        self.by_zone.entry(zone).or_default().push(position);
     }
 
     /// How many engines there are.
@@ -45,14 +45,14 @@
         const HASH_RANGE: f64 = (1u64 << 53) as f64;
         let mut first: Vec<(f64, u32)> = Vec::with_capacity(n + 1);
         let mut min_bits = 0;
-        for (at, &id) in self.ids.iter().enumerate() {
+        for (position, &id) in self.ids.iter().enumerate() {
             let bits = hash(id);
-            if bits < min_bits || excluded.binary_search(&(at as u32)).is_ok() {
+            if bits < min_bits || excluded.binary_search(&(position as u32)).is_ok() {
                 continue;
             }
-            let score = -(bits as f64 / HASH_RANGE).ln() / self.weights[at];
+            let score = -(bits as f64 / HASH_RANGE).ln() / self.weights[position];
             let place = first.partition_point(|(other, _)| *other <= score);
-            first.insert(place, (score, at as u32));
+            first.insert(place, (score, position as u32));
             first.truncate(n);
             if first.len() == n {
                 // Slightly below the exact bound, to allow for rounding.
@@ -60,12 +60,12 @@
                     ((1.0 - first[n - 1].0 * self.max_weight * 1.000_001).max(0.0) * HASH_RANGE) as u64;
             }
         }
-        first.into_iter().map(|(_, at)| at).collect()
+        first.into_iter().map(|(_, position)| position).collect()
     }
 
     /// The position of an engine, if it is a candidate.
     pub(crate) fn position(&self, id: EngineId) -> Option<u32> {
-        self.ids.binary_search(&id).ok().map(|at| at as u32)
+        self.ids.binary_search(&id).ok().map(|position| position as u32)
     }
 
     /// Whether any candidate is in a cell.
@@ -76,14 +76,15 @@
     /// The ascending positions of the engines that are in both this cell and this zone.
     pub(crate) fn in_cell_and_zone(&self, cell: CellId, zone: ZoneId) -> Vec<u32> {
         let in_cell = self.by_cell.get(&cell).into_iter().flatten().copied();
-        in_cell.filter(|&at| self.zones[at as usize] == zone).collect()
+        in_cell.filter(|&position| self.zones[position as usize] == zone).collect()
     }
 
     /// The ascending positions of the engines that are in this cell or in this zone.
     pub(crate) fn in_cell_or_zone(&self, cell: CellId, zone: ZoneId) -> Cow<'_, [u32]> {
         let in_zone = self.by_zone.get(&zone).map_or(&[][..], Vec::as_slice);
         let in_cell = self.by_cell.get(&cell).into_iter().flatten().copied();
-        let in_cell_only: Vec<u32> = in_cell.filter(|&at| self.zones[at as usize] != zone).collect();
+        let in_cell_only: Vec<u32> =
+            in_cell.filter(|&position| self.zones[position as usize] != zone).collect();
         if in_cell_only.is_empty() {
             return in_zone.into();
         }
--- a/src/engine_index/marks.rs
+++ b/src/engine_index/marks.rs
@@ -15,12 +15,12 @@
     }
 
     /// Sets or clears the mark of a position.
-    pub(crate) fn put(&mut self, at: usize, mark: bool) {
-        if std::mem::replace(&mut self.set[at], mark) == mark {
+    pub(crate) fn put(&mut self, position: usize, mark: bool) {
+        if std::mem::replace(&mut self.set[position], mark) == mark {
             return;
         }
         self.count = if mark { self.count + 1 } else { self.count - 1 };
-        let mut node = at + 1;
+        let mut node = position + 1;
         while node < self.tree.len() {
             self.tree[node] = if mark { self.tree[node] + 1 } else { self.tree[node] - 1 };
             node += node & node.wrapping_neg();
@@ -34,16 +34,16 @@
 
     /// The position of mark number `k`, from 0, which has to exist.
     pub(crate) fn nth(&self, k: usize) -> usize {
-        let (mut at, mut left) = (0, k as u32);
+        let (mut position, mut left) = (0, k as u32);
         let mut step = self.tree.len().next_power_of_two();
         while step > 0 {
-            if at + step < self.tree.len() && self.tree[at + step] <= left {
-                at += step;
-                left -= self.tree[at];
+            if position + step < self.tree.len() && self.tree[position + step] <= left {
+                position += step;
+                left -= self.tree[position];
             }
             step /= 2;
         }
-        at
+        position
     }
 }
 
--- a/src/engine_index/mod.rs
+++ b/src/engine_index/mod.rs
@@ -88,7 +88,7 @@
     /// It is ejected, warming up or passed over for some class.
     pub(crate) maybe_restricted: bool,
     /// When any of these fields changes merely because time passes.
-    pub(crate) due: Option<Duration>,
+    pub(crate) refresh_at: Option<Duration>,
 }
 
 /// The index of the engines. Each change of an engine or of the list has to be reported to it. Before a
@@ -164,16 +164,16 @@
 
     /// Replaces what the index holds of one engine.
     pub(crate) fn update(&mut self, id: EngineId, status: EngineStatus) {
-        let Ok(at) = self.engine_ids.binary_search(&id) else { return };
-        let EngineStatus { role, term, stale, maybe_restricted, due } = status;
-        let (role_before, term_before) = std::mem::replace(&mut self.terms[at], (role, term));
+        let Ok(position) = self.engine_ids.binary_search(&id) else { return };
+        let EngineStatus { role, term, stale, maybe_restricted, refresh_at } = status;
+        let (role_before, term_before) = std::mem::replace(&mut self.terms[position], (role, term));
         self.remove_term(id, role_before, term_before);
         self.add_term(id, role, term);
         if maybe_restricted {
             self.maybe_restricted.insert(id);
         }
-        self.stale.put(at, stale);
-        self.due_times.set(id, due);
+        self.stale.put(position, stale);
+        self.due_times.set(id, refresh_at);
     }
 
     fn remove_term(&mut self, id: EngineId, role: usize, term: SaturationTerm) {
@@ -215,7 +215,9 @@
     ) -> Vec<EngineId> {
         let candidates = &self.candidates[capability as usize];
         let cache = &mut self.ranked_cache[capability as usize];
-        let ids = |positions: Vec<u32>| positions.into_iter().map(|at| candidates.id(at as usize)).collect();
+        let ids = |positions: Vec<u32>| {
+            positions.into_iter().map(|position| candidates.id(position as usize)).collect()
+        };
         if candidates.len() <= CACHED_POSITIONS {
             return ids(candidates.top_ranked(n, excluded, hash));
         }
@@ -223,7 +225,7 @@
             cache.clear();
         }
         let cached = cache.entry(key).or_insert_with(|| candidates.top_ranked(CACHED_POSITIONS, &[], &hash));
-        let usable = cached.iter().copied().filter(|at| excluded.binary_search(at).is_err());
+        let usable = cached.iter().copied().filter(|position| excluded.binary_search(position).is_err());
         let usable: Vec<u32> = usable.take(n).collect();
         if usable.len() == n {
             return ids(usable);
--- a/src/engine_index/positions.rs
+++ b/src/engine_index/positions.rs
@@ -45,7 +45,7 @@
     let (mut shared, mut others) = (Vec::new(), Vec::new());
     for &position in second {
         match first.binary_search(&position) {
-            Ok(at) => shared.push(at as u32),
+            Ok(index) => shared.push(index as u32),
             Err(_) => others.push(position),
         }
     }
@@ -57,8 +57,8 @@
 pub(crate) fn two_at_random(n: usize, mut probability: impl FnMut() -> f64) -> Vec<usize> {
     let mut pair = Vec::new();
     for left in [n, n.saturating_sub(1)].into_iter().filter(|&left| left > 0) {
-        let at = (probability() * left as f64) as usize;
-        pair.push(if pair.first() == Some(&at) { n - 1 } else { at });
+        let number = (probability() * left as f64) as usize;
+        pair.push(if pair.first() == Some(&number) { n - 1 } else { number });
     }
     pair
 }
