--- a/src/decisions/engines.rs
+++ b/src/decisions/engines.rs
@@ -147,8 +147,8 @@
         let before = self.engines.get(&entry.id).map(indexed_fields);
         let record = self.engines.entry(entry.id).or_insert_with(new_record);
         if (record.entry.started_at, record.role) != (entry.started_at, role) {
-            // After a restart or a change of role, all that was learnt of the engine is discarded, except for the
-            // attempts in flight.
+            // After a restart or a change of role, all that was learnt of the engine is discarded, except for
+            // the attempts in flight.
             let EngineRecord { tokens_in_flight, in_flight, attempts_waiting, .. } = *record;
             *record = EngineRecord { tokens_in_flight, in_flight, attempts_waiting, ..new_record() };
         }
