--- a/crates/membership/src/departure.rs
+++ b/crates/membership/src/departure.rs
@@ -11,7 +11,7 @@
     /// The member is not leaving.
     #[default]
     None,
-    /// The number of rounds that will still announce it; at least 1.
+    /// The number of rounds that will still announce it; more than 0.
     RemainingRounds(u32),
     /// The announcement is complete, and the member sends no more messages.
     Finished,
