--- a/crates/cli/src/member.rs
+++ b/crates/cli/src/member.rs
@@ -10,7 +10,7 @@
 use slipreel_event_loop::{Clock, Command, EventLoop, EventLoopHandle, MachineId};
 use slipreel_gateway::{Gateway, RouterCount};
 use slipreel_membership::{Membership, MembershipSettings, Peers, SavedState, SharedView};
-use slipreel_settings::{changes, join, policy_of, Daemon, FleetSite};
+use slipreel_settings::{changes, join, policy_of, Daemon, FleetSettings};
 use std::io::Write;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -118,7 +118,7 @@
 
 /// Consensus on the policy, if the settings name founders.
 fn consensus(
-    site: &FleetSite, name: &str, config: &Path, clock: Clock, view: &Arc<SharedView>,
+    site: &FleetSettings, name: &str, config: &Path, clock: Clock, view: &Arc<SharedView>,
 ) -> Result<Option<(Consensus, FleetPolicy)>, Failure> {
     if site.founders.is_empty() {
         return Ok(None);
@@ -157,7 +157,7 @@
     handle: EventLoopHandle<Machine>,
     policy: Option<FleetPolicy>,
     thread: JoinHandle<()>,
-    site: FleetSite,
+    site: FleetSettings,
     peers: Peers,
     /// The address table as it was last read, to notice changes.
     address_table_text: Option<String>,
@@ -202,22 +202,22 @@
 }
 
 /// Whether settings differ that take effect at a start only.
-fn fixed_settings_differ(one: &FleetSite, other: &FleetSite) -> bool {
+fn fixed_settings_differ(one: &FleetSettings, other: &FleetSettings) -> bool {
     one.fleet != other.fleet
         || one.listen != other.listen
         || one.folder != other.folder
         || one.datagram != other.datagram
 }
 
-fn peers(site: &FleetSite) -> Result<Peers, Failure> {
+fn peers(site: &FleetSettings) -> Result<Peers, Failure> {
     site.peers().map_err(|faults| Failure::Input(lines(&faults)))
 }
 
-fn address_table_text(site: &FleetSite) -> Option<String> {
+fn address_table_text(site: &FleetSettings) -> Option<String> {
     site.book.as_ref().and_then(|file| std::fs::read_to_string(file).ok())
 }
 
-fn membership_settings(daemon: &Daemon, site: &FleetSite) -> MembershipSettings {
+fn membership_settings(daemon: &Daemon, site: &FleetSettings) -> MembershipSettings {
     MembershipSettings {
         fleet: site.fleet.clone(),
         name: daemon.site.name.clone(),
@@ -353,7 +353,7 @@
     }
 
     /// Reloads seeds and address table; `None`: the address table alone. What can't be read changes nothing.
-    pub(crate) fn reload(&mut self, site: Option<&FleetSite>) {
+    pub(crate) fn reload(&mut self, site: Option<&FleetSettings>) {
         let mut new_site = self.site.clone();
         if let Some(site) = site {
             if fixed_settings_differ(site, &self.site) {
--- a/crates/settings/src/fleet.rs
+++ b/crates/settings/src/fleet.rs
@@ -10,7 +10,7 @@
 
 /// What a section `[fleet]` says. The member's name is that of `[router]`.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct FleetSite {
+pub struct FleetSettings {
     /// The fleet's name: members of another one are refused.
     pub fleet: String,
     /// Where this member can be reached by the others, by datagrams and by TCP.
@@ -84,7 +84,9 @@
 const DATAGRAM: usize = 1_200;
 
 /// Reads the section, if it is there.
-pub(crate) fn read_fleet(doc: &mut Doc, router: Option<usize>, taken: &[SocketAddr]) -> Option<FleetSite> {
+pub(crate) fn read_fleet(
+    doc: &mut Doc, router: Option<usize>, taken: &[SocketAddr],
+) -> Option<FleetSettings> {
     let at = doc.one("fleet")?;
     if let Some(router) = router {
         if doc.text(router, "name").is_none() {
@@ -112,7 +114,7 @@
     if fleet.len() > LONGEST_NAME {
         doc.say(at, "fleet", format!("{fleet:?}: expected {LONGEST_NAME} bytes at most"));
     }
-    let site = FleetSite {
+    let site = FleetSettings {
         fleet,
         listen: listen?,
         seeds: doc.or(Some(at), "seeds", Seeds(Vec::new())).0,
@@ -134,7 +136,7 @@
 /// Bytes of a name on the wire.
 const LONGEST_NAME: usize = 64;
 
-impl FleetSite {
+impl FleetSettings {
     /// Reads the book, if there is one, and gives how others are found.
     ///
     /// # Errors
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -15,7 +15,7 @@
 mod values;
 
 pub use doc::{Doc, Fault, Section};
-pub use fleet::{read_book, FleetSite};
+pub use fleet::{read_book, FleetSettings};
 pub use policy::{changes, join, masked, policy_of, Policy, POLICY_SECTIONS};
 pub use roles::{parse_roles, RolesSite};
 pub use site::{read_site, Daemon, LogFormat, SITE_SECTIONS};
--- a/crates/settings/src/site.rs
+++ b/crates/settings/src/site.rs
@@ -1,7 +1,7 @@
 //! From sections to [`GatewaySettings`]: defaults, and checks across sections.
 
 use crate::doc::Doc;
-use crate::fleet::{read_fleet, FleetSite};
+use crate::fleet::{read_fleet, FleetSettings};
 use crate::values::{Bytes, Loopback, Name, Value};
 use slipreel::{
     Class, DeduplicationScope, EngineState, Idempotency, Limits, ReportSource, Role, Settings, Tenant, ZoneId,
@@ -63,7 +63,7 @@
     /// A file in the `EndpointSlice` JSON format with the list of engines, if it comes from there.
     pub engines_file: Option<PathBuf>,
     /// The fleet that it is a member of; `None`: it knows itself alone.
-    pub fleet: Option<FleetSite>,
+    pub fleet: Option<FleetSettings>,
     /// How lines are logged.
     pub log_format: LogFormat,
     /// Least level of what is logged, as tracing names it.
