--- a/crates/cli/src/roles.rs
+++ b/crates/cli/src/roles.rs
@@ -11,7 +11,7 @@
 use slipreel_roles::{
     ControllerConfig, ControllerMode, EngineView, Freeze, OrderCounts, Phase, RoleController, Watched,
 };
-use slipreel_settings::{engines_from_slices, engines_to_slices, parse_roles, Daemon, RolesSite};
+use slipreel_settings::{engines_from_slices, engines_to_slices, parse_roles, Daemon, RoleSettings};
 use slipreel_state_machine::{Input, Machine, Output};
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
@@ -103,7 +103,7 @@
     }
 }
 
-fn freeze(roles: &RolesSite, off: bool) -> Outcome {
+fn freeze(roles: &RoleSettings, off: bool) -> Outcome {
     let Some(file) = &roles.freeze else {
         return Err(Failure::Input(
             "[roles] freeze: expected a file, whose presence stops all changes".into(),
@@ -122,7 +122,7 @@
     Ok(())
 }
 
-fn is_frozen(roles: &RolesSite) -> bool {
+fn is_frozen(roles: &RoleSettings) -> bool {
     roles.freeze.as_ref().is_some_and(|f| f.exists())
 }
 
@@ -151,7 +151,7 @@
 
 impl AtWork {
     fn start(
-        roles: &RolesSite, engines: &[EngineSettings], dry: bool,
+        roles: &RoleSettings, engines: &[EngineSettings], dry: bool,
         log: impl FnMut(MachineId, &str) + Send + 'static,
     ) -> Result<AtWork, Failure> {
         let run = |e: std::io::Error| Failure::Run(e.to_string());
@@ -192,7 +192,7 @@
     }
 }
 
-fn status(roles: &RolesSite, engines: &[EngineSettings]) -> Outcome {
+fn status(roles: &RoleSettings, engines: &[EngineSettings]) -> Outcome {
     let work = AtWork::start(roles, engines, true, |_, _| {})?;
     std::thread::sleep(ROUND);
     let seen = work.seen();
@@ -229,7 +229,7 @@
     }
 }
 
-fn plan(roles: &RolesSite, engines: &[EngineSettings], time: Duration) -> Outcome {
+fn plan(roles: &RoleSettings, engines: &[EngineSettings], time: Duration) -> Outcome {
     let signals = Signals::watch()?;
     println!("watching {} engines and {} routers; nothing is ordered", engines.len(), roles.routers.len());
     let began = std::time::Instant::now();
@@ -243,7 +243,7 @@
     work.stop().map(|_| ())
 }
 
-fn follow_freeze(roles: &RolesSite, work: &AtWork, frozen: &mut bool) {
+fn follow_freeze(roles: &RoleSettings, work: &AtWork, frozen: &mut bool) {
     let now = is_frozen(roles);
     if std::mem::replace(frozen, now) != now {
         work.handle.send(Command::Message(MachineId(0), Arc::new(Freeze(now))));
@@ -251,7 +251,7 @@
     }
 }
 
-fn apply(daemon: &Daemon, roles: &RolesSite, mut engines: Vec<EngineSettings>) -> Outcome {
+fn apply(daemon: &Daemon, roles: &RoleSettings, mut engines: Vec<EngineSettings>) -> Outcome {
     logs::start(daemon.log_format, &daemon.log_level);
     let signals = Signals::watch()?;
     let work = AtWork::start(roles, &engines, false, |_, line| tracing::info!("{line}"))?;
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -17,7 +17,7 @@
 pub use doc::{Doc, Fault, Section};
 pub use fleet::{read_book, FleetSettings};
 pub use policy::{changes, join, masked, policy_of, Policy, POLICY_SECTIONS};
-pub use roles::{parse_roles, RolesSite};
+pub use roles::{parse_roles, RoleSettings};
 pub use site::{read_site, Daemon, LogFormat, SITE_SECTIONS};
 pub use slices::{engines_from_slices, engines_to_slices};
 pub use values::{Bytes, Loopback, Name, Value};
--- a/crates/settings/src/roles.rs
+++ b/crates/settings/src/roles.rs
@@ -10,7 +10,7 @@
 
 /// What a conductor is handed beside the list of engines.
 #[derive(Clone, Debug)]
-pub struct RolesSite {
+pub struct RoleSettings {
     /// How changes are chosen.
     pub policy: PlanningPolicy,
     /// What operators allow.
@@ -67,7 +67,7 @@
 ///
 /// # Errors
 /// Every fault of the text, in the order of its lines.
-pub fn parse_roles(text: &str, file: &str) -> Result<(Daemon, RolesSite), Vec<Fault>> {
+pub fn parse_roles(text: &str, file: &str) -> Result<(Daemon, RoleSettings), Vec<Fault>> {
     let mut doc = Doc::parse(text, file)?;
     let daemon = read_site(&mut doc, true);
     let roles = match (doc.one("roles"), &daemon) {
@@ -82,7 +82,7 @@
     daemon.zip(roles).ok_or_else(Vec::new)
 }
 
-fn read_roles(doc: &mut Doc, at: usize, daemon: &Daemon) -> Option<RolesSite> {
+fn read_roles(doc: &mut Doc, at: usize, daemon: &Daemon) -> Option<RoleSettings> {
     let here = Some(at);
     let start = PlannerLimits::default();
     let settings = &daemon.site.decisions;
@@ -114,7 +114,7 @@
     }
     let (Over0(read), Over0(write)) = (speeds.0?, speeds.1?);
     let (Over0(read_places), Over0(write_places)) = (places.0?, places.1?);
-    Some(RolesSite {
+    Some(RoleSettings {
         policy,
         limits,
         costs,
