--- a/crates/cli/src/roles.rs
+++ b/crates/cli/src/roles.rs
@@ -163,11 +163,11 @@
             limits,
             costs: roles.costs,
             policy: roles.policy,
-            full_load_requests: roles.places,
+            full_load_requests: roles.full_load_requests,
             mode: if dry { ControllerMode::DryRun } else { ControllerMode::Apply },
         };
         let conductor = RoleController::new(watched, config, clock.now())
-            .with_routers(roles.routers.clone(), roles.speeds);
+            .with_routers(roles.routers.clone(), roles.throughput);
         let seen = Seen::default();
         let mut looped = EventLoop::new(clock).map_err(run)?;
         looped.on_log(log);
--- a/crates/settings/src/roles.rs
+++ b/crates/settings/src/roles.rs
@@ -18,9 +18,9 @@
     /// What a change costs.
     pub costs: ChangeCosts,
     /// What an engine does a second.
-    pub speeds: EngineThroughput,
+    pub throughput: EngineThroughput,
     /// Requests that keep an engine wholly busy.
-    pub places: FullLoadRequests,
+    pub full_load_requests: FullLoadRequests,
     /// The operators' ports of all routers: what is asked of them is the demand.
     pub routers: Vec<SocketAddr>,
     /// Nothing is changed while this file is there.
@@ -118,8 +118,8 @@
         policy,
         limits,
         costs,
-        speeds: EngineThroughput { prefill: read, decode: write },
-        places: FullLoadRequests { prefill: read_places, decode: write_places },
+        throughput: EngineThroughput { prefill: read, decode: write },
+        full_load_requests: FullLoadRequests { prefill: read_places, decode: write_places },
         routers: routers?.0,
         freeze,
         list,
--- a/crates/settings/tests/faults.rs
+++ b/crates/settings/tests/faults.rs
@@ -33,7 +33,7 @@
         (roles.routers.len(), roles.limits.max_concurrent_changes, roles.limits.frozen),
         (1, 2, false)
     );
-    assert_eq!((roles.costs.prefill_tokens_per_s, roles.places.decode), (20_000.0, 64.0));
+    assert_eq!((roles.costs.prefill_tokens_per_s, roles.full_load_requests.decode), (20_000.0, 64.0));
     let one = |from: &str, to: &str, part: &str| {
         assert!(SAMPLE.contains(from), "{from}");
         let found = parse_roles(&SAMPLE.replacen(from, to, 1), "f.ini").expect_err("faults");
