--- a/crates/fault-injection/src/script.rs
+++ b/crates/fault-injection/src/script.rs
@@ -263,8 +263,8 @@
     if !(2..=MOST).contains(&routers) {
         let why = format!("{routers}: expected 2 to {MOST}");
         match at {
-            Some(at) => doc.say(at, "routers", why),
-            None => doc.say_file(why),
+            Some(at) => doc.add_fault(at, "routers", why),
+            None => doc.add_file_fault(why),
         }
     }
     let length = doc.or(at, "length", Duration::from_secs(15));
@@ -275,10 +275,10 @@
         let Some(kind) = doc.need::<Kind>(at, "kind") else { continue };
         let whom = doc.or(Some(at), "whom", Whom(Vec::new())).0;
         if let Some(odd) = whom.iter().find(|w| **w >= routers) {
-            doc.say(at, "whom", format!("{odd}: expected 0 to {}", routers.saturating_sub(1)));
+            doc.add_fault(at, "whom", format!("{odd}: expected 0 to {}", routers.saturating_sub(1)));
         }
         if whom.is_empty() && kind != Kind::Weather {
-            doc.say(at, "whom", "expected whom it hits");
+            doc.add_fault(at, "whom", "expected whom it hits");
         }
         faults.push(Fault {
             kind,
@@ -329,7 +329,7 @@
         let id = doc.section(at).name.clone();
         let to = doc.or(Some(at), "to", 0usize);
         if to >= routers {
-            doc.say(at, "to", format!("{to}: expected 0 to {}", routers.saturating_sub(1)));
+            doc.add_fault(at, "to", format!("{to}: expected 0 to {}", routers.saturating_sub(1)));
         }
         all.push(Propose {
             id,
--- a/crates/scenario/src/script.rs
+++ b/crates/scenario/src/script.rs
@@ -103,7 +103,7 @@
         }
     }
     if plans.is_empty() {
-        doc.say_file("expected at least one section [engines NAME]");
+        doc.add_file_fault("expected at least one section [engines NAME]");
     }
     plans
 }
--- a/crates/settings/src/doc.rs
+++ b/crates/settings/src/doc.rs
@@ -193,7 +193,7 @@
     pub fn one(&mut self, kind: &str) -> Option<usize> {
         let all = self.all(kind);
         if let [_, second, ..] = all[..] {
-            self.say(second, "", "expected only one section of this kind");
+            self.add_fault(second, "", "expected only one section of this kind");
         }
         all.first().copied()
     }
@@ -204,7 +204,7 @@
     }
 
     /// Reports a fault at a key of a section, or at the section if the key is empty or absent.
-    pub fn say(&mut self, at: usize, key: &str, what: impl Into<String>) {
+    pub fn add_fault(&mut self, at: usize, key: &str, what: impl Into<String>) {
         let section = &self.sections[at];
         let line = section.entries.iter().find(|e| e.key == key).map_or(section.line, |e| e.line);
         let fault = self.fault_at(line, &section.head(), key, what.into());
@@ -212,7 +212,7 @@
     }
 
     /// Reports a fault of the file as a whole.
-    pub fn say_file(&mut self, what: impl Into<String>) {
+    pub fn add_file_fault(&mut self, what: impl Into<String>) {
         let fault = self.fault_at(1, "", "", what.into());
         self.faults.push(fault);
     }
@@ -230,7 +230,7 @@
         match T::read(&text) {
             Ok(value) => Some(value),
             Err(expected) => {
-                self.say(at, key, format!("{text:?}: expected {expected}"));
+                self.add_fault(at, key, format!("{text:?}: expected {expected}"));
                 None
             }
         }
@@ -244,7 +244,7 @@
     /// A value that has to be there.
     pub fn need<T: Value>(&mut self, at: usize, key: &str) -> Option<T> {
         if !self.sections[at].entries.iter().any(|e| e.key == key) {
-            self.say(at, "", format!("{key}: expected {}", T::EXPECTED));
+            self.add_fault(at, "", format!("{key}: expected {}", T::EXPECTED));
             return None;
         }
         self.get(at, key)
@@ -264,7 +264,11 @@
             let section = &self.sections[at];
             if !section.used {
                 let near = nearest(&section.kind, known.iter().copied());
-                self.say(at, "", format!("no such section{near}; expected one of {}", known.join(", ")));
+                self.add_fault(
+                    at,
+                    "",
+                    format!("no such section{near}; expected one of {}", known.join(", ")),
+                );
                 continue;
             }
             let known: Vec<String> =
@@ -273,7 +277,7 @@
                 section.entries.iter().filter(|e| !e.used).map(|e| e.key.clone()).collect();
             for key in unread {
                 let near = nearest(&key, known.iter().map(String::as_str));
-                self.say(at, &key, format!("no such key here{near}"));
+                self.add_fault(at, &key, format!("no such key here{near}"));
             }
         }
         self.faults.sort();
--- a/crates/settings/src/fleet.rs
+++ b/crates/settings/src/fleet.rs
@@ -90,13 +90,13 @@
     let at = doc.one("fleet")?;
     if let Some(router) = router {
         if doc.text(router, "name").is_none() {
-            doc.say(
+            doc.add_fault(
                 router,
                 "",
                 "name: expected the name by which the other members know this router, as [fleet] is there",
             );
         } else if let Some(name) = doc.get::<Name>(router, "name").filter(|n| n.0.len() > LONGEST_NAME) {
-            doc.say(
+            doc.add_fault(
                 router,
                 "name",
                 format!("{:?}: expected {LONGEST_NAME} bytes at most, as [fleet] is there", name.0),
@@ -105,14 +105,14 @@
     }
     let listen = doc.need::<Loopback>(at, "listen").map(|a| a.0);
     if let Some(listen) = listen.filter(|l| taken.contains(l)) {
-        doc.say(at, "listen", format!("{listen}: expected an address that [router] does not use"));
+        doc.add_fault(at, "listen", format!("{listen}: expected an address that [router] does not use"));
     }
     if let Some(listen) = listen.filter(|l| l.port() == 0) {
-        doc.say(at, "listen", format!("{listen}: expected a port, as others have to know it"));
+        doc.add_fault(at, "listen", format!("{listen}: expected a port, as others have to know it"));
     }
     let fleet = doc.or(Some(at), "fleet", Name("fleet".into())).0;
     if fleet.len() > LONGEST_NAME {
-        doc.say(at, "fleet", format!("{fleet:?}: expected {LONGEST_NAME} bytes at most"));
+        doc.add_fault(at, "fleet", format!("{fleet:?}: expected {LONGEST_NAME} bytes at most"));
     }
     let site = FleetSettings {
         fleet,
@@ -125,10 +125,10 @@
         cut: doc.or(Some(at), "cut", PartitionMode::Refuse),
     };
     if !site.founders.is_empty() && site.folder.is_none() {
-        doc.say(at, "founders", "expected a folder, too: what a voter has promised must outlive it");
+        doc.add_fault(at, "founders", "expected a folder, too: what a voter has promised must outlive it");
     }
     if site.founders.is_empty() && doc.text(at, "cut").is_some() {
-        doc.say(at, "cut", "expected founders, too: without them each router acts by its own file");
+        doc.add_fault(at, "cut", "expected founders, too: without them each router acts by its own file");
     }
     Some(site)
 }
--- a/crates/settings/src/roles.rs
+++ b/crates/settings/src/roles.rs
@@ -73,7 +73,7 @@
     let roles = match (doc.one("roles"), &daemon) {
         (Some(at), Some(daemon)) => read_roles(&mut doc, at, daemon),
         (None, _) => {
-            doc.say_file("expected a section [roles]");
+            doc.add_file_fault("expected a section [roles]");
             None
         }
         _ => None,
@@ -109,7 +109,7 @@
     if let (Some(list), Some(read)) = (&list, &daemon.engines_file) {
         if list != read {
             let what = format!("{}: expected the file that routers read, {}", list.display(), read.display());
-            doc.say(at, "list", what);
+            doc.add_fault(at, "list", what);
         }
     }
     let (Over0(read), Over0(write)) = (speeds.0?, speeds.1?);
--- a/crates/settings/src/site.rs
+++ b/crates/settings/src/site.rs
@@ -88,7 +88,7 @@
     let router = doc.one("router");
     let log = doc.one("log");
     if router.is_none() && serves {
-        doc.say_file("expected a section [router]");
+        doc.add_file_fault("expected a section [router]");
     }
     let any = Loopback(SocketAddr::from(([127, 0, 0, 1], 0)));
     let listen = match router {
@@ -106,12 +106,12 @@
             let why = format!(
                 "{first}: expected {threads} free ports from here on, one a thread, without that of listen"
             );
-            doc.say(at, "operators", why);
+            doc.add_fault(at, "operators", why);
         }
     }
     let others = doc.or(router, "routers", threads as u32);
     if let Some(at) = router.filter(|_| (others as usize) < threads) {
-        doc.say(
+        doc.add_fault(
             at,
             "routers",
             format!("{others}: expected at least as many as threads, {threads}: each is a router"),
@@ -122,7 +122,7 @@
     let engines_file = router.and_then(|at| doc.get::<String>(at, "engines")).map(PathBuf::from);
     let engines = read_engines(doc);
     if engines.is_empty() && engines_file.is_none() && serves {
-        doc.say_file("expected [engine NAME] sections, or `engines` in [router]");
+        doc.add_file_fault("expected [engine NAME] sections, or `engines` in [router]");
     }
     let taken_out = read_taken_out(doc);
     check_taken_out(doc, &engines, &taken_out);
@@ -148,7 +148,7 @@
     if let Some(at) =
         log.filter(|_| !["trace", "debug", "info", "warn", "error"].contains(&log_level.as_str()))
     {
-        doc.say(at, "level", format!("{log_level:?}: expected trace, debug, info, warn or error"));
+        doc.add_fault(at, "level", format!("{log_level:?}: expected trace, debug, info, warn or error"));
     }
     Some(Daemon { site, listen: listen?.0, operators, threads, engines_file, fleet, log_format, log_level })
 }
@@ -156,7 +156,7 @@
 fn at_least_one(doc: &mut Doc, at: Option<usize>, key: &str, default: usize) -> usize {
     let n = doc.or(at, key, default);
     if let (0, Some(at)) = (n, at) {
-        doc.say(at, key, "0: expected 1 or more");
+        doc.add_fault(at, key, "0: expected 1 or more");
     }
     n.max(1)
 }
@@ -168,7 +168,7 @@
     let start = starting_settings();
     let cold_share = doc.or(at, "cold_share", start.warmup_initial_share);
     if let Some(at) = at.filter(|_| cold_share > 1.0) {
-        doc.say(at, "cold_share", format!("{cold_share}: expected a share from 0 to 1"));
+        doc.add_fault(at, "cold_share", format!("{cold_share}: expected a share from 0 to 1"));
     }
     let retry_after = doc.or(at, "retry_after", start.limits.max_retry_after.unwrap_or_default());
     Settings {
@@ -233,14 +233,14 @@
             "keyed" => Idempotency::WithKey { scope: group, window },
             "unsafe" => Idempotency::NotIdempotent,
             other => {
-                doc.say(at, "effect", format!("{other:?}: expected safe, keyed or unsafe"));
+                doc.add_fault(at, "effect", format!("{other:?}: expected safe, keyed or unsafe"));
                 Idempotency::NotIdempotent
             }
         };
         let aim = doc.or(Some(at), "aim", start.aim);
         let patience = doc.or(Some(at), "patience", start.patience);
         if patience <= aim {
-            doc.say(at, "patience", format!("{patience:?}: expected more than the aim, {aim:?}"));
+            doc.add_fault(at, "patience", format!("{patience:?}: expected more than the aim, {aim:?}"));
         }
         let class = Class {
             latency_objective: aim,
@@ -252,7 +252,7 @@
         classes.push((class, ClassSettings { name, patience }));
     }
     if classes.is_empty() {
-        doc.say_file("expected at least one section [class NAME]");
+        doc.add_file_fault("expected at least one section [class NAME]");
     }
     classes
 }
@@ -261,7 +261,7 @@
 fn named(doc: &mut Doc, at: usize) -> String {
     let (kind, name) = (doc.section(at).kind.clone(), doc.section(at).name.clone());
     if let Err(expected) = Name::read(&name) {
-        doc.say(at, "", format!("{name:?}: expected [{kind} NAME] with {expected}"));
+        doc.add_fault(at, "", format!("{name:?}: expected [{kind} NAME] with {expected}"));
     }
     name
 }
@@ -274,11 +274,11 @@
         let Some(class) = doc.need::<String>(at, "class") else { continue };
         match classes.iter().position(|c| c.name == class) {
             Some(class) => models.push(ModelSettings { name, class, served_as }),
-            None => doc.say(at, "class", format!("{class:?}: expected the name of a [class] section")),
+            None => doc.add_fault(at, "class", format!("{class:?}: expected the name of a [class] section")),
         }
     }
     if models.is_empty() {
-        doc.say_file("expected at least one section [model NAME]");
+        doc.add_file_fault("expected at least one section [model NAME]");
     }
     models
 }
@@ -293,7 +293,7 @@
         if let Some(other) = tenants.iter().find(|(_, t)| t.keys.iter().any(|k| keys.contains(k))) {
             // The key itself is a secret and is not shown.
             let what = format!("a key that [tenant {}] has too", other.1.name);
-            doc.say(at, "keys", what);
+            doc.add_fault(at, "keys", what);
         }
         let quota_per_s = doc.get::<f64>(at, "quota_per_s");
         let may_choose_class = doc.or(Some(at), "may_choose_class", false);
@@ -309,7 +309,11 @@
     let names: Vec<String> =
         text.split(',').map(str::trim).filter(|n| !n.is_empty()).map(str::to_owned).collect();
     if let (Some(at), Some(bad)) = (at, names.iter().find(|n| Name::read(n).is_err())) {
-        doc.say(at, "taken_out", format!("{bad:?}: expected names of engines with commas between them"));
+        doc.add_fault(
+            at,
+            "taken_out",
+            format!("{bad:?}: expected names of engines with commas between them"),
+        );
     }
     names
 }
@@ -324,7 +328,7 @@
                 "{}: expected an engine that {what} to be left, of those listed here",
                 taken_out.join(", ")
             );
-            doc.say(at, "taken_out", why);
+            doc.add_fault(at, "taken_out", why);
         }
     }
 }
@@ -346,21 +350,21 @@
         let (Some(Loopback(addr)), Some(role)) = (addr, role) else { continue };
         if let Some(other) = engines.iter().find(|e| e.addr == addr) {
             let what = format!("{addr}: [engine {}] has this address already", other.name);
-            doc.say(at, "address", what);
+            doc.add_fault(at, "address", what);
         }
         if let Some(other) = engines.iter().find(|e| e.cell == cell && e.zone != zone) {
             let what = format!(
                 "{cell:?}: a cell lies in one zone, and [engine {}] has it in {:?}",
                 other.name, other.zone
             );
-            doc.say(at, "cell", what);
+            doc.add_fault(at, "cell", what);
         }
         engines.push(EngineSettings { name, addr, role, zone, cell, state });
     }
     let can = |wanted: Role| engines.iter().any(|e| e.role == wanted || e.role == Role::Mixed);
     let complete = can(Role::Prefill) && can(Role::Decode);
     if !(engines.is_empty() || complete) {
-        doc.say_file("expected engines that read and engines that write, or some that do both");
+        doc.add_file_fault("expected engines that read and engines that write, or some that do both");
     }
     engines
 }
