--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -104,7 +104,7 @@
     if let Some(fleet) = &daemon.fleet {
         fleet.peers().map_err(|faults| Failure::Input(lines(&faults)))?;
     }
-    let site = &daemon.site;
+    let site = &daemon.gateway;
     println!(
         "{}: {} classes, {} models, {} tenants, {} engines, {} threads",
         file.display(),
--- a/crates/cli/src/member.rs
+++ b/crates/cli/src/member.rs
@@ -88,7 +88,7 @@
     Box::new(move |policy: &str| {
         let own = own_settings.lock().unwrap_or_else(PoisonError::into_inner).clone();
         match join(&own, &file, policy) {
-            Ok(daemon) => Ok(Arc::new(daemon.site) as CompiledPolicy),
+            Ok(daemon) => Ok(Arc::new(daemon.gateway) as CompiledPolicy),
             Err(faults) => Err(InvalidPolicy::new(lines(&faults))),
         }
     })
@@ -220,10 +220,10 @@
 fn membership_settings(daemon: &Daemon, site: &FleetSettings) -> MembershipSettings {
     MembershipSettings {
         fleet: site.fleet.clone(),
-        name: daemon.site.name.clone(),
+        name: daemon.gateway.name.clone(),
         address: site.listen,
         routers: daemon.threads as u32,
-        min_routers: daemon.site.decisions.router_count,
+        min_routers: daemon.gateway.decisions.router_count,
         max_datagram: site.datagram,
     }
 }
@@ -257,7 +257,7 @@
         let saved = read_saved_state(site.folder.as_deref());
         let membership =
             Membership::new(settings, peers.clone(), &saved, rand::random(), clock.now(), view.clone());
-        let (consensus, policy) = consensus(&site, &daemon.site.name, config, clock, &view)?.unzip();
+        let (consensus, policy) = consensus(&site, &daemon.gateway.name, config, clock, &view)?.unzip();
         let event_loop = event_loop(Machine::new(membership, consensus), clock, site.listen)?;
         let mut member = Member {
             saved_state: view.saved_state(),
@@ -266,7 +266,7 @@
             peers,
             last_write: Instant::now(),
             write_failed: false,
-            router_count: daemon.site.decisions.router_count,
+            router_count: daemon.gateway.decisions.router_count,
             view,
             handle: event_loop.handle(),
             policy,
--- a/crates/cli/src/roles.rs
+++ b/crates/cli/src/roles.rs
@@ -88,7 +88,7 @@
     if let What::Freeze { off } = args.what {
         return freeze(&roles, off);
     }
-    let mut engines = daemon.site.engines.clone();
+    let mut engines = daemon.gateway.engines.clone();
     if let Some(file) = &daemon.engines_file {
         let text = std::fs::read_to_string(file);
         let text = text.map_err(|e| Failure::Input(format!("{}: {e}", file.display())))?;
--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -61,7 +61,7 @@
         let text = std::fs::read_to_string(&watched.file);
         let text = text.map_err(|e| Failure::Input(format!("{}: {e}", watched.file.display())))?;
         let engines = engines_from_slices(&text);
-        daemon.site.engines =
+        daemon.gateway.engines =
             engines.map_err(|e| Failure::Input(format!("{}: {e}", watched.file.display())))?;
         watched.last = text;
     }
@@ -71,12 +71,12 @@
     if let Some(member) = &member {
         member.share_with(&handles);
     }
-    tracing::info!(listen = %daemon.listen, threads = daemon.threads, engines = daemon.site.engines.len(), "serving");
+    tracing::info!(listen = %daemon.listen, threads = daemon.threads, engines = daemon.gateway.engines.len(), "serving");
     while !signals.stopped() && threads.iter().any(|t| !t.is_finished()) {
         std::thread::sleep(LOOK);
         if let Some(list) = watched.as_mut().and_then(Watched::look) {
             tracing::info!(engines = list.len(), "the list of engines has changed");
-            daemon.site.engines.clone_from(&list);
+            daemon.gateway.engines.clone_from(&list);
             let list = Arc::new(list);
             handles.iter().for_each(|h| {
                 h.send(Command::Message(MachineId(0), list.clone()));
@@ -119,7 +119,7 @@
     let wall = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
     let (mut handles, mut threads) = (Vec::new(), Vec::new());
     for n in 0..daemon.threads {
-        let mut site = daemon.site.clone();
+        let mut site = daemon.gateway.clone();
         if daemon.threads > 1 {
             site.name = format!("{}-{n}", site.name);
         }
@@ -170,16 +170,16 @@
         tracing::warn!("listen, operators, threads and engines of [router] change with a restart only");
     }
     if new.engines_file.is_some() {
-        new.site.engines.clone_from(&daemon.site.engines);
+        new.gateway.engines.clone_from(&daemon.gateway.engines);
     }
     match (member, &new.fleet) {
         (Some(member), Some(site)) => member.reload(Some(site)),
         (None, None) => {}
         _ => tracing::warn!("a section [fleet] comes and goes with a restart only"),
     }
-    daemon.site = new.site;
+    daemon.gateway = new.gateway;
     for (n, handle) in handles.iter().enumerate() {
-        let mut site = daemon.site.clone();
+        let mut site = daemon.gateway.clone();
         if daemon.threads > 1 {
             site.name = format!("{}-{n}", site.name);
         }
--- a/crates/fault-injection/src/memory.rs
+++ b/crates/fault-injection/src/memory.rs
@@ -177,7 +177,7 @@
             max_datagram_len: self.script.datagram,
         };
         let attempt = move |policy: &str| match slipreel_settings::join(&text, "own", policy) {
-            Ok(daemon) => Ok(Arc::new(daemon.site) as CompiledPolicy),
+            Ok(daemon) => Ok(Arc::new(daemon.gateway) as CompiledPolicy),
             Err(faults) => {
                 let reasons: Vec<String> = faults.iter().map(ToString::to_string).collect();
                 Err(InvalidPolicy::new(reasons.join("; ")))
@@ -200,7 +200,7 @@
     fn misled(&mut self, r: usize, now: Duration) {
         let made = slipreel_settings::parse(&self.own_text(r), "own")
             .ok()
-            .map(|d| Arc::new(d.site) as CompiledPolicy);
+            .map(|d| Arc::new(d.gateway) as CompiledPolicy);
         let board = Arc::new(PolicyHandle::default());
         board.set_permit(Permit {
             epoch: 1,
@@ -296,7 +296,7 @@
         if let (true, Ok(daemon)) =
             (self.script.founders > 0, slipreel_settings::parse(&self.own_text(r), "own"))
         {
-            site = daemon.site;
+            site = daemon.gateway;
         }
         site.decisions.router_count = self.script.floor;
         site.name = format!("r{r}");
--- a/crates/scenario/src/script.rs
+++ b/crates/scenario/src/script.rs
@@ -68,7 +68,7 @@
     let roles = policy.and_then(|p| p.0);
     let mut streams = read_traffic(doc, length);
     let troubles = read_troubles(doc);
-    let Daemon { site, .. } = site?;
+    let Daemon { gateway: site, .. } = site?;
     shape_traffic(&mut streams, &troubles);
     let plans = spread_traffic(&site, &streams, seed, 1);
     Some(Day { seed, length, routers, site, engines, plans, troubles, notice, roles, sabotage: None })
--- a/crates/settings/src/policy/tests.rs
+++ b/crates/settings/src/policy/tests.rs
@@ -12,8 +12,8 @@
     assert_eq!(policy_of(other, "b.ini").expect("good").text, policy.text);
     assert!(!masked(&policy.text).contains("secret"));
     let daemon = join(FILE, "a.ini", &policy.text.replace("aim = 1s", "aim = 2s")).expect("good");
-    assert_eq!(daemon.site.decisions.classes[0].latency_objective.as_secs(), 2);
-    assert_eq!((daemon.site.name.as_str(), daemon.site.engines.len()), ("r0", 1));
+    assert_eq!(daemon.gateway.decisions.classes[0].latency_objective.as_secs(), 2);
+    assert_eq!((daemon.gateway.name.as_str(), daemon.gateway.engines.len()), ("r0", 1));
 }
 
 #[test]
--- a/crates/settings/src/roles.rs
+++ b/crates/settings/src/roles.rs
@@ -85,7 +85,7 @@
 fn read_roles(doc: &mut Doc, at: usize, daemon: &Daemon) -> Option<RoleSettings> {
     let here = Some(at);
     let start = PlannerLimits::default();
-    let settings = &daemon.site.decisions;
+    let settings = &daemon.gateway.decisions;
     let limits = PlannerLimits {
         max_concurrent_changes: doc.or(here, "in_flight", start.max_concurrent_changes),
         min_prefill_per_cell: doc.or(here, "readers_in_cell", start.min_prefill_per_cell),
--- a/crates/settings/src/site.rs
+++ b/crates/settings/src/site.rs
@@ -53,7 +53,7 @@
 #[derive(Clone, Debug)]
 pub struct Daemon {
     /// The settings that each gateway is started with.
-    pub site: GatewaySettings,
+    pub gateway: GatewaySettings,
     /// Where clients connect.
     pub listen: SocketAddr,
     /// Where operators connect, for metrics: the first gateway's; the next ones take the ports after it.
@@ -129,7 +129,7 @@
     let models = read_models(doc, &class_sites);
     let bounds = read_bounds(doc);
     let settings = read_settings(doc, router, others, classes, tenants);
-    let site = GatewaySettings {
+    let gateway = GatewaySettings {
         decisions: settings,
         classes: class_sites,
         models,
@@ -150,7 +150,16 @@
     {
         doc.add_fault(at, "level", format!("{log_level:?}: expected trace, debug, info, warn or error"));
     }
-    Some(Daemon { site, listen: listen?.0, operators, threads, engines_file, fleet, log_format, log_level })
+    Some(Daemon {
+        gateway,
+        listen: listen?.0,
+        operators,
+        threads,
+        engines_file,
+        fleet,
+        log_format,
+        log_level,
+    })
 }
 
 fn at_least_one(doc: &mut Doc, at: Option<usize>, key: &str, default: usize) -> usize {
--- a/crates/settings/tests/faults.rs
+++ b/crates/settings/tests/faults.rs
@@ -21,9 +21,9 @@
 #[test]
 fn the_sample_is_good() {
     let daemon = parse(SAMPLE, "f.ini").unwrap_or_else(|f| panic!("{f:?}"));
-    assert_eq!((daemon.site.engines.len(), daemon.site.classes.len(), daemon.threads), (4, 2, 1));
-    assert_eq!(daemon.site.tenants[0].keys, ["change-me-1", "change-me-2"]);
-    assert_eq!(daemon.site.models[0].served_as, "caption-1-fp8");
+    assert_eq!((daemon.gateway.engines.len(), daemon.gateway.classes.len(), daemon.threads), (4, 2, 1));
+    assert_eq!(daemon.gateway.tenants[0].keys, ["change-me-1", "change-me-2"]);
+    assert_eq!(daemon.gateway.models[0].served_as, "caption-1-fp8");
 }
 
 #[test]
