--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -89,7 +89,7 @@
 pub(crate) type Outcome = Result<(), Failure>;
 
 /// Reads settings; all faults at once.
-pub(crate) fn read_settings(file: &Path) -> Result<slipreel_settings::Daemon, Failure> {
+pub(crate) fn read_settings(file: &Path) -> Result<slipreel_settings::DaemonSettings, Failure> {
     let name = file.display().to_string();
     let text = std::fs::read_to_string(file).map_err(|e| Failure::Input(format!("{name}: {e}")))?;
     slipreel_settings::parse(&text, &name).map_err(|faults| Failure::Input(lines(&faults)))
--- a/crates/cli/src/member.rs
+++ b/crates/cli/src/member.rs
@@ -10,7 +10,7 @@
 use slipreel_event_loop::{Clock, Command, EventLoop, EventLoopHandle, MachineId};
 use slipreel_gateway::{Gateway, RouterCount};
 use slipreel_membership::{Membership, MembershipSettings, Peers, SavedState, SharedView};
-use slipreel_settings::{changes, join, policy_of, Daemon, FleetSettings};
+use slipreel_settings::{changes, join, policy_of, DaemonSettings, FleetSettings};
 use std::io::Write;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -217,7 +217,7 @@
     site.book.as_ref().and_then(|file| std::fs::read_to_string(file).ok())
 }
 
-fn membership_settings(daemon: &Daemon, site: &FleetSettings) -> MembershipSettings {
+fn membership_settings(daemon: &DaemonSettings, site: &FleetSettings) -> MembershipSettings {
     MembershipSettings {
         fleet: site.fleet.clone(),
         name: daemon.gateway.name.clone(),
@@ -249,7 +249,9 @@
 
 impl Member {
     /// Starts the member, if the settings have a section `[fleet]`. State that must survive the process is written before it is sent.
-    pub(crate) fn start(daemon: &Daemon, config: &Path, clock: Clock) -> Result<Option<Member>, Failure> {
+    pub(crate) fn start(
+        daemon: &DaemonSettings, config: &Path, clock: Clock,
+    ) -> Result<Option<Member>, Failure> {
         let Some(site) = daemon.fleet.clone() else { return Ok(None) };
         let peers = peers(&site)?;
         let view = Arc::new(SharedView::default());
@@ -293,7 +295,7 @@
 
     /// The settings of a file that is reloaded, with the policy in force in place of its own; `None`: no policy is in force here, and the
     /// file's own one is used.
-    pub(crate) fn with_policy_in_force(&self, config: &Path) -> Option<Result<Daemon, String>> {
+    pub(crate) fn with_policy_in_force(&self, config: &Path) -> Option<Result<DaemonSettings, String>> {
         let policy = self.policy.as_ref()?;
         let status = policy.handle.status();
         let text = match std::fs::read_to_string(config) {
--- a/crates/cli/src/roles.rs
+++ b/crates/cli/src/roles.rs
@@ -11,7 +11,7 @@
 use slipreel_roles::{
     ControllerConfig, ControllerMode, EngineView, Freeze, OrderCounts, Phase, RoleController, Watched,
 };
-use slipreel_settings::{engines_from_slices, engines_to_slices, parse_roles, Daemon, RoleSettings};
+use slipreel_settings::{engines_from_slices, engines_to_slices, parse_roles, DaemonSettings, RoleSettings};
 use slipreel_state_machine::{Input, Machine, Output};
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
@@ -251,7 +251,7 @@
     }
 }
 
-fn apply(daemon: &Daemon, roles: &RoleSettings, mut engines: Vec<EngineSettings>) -> Outcome {
+fn apply(daemon: &DaemonSettings, roles: &RoleSettings, mut engines: Vec<EngineSettings>) -> Outcome {
     logs::start(daemon.log_format, &daemon.log_level);
     let signals = Signals::watch()?;
     let work = AtWork::start(roles, &engines, false, |_, line| tracing::info!("{line}"))?;
--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -7,7 +7,7 @@
 use slipreel_event_loop::{Clock, Command, EventLoop, EventLoopHandle, MachineId};
 use slipreel_gateway::settings::EngineSettings;
 use slipreel_gateway::Gateway;
-use slipreel_settings::{engines_from_slices, Daemon};
+use slipreel_settings::{engines_from_slices, DaemonSettings};
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 use std::thread::JoinHandle;
@@ -114,7 +114,7 @@
 
 type Threads = (Vec<EventLoopHandle<Gateway>>, Vec<JoinHandle<slipreel_gateway::Counters>>);
 
-fn start(daemon: &Daemon, clock: Clock) -> Result<Threads, Failure> {
+fn start(daemon: &DaemonSettings, clock: Clock) -> Result<Threads, Failure> {
     let run = |e: std::io::Error| Failure::Run(e.to_string());
     let wall = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
     let (mut handles, mut threads) = (Vec::new(), Vec::new());
@@ -145,7 +145,8 @@
 
 /// Reads the settings again. A bad file changes nothing; what needs a restart is named.
 fn reload(
-    config: &Path, daemon: &mut Daemon, handles: &[EventLoopHandle<Gateway>], member: Option<&mut Member>,
+    config: &Path, daemon: &mut DaemonSettings, handles: &[EventLoopHandle<Gateway>],
+    member: Option<&mut Member>,
 ) {
     let mut new = match read_settings(config) {
         Ok(new) => new,
@@ -165,7 +166,7 @@
             }
         }
     }
-    let fixed = |d: &Daemon| (d.listen, d.operators, d.threads);
+    let fixed = |d: &DaemonSettings| (d.listen, d.operators, d.threads);
     if fixed(&new) != fixed(daemon) || new.engines_file != daemon.engines_file {
         tracing::warn!("listen, operators, threads and engines of [router] change with a restart only");
     }
--- a/crates/scenario/src/script.rs
+++ b/crates/scenario/src/script.rs
@@ -5,7 +5,7 @@
 use crate::trouble::{Kind, Trouble, KINDS};
 use slipreel::Role;
 use slipreel_roles::PlanningPolicy;
-use slipreel_settings::{read_site, Daemon, Doc, Fault, Name, Value};
+use slipreel_settings::{read_site, DaemonSettings, Doc, Fault, Name, Value};
 use slipreel_test_servers::engine::{EngineSpec, Role as SpecRole};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -68,7 +68,7 @@
     let roles = policy.and_then(|p| p.0);
     let mut streams = read_traffic(doc, length);
     let troubles = read_troubles(doc);
-    let Daemon { gateway: site, .. } = site?;
+    let DaemonSettings { gateway: site, .. } = site?;
     shape_traffic(&mut streams, &troubles);
     let plans = spread_traffic(&site, &streams, seed, 1);
     Some(Day { seed, length, routers, site, engines, plans, troubles, notice, roles, sabotage: None })
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -18,7 +18,7 @@
 pub use fleet::{read_book, FleetSettings};
 pub use policy::{changes, join, masked, policy_of, Policy, POLICY_SECTIONS};
 pub use roles::{parse_roles, RoleSettings};
-pub use site::{read_site, Daemon, LogFormat, SITE_SECTIONS};
+pub use site::{read_site, DaemonSettings, LogFormat, SITE_SECTIONS};
 pub use slices::{engines_from_slices, engines_to_slices};
 pub use values::{Bytes, Loopback, Name, Value};
 
@@ -26,7 +26,7 @@
 ///
 /// # Errors
 /// Every fault of the text, in the order of its lines.
-pub fn parse(text: &str, file: &str) -> Result<Daemon, Vec<Fault>> {
+pub fn parse(text: &str, file: &str) -> Result<DaemonSettings, Vec<Fault>> {
     let mut doc = Doc::parse(text, file)?;
     let daemon = read_site(&mut doc, true);
     // Read by `slipreel roles`, and checked there.
--- a/crates/settings/src/policy.rs
+++ b/crates/settings/src/policy.rs
@@ -4,7 +4,7 @@
 
 use crate::doc::{Doc, Fault};
 use crate::site::{read_site, SITE_SECTIONS};
-use crate::Daemon;
+use crate::DaemonSettings;
 use std::collections::BTreeMap;
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -37,7 +37,7 @@
 ///
 /// # Errors
 /// Every fault; those of the policy name its own lines, in `policy`.
-pub fn join(own: &str, file: &str, policy: &str) -> Result<Daemon, Vec<Fault>> {
+pub fn join(own: &str, file: &str, policy: &str) -> Result<DaemonSettings, Vec<Fault>> {
     let mut doc = Doc::parse(own, file)?;
     doc.put(POLICY_SECTIONS, Doc::parse(policy, "policy")?);
     let daemon = read_site(&mut doc, true);
--- a/crates/settings/src/roles.rs
+++ b/crates/settings/src/roles.rs
@@ -3,7 +3,7 @@
 use crate::doc::{Doc, Fault};
 use crate::site::{read_site, SITE_SECTIONS};
 use crate::values::{Loopback, Value};
-use crate::Daemon;
+use crate::DaemonSettings;
 use slipreel_roles::{ChangeCosts, EngineThroughput, FullLoadRequests, PlannerLimits, PlanningPolicy};
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -67,7 +67,7 @@
 ///
 /// # Errors
 /// Every fault of the text, in the order of its lines.
-pub fn parse_roles(text: &str, file: &str) -> Result<(Daemon, RoleSettings), Vec<Fault>> {
+pub fn parse_roles(text: &str, file: &str) -> Result<(DaemonSettings, RoleSettings), Vec<Fault>> {
     let mut doc = Doc::parse(text, file)?;
     let daemon = read_site(&mut doc, true);
     let roles = match (doc.one("roles"), &daemon) {
@@ -82,7 +82,7 @@
     daemon.zip(roles).ok_or_else(Vec::new)
 }
 
-fn read_roles(doc: &mut Doc, at: usize, daemon: &Daemon) -> Option<RoleSettings> {
+fn read_roles(doc: &mut Doc, at: usize, daemon: &DaemonSettings) -> Option<RoleSettings> {
     let here = Some(at);
     let start = PlannerLimits::default();
     let settings = &daemon.gateway.decisions;
--- a/crates/settings/src/site.rs
+++ b/crates/settings/src/site.rs
@@ -51,7 +51,7 @@
 
 /// What the daemon needs: a site, and what surrounds it.
 #[derive(Clone, Debug)]
-pub struct Daemon {
+pub struct DaemonSettings {
     /// The settings that each gateway is started with.
     pub gateway: GatewaySettings,
     /// Where clients connect.
@@ -84,7 +84,7 @@
 
 /// Reads the sections of a site. `None` if something that has to be there is missing; the document says what.
 /// `serves`: it is to be served, so that an address and engines are needed.
-pub fn read_site(doc: &mut Doc, serves: bool) -> Option<Daemon> {
+pub fn read_site(doc: &mut Doc, serves: bool) -> Option<DaemonSettings> {
     let router = doc.one("router");
     let log = doc.one("log");
     if router.is_none() && serves {
@@ -150,7 +150,7 @@
     {
         doc.add_fault(at, "level", format!("{log_level:?}: expected trace, debug, info, warn or error"));
     }
-    Some(Daemon {
+    Some(DaemonSettings {
         gateway,
         listen: listen?.0,
         operators,
