--- a/crates/scenario/src/script.rs
+++ b/crates/scenario/src/script.rs
@@ -5,7 +5,7 @@
 use crate::trouble::{Kind, Trouble, KINDS};
 use slipreel::Role;
 use slipreel_roles::PlanningPolicy;
-use slipreel_settings::{read_site, DaemonSettings, Doc, Fault, Name, Value};
+use slipreel_settings::{read_daemon_settings, DaemonSettings, Doc, Fault, Name, Value};
 use slipreel_test_servers::engine::{EngineSpec, Role as SpecRole};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -58,7 +58,7 @@
 /// document says what.
 pub fn read_day_parts(doc: &mut Doc) -> Option<Day> {
     let engines = read_engines(doc);
-    let site = read_site(doc, false);
+    let site = read_daemon_settings(doc, false);
     let at = doc.one("day");
     let seed = doc.or(at, "seed", 1u64);
     let length = doc.or(at, "length", Duration::from_secs(20));
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -18,7 +18,7 @@
 pub use fleet::{read_book, FleetSettings};
 pub use policy::{changes, join, masked, policy_of, Policy, POLICY_SECTIONS};
 pub use roles::{parse_roles, RoleSettings};
-pub use site::{read_site, DaemonSettings, LogFormat, SITE_SECTIONS};
+pub use site::{read_daemon_settings, DaemonSettings, LogFormat, DAEMON_SECTIONS};
 pub use slices::{engines_from_slices, engines_to_slices};
 pub use values::{Bytes, Loopback, Name, Value};
 
@@ -28,9 +28,9 @@
 /// Every fault of the text, in the order of its lines.
 pub fn parse(text: &str, file: &str) -> Result<DaemonSettings, Vec<Fault>> {
     let mut doc = Doc::parse(text, file)?;
-    let daemon = read_site(&mut doc, true);
+    let daemon = read_daemon_settings(&mut doc, true);
     // Read by `slipreel roles`, and checked there.
     doc.skip("roles");
-    doc.finish(SITE_SECTIONS)?;
+    doc.finish(DAEMON_SECTIONS)?;
     daemon.ok_or_else(Vec::new)
 }
--- a/crates/settings/src/policy.rs
+++ b/crates/settings/src/policy.rs
@@ -3,7 +3,7 @@
 //! Policy: what all routers have to agree on. It has one canonical text, by which two files are the same policy or are not.
 
 use crate::doc::{Doc, Fault};
-use crate::site::{read_site, SITE_SECTIONS};
+use crate::site::{read_daemon_settings, DAEMON_SECTIONS};
 use crate::DaemonSettings;
 use std::collections::BTreeMap;
 use xxhash_rust::xxh3::xxh3_64;
@@ -28,7 +28,7 @@
     let mut doc = Doc::parse(text, file)?;
     let left_aside = doc.only(POLICY_SECTIONS);
     let canonical = doc.canonical(POLICY_SECTIONS);
-    let _ = read_site(&mut doc, false);
+    let _ = read_daemon_settings(&mut doc, false);
     doc.finish(POLICY_SECTIONS)?;
     Ok(Policy { text: canonical, left_aside })
 }
@@ -40,9 +40,9 @@
 pub fn join(own: &str, file: &str, policy: &str) -> Result<DaemonSettings, Vec<Fault>> {
     let mut doc = Doc::parse(own, file)?;
     doc.put(POLICY_SECTIONS, Doc::parse(policy, "policy")?);
-    let daemon = read_site(&mut doc, true);
+    let daemon = read_daemon_settings(&mut doc, true);
     doc.skip("roles");
-    doc.finish(SITE_SECTIONS)?;
+    doc.finish(DAEMON_SECTIONS)?;
     daemon.ok_or_else(Vec::new)
 }
 
--- a/crates/settings/src/roles.rs
+++ b/crates/settings/src/roles.rs
@@ -1,7 +1,7 @@
 //! `[roles]`: who may change engines between reading and writing, and within which limits.
 
 use crate::doc::{Doc, Fault};
-use crate::site::{read_site, SITE_SECTIONS};
+use crate::site::{read_daemon_settings, DAEMON_SECTIONS};
 use crate::values::{Loopback, Value};
 use crate::DaemonSettings;
 use slipreel_roles::{ChangeCosts, EngineThroughput, FullLoadRequests, PlannerLimits, PlanningPolicy};
@@ -69,7 +69,7 @@
 /// Every fault of the text, in the order of its lines.
 pub fn parse_roles(text: &str, file: &str) -> Result<(DaemonSettings, RoleSettings), Vec<Fault>> {
     let mut doc = Doc::parse(text, file)?;
-    let daemon = read_site(&mut doc, true);
+    let daemon = read_daemon_settings(&mut doc, true);
     let roles = match (doc.one("roles"), &daemon) {
         (Some(at), Some(daemon)) => read_roles(&mut doc, at, daemon),
         (None, _) => {
@@ -78,7 +78,7 @@
         }
         _ => None,
     };
-    doc.finish(SITE_SECTIONS)?;
+    doc.finish(DAEMON_SECTIONS)?;
     daemon.zip(roles).ok_or_else(Vec::new)
 }
 
--- a/crates/settings/src/site.rs
+++ b/crates/settings/src/site.rs
@@ -15,7 +15,7 @@
 use std::time::Duration;
 
 /// The sections of a router's settings.
-pub const SITE_SECTIONS: &[&str] = &[
+pub const DAEMON_SECTIONS: &[&str] = &[
     "router",
     "limits",
     "bounds",
@@ -84,7 +84,7 @@
 
 /// Reads the sections of a site. `None` if something that has to be there is missing; the document says what.
 /// `serves`: it is to be served, so that an address and engines are needed.
-pub fn read_site(doc: &mut Doc, serves: bool) -> Option<DaemonSettings> {
+pub fn read_daemon_settings(doc: &mut Doc, serves: bool) -> Option<DaemonSettings> {
     let router = doc.one("router");
     let log = doc.one("log");
     if router.is_none() && serves {
