--- a/crates/cli/src/member.rs
+++ b/crates/cli/src/member.rs
@@ -10,7 +10,7 @@
 use slipreel_event_loop::{Clock, Command, EventLoop, EventLoopHandle, MachineId};
 use slipreel_gateway::{Gateway, RouterCount};
 use slipreel_membership::{Membership, MembershipSettings, Peers, SavedState, SharedView};
-use slipreel_settings::{changes, join, policy_of, DaemonSettings, FleetSettings};
+use slipreel_settings::{changes, policy_of, settings_with_policy, DaemonSettings, FleetSettings};
 use std::io::Write;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -87,7 +87,7 @@
 fn compiler(own_settings: Arc<Mutex<String>>, file: String) -> Box<dyn PolicyCompiler> {
     Box::new(move |policy: &str| {
         let own = own_settings.lock().unwrap_or_else(PoisonError::into_inner).clone();
-        match join(&own, &file, policy) {
+        match settings_with_policy(&own, &file, policy) {
             Ok(daemon) => Ok(Arc::new(daemon.gateway) as CompiledPolicy),
             Err(faults) => Err(InvalidPolicy::new(lines(&faults))),
         }
@@ -307,7 +307,7 @@
             *policy.own_settings.lock().unwrap_or_else(PoisonError::into_inner) = text;
             return None;
         }
-        Some(match join(&text, &policy.file, &status.text) {
+        Some(match settings_with_policy(&text, &policy.file, &status.text) {
             Ok(daemon) => {
                 *policy.own_settings.lock().unwrap_or_else(PoisonError::into_inner) = text;
                 Ok(daemon)
--- a/crates/fault-injection/src/memory.rs
+++ b/crates/fault-injection/src/memory.rs
@@ -176,7 +176,8 @@
             partition_mode: self.script.cut,
             max_datagram_len: self.script.datagram,
         };
-        let attempt = move |policy: &str| match slipreel_settings::join(&text, "own", policy) {
+        let attempt = move |policy: &str| match slipreel_settings::settings_with_policy(&text, "own", policy)
+        {
             Ok(daemon) => Ok(Arc::new(daemon.gateway) as CompiledPolicy),
             Err(faults) => {
                 let reasons: Vec<String> = faults.iter().map(ToString::to_string).collect();
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -16,7 +16,7 @@
 
 pub use doc::{Doc, Fault, Section};
 pub use fleet::{read_book, FleetSettings};
-pub use policy::{changes, join, masked, policy_of, Policy, POLICY_SECTIONS};
+pub use policy::{changes, masked, policy_of, settings_with_policy, Policy, POLICY_SECTIONS};
 pub use roles::{parse_roles, RoleSettings};
 pub use site::{read_daemon_settings, DaemonSettings, LogFormat, DAEMON_SECTIONS};
 pub use slices::{engines_from_slices, engines_to_slices};
--- a/crates/settings/src/policy.rs
+++ b/crates/settings/src/policy.rs
@@ -37,7 +37,7 @@
 ///
 /// # Errors
 /// Every fault; those of the policy name its own lines, in `policy`.
-pub fn join(own: &str, file: &str, policy: &str) -> Result<DaemonSettings, Vec<Fault>> {
+pub fn settings_with_policy(own: &str, file: &str, policy: &str) -> Result<DaemonSettings, Vec<Fault>> {
     let mut doc = Doc::parse(own, file)?;
     doc.put(POLICY_SECTIONS, Doc::parse(policy, "policy")?);
     let daemon = read_daemon_settings(&mut doc, true);
--- a/crates/settings/src/policy/tests.rs
+++ b/crates/settings/src/policy/tests.rs
@@ -11,7 +11,8 @@
     let other = "[tenant t]\nquota_per_s = 5\nkeys = secret\n[model m]\nclass = chat\n[class chat]\naim = 1s\nworth = 1\n";
     assert_eq!(policy_of(other, "b.ini").expect("good").text, policy.text);
     assert!(!masked(&policy.text).contains("secret"));
-    let daemon = join(FILE, "a.ini", &policy.text.replace("aim = 1s", "aim = 2s")).expect("good");
+    let daemon =
+        settings_with_policy(FILE, "a.ini", &policy.text.replace("aim = 1s", "aim = 2s")).expect("good");
     assert_eq!(daemon.gateway.decisions.classes[0].latency_objective.as_secs(), 2);
     assert_eq!((daemon.gateway.name.as_str(), daemon.gateway.engines.len()), ("r0", 1));
 }
@@ -20,11 +21,13 @@
 fn faults_name_the_line_of_the_text_that_they_stand_in() {
     let bad = policy_of("[class chat]\nworth = much\n[model m]\nclass = chat\n", "b.ini").expect_err("bad");
     assert_eq!((bad[0].file.as_str(), bad[0].line, bad[0].key.as_str()), ("b.ini", 2, "worth"));
-    let bad = join(FILE, "a.ini", "[class chat]\naim = 1s\n[model m]\nclass = talk\n").expect_err("bad");
+    let bad = settings_with_policy(FILE, "a.ini", "[class chat]\naim = 1s\n[model m]\nclass = talk\n")
+        .expect_err("bad");
     let named = |f: &Fault| (f.file.as_str(), f.line, f.key.as_str()) == ("policy", 4, "class");
     assert!(bad.iter().any(named), "{bad:?}");
     let own = FILE.replace("role = both", "role = all");
-    let bad = join(&own, "a.ini", &policy_of(FILE, "a.ini").expect("good").text).expect_err("bad");
+    let bad =
+        settings_with_policy(&own, "a.ini", &policy_of(FILE, "a.ini").expect("good").text).expect_err("bad");
     assert_eq!(bad[0].file, "a.ini");
 }
 
