--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -124,8 +124,8 @@
     let policy =
         slipreel_settings::policy_of(&text, &name).map_err(|faults| Failure::Input(lines(&faults)))?;
     println!("{name}: a policy of digest {:016x}", slipreel_consensus::policy_state::digest(&policy.text));
-    if !policy.left_aside.is_empty() {
-        println!("a router's own, left aside: {}", policy.left_aside.join(", "));
+    if !policy.non_policy_keys.is_empty() {
+        println!("a router's own, left aside: {}", policy.non_policy_keys.join(", "));
     }
     Ok(())
 }
--- a/crates/cli/src/policy.rs
+++ b/crates/cli/src/policy.rs
@@ -160,8 +160,8 @@
     let name = file.display().to_string();
     let text = std::fs::read_to_string(file).map_err(|e| Failure::Input(format!("{name}: {e}")))?;
     let policy = policy_of(&text, &name).map_err(|faults| Failure::Input(lines(&faults)))?;
-    if !policy.left_aside.is_empty() {
-        eprintln!("left aside, as they are a router's own: {}", policy.left_aside.join(", "));
+    if !policy.non_policy_keys.is_empty() {
+        eprintln!("left aside, as they are a router's own: {}", policy.non_policy_keys.join(", "));
     }
     Ok(policy.text)
 }
--- a/crates/settings/src/policy.rs
+++ b/crates/settings/src/policy.rs
@@ -17,7 +17,7 @@
     /// In canonical form.
     pub text: String,
     /// Keys of the file that are a router's own and were left aside.
-    pub left_aside: Vec<String>,
+    pub non_policy_keys: Vec<String>,
 }
 
 /// Reads the policy of a file: a whole settings file, or its policy sections alone.
@@ -26,11 +26,11 @@
 /// Every fault of it, with its line in the file.
 pub fn policy_of(text: &str, file: &str) -> Result<Policy, Vec<Fault>> {
     let mut doc = Doc::parse(text, file)?;
-    let left_aside = doc.only(POLICY_SECTIONS);
+    let non_policy_keys = doc.only(POLICY_SECTIONS);
     let canonical = doc.canonical(POLICY_SECTIONS);
     let _ = read_daemon_settings(&mut doc, false);
     doc.finish(POLICY_SECTIONS)?;
-    Ok(Policy { text: canonical, left_aside })
+    Ok(Policy { text: canonical, non_policy_keys })
 }
 
 /// The settings of a router whose own sections are those of its file, and whose policy is this one.
--- a/crates/settings/src/policy/tests.rs
+++ b/crates/settings/src/policy/tests.rs
@@ -7,7 +7,7 @@
 #[test]
 fn a_policy_is_the_same_whatever_the_file_looks_like_and_own_keys_are_named() {
     let policy = policy_of(FILE, "a.ini").expect("good");
-    assert!(policy.left_aside.contains(&"[router] listen".to_owned()), "{:?}", policy.left_aside);
+    assert!(policy.non_policy_keys.contains(&"[router] listen".to_owned()), "{:?}", policy.non_policy_keys);
     let other = "[tenant t]\nquota_per_s = 5\nkeys = secret\n[model m]\nclass = chat\n[class chat]\naim = 1s\nworth = 1\n";
     assert_eq!(policy_of(other, "b.ini").expect("good").text, policy.text);
     assert!(!masked(&policy.text).contains("secret"));
