--- a/crates/cli/src/member.rs
+++ b/crates/cli/src/member.rs
@@ -133,8 +133,8 @@
         name: name.to_owned(),
         founders: site.founders.clone(),
         policy: policy.text,
-        partition_mode: site.cut,
-        max_datagram_len: site.datagram,
+        partition_mode: site.partition_mode,
+        max_datagram_len: site.max_datagram,
     };
     let DurableState { stored, disk, lock } = DurableState::open(site.folder.as_deref())?;
     let unix_time = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
@@ -206,7 +206,7 @@
     one.fleet != other.fleet
         || one.listen != other.listen
         || one.folder != other.folder
-        || one.datagram != other.datagram
+        || one.max_datagram != other.max_datagram
 }
 
 fn peers(site: &FleetSettings) -> Result<Peers, Failure> {
@@ -214,7 +214,7 @@
 }
 
 fn address_table_text(site: &FleetSettings) -> Option<String> {
-    site.book.as_ref().and_then(|file| std::fs::read_to_string(file).ok())
+    site.address_table_file.as_ref().and_then(|file| std::fs::read_to_string(file).ok())
 }
 
 fn membership_settings(daemon: &DaemonSettings, site: &FleetSettings) -> MembershipSettings {
@@ -224,7 +224,7 @@
         address: site.listen,
         routers: daemon.threads as u32,
         min_routers: daemon.gateway.decisions.router_count,
-        max_datagram: site.datagram,
+        max_datagram: site.max_datagram,
     }
 }
 
@@ -362,7 +362,7 @@
                 tracing::warn!("fleet, listen, folder and datagram of [fleet] change with a restart only");
             }
             new_site.seeds.clone_from(&site.seeds);
-            new_site.book.clone_from(&site.book);
+            new_site.address_table_file.clone_from(&site.address_table_file);
         }
         match new_site.peers() {
             Ok(peers) => {
--- a/crates/settings/src/fleet.rs
+++ b/crates/settings/src/fleet.rs
@@ -20,13 +20,13 @@
     /// Where what must outlive the process is kept.
     pub folder: Option<PathBuf>,
     /// A file with the addresses by which this router reaches others.
-    pub book: Option<PathBuf>,
+    pub address_table_file: Option<PathBuf>,
     /// The longest datagram, bytes.
-    pub datagram: usize,
+    pub max_datagram: usize,
     /// Who founds the fleet's policy, by name; none: each router acts by its own file.
     pub founders: Vec<String>,
     /// What a router does that can't know whether its policy still holds.
-    pub cut: PartitionMode,
+    pub partition_mode: PartitionMode,
 }
 
 impl Value for PartitionMode {
@@ -119,10 +119,10 @@
         listen: listen?,
         seeds: doc.or(Some(at), "seeds", Seeds(Vec::new())).0,
         folder: doc.get::<String>(at, "folder").map(PathBuf::from),
-        book: doc.get::<String>(at, "book").map(PathBuf::from),
-        datagram: doc.or(Some(at), "datagram", Datagram(DATAGRAM)).0,
+        address_table_file: doc.get::<String>(at, "book").map(PathBuf::from),
+        max_datagram: doc.or(Some(at), "datagram", Datagram(DATAGRAM)).0,
         founders: doc.or(Some(at), "founders", Names(Vec::new())).0,
-        cut: doc.or(Some(at), "cut", PartitionMode::Refuse),
+        partition_mode: doc.or(Some(at), "cut", PartitionMode::Refuse),
     };
     if !site.founders.is_empty() && site.folder.is_none() {
         doc.add_fault(at, "founders", "expected a folder, too: what a voter has promised must outlive it");
@@ -142,11 +142,11 @@
     /// # Errors
     /// Every line that can't be read; a file that is not there.
     pub fn peers(&self) -> Result<Peers, Vec<Fault>> {
-        let book = match &self.book {
+        let book = match &self.address_table_file {
             Some(file) => {
                 let text =
                     std::fs::read_to_string(file).map_err(|e| vec![fault(file, 1, "", &e.to_string())])?;
-                read_book(&text, file)?
+                parse_address_table(&text, file)?
             }
             None => BTreeMap::new(),
         };
@@ -163,7 +163,7 @@
 ///
 /// # Errors
 /// Every line that is not such, and names that stand twice.
-pub fn read_book(text: &str, file: &Path) -> Result<BTreeMap<String, SocketAddr>, Vec<Fault>> {
+pub fn parse_address_table(text: &str, file: &Path) -> Result<BTreeMap<String, SocketAddr>, Vec<Fault>> {
     let (mut book, mut faults) = (BTreeMap::new(), Vec::new());
     for (n, line) in text.lines().enumerate() {
         let line = line.trim();
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -15,7 +15,7 @@
 mod values;
 
 pub use doc::{Doc, Fault, Section};
-pub use fleet::{read_book, FleetSettings};
+pub use fleet::{parse_address_table, FleetSettings};
 pub use policy::{changes, masked, policy_of, settings_with_policy, Policy, POLICY_SECTIONS};
 pub use roles::{parse_roles, RoleSettings};
 pub use site::{read_daemon_settings, DaemonSettings, LogFormat, DAEMON_SECTIONS};
