--- a/crates/cli/src/roles.rs
+++ b/crates/cli/src/roles.rs
@@ -66,7 +66,7 @@
 impl Machine for Shown {
     fn handle(&mut self, now: Duration, input: Input<'_>, out: &mut Vec<Output>) {
         self.conductor.handle(now, input, out);
-        let because = &self.conductor.last_plan().because;
+        let because = &self.conductor.last_plan().reason;
         if let Some(told) = self.because.as_mut().filter(|told| *told != because) {
             told.clone_from(because);
             out.push(Output::Log(format!("nothing more: {because}")));
--- a/crates/roles/src/plan.rs
+++ b/crates/roles/src/plan.rs
@@ -53,12 +53,12 @@
     /// The changes, in order.
     pub changes: Vec<RoleChange>,
     /// Why there are no more, or none; shown to operators.
-    pub because: String,
+    pub reason: String,
 }
 
 impl RolePlan {
     /// A plan without changes.
-    pub(crate) fn none(because: &str) -> RolePlan {
-        RolePlan { changes: Vec::new(), because: because.into() }
+    pub(crate) fn none(reason: &str) -> RolePlan {
+        RolePlan { changes: Vec::new(), reason: reason.into() }
     }
 }
--- a/crates/roles/src/planner.rs
+++ b/crates/roles/src/planner.rs
@@ -154,7 +154,7 @@
                 best_net_gain = evaluated.net_gain;
                 best = evaluated.plan;
             } else {
-                best.because = "it is too early for the next swing of the mix".into();
+                best.reason = "it is too early for the next swing of the mix".into();
             }
         }
         best
--- a/crates/roles/src/planner/evaluation.rs
+++ b/crates/roles/src/planner/evaluation.rs
@@ -98,7 +98,7 @@
             likely: expected.iter().map(|expected| expected.duration).sum(),
         };
         let changes = group.changes(&chosen[..count]);
-        let because = if chosen.is_empty() {
+        let reason = if chosen.is_empty() {
             "no engine may change: limits of cells, zones or time in a role".into()
         } else if count == chosen.len() {
             "as many changes as may be under way".into()
@@ -106,7 +106,7 @@
             let Balance { gain, cost } = balance_of(count + 1);
             format!("{} changes would gain {gain:.2} and cost {cost:.2} seconds of full service", count + 1)
         };
-        EvaluatedPlan { plan: RolePlan { changes, because }, net_gain }
+        EvaluatedPlan { plan: RolePlan { changes, reason }, net_gain }
     }
 
     /// What `count` changes that begin after `delay` gain and cost in service over the expected loads: while the engines drain,
--- a/crates/roles/tests/fluid/mod.rs
+++ b/crates/roles/tests/fluid/mod.rs
@@ -147,7 +147,7 @@
                     });
                     readers = if to == Role::Prefill { readers + 1 } else { readers - 1 };
                 }
-                fluid.apply(now, &RolePlan { changes, because: String::new() });
+                fluid.apply(now, &RolePlan { changes, reason: String::new() });
                 t += 0.5;
             }
             if done / asked > best.0 + 1e-9 {
--- a/crates/roles/tests/roles.rs
+++ b/crates/roles/tests/roles.rs
@@ -69,22 +69,19 @@
 fn balanced_load_and_young_imbalance_change_nothing() {
     let mut planner = Planner::new(LIMITS, COSTS, PlanningPolicy::Greedy);
     let plan = settled(&mut planner, &engines(10, 10, 2), load(8.0, 8.0), 160);
-    assert_eq!((plan.changes.len(), plan.because.as_str()), (0, "no change would serve more"));
+    assert_eq!((plan.changes.len(), plan.reason.as_str()), (0, "no change would serve more"));
     let mut planner = Planner::new(LIMITS, COSTS, PlanningPolicy::Greedy);
     let plan = settled(&mut planner, &engines(10, 10, 2), load(14.0, 3.0), 102);
-    assert_eq!(plan.because, "the imbalance is too young");
+    assert_eq!(plan.reason, "the imbalance is too young");
     let plan = settled(&mut planner, &engines(10, 10, 2), load(14.0, 3.0), 106);
-    assert!(plan.changes.is_empty() && plan.because.contains("would gain"), "{plan:?}");
+    assert!(plan.changes.is_empty() && plan.reason.contains("would gain"), "{plan:?}");
 }
 
 #[test]
 fn frozen_planner_changes_nothing_until_it_is_unfrozen() {
     let mut planner = Planner::new(LIMITS, COSTS, PlanningPolicy::Greedy);
     planner.freeze(true);
-    assert_eq!(
-        settled(&mut planner, &engines(10, 10, 2), load(14.0, 3.0), 160).because,
-        "changes are frozen"
-    );
+    assert_eq!(settled(&mut planner, &engines(10, 10, 2), load(14.0, 3.0), 160).reason, "changes are frozen");
     planner.freeze(false);
     assert_eq!(settled(&mut planner, &engines(10, 10, 2), load(14.0, 3.0), 161).changes.len(), 2);
 }
@@ -94,7 +91,7 @@
     // Each of ten cells has one reader and one writer: none may change.
     let mut planner = Planner::new(LIMITS, COSTS, PlanningPolicy::Greedy);
     let plan = settled(&mut planner, &engines(10, 10, 10), load(14.0, 3.0), 160);
-    assert!(plan.changes.is_empty() && plan.because.contains("limits"), "{plan:?}");
+    assert!(plan.changes.is_empty() && plan.reason.contains("limits"), "{plan:?}");
     // A cell with one engine, which is its last reader.
     let mut engines = engines(1, 1, 1);
     engines[1].cell = CellId(7);
@@ -109,10 +106,10 @@
     let limits = PlannerLimits { max_concurrent_changes: 9, ..LIMITS };
     let mut planner = Planner::new(limits, COSTS, PlanningPolicy::Greedy);
     let plan = settled(&mut planner, &all, load(12.0, 3.0), 160);
-    assert_eq!(plan.because, "no change would serve more");
+    assert_eq!(plan.reason, "no change would serve more");
     let mut planner =
         Planner::new(PlannerLimits { max_concurrent_changes: 4, ..LIMITS }, COSTS, PlanningPolicy::Greedy);
-    assert!(settled(&mut planner, &all, load(16.0, 3.0), 160).because.contains("under way"));
+    assert!(settled(&mut planner, &all, load(16.0, 3.0), 160).reason.contains("under way"));
 }
 
 #[test]
