--- a/crates/emulator/src/engine.rs
+++ b/crates/emulator/src/engine.rs
@@ -202,7 +202,8 @@
 
     /// Takes its new role once nothing of the old one is left. Whether it did.
     pub(crate) fn change_role(&mut self, now: Duration) -> bool {
-        let Some(state) = self.role.left(now, self.work.jobs.len(), self.work.states.len()) else {
+        let Some(state) = self.role.report_remaining_work(now, self.work.jobs.len(), self.work.states.len())
+        else {
             return false;
         };
         self.spec.role = state.role.into();
--- a/crates/roles/src/record.rs
+++ b/crates/roles/src/record.rs
@@ -100,7 +100,9 @@
 
     /// Reports how much work and how many reserved states are left in the old role; the new state once the engine has taken the new
     /// role. It does so only when neither is left, and with a start time that was never reported before.
-    pub fn left(&mut self, now: Duration, work: usize, held_states: usize) -> Option<RoleState> {
+    pub fn report_remaining_work(
+        &mut self, now: Duration, work: usize, held_states: usize,
+    ) -> Option<RoleState> {
         let Step::Draining { to, .. } = self.state.step else { return None };
         if work > 0 || held_states > 0 {
             return None;
--- a/crates/roles/tests/roles.rs
+++ b/crates/roles/tests/roles.rs
@@ -159,9 +159,9 @@
     assert!(!record.takes_work());
     record.order(s(13), order(4, Role::Decode)).expect("the same order again");
     assert!(matches!(record.order(s(13), order(4, Role::Mixed)), Err(Rejected::Changing(_))));
-    assert_eq!(record.left(s(14), 1, 0), None);
-    assert_eq!(record.left(s(14), 0, 1), None, "it holds a state that nobody has fetched");
-    let state = record.left(s(15), 0, 0).expect("the new role");
+    assert_eq!(record.report_remaining_work(s(14), 1, 0), None);
+    assert_eq!(record.report_remaining_work(s(14), 0, 1), None, "it holds a state that nobody has fetched");
+    let state = record.report_remaining_work(s(15), 0, 0).expect("the new role");
     assert_eq!((state.role, state.epoch, state.started, state.step), (Role::Decode, 5, s(15), Step::Serving));
     assert!(
         matches!(record.order(s(16), order(4, Role::Prefill)), Err(Rejected::OtherEpoch(_))),
@@ -181,7 +181,7 @@
             // Time stands still now and then.
             let now = s(1 + n as u64 / 3);
             if kind == 0 {
-                let taken = record.left(now, work, held).is_some();
+                let taken = record.report_remaining_work(now, work, held).is_some();
                 prop_assert!(!taken || (work, held) == (0, 0));
                 let after = record.state();
                 prop_assert_eq!(after.epoch, before.epoch + u64::from(taken));
--- a/crates/test-servers/src/engine/mod.rs
+++ b/crates/test-servers/src/engine/mod.rs
@@ -307,7 +307,10 @@
 
     /// Takes the new role once nothing of the old one is left: empty, with nothing kept, cold, newly started.
     fn change_role(&mut self, now: Duration) {
-        let Some(state) = self.role.left(now, self.work.jobs.len(), self.work.states.len()) else { return };
+        let Some(state) = self.role.report_remaining_work(now, self.work.jobs.len(), self.work.states.len())
+        else {
+            return;
+        };
         self.spec.role = state.role.into();
         self.work = Work::new(&self.spec, state.started, state.started + self.wall);
         self.tell_list();
