--- a/crates/roles/src/plan.rs
+++ b/crates/roles/src/plan.rs
@@ -24,7 +24,7 @@
     /// What it gains, in seconds of full service.
     pub gain: f64,
     /// How long the imbalance is likely to last.
-    pub likely: Duration,
+    pub expected_duration: Duration,
 }
 
 impl fmt::Display for RoleChange {
@@ -33,7 +33,7 @@
             f,
             "{:x}: {} to {} (epoch {}): serves {:.1}% in place of {:.1}%, likely for {:.0} s; costs {:.2}, gains {:.2} s of full service",
             self.engine.0, logged_role(self.from), logged_role(self.to), self.replaces, 100.0 * self.served_after, 100.0 * self.served_before,
-            self.likely.as_secs_f64(), self.cost, self.gain
+            self.expected_duration.as_secs_f64(), self.cost, self.gain
         )
     }
 }
--- a/crates/roles/src/planner/evaluation.rs
+++ b/crates/roles/src/planner/evaluation.rs
@@ -45,7 +45,7 @@
     served_before: f64,
     served_after: f64,
     /// For how long the load that they are for is expected to last.
-    likely: Duration,
+    expected_duration: Duration,
 }
 
 impl ChangeGroup {
@@ -61,7 +61,7 @@
             served_after: self.served_after,
             cost: self.balance.cost / count,
             gain: self.balance.gain / count,
-            likely: self.likely,
+            expected_duration: self.expected_duration,
         };
         engines.iter().map(change).collect()
     }
@@ -95,7 +95,7 @@
             balance: balance_of(count),
             served_before: capacity.served_share(last.load),
             served_after: changed_capacity.served_share(last.load),
-            likely: expected.iter().map(|expected| expected.duration).sum(),
+            expected_duration: expected.iter().map(|expected| expected.duration).sum(),
         };
         let changes = group.changes(&chosen[..count]);
         let reason = if chosen.is_empty() {
--- a/crates/roles/tests/fluid/mod.rs
+++ b/crates/roles/tests/fluid/mod.rs
@@ -143,7 +143,7 @@
                         served_after: 0.0,
                         cost: 0.0,
                         gain: 0.0,
-                        likely: Duration::ZERO,
+                        expected_duration: Duration::ZERO,
                     });
                     readers = if to == Role::Prefill { readers + 1 } else { readers - 1 };
                 }
