--- a/crates/cli/src/roles.rs
+++ b/crates/cli/src/roles.rs
@@ -9,7 +9,7 @@
 use slipreel_gateway::engine_id;
 use slipreel_gateway::settings::EngineSettings;
 use slipreel_roles::{
-    ControllerConfig, ControllerMode, EngineView, Freeze, OrderCounts, Phase, RoleController, Watched,
+    ControllerConfig, ControllerMode, EngineView, Freeze, OrderCounts, Phase, RoleController, WatchedEngine,
 };
 use slipreel_settings::{engines_from_slices, engines_to_slices, parse_roles, DaemonSettings, RoleSettings};
 use slipreel_state_machine::{Input, Machine, Output};
@@ -127,13 +127,13 @@
 }
 
 /// The engines as a conductor takes them, cells and zones by number.
-fn watched(engines: &[EngineSettings]) -> Vec<Watched> {
+fn watched(engines: &[EngineSettings]) -> Vec<WatchedEngine> {
     let (mut cells, mut zones) = (BTreeMap::new(), BTreeMap::new());
     let number = |names: &mut BTreeMap<String, u32>, name: &str| {
         let next = names.len() as u32;
         *names.entry(name.to_owned()).or_insert(next)
     };
-    let mut one = |e: &EngineSettings| Watched {
+    let mut one = |e: &EngineSettings| WatchedEngine {
         id: engine_id(e.addr),
         addr: e.addr,
         cell: CellId(number(&mut cells, &e.cell)),
--- a/crates/roles/src/controller.rs
+++ b/crates/roles/src/controller.rs
@@ -27,7 +27,7 @@
 
 /// An engine to watch.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Watched {
+pub struct WatchedEngine {
     /// Its id.
     pub id: EngineId,
     /// Its address.
@@ -96,9 +96,9 @@
     pub mode: ControllerMode,
 }
 
-/// Watches engines and orders changes of role. Takes [`Freeze`] and `Vec<Watched>` as [`Input::OwnerMessage`].
+/// Watches engines and orders changes of role. Takes [`Freeze`] and `Vec<WatchedEngine>` as [`Input::OwnerMessage`].
 pub struct RoleController {
-    engines: Vec<Watched>,
+    engines: Vec<WatchedEngine>,
     observations: Vec<EngineObservation>,
     planner: Planner,
     config: ControllerConfig,
@@ -114,7 +114,7 @@
 
 impl RoleController {
     /// A controller that begins its first round at `now`.
-    pub fn new(engines: Vec<Watched>, config: ControllerConfig, now: Duration) -> Self {
+    pub fn new(engines: Vec<WatchedEngine>, config: ControllerConfig, now: Duration) -> Self {
         let observations = engines.iter().map(|_| EngineObservation::default()).collect();
         RoleController {
             engines,
@@ -217,7 +217,7 @@
         }
     }
 
-    fn watch(&mut self, engines: &[Watched]) {
+    fn watch(&mut self, engines: &[WatchedEngine]) {
         self.engines = engines.to_vec();
         self.observations = engines.iter().map(|_| EngineObservation::default()).collect();
         self.requests.forget_all();
@@ -259,7 +259,7 @@
         if let Some(Freeze(frozen)) = message.downcast_ref() {
             self.frozen_by.operator = *frozen;
             self.planner.freeze(*frozen);
-        } else if let Some(engines) = message.downcast_ref::<Vec<Watched>>() {
+        } else if let Some(engines) = message.downcast_ref::<Vec<WatchedEngine>>() {
             self.watch(engines);
         }
     }
--- a/crates/roles/src/lib.rs
+++ b/crates/roles/src/lib.rs
@@ -25,7 +25,7 @@
 
 pub use config::{ChangeCosts, PlannerLimits, PlanningPolicy};
 pub use controller::{
-    ControllerConfig, ControllerMode, Freeze, FullLoadRequests, OrderCounts, RoleController, Watched,
+    ControllerConfig, ControllerMode, Freeze, FullLoadRequests, OrderCounts, RoleController, WatchedEngine,
     CACHED_TOKENS_AT_FULL_MEMORY,
 };
 pub use demand::{Demand, EngineThroughput};
--- a/crates/scenario/src/stage.rs
+++ b/crates/scenario/src/stage.rs
@@ -13,7 +13,7 @@
 use slipreel_invariants::{judge, Break, Record, Seen};
 use slipreel_roles::{
     ChangeCosts, ControllerConfig, ControllerMode, EngineThroughput, FullLoadRequests, PlannerLimits,
-    RoleController, Watched,
+    RoleController, WatchedEngine,
 };
 use slipreel_test_servers::client::{Clients, Result as TryResult};
 use slipreel_test_servers::engine::{Engine, Role};
@@ -162,13 +162,13 @@
         zones.sort_unstable();
         zones.dedup();
         let number = |all: &[&String], name: &String| all.iter().position(|n| *n == name).unwrap_or(0) as u32;
-        let watched = |(e, addr): (&crate::fleet::EnginePlan, &SocketAddr)| Watched {
+        let watched = |(e, addr): (&crate::fleet::EnginePlan, &SocketAddr)| WatchedEngine {
             id: engine_id(*addr),
             addr: *addr,
             cell: CellId(number(&cells, &e.cell)),
             zone: ZoneId(number(&zones, &e.zone)),
         };
-        let engines: Vec<Watched> = self.day.engines.iter().zip(&self.addrs).map(watched).collect();
+        let engines: Vec<WatchedEngine> = self.day.engines.iter().zip(&self.addrs).map(watched).collect();
         let spec = |role| self.day.engines.iter().map(|e| &e.spec).find(|s| s.role == role);
         let (reader, writer) = (spec(Role::Read), spec(Role::Write));
         let places = FullLoadRequests {
