--- a/crates/cli/src/roles.rs
+++ b/crates/cli/src/roles.rs
@@ -72,7 +72,7 @@
             out.push(Output::Log(format!("nothing more: {because}")));
         }
         if let Ok(mut seen) = self.seen.lock() {
-            seen.clone_from(&self.conductor.seen().to_vec());
+            seen.clone_from(&self.conductor.last_view().to_vec());
         }
     }
 
--- a/crates/roles/src/controller.rs
+++ b/crates/roles/src/controller.rs
@@ -150,7 +150,7 @@
     }
 
     /// The engines that answered in the last round, as they were then.
-    pub fn seen(&self) -> &[EngineView] {
+    pub fn last_view(&self) -> &[EngineView] {
         &self.last_view
     }
 
