--- a/crates/roles/src/lib.rs
+++ b/crates/roles/src/lib.rs
@@ -32,6 +32,6 @@
 pub use load_history::LoadHistory;
 pub use plan::{RoleChange, RolePlan};
 pub use planner::Planner;
-pub use record::{Order, Rejected, RoleRecord, RoleState, Step};
+pub use record::{Order, OrderRejection, RoleRecord, RoleState, Step};
 pub use stage_load::{ExpectedLoad, StageLoad};
 pub use view::{EngineView, Phase, PlannerView};
--- a/crates/roles/src/record.rs
+++ b/crates/roles/src/record.rs
@@ -44,7 +44,7 @@
 
 /// Why an order was rejected, with the state, which has not changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Rejected {
+pub enum OrderRejection {
     /// It names another epoch than the present one.
     #[error("the order replaces another epoch than the present one")]
     OtherEpoch(RoleState),
@@ -83,14 +83,14 @@
     ///
     /// # Errors
     /// The order replaces another epoch, another change is in progress, or the role is the same.
-    pub fn order(&mut self, now: Duration, order: Order) -> Result<RoleState, Rejected> {
+    pub fn order(&mut self, now: Duration, order: Order) -> Result<RoleState, OrderRejection> {
         if order.replaces != self.state.epoch {
-            return Err(Rejected::OtherEpoch(self.state));
+            return Err(OrderRejection::OtherEpoch(self.state));
         }
         match self.state.step {
             Step::Draining { to, .. } if to == order.to => Ok(self.state),
-            Step::Draining { .. } => Err(Rejected::Changing(self.state)),
-            Step::Serving if order.to == self.state.role => Err(Rejected::SameRole(self.state)),
+            Step::Draining { .. } => Err(OrderRejection::Changing(self.state)),
+            Step::Serving if order.to == self.state.role => Err(OrderRejection::SameRole(self.state)),
             Step::Serving => {
                 self.state.step = Step::Draining { to: order.to, since: now };
                 Ok(self.state)
--- a/crates/roles/tests/roles.rs
+++ b/crates/roles/tests/roles.rs
@@ -152,19 +152,19 @@
     let mut record = RoleRecord::started(Role::Prefill, 4, s(10));
     let order = |replaces, to| Order { replaces, to };
     assert!(
-        matches!(record.order(s(11), order(3, Role::Decode)), Err(Rejected::OtherEpoch(state)) if state.epoch == 4)
+        matches!(record.order(s(11), order(3, Role::Decode)), Err(OrderRejection::OtherEpoch(state)) if state.epoch == 4)
     );
-    assert!(matches!(record.order(s(11), order(4, Role::Prefill)), Err(Rejected::SameRole(_))));
+    assert!(matches!(record.order(s(11), order(4, Role::Prefill)), Err(OrderRejection::SameRole(_))));
     record.order(s(12), order(4, Role::Decode)).expect("the present epoch");
     assert!(!record.takes_work());
     record.order(s(13), order(4, Role::Decode)).expect("the same order again");
-    assert!(matches!(record.order(s(13), order(4, Role::Mixed)), Err(Rejected::Changing(_))));
+    assert!(matches!(record.order(s(13), order(4, Role::Mixed)), Err(OrderRejection::Changing(_))));
     assert_eq!(record.report_remaining_work(s(14), 1, 0), None);
     assert_eq!(record.report_remaining_work(s(14), 0, 1), None, "it holds a state that nobody has fetched");
     let state = record.report_remaining_work(s(15), 0, 0).expect("the new role");
     assert_eq!((state.role, state.epoch, state.started, state.step), (Role::Decode, 5, s(15), Step::Serving));
     assert!(
-        matches!(record.order(s(16), order(4, Role::Prefill)), Err(Rejected::OtherEpoch(_))),
+        matches!(record.order(s(16), order(4, Role::Prefill)), Err(OrderRejection::OtherEpoch(_))),
         "from a planner that has not run since"
     );
 }
