--- a/crates/roles/src/lib.rs
+++ b/crates/roles/src/lib.rs
@@ -32,6 +32,6 @@
 pub use load_history::LoadHistory;
 pub use plan::{RoleChange, RolePlan};
 pub use planner::Planner;
-pub use record::{Order, OrderRejection, RoleRecord, RoleState, Step};
+pub use record::{ChangeProgress, Order, OrderRejection, RoleRecord, RoleState};
 pub use stage_load::{ExpectedLoad, StageLoad};
 pub use view::{EngineView, Phase, PlannerView};
--- a/crates/roles/src/record.rs
+++ b/crates/roles/src/record.rs
@@ -8,7 +8,7 @@
 
 /// The progress of a change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Step {
+pub enum ChangeProgress {
     /// The engine serves in its role.
     Serving,
     /// It was ordered to take another role: it takes no new work, and completes what it has in the old role.
@@ -30,7 +30,7 @@
     /// When it started in this role: the start time in the endpoint list, a new one for each role.
     pub started: Duration,
     /// The progress of a change.
-    pub step: Step,
+    pub progress: ChangeProgress,
 }
 
 /// An order to change.
@@ -66,7 +66,7 @@
     /// The record of an engine that has started in a role. After a restart `epoch` is the one that it had, or 0 if it knows none: its
     /// new start time tells routers that what they knew of it no longer holds.
     pub fn started(role: Role, epoch: u64, now: Duration) -> Self {
-        RoleRecord { state: RoleState { role, epoch, started: now, step: Step::Serving } }
+        RoleRecord { state: RoleState { role, epoch, started: now, progress: ChangeProgress::Serving } }
     }
 
     /// The state, as the engine reports it.
@@ -76,7 +76,7 @@
 
     /// Whether the engine takes new work.
     pub fn takes_work(&self) -> bool {
-        self.state.step == Step::Serving
+        self.state.progress == ChangeProgress::Serving
     }
 
     /// Accepts an order. An order that is repeated while its change is in progress is accepted again.
@@ -87,12 +87,14 @@
         if order.replaces != self.state.epoch {
             return Err(OrderRejection::OtherEpoch(self.state));
         }
-        match self.state.step {
-            Step::Draining { to, .. } if to == order.to => Ok(self.state),
-            Step::Draining { .. } => Err(OrderRejection::Changing(self.state)),
-            Step::Serving if order.to == self.state.role => Err(OrderRejection::SameRole(self.state)),
-            Step::Serving => {
-                self.state.step = Step::Draining { to: order.to, since: now };
+        match self.state.progress {
+            ChangeProgress::Draining { to, .. } if to == order.to => Ok(self.state),
+            ChangeProgress::Draining { .. } => Err(OrderRejection::Changing(self.state)),
+            ChangeProgress::Serving if order.to == self.state.role => {
+                Err(OrderRejection::SameRole(self.state))
+            }
+            ChangeProgress::Serving => {
+                self.state.progress = ChangeProgress::Draining { to: order.to, since: now };
                 Ok(self.state)
             }
         }
@@ -103,13 +105,14 @@
     pub fn report_remaining_work(
         &mut self, now: Duration, work: usize, held_states: usize,
     ) -> Option<RoleState> {
-        let Step::Draining { to, .. } = self.state.step else { return None };
+        let ChangeProgress::Draining { to, .. } = self.state.progress else { return None };
         if work > 0 || held_states > 0 {
             return None;
         }
         // Start times are compared for equality alone; two within one tick of the clock must still differ.
         let started = now.max(self.state.started + Duration::from_millis(1));
-        self.state = RoleState { role: to, epoch: self.state.epoch + 1, started, step: Step::Serving };
+        self.state =
+            RoleState { role: to, epoch: self.state.epoch + 1, started, progress: ChangeProgress::Serving };
         Some(self.state)
     }
 }
--- a/crates/roles/tests/roles.rs
+++ b/crates/roles/tests/roles.rs
@@ -162,7 +162,10 @@
     assert_eq!(record.report_remaining_work(s(14), 1, 0), None);
     assert_eq!(record.report_remaining_work(s(14), 0, 1), None, "it holds a state that nobody has fetched");
     let state = record.report_remaining_work(s(15), 0, 0).expect("the new role");
-    assert_eq!((state.role, state.epoch, state.started, state.step), (Role::Decode, 5, s(15), Step::Serving));
+    assert_eq!(
+        (state.role, state.epoch, state.started, state.progress),
+        (Role::Decode, 5, s(15), ChangeProgress::Serving)
+    );
     assert!(
         matches!(record.order(s(16), order(4, Role::Prefill)), Err(OrderRejection::OtherEpoch(_))),
         "from a planner that has not run since"
