--- a/crates/adapter/src/main.rs
+++ b/crates/adapter/src/main.rs
@@ -1,4 +1,5 @@
-//! Plays many routers on the simulator's wire, from standard input to standard output. It translates and decides nothing.
+//! Plays many routers on the simulator's wire, from standard input to standard output. It translates and
+//! decides nothing.
 
 #![forbid(unsafe_code)]
 
--- a/crates/platform-settings/src/classes.rs
+++ b/crates/platform-settings/src/classes.rs
@@ -75,8 +75,8 @@
     })
 }
 
-/// How often a request of a class may run. A missing value gets the strictest meaning: not idempotent; the scope of one
-/// cell; a window of 0.
+/// How often a request of a class may run. A missing value gets the strictest meaning: not idempotent; the
+/// scope of one cell; a window of 0.
 fn idempotency(pairs: &Pairs<'_>, index: usize) -> Result<Idempotency, SettingFault> {
     let key = |field: &str| format!("classes.{index}.{field}");
     Ok(match pairs.word(&key("idempotency"), &REPEAT_RULES, Some(RepeatRule::Unsafe))? {
--- a/crates/platform-settings/src/error.rs
+++ b/crates/platform-settings/src/error.rs
@@ -88,7 +88,8 @@
         /// The value found.
         value: String,
     },
-    /// Two classes of one name differ in how they may be repeated, so that the class of a request is ambiguous.
+    /// Two classes of one name differ in how they may be repeated, so that the class of a request is
+    /// ambiguous.
     #[error(
         "classes.{index}.name: '{name}' is also the name of classes.{first}, which may be repeated differently: \
          expected a name of its own, or the same idempotency, group and window"
--- a/crates/platform-settings/src/lib.rs
+++ b/crates/platform-settings/src/lib.rs
@@ -1,7 +1,8 @@
 //! Parses the settings of a router, by the platform's names, into those of the decision module.
 //!
-//! The simulator hands them over as `path=value` lines ([`parse`]); a router finds the same object as nested JSON in its
-//! configuration ([`from_json`]). Both become pairs of a path and a value, from which the settings are read.
+//! The simulator hands them over as `path=value` lines ([`parse`]); a router finds the same object as nested
+//! JSON in its configuration ([`from_json`]). Both become pairs of a path and a value, from which the
+//! settings are read.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -50,7 +51,8 @@
     pub columns: Vec<Column>,
     /// The names of those values, in the same order.
     pub column_names: Vec<String>,
-    /// The names of classes, tenants, kinds of engine and zones, each in the order by which the module numbers them.
+    /// The names of classes, tenants, kinds of engine and zones, each in the order by which the module
+    /// numbers them.
     pub classes: Vec<String>,
     /// See `classes`.
     pub tenants: Vec<String>,
--- a/crates/platform-settings/src/pairs.rs
+++ b/crates/platform-settings/src/pairs.rs
@@ -106,7 +106,8 @@
     text.parse().ok().filter(|number: &f64| number.is_finite() && *number >= 0.0)
 }
 
-/// Appends the pairs of a value: lists of plain values joined by commas, lists of objects counted and numbered.
+/// Appends the pairs of a value: lists of plain values joined by commas, lists of objects counted and
+/// numbered.
 pub(crate) fn flatten(path: &str, value: &Value, out: &mut Vec<(String, String)>) {
     let under = |name: &str| if path.is_empty() { name.to_owned() } else { format!("{path}.{name}") };
     match value {
--- a/crates/roles/benches/plan.rs
+++ b/crates/roles/benches/plan.rs
@@ -1,5 +1,6 @@
-//! Planning time against fleet size, and what each policy is worth in a fluid model of two stages (`tests/fluid`): work that
-//! arrives, engines that change, drain and warm up. A model, not measurements of engines.
+//! Planning time against fleet size, and what each policy is worth in a fluid model of two stages
+//! (`tests/fluid`): work that arrives, engines that change, drain and warm up. A model, not measurements of
+//! engines.
 
 #[path = "../tests/fluid/mod.rs"]
 mod fluid;
--- a/crates/roles/src/capacity.rs
+++ b/crates/roles/src/capacity.rs
@@ -4,10 +4,11 @@
 use crate::view::{Phase, PlannerView};
 use slipreel::Role;
 
-/// The share of a stage's engines that load may keep busy before the stage counts as short; no unit. Above it queues grow
-/// quickly; a lower one takes engines from the other stage for spare capacity.
+/// The share of a stage's engines that load may keep busy before the stage counts as short; no unit. Above it
+/// queues grow quickly; a lower limit takes engines from the other stage for spare capacity.
 pub(crate) const MAX_UTILIZATION: f64 = 0.9;
-/// A change has to gain this many times its cost; no unit. More than 1, as the duration of an imbalance is an estimate.
+/// A change has to gain this many times its cost; no unit. It is more than 1, as the duration of an imbalance
+/// is an estimate.
 pub(crate) const MIN_GAIN_PER_COST: f64 = 1.5;
 
 /// The number of engines of each stage.
@@ -18,11 +19,12 @@
 }
 
 impl StageCapacity {
-    /// The engines that do not leave, each in the role that it has or changes to; a mixed engine counts half for each.
+    /// Counts the engines that are not leaving, each in its role or the one that it is changing to; a mixed
+    /// engine counts half for each stage.
     pub(crate) fn of(view: &PlannerView) -> StageCapacity {
         let mut capacity = StageCapacity::default();
-        for e in view.engines.iter().filter(|e| e.phase != Phase::Leaving) {
-            let role = if let Phase::Changing(to) = e.phase { to } else { e.role };
+        for engine in view.engines.iter().filter(|engine| engine.phase != Phase::Leaving) {
+            let role = if let Phase::Changing(to) = engine.phase { to } else { engine.role };
             match role {
                 Role::Prefill => capacity.prefill += 1.0,
                 Role::Decode => capacity.decode += 1.0,
@@ -35,27 +37,31 @@
         capacity
     }
 
-    /// The share of the requests that the weaker stage can serve; from 0 to 1.
+    /// The share of the requests that can be served, limited by the weaker stage; from 0 to 1.
     pub(crate) fn served_share(self, load: StageLoad) -> f64 {
-        let can = |engines: f64, work: f64| {
-            if work > 0.0 {
-                MAX_UTILIZATION * engines.max(0.0) / work
+        let stage_share = |engines: f64, load: f64| {
+            if load > 0.0 {
+                MAX_UTILIZATION * engines.max(0.0) / load
             } else {
                 1.0
             }
         };
-        can(self.prefill, load.prefill).min(can(self.decode, load.decode)).min(1.0)
+        stage_share(self.prefill, load.prefill).min(stage_share(self.decode, load.decode)).min(1.0)
     }
 
-    /// The capacity once `gone` engines have left the other role for `to`, and `there` of them work in it.
-    pub(crate) fn with_moved(self, to: Role, gone: f64, there: f64) -> StageCapacity {
+    /// The capacity once `departed` engines have left the other role to change to `to`, and `working` of them
+    /// work in the new role.
+    pub(crate) fn with_moved(self, to: Role, departed: f64, working: f64) -> StageCapacity {
         match to {
-            Role::Prefill => StageCapacity { prefill: self.prefill + there, decode: self.decode - gone },
-            _ => StageCapacity { prefill: self.prefill - gone, decode: self.decode + there },
+            Role::Prefill => {
+                StageCapacity { prefill: self.prefill + working, decode: self.decode - departed }
+            }
+            _ => StageCapacity { prefill: self.prefill - departed, decode: self.decode + working },
         }
     }
 
-    /// The stage that an engine from the other one would help, if there is one.
+    /// The stage at which one more engine, taken from the other stage, would raise the share that can be
+    /// served.
     pub(crate) fn short_stage(self, load: StageLoad) -> Option<Role> {
         let served_share = self.served_share(load);
         [Role::Prefill, Role::Decode]
--- a/crates/roles/src/config.rs
+++ b/crates/roles/src/config.rs
@@ -1,26 +1,26 @@
-//! What operators configure of the planner: limits on changes, what a change costs, and how changes are chosen.
+//! The planner's configuration: limits on changes, the costs of a change, and how changes are chosen.
 
 use std::time::Duration;
 
 /// Limits that operators set on changes of role.
 #[derive(Clone, Copy, Debug)]
 pub struct PlannerLimits {
-    /// The most changes in progress at once.
+    /// The maximum number of changes in progress at once.
     pub max_concurrent_changes: usize,
-    /// The least number of prefill engines that each cell keeps, if it has any.
+    /// The minimum number of prefill engines that each cell keeps, if it has any.
     pub min_prefill_per_cell: usize,
-    /// The least number of decode engines that each cell keeps, if it has any.
+    /// The minimum number of decode engines that each cell keeps, if it has any.
     pub min_decode_per_cell: usize,
-    /// The least number of engines of each of the two roles that each zone keeps, if it has any.
+    /// The minimum number of engines of each of the two roles that each zone keeps, if it has any.
     pub min_per_zone: usize,
-    /// The least time that an engine keeps a role.
+    /// The minimum time that an engine keeps a role.
     pub min_time_in_role: Duration,
-    /// No changes are planned.
+    /// Whether changes are frozen: none are planned.
     pub frozen: bool,
 }
 
 impl Default for PlannerLimits {
-    /// The limits where operators set none: the least that keeps every cell and zone working.
+    /// The limits where operators set none: the minimum that keeps every cell and zone working.
     fn default() -> Self {
         PlannerLimits {
             max_concurrent_changes: 2,
@@ -33,7 +33,7 @@
     }
 }
 
-/// What a change of role costs.
+/// The costs of a role change.
 #[derive(Clone, Copy, Debug)]
 pub struct ChangeCosts {
     /// The time until an engine has ended its work in the old role.
@@ -42,7 +42,7 @@
     pub slow_start: Duration,
     /// The share of its full speed at which an engine begins slow start.
     pub slow_start_speed: f64,
-    /// Prompt tokens that an engine processes in a second.
+    /// Prompt tokens that an engine processes per second.
     pub prefill_tokens_per_s: f64,
 }
 
@@ -50,7 +50,7 @@
     /// The time of a drain where operators set none.
     pub const DRAIN: Duration = Duration::from_secs(5);
 
-    /// What an engine lacks in slow start, as time in which it would not work at all.
+    /// The capacity that an engine lacks during slow start, as an equal time without any work.
     pub(crate) fn slow_start_loss(&self) -> Duration {
         self.slow_start.mul_f64((1.0 - self.slow_start_speed) / 2.0)
     }
@@ -59,10 +59,10 @@
 /// How the changes are chosen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PlanningPolicy {
-    /// One engine after another, the cheapest first, as long as each pays.
+    /// One engine after another, the cheapest first, as long as each change pays.
     Greedy,
-    /// The same, on the load that its trend forecasts.
+    /// Like [`PlanningPolicy::Greedy`], for the load that is forecast from its trend.
     Forecast,
-    /// All at once, by an integer program (`integer_program`).
+    /// All changes together, by an integer program (`integer_program`).
     Program,
 }
--- a/crates/roles/src/controller.rs
+++ b/crates/roles/src/controller.rs
@@ -1,7 +1,8 @@
 //! The role controller: polls engines for their load and role, plans changes, and orders those that pay.
 //!
-//! It holds no state that matters: any number of controllers may run, and one that dies leaves engines that finish their change by
-//! themselves. An engine that does not answer in time is not in the view, and so is neither counted nor changed.
+//! It keeps no essential state: any number of controllers may run, and if one fails, the engines finish their
+//! changes without it. An engine that does not answer in time is not in the view, so it is neither counted
+//! nor changed.
 
 mod observation;
 mod requests;
@@ -20,10 +21,10 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Time between two rounds of requests to engines and routers.
+/// The time between two rounds of requests to engines and routers.
 const POLL_INTERVAL: Duration = Duration::from_millis(1_000);
-/// The share of a round in which an engine has to answer to be in the view; no unit.
-const ANSWER_SHARE: f64 = 0.6;
+/// The share of [`POLL_INTERVAL`] within which an engine has to answer to be in the view.
+const ANSWER_DEADLINE_SHARE: f64 = 0.6;
 
 /// An engine to watch.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -38,26 +39,27 @@
     pub zone: ZoneId,
 }
 
-/// An [`Input::OwnerMessage`] for a [`RoleController`]: stop ordering changes, or go on.
+/// An [`Input::OwnerMessage`] for a [`RoleController`]: whether the operator freezes changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Freeze(pub bool);
 
-/// The routers whose published requests are the demand. Without any, what engines have in progress stands for it.
+/// The routers whose metrics give the demand. Without routers, the load in progress at the engines is used
+/// instead.
 struct DemandSource {
     routers: Vec<SocketAddr>,
     throughput: EngineThroughput,
     demand: Demand,
 }
 
-/// Who has frozen changes.
+/// What freezes changes: the operator, or the policies of routers.
 #[derive(Default)]
-struct FrozenBy {
+struct FreezeState {
     operator: bool,
-    /// By router, whether its policy freezes the roles.
+    /// By router: whether its policy freezes the roles.
     policies: BTreeMap<usize, bool>,
 }
 
-/// Orders since the start, by how engines answered them.
+/// The numbers of orders since the start, by the engines' answers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct OrderCounts {
     /// Orders that engines accepted.
@@ -66,7 +68,7 @@
     pub rejected: usize,
 }
 
-/// When to poll and when to plan.
+/// When to poll and when to plan next.
 struct Schedule {
     next_poll: Duration,
     next_plan: Option<Duration>,
@@ -84,11 +86,11 @@
 /// The settings of a [`RoleController`].
 #[derive(Clone, Copy, Debug)]
 pub struct ControllerConfig {
-    /// The limits within which engines change.
+    /// The limits on changes.
     pub limits: PlannerLimits,
     /// The costs of a change.
     pub costs: ChangeCosts,
-    /// How changes are planned.
+    /// How changes are chosen.
     pub policy: PlanningPolicy,
     /// The number of requests that keep an engine busy.
     pub full_load_requests: FullLoadRequests,
@@ -96,14 +98,15 @@
     pub mode: ControllerMode,
 }
 
-/// Watches engines and orders changes of role. Takes [`Freeze`] and `Vec<WatchedEngine>` as [`Input::OwnerMessage`].
+/// Watches engines and orders changes of role. Takes [`Freeze`] and `Vec<WatchedEngine>` as
+/// [`Input::OwnerMessage`].
 pub struct RoleController {
     engines: Vec<WatchedEngine>,
     observations: Vec<EngineObservation>,
     planner: Planner,
     config: ControllerConfig,
-    source: DemandSource,
-    frozen_by: FrozenBy,
+    demand_source: DemandSource,
+    freeze_state: FreezeState,
     requests: Requests,
     schedule: Schedule,
     last_plan: RolePlan,
@@ -121,12 +124,12 @@
             observations,
             planner: Planner::new(config.limits, config.costs, config.policy),
             config,
-            source: DemandSource {
+            demand_source: DemandSource {
                 routers: Vec::new(),
                 throughput: EngineThroughput { prefill: 1.0, decode: 1.0 },
                 demand: Demand::default(),
             },
-            frozen_by: FrozenBy::default(),
+            freeze_state: FreezeState::default(),
             requests: Requests::default(),
             schedule: Schedule { next_poll: now, next_plan: None },
             last_plan: RolePlan::default(),
@@ -136,11 +139,11 @@
         }
     }
 
-    /// Reads the demand from what these routers publish, given an engine's throughput.
+    /// Takes the demand from the metrics of these routers; `throughput` is that of an engine.
     #[must_use]
     pub fn with_routers(mut self, routers: Vec<SocketAddr>, throughput: EngineThroughput) -> Self {
-        self.source.routers = routers;
-        self.source.throughput = throughput;
+        self.demand_source.routers = routers;
+        self.demand_source.throughput = throughput;
         self
     }
 
@@ -165,19 +168,19 @@
             self.observations[engine].begin_round();
             self.requests.poll_engine(engine, watched.addr, out);
         }
-        for (router, address) in self.source.routers.iter().enumerate() {
+        for (router, address) in self.demand_source.routers.iter().enumerate() {
             self.requests.poll_router(router, *address, out);
         }
         self.schedule.next_poll = now + POLL_INTERVAL;
-        self.schedule.next_plan = Some(now + POLL_INTERVAL.mul_f64(ANSWER_SHARE));
+        self.schedule.next_plan = Some(now + POLL_INTERVAL.mul_f64(ANSWER_DEADLINE_SHARE));
     }
 
     fn take_answer(&mut self, answer: Answer) {
         match answer {
             Answer::Router { router, metrics } => {
-                self.source.demand.add_metrics(router, &metrics);
-                if let Some(frozen) = frozen_by_policy(&metrics) {
-                    self.frozen_by.policies.insert(router, frozen);
+                self.demand_source.demand.add_metrics(router, &metrics);
+                if let Some(frozen) = policy_freezes_roles(&metrics) {
+                    self.freeze_state.policies.insert(router, frozen);
                 }
             }
             Answer::Load { engine, load } => self.observations[engine].load = Some(load),
@@ -190,14 +193,16 @@
     fn plan(&mut self, now: Duration, out: &mut Vec<Output>) {
         let mut view = self.view(now);
         self.last_view.clone_from(&view.engines);
-        match self.source.demand.take_load(now, self.source.throughput) {
+        match self.demand_source.demand.take_load(now, self.demand_source.throughput) {
             Some(load) => view.load = load,
-            // The demand of routers that do not answer is unknown: better no change than one by half a view.
-            None if !self.source.routers.is_empty() => return,
+            // The demand at routers that do not answer is unknown: no change is better than one that is based
+            // on an incomplete view.
+            None if !self.demand_source.routers.is_empty() => return,
             None => {}
         }
-        // One router whose policy freezes roles is enough: a change can't be taken back.
-        let is_frozen = self.frozen_by.operator || self.frozen_by.policies.values().any(|frozen| *frozen);
+        // One router whose policy freezes roles is enough, as a change can't be taken back.
+        let is_frozen =
+            self.freeze_state.operator || self.freeze_state.policies.values().any(|frozen| *frozen);
         self.planner.freeze(is_frozen);
         let plan = self.planner.plan(&view);
         for change in &plan.changes {
@@ -206,7 +211,7 @@
         self.last_plan = plan;
     }
 
-    /// Logs a change and, unless this is a dry run, orders it.
+    /// Logs a change and, except in a dry run, orders it.
     fn order(&mut self, change: &RoleChange, out: &mut Vec<Output>) {
         if self.config.mode == ControllerMode::DryRun {
             return out.push(Output::Log(format!("would order {change}")));
@@ -229,7 +234,7 @@
         match input {
             Input::Connected(conn) => self.requests.send(conn, out),
             Input::Data(conn, bytes) => {
-                // Without engines there is nothing to plan: answers of routers are dropped.
+                // Without engines there is nothing to plan, so answers of routers are dropped.
                 let takes_answers = !self.engines.is_empty();
                 for answer in self.requests.receive(conn, bytes, takes_answers, out) {
                     self.take_answer(answer);
@@ -257,7 +262,7 @@
 
     fn handle_owner_message(&mut self, message: &dyn std::any::Any) {
         if let Some(Freeze(frozen)) = message.downcast_ref() {
-            self.frozen_by.operator = *frozen;
+            self.freeze_state.operator = *frozen;
             self.planner.freeze(*frozen);
         } else if let Some(engines) = message.downcast_ref::<Vec<WatchedEngine>>() {
             self.watch(engines);
@@ -265,8 +270,8 @@
     }
 }
 
-/// Whether a router publishes that its policy freezes the roles; `None`: it publishes nothing about that.
-fn frozen_by_policy(metrics: &str) -> Option<bool> {
+/// Whether a router's metrics show that its policy freezes the roles; `None` if they lack that metric.
+fn policy_freezes_roles(metrics: &str) -> Option<bool> {
     let value = metrics.lines().find_map(|line| line.strip_prefix("slipreel_policy_roles_frozen "))?;
     Some(value.trim() != "0")
 }
--- a/crates/roles/src/controller/observation.rs
+++ b/crates/roles/src/controller/observation.rs
@@ -1,4 +1,4 @@
-//! The observations of each engine, and the view that the planner takes.
+//! What the controller has observed of each engine, and the planner's view that it builds from that.
 
 use super::RoleController;
 use crate::stage_load::StageLoad;
@@ -8,14 +8,17 @@
 use slipreel_protocol::engine::Load;
 use std::time::Duration;
 
-/// Prompt tokens that an engine is assumed to have in its cache when its memory is full. No report tells them.
+/// The prompt tokens that an engine is assumed to have in its cache when its memory is full. Engines do not
+/// report them.
 pub const CACHED_TOKENS_AT_FULL_MEMORY: f64 = 50_000.0;
-/// The most load that an engine is assumed to have, in engines kept busy. Its queue tells that it has too much, not how much.
+/// The maximum load that an engine is assumed to have, in fully busy engines. The length of its queue shows
+/// that it is overloaded, but not by how much.
 const MAX_BUSY: f64 = 1.25;
-/// An engine that had its role when it was first seen is taken to have had it for this many times its slow start.
-const SLOW_STARTS_BEFORE_FIRST_SEEN: u32 = 4;
+/// An engine is assumed to have had the role in which it was first seen for this many times the slow start.
+const ASSUMED_ROLE_AGE_IN_SLOW_STARTS: u32 = 4;
 
-/// The number of requests that keep an engine fully busy, by its role. Operators know it; no report tells it.
+/// The number of requests that keep an engine fully busy, by its role. Operators configure it, as engines do
+/// not report it.
 #[derive(Clone, Copy, Debug)]
 pub struct FullLoadRequests {
     /// In prefill.
@@ -29,7 +32,7 @@
 pub(super) struct ReportedRole {
     role: Role,
     epoch: u64,
-    /// Whether it takes new work; else it changes to the other role.
+    /// Whether it takes new work; otherwise it is changing to the other role.
     serving: bool,
 }
 
@@ -49,14 +52,14 @@
     }
 }
 
-/// An epoch of an engine's role, and since when it is known to have it.
+/// An epoch of an engine's role, and the time since which the engine is assumed to have it.
 #[derive(Clone, Copy)]
 struct ObservedEpoch {
     epoch: u64,
     since: Duration,
 }
 
-/// What is known of one engine.
+/// The state of one engine, as observed.
 #[derive(Default)]
 pub(super) struct EngineObservation {
     /// Its load, once it has answered in this round.
@@ -74,14 +77,14 @@
         self.role = None;
     }
 
-    /// When the engine took its present role. An epoch that it had when it was first seen may be old; one that came later is as
-    /// old as its first observation.
+    /// Records the epoch of the engine's role, and returns when the engine is assumed to have taken it. The
+    /// epoch in which an engine is first seen may be old; a later one dates from its first observation.
     fn observe_epoch(&mut self, now: Duration, epoch: u64, slow_start: Duration) -> Duration {
         let first_seen = *self.first_seen.get_or_insert(now);
         let since = match self.epoch {
             Some(known) if known.epoch == epoch => known.since,
             Some(_) => now,
-            None => first_seen.saturating_sub(slow_start * SLOW_STARTS_BEFORE_FIRST_SEEN),
+            None => first_seen.saturating_sub(slow_start * ASSUMED_ROLE_AGE_IN_SLOW_STARTS),
         };
         self.epoch = Some(ObservedEpoch { epoch, since });
         since
@@ -89,7 +92,7 @@
 }
 
 impl RoleController {
-    /// The engines that have answered, and the load that they have in progress.
+    /// The view of the engines that have answered, with the load that they have in progress.
     pub(super) fn view(&mut self, now: Duration) -> PlannerView {
         let mut engines = Vec::new();
         let mut load_in_progress = StageLoad::default();
--- a/crates/roles/src/controller/requests.rs
+++ b/crates/roles/src/controller/requests.rs
@@ -1,4 +1,4 @@
-//! The HTTP requests of the controller: polls of engines and routers, and orders.
+//! The HTTP requests of the controller: polls of engines and routers, and orders to engines.
 
 use super::observation::ReportedRole;
 use crate::plan::RoleChange;
@@ -13,7 +13,7 @@
 /// The HTTP status of an order that was accepted.
 const ACCEPTED: u16 = 202;
 
-/// What a request on a connection asks for; engines and routers by their positions.
+/// A request on a connection; engines and routers are given by their positions.
 enum Request {
     RouterMetrics { router: usize },
     EngineLoad { engine: usize },
@@ -21,7 +21,7 @@
     Order,
 }
 
-/// What an engine or router has answered.
+/// The answer of an engine or router.
 pub(super) enum Answer {
     Router { router: usize, metrics: String },
     Load { engine: usize, load: Load },
@@ -34,9 +34,9 @@
     decoder: Decoder,
     status: u16,
     body: Vec<u8>,
-    /// In the order in which they are answered.
+    /// The requests that are not answered yet, in the order of their answers.
     in_progress: VecDeque<Request>,
-    /// Sent once the connection is there.
+    /// Bytes to send once the connection is established.
     unsent: Vec<u8>,
 }
 
@@ -48,7 +48,7 @@
 }
 
 impl Requests {
-    /// Asks an engine for its load and its role.
+    /// Requests the load and the role of an engine.
     pub(super) fn poll_engine(&mut self, engine: usize, address: SocketAddr, out: &mut Vec<Output>) {
         let mut bytes = get("/metrics", address);
         bytes.extend(get("/role", address));
@@ -56,13 +56,13 @@
         self.connect(address, requests.into(), bytes, out);
     }
 
-    /// Asks a router for its metrics.
+    /// Requests the metrics of a router.
     pub(super) fn poll_router(&mut self, router: usize, address: SocketAddr, out: &mut Vec<Output>) {
         let requests = [Request::RouterMetrics { router }];
         self.connect(address, requests.into(), get("/metrics", address), out);
     }
 
-    /// Orders a change of role.
+    /// Orders an engine to change its role.
     pub(super) fn order(&mut self, address: SocketAddr, change: &RoleChange, out: &mut Vec<Output>) {
         let to = if change.to == Role::Prefill { "read" } else { "write" };
         let body = json!({"to": to, "replaces": change.replaces}).to_string();
@@ -85,15 +85,15 @@
         out.push(Output::Connect(conn, address));
     }
 
-    /// Sends the requests of a connection that is established.
+    /// Sends the requests of a connection that is now established.
     pub(super) fn send(&mut self, conn: ConnId, out: &mut Vec<Output>) {
         if let Some(connection) = self.connections.get_mut(&conn) {
             out.push(Output::Write(conn, std::mem::take(&mut connection.unsent)));
         }
     }
 
-    /// Takes received bytes; the answers that are complete with them, unless `takes_answers` is false: then they are dropped. Closes
-    /// a connection whose requests are all answered.
+    /// Processes received bytes and returns the answers that they complete. If `takes_answers` is false,
+    /// answers are dropped. Closes a connection once all its requests are answered.
     pub(super) fn receive(
         &mut self, conn: ConnId, bytes: &[u8], takes_answers: bool, out: &mut Vec<Output>,
     ) -> Vec<Answer> {
@@ -107,7 +107,7 @@
                         connection.status = status;
                     }
                 }
-                Item::Body(piece) => connection.body.extend(piece),
+                Item::Body(chunk) => connection.body.extend(chunk),
                 Item::End => {
                     let body = std::mem::take(&mut connection.body);
                     if !takes_answers {
@@ -126,19 +126,19 @@
         answers
     }
 
-    /// Removes a connection that is over.
+    /// Removes a connection that has ended.
     pub(super) fn remove(&mut self, conn: ConnId) {
         self.connections.remove(&conn);
     }
 
-    /// Ends all connections.
+    /// Aborts all connections.
     pub(super) fn abort_all(&mut self, out: &mut Vec<Output>) {
         for (conn, _) in std::mem::take(&mut self.connections) {
             out.push(Output::Abort(conn));
         }
     }
 
-    /// Ignores all answers from now on.
+    /// Drops all requests in progress; their answers are ignored.
     pub(super) fn forget_all(&mut self) {
         self.connections.clear();
     }
--- a/crates/roles/src/demand.rs
+++ b/crates/roles/src/demand.rs
@@ -1,13 +1,14 @@
-//! The load that clients ask for, from what routers publish: requests by class, rejected ones too, and the tokens of a request.
+//! The load that clients request, computed from the metrics of routers: requests by class, including rejected
+//! ones, and tokens per request.
 //!
-//! Engines report only the requests that they have. Requests that routers reject never reach them, and routers reject most when
-//! engines are short: demand has to be read where it arrives.
+//! Engines report only the requests that they have. Requests that routers reject never reach an engine, and
+//! routers reject most when engines are short. Demand is therefore measured at the routers.
 
 use crate::stage_load::StageLoad;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The tokens that a fully busy engine processes in a second, by its role. Operators know them.
+/// The tokens that a fully busy engine processes per second, by its role. Operators configure them.
 #[derive(Clone, Copy, Debug)]
 pub struct EngineThroughput {
     /// Prompt tokens, in prefill.
@@ -16,25 +17,27 @@
     pub decode: f64,
 }
 
-/// The time after which the tokens of a request weigh half in the mean: a few times what a change takes, as the lengths of a class's
-/// requests shift too.
+/// The half-life of a request's weight in the mean token counts of its class. It is a few times the duration
+/// of a role change, as the request lengths of a class shift too.
 const HALF_LIFE: Duration = Duration::from_secs(10);
 
-/// Counters of one class at one router.
+/// The counters of one class at one router.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 struct ClassCounters {
-    /// Requests, rejected ones too.
+    /// Requests, including rejected ones.
     requests: f64,
-    /// Requests whose prompt was processed, and the tokens of those prompts.
+    /// Requests whose prompt was processed.
     prefilled_requests: f64,
+    /// Prompt tokens of `prefilled_requests`.
     prompt_tokens: f64,
-    /// Requests that were answered, and the tokens of those answers.
+    /// Requests that were answered.
     answered_requests: f64,
+    /// Answer tokens of `answered_requests`.
     answer_tokens: f64,
 }
 
 impl ClassCounters {
-    /// The counter that routers publish by this name.
+    /// The counter that routers publish under this name; `None` if the name is unknown.
     fn by_metric_name(&mut self, name: &str) -> Option<&mut f64> {
         match name {
             "asked" => Some(&mut self.requests),
@@ -46,8 +49,9 @@
         }
     }
 
-    /// The difference to `before`; all of it where the counters have started again from 0.
-    fn since(self, before: ClassCounters) -> ClassCounters {
+    /// The increase since `before`. If the counters were reset, which shows in fewer requests, it is their
+    /// full value.
+    fn increase_since(self, before: ClassCounters) -> ClassCounters {
         if self.requests < before.requests {
             return self;
         }
@@ -62,8 +66,8 @@
     }
 }
 
-/// Parses the counters by class from a router's metrics.
-fn parse(text: &str) -> BTreeMap<String, ClassCounters> {
+/// Parses the counters of each class from a router's metrics.
+fn parse_metrics(text: &str) -> BTreeMap<String, ClassCounters> {
     let mut classes: BTreeMap<String, ClassCounters> = BTreeMap::new();
     for line in text.lines() {
         let Some(rest) = line.strip_prefix("slipreel_class_") else { continue };
@@ -80,15 +84,15 @@
     classes
 }
 
-/// Sums the counters that routers publish into the load that is asked for.
+/// Computes the load that clients request from the counters of all routers.
 #[derive(Clone, Debug, Default)]
 pub struct Demand {
     /// The last counters of each router and class.
-    last: BTreeMap<(usize, String), ClassCounters>,
+    last_counters: BTreeMap<(usize, String), ClassCounters>,
     /// Requests of each class in the present round.
-    round: BTreeMap<String, f64>,
-    /// Recent counters of each class, decaying by [`HALF_LIFE`].
-    recent: BTreeMap<String, ClassCounters>,
+    round_requests: BTreeMap<String, f64>,
+    /// Recent counters of each class, decaying with [`HALF_LIFE`].
+    recent_counters: BTreeMap<String, ClassCounters>,
     /// Routers whose metrics were added in the present round.
     router_count: usize,
     /// When the present round began.
@@ -96,15 +100,15 @@
 }
 
 impl Demand {
-    /// Adds the metrics of a router.
+    /// Adds the metrics of a router to the present round.
     pub fn add_metrics(&mut self, router: usize, text: &str) {
-        for (class, now) in parse(text) {
-            let before = self.last.insert((router, class.clone()), now);
-            // What a router had counted before its first metrics says nothing of this round.
-            let new = now.since(before.unwrap_or(now));
-            *self.round.entry(class.clone()).or_default() += new.requests;
-            let recent = self.recent.entry(class).or_default();
-            let added = if before.is_some() { new } else { now };
+        for (class, counters) in parse_metrics(text) {
+            let before = self.last_counters.insert((router, class.clone()), counters);
+            // Requests that a router counted before its first metrics do not belong to this round.
+            let increase = counters.increase_since(before.unwrap_or(counters));
+            *self.round_requests.entry(class.clone()).or_default() += increase.requests;
+            let recent = self.recent_counters.entry(class).or_default();
+            let added = if before.is_some() { increase } else { counters };
             recent.prefilled_requests += added.prefilled_requests;
             recent.prompt_tokens += added.prompt_tokens;
             recent.answered_requests += added.answered_requests;
@@ -113,9 +117,10 @@
         self.router_count += 1;
     }
 
-    /// The load asked for since the last call, in engines kept busy; `None` if no router has answered, or at the first call.
+    /// Ends the round and returns the load requested in it, in fully busy engines; `None` at the first call
+    /// or if no metrics were added since the last.
     pub fn take_load(&mut self, now: Duration, throughput: EngineThroughput) -> Option<StageLoad> {
-        let round = std::mem::take(&mut self.round);
+        let round_requests = std::mem::take(&mut self.round_requests);
         let router_count = std::mem::take(&mut self.router_count);
         let since = self.round_began.replace(now)?;
         let seconds = now.saturating_sub(since).as_secs_f64();
@@ -123,8 +128,8 @@
             return None;
         }
         let mut load = StageLoad::default();
-        for (class, requests) in round {
-            let recent = self.recent.get(&class).copied().unwrap_or_default();
+        for (class, requests) in round_requests {
+            let recent = self.recent_counters.get(&class).copied().unwrap_or_default();
             let rate = requests / seconds;
             let mean = |tokens: f64, requests: f64| if requests > 0.0 { tokens / requests } else { 0.0 };
             load.prefill +=
@@ -132,9 +137,10 @@
             load.decode +=
                 rate * mean(recent.answer_tokens, recent.answered_requests) / throughput.decode.max(1.0);
         }
-        // Both parts of a mean decay alike: a class without requests keeps its mean until it has requests again.
+        // Both parts of a mean decay alike, so a class without requests keeps its mean until it has requests
+        // again.
         let decay = 0.5f64.powf(seconds / HALF_LIFE.as_secs_f64());
-        for recent in self.recent.values_mut() {
+        for recent in self.recent_counters.values_mut() {
             for counter in [
                 &mut recent.prefilled_requests,
                 &mut recent.prompt_tokens,
--- a/crates/roles/src/demand/tests.rs
+++ b/crates/roles/src/demand/tests.rs
@@ -1,13 +1,14 @@
 use super::*;
 
-fn text(asked: u64, reads: u64) -> String {
+/// The metrics of a router with `requests` requests, of which `prefilled` were prefilled and answered.
+fn metrics(requests: u64, prefilled: u64) -> String {
     let line = |name: &str, value: u64| format!("slipreel_class_{name}_total{{class=\"chat\"}} {value}\n");
     [
-        line("asked", asked),
-        line("reads", reads),
-        line("read_tokens", reads * 1000),
-        line("answers", reads),
-        line("answer_tokens", reads * 50),
+        line("asked", requests),
+        line("reads", prefilled),
+        line("read_tokens", prefilled * 1000),
+        line("answers", prefilled),
+        line("answer_tokens", prefilled * 50),
     ]
     .concat()
 }
@@ -26,13 +27,13 @@
 fn rejected_requests_count_and_restarted_counters_are_not_negative() {
     let s = Duration::from_secs;
     let mut demand = Demand::default();
-    demand.add_metrics(0, &text(1000, 10));
+    demand.add_metrics(0, &metrics(1000, 10));
     assert_eq!(demand.take_load(s(1), THROUGHPUT), None, "nothing to compare with");
-    demand.add_metrics(0, &text(1040, 20));
-    // 40 requests in 2 s of 1,000 prompt and 50 answer tokens each, though ten were read.
+    demand.add_metrics(0, &metrics(1040, 20));
+    // 40 requests in 2 s with 1,000 prompt and 50 answer tokens each, although only ten were prefilled.
     assert_near(demand.take_load(s(3), THROUGHPUT), 2.0, 2.0);
     // The router has restarted.
-    demand.add_metrics(0, &text(20, 5));
+    demand.add_metrics(0, &metrics(20, 5));
     assert_near(demand.take_load(s(5), THROUGHPUT), 1.0, 1.0);
     assert_eq!(demand.take_load(s(6), THROUGHPUT), None, "no router has answered");
     demand.add_metrics(
@@ -42,20 +43,21 @@
     assert_eq!(demand.take_load(s(7), THROUGHPUT), Some(StageLoad::default()));
 }
 
-/// A class whose requests become ten times as long: its mean follows within seconds, whatever came in the hours before.
+/// When the requests of a class become ten times as long, the mean follows within seconds, however many
+/// shorter requests came before.
 #[test]
 fn mean_tokens_follow_recent_requests_within_seconds() {
     let s = Duration::from_secs;
     let mut demand = Demand::default();
-    let metrics = |reads: u64, tokens: u64| {
+    let metrics = |requests: u64, tokens: u64| {
         let line = |name: &str, n: u64| format!("slipreel_class_{name}_total{{class=\"chat\"}} {n}\n");
-        [line("asked", reads), line("reads", reads), line("read_tokens", tokens)].concat()
+        [line("asked", requests), line("reads", requests), line("read_tokens", tokens)].concat()
     };
-    let (mut reads, mut tokens, mut mean) = (0, 0, 0.0);
+    let (mut requests, mut tokens, mut mean) = (0, 0, 0.0);
     for t in 0..4_000 {
-        reads += 10;
+        requests += 10;
         tokens += if t < 3_970 { 10 * 100 } else { 10 * 1_000 };
-        demand.add_metrics(0, &metrics(reads, tokens));
+        demand.add_metrics(0, &metrics(requests, tokens));
         mean =
             demand.take_load(s(t), THROUGHPUT).map_or(0.0, |load| load.prefill * THROUGHPUT.prefill / 10.0);
     }
--- a/crates/roles/src/lib.rs
+++ b/crates/roles/src/lib.rs
@@ -1,12 +1,13 @@
-//! Which engines should prefill and which should decode, as the ratio of the two loads shifts.
+//! Assigns engines to prefill and decode as the ratio of the two loads shifts.
 //!
-//! - [`Planner`]: decides from views which engines to change, in which order, and explains each change: its cause, cost and gain.
-//!   A change is planned only if its gain outweighs its cost.
-//! - [`RoleRecord`]: an engine's record of its own role. An order names the epoch that it replaces, so that two controllers, or one that
-//!   was suspended, can't undo each other's changes.
+//! - [`Planner`]: decides from views which engines to change, in which order, and explains each change: its
+//!   cause, cost and gain. A change is planned only if its gain outweighs its cost.
+//! - [`RoleRecord`]: an engine's record of its own role. An order names the epoch that it replaces, so that
+//!   two controllers, or one that was suspended, can't undo each other's changes.
 //! - [`RoleController`]: a state machine that polls engines and routers, plans, and orders the changes.
 //!
-//! No I/O and no clock; the same views give the same plans. `docs/design-roles.md` compares the options.
+//! This crate does no I/O and reads no clock; the same views give the same plans. `docs/design-roles.md`
+//! compares the options.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/crates/roles/src/load_history.rs
+++ b/crates/roles/src/load_history.rs
@@ -1,4 +1,4 @@
-//! The load over time: its means and trend, and how long an imbalance between the stages is likely to last.
+//! The load over time: its means, its trend, and the expected duration of an imbalance between the stages.
 
 mod swings;
 
@@ -7,33 +7,37 @@
 use std::time::Duration;
 use swings::Swings;
 
-/// Weight of a second's sample in the mean; no unit. About the last five seconds.
+/// The weight in the mean of a sample that covers one second; no unit. The mean covers about the last five
+/// seconds.
 const WEIGHT_PER_S: f64 = 0.2;
-/// Weight of a second's sample in the long-term mean; no unit. About the last two minutes.
+/// The weight in the long-term mean of a sample that covers one second; no unit. That mean covers about the
+/// last two minutes.
 const LONG_TERM_WEIGHT_PER_S: f64 = 0.01;
-/// Shorter imbalances are not remembered: nobody would act on them, and they say nothing of how long an imbalance lasts.
+/// Shorter imbalances are not recorded: the planner does not act on them, and they do not show how long an
+/// imbalance lasts.
 const MIN_IMBALANCE_DURATION: Duration = Duration::from_secs(3);
-/// The number of past imbalances from which on their mean duration is relied on: two swings.
+/// The minimum number of past imbalances for their mean duration to be used: two swings.
 const MIN_PAST_IMBALANCES: usize = 4;
-/// The most past imbalances that are remembered. Enough for the mean of a daily rhythm, few enough to forget yesterday's.
+/// The maximum number of past imbalances that are kept: enough for the mean of a daily pattern, few enough to
+/// forget that of the day before.
 const MAX_PAST_IMBALANCES: usize = 8;
 
-/// What was seen of the load.
+/// The history of the load.
 #[derive(Clone, Debug, Default)]
 pub struct LoadHistory {
     mean: Option<StageLoad>,
     long_term: StageLoad,
     /// When the long-term mean began.
     long_term_since: Duration,
-    /// Change of the mean per second.
+    /// The change of the mean per second.
     trend: StageLoad,
     last_sample: Duration,
     imbalance: Imbalance,
-    /// The swings of the load itself, whatever engines there are for it.
+    /// The swings of the load itself, regardless of the engines.
     swings: Swings,
 }
 
-/// The present imbalance between the stages, and those before.
+/// The present imbalance between the stages, and the durations of past ones.
 #[derive(Clone, Debug, Default)]
 struct Imbalance {
     /// The stage that is short of engines, if one is.
@@ -56,18 +60,18 @@
             return;
         };
         let weight = sample_weight(WEIGHT_PER_S, seconds);
-        // A plain mean until there is enough of it, so that the first sample does not dominate it for minutes.
+        // A plain mean at first, so that the first sample does not dominate the long-term mean for minutes.
         let total_seconds = now.saturating_sub(self.long_term_since).as_secs_f64().max(f64::EPSILON);
         let long_term_weight = sample_weight(LONG_TERM_WEIGHT_PER_S, seconds).max(seconds / total_seconds);
-        self.long_term = self.long_term.towards(load, long_term_weight);
-        let mean = previous.towards(load, weight);
+        self.long_term = self.long_term.interpolate(load, long_term_weight);
+        let mean = previous.interpolate(load, weight);
         if seconds > 0.0 {
             // Holt's linear trend, with the same weight.
             let slope = StageLoad {
                 prefill: (mean.prefill - previous.prefill) / seconds,
                 decode: (mean.decode - previous.decode) / seconds,
             };
-            self.trend = self.trend.towards(slope, weight);
+            self.trend = self.trend.interpolate(slope, weight);
         }
         self.mean = Some(mean);
     }
@@ -82,20 +86,21 @@
         self.mean.unwrap_or_default()
     }
 
-    /// The mean over many swings; it is expected to hold for about as long as it was taken over. `None` until imbalances have
-    /// recurred.
+    /// The mean over many swings, expected to last for about the time that the mean covers. `None` until
+    /// imbalances have recurred.
     pub fn long_term(&self) -> Option<ExpectedLoad> {
         let duration = Duration::from_secs_f64(1.0 / LONG_TERM_WEIGHT_PER_S);
         self.is_recurring().then_some(ExpectedLoad { load: self.long_term, duration })
     }
 
-    /// What is to come where the load swings in a rhythm: the load of the present swing for the time that it has left, then the
-    /// next one's for as long as that lasts. `None` without a rhythm, or once the present swing is well over its time.
-    pub fn rhythm(&self, now: Duration) -> Option<[ExpectedLoad; 2]> {
-        self.swings.rhythm(now)
+    /// The forecast for a load that swings periodically: the load of the present swing for its remaining
+    /// time, then that of the next swing for its whole duration. `None` if the swings are not periodic, or if
+    /// the present one has lasted much longer than usual.
+    pub fn periodic_forecast(&self, now: Duration) -> Option<[ExpectedLoad; 2]> {
+        self.swings.periodic_forecast(now)
     }
 
-    /// The mean as it would be after `horizon` if its trend went on.
+    /// The mean after `horizon` if its trend continues.
     pub fn forecast(&self, horizon: Duration) -> StageLoad {
         let mean = self.mean();
         let seconds = horizon.as_secs_f64();
@@ -105,7 +110,7 @@
         }
     }
 
-    /// Records which stage is short of engines; `None`: neither is.
+    /// Records which stage is short of engines; `None` if neither is.
     pub fn record_short_stage(&mut self, now: Duration, short_stage: Option<Role>) {
         let imbalance = &mut self.imbalance;
         if short_stage == imbalance.short_stage {
@@ -122,8 +127,9 @@
         imbalance.since = now;
     }
 
-    /// How much longer the present imbalance is likely to last. Until imbalances have recurred, as long again as it has lasted;
-    /// then what is left of the mean of past ones, and once it has outlasted that, as long again as it has outlasted it.
+    /// The expected remaining duration of the present imbalance. Until imbalances have recurred, it is the
+    /// imbalance's age. After that, it is the rest of the mean past duration or, once the imbalance has
+    /// lasted longer than that mean, the time by which it exceeds it.
     pub fn expected_remaining(&self, now: Duration) -> Duration {
         let age = self.imbalance_age(now);
         if self.imbalance.short_stage.is_none() || !self.is_recurring() {
@@ -142,7 +148,7 @@
         }
     }
 
-    /// Whether imbalances have come and gone, so that a change will have to be undone.
+    /// Whether imbalances recur, so that a change will have to be undone.
     pub fn is_recurring(&self) -> bool {
         self.imbalance.past_durations.len() >= MIN_PAST_IMBALANCES
     }
--- a/crates/roles/src/load_history/swings.rs
+++ b/crates/roles/src/load_history/swings.rs
@@ -1,46 +1,48 @@
-//! Swings of the load between two sides, of more prefill and of more decode than usual, and whether they keep a rhythm.
+//! Detects swings of the load between more prefill and more decode than usual, and whether they are periodic.
 
 use super::WEIGHT_PER_S;
 use crate::stage_load::{sample_weight, ExpectedLoad, StageLoad};
 use std::time::Duration;
 
-/// How far the ratio of prefill to decode has to be from its usual one to lean to a side, as a logarithm: a fifth.
-const MIN_LEAN: f64 = 0.2;
-/// Weight of a second's sample in the mean that leaning is judged by; no unit. About the last second and a half.
+/// The minimum distance of the ratio of prefill to decode from its usual value to count as skewed, as a
+/// natural logarithm: about a fifth.
+const MIN_SKEW: f64 = 0.2;
+/// The weight of a sample that covers one second in the mean that determines the skew; no unit. That mean
+/// covers about the last second and a half.
 const SHORT_TERM_WEIGHT_PER_S: f64 = 0.5;
-/// The number of swings to a side from which on there may be a rhythm.
+/// The minimum number of swings to each side for them to count as periodic.
 const MIN_SWINGS: usize = 2;
-/// The most swings to a side that are remembered.
+/// The maximum number of swings to each side that are kept.
 const MAX_SWINGS: usize = 4;
-/// How far swings of a rhythm may be from their mean duration, as a share of it.
-const RHYTHM_TOLERANCE: f64 = 0.2;
+/// How far the durations of periodic swings may be from their mean, as a share of it.
+const DURATION_TOLERANCE: f64 = 0.2;
 
-/// The stage of which there is more load than usual.
+/// The stage that has more load than usual, relative to the other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Lean {
+enum Skew {
     Prefill,
     Decode,
 }
 
-impl Lean {
-    fn opposite(self) -> Lean {
+impl Skew {
+    fn opposite(self) -> Skew {
         match self {
-            Lean::Prefill => Lean::Decode,
-            Lean::Decode => Lean::Prefill,
+            Skew::Prefill => Skew::Decode,
+            Skew::Decode => Skew::Prefill,
         }
     }
 }
 
-/// The swings to one side.
+/// The recorded swings to one side.
 #[derive(Clone, Debug, Default)]
-struct Side {
-    /// The durations of the last swings to this side.
+struct SideHistory {
+    /// The durations of the last complete swings to this side.
     durations: Vec<Duration>,
-    /// Their mean load.
+    /// The mean load of these swings.
     load: StageLoad,
 }
 
-impl Side {
+impl SideHistory {
     fn add_duration(&mut self, duration: Duration) {
         self.durations.push(duration);
         if self.durations.len() > MAX_SWINGS {
@@ -48,13 +50,13 @@
         }
     }
 
-    /// The duration of a swing to this side, if those that ended are alike.
-    fn rhythm(&self) -> Option<Duration> {
+    /// The mean duration of the swings to this side, if their durations are alike.
+    fn regular_duration(&self) -> Option<Duration> {
         if self.durations.len() < MIN_SWINGS {
             return None;
         }
         let mean = self.durations.iter().sum::<Duration>() / self.durations.len() as u32;
-        let tolerance = mean.mul_f64(RHYTHM_TOLERANCE);
+        let tolerance = mean.mul_f64(DURATION_TOLERANCE);
         self.durations.iter().all(|duration| duration.abs_diff(mean) <= tolerance).then_some(mean)
     }
 }
@@ -63,50 +65,51 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct Swings {
     short_term: Option<StageLoad>,
-    lean: Option<Lean>,
+    skew: Option<Skew>,
     /// When the present swing began.
     since: Duration,
-    prefill: Side,
-    decode: Side,
+    prefill: SideHistory,
+    decode: SideHistory,
 }
 
 impl Swings {
-    /// Adds a sample that stands for `seconds`; `usual` is the load that leaning is judged against.
+    /// Adds a sample that covers `seconds`; the skew is relative to the load `usual`.
     pub(super) fn add_sample(&mut self, now: Duration, seconds: f64, load: StageLoad, usual: StageLoad) {
         let previous = self.short_term.unwrap_or(load);
-        let short_term = previous.towards(load, sample_weight(SHORT_TERM_WEIGHT_PER_S, seconds));
+        let short_term = previous.interpolate(load, sample_weight(SHORT_TERM_WEIGHT_PER_S, seconds));
         self.short_term = Some(short_term);
         let distance = short_term.log_ratio() - usual.log_ratio();
-        let lean = match () {
-            () if distance.abs() < MIN_LEAN => self.lean,
-            () if distance < 0.0 => Some(Lean::Decode),
-            () => Some(Lean::Prefill),
+        let skew = match () {
+            () if distance.abs() < MIN_SKEW => self.skew,
+            () if distance < 0.0 => Some(Skew::Decode),
+            () => Some(Skew::Prefill),
         };
-        if lean != self.lean {
-            if let Some(ended) = self.lean {
+        if skew != self.skew {
+            if let Some(ended) = self.skew {
                 let duration = now.saturating_sub(self.since);
                 self.side_mut(ended).add_duration(duration);
             }
-            self.lean = lean;
+            self.skew = skew;
             self.since = now;
         }
-        if let Some(lean) = lean {
-            // A side's load is that of the latter part of its swings: in the beginning it is still on its way from the other.
-            let side = self.side_mut(lean);
+        if let Some(skew) = skew {
+            // A side's load is that of the latter part of its swings: at first the load is still moving from
+            // the other side.
+            let side = self.side_mut(skew);
             let previous = if side.load == StageLoad::default() { short_term } else { side.load };
-            side.load = previous.towards(short_term, sample_weight(WEIGHT_PER_S, seconds));
+            side.load = previous.interpolate(short_term, sample_weight(WEIGHT_PER_S, seconds));
         }
     }
 
-    /// See [`super::LoadHistory::rhythm`].
-    pub(super) fn rhythm(&self, now: Duration) -> Option<[ExpectedLoad; 2]> {
-        let lean = self.lean?;
-        let present = self.side(lean);
-        let next = self.side(lean.opposite());
-        let present_duration = present.rhythm()?;
-        let next_duration = next.rhythm()?;
+    /// See [`super::LoadHistory::periodic_forecast`].
+    pub(super) fn periodic_forecast(&self, now: Duration) -> Option<[ExpectedLoad; 2]> {
+        let skew = self.skew?;
+        let present = self.side(skew);
+        let next = self.side(skew.opposite());
+        let present_duration = present.regular_duration()?;
+        let next_duration = next.regular_duration()?;
         let age = now.saturating_sub(self.since);
-        if age > present_duration + present_duration.mul_f64(RHYTHM_TOLERANCE) {
+        if age > present_duration + present_duration.mul_f64(DURATION_TOLERANCE) {
             return None;
         }
         let remaining = present_duration.saturating_sub(age);
@@ -116,17 +119,17 @@
         ])
     }
 
-    fn side(&self, lean: Lean) -> &Side {
-        match lean {
-            Lean::Prefill => &self.prefill,
-            Lean::Decode => &self.decode,
+    fn side(&self, skew: Skew) -> &SideHistory {
+        match skew {
+            Skew::Prefill => &self.prefill,
+            Skew::Decode => &self.decode,
         }
     }
 
-    fn side_mut(&mut self, lean: Lean) -> &mut Side {
-        match lean {
-            Lean::Prefill => &mut self.prefill,
-            Lean::Decode => &mut self.decode,
+    fn side_mut(&mut self, skew: Skew) -> &mut SideHistory {
+        match skew {
+            Skew::Prefill => &mut self.prefill,
+            Skew::Decode => &mut self.decode,
         }
     }
 }
--- a/crates/roles/src/plan.rs
+++ b/crates/roles/src/plan.rs
@@ -4,7 +4,7 @@
 use std::fmt;
 use std::time::Duration;
 
-/// A change of one engine's role, with what it follows from.
+/// A change of one engine's role, with the figures that justify it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RoleChange {
     /// The engine.
@@ -17,7 +17,7 @@
     pub replaces: u64,
     /// The share of requests that can be served without the planned changes; from 0 to 1.
     pub served_before: f64,
-    /// The same once the planned changes work.
+    /// The share of requests that can be served once the planned changes are complete; from 0 to 1.
     pub served_after: f64,
     /// What it costs, in seconds of full service.
     pub cost: f64,
@@ -38,7 +38,7 @@
     }
 }
 
-/// The name of a role in log lines, which differs from the one in the code: operators' tools read it.
+/// The name of a role in log lines. Operators' tools match these names, which differ from those in the code.
 fn logged_role(role: Role) -> &'static str {
     match role {
         Role::Prefill => "Read",
@@ -47,7 +47,7 @@
     }
 }
 
-/// The changes to begin now, and why there are no more.
+/// The changes to begin now, and the reason why there are no more.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RolePlan {
     /// The changes, in order.
@@ -58,7 +58,7 @@
 
 impl RolePlan {
     /// A plan without changes.
-    pub(crate) fn none(reason: &str) -> RolePlan {
+    pub(crate) fn without_changes(reason: &str) -> RolePlan {
         RolePlan { changes: Vec::new(), reason: reason.into() }
     }
 }
--- a/crates/roles/src/planner.rs
+++ b/crates/roles/src/planner.rs
@@ -1,8 +1,8 @@
-//! The planner: from views to changes of role that pay.
+//! The planner: turns views into role changes whose gain outweighs their cost.
 //!
-//! A request needs both stages, so what counts is the share of requests that the weaker stage can serve: one more engine at the other
-//! stage serves nobody. Gains and costs are in seconds of full service: 2 is what the whole fleet serves in two seconds when it serves
-//! all requests.
+//! A request needs both stages, so the weaker stage limits the share of requests that can be served: one more
+//! engine at the other stage serves no further request. Gains and costs are in seconds of full service: 2 is
+//! what the whole fleet serves in two seconds when it serves all requests.
 
 mod evaluation;
 mod selection;
@@ -17,14 +17,14 @@
 use slipreel::Role;
 use std::time::Duration;
 
-/// An imbalance younger than this is not acted on. A few samples.
+/// The planner ignores imbalances younger than this, which is the time of a few samples.
 const MIN_IMBALANCE_AGE: Duration = Duration::from_secs(3);
-/// What a change in a rhythm is compared with: the same change this much later.
+/// Under periodic load, a change is compared with the same change postponed by this time.
 const POSTPONEMENT: Duration = Duration::from_secs(1);
 /// How far the forecast looks ahead: about as long as a change takes.
 const FORECAST_HORIZON: Duration = Duration::from_secs(10);
 
-/// Plans changes from views that are handed to it in order of time.
+/// Plans changes from views, which it takes in order of time.
 #[derive(Clone, Debug)]
 pub struct Planner {
     limits: PlannerLimits,
@@ -34,12 +34,12 @@
 }
 
 impl Planner {
-    /// A planner that has seen nothing.
+    /// A planner without any history.
     pub fn new(limits: PlannerLimits, costs: ChangeCosts, policy: PlanningPolicy) -> Self {
         Planner { limits, costs, policy, history: LoadHistory::default() }
     }
 
-    /// Stops or allows changes.
+    /// Freezes changes, or allows them again.
     pub fn freeze(&mut self, frozen: bool) {
         self.limits.frozen = frozen;
     }
@@ -55,23 +55,23 @@
         let short_stage = capacity.short_stage(load);
         self.history.record_short_stage(view.now, short_stage);
         if self.limits.frozen {
-            return RolePlan::none("changes are frozen");
+            return RolePlan::without_changes("changes are frozen");
         }
         let max_changes = self.max_new_changes(view);
-        if let Some(expected) = self.history.rhythm(view.now) {
+        if let Some(expected) = self.history.periodic_forecast(view.now) {
             return match max_changes {
-                0 => RolePlan::none("as many changes are under way as may be"),
-                _ => self.plan_in_rhythm(view, capacity, &expected, max_changes),
+                0 => RolePlan::without_changes("as many changes are under way as may be"),
+                _ => self.plan_for_periodic_load(view, capacity, &expected, max_changes),
             };
         }
         if short_stage.is_none() {
-            return RolePlan::none("no change would serve more");
+            return RolePlan::without_changes("no change would serve more");
         }
         if self.history.imbalance_age(view.now) < MIN_IMBALANCE_AGE {
-            return RolePlan::none("the imbalance is too young");
+            return RolePlan::without_changes("the imbalance is too young");
         }
         if max_changes == 0 {
-            return RolePlan::none("as many changes are under way as may be");
+            return RolePlan::without_changes("as many changes are under way as may be");
         }
         self.plan_for_imbalance(view, capacity, load, max_changes)
     }
@@ -82,7 +82,8 @@
         self.limits.max_concurrent_changes.saturating_sub(in_progress.count())
     }
 
-    /// Plans for the present imbalance; if no change pays within it, for the mean over many swings.
+    /// Plans for the present imbalance or, if no change pays within its duration, for the mean over many
+    /// swings.
     fn plan_for_imbalance(
         &self, view: &PlannerView, capacity: StageCapacity, load: StageLoad, max_changes: usize,
     ) -> RolePlan {
@@ -91,9 +92,10 @@
         let Some(long_term) = self.history.long_term().filter(|_| plan.changes.is_empty()) else {
             return plan;
         };
-        // What does not pay within a swing may pay over many: the capacity then follows the mean of the swings.
+        // A change that does not pay within one swing may pay over many: the capacity then follows their
+        // mean.
         let long_term_plan = self.plan_for_load(view, capacity, long_term, max_changes);
-        // Not against the present swing: its own changes would be undone, and made again.
+        // Changes against the present swing are not made: they would be undone, and then made again.
         let is_against_swing =
             |to: Role| capacity.with_moved(to, 1.0, 1.0).served_share(load) < capacity.served_share(load);
         match long_term_plan.changes.first() {
@@ -102,17 +104,19 @@
         }
     }
 
-    /// Plans for a load that is expected to last so long.
+    /// Plans for a load that is expected to last for a given time.
     fn plan_for_load(
         &self, view: &PlannerView, capacity: StageCapacity, expected: ExpectedLoad, max_changes: usize,
     ) -> RolePlan {
         let ExpectedLoad { load, duration } = expected;
         let Some(to) = capacity.short_stage(load) else {
-            return RolePlan::none("no change would serve more");
+            return RolePlan::without_changes("no change would serve more");
         };
         let candidates = self.candidates(view, to, load, capacity);
         if candidates.is_empty() {
-            return RolePlan::none("no engine may change: limits of cells, zones or time in a role");
+            return RolePlan::without_changes(
+                "no engine may change: limits of cells, zones or time in a role",
+            );
         }
         let preferred = match self.policy {
             PlanningPolicy::Program => {
@@ -129,16 +133,18 @@
         self.evaluate(&chosen, capacity, &[expected], to).plan
     }
 
-    /// Plans where the load swings in a rhythm, so that what is to come is known: the changes that gain most until the swing after
-    /// the next, begun when waiting a second more would gain less.
-    fn plan_in_rhythm(
+    /// Plans for a load that swings periodically, so that it can be predicted: the changes with the greatest
+    /// net gain until the end of the next swing, begun once postponing them by [`POSTPONEMENT`] would gain
+    /// less.
+    fn plan_for_periodic_load(
         &self, view: &PlannerView, capacity: StageCapacity, expected: &[ExpectedLoad], max_changes: usize,
     ) -> RolePlan {
-        let mut best = RolePlan::none("no change pays before the mix swings back");
+        let mut best = RolePlan::without_changes("no change pays before the mix swings back");
         let mut best_net_gain = 0.0;
         let load = expected[0].load;
         for to in [Role::Prefill, Role::Decode] {
-            // What helps in the present swing is undone before the next; what does not is for that one.
+            // Changes that help in the present swing are undone before the next one; others are made for the
+            // next.
             let helps = capacity.with_moved(to, 1.0, 1.0).served_share(load) > capacity.served_share(load);
             let expected = if helps { &expected[..1] } else { expected };
             let candidates = self.candidates(view, to, load, capacity);
@@ -149,7 +155,7 @@
             }
             let count = evaluated.plan.changes.len();
             let postponed = self.service_over_time(capacity, expected, to, count as f64, POSTPONEMENT);
-            let postponed_cost = postponed.cost + self.costs_of(&chosen[..count], load, capacity);
+            let postponed_cost = postponed.cost + self.total_cost(&chosen[..count], load, capacity);
             if evaluated.net_gain >= postponed.gain - MIN_GAIN_PER_COST * postponed_cost {
                 best_net_gain = evaluated.net_gain;
                 best = evaluated.plan;
@@ -160,7 +166,7 @@
         best
     }
 
-    fn costs_of(&self, engines: &[&EngineView], load: StageLoad, capacity: StageCapacity) -> f64 {
+    fn total_cost(&self, engines: &[&EngineView], load: StageLoad, capacity: StageCapacity) -> f64 {
         engines.iter().map(|engine| self.cost(engine, load, capacity)).sum()
     }
 }
--- a/crates/roles/src/planner/evaluation.rs
+++ b/crates/roles/src/planner/evaluation.rs
@@ -1,4 +1,4 @@
-//! The gain and cost of changes over the expected load.
+//! Computes the gain and cost of changes over the expected load.
 
 use super::Planner;
 use crate::capacity::{StageCapacity, MIN_GAIN_PER_COST};
@@ -16,7 +16,7 @@
 }
 
 impl Balance {
-    /// The gain, less the cost with the margin that a change has to pay.
+    /// The gain less the cost, which counts [`MIN_GAIN_PER_COST`] times.
     fn net_gain(self) -> f64 {
         self.gain - MIN_GAIN_PER_COST * self.cost
     }
@@ -29,11 +29,11 @@
     pub(super) net_gain: f64,
 }
 
-/// A part of the time in which engines change, all at once.
+/// A phase of changes that are made together.
 struct ChangePhase {
     seconds: f64,
     /// Engines that have left their old role.
-    gone: f64,
+    departed: f64,
     /// Engines that work in the new role; those in slow start count in part.
     working: f64,
 }
@@ -44,7 +44,7 @@
     balance: Balance,
     served_before: f64,
     served_after: f64,
-    /// For how long the load that they are for is expected to last.
+    /// How long the load that the changes are made for is expected to last.
     expected_duration: Duration,
 }
 
@@ -68,7 +68,8 @@
 }
 
 impl Planner {
-    /// Takes as many of the chosen engines, in turn, as have the greatest net gain together over the expected loads.
+    /// Plans to change the first of the chosen engines, as many as have the greatest net gain together over
+    /// the expected loads.
     pub(super) fn evaluate(
         &self, chosen: &[&EngineView], capacity: StageCapacity, expected: &[ExpectedLoad], to: Role,
     ) -> EvaluatedPlan {
@@ -77,16 +78,16 @@
         };
         let balance_of = |count: usize| {
             let service = self.service_over_time(capacity, expected, to, count as f64, Duration::ZERO);
-            let cost = service.cost + self.costs_of(&chosen[..count], first.load, capacity);
+            let cost = service.cost + self.total_cost(&chosen[..count], first.load, capacity);
             Balance { gain: service.gain, cost }
         };
         let mut count = 0;
         let mut net_gain = 0.0;
-        for more in 1..=chosen.len() {
-            let candidate = balance_of(more).net_gain();
-            if candidate > net_gain {
-                count = more;
-                net_gain = candidate;
+        for candidate_count in 1..=chosen.len() {
+            let candidate_net_gain = balance_of(candidate_count).net_gain();
+            if candidate_net_gain > net_gain {
+                count = candidate_count;
+                net_gain = candidate_net_gain;
             }
         }
         let changed_capacity = capacity.with_moved(to, count as f64, count as f64);
@@ -109,26 +110,26 @@
         EvaluatedPlan { plan: RolePlan { changes, reason }, net_gain }
     }
 
-    /// What `count` changes that begin after `delay` gain and cost in service over the expected loads: while the engines drain,
-    /// while they are in slow start, and once they work at full speed.
+    /// The service that `count` changes gain and cost over the expected loads if they begin after `delay`:
+    /// while the engines drain, while they are in slow start, and once they work at full speed.
     pub(super) fn service_over_time(
         &self, capacity: StageCapacity, expected: &[ExpectedLoad], to: Role, count: f64, delay: Duration,
     ) -> Balance {
         let mut phases = self.change_phases(count, delay).into_iter();
-        let mut phase = ChangePhase { seconds: 0.0, gone: 0.0, working: 0.0 };
+        let mut phase = ChangePhase { seconds: 0.0, departed: 0.0, working: 0.0 };
         let mut balance = Balance::default();
         for ExpectedLoad { load, duration } in expected {
             let served_before = capacity.served_share(*load);
             let mut remaining = duration.as_secs_f64();
             while remaining > 0.0 {
                 while phase.seconds <= 0.0 {
-                    let changed = ChangePhase { seconds: f64::INFINITY, gone: count, working: count };
+                    let changed = ChangePhase { seconds: f64::INFINITY, departed: count, working: count };
                     phase = phases.next().unwrap_or(changed);
                 }
                 let seconds = remaining.min(phase.seconds);
                 remaining -= seconds;
                 phase.seconds -= seconds;
-                let served = capacity.with_moved(to, phase.gone, phase.working).served_share(*load);
+                let served = capacity.with_moved(to, phase.departed, phase.working).served_share(*load);
                 let difference = (served - served_before) * seconds;
                 balance.gain += difference.max(0.0);
                 balance.cost += (-difference).max(0.0);
@@ -137,11 +138,12 @@
         balance
     }
 
+    /// The phases of `count` changes that begin after `delay`: the delay itself, draining, and slow start.
     fn change_phases(&self, count: f64, delay: Duration) -> [ChangePhase; 3] {
         let mean_slow_start_speed = f64::midpoint(self.costs.slow_start_speed, 1.0);
-        let phase = |duration: Duration, gone: f64, working: f64| ChangePhase {
+        let phase = |duration: Duration, departed: f64, working: f64| ChangePhase {
             seconds: duration.as_secs_f64(),
-            gone,
+            departed,
             working,
         };
         [
--- a/crates/roles/src/planner/selection.rs
+++ b/crates/roles/src/planner/selection.rs
@@ -1,4 +1,4 @@
-//! Which engines may change, and what changing each one costs.
+//! Selects the engines that may change, and computes the cost of changing each one.
 
 use super::{Planner, MIN_IMBALANCE_AGE};
 use crate::capacity::StageCapacity;
@@ -6,7 +6,7 @@
 use crate::view::{EngineView, Phase, PlannerView};
 use slipreel::Role;
 
-/// How likely a change has to be undone, as long as nothing is known of swings; no unit.
+/// The assumed probability that a change has to be undone, as long as no swings are known.
 const UNDO_PROBABILITY: f64 = 0.5;
 
 impl Planner {
@@ -19,7 +19,7 @@
             engine.role == from
                 && engine.phase == Phase::Serving
                 && view.now.saturating_sub(engine.since) >= self.limits.min_time_in_role
-                && self.may_leave(view, engine, &[])
+                && self.may_leave_role(view, engine, &[])
         };
         let mut candidates: Vec<&EngineView> = view.engines.iter().filter(may_change).collect();
         let cost = |engine: &EngineView| self.cost(engine, load, capacity);
@@ -29,7 +29,7 @@
         candidates
     }
 
-    /// As many of the candidates, in order, as may change together; at most `max_changes`.
+    /// The first candidates, in order, that may change together; at most `max_changes`.
     pub(super) fn within_limits<'a>(
         &self, view: &PlannerView, candidates: Vec<&'a EngineView>, max_changes: usize,
     ) -> Vec<&'a EngineView> {
@@ -38,24 +38,25 @@
             if chosen.len() == max_changes {
                 break;
             }
-            if self.may_leave(view, engine, &chosen) {
+            if self.may_leave_role(view, engine, &chosen) {
                 chosen.push(engine);
             }
         }
         chosen
     }
 
-    /// Whether the engine's cell and zone keep enough engines of its role without it and without those chosen.
-    fn may_leave(&self, view: &PlannerView, engine: &EngineView, chosen: &[&EngineView]) -> bool {
-        let stays = |other: &&EngineView| {
+    /// Whether the engine's cell and zone keep enough engines of its role without it and without those chosen
+    /// already.
+    fn may_leave_role(&self, view: &PlannerView, engine: &EngineView, chosen: &[&EngineView]) -> bool {
+        let is_remaining = |other: &&EngineView| {
             other.id != engine.id
                 && other.role == engine.role
                 && other.takes_work()
                 && !chosen.iter().any(|chosen| chosen.id == other.id)
         };
-        let staying = || view.engines.iter().filter(stays);
-        let in_cell = staying().filter(|other| other.cell == engine.cell).count();
-        let in_zone = staying().filter(|other| other.zone == engine.zone).count();
+        let remaining = || view.engines.iter().filter(is_remaining);
+        let in_cell = remaining().filter(|other| other.cell == engine.cell).count();
+        let in_zone = remaining().filter(|other| other.zone == engine.zone).count();
         let min_in_cell = if engine.role == Role::Prefill {
             self.limits.min_prefill_per_cell
         } else {
@@ -64,14 +65,16 @@
         in_cell >= min_in_cell && in_zone >= self.limits.min_per_zone
     }
 
-    /// What changing an engine costs beside the service of the meantime, in seconds of full service: its cached tokens have to be
-    /// processed again, and the change may have to be undone. Then the engine is missing at its old stage until it is back at full
-    /// speed, and the cache is lost twice. Certain where imbalances recur, else with [`UNDO_PROBABILITY`].
+    /// The cost of changing an engine in addition to the service lost during the change, in seconds of full
+    /// service: its cached tokens have to be processed again, and the change may have to be undone. If it is
+    /// undone, the engine is missing at its old stage until it is back at full speed, and the cache is lost
+    /// twice. Undoing is certain where imbalances recur; otherwise it has [`UNDO_PROBABILITY`].
     pub(super) fn cost(&self, engine: &EngineView, load: StageLoad, capacity: StageCapacity) -> f64 {
         let cache_loss =
             engine.cached_tokens / self.costs.prefill_tokens_per_s.max(1.0) / load.prefill.max(1.0);
-        let swings = self.history.is_recurring() || self.history.rhythm(self.history.last_sample()).is_some();
-        let undo_probability = if swings { 1.0 } else { UNDO_PROBABILITY };
+        let will_be_undone = self.history.is_recurring()
+            || self.history.periodic_forecast(self.history.last_sample()).is_some();
+        let undo_probability = if will_be_undone { 1.0 } else { UNDO_PROBABILITY };
         let missing_time = MIN_IMBALANCE_AGE + self.costs.drain + self.costs.slow_start_loss();
         let stage_engines = if engine.role == Role::Prefill { capacity.prefill } else { capacity.decode };
         cache_loss + undo_probability * (cache_loss + missing_time.as_secs_f64() / stage_engines.max(1.0))
--- a/crates/roles/src/record.rs
+++ b/crates/roles/src/record.rs
@@ -1,7 +1,8 @@
-//! An engine's own record of its role: the only authority on that role, with the epoch in which it was taken.
+//! An engine's own record of its role and of the role's epoch. It alone is authoritative.
 //!
-//! Routers share no state and controllers may be several or dead, so no other record is authoritative. An order names the epoch that
-//! it replaces (compare and swap); an order for another epoch is rejected with the present state, from which its planner can go on.
+//! Routers share no state, and there may be several controllers or none, so no other record can be
+//! authoritative. An order names the epoch that it replaces (compare and swap). An order for another epoch is
+//! rejected with the present state, from which its controller can plan again.
 
 use slipreel::Role;
 use std::time::Duration;
@@ -11,23 +12,23 @@
 pub enum ChangeProgress {
     /// The engine serves in its role.
     Serving,
-    /// It was ordered to take another role: it takes no new work, and completes what it has in the old role.
+    /// It was ordered to take another role: it takes no new work, and completes its work in the old role.
     Draining {
-        /// The role to come.
+        /// The new role.
         to: Role,
         /// When it was ordered.
         since: Duration,
     },
 }
 
-/// The role of an engine, as it reports it.
+/// The role of an engine, as the engine reports it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RoleState {
     /// The role in which it serves or completes its work.
     pub role: Role,
-    /// Grows by one with each role taken.
+    /// The epoch of the role; it grows by one with each change.
     pub epoch: u64,
-    /// When it started in this role: the start time in the endpoint list, a new one for each role.
+    /// When the engine started in this role: its start time in the endpoint list, a new one for each role.
     pub started: Duration,
     /// The progress of a change.
     pub progress: ChangeProgress,
@@ -42,7 +43,7 @@
     pub to: Role,
 }
 
-/// Why an order was rejected, with the state, which has not changed.
+/// Why an order was rejected, with the unchanged state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum OrderRejection {
     /// It names another epoch than the present one.
@@ -63,8 +64,9 @@
 }
 
 impl RoleRecord {
-    /// The record of an engine that has started in a role. After a restart `epoch` is the one that it had, or 0 if it knows none: its
-    /// new start time tells routers that what they knew of it no longer holds.
+    /// The record of an engine that has started in a role. After a restart, `epoch` is the engine's last one,
+    /// or 0 if that is unknown: the new start time shows routers that their knowledge of the engine is
+    /// obsolete.
     pub fn started(role: Role, epoch: u64, now: Duration) -> Self {
         RoleRecord { state: RoleState { role, epoch, started: now, progress: ChangeProgress::Serving } }
     }
@@ -79,7 +81,7 @@
         self.state.progress == ChangeProgress::Serving
     }
 
-    /// Accepts an order. An order that is repeated while its change is in progress is accepted again.
+    /// Takes an order. One that is repeated while its change is in progress is accepted again.
     ///
     /// # Errors
     /// The order replaces another epoch, another change is in progress, or the role is the same.
@@ -100,8 +102,9 @@
         }
     }
 
-    /// Reports how much work and how many reserved states are left in the old role; the new state once the engine has taken the new
-    /// role. It does so only when neither is left, and with a start time that was never reported before.
+    /// Reports how much work and how many held states remain in the old role. Once neither remains, the
+    /// engine takes the new role, with a start time that was never reported before, and the new state is
+    /// returned.
     pub fn report_remaining_work(
         &mut self, now: Duration, work: usize, held_states: usize,
     ) -> Option<RoleState> {
@@ -109,7 +112,7 @@
         if work > 0 || held_states > 0 {
             return None;
         }
-        // Start times are compared for equality alone; two within one tick of the clock must still differ.
+        // Start times are only compared for equality, so two within the same clock tick must differ.
         let started = now.max(self.state.started + Duration::from_millis(1));
         self.state =
             RoleState { role: to, epoch: self.state.epoch + 1, started, progress: ChangeProgress::Serving };
--- a/crates/roles/src/stage_load.rs
+++ b/crates/roles/src/stage_load.rs
@@ -1,8 +1,8 @@
-//! The load of each stage, in engines that it keeps busy.
+//! The load of each stage, in fully busy engines.
 
 use std::time::Duration;
 
-/// Load that arrives, in engines kept busy by it: 2.5 means that two and a half engines do nothing else.
+/// The load of each stage, in fully busy engines: 2.5 takes all the time of two and a half engines.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct StageLoad {
     /// Prefill.
@@ -12,8 +12,8 @@
 }
 
 impl StageLoad {
-    /// The load between this one and `target`: this one at a weight of 0, `target` at 1.
-    pub(crate) fn towards(self, target: StageLoad, weight: f64) -> StageLoad {
+    /// Interpolates linearly between this load, at a weight of 0, and `target`, at 1.
+    pub(crate) fn interpolate(self, target: StageLoad, weight: f64) -> StageLoad {
         StageLoad {
             prefill: self.prefill + weight * (target.prefill - self.prefill),
             decode: self.decode + weight * (target.decode - self.decode),
@@ -35,7 +35,8 @@
     pub duration: Duration,
 }
 
-/// The weight of a sample that stands for `seconds`, in a moving mean in which a second's sample weighs `weight_per_s`.
+/// The weight of a sample that covers `seconds` in an exponential moving mean, where a sample that covers one
+/// second weighs `weight_per_s`.
 pub(crate) fn sample_weight(weight_per_s: f64, seconds: f64) -> f64 {
     1.0 - (1.0 - weight_per_s).powf(seconds)
 }
--- a/crates/roles/src/view.rs
+++ b/crates/roles/src/view.rs
@@ -1,4 +1,4 @@
-//! What the planner sees: the engines and the load at one moment.
+//! The planner's input: the engines and the load at one time.
 
 use crate::stage_load::StageLoad;
 use slipreel::{CellId, EngineId, Role, ZoneId};
@@ -11,7 +11,8 @@
     Serving,
     /// It serves and is in slow start.
     Warming,
-    /// It changes to this role, and counts for it already: it will have it before another engine could.
+    /// It is changing to this role. The planner counts it for the new role already, as no other engine could
+    /// take that role sooner.
     Changing(Role),
     /// It drains and leaves the fleet.
     Leaving,
@@ -34,25 +35,25 @@
     pub phase: Phase,
     /// When it took its role.
     pub since: Duration,
-    /// The share of it that is busy, by its last report; no unit.
+    /// Its utilization by its last report; 1 is fully busy.
     pub busy: f64,
     /// Prompt tokens in its cache, which would have to be processed again after a change.
     pub cached_tokens: f64,
 }
 
-/// All that the planner sees at one moment.
+/// The planner's input at one time.
 #[derive(Clone, Debug)]
 pub struct PlannerView {
-    /// The moment.
+    /// The time of the view.
     pub now: Duration,
     /// The engines.
     pub engines: Vec<EngineView>,
-    /// The load that arrives.
+    /// The load that clients request.
     pub load: StageLoad,
 }
 
 impl EngineView {
-    /// Whether the endpoint list shows it to routers as taking new work.
+    /// Whether the endpoint list shows routers that it takes new work.
     pub fn takes_work(&self) -> bool {
         matches!(self.phase, Phase::Serving | Phase::Warming)
     }
--- a/crates/roles/tests/fluid/mod.rs
+++ b/crates/roles/tests/fluid/mod.rs
@@ -1,5 +1,5 @@
-//! A fluid model of two stages: work that arrives, engines that change, drain and warm up, and an oracle that knows the load
-//! ahead. A model, not measurements of engines. Shared by the tests and `benches/plan.rs`.
+//! A fluid model of two stages: work that arrives, engines that change, drain and warm up, and an oracle that
+//! knows the load ahead. A model, not measurements of engines. Shared by the tests and `benches/plan.rs`.
 #![allow(dead_code)]
 
 use slipreel::{CellId, EngineId, Role, ZoneId};
@@ -80,8 +80,8 @@
     }
 }
 
-/// Share of the work that was done at once over the day, and the changes made. A request needs both stages, so the weaker
-/// stage counts.
+/// Share of the work that was done at once over the day, and the changes made. A request needs both stages,
+/// so the weaker stage counts.
 pub fn day(
     n: usize, policy: Option<PlanningPolicy>, load: impl Fn(f64) -> StageLoad, seconds: f64,
 ) -> (f64, usize) {
@@ -103,8 +103,9 @@
     (done / asked, fluid.changes)
 }
 
-/// An oracle of the same limits that knows each flip ahead: it moves `k` engines to the stage that will be short, begun
-/// `lead` seconds before the flip, and back before the next. The best of all k and leads, which may be to do nothing.
+/// An oracle of the same limits that knows each flip ahead: it moves `k` engines to the stage that will be
+/// short, begun `lead` seconds before the flip, and back before the next. The best of all k and leads, which
+/// may be to do nothing.
 pub fn oracle(n: usize, load: impl Fn(f64) -> StageLoad + Copy, seconds: f64) -> (f64, usize) {
     let mut best = (0.0, 0);
     for k in 0..=n / 4 {
--- a/crates/roles/tests/roles.rs
+++ b/crates/roles/tests/roles.rs
@@ -173,8 +173,8 @@
 }
 
 proptest! {
-    /// Whatever orders come and whatever work is left: epochs grow by one with each role, each with a start time never
-    /// told before, and the role changes only when nothing of the old one is left.
+    /// Whatever orders come and whatever work is left: epochs grow by one with each role, each with a start
+    /// time never told before, and the role changes only when nothing of the old one is left.
     #[test]
     fn epochs_and_start_times_only_grow(events in prop::collection::vec((0u8..3, 0u64..6, 0usize..3, 0usize..2), 1..60)) {
         let mut record = RoleRecord::started(Role::Prefill, 0, s(1));
--- a/crates/settings/src/doc.rs
+++ b/crates/settings/src/doc.rs
@@ -148,11 +148,13 @@
         named
     }
 
-    /// The sections of these kinds in one form, whatever the order and the spaces in which they were written: the same settings, the same text.
+    /// The sections of these kinds in one form, whatever the order and the spaces in which they were written:
+    /// the same settings, the same text.
     pub fn canonical(&self, kinds: &[&str]) -> String {
         let mut sections: Vec<&Section> =
             self.sections.iter().filter(|s| kinds.contains(&s.kind.as_str())).collect();
-        // Classes keep their order: a request that names none takes that of its model, and tables list them so.
+        // Classes keep their order: a request that names none takes that of its model, and tables list them
+        // so.
         sections.sort_by_key(|s| kinds.iter().position(|k| *k == s.kind));
         let mut text = String::new();
         for section in sections.iter().filter(|s| !s.entries.is_empty()) {
--- a/crates/settings/src/fleet.rs
+++ b/crates/settings/src/fleet.rs
@@ -1,4 +1,5 @@
-//! `[fleet]`: how this router finds the others of its fleet, and the book of addresses by which it reaches them.
+//! `[fleet]`: how this router finds the others of its fleet, and the book of addresses by which it reaches
+//! them.
 
 use crate::doc::{Doc, Fault};
 use crate::values::{Loopback, Name, Value};
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,7 +1,8 @@
 //! The INI settings of a router: read, checked as a whole, every fault named with its place.
 //!
 //! `doc` is a document of sections with lines, `values` are the kinds of value, `site` builds a
-//! [`GatewaySettings`](slipreel_gateway::GatewaySettings). Other INI files of this project (days, experiments) are read with the same parts.
+//! [`GatewaySettings`](slipreel_gateway::GatewaySettings). Other INI files of this project (days,
+//! experiments) are read with the same parts.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/crates/settings/src/policy.rs
+++ b/crates/settings/src/policy.rs
@@ -1,6 +1,7 @@
 //! Which settings are the fleet's policy, and which are a router's own.
 //!
-//! Policy: what all routers have to agree on. It has one canonical text, by which two files are the same policy or are not.
+//! Policy: what all routers have to agree on. It has one canonical text, by which two files are the same
+//! policy or are not.
 
 use crate::doc::{Doc, Fault};
 use crate::site::{read_daemon_settings, DAEMON_SECTIONS};
--- a/crates/settings/src/site.rs
+++ b/crates/settings/src/site.rs
@@ -311,7 +311,8 @@
     tenants
 }
 
-/// Engines that operators have taken out by hand, by name. One that this router does not list may be another's.
+/// Engines that operators have taken out by hand, by name. One that this router does not list may be
+/// another's.
 fn read_taken_out(doc: &mut Doc) -> Vec<String> {
     let at = doc.one("operations");
     let text = doc.or(at, "taken_out", String::new());
--- a/crates/settings/src/slices.rs
+++ b/crates/settings/src/slices.rs
@@ -37,8 +37,8 @@
     Ok(engines)
 }
 
-/// Writes a list of engines as an `EndpointSliceList`, a slice for each role and cell; what [`engines_from_slices`] reads
-/// of it is this list but for the names.
+/// Writes a list of engines as an `EndpointSliceList`, a slice for each role and cell; what
+/// [`engines_from_slices`] reads of it is this list but for the names.
 pub fn engines_to_slices(engines: &[EngineSettings]) -> String {
     let mut slices: BTreeMap<(&str, &str, u16, bool), Vec<&EngineSettings>> = BTreeMap::new();
     for e in engines.iter().filter(|e| e.state != EngineState::Gone) {
