--- a/crates/roles/src/demand.rs
+++ b/crates/roles/src/demand.rs
@@ -49,8 +49,8 @@
         }
     }
 
-    /// The increase since `before`. If the counters were reset, which shows in fewer requests, it is their
-    /// full value.
+    /// The increase since `before`. If the counters have restarted from 0, which shows in fewer requests, it
+    /// is their full value.
     fn increase_since(self, before: ClassCounters) -> ClassCounters {
         if self.requests < before.requests {
             return self;
--- a/crates/roles/tests/fluid/mod.rs
+++ b/crates/roles/tests/fluid/mod.rs
@@ -75,8 +75,8 @@
             self.draining.push((index, now + COSTS.drain, change.to));
             self.changes += 1;
         }
-        let drained: Vec<_> = self.draining.iter().filter(|(_, until, _)| *until <= now).copied().collect();
-        self.draining.retain(|(_, until, _)| *until > now);
+        let drained: Vec<_> = self.draining.iter().filter(|entry| entry.1 <= now).copied().collect();
+        self.draining.retain(|entry| entry.1 > now);
         for (index, _, to) in drained {
             let engine = &mut self.engines[index];
             (engine.role, engine.phase, engine.since, engine.epoch, engine.cached_tokens) =
--- a/crates/settings/src/doc.rs
+++ b/crates/settings/src/doc.rs
@@ -1,10 +1,11 @@
-//! An INI document whose values know their lines, and that gathers faults until all of it has been read.
+//! An INI document whose entries know their lines, and which collects faults until it has been read
+//! completely.
 
 use crate::values::Value;
 use ini::{Ini, ParseOption};
 use std::fmt;
 
-/// Something wrong in a file.
+/// An error in a settings file.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Fault {
     /// The file.
@@ -13,7 +14,7 @@
     pub line: usize,
     /// The section with its name, as written.
     pub section: String,
-    /// The key; empty if the section as a whole is meant.
+    /// The key; empty if the fault is that of the section as a whole.
     pub key: String,
     /// What was found and what was expected.
     pub what: String,
@@ -32,28 +33,31 @@
     }
 }
 
+/// A key with its value.
 struct Entry {
     key: String,
     value: String,
     line: usize,
+    /// Whether the value has been read.
     used: bool,
 }
 
-/// A section: its kind is the first word of its head, its name the rest.
+/// A section. The first word of its header is its kind, the rest its name.
 pub struct Section {
-    /// The first word.
+    /// The first word of its header.
     pub kind: String,
-    /// The rest; empty if there is none.
+    /// The rest of its header; empty if there is none.
     pub name: String,
     line: usize,
-    /// The file that it stands in.
+    /// The file that contains it.
     file: String,
     entries: Vec<Entry>,
+    /// Whether the section has been read.
     used: bool,
 }
 
 impl Section {
-    /// Its head, as written.
+    /// Its header, without the brackets.
     pub fn head(&self) -> String {
         if self.name.is_empty() {
             self.kind.clone()
@@ -63,7 +67,7 @@
     }
 }
 
-/// A document that is being read.
+/// An INI document that is being read.
 pub struct Doc {
     file: String,
     sections: Vec<Section>,
@@ -71,21 +75,21 @@
 }
 
 impl Doc {
-    /// Reads a text as INI.
+    /// Parses a text as INI. Duplicate sections and keys are recorded as faults.
     ///
     /// # Errors
     /// The text is not INI.
     pub fn parse(text: &str, file: &str) -> Result<Doc, Vec<Fault>> {
         let options = ParseOption { enabled_escape: false, ..ParseOption::default() };
         let ini = Ini::load_from_str_opt(text, options).map_err(|e| {
-            // The parser's own words name its inside; the line says more.
+            // The parser's message is about its internals, so the line itself is shown.
             let line = e.line.clamp(1, text.lines().count().max(1));
             let found = text.lines().nth(line - 1).unwrap_or_default().trim();
             let what = format!("{found:?}: expected [section], key = value, or a comment");
             vec![Fault { file: file.into(), line, section: String::new(), key: String::new(), what }]
         })?;
         let mut doc = Doc { file: file.into(), sections: Vec::new(), faults: Vec::new() };
-        let mut lines = Lines::new(text);
+        let mut lines = LineFinder::new(text);
         for (head, properties) in &ini {
             let Some(head) = head else {
                 for (key, _) in properties {
@@ -131,30 +135,30 @@
         Fault { file: self.file.clone(), line, section: section.into(), key: key.into(), what }
     }
 
-    /// Sections of these kinds alone, of another document, in place of those that stand here.
-    pub fn put(&mut self, kinds: &[&str], other: Doc) {
+    /// Replaces the sections of these kinds by those of another document.
+    pub fn replace_sections(&mut self, kinds: &[&str], other: Doc) {
         self.sections.retain(|s| !kinds.contains(&s.kind.as_str()));
         self.sections.extend(other.sections.into_iter().filter(|s| kinds.contains(&s.kind.as_str())));
         self.faults.extend(other.faults);
     }
 
-    /// Leaves out all sections but those of these kinds; gives the keys that were left out, by section.
-    pub fn only(&mut self, kinds: &[&str]) -> Vec<String> {
-        let ours = |s: &Section| kinds.contains(&s.kind.as_str());
-        let left = self.sections.iter().filter(|s| !ours(s));
-        let named = left.flat_map(|s| s.entries.iter().map(move |e| format!("[{}] {}", s.head(), e.key)));
-        let named = named.collect();
-        self.sections.retain(ours);
-        named
+    /// Removes all sections but those of these kinds; returns the removed keys with their sections.
+    pub fn retain_sections(&mut self, kinds: &[&str]) -> Vec<String> {
+        let is_retained = |s: &Section| kinds.contains(&s.kind.as_str());
+        let removed = self.sections.iter().filter(|s| !is_retained(s));
+        let keys = removed.flat_map(|s| s.entries.iter().map(move |e| format!("[{}] {}", s.head(), e.key)));
+        let keys = keys.collect();
+        self.sections.retain(is_retained);
+        keys
     }
 
-    /// The sections of these kinds in one form, whatever the order and the spaces in which they were written:
-    /// the same settings, the same text.
+    /// The canonical text of the sections of these kinds. It does not depend on the order of kinds and keys
+    /// or on white space, so the same settings have the same text.
     pub fn canonical(&self, kinds: &[&str]) -> String {
         let mut sections: Vec<&Section> =
             self.sections.iter().filter(|s| kinds.contains(&s.kind.as_str())).collect();
-        // Classes keep their order: a request that names none takes that of its model, and tables list them
-        // so.
+        // Classes keep their order, as tables list them in it; a request that names no class takes that of
+        // its model.
         sections.sort_by_key(|s| kinds.iter().position(|k| *k == s.kind));
         let mut text = String::new();
         for section in sections.iter().filter(|s| !s.entries.is_empty()) {
@@ -166,13 +170,13 @@
         text
     }
 
-    /// Every key with its value, by section.
-    pub fn facts(&self) -> Vec<(String, String, String)> {
+    /// Every section's header, key and value.
+    pub fn entries(&self) -> Vec<(String, String, String)> {
         let all = self.sections.iter();
         all.flat_map(|s| s.entries.iter().map(move |e| (s.head(), e.key.clone(), e.value.clone()))).collect()
     }
 
-    /// The sections of a kind, by position.
+    /// The positions of all sections of a kind. They count as read.
     pub fn all(&mut self, kind: &str) -> Vec<usize> {
         let matches = |(at, s): (usize, &mut Section)| {
             (s.kind == kind).then(|| {
@@ -183,7 +187,8 @@
         self.sections.iter_mut().enumerate().filter_map(matches).collect()
     }
 
-    /// Leaves sections of a kind to another reader: nothing in them is a fault here.
+    /// Marks the sections of a kind and their keys as read, so that nothing in them is a fault. They are read
+    /// elsewhere.
     pub fn skip(&mut self, kind: &str) {
         for section in self.sections.iter_mut().filter(|s| s.kind == kind) {
             section.used = true;
@@ -191,7 +196,7 @@
         }
     }
 
-    /// The only section of a kind, if it is there.
+    /// The position of the only section of a kind, if there is one. A second section of the kind is a fault.
     pub fn one(&mut self, kind: &str) -> Option<usize> {
         let all = self.all(kind);
         if let [_, second, ..] = all[..] {
@@ -205,7 +210,7 @@
         &self.sections[at]
     }
 
-    /// Reports a fault at a key of a section, or at the section if the key is empty or absent.
+    /// Records a fault at a key of a section, or at the section if the key is empty or absent.
     pub fn add_fault(&mut self, at: usize, key: &str, what: impl Into<String>) {
         let section = &self.sections[at];
         let line = section.entries.iter().find(|e| e.key == key).map_or(section.line, |e| e.line);
@@ -213,20 +218,21 @@
         self.faults.push(Fault { file: section.file.clone(), ..fault });
     }
 
-    /// Reports a fault of the file as a whole.
+    /// Records a fault of the file as a whole.
     pub fn add_file_fault(&mut self, what: impl Into<String>) {
         let fault = self.fault_at(1, "", "", what.into());
         self.faults.push(fault);
     }
 
-    /// The text of a key, if it is given.
+    /// The text of a key's value, if the key is given.
     pub fn text(&mut self, at: usize, key: &str) -> Option<String> {
         let entry = self.sections[at].entries.iter_mut().find(|e| e.key == key)?;
         entry.used = true;
         Some(entry.value.clone())
     }
 
-    /// A value, if its key is given. One that can't be read is a fault and counts as not given.
+    /// The value of a key, if the key is given. A value that can't be read is a fault and counts as not
+    /// given.
     pub fn get<T: Value>(&mut self, at: usize, key: &str) -> Option<T> {
         let text = self.text(at, key)?;
         match T::read(&text) {
@@ -238,12 +244,12 @@
         }
     }
 
-    /// A value, or what stands for it. `at` is `None` where its section is not there at all.
+    /// The value of a key, or a default. `at` is `None` if the section is missing.
     pub fn or<T: Value>(&mut self, at: Option<usize>, key: &str, default: T) -> T {
         at.and_then(|at| self.get(at, key)).unwrap_or(default)
     }
 
-    /// A value that has to be there.
+    /// The value of a required key; it is a fault if the key is missing.
     pub fn need<T: Value>(&mut self, at: usize, key: &str) -> Option<T> {
         if !self.sections[at].entries.iter().any(|e| e.key == key) {
             self.add_fault(at, "", format!("{key}: expected {}", T::EXPECTED));
@@ -252,12 +258,13 @@
         self.get(at, key)
     }
 
-    /// Whether a fault was found so far.
+    /// Whether any fault has been recorded.
     pub fn has_faults(&self) -> bool {
         !self.faults.is_empty()
     }
 
-    /// Ends the reading: what was not read is a fault too. `known` names the kinds of section there are.
+    /// Ends the reading. Sections and keys that were not read are faults too. `known` lists the known kinds
+    /// of sections.
     ///
     /// # Errors
     /// All faults, by line.
@@ -265,21 +272,21 @@
         for at in 0..self.sections.len() {
             let section = &self.sections[at];
             if !section.used {
-                let near = nearest(&section.kind, known.iter().copied());
+                let hint = similar_word_hint(&section.kind, known.iter().copied());
                 self.add_fault(
                     at,
                     "",
-                    format!("no such section{near}; expected one of {}", known.join(", ")),
+                    format!("no such section{hint}; expected one of {}", known.join(", ")),
                 );
                 continue;
             }
-            let known: Vec<String> =
+            let used: Vec<String> =
                 section.entries.iter().filter(|e| e.used).map(|e| e.key.clone()).collect();
-            let unread: Vec<String> =
+            let unused: Vec<String> =
                 section.entries.iter().filter(|e| !e.used).map(|e| e.key.clone()).collect();
-            for key in unread {
-                let near = nearest(&key, known.iter().map(String::as_str));
-                self.add_fault(at, &key, format!("no such key here{near}"));
+            for key in unused {
+                let hint = similar_word_hint(&key, used.iter().map(String::as_str));
+                self.add_fault(at, &key, format!("no such key here{hint}"));
             }
         }
         self.faults.sort();
@@ -292,48 +299,50 @@
     }
 }
 
-/// The known word that differs least, as a hint.
-fn nearest<'a>(word: &str, known: impl Iterator<Item = &'a str>) -> String {
-    let close = |k: &&str| distance(word, k) <= 2;
+/// A hint at the most similar known word; empty if none has an edit distance of 2 or less.
+fn similar_word_hint<'a>(word: &str, known: impl Iterator<Item = &'a str>) -> String {
+    let is_similar = |k: &&str| distance(word, k) <= 2;
     known
-        .filter(close)
+        .filter(is_similar)
         .min_by_key(|k| distance(word, k))
         .map(|k| format!(", perhaps {k}"))
         .unwrap_or_default()
 }
 
-/// Levenshtein's distance.
+/// The Levenshtein distance.
 fn distance(a: &str, b: &str) -> usize {
     let b: Vec<char> = b.chars().collect();
     let mut row: Vec<usize> = (0..=b.len()).collect();
     for (i, x) in a.chars().enumerate() {
-        let mut before = std::mem::replace(&mut row[0], i + 1);
+        let mut diagonal = std::mem::replace(&mut row[0], i + 1);
         for (j, y) in b.iter().enumerate() {
-            let cost = before + usize::from(x != *y);
-            let least = cost.min(row[j] + 1).min(row[j + 1] + 1);
-            before = std::mem::replace(&mut row[j + 1], least);
+            let substitution = diagonal + usize::from(x != *y);
+            let least = substitution.min(row[j] + 1).min(row[j + 1] + 1);
+            diagonal = std::mem::replace(&mut row[j + 1], least);
         }
     }
     row[b.len()]
 }
 
-/// Finds the lines of sections and keys in the order in which the parser gives them.
-struct Lines<'a> {
+/// Finds the lines of sections and keys, in the order in which the parser returns these.
+struct LineFinder<'a> {
     lines: Vec<&'a str>,
-    at: usize,
+    /// The index of the line from which on the next search begins.
+    next: usize,
 }
 
-impl<'a> Lines<'a> {
+impl<'a> LineFinder<'a> {
     fn new(text: &'a str) -> Self {
-        Lines { lines: text.lines().collect(), at: 0 }
+        LineFinder { lines: text.lines().collect(), next: 0 }
     }
 
+    /// The number of the next line that matches, from 1.
     fn find(&mut self, matches: impl Fn(&str) -> bool) -> usize {
-        let found = (self.at..self.lines.len()).find(|&n| matches(self.lines[n].trim()));
-        // The parser joins sections of one name: their keys then stand before.
+        let found = (self.next..self.lines.len()).find(|&n| matches(self.lines[n].trim()));
+        // The parser merges sections of the same name, so the line may be an earlier one.
         let found = found.or_else(|| (0..self.lines.len()).find(|&n| matches(self.lines[n].trim())));
         if let Some(n) = found {
-            self.at = n + 1;
+            self.next = n + 1;
         }
         found.map_or(1, |n| n + 1)
     }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,8 +1,8 @@
-//! The INI settings of a router: read, checked as a whole, every fault named with its place.
+//! Reads and checks the INI settings of a router, and reports all faults together, each with its place.
 //!
-//! `doc` is a document of sections with lines, `values` are the kinds of value, `site` builds a
-//! [`GatewaySettings`](slipreel_gateway::GatewaySettings). Other INI files of this project (days,
-//! experiments) are read with the same parts.
+//! Module `doc` is the INI document, whose entries know their lines; `values` has the types of values; `site`
+//! builds [`DaemonSettings`] from the sections. Other INI files of this project (days, experiments) are read
+//! with the same parts.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -30,7 +30,7 @@
 pub fn parse(text: &str, file: &str) -> Result<DaemonSettings, Vec<Fault>> {
     let mut doc = Doc::parse(text, file)?;
     let daemon = read_daemon_settings(&mut doc, true);
-    // Read by `slipreel roles`, and checked there.
+    // `slipreel roles` reads and checks this section.
     doc.skip("roles");
     doc.finish(DAEMON_SECTIONS)?;
     daemon.ok_or_else(Vec::new)
--- a/crates/settings/src/policy.rs
+++ b/crates/settings/src/policy.rs
@@ -1,7 +1,7 @@
-//! Which settings are the fleet's policy, and which are a router's own.
+//! Separates the fleet's policy from a router's own settings, and describes changes of the policy.
 //!
-//! Policy: what all routers have to agree on. It has one canonical text, by which two files are the same
-//! policy or are not.
+//! The policy is the part of the settings on which all routers have to agree. Its canonical text shows
+//! whether two files have the same policy.
 
 use crate::doc::{Doc, Fault};
 use crate::site::{read_daemon_settings, DAEMON_SECTIONS};
@@ -9,55 +9,56 @@
 use std::collections::BTreeMap;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// The sections that are policy, in their canonical order. All others are a router's own.
+/// The sections that belong to the policy, in their canonical order. All others are a router's own settings.
 pub const POLICY_SECTIONS: &[&str] = &["limits", "class", "model", "tenant", "operations"];
 
-/// A policy as it was read from a file.
+/// A policy that was read from a file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Policy {
-    /// In canonical form.
+    /// Its text in canonical form.
     pub text: String,
-    /// Keys of the file that are a router's own and were left aside.
+    /// Keys of the file that are a router's own settings, with their sections.
     pub non_policy_keys: Vec<String>,
 }
 
-/// Reads the policy of a file: a whole settings file, or its policy sections alone.
+/// Reads the policy from a file, which is a whole settings file or has only the policy sections.
 ///
 /// # Errors
-/// Every fault of it, with its line in the file.
+/// Every fault of the policy, with its line in the file.
 pub fn policy_of(text: &str, file: &str) -> Result<Policy, Vec<Fault>> {
     let mut doc = Doc::parse(text, file)?;
-    let non_policy_keys = doc.only(POLICY_SECTIONS);
+    let non_policy_keys = doc.retain_sections(POLICY_SECTIONS);
     let canonical = doc.canonical(POLICY_SECTIONS);
     let _ = read_daemon_settings(&mut doc, false);
     doc.finish(POLICY_SECTIONS)?;
     Ok(Policy { text: canonical, non_policy_keys })
 }
 
-/// The settings of a router whose own sections are those of its file, and whose policy is this one.
+/// Reads a router's settings from its own file, with the policy sections replaced by those of `policy`.
 ///
 /// # Errors
-/// Every fault; those of the policy name its own lines, in `policy`.
+/// Every fault; those of the policy are given with their lines in the file `policy`.
 pub fn settings_with_policy(own: &str, file: &str, policy: &str) -> Result<DaemonSettings, Vec<Fault>> {
     let mut doc = Doc::parse(own, file)?;
-    doc.put(POLICY_SECTIONS, Doc::parse(policy, "policy")?);
+    doc.replace_sections(POLICY_SECTIONS, Doc::parse(policy, "policy")?);
     let daemon = read_daemon_settings(&mut doc, true);
     doc.skip("roles");
     doc.finish(DAEMON_SECTIONS)?;
     daemon.ok_or_else(Vec::new)
 }
 
-/// A tenant's keys are its clients' secrets: shown as marks by which they can be told apart, not used.
+/// Masks the value of a tenant's `keys`, which are secrets of its clients. Each key is replaced by a hash, by
+/// which keys can be compared but not used.
 fn mask(key: &str, value: &str) -> String {
     if key != "keys" {
         return value.to_owned();
     }
     let keys = value.split(',').map(str::trim).filter(|k| !k.is_empty());
-    let marks: Vec<String> = keys.map(|k| format!("key:{:08x}", xxh3_64(k.as_bytes()) as u32)).collect();
-    marks.join(", ")
+    let hashes: Vec<String> = keys.map(|k| format!("key:{:08x}", xxh3_64(k.as_bytes()) as u32)).collect();
+    hashes.join(", ")
 }
 
-/// A policy's text for people: keys of tenants are marks.
+/// A policy's text with the keys of tenants masked, for display.
 pub fn masked(text: &str) -> String {
     let lines = text.lines().map(|line| match line.split_once(" = ") {
         Some((key, value)) => format!("{key} = {}\n", mask(key, value)),
@@ -66,38 +67,39 @@
     lines.collect()
 }
 
-/// What a change from one policy's text to another's means, a line each. Texts may be masked.
+/// Describes the differences between two policy texts, one line each. The texts may be masked.
 ///
 /// # Errors
 /// One of them can't be read.
 pub fn changes(before: &str, after: &str) -> Result<Vec<String>, Vec<Fault>> {
-    let facts = |text: &str, file: &str| -> Result<BTreeMap<String, BTreeMap<String, String>>, Vec<Fault>> {
-        let mut all: BTreeMap<String, BTreeMap<String, String>> = BTreeMap::new();
-        for (head, key, value) in Doc::parse(text, file)?.facts() {
-            let value = if value.starts_with("key:") { value } else { mask(&key, &value) };
-            all.entry(head).or_default().insert(key, value);
-        }
-        Ok(all)
-    };
-    let (old, new) = (facts(before, "in force")?, facts(after, "proposed")?);
+    let entries =
+        |text: &str, file: &str| -> Result<BTreeMap<String, BTreeMap<String, String>>, Vec<Fault>> {
+            let mut sections: BTreeMap<String, BTreeMap<String, String>> = BTreeMap::new();
+            for (head, key, value) in Doc::parse(text, file)?.entries() {
+                let value = if value.starts_with("key:") { value } else { mask(&key, &value) };
+                sections.entry(head).or_default().insert(key, value);
+            }
+            Ok(sections)
+        };
+    let (old, new) = (entries(before, "in force")?, entries(after, "proposed")?);
     let mut lines = Vec::new();
     for (head, keys) in &new {
-        let Some(had) = old.get(head) else {
-            let said: Vec<String> = keys.iter().map(|(k, v)| format!("{k} = {v}")).collect();
-            lines.push(format!("[{head}] is new: {}{}", said.join(", "), meaning_of_section(head, true)));
+        let Some(old_keys) = old.get(head) else {
+            let settings: Vec<String> = keys.iter().map(|(k, v)| format!("{k} = {v}")).collect();
+            lines.push(format!("[{head}] is new: {}{}", settings.join(", "), meaning_of_section(head, true)));
             continue;
         };
         for (key, value) in keys {
-            match had.get(key) {
-                Some(was) if was == value => {}
-                Some(was) => {
-                    lines.push(format!("[{head}] {key}: {was} becomes {value}{}", meaning(head, key)));
+            match old_keys.get(key) {
+                Some(old_value) if old_value == value => {}
+                Some(old_value) => {
+                    lines.push(format!("[{head}] {key}: {old_value} becomes {value}{}", meaning(head, key)));
                 }
                 None => lines.push(format!("[{head}] {key}: not set becomes {value}{}", meaning(head, key))),
             }
         }
-        for (key, was) in had.iter().filter(|(key, _)| !keys.contains_key(*key)) {
-            lines.push(format!("[{head}] {key}: {was} is not set any more{}", meaning(head, key)));
+        for (key, old_value) in old_keys.iter().filter(|(key, _)| !keys.contains_key(*key)) {
+            lines.push(format!("[{head}] {key}: {old_value} is not set any more{}", meaning(head, key)));
         }
     }
     for head in old.keys().filter(|head| !new.contains_key(*head)) {
@@ -106,8 +108,9 @@
     Ok(lines)
 }
 
-fn meaning_of_section(head: &str, new: bool) -> String {
-    let what = match (head.split(' ').next().unwrap_or(head), new) {
+/// How a section that was added or removed affects traffic; empty where there is nothing to explain.
+fn meaning_of_section(head: &str, is_added: bool) -> String {
+    let what = match (head.split(' ').next().unwrap_or(head), is_added) {
         ("tenant", true) => "its keys are taken from then on",
         ("tenant", false) => "its keys are not taken any more: 401",
         ("model", true) => "clients may ask for it",
@@ -118,7 +121,7 @@
     format!("; {what}")
 }
 
-/// What a key does to traffic, in words.
+/// How a key affects traffic; empty where there is nothing to explain.
 fn meaning(head: &str, key: &str) -> String {
     let what = match (head.split(' ').next().unwrap_or(head), key) {
         ("class", "worth") => "who is refused first when the fleet is full",
--- a/crates/settings/src/roles.rs
+++ b/crates/settings/src/roles.rs
@@ -1,4 +1,4 @@
-//! `[roles]`: who may change engines between reading and writing, and within which limits.
+//! The section `[roles]`: the settings of the controller that changes engines between prefill and decode.
 
 use crate::doc::{Doc, Fault};
 use crate::site::{read_daemon_settings, DAEMON_SECTIONS};
@@ -8,24 +8,25 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// What a conductor is handed beside the list of engines.
+/// The settings of a role controller, besides the list of engines.
 #[derive(Clone, Debug)]
 pub struct RoleSettings {
     /// How changes are chosen.
     pub policy: PlanningPolicy,
-    /// What operators allow.
+    /// The limits on changes.
     pub limits: PlannerLimits,
-    /// What a change costs.
+    /// The costs of a change.
     pub costs: ChangeCosts,
-    /// What an engine does a second.
+    /// The tokens that an engine processes per second.
     pub throughput: EngineThroughput,
-    /// Requests that keep an engine wholly busy.
+    /// The number of requests that keep an engine fully busy.
     pub full_load_requests: FullLoadRequests,
-    /// The operators' ports of all routers: what is asked of them is the demand.
+    /// The operators' addresses of all routers, whose metrics give the demand.
     pub routers: Vec<SocketAddr>,
-    /// Nothing is changed while this file is there.
+    /// While this file exists, no roles are changed.
     pub freeze: Option<PathBuf>,
-    /// The list of engines that routers read, kept by what engines tell of their roles.
+    /// The file with the list of engines that routers read. The controller updates it with the roles that
+    /// engines report.
     pub list: Option<PathBuf>,
 }
 
@@ -41,25 +42,28 @@
     }
 }
 
-/// Some addresses of loopback.
+/// A list of loopback addresses; it must not be empty.
 struct Addresses(Vec<SocketAddr>);
 
 impl Value for Addresses {
     const EXPECTED: &'static str = "loopback addresses with ports, with commas between them";
     fn read(text: &str) -> Result<Self, String> {
-        let all: Result<Vec<Loopback>, String> = text.split(',').map(|a| Loopback::read(a.trim())).collect();
-        all.map(|all| Addresses(all.into_iter().map(|a| a.0).collect())).map_err(|_| Self::EXPECTED.into())
+        let addresses: Result<Vec<Loopback>, String> =
+            text.split(',').map(|a| Loopback::read(a.trim())).collect();
+        addresses
+            .map(|addresses| Addresses(addresses.into_iter().map(|a| a.0).collect()))
+            .map_err(|_| Self::EXPECTED.into())
     }
 }
 
-/// A rate or a number of places: over 0.
-struct Over0(f64);
+/// A number greater than 0, such as a rate or a number of requests.
+struct Positive(f64);
 
-impl Value for Over0 {
+impl Value for Positive {
     const EXPECTED: &'static str = "a number over 0";
     fn read(text: &str) -> Result<Self, String> {
         let number: Option<f64> = text.parse().ok().filter(|n: &f64| n.is_finite() && *n > 0.0);
-        number.map(Over0).ok_or_else(|| Self::EXPECTED.into())
+        number.map(Positive).ok_or_else(|| Self::EXPECTED.into())
     }
 }
 
@@ -83,43 +87,49 @@
 }
 
 fn read_roles(doc: &mut Doc, at: usize, daemon: &DaemonSettings) -> Option<RoleSettings> {
-    let here = Some(at);
-    let start = PlannerLimits::default();
+    let section = Some(at);
+    let defaults = PlannerLimits::default();
     let settings = &daemon.gateway.decisions;
     let limits = PlannerLimits {
-        max_concurrent_changes: doc.or(here, "in_flight", start.max_concurrent_changes),
-        min_prefill_per_cell: doc.or(here, "readers_in_cell", start.min_prefill_per_cell),
-        min_decode_per_cell: doc.or(here, "writers_in_cell", start.min_decode_per_cell),
-        min_per_zone: doc.or(here, "in_zone", start.min_per_zone),
-        min_time_in_role: doc.or(here, "least_time", start.min_time_in_role),
+        max_concurrent_changes: doc.or(section, "in_flight", defaults.max_concurrent_changes),
+        min_prefill_per_cell: doc.or(section, "readers_in_cell", defaults.min_prefill_per_cell),
+        min_decode_per_cell: doc.or(section, "writers_in_cell", defaults.min_decode_per_cell),
+        min_per_zone: doc.or(section, "in_zone", defaults.min_per_zone),
+        min_time_in_role: doc.or(section, "least_time", defaults.min_time_in_role),
         frozen: false,
     };
-    let speeds = (doc.need::<Over0>(at, "read_per_s"), doc.need::<Over0>(at, "write_per_s"));
-    let places = (doc.need::<Over0>(at, "read_places"), doc.need::<Over0>(at, "write_places"));
+    let throughput = (doc.need::<Positive>(at, "read_per_s"), doc.need::<Positive>(at, "write_per_s"));
+    let full_load_requests =
+        (doc.need::<Positive>(at, "read_places"), doc.need::<Positive>(at, "write_places"));
     let costs = ChangeCosts {
-        drain: doc.or(here, "drain", ChangeCosts::DRAIN),
+        drain: doc.or(section, "drain", ChangeCosts::DRAIN),
         slow_start: settings.warmup_time,
         slow_start_speed: settings.warmup_initial_share,
-        prefill_tokens_per_s: speeds.0.as_ref().map_or(1.0, |n| n.0),
+        prefill_tokens_per_s: throughput.0.as_ref().map_or(1.0, |n| n.0),
     };
-    let policy = doc.or(here, "policy", PlanningPolicy::Greedy);
+    let policy = doc.or(section, "policy", PlanningPolicy::Greedy);
     let routers = doc.need::<Addresses>(at, "routers");
     let freeze = doc.get::<String>(at, "freeze").map(PathBuf::from);
     let list = doc.get::<String>(at, "list").map(PathBuf::from);
-    if let (Some(list), Some(read)) = (&list, &daemon.engines_file) {
-        if list != read {
-            let what = format!("{}: expected the file that routers read, {}", list.display(), read.display());
+    if let (Some(list), Some(engines_file)) = (&list, &daemon.engines_file) {
+        if list != engines_file {
+            let what = format!(
+                "{}: expected the file that routers read, {}",
+                list.display(),
+                engines_file.display()
+            );
             doc.add_fault(at, "list", what);
         }
     }
-    let (Over0(read), Over0(write)) = (speeds.0?, speeds.1?);
-    let (Over0(read_places), Over0(write_places)) = (places.0?, places.1?);
+    let (Positive(prefill_rate), Positive(decode_rate)) = (throughput.0?, throughput.1?);
+    let (Positive(prefill_requests), Positive(decode_requests)) =
+        (full_load_requests.0?, full_load_requests.1?);
     Some(RoleSettings {
         policy,
         limits,
         costs,
-        throughput: EngineThroughput { prefill: read, decode: write },
-        full_load_requests: FullLoadRequests { prefill: read_places, decode: write_places },
+        throughput: EngineThroughput { prefill: prefill_rate, decode: decode_rate },
+        full_load_requests: FullLoadRequests { prefill: prefill_requests, decode: decode_requests },
         routers: routers?.0,
         freeze,
         list,
--- a/crates/settings/src/site.rs
+++ b/crates/settings/src/site.rs
@@ -1,4 +1,4 @@
-//! From sections to [`GatewaySettings`]: defaults, and checks across sections.
+//! Builds [`DaemonSettings`] from the sections, with defaults and with checks across sections.
 
 use crate::doc::Doc;
 use crate::fleet::{read_fleet, FleetSettings};
@@ -14,7 +14,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// The sections of a router's settings.
+/// The kinds of sections in a router's settings.
 pub const DAEMON_SECTIONS: &[&str] = &[
     "router",
     "limits",
@@ -29,12 +29,12 @@
     "fleet",
 ];
 
-/// How lines are logged.
+/// The format of log lines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LogFormat {
-    /// For people.
+    /// Plain text.
     Text,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
@@ -49,24 +49,25 @@
     }
 }
 
-/// What the daemon needs: a site, and what surrounds it.
+/// The settings of the router process: those of its gateways, and those of the process itself.
 #[derive(Clone, Debug)]
 pub struct DaemonSettings {
     /// The settings that each gateway is started with.
     pub gateway: GatewaySettings,
-    /// Where clients connect.
+    /// The address for clients.
     pub listen: SocketAddr,
-    /// Where operators connect, for metrics: the first gateway's; the next ones take the ports after it.
+    /// The address for operators, for example for metrics. It is that of the first gateway; each further one
+    /// takes the next port.
     pub operators: Option<SocketAddr>,
-    /// How many gateways run, each a router of its own on a thread of its own.
+    /// The number of gateways. Each is a separate router on its own thread.
     pub threads: usize,
-    /// A file in the `EndpointSlice` JSON format with the list of engines, if it comes from there.
+    /// The file with the list of engines in the `EndpointSlice` JSON format, if there is one.
     pub engines_file: Option<PathBuf>,
-    /// The fleet that it is a member of; `None`: it knows itself alone.
+    /// The fleet that it is a member of; `None` if it knows no other routers.
     pub fleet: Option<FleetSettings>,
-    /// How lines are logged.
+    /// The format of log lines.
     pub log_format: LogFormat,
-    /// Least level of what is logged, as tracing names it.
+    /// The minimum level of logged events, by its name in `tracing`.
     pub log_level: String,
 }
 
@@ -82,43 +83,46 @@
     }
 }
 
-/// Reads the sections of a site. `None` if something that has to be there is missing; the document says what.
-/// `serves`: it is to be served, so that an address and engines are needed.
+/// Reads the sections of a router's settings. `None` if a required setting is missing; that is recorded as a
+/// fault in the document. `serves` is whether the settings are for a router that serves, which needs an
+/// address and engines.
 pub fn read_daemon_settings(doc: &mut Doc, serves: bool) -> Option<DaemonSettings> {
     let router = doc.one("router");
     let log = doc.one("log");
     if router.is_none() && serves {
         doc.add_file_fault("expected a section [router]");
     }
-    let any = Loopback(SocketAddr::from(([127, 0, 0, 1], 0)));
+    let default_listen = Loopback(SocketAddr::from(([127, 0, 0, 1], 0)));
     let listen = match router {
         Some(at) if serves => doc.need::<Loopback>(at, "listen"),
-        at => Some(doc.or(at, "listen", any)),
+        at => Some(doc.or(at, "listen", default_listen)),
     };
     let operators = router.and_then(|at| doc.get::<Loopback>(at, "operators")).map(|a| a.0);
     let threads = at_least_one(doc, router, "threads", 1);
     if let (Some(at), Some(first)) = (router, operators) {
-        let last = usize::from(first.port()) + threads - 1;
-        let taken = listen.as_ref().is_some_and(|l| {
-            l.0.ip() == first.ip() && (usize::from(first.port())..=last).contains(&usize::from(l.0.port()))
+        let last_port = usize::from(first.port()) + threads - 1;
+        let overlaps_listen = listen.as_ref().is_some_and(|l| {
+            l.0.ip() == first.ip()
+                && (usize::from(first.port())..=last_port).contains(&usize::from(l.0.port()))
         });
-        if last > usize::from(u16::MAX) || taken {
-            let why = format!(
+        if last_port > usize::from(u16::MAX) || overlaps_listen {
+            let what = format!(
                 "{first}: expected {threads} free ports from here on, one a thread, without that of listen"
             );
-            doc.add_fault(at, "operators", why);
+            doc.add_fault(at, "operators", what);
         }
     }
-    let others = doc.or(router, "routers", threads as u32);
-    if let Some(at) = router.filter(|_| (others as usize) < threads) {
+    let router_count = doc.or(router, "routers", threads as u32);
+    if let Some(at) = router.filter(|_| (router_count as usize) < threads) {
         doc.add_fault(
             at,
             "routers",
-            format!("{others}: expected at least as many as threads, {threads}: each is a router"),
+            format!("{router_count}: expected at least as many as threads, {threads}: each is a router"),
         );
     }
-    let (classes, class_sites): (Vec<Class>, Vec<ClassSettings>) = read_classes(doc).into_iter().unzip();
-    let (tenants, tenant_sites): (Vec<Tenant>, Vec<TenantSettings>) = read_tenants(doc).into_iter().unzip();
+    let (classes, class_settings): (Vec<Class>, Vec<ClassSettings>) = read_classes(doc).into_iter().unzip();
+    let (tenants, tenant_settings): (Vec<Tenant>, Vec<TenantSettings>) =
+        read_tenants(doc).into_iter().unzip();
     let engines_file = router.and_then(|at| doc.get::<String>(at, "engines")).map(PathBuf::from);
     let engines = read_engines(doc);
     if engines.is_empty() && engines_file.is_none() && serves {
@@ -126,14 +130,14 @@
     }
     let taken_out = read_taken_out(doc);
     check_taken_out(doc, &engines, &taken_out);
-    let models = read_models(doc, &class_sites);
+    let models = read_models(doc, &class_settings);
     let bounds = read_bounds(doc);
-    let settings = read_settings(doc, router, others, classes, tenants);
+    let decisions = read_decision_settings(doc, router, router_count, classes, tenants);
     let gateway = GatewaySettings {
-        decisions: settings,
-        classes: class_sites,
+        decisions,
+        classes: class_settings,
         models,
-        tenants: tenant_sites,
+        tenants: tenant_settings,
         engines,
         bounds,
         taken_out,
@@ -141,8 +145,8 @@
         zone: doc.or(router, "zone", Name("default".into())).0,
         name: doc.or(router, "name", Name("slipreel".into())).0,
     };
-    let taken: Vec<SocketAddr> = listen.iter().map(|l| l.0).chain(operators).collect();
-    let fleet = read_fleet(doc, router, &taken);
+    let used: Vec<SocketAddr> = listen.iter().map(|l| l.0).chain(operators).collect();
+    let fleet = read_fleet(doc, router, &used);
     let log_format = doc.or(log, "format", LogFormat::Text);
     let log_level = doc.or(log, "level", "info".to_owned());
     if let Some(at) =
@@ -162,6 +166,7 @@
     })
 }
 
+/// A count; 0 is a fault.
 fn at_least_one(doc: &mut Doc, at: Option<usize>, key: &str, default: usize) -> usize {
     let n = doc.or(at, key, default);
     if let (0, Some(at)) = (n, at) {
@@ -170,74 +175,76 @@
     n.max(1)
 }
 
-fn read_settings(
-    doc: &mut Doc, router: Option<usize>, routers: u32, classes: Vec<Class>, tenants: Vec<Tenant>,
+/// The settings of the decision module.
+fn read_decision_settings(
+    doc: &mut Doc, router: Option<usize>, router_count: u32, classes: Vec<Class>, tenants: Vec<Tenant>,
 ) -> Settings {
     let at = doc.one("limits");
-    let start = starting_settings();
-    let cold_share = doc.or(at, "cold_share", start.warmup_initial_share);
+    let defaults = starting_settings();
+    let cold_share = doc.or(at, "cold_share", defaults.warmup_initial_share);
     if let Some(at) = at.filter(|_| cold_share > 1.0) {
         doc.add_fault(at, "cold_share", format!("{cold_share}: expected a share from 0 to 1"));
     }
-    let retry_after = doc.or(at, "retry_after", start.limits.max_retry_after.unwrap_or_default());
+    let retry_after = doc.or(at, "retry_after", defaults.limits.max_retry_after.unwrap_or_default());
     Settings {
-        router_count: routers,
-        // Named in the settings; the gateway numbers it as its list does.
+        router_count,
+        // The settings give the zone's name. The gateway replaces this by the zone's number in its list of
+        // engines.
         zone: ZoneId(0),
-        tick: doc.or(router, "tick", start.tick),
+        tick: doc.or(router, "tick", defaults.tick),
         classes,
         tenants,
-        over_quota_weight: doc.or(at, "over_share_worth", start.over_quota_weight),
+        over_quota_weight: doc.or(at, "over_share_worth", defaults.over_quota_weight),
         kind_roles: KINDS.to_vec(),
         memory_tokens: vec![],
-        decode_engines_prefill: doc.or(at, "writers_read", start.decode_engines_prefill),
+        decode_engines_prefill: doc.or(at, "writers_read", defaults.decode_engines_prefill),
         requests_engine_list: false,
-        report_source: doc.or(at, "reports", start.report_source),
+        report_source: doc.or(at, "reports", defaults.report_source),
         limits: Limits {
-            max_attempts: at_least_one(doc, at, "attempts", start.limits.max_attempts),
-            cancellation: doc.or(at, "cancel", start.limits.cancellation),
-            probes: doc.or(at, "probes", start.limits.probes),
+            max_attempts: at_least_one(doc, at, "attempts", defaults.limits.max_attempts),
+            cancellation: doc.or(at, "cancel", defaults.limits.cancellation),
+            probes: doc.or(at, "probes", defaults.limits.probes),
             hedged_requests: false,
             max_retry_after: (retry_after > Duration::ZERO).then_some(retry_after),
-            connect_timeout: doc.or(at, "connect_timeout", start.limits.connect_timeout),
+            connect_timeout: doc.or(at, "connect_timeout", defaults.limits.connect_timeout),
         },
         warmup_initial_share: cold_share,
-        warmup_time: doc.or(at, "cold_time", start.warmup_time),
-        warmup_budget: doc.or(at, "cold_budget", start.warmup_budget),
-        held_state_limit: doc.or(at, "let_go_within", start.held_state_limit),
+        warmup_time: doc.or(at, "cold_time", defaults.warmup_time),
+        warmup_budget: doc.or(at, "cold_budget", defaults.warmup_budget),
+        held_state_limit: doc.or(at, "let_go_within", defaults.held_state_limit),
     }
 }
 
 fn read_bounds(doc: &mut Doc) -> Bounds {
     let at = doc.one("bounds");
-    let start = Bounds::default();
+    let defaults = Bounds::default();
     Bounds {
-        connections: at_least_one(doc, at, "connections", start.connections),
-        requests: at_least_one(doc, at, "requests", start.requests),
-        body: doc.or(at, "body", Bytes(start.body)).0,
-        unsent: doc.or(at, "unsent", Bytes(start.unsent as u64)).0 as usize,
-        per_engine: at_least_one(doc, at, "per_engine", start.per_engine),
-        idle_per_engine: doc.or(at, "idle_per_engine", start.idle_per_engine),
-        engine_idle: doc.or(at, "engine_idle", start.engine_idle),
-        client_idle: doc.or(at, "client_idle", start.client_idle),
-        receive: doc.or(at, "receive", start.receive),
-        stalled_peer: doc.or(at, "stalled_peer", start.stalled_peer),
-        silent_stream: doc.or(at, "silent_stream", start.silent_stream),
-        probe: doc.or(at, "probe", start.probe),
-        stop: doc.or(at, "stop", start.stop),
-        half_close: doc.or(at, "half_close", start.half_close),
+        connections: at_least_one(doc, at, "connections", defaults.connections),
+        requests: at_least_one(doc, at, "requests", defaults.requests),
+        body: doc.or(at, "body", Bytes(defaults.body)).0,
+        unsent: doc.or(at, "unsent", Bytes(defaults.unsent as u64)).0 as usize,
+        per_engine: at_least_one(doc, at, "per_engine", defaults.per_engine),
+        idle_per_engine: doc.or(at, "idle_per_engine", defaults.idle_per_engine),
+        engine_idle: doc.or(at, "engine_idle", defaults.engine_idle),
+        client_idle: doc.or(at, "client_idle", defaults.client_idle),
+        receive: doc.or(at, "receive", defaults.receive),
+        stalled_peer: doc.or(at, "stalled_peer", defaults.stalled_peer),
+        silent_stream: doc.or(at, "silent_stream", defaults.silent_stream),
+        probe: doc.or(at, "probe", defaults.probe),
+        stop: doc.or(at, "stop", defaults.stop),
+        half_close: doc.or(at, "half_close", defaults.half_close),
     }
 }
 
 fn read_classes(doc: &mut Doc) -> Vec<(Class, ClassSettings)> {
-    let start = starting_class();
+    let defaults = starting_class();
     let mut classes = Vec::new();
     for at in doc.all("class") {
-        let name = named(doc, at);
+        let name = section_name(doc, at);
         let group = doc.or(Some(at), "group", DeduplicationScope::All);
-        let window = doc.or(Some(at), "window", start.window);
-        let word = doc.text(at, "effect").unwrap_or_else(|| "safe".into());
-        let effect = match word.as_str() {
+        let window = doc.or(Some(at), "window", defaults.window);
+        let effect = doc.text(at, "effect").unwrap_or_else(|| "safe".into());
+        let idempotency = match effect.as_str() {
             "safe" => Idempotency::Idempotent,
             "keyed" => Idempotency::WithKey { scope: group, window },
             "unsafe" => Idempotency::NotIdempotent,
@@ -246,16 +253,16 @@
                 Idempotency::NotIdempotent
             }
         };
-        let aim = doc.or(Some(at), "aim", start.aim);
-        let patience = doc.or(Some(at), "patience", start.patience);
+        let aim = doc.or(Some(at), "aim", defaults.aim);
+        let patience = doc.or(Some(at), "patience", defaults.patience);
         if patience <= aim {
             doc.add_fault(at, "patience", format!("{patience:?}: expected more than the aim, {aim:?}"));
         }
         let class = Class {
             latency_objective: aim,
-            latency_objective_per_1000_tokens: doc.or(Some(at), "aim_per_1000", start.aim_per_1000),
+            latency_objective_per_1000_tokens: doc.or(Some(at), "aim_per_1000", defaults.aim_per_1000),
             priority_weight: doc.or(Some(at), "worth", 1.0),
-            idempotency: effect,
+            idempotency,
             streams: true,
         };
         classes.push((class, ClassSettings { name, patience }));
@@ -266,8 +273,8 @@
     classes
 }
 
-/// The name in a section's head.
-fn named(doc: &mut Doc, at: usize) -> String {
+/// The name in a section's header.
+fn section_name(doc: &mut Doc, at: usize) -> String {
     let (kind, name) = (doc.section(at).kind.clone(), doc.section(at).name.clone());
     if let Err(expected) = Name::read(&name) {
         doc.add_fault(at, "", format!("{name:?}: expected [{kind} NAME] with {expected}"));
@@ -278,7 +285,7 @@
 fn read_models(doc: &mut Doc, classes: &[ClassSettings]) -> Vec<ModelSettings> {
     let mut models = Vec::new();
     for at in doc.all("model") {
-        let name = named(doc, at);
+        let name = section_name(doc, at);
         let served_as = doc.or(Some(at), "served_as", name.clone());
         let Some(class) = doc.need::<String>(at, "class") else { continue };
         match classes.iter().position(|c| c.name == class) {
@@ -295,7 +302,7 @@
 fn read_tenants(doc: &mut Doc) -> Vec<(Tenant, TenantSettings)> {
     let mut tenants: Vec<(Tenant, TenantSettings)> = Vec::new();
     for at in doc.all("tenant") {
-        let name = named(doc, at);
+        let name = section_name(doc, at);
         let keys = doc.need::<String>(at, "keys").unwrap_or_default();
         let keys: Vec<String> =
             keys.split(',').map(|k| k.trim().to_owned()).filter(|k| !k.is_empty()).collect();
@@ -311,34 +318,34 @@
     tenants
 }
 
-/// Engines that operators have taken out by hand, by name. One that this router does not list may be
-/// another's.
+/// The names of engines that operators have taken out of service. Names that this router does not list are
+/// accepted, as other routers may list them.
 fn read_taken_out(doc: &mut Doc) -> Vec<String> {
     let at = doc.one("operations");
     let text = doc.or(at, "taken_out", String::new());
     let names: Vec<String> =
         text.split(',').map(str::trim).filter(|n| !n.is_empty()).map(str::to_owned).collect();
-    if let (Some(at), Some(bad)) = (at, names.iter().find(|n| Name::read(n).is_err())) {
+    if let (Some(at), Some(invalid)) = (at, names.iter().find(|n| Name::read(n).is_err())) {
         doc.add_fault(
             at,
             "taken_out",
-            format!("{bad:?}: expected names of engines with commas between them"),
+            format!("{invalid:?}: expected names of engines with commas between them"),
         );
     }
     names
 }
 
-/// Some engine that reads and some that writes have to be left, of those that this router lists.
+/// Checks that an engine for prefill and one for decode remain among those that this router lists.
 fn check_taken_out(doc: &mut Doc, engines: &[EngineSettings], taken_out: &[String]) {
     let Some(at) = doc.one("operations").filter(|_| !engines.is_empty()) else { return };
-    for (role, what) in [(Role::Prefill, "reads"), (Role::Decode, "writes")] {
-        let can = |e: &&EngineSettings| e.role == role || e.role == Role::Mixed;
-        if !engines.iter().filter(can).any(|e| !taken_out.contains(&e.name)) {
-            let why = format!(
-                "{}: expected an engine that {what} to be left, of those listed here",
+    for (role, verb) in [(Role::Prefill, "reads"), (Role::Decode, "writes")] {
+        let can_serve = |e: &&EngineSettings| e.role == role || e.role == Role::Mixed;
+        if !engines.iter().filter(can_serve).any(|e| !taken_out.contains(&e.name)) {
+            let what = format!(
+                "{}: expected an engine that {verb} to be left, of those listed here",
                 taken_out.join(", ")
             );
-            doc.add_fault(at, "taken_out", why);
+            doc.add_fault(at, "taken_out", what);
         }
     }
 }
@@ -351,7 +358,7 @@
 fn read_engines(doc: &mut Doc) -> Vec<EngineSettings> {
     let mut engines: Vec<EngineSettings> = Vec::new();
     for at in doc.all("engine") {
-        let name = named(doc, at);
+        let name = section_name(doc, at);
         let addr = doc.need::<Loopback>(at, "address");
         let role = doc.need::<Role>(at, "role");
         let zone = doc.or(Some(at), "zone", Name("default".into())).0;
@@ -371,9 +378,9 @@
         }
         engines.push(EngineSettings { name, addr, role, zone, cell, state });
     }
-    let can = |wanted: Role| engines.iter().any(|e| e.role == wanted || e.role == Role::Mixed);
-    let complete = can(Role::Prefill) && can(Role::Decode);
-    if !(engines.is_empty() || complete) {
+    let serves_role = |role: Role| engines.iter().any(|e| e.role == role || e.role == Role::Mixed);
+    let serves_both = serves_role(Role::Prefill) && serves_role(Role::Decode);
+    if !(engines.is_empty() || serves_both) {
         doc.add_file_fault("expected engines that read and engines that write, or some that do both");
     }
     engines
--- a/crates/settings/src/slices.rs
+++ b/crates/settings/src/slices.rs
@@ -1,4 +1,4 @@
-//! The list of engines from a text in the `EndpointSlice` JSON format, checked.
+//! Reads and writes lists of engines in the `EndpointSlice` JSON format.
 
 use crate::values::Value;
 use serde_json::json;
@@ -7,10 +7,10 @@
 use slipreel_protocol::endpoints;
 use std::collections::BTreeMap;
 
-/// Reads a list of engines.
+/// Reads and checks a list of engines.
 ///
 /// # Errors
-/// What is wrong, and at which address.
+/// The first error, with its address.
 pub fn engines_from_slices(text: &str) -> Result<Vec<EngineSettings>, String> {
     let mut engines: Vec<EngineSettings> = Vec::new();
     for listed in endpoints::parse(text)? {
@@ -18,7 +18,7 @@
         if !addr.ip().is_loopback() {
             return Err(format!("address {addr}: expected a loopback address"));
         }
-        // One that serves no more has left; one that only does not take new work drains.
+        // An engine that no longer serves has left; one that serves but takes no new work is draining.
         if !listed.serving {
             continue;
         }
@@ -27,8 +27,8 @@
             .map_err(|e| format!("{addr}: label slipreel.dev/role {role:?}: expected {e}"))?;
         let zone = listed.zone.unwrap_or_else(|| "default".into());
         let cell = listed.cell.unwrap_or_else(|| zone.clone());
-        let takes = listed.ready && !listed.terminating;
-        let state = if takes { EngineState::Ready } else { EngineState::Draining };
+        let takes_work = listed.ready && !listed.terminating;
+        let state = if takes_work { EngineState::Ready } else { EngineState::Draining };
         if engines.iter().any(|e| e.addr == addr) {
             return Err(format!("address {addr} is listed twice"));
         }
@@ -37,8 +37,8 @@
     Ok(engines)
 }
 
-/// Writes a list of engines as an `EndpointSliceList`, a slice for each role and cell; what
-/// [`engines_from_slices`] reads of it is this list but for the names.
+/// Writes a list of engines as an `EndpointSliceList`. [`engines_from_slices`] reads the same engines from
+/// it, except for their names.
 pub fn engines_to_slices(engines: &[EngineSettings]) -> String {
     let mut slices: BTreeMap<(&str, &str, u16, bool), Vec<&EngineSettings>> = BTreeMap::new();
     for e in engines.iter().filter(|e| e.state != EngineState::Gone) {
@@ -47,12 +47,12 @@
             Role::Decode => "write",
             Role::Mixed => "both",
         };
-        // The ports of a slice are those of all its addresses, and its addresses of one family.
+        // The ports of a slice apply to all its addresses, and its addresses belong to one family.
         slices.entry((role, &e.cell, e.addr.port(), e.addr.is_ipv4())).or_default().push(e);
     }
     let items: Vec<_> = slices
         .into_iter()
-        .map(|((role, cell, port, v4), engines)| {
+        .map(|((role, cell, port, is_ipv4), engines)| {
             let endpoints: Vec<_> = engines
                 .into_iter()
                 .map(|e| {
@@ -62,7 +62,7 @@
                 })
                 .collect();
             json!({"kind": "EndpointSlice", "apiVersion": "discovery.k8s.io/v1",
-                   "addressType": if v4 { "IPv4" } else { "IPv6" },
+                   "addressType": if is_ipv4 { "IPv4" } else { "IPv6" },
                    "metadata": {"name": format!("{role}-{cell}-{port}"),
                                 "labels": {"slipreel.dev/role": role, "slipreel.dev/cell": cell}},
                    "ports": [{"port": port}], "endpoints": endpoints})
--- a/crates/settings/src/values.rs
+++ b/crates/settings/src/values.rs
@@ -1,15 +1,15 @@
-//! The kinds of value that settings hold, and what is said of one that can't be read.
+//! The types of values in settings, and what is expected where a value can't be read.
 
 use slipreel::{DeduplicationScope, EngineState, Role};
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A value that can be read from text.
+/// A type whose values can be read from the text of a setting.
 pub trait Value: Sized {
     /// What is expected, as it ends the sentence "expected ...".
     const EXPECTED: &'static str;
 
-    /// Reads it.
+    /// Reads a value.
     ///
     /// # Errors
     /// What was expected instead.
@@ -24,11 +24,11 @@
     const EXPECTED: &'static str = "a time such as 250ms, 2s, 1.5s, 10m or 1h";
     fn read(text: &str) -> Result<Self, String> {
         let units = [("ms", 0.001), ("us", 0.000_001), ("s", 1.0), ("m", 60.0), ("h", 3600.0)];
-        let read = units.iter().find_map(|(unit, seconds)| {
+        let duration = units.iter().find_map(|(unit, seconds)| {
             let number: f64 = text.strip_suffix(unit)?.trim().parse().ok()?;
             Duration::try_from_secs_f64(number * seconds).ok()
         });
-        or_expected(read.filter(|t| *t <= Duration::from_secs(366 * 86_400)))
+        or_expected(duration.filter(|duration| *duration <= Duration::from_secs(366 * 86_400)))
     }
 }
 
@@ -86,15 +86,15 @@
     const EXPECTED: &'static str = "a size such as 512, 64KiB or 32MiB";
     fn read(text: &str) -> Result<Self, String> {
         let units = [("KiB", 1u64 << 10), ("MiB", 1 << 20), ("GiB", 1 << 30), ("", 1)];
-        let read = units.iter().find_map(|(unit, bytes)| {
+        let size = units.iter().find_map(|(unit, bytes)| {
             let number: u64 = text.strip_suffix(unit)?.trim().parse().ok()?;
             number.checked_mul(*bytes)
         });
-        or_expected(read.map(Bytes))
+        or_expected(size.map(Bytes))
     }
 }
 
-/// An address of this machine's loopback: nothing else is listened on or connected to.
+/// A loopback address with a port. Routers listen on and connect to no other addresses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Loopback(pub SocketAddr);
 
@@ -105,15 +105,15 @@
     }
 }
 
-/// A name: letters, digits, dots, dashes and underscores.
+/// A name of letters, digits, dots, dashes and underscores.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Name(pub String);
 
 impl Value for Name {
     const EXPECTED: &'static str = "a name of letters, digits, '.', '-' and '_'";
     fn read(text: &str) -> Result<Self, String> {
-        let ok = |c: char| c.is_ascii_alphanumeric() || "._-".contains(c);
-        or_expected(Some(text).filter(|t| !t.is_empty() && t.chars().all(ok)).map(|t| Name(t.into())))
+        let is_allowed = |c: char| c.is_ascii_alphanumeric() || "._-".contains(c);
+        or_expected(Some(text).filter(|t| !t.is_empty() && t.chars().all(is_allowed)).map(|t| Name(t.into())))
     }
 }
 
