--- a/crates/adapter/src/main.rs
+++ b/crates/adapter/src/main.rs
@@ -1,5 +1,5 @@
-//! Plays many routers on the simulator's wire, from standard input to standard output. It translates and
-//! decides nothing.
+//! Runs many routers for a simulator, with which it exchanges frames on standard input and output. It only
+//! translates between these frames and the routers' events and actions.
 
 #![forbid(unsafe_code)]
 
@@ -18,15 +18,15 @@
     Io(#[from] io::Error),
     /// A frame can't be decoded.
     #[error(transparent)]
-    Malformed(#[from] wire::Malformed),
+    Malformed(#[from] wire::MalformedFrame),
 }
 
-/// Answers each batch of the input with a reply until the input ends.
+/// Replies to each batch of the input until the input ends.
 fn run(input: impl Read, output: impl Write) -> Result<(), AdapterError> {
     let (mut input, mut output) = (BufReader::new(input), BufWriter::new(output));
     let mut host = Host::default();
     while let Some(frame) = wire::read_frame(&mut input)? {
-        let reply = host.play(&frame)?;
+        let reply = host.process_batch(&frame)?;
         output.write_all(&reply)?;
         output.flush()?;
     }
--- a/crates/adapter/src/wire.rs
+++ b/crates/adapter/src/wire.rs
@@ -1,4 +1,5 @@
-//! The simulator's wire: frames of big-endian records, decoded into events and encoded from actions.
+//! The wire format of the simulator: frames of big-endian records, decoded into events and encoded from
+//! actions.
 
 mod decode;
 mod encode;
@@ -6,7 +7,7 @@
 
 pub use decode::{Batch, Input, RouterId};
 pub use encode::Reply;
-pub use frame::{read_frame, Malformed};
+pub use frame::{read_frame, MalformedFrame};
 
 #[cfg(test)]
 mod tests;
--- a/crates/adapter/src/wire/decode.rs
+++ b/crates/adapter/src/wire/decode.rs
@@ -1,6 +1,6 @@
-//! Records of a batch, decoded into what routers are told.
+//! Decodes the records of a batch into inputs of routers.
 
-use super::frame::{FieldReader, Malformed};
+use super::frame::{FieldReader, MalformedFrame};
 use slipreel::{
     AttemptEnded, CellId, ClassId, Engine, EngineState, Event, KindId, Listing, Outcome, Request, RequestId,
     TenantId, TimerId, ZoneId,
@@ -8,7 +8,7 @@
 use slipreel_platform_settings::Column;
 use std::time::Duration;
 
-/// Codes of the records that the simulator sends.
+/// The codes of the records that the simulator sends.
 mod code {
     pub(super) const ATTACH: u8 = 1;
     pub(super) const ENGINES: u8 = 2;
@@ -23,9 +23,9 @@
     pub(super) const RESERVATION_ANSWERED: u8 = 11;
 }
 
-/// Flag of a request that its client has sent before.
+/// The flag of a request that its client has sent before.
 const IS_RETRY: u8 = 2;
-/// Flag of a request for the rest of a stream.
+/// The flag of a request for the rest of a stream.
 const IS_RESUMPTION: u8 = 16;
 
 /// A router's number on the wire.
@@ -34,55 +34,56 @@
 /// One record of a batch.
 #[derive(Debug, PartialEq)]
 pub enum Input {
-    /// A router comes up.
+    /// A router starts.
     Attach {
-        /// Which.
+        /// Its number.
         router: RouterId,
-        /// For its random numbers.
+        /// The seed of its random numbers.
         seed: u64,
-        /// Its settings, `path=value` lines.
+        /// Its settings, as lines `path=value`.
         profile: String,
     },
     /// A router is killed.
     Stop(RouterId),
-    /// Something that a router is told.
+    /// An event for a router.
     Event(RouterId, Event),
-    /// A record of an unknown code.
+    /// A record whose code, mode or status is unknown; it is skipped.
     Unknown,
 }
 
-/// A batch of records at one time.
+/// A batch of records that share one time.
 pub struct Batch<'a> {
-    /// The batch's clock; `None` if it holds no time.
+    /// The time of the batch; `None` if its value is not a time.
     pub clock: Option<Duration>,
     fields: FieldReader<'a>,
     records_left: u32,
 }
 
 impl<'a> Batch<'a> {
-    /// Opens a frame without its length field.
+    /// Decodes the header of a batch from a frame without its length field.
     ///
     /// # Errors
-    /// The frame is shorter than a batch's head.
-    pub fn open(frame: &'a [u8]) -> Result<Batch<'a>, Malformed> {
+    /// The frame is shorter than a batch's header.
+    pub fn open(frame: &'a [u8]) -> Result<Batch<'a>, MalformedFrame> {
         let mut fields = FieldReader::of_frame(frame);
         let clock = fields.millis()?;
         let records_left = fields.u32()?;
         Ok(Batch { clock, fields, records_left })
     }
 
-    /// The next record; `columns` gives the report layout of a router.
+    /// Decodes the next record; `None` after the last one. `columns` gives the layout of a router's load
+    /// reports.
     ///
     /// # Errors
-    /// The record can't be read, or bytes follow the last one.
+    /// The record can't be decoded, or bytes follow the last one.
     pub fn next<'c>(
         &mut self, columns: impl Fn(RouterId) -> &'c [Column],
-    ) -> Result<Option<Input>, Malformed> {
+    ) -> Result<Option<Input>, MalformedFrame> {
         if self.records_left == 0 {
             return if self.fields.is_empty() {
                 Ok(None)
             } else {
-                Err(Malformed { at: self.fields.position(), why: "bytes after the last record" })
+                Err(MalformedFrame { at: self.fields.position(), reason: "bytes after the last record" })
             };
         }
         self.records_left -= 1;
@@ -95,7 +96,7 @@
 
 fn decode_record<'c>(
     code: u8, mut record: FieldReader, columns: impl Fn(RouterId) -> &'c [Column],
-) -> Result<Input, Malformed> {
+) -> Result<Input, MalformedFrame> {
     if !(code::ATTACH..=code::RESERVATION_ANSWERED).contains(&code) {
         return Ok(Input::Unknown);
     }
@@ -116,14 +117,14 @@
     Ok(event.map_or(Input::Unknown, |event| Input::Event(router, event)))
 }
 
-fn decode_attach(router: RouterId, record: &mut FieldReader) -> Result<Input, Malformed> {
+fn decode_attach(router: RouterId, record: &mut FieldReader) -> Result<Input, MalformedFrame> {
     let seed = record.u64()?;
     let length = record.u32()? as usize;
     Ok(Input::Attach { router, seed, profile: record.text(length)? })
 }
 
-/// A list of engines; `None` where its mode is unknown.
-fn decode_engines(record: &mut FieldReader) -> Result<Option<Event>, Malformed> {
+/// Decodes a list of engines; `None` if its mode is unknown.
+fn decode_engines(record: &mut FieldReader) -> Result<Option<Event>, MalformedFrame> {
     let mode = record.u8()?;
     record.u32()?; // version
     let count = record.u32()?;
@@ -138,8 +139,8 @@
     Ok(Some(Event::Engines { listing, engines }))
 }
 
-/// An entry of a list of engines; `None` where its state is unknown.
-fn decode_engine(record: &mut FieldReader) -> Result<Option<Engine>, Malformed> {
+/// Decodes an entry of a list of engines; `None` if its state is unknown.
+fn decode_engine(record: &mut FieldReader) -> Result<Option<Engine>, MalformedFrame> {
     let state = record.u8()?;
     let kind = KindId(usize::from(record.u8()?));
     let zone = ZoneId(u32::from(record.u16()?));
@@ -156,7 +157,7 @@
     Ok(Some(Engine { id, state, kind, zone, cell, started_at }))
 }
 
-fn decode_request(record: &mut FieldReader) -> Result<Event, Malformed> {
+fn decode_request(record: &mut FieldReader) -> Result<Event, MalformedFrame> {
     let id = RequestId(record.u64()?);
     let shared_prefix = Some(record.u64()?).filter(|&key| key != 0);
     let tenant = TenantId(usize::from(record.u16()?));
@@ -166,7 +167,7 @@
     record.f32()?; // length of the shared prefix
     let session = record.u64()?;
     let max_output_tokens = record.f32()?.unwrap_or(0.0);
-    record.millis()?; // hint at the answer's length
+    record.millis()?; // expected length of the answer
     let client_timeout = record.millis()?.unwrap_or_default();
     Ok(Event::Request(Request {
         id,
@@ -183,7 +184,7 @@
     }))
 }
 
-fn decode_first_token(record: &mut FieldReader) -> Result<Event, Malformed> {
+fn decode_first_token(record: &mut FieldReader) -> Result<Event, MalformedFrame> {
     let request = RequestId(record.u64()?);
     let latency = record.millis()?.unwrap_or_default();
     let attempt = usize::from(record.u16()?);
@@ -191,8 +192,10 @@
     Ok(Event::FirstToken { request, attempt, latency })
 }
 
-/// The end of an attempt; `None` where its status is unknown.
-fn decode_attempt_ended(record: &mut FieldReader, columns: &[Column]) -> Result<Option<Event>, Malformed> {
+/// Decodes the end of an attempt; `None` if its status is unknown.
+fn decode_attempt_ended(
+    record: &mut FieldReader, columns: &[Column],
+) -> Result<Option<Event>, MalformedFrame> {
     let request = RequestId(record.u64()?);
     let attempt = usize::from(record.u16()?);
     record.engine()?;
@@ -214,8 +217,8 @@
     })))
 }
 
-/// The answer to a probe; `None` where its status is unknown.
-fn decode_probe_ended(record: &mut FieldReader, columns: &[Column]) -> Result<Option<Event>, Malformed> {
+/// Decodes the end of a probe; `None` if its status is unknown.
+fn decode_probe_ended(record: &mut FieldReader, columns: &[Column]) -> Result<Option<Event>, MalformedFrame> {
     let engine = record.engine()?;
     let status = record.u16()?;
     record.millis()?; // round trip
@@ -223,13 +226,13 @@
     Ok(outcome_of(status, 0).map(|outcome| Event::ProbeEnded { engine, outcome, report }))
 }
 
-fn decode_peer_message(record: &mut FieldReader) -> Result<Event, Malformed> {
+fn decode_peer_message(record: &mut FieldReader) -> Result<Event, MalformedFrame> {
     let from = record.u32()?;
     let length = usize::from(record.u16()?);
     Ok(Event::PeerMessage { from, body: record.counted(length)?.to_vec() })
 }
 
-fn decode_reservation_answered(record: &mut FieldReader) -> Result<Event, Malformed> {
+fn decode_reservation_answered(record: &mut FieldReader) -> Result<Event, MalformedFrame> {
     let request = RequestId(record.u64()?);
     record.u16()?; // attempt
     let engine = record.engine()?;
@@ -238,7 +241,7 @@
     Ok(Event::ReservationAnswered { request, engine, granted })
 }
 
-/// The outcome of a status; `note` tells more of some. `None` where the status is unknown.
+/// The outcome for a status code; `note` qualifies some of them. `None` if the status is unknown.
 pub(super) fn outcome_of(status: u16, note: u32) -> Option<Outcome> {
     Some(match status {
         0 => Outcome::Error,
--- a/crates/adapter/src/wire/encode.rs
+++ b/crates/adapter/src/wire/encode.rs
@@ -1,10 +1,10 @@
-//! What routers ask for, encoded as the reply to a batch.
+//! Encodes the actions of routers as the reply to a batch.
 
 use super::decode::RouterId;
 use slipreel::{Action, EngineId};
 use std::time::Duration;
 
-/// Codes of the records that the simulator takes.
+/// The codes of the records that the simulator accepts.
 mod code {
     pub(super) const FAIL: u8 = 1;
     pub(super) const FAULT: u8 = 2;
@@ -23,9 +23,10 @@
     pub(super) const CANCEL: u8 = 15;
 }
 
-/// The number that stands for all peers.
+/// The number that addresses all peers.
 const ALL_PEERS: u16 = u16::MAX;
 
+/// An encoded record and the router that it comes from.
 struct Record {
     router: RouterId,
     bytes: Vec<u8>,
@@ -38,18 +39,18 @@
 }
 
 impl Reply {
-    /// Adds what a router asks for.
+    /// Adds an action of a router.
     pub fn add_action(&mut self, router: RouterId, action: &Action) {
         let (code, fields) = encode_action(action);
         self.add_record(code, router, &fields);
     }
 
-    /// Adds the report that a router's decisions have failed.
+    /// Adds the report of a router's failure.
     pub fn add_fault(&mut self, router: RouterId, text: &str) {
         self.add_record(code::FAULT, router, &counted(text.as_bytes()));
     }
 
-    /// Takes back what a router has asked for in this batch: it was killed.
+    /// Removes the records of a router in this batch, as the router was killed.
     pub fn discard(&mut self, router: RouterId) {
         self.records.retain(|record| record.router != router);
     }
@@ -60,7 +61,7 @@
         self.records.push(Record { router, bytes });
     }
 
-    /// The whole frame.
+    /// The whole frame, with its length field.
     pub fn frame(&self) -> Vec<u8> {
         let count = self.records.len() as u32;
         let records: usize = self.records.iter().map(|record| record.bytes.len()).sum();
@@ -71,7 +72,7 @@
     }
 }
 
-/// The record code and the fields of an action.
+/// Encodes an action as the code and the fields of a record.
 fn encode_action(action: &Action) -> (u8, Vec<u8>) {
     match action {
         Action::Fail(request) => (code::FAIL, request.0.to_be_bytes().to_vec()),
@@ -110,7 +111,7 @@
     (time.as_secs_f64() * 1e3).to_be_bytes()
 }
 
-/// A time in milliseconds; 0 where there is none.
+/// A time in milliseconds; 0 for `None`.
 fn optional_millis(time: Option<Duration>) -> [u8; 8] {
     time.map_or([0; 8], millis)
 }
@@ -120,7 +121,7 @@
     engine.0.to_be_bytes()[2..].to_vec()
 }
 
-/// Bytes behind their count, cut to what the count can say.
+/// Bytes preceded by their count, truncated to the largest count.
 fn counted(bytes: &[u8]) -> Vec<u8> {
     let bytes = &bytes[..bytes.len().min(usize::from(u16::MAX))];
     [&(bytes.len() as u16).to_be_bytes()[..], bytes].concat()
--- a/crates/adapter/src/wire/tests.rs
+++ b/crates/adapter/src/wire/tests.rs
@@ -7,6 +7,7 @@
 use slipreel_platform_settings::Column;
 use std::time::Duration;
 
+/// Parses hexadecimal digits; white space is skipped.
 fn bytes(hex: &str) -> Vec<u8> {
     let digits: Vec<u8> = hex.bytes().filter(|b| !b.is_ascii_whitespace()).collect();
     let pair = |p: &[u8]| u8::from_str_radix(std::str::from_utf8(p).unwrap(), 16).unwrap();
@@ -21,7 +22,8 @@
     [&clock[..], &1u32.to_be_bytes(), &[code], &size, &fields].concat()
 }
 
-fn read(code: u8, fields: &str) -> Result<Input, Malformed> {
+/// Decodes a batch of one record.
+fn decode(code: u8, fields: &str) -> Result<Input, MalformedFrame> {
     let frame = batch(code, fields);
     let columns = [Column::MemoryShare, Column::WaitingThousands];
     let mut batch = Batch::open(&frame)?;
@@ -31,23 +33,25 @@
     Ok(input)
 }
 
+/// Decodes a record of an event for router 3.
 fn event(code: u8, fields: &str) -> Event {
-    match read(code, fields) {
+    match decode(code, fields) {
         Ok(Input::Event(3, event)) => event,
         other => panic!("{other:?}"),
     }
 }
 
 const ENGINE: u64 = 0x0a12_4a07_2bc3;
-const ID: &str = "0003 000a5e3e5d3a91c4";
+/// The fields of router 3 and of a request's id.
+const ROUTER_AND_REQUEST: &str = "0003 000a5e3e5d3a91c4";
 
 #[test]
 fn each_event_record_is_decoded() {
     assert_eq!(
-        read(1, "0003 0000000000000007 00000003 613d31"),
+        decode(1, "0003 0000000000000007 00000003 613d31"),
         Ok(Input::Attach { router: 3, seed: 7, profile: "a=1".into() })
     );
-    assert_eq!(read(10, "0003"), Ok(Input::Stop(3)));
+    assert_eq!(decode(10, "0003"), Ok(Input::Stop(3)));
     let list = "0003 02 00000029 00000002
         00 00 0000 0000000000000000 3f800000 0000 0a124a07 2bc3
         03 00 0001 40b7d40000000000 3fc00000 0002 0a9011f2 2bec";
@@ -63,17 +67,18 @@
     assert_eq!(request.shared_prefix, Some(0x2b8e_6401_d9f3_7c10));
     assert_eq!((request.prompt_tokens, request.max_output_tokens), (1800.0, 256.0));
     assert_eq!(request.client_timeout, Duration::from_millis(240));
-    let first = event(4, &format!("{ID} 4032800000000000 0001 0a124a07 2bc3"));
+    let first = event(4, &format!("{ROUTER_AND_REQUEST} 4032800000000000 0001 0a124a07 2bc3"));
     assert!(matches!(first, Event::FirstToken { attempt: 1, .. }));
-    let ended_record =
-        format!("{ID} 0000 0a124a07 2bc3 00ca 4032800000000000 00 00000064 02 3ecccccd 3fa00000");
+    let ended_record = format!(
+        "{ROUTER_AND_REQUEST} 0000 0a124a07 2bc3 00ca 4032800000000000 00 00000064 02 3ecccccd 3fa00000"
+    );
     let Event::AttemptEnded(ended) = event(5, &ended_record) else { panic!() };
     assert_eq!(
         (ended.outcome, ended.request_finished, ended.cached_tokens),
         (Outcome::Prefilled, false, 100.0)
     );
     assert_eq!(ended.report.waiting_tokens, Some(1250.0));
-    assert_eq!(event(6, ID), Event::ClientDisconnected(RequestId(0x000a_5e3e_5d3a_91c4)));
+    assert_eq!(event(6, ROUTER_AND_REQUEST), Event::ClientDisconnected(RequestId(0x000a_5e3e_5d3a_91c4)));
     assert_eq!(event(7, "0003 000000000000004d"), Event::TimerFired(TimerId(0x4d)));
     let probed = event(8, "0003 0a124a07 2bc3 0001 4032800000000000 00");
     assert!(matches!(
@@ -81,7 +86,7 @@
         Event::ProbeEnded { engine: EngineId(ENGINE), outcome: Outcome::Completed, .. }
     ));
     assert_eq!(event(9, "0003 00000001 0002 6869"), Event::PeerMessage { from: 1, body: b"hi".to_vec() });
-    let answer = event(11, &format!("{ID} 0000 0a124a07 2bc3 01 00000000"));
+    let answer = event(11, &format!("{ROUTER_AND_REQUEST} 0000 0a124a07 2bc3 01 00000000"));
     assert!(matches!(answer, Event::ReservationAnswered { granted: true, .. }));
 }
 
@@ -103,9 +108,9 @@
     let engine = EngineId(ENGINE);
     let wait = Duration::from_millis(80);
     let cases: Vec<(Action, String)> = vec![
-        (Action::Fail(id), format!("01 0000000a {ID}")),
+        (Action::Fail(id), format!("01 0000000a {ROUTER_AND_REQUEST}")),
         (Action::CloseIdleConnections(engine), "03 00000008 0003 0a124a07 2bc3".into()),
-        (Action::MigrateStream(id), format!("04 0000000a {ID}")),
+        (Action::MigrateStream(id), format!("04 0000000a {ROUTER_AND_REQUEST}")),
         (Action::WatchEngines(true), "05 00000003 0003 01".into()),
         (
             Action::Log(LogEvent::EngineEjected {
@@ -120,13 +125,13 @@
         (Action::FetchEngines, "07 00000002 0003".into()),
         (
             Action::Send { request: id, engine, timeout: Some(wait) },
-            format!("08 00000018 {ID} 0a124a07 2bc3 4054000000000000"),
+            format!("08 00000018 {ROUTER_AND_REQUEST} 0a124a07 2bc3 4054000000000000"),
         ),
         (
             Action::Reject { request: id, retry_after: None, over_quota: false },
-            format!("09 00000012 {ID} 0000000000000000"),
+            format!("09 00000012 {ROUTER_AND_REQUEST} 0000000000000000"),
         ),
-        (Action::Reserve { request: id, engine }, format!("0a 00000010 {ID} 0a124a07 2bc3")),
+        (Action::Reserve { request: id, engine }, format!("0a 00000010 {ROUTER_AND_REQUEST} 0a124a07 2bc3")),
         (Action::Probe(engine), "0b 00000008 0003 0a124a07 2bc3".into()),
         (
             Action::SendToPeer { to: None, body: b"hi 7".to_vec() },
@@ -136,8 +141,8 @@
             Action::SetTimer { timer: TimerId(0x4d), after: wait },
             "0d 00000012 0003 000000000000004d 4054000000000000".into(),
         ),
-        (Action::Release(id), format!("0e 0000000a {ID}")),
-        (Action::Cancel { request: id, attempt: 1 }, format!("0f 0000000c {ID} 0001")),
+        (Action::Release(id), format!("0e 0000000a {ROUTER_AND_REQUEST}")),
+        (Action::Cancel { request: id, attempt: 1 }, format!("0f 0000000c {ROUTER_AND_REQUEST} 0001")),
     ];
     for (action, hex) in cases {
         let mut reply = Reply::default();
@@ -152,38 +157,40 @@
 }
 
 #[test]
-fn values_that_are_no_time_or_length_are_absent() {
+fn invalid_times_and_lengths_are_treated_as_absent() {
     let nan = "7ff8000000000000";
     let request_record =
-        format!("{ID} 0000000000000000 0000 ffc00000 0000 00 bf800000 0000000000000001 7f800000 {nan} {nan}");
+        format!("{ROUTER_AND_REQUEST} 0000000000000000 0000 ffc00000 0000 00 bf800000 0000000000000001 7f800000 {nan} {nan}");
     let Event::Request(request) = event(3, &request_record) else { panic!() };
     assert_eq!((request.prompt_tokens, request.max_output_tokens), (0.0, 0.0));
     assert_eq!((request.client_timeout, request.shared_prefix), (Duration::ZERO, None));
-    let negative = format!("{ID} 0000 0a124a07 2bc3 0001 bff0000000000000 01 00000000 02 7fc00000 bf800000");
+    let negative = format!(
+        "{ROUTER_AND_REQUEST} 0000 0a124a07 2bc3 0001 bff0000000000000 01 00000000 02 7fc00000 bf800000"
+    );
     let Event::AttemptEnded(ended) = event(5, &negative) else { panic!() };
     assert_eq!((ended.latency, ended.report), (Duration::ZERO, LoadReport::default()));
 }
 
 #[test]
-fn unknown_codes_are_skipped_and_longer_records_read() {
-    assert_eq!(read(77, "ff"), Ok(Input::Unknown));
-    assert_eq!(read(10, "0003 ffff"), Ok(Input::Stop(3)));
+fn unknown_codes_are_skipped_and_longer_records_are_decoded() {
+    assert_eq!(decode(77, "ff"), Ok(Input::Unknown));
+    assert_eq!(decode(10, "0003 ffff"), Ok(Input::Stop(3)));
 }
 
 #[test]
-fn a_malformed_frame_names_the_place() {
-    assert_eq!(read(6, "0003 00"), Err(Malformed { at: 23, why: "field runs past its record" }));
-    let short = read(1, "0003 0000000000000007 ffffffff 61");
-    assert_eq!(short, Err(Malformed { at: 35, why: "content is shorter than its count" }));
-    assert!(read(2, "0003 00 00000000 ffffffff 00").is_err());
-    let mut frame = batch(6, ID);
+fn the_error_of_a_malformed_frame_gives_its_offset() {
+    assert_eq!(decode(6, "0003 00"), Err(MalformedFrame { at: 23, reason: "field runs past its record" }));
+    let short = decode(1, "0003 0000000000000007 ffffffff 61");
+    assert_eq!(short, Err(MalformedFrame { at: 35, reason: "content is shorter than its count" }));
+    assert!(decode(2, "0003 00 00000000 ffffffff 00").is_err());
+    let mut frame = batch(6, ROUTER_AND_REQUEST);
     frame.truncate(20);
     assert!(Batch::open(&frame).unwrap().next(|_| &[]).is_err());
-    frame = batch(6, ID);
+    frame = batch(6, ROUTER_AND_REQUEST);
     frame.push(0);
-    let mut late = Batch::open(&frame).unwrap();
-    late.next(|_| &[]).unwrap();
-    assert_eq!(late.next(|_| &[]).unwrap_err().why, "bytes after the last record");
+    let mut batch = Batch::open(&frame).unwrap();
+    batch.next(|_| &[]).unwrap();
+    assert_eq!(batch.next(|_| &[]).unwrap_err().reason, "bytes after the last record");
     assert!(Batch::open(&[0; 5]).is_err());
 }
 
@@ -191,7 +198,7 @@
 fn a_truncated_stream_is_an_error_and_a_clean_end_is_not() {
     assert_eq!(read_frame(&mut &[][..]).unwrap(), None);
     assert_eq!(read_frame(&mut &bytes("00000001 07")[..]).unwrap(), Some(vec![7]));
-    for cut in ["0000", "ffffffff 00"] {
-        assert!(read_frame(&mut &bytes(cut)[..]).is_err(), "{cut}");
+    for truncated in ["0000", "ffffffff 00"] {
+        assert!(read_frame(&mut &bytes(truncated)[..]).is_err(), "{truncated}");
     }
 }
--- a/crates/platform-settings/src/classes.rs
+++ b/crates/platform-settings/src/classes.rs
@@ -9,17 +9,17 @@
 /// The key of the latency objectives by prompt length: microseconds for each 1,000 prompt tokens, by class.
 const OBJECTIVE_PER_TOKENS: &str = "extra.aim_us_per_1000_prompt_tokens";
 
-/// The words of `classes.N.group`.
+/// The values of `classes.N.group`.
 const SCOPES: [(&str, DeduplicationScope); 3] = [
     ("all", DeduplicationScope::All),
     ("zone", DeduplicationScope::Zone),
     ("cell", DeduplicationScope::Cell),
 ];
-/// The words of `classes.N.idempotency`.
+/// The values of `classes.N.idempotency`.
 const REPEAT_RULES: [(&str, RepeatRule); 3] =
     [("safe", RepeatRule::Safe), ("keyed", RepeatRule::Keyed), ("unsafe", RepeatRule::Unsafe)];
 
-/// How a class may be repeated, as the settings name it.
+/// How requests of a class may be repeated, by the names of the settings.
 #[derive(Clone, Copy)]
 enum RepeatRule {
     Safe,
@@ -34,7 +34,7 @@
     (0..count as usize).map(|index| class(pairs, index, &per_1000_tokens)).collect()
 }
 
-/// Checks that classes of the same name may be repeated alike: a request names its class.
+/// Checks that classes of the same name have the same idempotency, as a request gives its class by name.
 pub(crate) fn check_names(pairs: &Pairs<'_>, classes: &[Class]) -> Result<(), SettingFault> {
     let mut first_by_name: BTreeMap<&str, (usize, Idempotency)> = BTreeMap::new();
     for (index, class) in classes.iter().enumerate() {
@@ -51,12 +51,12 @@
 pub(crate) fn longest_deadline(
     pairs: &Pairs<'_>, class_count: usize,
 ) -> Result<Option<Duration>, SettingFault> {
-    let deadline = |index| pairs.optional_millis(&format!("classes.{index}.deadline"));
-    let deadlines = (0..class_count).map(deadline).collect::<Result<Vec<_>, _>>()?;
+    let class_deadline = |index| pairs.optional_millis(&format!("classes.{index}.deadline"));
+    let deadlines = (0..class_count).map(class_deadline).collect::<Result<Vec<_>, _>>()?;
     Ok(deadlines.into_iter().flatten().max())
 }
 
-/// One class, by its number.
+/// Reads one class, by its number.
 fn class(pairs: &Pairs<'_>, index: usize, per_1000_tokens: &[f64]) -> Result<Class, SettingFault> {
     let key = |field: &str| format!("classes.{index}.{field}");
     let name = pairs.get(&key("name")).unwrap_or_default();
--- a/crates/platform-settings/src/error.rs
+++ b/crates/platform-settings/src/error.rs
@@ -1,4 +1,4 @@
-//! Why settings cannot be used.
+//! The errors of settings that can't be used.
 
 /// A setting that cannot be used. `Display` gives its key, the value found and what was expected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
@@ -23,7 +23,7 @@
 /// What is wrong with a setting. `Display` begins with its key.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SettingFault {
-    /// The settings are no JSON object.
+    /// The settings are not a JSON object.
     #[error("settings: expected an object")]
     NotAnObject,
     /// A value is missing where no default is safe.
@@ -32,7 +32,7 @@
         /// Its key.
         key: String,
     },
-    /// A value is no number, or negative.
+    /// A value is not a finite number, or is negative.
     #[error("{key}: '{value}' is no number of 0 or more")]
     InvalidNumber {
         /// Its key.
@@ -40,7 +40,7 @@
         /// The value found.
         value: String,
     },
-    /// An entry of a list is no number, or negative.
+    /// An entry of a list is not a finite number, or is negative.
     #[error("{key}: '{value}' is no number")]
     InvalidListNumber {
         /// The key of the list.
@@ -56,13 +56,13 @@
         /// The value found, as it is printed.
         milliseconds: String,
     },
-    /// A time of a list is too long for a `Duration`.
+    /// A time in a list is too long for a `Duration`.
     #[error("{key}: too long")]
     ListTimeTooLong {
         /// The key of the list.
         key: String,
     },
-    /// A number that is no count, or too large for one.
+    /// A number is not whole, or is too large for a count.
     #[error("{key}: {number} is no count")]
     InvalidCount {
         /// Its key.
@@ -70,17 +70,17 @@
         /// The value found, as it is printed.
         number: String,
     },
-    /// A word that is none of those that are expected.
+    /// A value is not one of the expected words.
     #[error("{key}: '{value}' is not known: expected one of {expected}")]
     UnknownWord {
         /// Its key.
         key: String,
         /// The value found.
         value: String,
-        /// The words that are known, separated by commas.
+        /// The expected words, separated by commas.
         expected: String,
     },
-    /// A role of engines that is not known.
+    /// A role of engines is unknown.
     #[error("{key}: '{value}' is not known")]
     UnknownRole {
         /// Its key.
@@ -88,7 +88,7 @@
         /// The value found.
         value: String,
     },
-    /// Two classes of one name differ in how they may be repeated, so that the class of a request is
+    /// Two classes of the same name differ in their idempotency, so the class of a request would be
     /// ambiguous.
     #[error(
         "classes.{index}.name: '{name}' is also the name of classes.{first}, which may be repeated differently: \
--- a/crates/platform-settings/src/lib.rs
+++ b/crates/platform-settings/src/lib.rs
@@ -1,8 +1,8 @@
-//! Parses the settings of a router, by the platform's names, into those of the decision module.
+//! Parses the settings of a router, which have the platform's names, into those of the decision module.
 //!
-//! The simulator hands them over as `path=value` lines ([`parse`]); a router finds the same object as nested
-//! JSON in its configuration ([`from_json`]). Both become pairs of a path and a value, from which the
-//! settings are read.
+//! The simulator passes them as lines `path=value` ([`parse`]); the configuration of a router contains the
+//! same object as nested JSON ([`from_json`]). Both are converted to pairs of a path and a value, from which
+//! the settings are read.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -17,12 +17,12 @@
 use slipreel::{Class, Limits, ReportSource, Role, Settings, Tenant, ZoneId};
 use std::time::Duration;
 
-/// The largest multiple of `rules.fall` that counts.
+/// The maximum of `rules.fall_multiple`; larger values are reduced to it.
 const MAX_FALL_MULTIPLE: f64 = 1e3;
-/// The words of `report.source`.
+/// The values of `report.source`.
 const REPORT_SOURCES: [(&str, ReportSource); 3] =
     [("piggyback", ReportSource::Answers), ("pull", ReportSource::Probes), ("silent", ReportSource::None)];
-/// The words of `discovery`, each with whether the router polls the list of engines.
+/// The values of `discovery`, each with whether the router requests the list of engines.
 const DISCOVERY_MODES: [(&str, bool); 2] = [("automatic", false), ("subscribe", true)];
 
 /// What one column of a load report holds.
@@ -42,51 +42,51 @@
     Other,
 }
 
-/// The settings of a router, and the layout of the load reports that it gets.
+/// The settings of a router, with the layout of the load reports that it gets.
 #[derive(Clone, Debug)]
 pub struct Profile {
-    /// What the decision module is handed.
+    /// The settings of the decision module.
     pub settings: Settings,
-    /// The meaning of each report value, in order.
+    /// What each value of a load report holds, in order.
     pub columns: Vec<Column>,
     /// The names of those values, in the same order.
     pub column_names: Vec<String>,
-    /// The names of classes, tenants, kinds of engine and zones, each in the order by which the module
-    /// numbers them.
+    /// The names of the classes, in the order of their numbers in the decision module.
     pub classes: Vec<String>,
-    /// See `classes`.
+    /// The names of the tenants, in the order of their numbers.
     pub tenants: Vec<String>,
-    /// See `classes`.
+    /// The names of the kinds of engine, in the order of their numbers.
     pub kinds: Vec<String>,
-    /// See `classes`.
+    /// The names of the zones, in the order of their numbers.
     pub zones: Vec<String>,
-    /// Engines close a connection that was idle for so long, at the latest; `None` if that is not set.
+    /// The maximum time after which engines close an idle connection; `None` if it is not set.
     pub idle_close: Option<Duration>,
-    /// Whether clients resume a stream that broke.
+    /// Whether clients resume an interrupted stream.
     pub resumes: bool,
-    /// The longest time that a client of any class waits; `None` if no deadline is set.
+    /// The longest deadline of any class; `None` if none is set.
     pub longest_wait: Option<Duration>,
 }
 
-/// A name as the pairs hold it: blanks and commas turned into `_`.
+/// Converts a name to its form in the pairs: each blank and comma becomes `_`.
 pub fn as_named(name: &str) -> String {
     name.replace([' ', ','], "_")
 }
 
-/// Reads the settings. Keys that are not known are skipped. A missing key gets a neutral value (no
-/// permission, no limit, no share) except where none is safe: the classes and the engines' roles.
+/// Parses the settings from lines `path=value`. Unknown keys are skipped. A missing key gets a neutral value
+/// (no permission, no limit, no share), except for the classes and the engines' roles, where no default is
+/// safe.
 ///
 /// # Errors
-/// A value that is missing where none is safe, or can't be read.
+/// A value is missing where no default is safe, or can't be read.
 pub fn parse(text: &str) -> Result<Profile, SettingsError> {
     let pairs: Pairs<'_> = text.lines().filter_map(|line| line.trim_end().split_once('=')).collect();
     Ok(read(&pairs)?)
 }
 
-/// Reads the settings from nested JSON: the same names and units, each level a part of the path.
+/// Reads the settings from nested JSON, which has the same names and units; each level is a part of the path.
 ///
 /// # Errors
-/// As [`parse`]; or it is no object.
+/// As for [`parse`], or the value is not an object.
 pub fn from_json(value: &serde_json::Value) -> Result<Profile, SettingsError> {
     if !value.is_object() {
         return Err(SettingFault::NotAnObject.into());
@@ -119,7 +119,7 @@
     })
 }
 
-/// The settings of the decision module; classes, tenants and roles were read before.
+/// Reads the settings of the decision module, except for the classes, tenants and roles.
 fn settings(
     pairs: &Pairs<'_>, classes: Vec<Class>, tenants: Vec<Tenant>, kind_roles: Vec<Role>,
 ) -> Result<Settings, SettingFault> {
@@ -144,14 +144,14 @@
     })
 }
 
-/// A multiple of the time in which load falls.
+/// The warm-up budget: a multiple of the time in which load falls.
 fn warmup_budget(pairs: &Pairs<'_>) -> Result<Duration, SettingFault> {
     let fall = pairs.millis("rules.fall", Some(0.0))?;
     let multiple = pairs.number("rules.fall_multiple", Some(0.0))?;
     Ok(fall.mul_f64(multiple.clamp(0.0, MAX_FALL_MULTIPLE)))
 }
 
-/// What a router may do with attempts and requests.
+/// The limits on attempts and requests, and what a router may do with them.
 fn limits(pairs: &Pairs<'_>) -> Result<Limits, SettingFault> {
     let max_retry_after = if pairs.flag("limits.retry_after")? {
         Some(pairs.millis("limits.max_retry_after", Some(0.0)))
@@ -178,10 +178,10 @@
     (0..pairs.count("customers.count", Some(0.0))?).map(tenant).collect()
 }
 
-/// The roles of the kinds of engine; there has to be one.
+/// The roles of the kinds of engine; at least one is required.
 fn kind_roles(pairs: &Pairs<'_>) -> Result<Vec<Role>, SettingFault> {
     let key = "extra.role_by_kind".to_owned();
-    let role = |word: &str| match word {
+    let role = |name: &str| match name {
         "read" => Ok(Role::Prefill),
         "write" => Ok(Role::Decode),
         "both" => Ok(Role::Mixed),
@@ -194,13 +194,13 @@
     Ok(roles)
 }
 
-/// The names of the objects of a list, in order; empty where none is set.
+/// The names of the objects of a list, in order; a name that is not set is empty.
 fn numbered_names(pairs: &Pairs<'_>, list: &str, count: usize) -> Vec<String> {
     let name = |index| pairs.get(&format!("{list}.{index}.name")).unwrap_or("").to_owned();
     (0..count).map(name).collect()
 }
 
-/// What the report column of this name holds. The meaning of `x0` and `x1` is a setting.
+/// What the report column of this name holds. The settings give the meaning of `x0` and `x1`.
 fn column(pairs: &Pairs<'_>, name: &str) -> Column {
     let meaning = match name {
         "x0" => pairs.get("extra.report_x0").unwrap_or(""),
--- a/crates/platform-settings/src/pairs.rs
+++ b/crates/platform-settings/src/pairs.rs
@@ -1,4 +1,4 @@
-//! Settings as pairs of a path and a value, the common form of `path=value` lines and nested JSON.
+//! Settings as pairs of a path and a value, the common form of lines `path=value` and of nested JSON.
 
 use crate::as_named;
 use crate::error::SettingFault;
@@ -29,7 +29,8 @@
     /// A finite number of 0 or more.
     ///
     /// # Errors
-    /// Another value, or a missing one without a default; so in all methods with a default.
+    /// The value is of another form, or it is missing and there is no default. This applies to all methods
+    /// with a default.
     pub(crate) fn number(&self, key: &str, default: Option<f64>) -> Result<f64, SettingFault> {
         let Some(text) = self.get(key) else {
             return default.ok_or_else(|| SettingFault::Missing { key: key.to_owned() });
@@ -61,7 +62,7 @@
         Ok(number as u32)
     }
 
-    /// `true` or `false`; false if it is missing.
+    /// A value `true` or `false`; it is false if the key is missing.
     pub(crate) fn flag(&self, key: &str) -> Result<bool, SettingFault> {
         self.word(key, &[("true", true), ("false", false)], Some(false))
     }
@@ -81,7 +82,7 @@
         })
     }
 
-    /// The parts of a value between commas; none if the key is missing.
+    /// The comma-separated parts of a value; none if the key is missing.
     pub(crate) fn list(&self, key: &str) -> Vec<&'a str> {
         self.get(key).map(|value| value.split(',').collect()).unwrap_or_default()
     }
@@ -93,30 +94,33 @@
 
     /// A list of finite numbers of 0 or more.
     pub(crate) fn numbers(&self, key: &str) -> Result<Vec<f64>, SettingFault> {
-        let read = |text: &str| {
+        let parse = |text: &str| {
             let invalid = || SettingFault::InvalidListNumber { key: key.to_owned(), value: text.to_owned() };
             parse_number(text).ok_or_else(invalid)
         };
-        self.list(key).into_iter().map(read).collect()
+        self.list(key).into_iter().map(parse).collect()
     }
 }
 
-/// A finite number of 0 or more.
+/// Parses a finite number of 0 or more.
 fn parse_number(text: &str) -> Option<f64> {
     text.parse().ok().filter(|number: &f64| number.is_finite() && *number >= 0.0)
 }
 
-/// Appends the pairs of a value: lists of plain values joined by commas, lists of objects counted and
-/// numbered.
+/// Appends the pairs of a value. The entries of a list of plain values are joined by commas; a list of
+/// objects gets a `count`, and its entries are numbered.
 pub(crate) fn flatten(path: &str, value: &Value, out: &mut Vec<(String, String)>) {
-    let under = |name: &str| if path.is_empty() { name.to_owned() } else { format!("{path}.{name}") };
+    let subpath = |name: &str| if path.is_empty() { name.to_owned() } else { format!("{path}.{name}") };
     match value {
         Value::Object(fields) => {
-            fields.iter().for_each(|(name, field)| flatten(&under(name), field, out));
+            fields.iter().for_each(|(name, field)| flatten(&subpath(name), field, out));
         }
         Value::Array(items) if items.iter().any(Value::is_object) => {
-            out.push((under("count"), items.len().to_string()));
-            items.iter().enumerate().for_each(|(index, item)| flatten(&under(&index.to_string()), item, out));
+            out.push((subpath("count"), items.len().to_string()));
+            items
+                .iter()
+                .enumerate()
+                .for_each(|(index, item)| flatten(&subpath(&index.to_string()), item, out));
         }
         Value::Array(items) => {
             out.push((path.to_owned(), items.iter().map(plain_text).collect::<Vec<_>>().join(",")));
--- a/crates/platform-settings/src/tests.rs
+++ b/crates/platform-settings/src/tests.rs
@@ -19,10 +19,10 @@
                  customers.0.name=guild\ncustomers.0.quota_per_s=3.5\nextra.role_by_kind=read,write\n\
                  extra.let_go_by=500.0\nreport.columns=x1,pending\nreport.source=piggyback\n\
                  limits.idle_close=15000.0\nlimits.may_probe=true\n";
-    let (one, other) = (from_json(&json).unwrap(), parse(lines).unwrap());
-    assert_eq!(format!("{one:?}"), format!("{other:?}"));
-    assert_eq!((one.classes[0].as_str(), one.zones[0].as_str()), ("quick__check", "hall_a"));
-    assert_eq!(one.idle_close, Some(Duration::from_secs(15)));
+    let (from_object, from_lines) = (from_json(&json).unwrap(), parse(lines).unwrap());
+    assert_eq!(format!("{from_object:?}"), format!("{from_lines:?}"));
+    assert_eq!((from_object.classes[0].as_str(), from_object.zones[0].as_str()), ("quick__check", "hall_a"));
+    assert_eq!(from_object.idle_close, Some(Duration::from_secs(15)));
     assert!(from_json(&serde_json::json!([])).is_err());
 }
 
@@ -40,11 +40,11 @@
 
 #[test]
 fn unknown_keys_are_skipped_and_report_columns_mapped() {
-    let more = "new.key=7\nreport.columns=x1,pending,x0,shoe_size\n\
+    let added = "new.key=7\nreport.columns=x1,pending,x0,shoe_size\n\
                 extra.report_x0=share_of_memory_that_is_held\n\
                 extra.report_x1=thousands_of_prompt_tokens_waiting_to_be_read_or_fetched\n";
-    let more = format!("{more}extra.tokens_by_kind=317000,880000\n");
-    let Profile { columns, settings, .. } = parse(&format!("{MINIMAL}{more}")).unwrap();
+    let added = format!("{added}extra.tokens_by_kind=317000,880000\n");
+    let Profile { columns, settings, .. } = parse(&format!("{MINIMAL}{added}")).unwrap();
     assert_eq!(settings.memory_tokens, [317_000.0, 880_000.0]);
     assert_eq!(columns, [Column::WaitingThousands, Column::Queued, Column::MemoryShare, Column::Other]);
 }
@@ -60,31 +60,32 @@
     ] {
         assert!(parse(text).unwrap_err().fault().to_string().starts_with(key), "{text}");
     }
-    for bad in [
+    for invalid in [
         "extra.tokens_by_kind=9,x",
         "tick=NaN",
         "tick=-1",
         "limits.cancelling=maybe",
         "extra.role_by_kind=read,sing",
     ] {
-        let error = parse(&format!("{MINIMAL}{bad}\n")).unwrap_err().fault().to_string();
-        assert!(error.starts_with(bad.split('=').next().unwrap()), "{error}");
+        let error = parse(&format!("{MINIMAL}{invalid}\n")).unwrap_err().fault().to_string();
+        assert!(error.starts_with(invalid.split('=').next().unwrap()), "{error}");
     }
 }
 
 #[test]
 fn each_idempotency_is_parsed() {
-    let with = |tail: &str| parse(&format!("{MINIMAL}{tail}")).unwrap().settings.classes[0].idempotency;
-    assert_eq!(with("classes.0.idempotency=safe\n"), Idempotency::Idempotent);
+    let idempotency =
+        |lines: &str| parse(&format!("{MINIMAL}{lines}")).unwrap().settings.classes[0].idempotency;
+    assert_eq!(idempotency("classes.0.idempotency=safe\n"), Idempotency::Idempotent);
     assert_eq!(
-        with("classes.0.idempotency=keyed\nclasses.0.group=zone\nclasses.0.window=2500\n"),
+        idempotency("classes.0.idempotency=keyed\nclasses.0.group=zone\nclasses.0.window=2500\n"),
         Idempotency::WithKey { scope: DeduplicationScope::Zone, window: Duration::from_millis(2500) }
     );
 }
 
 #[test]
 fn ambiguous_idempotency_is_rejected() {
-    for (tail, expected) in [
+    for (lines, expected) in [
         (
             "classes.0.name=order\nclasses.0.idempotency=Unsafe\n",
             ["classes.0.idempotency", "'Unsafe'", "safe, keyed, unsafe", "'order'"],
@@ -98,7 +99,7 @@
             ["classes.0.window", "'soon'", "number of 0 or more", "'order'"],
         ),
     ] {
-        let error = parse(&format!("{MINIMAL}{tail}")).unwrap_err().fault().to_string();
+        let error = parse(&format!("{MINIMAL}{lines}")).unwrap_err().fault().to_string();
         assert!(expected.iter().all(|part| error.contains(part)), "{error}");
     }
     let two = "classes.count=2\nclasses.0.target=800\nclasses.0.worth=2\nclasses.1.target=800\nclasses.1.worth=2\n\
@@ -110,19 +111,20 @@
     );
     assert!(
         parse(&format!("{two}classes.1.idempotency=safe\n")).is_ok(),
-        "alike they can't be taken for each other"
+        "classes of the same idempotency are not ambiguous"
     );
 }
 
 #[test]
 fn missing_idempotency_settings_get_the_strictest_meaning() {
-    let effect = |tail: &str| parse(&format!("{MINIMAL}{tail}")).unwrap().settings.classes[0].idempotency;
-    assert_eq!(effect(""), Idempotency::NotIdempotent);
+    let idempotency =
+        |lines: &str| parse(&format!("{MINIMAL}{lines}")).unwrap().settings.classes[0].idempotency;
+    assert_eq!(idempotency(""), Idempotency::NotIdempotent);
     let strictest = Idempotency::WithKey { scope: DeduplicationScope::Cell, window: Duration::ZERO };
-    assert_eq!(effect("classes.0.idempotency=keyed\n"), strictest);
+    assert_eq!(idempotency("classes.0.idempotency=keyed\n"), strictest);
 }
 
-/// The texts are shown to operators.
+/// Operators see these texts.
 #[test]
 fn an_error_names_the_key_the_value_and_what_was_expected() {
     for (line, text) in [
