--- a/crates/settings/src/fleet.rs
+++ b/crates/settings/src/fleet.rs
@@ -71,7 +71,7 @@
     }
 }
 
-/// The maximum length of a datagram. Below the lower bound, a header with a few entries does not fit, so that
+/// The maximum length of a datagram. Below the lower bound, a header with a few members does not fit, so that
 /// names would be lost.
 struct DatagramLen(usize);
 
--- a/crates/settings/src/policy.rs
+++ b/crates/settings/src/policy.rs
@@ -3,8 +3,8 @@
 //! The policy is the part of the settings on which all routers have to agree. Its canonical text shows
 //! whether two files have the same policy.
 
+use crate::daemon::{read_daemon_settings, DAEMON_SECTIONS};
 use crate::doc::{Doc, Fault};
-use crate::site::{read_daemon_settings, DAEMON_SECTIONS};
 use crate::DaemonSettings;
 use std::collections::BTreeMap;
 use xxhash_rust::xxh3::xxh3_64;
--- a/crates/settings/src/roles.rs
+++ b/crates/settings/src/roles.rs
@@ -1,7 +1,7 @@
 //! The section `[roles]`: the settings of the controller that changes engines between prefill and decode.
 
+use crate::daemon::{read_daemon_settings, DAEMON_SECTIONS};
 use crate::doc::{Doc, Fault};
-use crate::site::{read_daemon_settings, DAEMON_SECTIONS};
 use crate::values::{Loopback, Value};
 use crate::DaemonSettings;
 use slipreel_roles::{ChangeCosts, EngineThroughput, FullLoadRequests, PlannerLimits, PlanningPolicy};
