--- a/crates/scenario/src/actor.rs
+++ b/crates/scenario/src/actor.rs
@@ -6,7 +6,7 @@
 use slipreel_state_machine::{Input, Machine, Output};
 use slipreel_test_servers::client::Clients;
 use slipreel_test_servers::engine::Engine;
-use slipreel_test_servers::gate::Gate;
+use slipreel_test_servers::partition::PartitionedMachine;
 use std::time::Duration;
 
 /// A machine of a day.
@@ -14,11 +14,11 @@
     /// Has an address and nothing else yet.
     Idle,
     /// A router.
-    Front(Box<Gate<Gateway>>),
+    Front(Box<PartitionedMachine<Gateway>>),
     /// A router that is broken on purpose.
     Sabotaged(Box<Sabotaged>),
     /// An engine.
-    Engine(Box<Gate<Engine>>),
+    Engine(Box<PartitionedMachine<Engine>>),
     /// Who changes roles.
     Conductor(Box<RoleController>),
     /// The clients.
@@ -62,12 +62,12 @@
 
 /// A router whose words are tampered with on their way.
 pub struct Sabotaged {
-    router: Gate<Gateway>,
+    router: PartitionedMachine<Gateway>,
     how: Sabotage,
 }
 
 impl Sabotaged {
-    pub(crate) fn new(router: Gate<Gateway>, how: Sabotage) -> Self {
+    pub(crate) fn new(router: PartitionedMachine<Gateway>, how: Sabotage) -> Self {
         Sabotaged { router, how }
     }
 
--- a/crates/scenario/src/stage.rs
+++ b/crates/scenario/src/stage.rs
@@ -17,9 +17,9 @@
 };
 use slipreel_test_servers::client::{Clients, Result as TryResult};
 use slipreel_test_servers::engine::{Engine, Role};
-use slipreel_test_servers::gate::{Cut, Gate};
 use slipreel_test_servers::ledger::Ledger;
 use slipreel_test_servers::memory::{Delays, World};
+use slipreel_test_servers::partition::{PartitionedMachine, UnreachablePeers};
 use std::any::Any;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -223,7 +223,7 @@
         // One that comes back after a change comes back in the role that the list has.
         (spec.addr, spec.role) = (self.addrs[e], self.roles[e]);
         let make = if warm { Engine::warm } else { Engine::new };
-        Actor::Engine(Box::new(Gate::new(make(spec, self.ledger.clone(), now, WALL + now))))
+        Actor::Engine(Box::new(PartitionedMachine::new(make(spec, self.ledger.clone(), now, WALL + now))))
     }
 
     fn router(&mut self, r: usize, now: Duration) -> Actor {
@@ -232,7 +232,7 @@
         self.lives += 1;
         let seed = self.day.seed.wrapping_mul(0x9e37_79b9).wrapping_add(r as u64 + 1000 * self.lives);
         let front = Gateway::new(Arc::new(site), seed, now, WALL + now);
-        let gate = Gate::new(front).watched(self.ledger.clone());
+        let gate = PartitionedMachine::new(front).watched(self.ledger.clone());
         match self.day.sabotage {
             None => Actor::Front(Box::new(gate)),
             Some(how) => Actor::Sabotaged(Box::new(Sabotaged::new(gate, how))),
@@ -333,7 +333,7 @@
             }
             Act::CutLink(e, to) => {
                 let cut: BTreeSet<SocketAddr> = to.map(|to| self.addrs[to]).into_iter().collect();
-                stage.news(Who::Engine(e), Arc::new(Cut(cut)));
+                stage.news(Who::Engine(e), Arc::new(UnreachablePeers(cut)));
             }
             Act::ListDraining(e, draining) => {
                 self.draining[e] = draining;
@@ -367,10 +367,12 @@
 
     /// Tells each machine what it can't reach now.
     fn cut_links(&self, stage: &mut impl Stage) {
-        let beyond = |zone: &str| -> Cut {
-            let Some(cut) = &self.cut else { return Cut::default() };
+        let beyond = |zone: &str| -> UnreachablePeers {
+            let Some(cut) = &self.cut else { return UnreachablePeers::default() };
             let far = |e: &usize| (self.day.engines[*e].zone == *cut) != (zone == cut);
-            Cut((0..self.addrs.len()).filter(far).map(|e| self.addrs[e]).collect::<BTreeSet<_>>())
+            UnreachablePeers(
+                (0..self.addrs.len()).filter(far).map(|e| self.addrs[e]).collect::<BTreeSet<_>>(),
+            )
         };
         let now = stage.now();
         for r in (0..self.day.routers).filter(|&r| self.routers_up[r]) {
--- a/crates/test-servers/src/lib.rs
+++ b/crates/test-servers/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! - [`engine`]: an engine that reads, writes or does both, by the published protocol, with faults on demand;
 //! - [`client`]: clients that follow a script of requests and check what they get;
-//! - [`gate`]: cuts a machine off from some of its peers;
+//! - [`partition`]: cuts a machine off from some of its peers;
 //! - [`memory`]: drives machines in memory, in virtual time: the same seed gives the same bytes;
 //! - [`mark`]: how a request is known on both sides of the router;
 //! - [`platform`]: engines, discovery and clients that speak the platform's protocol;
@@ -13,8 +13,8 @@
 
 pub mod client;
 pub mod engine;
-pub mod gate;
 pub mod ledger;
 pub mod mark;
 pub mod memory;
+pub mod partition;
 pub mod platform;
--- a/crates/test-servers/src/gate.rs
+++ b/crates/test-servers/src/partition.rs
@@ -9,9 +9,9 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// News for a [`Gate`]: the addresses that can't be reached from now on.
+/// News for a [`PartitionedMachine`]: the addresses that can't be reached from now on.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Cut(pub BTreeSet<SocketAddr>);
+pub struct UnreachablePeers(pub BTreeSet<SocketAddr>);
 
 enum Held {
     In(ConnId, Vec<u8>),
@@ -20,7 +20,7 @@
 }
 
 /// A machine behind a link that can be cut.
-pub struct Gate<M> {
+pub struct PartitionedMachine<M> {
     machine: M,
     cut: BTreeSet<SocketAddr>,
     peers: BTreeMap<ConnId, SocketAddr>,
@@ -30,10 +30,10 @@
     on_the_way: BTreeMap<ConnId, Try>,
 }
 
-impl<M: Machine> Gate<M> {
+impl<M: Machine> PartitionedMachine<M> {
     /// A machine whose links all stand.
     pub fn new(machine: M) -> Self {
-        Gate {
+        PartitionedMachine {
             machine,
             cut: BTreeSet::new(),
             peers: BTreeMap::new(),
@@ -121,7 +121,7 @@
         self.filter(now, asked, out);
     }
 
-    fn set(&mut self, now: Duration, cut: &Cut, out: &mut Vec<Output>) {
+    fn set(&mut self, now: Duration, cut: &UnreachablePeers, out: &mut Vec<Output>) {
         self.cut = cut.0.clone();
         for held in std::mem::take(&mut self.held) {
             let conn = match &held {
@@ -148,11 +148,11 @@
     }
 }
 
-impl<M: Machine> Machine for Gate<M> {
+impl<M: Machine> Machine for PartitionedMachine<M> {
     fn handle(&mut self, now: Duration, input: Input<'_>, out: &mut Vec<Output>) {
         match input {
-            Input::OwnerMessage(news) if news.is::<Cut>() => {
-                if let Some(cut) = news.downcast_ref::<Cut>() {
+            Input::OwnerMessage(news) if news.is::<UnreachablePeers>() => {
+                if let Some(cut) = news.downcast_ref::<UnreachablePeers>() {
                     self.set(now, cut, out);
                 }
             }
