--- a/crates/fault-injection/src/run.rs
+++ b/crates/fault-injection/src/run.rs
@@ -10,7 +10,7 @@
 use slipreel_invariants::policy::Said;
 use slipreel_invariants::{Break, Record, Seen};
 use slipreel_scenario::figures_of;
-use slipreel_test_servers::client::Result as TryResult;
+use slipreel_test_servers::client::AttemptResult;
 use slipreel_test_servers::ledger::Ledger;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -29,7 +29,7 @@
     /// Rules that broke, by the traffic.
     pub breaks: Vec<Break>,
     /// How every try of a client ended.
-    pub results: Vec<TryResult>,
+    pub results: Vec<AttemptResult>,
     /// Lines of the machines or processes.
     pub log: Vec<String>,
     /// In memory: a hash over every byte; the same for the same script.
@@ -450,7 +450,8 @@
     /// Judges what was seen. A try whose router was killed, stopped or leaving while it was under way gets its final answer from nobody: for
     /// those the first rule is not asked; the others are.
     pub(crate) fn outcome(
-        mut self, records: Vec<Record>, results: Vec<TryResult>, log: Vec<String>, digest: u64, now: Duration,
+        mut self, records: Vec<Record>, results: Vec<AttemptResult>, log: Vec<String>, digest: u64,
+        now: Duration,
     ) -> Outcome {
         for (r, since) in std::mem::take(&mut self.since) {
             self.away.push((r, since, now));
--- a/crates/scenario/src/report.rs
+++ b/crates/scenario/src/report.rs
@@ -3,7 +3,7 @@
 use crate::fleet::Day;
 use crate::stage::Played;
 use slipreel_invariants::{Effect, Ending, Figures, RULES};
-use slipreel_test_servers::client::Result as TryResult;
+use slipreel_test_servers::client::AttemptResult;
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 use std::time::Duration;
@@ -45,7 +45,7 @@
 }
 
 impl Group {
-    fn count(&mut self, result: &TryResult) {
+    fn count(&mut self, result: &AttemptResult) {
         self.asked += 1;
         match result.ending {
             Some(Ending::Served) => self.served += 1,
@@ -110,7 +110,7 @@
 }
 
 impl Thirds {
-    fn of(results: &[TryResult]) -> Thirds {
+    fn of(results: &[AttemptResult]) -> Thirds {
         let first = results.iter().map(|result| result.due).min().unwrap_or_default();
         let last = results.iter().map(|result| result.due).max().unwrap_or_default();
         Thirds { first, length: last - first }
@@ -129,7 +129,7 @@
 }
 
 /// Groups requests by a name, each by its last try.
-fn group_by(results: &[TryResult], name: impl Fn(&TryResult) -> String) -> Groups {
+fn group_by(results: &[AttemptResult], name: impl Fn(&AttemptResult) -> String) -> Groups {
     let last_tries: BTreeMap<u64, u32> =
         results.iter().map(|result| (result.what.request, result.what.number)).collect();
     let mut groups = Groups::new();
--- a/crates/scenario/src/stage.rs
+++ b/crates/scenario/src/stage.rs
@@ -15,7 +15,7 @@
     ChangeCosts, ControllerConfig, ControllerMode, EngineThroughput, FullLoadRequests, PlannerLimits,
     RoleController, Watched,
 };
-use slipreel_test_servers::client::{Clients, Result as TryResult};
+use slipreel_test_servers::client::{AttemptResult, Clients};
 use slipreel_test_servers::engine::{Engine, Role};
 use slipreel_test_servers::ledger::Ledger;
 use slipreel_test_servers::memory::{Delays, World};
@@ -41,7 +41,7 @@
 /// What a day left behind.
 pub struct Played {
     /// How every try ended, by request and try.
-    pub results: Vec<TryResult>,
+    pub results: Vec<AttemptResult>,
     /// What clients and engines saw.
     pub records: Vec<Record>,
     /// The rules that broke.
@@ -395,7 +395,7 @@
     Clients::new(plans, targets, ledger, true)
 }
 
-fn sorted(mut results: Vec<TryResult>) -> Vec<TryResult> {
+fn sorted(mut results: Vec<AttemptResult>) -> Vec<AttemptResult> {
     results.sort_by_key(|r| r.what);
     results
 }
--- a/crates/scenario/tests/report.rs
+++ b/crates/scenario/tests/report.rs
@@ -2,11 +2,11 @@
 
 use slipreel_invariants::{Effect, Ending, Try};
 use slipreel_scenario::Played;
-use slipreel_test_servers::client::Result as TryResult;
+use slipreel_test_servers::client::AttemptResult;
 use std::time::Duration;
 
-fn result(request: u64, due_ms: u64, router: usize, effect: Effect, ending: Option<Ending>) -> TryResult {
-    TryResult {
+fn result(request: u64, due_ms: u64, router: usize, effect: Effect, ending: Option<Ending>) -> AttemptResult {
+    AttemptResult {
         what: Try { request, number: 0 },
         model: "chat".to_owned(),
         key: "key".to_owned(),
@@ -26,7 +26,7 @@
     }
 }
 
-fn played(results: Vec<TryResult>) -> Played {
+fn played(results: Vec<AttemptResult>) -> Played {
     Played {
         results,
         records: Vec::new(),
@@ -43,7 +43,7 @@
 
 #[test]
 fn shares_are_counted_by_effect_third_and_router() {
-    let cut = TryResult { is_unanswered: true, ..result(4, 900, 1, Effect::Unsafe, None) };
+    let cut = AttemptResult { is_unanswered: true, ..result(4, 900, 1, Effect::Unsafe, None) };
     let day = played(vec![
         result(1, 0, 0, Effect::Safe, Some(Ending::Served)),
         result(2, 299, 0, Effect::Keyed, Some(Ending::Refused)),
--- a/crates/test-servers/src/client.rs
+++ b/crates/test-servers/src/client.rs
@@ -74,7 +74,7 @@
 
 /// How a try ended, as its client saw it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Result {
+pub struct AttemptResult {
     /// Which try.
     pub what: Try,
     /// The model asked for.
@@ -160,7 +160,7 @@
     alarms: BTreeMap<(Duration, u64), Alarm>,
     next: u64,
     open: BTreeMap<ConnId, Open>,
-    results: Vec<Result>,
+    results: Vec<AttemptResult>,
     /// Connections that are kept for the next request, by target.
     idle: Vec<VecDeque<ConnId>>,
     keeps_alive: bool,
@@ -192,7 +192,7 @@
     }
 
     /// How the tries ended so far, in the order of their ends.
-    pub fn results(&self) -> &[Result] {
+    pub fn results(&self) -> &[AttemptResult] {
         &self.results
     }
 
@@ -430,7 +430,7 @@
             self.left -= 1;
         }
         let plan = &self.plans[open.plan];
-        self.results.push(Result {
+        self.results.push(AttemptResult {
             what: open.what,
             model: plan.model.clone(),
             key: plan.key.clone(),
