--- a/crates/cli/src/load.rs
+++ b/crates/cli/src/load.rs
@@ -8,7 +8,7 @@
 use serde_json::json;
 use slipreel_event_loop::{check_loopback, Clock, EventLoop};
 use slipreel_invariants::{Effect, Ending};
-use slipreel_test_servers::client::{Clients, Habit, Plan};
+use slipreel_test_servers::client::{Clients, Habit, ScriptedRequest};
 use slipreel_test_servers::ledger::Ledger;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -150,7 +150,7 @@
 }
 
 /// The requests of a run, with exponentially distributed times between them.
-fn plan_requests(args: &Args, start: Duration) -> Vec<Plan> {
+fn plan_requests(args: &Args, start: Duration) -> Vec<ScriptedRequest> {
     let mut rng = rand_xoshiro::Xoshiro256PlusPlus::seed_from_u64(args.seed);
     let mut random = || (rng.next_u64() >> 11) as f64 / (1u64 << 53) as f64;
     let mut plans = Vec::new();
@@ -163,8 +163,8 @@
     plans
 }
 
-fn plan_request(args: &Args, index: usize, at: Duration, is_streamed: bool) -> Plan {
-    Plan {
+fn plan_request(args: &Args, index: usize, at: Duration, is_streamed: bool) -> ScriptedRequest {
+    ScriptedRequest {
         at,
         request: index as u64 + 1,
         model: args.model.clone(),
--- a/crates/scenario/benches/sockets.rs
+++ b/crates/scenario/benches/sockets.rs
@@ -8,7 +8,7 @@
 use slipreel_protocol::http::{chunk, Decoder, Item, Limits, Side, Start};
 use slipreel_scenario::read_day;
 use slipreel_state_machine::{ConnId, Input, Machine, Output};
-use slipreel_test_servers::client::{Clients, Habit, Plan};
+use slipreel_test_servers::client::{Clients, Habit, ScriptedRequest};
 use slipreel_test_servers::ledger::Ledger;
 use slipreel_test_servers::mark;
 use std::collections::HashMap;
@@ -131,7 +131,7 @@
 fn load(clock: Clock, target: SocketAddr, rate: f64, seconds: f64) -> Run {
     let start = clock.now() + Duration::from_millis(100);
     let n = (rate * seconds) as u64;
-    let plan = |i: u64| Plan {
+    let plan = |i: u64| ScriptedRequest {
         at: start + Duration::from_secs_f64(i as f64 / rate),
         request: i + 1,
         model: "m".into(),
--- a/crates/scenario/src/fleet.rs
+++ b/crates/scenario/src/fleet.rs
@@ -8,7 +8,7 @@
 use slipreel_gateway::settings::{EngineSettings, GatewaySettings};
 use slipreel_invariants::Effect;
 use slipreel_roles::PlanningPolicy;
-use slipreel_test_servers::client::{Habit, Plan};
+use slipreel_test_servers::client::{Habit, ScriptedRequest};
 use slipreel_test_servers::engine::EngineSpec;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -91,7 +91,7 @@
     /// The engines.
     pub engines: Vec<EnginePlan>,
     /// The requests, times since the start of the day.
-    pub plans: Vec<Plan>,
+    pub plans: Vec<ScriptedRequest>,
     /// What goes wrong.
     pub troubles: Vec<Trouble>,
     /// How late the list tells of what happened.
@@ -172,7 +172,9 @@
 }
 
 /// Draws the requests of several streams; their numbers go on from `first`.
-pub fn spread_traffic(site: &GatewaySettings, streams: &[Traffic], seed: u64, first: u64) -> Vec<Plan> {
+pub fn spread_traffic(
+    site: &GatewaySettings, streams: &[Traffic], seed: u64, first: u64,
+) -> Vec<ScriptedRequest> {
     let mut plans = Vec::new();
     for (n, t) in streams.iter().enumerate() {
         let mut rng = Xoshiro256PlusPlus::seed_from_u64(seed.wrapping_add(n as u64 * 7919));
@@ -193,7 +195,7 @@
             } else {
                 Habit::Plain
             };
-            plans.push(Plan {
+            plans.push(ScriptedRequest {
                 at: Duration::from_secs_f64(at),
                 request: 0,
                 model: t.model.clone(),
--- a/crates/scenario/tests/bad_day.rs
+++ b/crates/scenario/tests/bad_day.rs
@@ -36,7 +36,7 @@
     rules
 }
 
-fn some(model: &str) -> Vec<slipreel_test_servers::client::Plan> {
+fn some(model: &str) -> Vec<slipreel_test_servers::client::ScriptedRequest> {
     (1..40).map(|n| plan(n, model, n * 50)).collect()
 }
 
@@ -85,8 +85,10 @@
 #[test]
 fn a_router_that_floods_a_cold_engine_is_caught() {
     let crash = trouble("crash", "w-0,w-1", 100, 700, 1.0);
-    let plans = (1..1200)
-        .map(|n| slipreel_test_servers::client::Plan { length: 40, ..plan(n, "plain", 200 + n * 3) });
+    let plans = (1..1200).map(|n| slipreel_test_servers::client::ScriptedRequest {
+        length: 40,
+        ..plan(n, "plain", 200 + n * 3)
+    });
     let mut day = day(4, 2, &crash, plans.collect());
     for engine in &mut day.engines {
         engine.spec.cold_time = Duration::from_secs(8);
--- a/crates/scenario/tests/common/mod.rs
+++ b/crates/scenario/tests/common/mod.rs
@@ -3,7 +3,7 @@
 
 use slipreel_invariants::{Effect, Ending};
 use slipreel_scenario::{read_day, Day, Played};
-use slipreel_test_servers::client::{Habit, Plan};
+use slipreel_test_servers::client::{Habit, ScriptedRequest};
 use std::time::Duration;
 
 pub fn ms(n: u64) -> Duration {
@@ -34,7 +34,7 @@
 ";
 
 /// A day of so many readers and writers in one cell, with these troubles and requests.
-pub fn day(readers: usize, writers: usize, extra: &str, plans: Vec<Plan>) -> Day {
+pub fn day(readers: usize, writers: usize, extra: &str, plans: Vec<ScriptedRequest>) -> Day {
     let fleet = format!(
         "[engines r]\nrole = read\ncount = {readers}\ncold_time = 3s\n[engines w]\nrole = write\ncount = {writers}\ncold_time = 3s\n"
     );
@@ -53,8 +53,8 @@
 }
 
 /// A request of a model at a time of the day.
-pub fn plan(request: u64, model: &str, at: u64) -> Plan {
-    Plan {
+pub fn plan(request: u64, model: &str, at: u64) -> ScriptedRequest {
+    ScriptedRequest {
         at: ms(at),
         request,
         model: model.into(),
@@ -74,8 +74,8 @@
     }
 }
 
-pub fn with(plan: Plan, habit: Habit) -> Plan {
-    Plan { habit, ..plan }
+pub fn with(plan: ScriptedRequest, habit: Habit) -> ScriptedRequest {
+    ScriptedRequest { habit, ..plan }
 }
 
 /// How the last try of a request ended.
--- a/crates/scenario/tests/hard_cases.rs
+++ b/crates/scenario/tests/hard_cases.rs
@@ -171,7 +171,8 @@
 }
 
 fn whole_answers() -> Vec<Case> {
-    let whole = |n, at| slipreel_test_servers::client::Plan { stream: false, ..plan(n, "plain", at) };
+    let whole =
+        |n, at| slipreel_test_servers::client::ScriptedRequest { stream: false, ..plan(n, "plain", at) };
     vec![
         case("a whole answer", day(1, 1, "", vec![whole(1, 100)]), &[(1, Some(Served))]),
         case(
@@ -190,7 +191,9 @@
                 1,
                 2,
                 &trouble("crash", "w-0", 300, 4_000, 1.0),
-                (1..9).map(|n| slipreel_test_servers::client::Plan { length: 40, ..whole(n, 100) }).collect(),
+                (1..9)
+                    .map(|n| slipreel_test_servers::client::ScriptedRequest { length: 40, ..whole(n, 100) })
+                    .collect(),
             ),
             &(1..9).map(|n| (n, Some(Served))).collect::<Vec<_>>(),
         ),
@@ -200,7 +203,10 @@
                 1,
                 1,
                 &garbage(5, "w-0"),
-                vec![slipreel_test_servers::client::Plan { model: "filing".into(), ..whole(1, 100) }],
+                vec![slipreel_test_servers::client::ScriptedRequest {
+                    model: "filing".into(),
+                    ..whole(1, 100)
+                }],
             ),
             &[(1, Some(Failed))],
         ),
@@ -210,7 +216,7 @@
                 1,
                 1,
                 &trouble("slow", "w-0", 0, 4_000, 20.0),
-                vec![slipreel_test_servers::client::Plan {
+                vec![slipreel_test_servers::client::ScriptedRequest {
                     length: 40,
                     patience: ms(2_000),
                     ..whole(1, 100)
--- a/crates/scenario/tests/role_changes.rs
+++ b/crates/scenario/tests/role_changes.rs
@@ -6,13 +6,13 @@
 use common::*;
 use slipreel_invariants::Ending::Served;
 use slipreel_scenario::{play_in_memory, play_live, Day};
-use slipreel_test_servers::client::Plan;
+use slipreel_test_servers::client::ScriptedRequest;
 use std::time::Duration;
 
 fn under_load(extra: &str, rate: u64, seconds: u64) -> Day {
     let models = ["plain", "order", "filing"];
-    let plans =
-        (1..rate * seconds).map(|n| Plan { tries: 3, ..plan(n, models[n as usize % 3], n * 1000 / rate) });
+    let plans = (1..rate * seconds)
+        .map(|n| ScriptedRequest { tries: 3, ..plan(n, models[n as usize % 3], n * 1000 / rate) });
     let mut day = day(4, 4, extra, plans.collect());
     day.length = Duration::from_secs(seconds);
     day
--- a/crates/test-servers/src/client.rs
+++ b/crates/test-servers/src/client.rs
@@ -37,7 +37,7 @@
 
 /// One request of the script.
 #[derive(Clone, Debug)]
-pub struct Plan {
+pub struct ScriptedRequest {
     /// When it is asked, on the clock of the run.
     pub at: Duration,
     /// Its number; unique.
@@ -154,7 +154,7 @@
 
 /// A crowd of clients that follows a script.
 pub struct Clients {
-    plans: Vec<Plan>,
+    plans: Vec<ScriptedRequest>,
     targets: Vec<SocketAddr>,
     ledger: Ledger,
     alarms: BTreeMap<(Duration, u64), Alarm>,
@@ -170,7 +170,9 @@
 
 impl Clients {
     /// Clients of routers at `targets`. With `keeps_alive` connections are used again.
-    pub fn new(plans: Vec<Plan>, targets: Vec<SocketAddr>, ledger: Ledger, keeps_alive: bool) -> Self {
+    pub fn new(
+        plans: Vec<ScriptedRequest>, targets: Vec<SocketAddr>, ledger: Ledger, keeps_alive: bool,
+    ) -> Self {
         let mut clients = Clients {
             left: plans.len(),
             idle: targets.iter().map(|_| VecDeque::new()).collect(),
@@ -510,7 +512,7 @@
         self.fault.get_or_insert(what);
     }
 
-    fn ending(&mut self, plan: &Plan) -> Ending {
+    fn ending(&mut self, plan: &ScriptedRequest) -> Ending {
         if self.status == 200 && !self.stream {
             let value: Value = serde_json::from_slice(&self.body).unwrap_or_default();
             self.text = value["content"][0]["text"].as_str().unwrap_or_default().to_owned();
