--- a/crates/cli/src/load.rs
+++ b/crates/cli/src/load.rs
@@ -8,7 +8,7 @@
 use serde_json::json;
 use slipreel_event_loop::{check_loopback, Clock, EventLoop};
 use slipreel_invariants::{Effect, Ending};
-use slipreel_test_servers::client::{Clients, Habit, ScriptedRequest};
+use slipreel_test_servers::client::{ClientBehaviour, Clients, ScriptedRequest};
 use slipreel_test_servers::ledger::Ledger;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -180,7 +180,7 @@
         tries: 1,
         backoff: Duration::ZERO,
         heeds: true,
-        habit: Habit::Plain,
+        behaviour: ClientBehaviour::Plain,
     }
 }
 
--- a/crates/emulator/src/play.rs
+++ b/crates/emulator/src/play.rs
@@ -10,7 +10,7 @@
 use slipreel_gateway::engine_id;
 use slipreel_invariants::Effect;
 use slipreel_scenario::Day;
-use slipreel_test_servers::client::Habit;
+use slipreel_test_servers::client::ClientBehaviour;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
 use std::time::Duration;
@@ -301,7 +301,7 @@
             is_resumption: false,
         };
         self.plan_at(self.now + time_left, Event::Leave { router, request: id, always: false });
-        if let Habit::LeavesAfter(after) = p.habit {
+        if let ClientBehaviour::LeavesAfter(after) = p.behaviour {
             self.plan_at(self.now + after, Event::Leave { router, request: id, always: true });
         }
         self.tell(router, Told::Request(request));
--- a/crates/scenario/benches/sockets.rs
+++ b/crates/scenario/benches/sockets.rs
@@ -8,7 +8,7 @@
 use slipreel_protocol::http::{chunk, Decoder, Item, Limits, Side, Start};
 use slipreel_scenario::read_day;
 use slipreel_state_machine::{ConnId, Input, Machine, Output};
-use slipreel_test_servers::client::{Clients, Habit, ScriptedRequest};
+use slipreel_test_servers::client::{ClientBehaviour, Clients, ScriptedRequest};
 use slipreel_test_servers::ledger::Ledger;
 use slipreel_test_servers::mark;
 use std::collections::HashMap;
@@ -147,7 +147,7 @@
         tries: 1,
         backoff: Duration::ZERO,
         heeds: true,
-        habit: Habit::Plain,
+        behaviour: ClientBehaviour::Plain,
     };
     let mut looped = EventLoop::new(clock).expect("descriptors");
     let node = looped.add(Clients::new((0..n).map(plan).collect(), vec![target], Ledger::default(), true));
--- a/crates/scenario/src/fleet.rs
+++ b/crates/scenario/src/fleet.rs
@@ -8,7 +8,7 @@
 use slipreel_gateway::settings::{EngineSettings, GatewaySettings};
 use slipreel_invariants::Effect;
 use slipreel_roles::PlanningPolicy;
-use slipreel_test_servers::client::{Habit, ScriptedRequest};
+use slipreel_test_servers::client::{ClientBehaviour, ScriptedRequest};
 use slipreel_test_servers::engine::EngineSpec;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -191,9 +191,9 @@
             let answer = (length(&mut rng, t.answer) as u32).clamp(1, t.max_tokens);
             let session = rng.next_u64();
             let habit = if chance(&mut rng) < t.leave {
-                Habit::LeavesAfter(Duration::from_secs_f64(chance(&mut rng) * 2.0))
+                ClientBehaviour::LeavesAfter(Duration::from_secs_f64(chance(&mut rng) * 2.0))
             } else {
-                Habit::Plain
+                ClientBehaviour::Plain
             };
             plans.push(ScriptedRequest {
                 at: Duration::from_secs_f64(at),
@@ -211,7 +211,7 @@
                 tries: t.tries,
                 backoff: t.backoff,
                 heeds: t.heeds,
-                habit,
+                behaviour: habit,
             });
         }
     }
--- a/crates/scenario/tests/bad_day.rs
+++ b/crates/scenario/tests/bad_day.rs
@@ -74,8 +74,9 @@
 
 #[test]
 fn a_router_that_never_lets_go_is_caught() {
-    let leaves =
-        |n| with(plan(n, "plain", n * 50), slipreel_test_servers::client::Habit::LeavesAfter(ms(300)));
+    let leaves = |n| {
+        with(plan(n, "plain", n * 50), slipreel_test_servers::client::ClientBehaviour::LeavesAfter(ms(300)))
+    };
     let mut day = day(2, 1, &trouble("deaf", "w-0", 0, 9_000, 1.0), (1..10).map(leaves).collect());
     assert_eq!(broken_rules(&day), []);
     day.sabotage = Some(Sabotage::NeverLetsGo);
--- a/crates/scenario/tests/common/mod.rs
+++ b/crates/scenario/tests/common/mod.rs
@@ -3,7 +3,7 @@
 
 use slipreel_invariants::{Effect, Ending};
 use slipreel_scenario::{read_day, Day, Played};
-use slipreel_test_servers::client::{Habit, ScriptedRequest};
+use slipreel_test_servers::client::{ClientBehaviour, ScriptedRequest};
 use std::time::Duration;
 
 pub fn ms(n: u64) -> Duration {
@@ -70,12 +70,12 @@
         tries: 1,
         backoff: ms(50),
         heeds: true,
-        habit: Habit::Plain,
+        behaviour: ClientBehaviour::Plain,
     }
 }
 
-pub fn with(plan: ScriptedRequest, habit: Habit) -> ScriptedRequest {
-    ScriptedRequest { habit, ..plan }
+pub fn with(plan: ScriptedRequest, habit: ClientBehaviour) -> ScriptedRequest {
+    ScriptedRequest { behaviour: habit, ..plan }
 }
 
 /// How the last try of a request ended.
--- a/crates/scenario/tests/hard_cases.rs
+++ b/crates/scenario/tests/hard_cases.rs
@@ -6,7 +6,7 @@
 use common::*;
 use slipreel_invariants::Ending::{self, Failed, Refused, Served};
 use slipreel_scenario::{play_in_memory, play_live, Day, Played};
-use slipreel_test_servers::client::Habit;
+use slipreel_test_servers::client::ClientBehaviour;
 
 struct Case {
     name: &'static str,
@@ -25,7 +25,7 @@
 }
 
 fn clients_that_leave() -> Vec<Case> {
-    let leaves = |n, after| with(plan(n, "plain", 100), Habit::LeavesAfter(ms(after)));
+    let leaves = |n, after| with(plan(n, "plain", 100), ClientBehaviour::LeavesAfter(ms(after)));
     let slow_reader = trouble("slow", "r-0", 0, 5_000, 20.0);
     let deaf_writer = trouble("deaf", "w-0", 0, 5_000, 1.0);
     vec![
@@ -33,22 +33,32 @@
         case("leaves between read and write", day(1, 1, &deaf_writer, vec![leaves(1, 400)]), &[(1, None)]),
         case(
             "leaves in the midst of the stream",
-            day(1, 1, "", vec![with(plan(1, "plain", 100), Habit::LeavesAtToken(5)), plan(2, "plain", 600)]),
+            day(
+                1,
+                1,
+                "",
+                vec![with(plan(1, "plain", 100), ClientBehaviour::LeavesAtToken(5)), plan(2, "plain", 600)],
+            ),
             &[(1, None), (2, Some(Served))],
         ),
         case(
             "half-closes where that is a leave",
-            day(1, 1, "", vec![with(plan(1, "plain", 100), Habit::HalfCloses)]),
+            day(1, 1, "", vec![with(plan(1, "plain", 100), ClientBehaviour::HalfCloses)]),
             &[(1, None)],
         ),
         case(
             "half-closes where it still waits",
-            day(1, 1, "[bounds]\nhalf_close = yes\n", vec![with(plan(1, "plain", 100), Habit::HalfCloses)]),
+            day(
+                1,
+                1,
+                "[bounds]\nhalf_close = yes\n",
+                vec![with(plan(1, "plain", 100), ClientBehaviour::HalfCloses)],
+            ),
             &[(1, Some(Served))],
         ),
         case(
             "sends a byte each millisecond",
-            day(1, 1, "", vec![with(plan(1, "plain", 0), Habit::SendsSlowly(ms(1)))]),
+            day(1, 1, "", vec![with(plan(1, "plain", 0), ClientBehaviour::SendsSlowly(ms(1)))]),
             &[(1, Some(Served))],
         ),
         case(
@@ -57,13 +67,13 @@
                 1,
                 1,
                 "[bounds]\nreceive = 300ms\n",
-                vec![with(plan(1, "plain", 0), Habit::SendsSlowly(ms(100)))],
+                vec![with(plan(1, "plain", 0), ClientBehaviour::SendsSlowly(ms(100)))],
             ),
             &[(1, Some(Failed))],
         ),
         case(
             "stops reading for a while",
-            day(1, 1, "", vec![with(plan(1, "plain", 0), Habit::StopsReading(ms(700)))]),
+            day(1, 1, "", vec![with(plan(1, "plain", 0), ClientBehaviour::StopsReading(ms(700)))]),
             &[(1, Some(Served))],
         ),
     ]
--- a/crates/test-servers/src/client.rs
+++ b/crates/test-servers/src/client.rs
@@ -19,7 +19,7 @@
 
 /// How a client behaves on one request.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub enum Habit {
+pub enum ClientBehaviour {
     /// Asks and takes the answer.
     #[default]
     Plain,
@@ -69,7 +69,7 @@
     /// Whether it heeds `retry-after`.
     pub heeds: bool,
     /// How it behaves.
-    pub habit: Habit,
+    pub behaviour: ClientBehaviour,
 }
 
 /// How a try ended, as its client saw it.
@@ -235,7 +235,7 @@
         // Another try goes elsewhere: the router that was asked first may be gone.
         let target = (p.request as usize + number as usize) % self.targets.len();
         let (effect, deadline) = (p.effect, now + p.patience);
-        let plain = matches!(p.habit, Habit::Plain);
+        let plain = matches!(p.behaviour, ClientBehaviour::Plain);
         self.ledger.note(now, Seen::Asked { what, effect, deadline });
         let limits = Limits { body: u64::MAX, ..Limits::default() };
         let open = Open {
@@ -271,7 +271,7 @@
         });
         self.open.insert(conn, open);
         self.alarm(deadline + GRACE, Alarm::Check(conn));
-        if let Habit::LeavesAfter(after) = self.plans[plan].habit {
+        if let ClientBehaviour::LeavesAfter(after) = self.plans[plan].behaviour {
             self.alarm(now + after, Alarm::Check(conn));
         }
         match reused {
@@ -282,7 +282,7 @@
 
     fn send(&mut self, now: Duration, conn: ConnId, out: &mut Vec<Output>) {
         let Some(open) = self.open.get_mut(&conn) else { return };
-        if let Habit::SendsSlowly(_) = self.plans[open.plan].habit {
+        if let ClientBehaviour::SendsSlowly(_) = self.plans[open.plan].behaviour {
             return self.alarm(now, Alarm::SendByte(conn));
         }
         out.push(Output::Write(conn, std::mem::take(&mut open.request)));
@@ -290,7 +290,7 @@
 
     fn send_byte(&mut self, now: Duration, conn: ConnId, out: &mut Vec<Output>) {
         let Some(open) = self.open.get_mut(&conn) else { return };
-        let Habit::SendsSlowly(each) = self.plans[open.plan].habit else { return };
+        let ClientBehaviour::SendsSlowly(each) = self.plans[open.plan].behaviour else { return };
         if !open.request.is_empty() {
             out.push(Output::Write(conn, vec![open.request.remove(0)]));
             self.alarm(now + each, Alarm::SendByte(conn));
@@ -323,8 +323,8 @@
                     if status == 200 && open.began.is_none() {
                         open.began = Some(now);
                         self.ledger.note(now, Seen::Began(open.what));
-                        let habit = &self.plans[open.plan].habit;
-                        if let (Habit::StopsReading(time), false) = (habit, open.was_paused) {
+                        let habit = &self.plans[open.plan].behaviour;
+                        if let (ClientBehaviour::StopsReading(time), false) = (habit, open.was_paused) {
                             (open.paused_until, open.was_paused) = (Some(now + *time), true);
                             out.push(Output::Pause(conn));
                             let at = now + *time;
@@ -338,7 +338,7 @@
                         open.fault = Some("an event is too long".into());
                     }
                     events.iter().for_each(|e| open.event(e));
-                    if let Habit::LeavesAtToken(n) = self.plans[open.plan].habit {
+                    if let ClientBehaviour::LeavesAtToken(n) = self.plans[open.plan].behaviour {
                         if open.tokens >= n {
                             return self.leave(now, conn, out);
                         }
@@ -362,8 +362,10 @@
         let plan = &self.plans[open.plan];
         let target = open.target;
         let ending = open.ending(plan);
-        let again =
-            plan.habit == Habit::Plain && self.keeps_alive && open.error.is_none() && open.decoder.idle();
+        let again = plan.behaviour == ClientBehaviour::Plain
+            && self.keeps_alive
+            && open.error.is_none()
+            && open.decoder.idle();
         let idle = &mut self.idle[target];
         if again && open.status != 0 && idle.len() < 256 {
             idle.push_back(conn);
@@ -393,7 +395,7 @@
                 self.ledger.note(now, Seen::Left(open.what));
             }
             // It has said that it sends no more: a router may take that for leaving.
-            ConnectionLoss::Reset if self.plans[open.plan].habit == Habit::HalfCloses => {
+            ConnectionLoss::Reset if self.plans[open.plan].behaviour == ClientBehaviour::HalfCloses => {
                 self.ledger.note(now, Seen::Left(open.what));
             }
             ConnectionLoss::Reset => {
@@ -419,7 +421,7 @@
                 Some(Ending::Failed) => plan.effect != Effect::Unsafe && open.status >= 500,
                 // It left by its own will, or its router died with the request.
                 None => {
-                    plan.habit == Habit::Plain
+                    plan.behaviour == ClientBehaviour::Plain
                         && (plan.effect != Effect::Unsafe || open.error.as_deref() == Some("NotConnected"))
                 }
             };
@@ -459,8 +461,8 @@
             out.push(Output::Resume(conn));
         }
         let asked = open.deadline.saturating_sub(self.plans[open.plan].patience);
-        let leaves = match self.plans[open.plan].habit {
-            Habit::LeavesAfter(after) => now >= asked + after,
+        let leaves = match self.plans[open.plan].behaviour {
+            ClientBehaviour::LeavesAfter(after) => now >= asked + after,
             _ => false,
         };
         let late = open.began.is_none() && now >= open.deadline + GRACE;
@@ -551,7 +553,7 @@
         match input {
             Input::Connected(conn) => {
                 self.send(now, conn, out);
-                let half = |o: &Open| self.plans[o.plan].habit == Habit::HalfCloses;
+                let half = |o: &Open| self.plans[o.plan].behaviour == ClientBehaviour::HalfCloses;
                 if self.open.get(&conn).is_some_and(half) {
                     out.push(Output::ShutdownWrite(conn));
                 }
