--- a/crates/cli/src/load.rs
+++ b/crates/cli/src/load.rs
@@ -177,9 +177,9 @@
         max_tokens: args.answer.max(1),
         stream: is_streamed,
         patience: Duration::from_secs_f64(args.patience),
-        tries: 1,
+        max_attempts: 1,
         backoff: Duration::ZERO,
-        heeds: true,
+        honours_retry_after: true,
         behaviour: ClientBehaviour::Plain,
     }
 }
--- a/crates/emulator/src/play.rs
+++ b/crates/emulator/src/play.rs
@@ -336,8 +336,8 @@
         let (plan, tries) = (call.plan, call.tries);
         self.reap.push((router, request));
         let p = &self.day.plans[plan];
-        if let Some(wait) = wait.filter(|_| tries < p.tries) {
-            let wait = if p.heeds { wait.max(p.backoff) } else { p.backoff };
+        if let Some(wait) = wait.filter(|_| tries < p.max_attempts) {
+            let wait = if p.honours_retry_after { wait.max(p.backoff) } else { p.backoff };
             return self.plan_at(self.now + wait, Event::Come { plan, tries: tries + 1 });
         }
         *outcome(self.figures.models.entry(p.model.clone()).or_default()) += 1;
--- a/crates/scenario/benches/sockets.rs
+++ b/crates/scenario/benches/sockets.rs
@@ -32,7 +32,7 @@
 fn answer(target: &str, body: &[u8]) -> Vec<u8> {
     let text = String::from_utf8_lossy(body);
     let head = b"HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\ntransfer-encoding: chunked\r\n\r\n";
-    let request = mark::Mark::find(&text).map_or(0, |m| m.what.request);
+    let request = mark::Mark::find(&text).map_or(0, |m| m.attempt.request);
     let mut events = String::new();
     match target {
         "/metrics" => {
@@ -144,9 +144,9 @@
         max_tokens: TOKENS,
         stream: true,
         patience: Duration::from_secs(5),
-        tries: 1,
+        max_attempts: 1,
         backoff: Duration::ZERO,
-        heeds: true,
+        honours_retry_after: true,
         behaviour: ClientBehaviour::Plain,
     };
     let mut looped = EventLoop::new(clock).expect("descriptors");
--- a/crates/scenario/src/fleet.rs
+++ b/crates/scenario/src/fleet.rs
@@ -208,9 +208,9 @@
                 max_tokens: t.max_tokens,
                 stream: chance(&mut rng) < t.streamed,
                 patience: t.patience,
-                tries: t.tries,
+                max_attempts: t.tries,
                 backoff: t.backoff,
-                heeds: t.heeds,
+                honours_retry_after: t.heeds,
                 behaviour: habit,
             });
         }
--- a/crates/scenario/src/report.rs
+++ b/crates/scenario/src/report.rs
@@ -131,12 +131,12 @@
 /// Groups requests by a name, each by its last try.
 fn group_by(results: &[AttemptResult], name: impl Fn(&AttemptResult) -> String) -> Groups {
     let last_tries: BTreeMap<u64, u32> =
-        results.iter().map(|result| (result.what.request, result.what.number)).collect();
+        results.iter().map(|result| (result.attempt.request, result.attempt.number)).collect();
     let mut groups = Groups::new();
     for result in results {
         let group = groups.entry(name(result)).or_default();
         group.tries += 1;
-        if last_tries.get(&result.what.request) == Some(&result.what.number) {
+        if last_tries.get(&result.attempt.request) == Some(&result.attempt.number) {
             group.count(result);
         }
     }
@@ -149,7 +149,7 @@
         let results = &played.results;
         let thirds = Thirds::of(results);
         let faults =
-            played.results.iter().filter_map(|r| r.fault.as_ref().map(|f| format!("{:?}: {f}", r.what)));
+            played.results.iter().filter_map(|r| r.fault.as_ref().map(|f| format!("{:?}: {f}", r.attempt)));
         let sum = |f: fn(&slipreel_gateway::Counters) -> u64| played.tallies.iter().map(f).sum::<u64>();
         let rules = RULES.iter().map(|rule| {
             let broke: Vec<_> = played.breaks.iter().filter(|b| b.rule == *rule).collect();
--- a/crates/scenario/src/stage.rs
+++ b/crates/scenario/src/stage.rs
@@ -396,7 +396,7 @@
 }
 
 fn sorted(mut results: Vec<AttemptResult>) -> Vec<AttemptResult> {
-    results.sort_by_key(|r| r.what);
+    results.sort_by_key(|r| r.attempt);
     results
 }
 
--- a/crates/scenario/tests/common/mod.rs
+++ b/crates/scenario/tests/common/mod.rs
@@ -67,9 +67,9 @@
         max_tokens: 40,
         stream: true,
         patience: ms(3_000),
-        tries: 1,
+        max_attempts: 1,
         backoff: ms(50),
-        heeds: true,
+        honours_retry_after: true,
         behaviour: ClientBehaviour::Plain,
     }
 }
@@ -83,7 +83,7 @@
     played
         .results
         .iter()
-        .rfind(|r| r.what.request == request)
+        .rfind(|r| r.attempt.request == request)
         .unwrap_or_else(|| panic!("{request} never ended"))
         .ending
 }
--- a/crates/scenario/tests/hard_cases.rs
+++ b/crates/scenario/tests/hard_cases.rs
@@ -247,7 +247,7 @@
 fn assert_ends(case: &Case, played: &Played, how: &str) {
     let name = format!("{} ({how})", case.name);
     for (request, end) in &case.ends {
-        let last = played.results.iter().rfind(|r| r.what.request == *request);
+        let last = played.results.iter().rfind(|r| r.attempt.request == *request);
         assert_eq!(last.and_then(|r| r.ending), *end, "{name}: request {request}: {last:?} {:?}", played.log);
     }
     assert_clean(&name, played);
--- a/crates/scenario/tests/report.rs
+++ b/crates/scenario/tests/report.rs
@@ -7,7 +7,7 @@
 
 fn result(request: u64, due_ms: u64, router: usize, effect: Effect, ending: Option<Ending>) -> AttemptResult {
     AttemptResult {
-        what: Try { request, number: 0 },
+        attempt: Try { request, number: 0 },
         model: "chat".to_owned(),
         key: "key".to_owned(),
         effect,
@@ -21,7 +21,7 @@
         ended: Duration::from_millis(due_ms + 1),
         tokens: 0,
         fault: None,
-        come_back: None,
+        retry_after: None,
         should_retry: None,
     }
 }
@@ -67,7 +67,7 @@
 #[test]
 fn a_request_counts_in_the_group_of_its_last_try() {
     let mut second = result(1, 10, 1, Effect::Safe, Some(Ending::Served));
-    second.what.number = 1;
+    second.attempt.number = 1;
     let day = played(vec![result(1, 10, 0, Effect::Safe, Some(Ending::Refused)), second]);
     let report = day.report();
     assert_eq!((report.routers["router-0"].asked, report.routers["router-0"].tries), (0, 1));
--- a/crates/scenario/tests/role_changes.rs
+++ b/crates/scenario/tests/role_changes.rs
@@ -12,7 +12,7 @@
 fn under_load(extra: &str, rate: u64, seconds: u64) -> Day {
     let models = ["plain", "order", "filing"];
     let plans = (1..rate * seconds)
-        .map(|n| ScriptedRequest { tries: 3, ..plan(n, models[n as usize % 3], n * 1000 / rate) });
+        .map(|n| ScriptedRequest { max_attempts: 3, ..plan(n, models[n as usize % 3], n * 1000 / rate) });
     let mut day = day(4, 4, extra, plans.collect());
     day.length = Duration::from_secs(seconds);
     day
--- a/crates/test-servers/src/client.rs
+++ b/crates/test-servers/src/client.rs
@@ -63,11 +63,11 @@
     /// How long the client waits for the answer to begin.
     pub patience: Duration,
     /// How often it tries in all.
-    pub tries: u32,
-    /// Its wait before another try, unless it is told one that it heeds.
+    pub max_attempts: u32,
+    /// Its wait before another try, unless it is told one that it honours_retry_after.
     pub backoff: Duration,
-    /// Whether it heeds `retry-after`.
-    pub heeds: bool,
+    /// Whether it honours_retry_after `retry-after`.
+    pub honours_retry_after: bool,
     /// How it behaves.
     pub behaviour: ClientBehaviour,
 }
@@ -76,7 +76,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct AttemptResult {
     /// Which try.
-    pub what: Try,
+    pub attempt: Try,
     /// The model asked for.
     pub model: String,
     /// The key asked with.
@@ -104,7 +104,7 @@
     /// What is wrong with what came, if anything is.
     pub fault: Option<String>,
     /// What the client was told to wait.
-    pub come_back: Option<Duration>,
+    pub retry_after: Option<Duration>,
     /// What the client was told of trying again.
     pub should_retry: Option<bool>,
 }
@@ -131,7 +131,7 @@
     error: Option<String>,
     fault: Option<String>,
     stop_reason: Option<String>,
-    come_back: Option<Duration>,
+    retry_after: Option<Duration>,
     should_retry: Option<bool>,
     paused_until: Option<Duration>,
     was_paused: bool,
@@ -211,7 +211,7 @@
     fn ask(&mut self, now: Duration, plan: usize, number: u32, due: Duration, out: &mut Vec<Output>) {
         let p = &self.plans[plan];
         let what = Try { request: p.request, number };
-        let mark = Mark { what, length: p.length, effect: p.effect };
+        let mark = Mark { attempt: what, length: p.length, effect: p.effect };
         let content = format!("{} {}", p.prompt, mark.text());
         let body = json!({
             "model": p.model, "max_tokens": p.max_tokens, "stream": p.stream, "system": p.system,
@@ -259,7 +259,7 @@
             error: None,
             fault: None,
             stop_reason: None,
-            come_back: None,
+            retry_after: None,
             should_retry: None,
             paused_until: None,
             was_paused: false,
@@ -318,7 +318,7 @@
                     self.ledger.note(now, Seen::Stamped { router, what: open.what, epoch, on });
                     open.stream = head.get("content-type") == Some("text/event-stream");
                     let ms = |name: &str| head.get(name).and_then(|v| v.parse::<u64>().ok());
-                    open.come_back = ms("retry-after-ms").map(Duration::from_millis);
+                    open.retry_after = ms("retry-after-ms").map(Duration::from_millis);
                     open.should_retry = head.get("x-should-retry").and_then(|v| v.parse().ok());
                     if status == 200 && open.began.is_none() {
                         open.began = Some(now);
@@ -425,8 +425,8 @@
                         && (plan.effect != Effect::Unsafe || open.error.as_deref() == Some("NotConnected"))
                 }
             };
-        if may_repeat && number < plan.tries {
-            let told = open.come_back.filter(|_| plan.heeds);
+        if may_repeat && number < plan.max_attempts {
+            let told = open.retry_after.filter(|_| plan.honours_retry_after);
             let at = now + told.unwrap_or(plan.backoff);
             let due = open.due;
             self.alarm(at, Alarm::Ask { plan: open.plan, number, due });
@@ -435,7 +435,7 @@
         }
         let plan = &self.plans[open.plan];
         self.results.push(AttemptResult {
-            what: open.what,
+            attempt: open.what,
             model: plan.model.clone(),
             key: plan.key.clone(),
             effect: plan.effect,
@@ -449,7 +449,7 @@
             ended: now,
             tokens: open.tokens,
             fault: open.fault,
-            come_back: open.come_back,
+            retry_after: open.retry_after,
             should_retry: open.should_retry,
         });
     }
--- a/crates/test-servers/src/engine/mod.rs
+++ b/crates/test-servers/src/engine/mod.rs
@@ -139,7 +139,7 @@
         if self.faults.deaf || now < conn.ready_at {
             // It has arrived all the same, and is out until its connection ends or the engine hears it.
             let text = String::from_utf8_lossy(bytes);
-            conn.unheard = Mark::find(&text).map(|m| m.what).or(conn.unheard);
+            conn.unheard = Mark::find(&text).map(|m| m.attempt).or(conn.unheard);
             let via = text.split_once("via: 1.1 ").and_then(|(_, rest)| rest.split("\r\n").next());
             if let (Some(what), Some(router)) = (conn.unheard, via) {
                 let (engine, router) = (self.spec.name.clone(), router.to_owned());
@@ -770,5 +770,5 @@
 
 /// The try that a chat request carries, for tests that look into requests.
 pub fn try_of(body: &[u8]) -> Option<Try> {
-    Mark::find(&String::from_utf8_lossy(body)).map(|m| m.what)
+    Mark::find(&String::from_utf8_lossy(body)).map(|m| m.attempt)
 }
--- a/crates/test-servers/src/engine/work.rs
+++ b/crates/test-servers/src/engine/work.rs
@@ -53,7 +53,7 @@
 
 impl Job {
     pub fn what(&self) -> Option<Try> {
-        self.mark.map(|m| m.what)
+        self.mark.map(|m| m.attempt)
     }
 
     pub fn stage(&self) -> Stage {
--- a/crates/test-servers/src/mark.rs
+++ b/crates/test-servers/src/mark.rs
@@ -9,7 +9,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Mark {
     /// Which try.
-    pub what: Try,
+    pub attempt: Try,
     /// Tokens of the answer.
     pub length: u32,
     /// What the request does when it runs.
@@ -24,7 +24,7 @@
             Effect::Keyed => 'k',
             Effect::Unsafe => 'u',
         };
-        format!("[[{}.{}.{}.{effect}]]", self.what.request, self.what.number, self.length)
+        format!("[[{}.{}.{}.{effect}]]", self.attempt.request, self.attempt.number, self.length)
     }
 
     /// The last mark in a text: earlier turns of a session carry their own.
@@ -41,7 +41,7 @@
             "u" => Effect::Unsafe,
             _ => return None,
         };
-        Some(Mark { what: Try { request, number }, length, effect })
+        Some(Mark { attempt: Try { request, number }, length, effect })
     }
 }
 
--- a/crates/test-servers/src/partition.rs
+++ b/crates/test-servers/src/partition.rs
@@ -89,7 +89,7 @@
                 match &output {
                     Output::Write(_, bytes) => {
                         if let Some(mark) = Mark::find(&String::from_utf8_lossy(bytes)) {
-                            self.note_way(now, conn, Some(mark.what));
+                            self.note_way(now, conn, Some(mark.attempt));
                         }
                     }
                     _ if last => self.note_way(now, conn, None),
