--- a/crates/cli/src/engine.rs
+++ b/crates/cli/src/engine.rs
@@ -42,9 +42,9 @@
 pub(crate) fn run(args: &Args) -> Outcome {
     check_loopback(args.listen).map_err(|e| Failure::Input(format!("--listen {e}")))?;
     let role = match args.role {
-        RoleArg::Read => Role::Read,
-        RoleArg::Write => Role::Write,
-        RoleArg::Both => Role::Both,
+        RoleArg::Read => Role::Prefill,
+        RoleArg::Write => Role::Decode,
+        RoleArg::Both => Role::Mixed,
     };
     let mut spec = EngineSpec::new(&args.listen.to_string(), args.listen, role);
     spec.slots = args.slots.unwrap_or(spec.slots);
--- a/crates/emulator/src/roles.rs
+++ b/crates/emulator/src/roles.rs
@@ -37,7 +37,7 @@
     /// A planner with the limits and costs of the day's own conductor.
     pub(crate) fn new(day: &Day, policy: PlanningPolicy) -> Option<Roles> {
         let spec = |role| day.engines.iter().map(|e| &e.spec).find(|s| s.role == role);
-        let (reader, writer) = (spec(SpecRole::Read)?, spec(SpecRole::Write)?);
+        let (reader, writer) = (spec(SpecRole::Prefill)?, spec(SpecRole::Decode)?);
         let limits = PlannerLimits {
             // A fleet of hundreds changes more than two engines at a time.
             max_concurrent_changes: (day.engines.len() / 20).max(2),
--- a/crates/fault-injection/src/own.rs
+++ b/crates/fault-injection/src/own.rs
@@ -43,9 +43,9 @@
     let mut seen = Vec::new();
     for (plan, at) in script.day.engines.iter().zip(own.engines) {
         let role = match plan.spec.role {
-            Role::Read => "read",
-            Role::Write => "write",
-            Role::Both => "both",
+            Role::Prefill => "read",
+            Role::Decode => "write",
+            Role::Mixed => "both",
         };
         // A poor router knows the first of each role alone.
         if script.poor == Some(r) && seen.contains(&role) {
@@ -64,7 +64,7 @@
     let out = match propose.wish {
         Wish::Change => format!("none-of-{}", propose.id),
         Wish::Bad => {
-            let first = script.day.engines.iter().find(|e| e.spec.role == Role::Read)?;
+            let first = script.day.engines.iter().find(|e| e.spec.role == Role::Prefill)?;
             first.spec.name.clone()
         }
         Wish::Back(_) | Wish::Replace(_) => return None,
--- a/crates/scenario/src/script.rs
+++ b/crates/scenario/src/script.rs
@@ -79,9 +79,9 @@
     for at in doc.all("engines") {
         let name = doc.section(at).name.clone();
         let role = match doc.need::<Role>(at, "role") {
-            Some(Role::Prefill) => SpecRole::Read,
-            Some(Role::Decode) => SpecRole::Write,
-            Some(Role::Mixed) => SpecRole::Both,
+            Some(Role::Prefill) => SpecRole::Prefill,
+            Some(Role::Decode) => SpecRole::Decode,
+            Some(Role::Mixed) => SpecRole::Mixed,
             None => continue,
         };
         let zone = doc.or(Some(at), "zone", Name("default".into())).0;
--- a/crates/scenario/src/stage.rs
+++ b/crates/scenario/src/stage.rs
@@ -170,7 +170,7 @@
         };
         let engines: Vec<Watched> = self.day.engines.iter().zip(&self.addrs).map(watched).collect();
         let spec = |role| self.day.engines.iter().map(|e| &e.spec).find(|s| s.role == role);
-        let (reader, writer) = (spec(Role::Read), spec(Role::Write));
+        let (reader, writer) = (spec(Role::Prefill), spec(Role::Decode));
         let places = FullLoadRequests {
             prefill: reader.map_or(1.0, |s| s.slots as f64),
             decode: writer.map_or(1.0, |s| s.slots as f64),
@@ -324,11 +324,11 @@
                 self.cut_links(stage);
             }
             Act::ChangeRole(e) => {
-                let to = if self.roles[e] == Role::Read { Role::Write } else { Role::Read };
+                let to = if self.roles[e] == Role::Prefill { Role::Decode } else { Role::Prefill };
                 stage.news(Who::Engine(e), Arc::new(to));
             }
             Act::ListRole(e) => {
-                self.roles[e] = if self.roles[e] == Role::Read { Role::Write } else { Role::Read };
+                self.roles[e] = if self.roles[e] == Role::Prefill { Role::Decode } else { Role::Prefill };
                 self.list_changes(now);
             }
             Act::CutLink(e, to) => {
--- a/crates/scenario/src/trouble.rs
+++ b/crates/scenario/src/trouble.rs
@@ -210,7 +210,7 @@
             // A state is served as slowly as its reader works; the stand-ins have no links of their own.
             Kind::OriginSlow => {
                 let readers: Vec<usize> = (0..day.engines.len())
-                    .filter(|&e| day.engines[e].spec.role == slipreel_test_servers::engine::Role::Read)
+                    .filter(|&e| day.engines[e].spec.role == slipreel_test_servers::engine::Role::Prefill)
                     .collect();
                 let some = draw(readers, self.part, rng);
                 spell(&mut acts, &some, Fault::Slow(self.size), Fault::Slow(1.0));
--- a/crates/test-servers/src/engine/mod.rs
+++ b/crates/test-servers/src/engine/mod.rs
@@ -289,7 +289,7 @@
     /// An order to change the role: `{"to": "write", "replaces": 3}`. 409 and the present state if it is not taken.
     fn order_role(&mut self, now: Duration, id: ConnId, body: &[u8], out: &mut Vec<Output>) {
         let value: Value = serde_json::from_slice(body).unwrap_or_default();
-        let to = value["to"].as_str().and_then(Role::named);
+        let to = value["to"].as_str().and_then(Role::from_name);
         let (Some(to), Some(replaces)) = (to, value["replaces"].as_u64()) else {
             return self.error(
                 id,
@@ -375,8 +375,8 @@
         }
         // Work of another stage than its role's comes from a list that is out of date.
         let misfit = match job.kind {
-            Kind::Read => self.spec.role == Role::Write,
-            Kind::Write => self.spec.role == Role::Read,
+            Kind::Read => self.spec.role == Role::Decode,
+            Kind::Write => self.spec.role == Role::Prefill,
         };
         let turned = self.faults.turns_away(&String::from_utf8_lossy(body)) || self.stopping || misfit;
         let turned = turned || !self.role.takes_work();
@@ -384,7 +384,7 @@
             self.over(now, &job);
             return self.error(id, 503, FULL, "slots and queue are full", out);
         }
-        let no_state = job.kind == Kind::Write && job.transfer.is_none() && self.spec.role == Role::Write;
+        let no_state = job.kind == Kind::Write && job.transfer.is_none() && self.spec.role == Role::Decode;
         if no_state {
             self.over(now, &job);
             return self.error(id, 409, NO_STATE, "there is no state to fetch", out);
--- a/crates/test-servers/src/engine/spec.rs
+++ b/crates/test-servers/src/engine/spec.rs
@@ -7,35 +7,35 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
     /// Reads prompts.
-    Read,
+    Prefill,
     /// Writes answers.
-    Write,
+    Decode,
     /// Both.
-    Both,
+    Mixed,
 }
 
 impl Role {
     /// Its name on the wire.
     pub fn name(self) -> &'static str {
         match self {
-            Role::Read => "read",
-            Role::Write => "write",
-            Role::Both => "both",
+            Role::Prefill => "read",
+            Role::Decode => "write",
+            Role::Mixed => "both",
         }
     }
 
     /// The role of that name.
-    pub fn named(name: &str) -> Option<Role> {
-        [Role::Read, Role::Write, Role::Both].into_iter().find(|r| r.name() == name)
+    pub fn from_name(name: &str) -> Option<Role> {
+        [Role::Prefill, Role::Decode, Role::Mixed].into_iter().find(|r| r.name() == name)
     }
 }
 
 impl From<Role> for slipreel::Role {
     fn from(role: Role) -> Self {
         match role {
-            Role::Read => slipreel::Role::Prefill,
-            Role::Write => slipreel::Role::Decode,
-            Role::Both => slipreel::Role::Mixed,
+            Role::Prefill => slipreel::Role::Prefill,
+            Role::Decode => slipreel::Role::Decode,
+            Role::Mixed => slipreel::Role::Mixed,
         }
     }
 }
@@ -43,9 +43,9 @@
 impl From<slipreel::Role> for Role {
     fn from(role: slipreel::Role) -> Self {
         match role {
-            slipreel::Role::Prefill => Role::Read,
-            slipreel::Role::Decode => Role::Write,
-            slipreel::Role::Mixed => Role::Both,
+            slipreel::Role::Prefill => Role::Prefill,
+            slipreel::Role::Decode => Role::Decode,
+            slipreel::Role::Mixed => Role::Mixed,
         }
     }
 }
@@ -96,12 +96,12 @@
 impl EngineSpec {
     /// An engine of ordinary size.
     pub fn new(name: &str, addr: SocketAddr, role: Role) -> Self {
-        let reads = role != Role::Write;
+        let reads = role != Role::Decode;
         EngineSpec {
             name: name.into(),
             addr,
             role,
-            slots: if role == Role::Read { 8 } else { 64 },
+            slots: if role == Role::Prefill { 8 } else { 64 },
             queue: 32,
             memory: 200_000,
             chunk: 2_048,
--- a/crates/test-servers/src/engine/work.rs
+++ b/crates/test-servers/src/engine/work.rs
@@ -354,7 +354,7 @@
             return;
         }
         let read: u64 = reads.iter().map(|(_, part)| part).sum();
-        let base = if spec.role == Role::Read { Duration::ZERO } else { spec.step };
+        let base = if spec.role == Role::Prefill { Duration::ZERO } else { spec.step };
         let takes = base
             + spec.per_answer * writes.len() as u32
             + Duration::from_secs_f64(read as f64 / spec.read_per_s);
