--- a/crates/emulator/src/engine.rs
+++ b/crates/emulator/src/engine.rs
@@ -3,7 +3,7 @@
 use slipreel::{EngineId, LoadReport, Role};
 use slipreel_roles::RoleRecord;
 use slipreel_state_machine::ConnId;
-use slipreel_test_servers::engine::work::{Job, Kind, Transfer, Work};
+use slipreel_test_servers::engine::scheduler::{ActiveRequest, RequestKind, Scheduler, Transfer};
 use slipreel_test_servers::engine::EngineSpec;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -49,7 +49,7 @@
     pub(crate) spec: EngineSpec,
     pub(crate) id: EngineId,
     pub(crate) role: RoleRecord,
-    pub(crate) work: Work,
+    pub(crate) work: Scheduler,
     pub(crate) alive: bool,
     pub(crate) slow: f64,
     /// It has fallen over: sent more than it could bear while cold.
@@ -63,7 +63,7 @@
     pub(crate) fn new(spec: EngineSpec, id: EngineId, started: Duration, epoch: u64) -> Self {
         Engine {
             role: RoleRecord::started(spec.role.into(), epoch, started),
-            work: Work::new(&spec, started, started),
+            work: Scheduler::new(&spec, started, started),
             spec,
             id,
             alive: true,
@@ -89,7 +89,7 @@
         let role = self.role.state().role;
         let misfit = if ask.reads { role == Role::Decode } else { role == Role::Prefill };
         let mut job = self.job(&ask);
-        self.fallen |= self.work.falls(now, &self.spec, &job);
+        self.fallen |= self.work.overloads_cold_engine(now, &self.spec, &job);
         if misfit || self.fallen || !self.role.takes_work() || self.work.is_full(&self.spec) {
             return Some(Say::Full);
         }
@@ -102,18 +102,18 @@
         None
     }
 
-    fn job(&self, ask: &Ask) -> Job {
+    fn job(&self, ask: &Ask) -> ActiveRequest {
         let nowhere = SocketAddr::from(([127, 0, 0, 1], 0));
-        let mut job = Job {
+        let mut job = ActiveRequest {
             id: 0,
             conn: ConnId(0),
             name: String::new(),
             router: String::new(),
             key: None,
             mark: None,
-            kind: if ask.reads { Kind::Read } else { Kind::Write },
+            kind: if ask.reads { RequestKind::Prefill } else { RequestKind::Decode },
             prompt: 0,
-            kept: 0,
+            cached: 0,
             to_read: 0,
             cap: ask.length,
             length: ask.length.max(1),
@@ -146,19 +146,19 @@
             let done = self.work.end_step();
             for id in done.read {
                 let Some(job) = self.work.remove(id) else { continue };
-                let state = self.work.hold(&job, now);
+                let state = self.work.hold_state(&job, now);
                 if let Some(ask) = self.asks.remove(&id) {
-                    said.push((ask.who, Say::Read(state, job.kept)));
+                    said.push((ask.who, Say::Read(state, job.cached)));
                 }
             }
             for id in done.wrote {
                 self.token(id, &mut said);
             }
             for id in self.work.over_memory() {
-                self.work.send_back(id);
+                self.work.requeue(id);
             }
         }
-        let factor = self.work.factor(now, &self.spec) / self.slow;
+        let factor = self.work.speed_factor(now, &self.spec) / self.slow;
         self.work.start_step(now, &self.spec, factor, &[]);
         (said, fetches)
     }
@@ -188,7 +188,7 @@
 
     /// Gives a held state away; whether it was there.
     pub(crate) fn give(&mut self, state: u64) -> bool {
-        self.work.let_go(state)
+        self.work.release(state)
     }
 
     /// Drops an attempt, and whatever it left.
@@ -206,14 +206,14 @@
             return false;
         };
         self.spec.role = state.role.into();
-        self.work = Work::new(&self.spec, state.started, state.started);
+        self.work = Scheduler::new(&self.spec, state.started, state.started);
         true
     }
 
     /// States that nobody came for in time.
     pub(crate) fn forget(&mut self, now: Duration) {
-        for state in self.work.forgotten(now, self.spec.hold_time) {
-            self.work.let_go(state);
+        for state in self.work.expired_states(now, self.spec.hold_time) {
+            self.work.release(state);
         }
     }
 }
--- a/crates/test-servers/src/engine/fetch.rs
+++ b/crates/test-servers/src/engine/fetch.rs
@@ -1,7 +1,7 @@
 //! Fetching read state from other engines, on connections that are kept: one new connection for each state would use
 //! the machine's ports up within a minute of heavy load.
 
-use super::work::Transfer;
+use super::scheduler::Transfer;
 use slipreel_protocol::http::{self, Decoder, Framing, Item, Limits, Side, Start};
 use slipreel_state_machine::{ConnId, Output};
 use std::collections::BTreeMap;
--- a/crates/test-servers/src/engine/mod.rs
+++ b/crates/test-servers/src/engine/mod.rs
@@ -2,13 +2,13 @@
 //!
 //! It speaks what the open engine publishes (chat completions with `kv_transfer_params`, `/metrics`, `/health`, ORCA
 //! headers). What it needs beyond that, how state is fetched and let go of and how it turns work away, is named in
-//! `docs/protocols.md`. `spec` holds its figures, `work` its inside, `faults` what can be made to go wrong.
+//! `docs/protocols.md`. `spec` holds its figures, `scheduler` its inside, `faults` what can be made to go wrong.
 
 mod faults;
 mod fetch;
-mod spec;
 #[doc(hidden)]
-pub mod work;
+pub mod scheduler;
+mod spec;
 
 pub use faults::{Fault, Garbage};
 pub use spec::{EngineSpec, Role};
@@ -17,6 +17,7 @@
 use crate::mark::{self, Mark};
 use faults::Faults;
 use fetch::{Fetched, Fetches};
+use scheduler::{ActiveRequest, RequestKind, Scheduler, State, Transfer};
 use serde_json::{json, Value};
 use slipreel_invariants::{Seen, Stage, Try};
 use slipreel_protocol::engine::{write_metrics, write_orca, Load, FULL, NO_STATE};
@@ -27,7 +28,6 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 use std::time::Duration;
-use work::{Job, Kind, State, Transfer, Work};
 
 /// Bytes that may wait for a peer before an answer's tokens wait too.
 const UNSENT: usize = 256 << 10;
@@ -54,7 +54,7 @@
 pub struct Engine {
     spec: EngineSpec,
     ledger: Ledger,
-    work: Work,
+    scheduler: Scheduler,
     role: RoleRecord,
     /// Wall time at the clock's beginning.
     wall: Duration,
@@ -74,13 +74,13 @@
 impl Engine {
     /// An engine that starts at `now`, empty and cold. `wall` is the wall clock at that time.
     pub fn new(spec: EngineSpec, ledger: Ledger, now: Duration, wall: Duration) -> Self {
-        let work = Work::new(&spec, now, wall);
+        let scheduler = Scheduler::new(&spec, now, wall);
         Engine {
             role: RoleRecord::started(spec.role.into(), 0, now),
             wall: wall.saturating_sub(now),
             spec,
             ledger,
-            work,
+            scheduler,
             faults: Faults::default(),
             conns: BTreeMap::new(),
             fetches: Fetches::default(),
@@ -105,7 +105,7 @@
 
     /// The states that it holds for writers to fetch: let go of when it dies.
     pub fn held(&self) -> Vec<u64> {
-        self.work.states.keys().copied().collect()
+        self.scheduler.states.keys().copied().collect()
     }
 
     fn note(&self, now: Duration, seen: Seen) {
@@ -116,7 +116,7 @@
     fn load(&self, now: Duration) -> Load {
         let late = self.faults.report_late;
         let told = self.past.iter().rev().find(|(at, _)| *at + late <= now).or(self.past.front());
-        told.filter(|_| !late.is_zero()).map_or_else(|| self.work.load(), |&(_, load)| load)
+        told.filter(|_| !late.is_zero()).map_or_else(|| self.scheduler.load(), |&(_, load)| load)
     }
 
     /// Keeps what late reports will tell, at each change.
@@ -125,7 +125,7 @@
         if late.is_zero() {
             return self.past.clear();
         }
-        self.past.push_back((now, self.work.load()));
+        self.past.push_back((now, self.scheduler.load()));
         while self.past.len() > 1 && self.past[1].0 + late <= now || self.past.len() > REMEMBERED {
             self.past.pop_front();
         }
@@ -208,7 +208,7 @@
         self.heard_at_last(now, id);
         let Some(conn) = self.conns.remove(&id) else { return };
         if let Some(state) = conn.serves {
-            if let Some(state) = self.work.states.get_mut(&state) {
+            if let Some(state) = self.scheduler.states.get_mut(&state) {
                 state.taken = false;
             }
         }
@@ -218,12 +218,12 @@
     }
 
     fn cancel(&mut self, now: Duration, id: u64, out: &mut Vec<Output>) {
-        let Some(job) = self.work.remove(id) else { return };
+        let Some(job) = self.scheduler.remove(id) else { return };
         self.over(now, &job);
         self.fetches.cancel(id, out);
     }
 
-    fn over(&self, now: Duration, job: &Job) {
+    fn over(&self, now: Duration, job: &ActiveRequest) {
         if let Some(what) = job.what() {
             self.note(now, Seen::Over { engine: self.spec.name.clone(), what, stage: job.stage() });
         }
@@ -236,7 +236,8 @@
         match (method.as_str(), target.as_str()) {
             ("GET", "/health") => self.answer(id, 200, "", out),
             ("GET", "/metrics") => {
-                let load = Load { started: Some(self.work.started_wall.as_secs_f64()), ..self.load(now) };
+                let load =
+                    Load { started: Some(self.scheduler.started_wall.as_secs_f64()), ..self.load(now) };
                 let text = write_metrics(&load);
                 let mut bytes = http::response_head(
                     200,
@@ -262,12 +263,12 @@
         let value: Value = serde_json::from_slice(body).unwrap_or_default();
         for name in value["request_ids"].as_array().into_iter().flatten().filter_map(Value::as_str) {
             let named = |(&state, s): (&u64, &State)| (s.name == name && !s.taken).then_some(state);
-            let free: Vec<u64> = self.work.states.iter().filter_map(named).collect();
+            let free: Vec<u64> = self.scheduler.states.iter().filter_map(named).collect();
             for state in free {
                 self.let_go(now, state);
             }
             let jobs: Vec<(u64, ConnId)> =
-                self.work.jobs.values().filter(|j| j.name == name).map(|j| (j.id, j.conn)).collect();
+                self.scheduler.jobs.values().filter(|j| j.name == name).map(|j| (j.id, j.conn)).collect();
             for (job, conn) in jobs {
                 self.cancel(now, job, out);
                 if let Some(c) = self.conns.get_mut(&conn) {
@@ -307,9 +308,11 @@
 
     /// Takes the new role once nothing of the old one is left: empty, with nothing kept, cold, newly started.
     fn change_role(&mut self, now: Duration) {
-        let Some(state) = self.role.left(now, self.work.jobs.len(), self.work.states.len()) else { return };
+        let Some(state) = self.role.left(now, self.scheduler.jobs.len(), self.scheduler.states.len()) else {
+            return;
+        };
         self.spec.role = state.role.into();
-        self.work = Work::new(&self.spec, state.started, state.started + self.wall);
+        self.scheduler = Scheduler::new(&self.spec, state.started, state.started + self.wall);
         self.tell_list();
     }
 
@@ -319,13 +322,13 @@
     }
 
     fn let_go(&mut self, now: Duration, state: u64) {
-        if self.work.let_go(state) {
+        if self.scheduler.release(state) {
             self.note(now, Seen::Released { engine: self.spec.name.clone(), state });
         }
     }
 
     fn serve_state(&mut self, id: ConnId, state: u64, out: &mut Vec<Output>) {
-        let Some(held) = self.work.states.get_mut(&state).filter(|s| !s.taken) else {
+        let Some(held) = self.scheduler.states.get_mut(&state).filter(|s| !s.taken) else {
             return self.error(id, 404, NO_STATE, "no such state", out);
         };
         held.taken = true;
@@ -361,7 +364,7 @@
             self.note(now, Seen::Stamped { router: by, what, epoch, on });
             self.note(now, Seen::Arrived { engine, router, what, stage: job.stage() });
         }
-        if self.work.falls(now, &self.spec, &job) && !self.fallen {
+        if self.scheduler.overloads_cold_engine(now, &self.spec, &job) && !self.fallen {
             self.fallen = true;
             self.note(now, Seen::Fell(self.spec.name.clone()));
         }
@@ -375,16 +378,17 @@
         }
         // Work of another stage than its role's comes from a list that is out of date.
         let misfit = match job.kind {
-            Kind::Read => self.spec.role == Role::Decode,
-            Kind::Write => self.spec.role == Role::Prefill,
+            RequestKind::Prefill => self.spec.role == Role::Decode,
+            RequestKind::Decode => self.spec.role == Role::Prefill,
         };
         let turned = self.faults.turns_away(&String::from_utf8_lossy(body)) || self.stopping || misfit;
         let turned = turned || !self.role.takes_work();
-        if turned || self.work.is_full(&self.spec) {
+        if turned || self.scheduler.is_full(&self.spec) {
             self.over(now, &job);
             return self.error(id, 503, FULL, "slots and queue are full", out);
         }
-        let no_state = job.kind == Kind::Write && job.transfer.is_none() && self.spec.role == Role::Decode;
+        let no_state =
+            job.kind == RequestKind::Decode && job.transfer.is_none() && self.spec.role == Role::Decode;
         if no_state {
             self.over(now, &job);
             return self.error(id, 409, NO_STATE, "there is no state to fetch", out);
@@ -392,16 +396,16 @@
         if let Some(conn) = self.conns.get_mut(&id) {
             conn.job = Some(job.id);
         }
-        self.work.enqueue(job);
+        self.scheduler.enqueue(job);
         self.turn(now, out);
     }
 
-    fn job(&mut self, conn: ConnId, head: &Head, body: &[u8]) -> Option<Job> {
+    fn job(&mut self, conn: ConnId, head: &Head, body: &[u8]) -> Option<ActiveRequest> {
         let value: Value = serde_json::from_slice(body).ok()?;
         let messages = value["messages"].as_array()?;
         let transfer = &value["kv_transfer_params"];
         let reads = transfer["do_remote_decode"] == true;
-        let kind = if reads { Kind::Read } else { Kind::Write };
+        let kind = if reads { RequestKind::Prefill } else { RequestKind::Decode };
         let fetch = if transfer["do_remote_prefill"] == true {
             let port = u16::try_from(transfer["remote_port"].as_u64()?).ok()?;
             let host = transfer["remote_host"].as_str()?.parse().ok()?;
@@ -416,8 +420,8 @@
         let mark = texts.last().and_then(|t| Mark::find(t));
         let cap = u32::try_from(value["max_tokens"].as_u64()?).ok()?;
         let via = head.get("via").and_then(|v| v.split_once(' ')).map_or("", |(_, name)| name);
-        let mut job = Job {
-            id: self.work.next_id(),
+        let mut job = ActiveRequest {
+            id: self.scheduler.next_id(),
             conn,
             name: head.get("x-request-id").unwrap_or_default().to_owned(),
             router: via.to_owned(),
@@ -425,7 +429,7 @@
             mark,
             kind,
             prompt: 0,
-            kept: 0,
+            cached: 0,
             to_read: 0,
             cap,
             length: mark.map_or(16, |m| m.length).min(cap),
@@ -437,7 +441,7 @@
             transfer: fetch,
             prefixes: Vec::new(),
         };
-        self.work.measure(&mut job, &texts);
+        self.scheduler.measure(&mut job, &texts);
         Some(job)
     }
 
@@ -447,34 +451,35 @@
     fn turn(&mut self, now: Duration, out: &mut Vec<Output>) {
         loop {
             self.admit(now, out);
-            if !self.work.step_due(now) {
+            if !self.scheduler.step_due(now) {
                 break;
             }
-            let done = self.work.end_step();
+            let done = self.scheduler.end_step();
             for id in done.read {
                 self.read_done(now, id, out);
             }
             for id in done.wrote {
                 self.token(now, id, out);
             }
-            for id in self.work.over_memory() {
-                self.work.send_back(id);
+            for id in self.scheduler.over_memory() {
+                self.scheduler.requeue(id);
             }
         }
-        let factor = self.work.factor(now, &self.spec) / self.faults.slow;
-        let stalled: Vec<u64> = self.work.running.iter().copied().filter(|id| self.is_stalled(*id)).collect();
-        self.work.start_step(now, &self.spec, factor, &stalled);
+        let factor = self.scheduler.speed_factor(now, &self.spec) / self.faults.slow;
+        let stalled: Vec<u64> =
+            self.scheduler.running.iter().copied().filter(|id| self.is_stalled(*id)).collect();
+        self.scheduler.start_step(now, &self.spec, factor, &stalled);
     }
 
     /// Whether its client takes nothing.
     fn is_stalled(&self, id: u64) -> bool {
-        let conn = self.work.jobs.get(&id).and_then(|j| self.conns.get(&j.conn));
+        let conn = self.scheduler.jobs.get(&id).and_then(|j| self.conns.get(&j.conn));
         conn.is_some_and(|c| c.unsent > UNSENT)
     }
 
     fn admit(&mut self, now: Duration, out: &mut Vec<Output>) {
-        while let Some(id) = self.work.admit(&self.spec) {
-            let Some(job) = self.work.jobs.get(&id) else { continue };
+        while let Some(id) = self.scheduler.admit(&self.spec) {
+            let Some(job) = self.scheduler.jobs.get(&id) else { continue };
             if let Some(transfer) = job.transfer {
                 self.fetches.start(now, id, transfer, out);
             } else {
@@ -485,8 +490,8 @@
 
     /// A write begins: its effect happens now, unless its key says that it has happened.
     fn run(&mut self, now: Duration, id: u64) {
-        let Some(job) = self.work.jobs.get_mut(&id) else { return };
-        if job.kind == Kind::Read || std::mem::replace(&mut job.ran, true) {
+        let Some(job) = self.scheduler.jobs.get_mut(&id) else { return };
+        if job.kind == RequestKind::Prefill || std::mem::replace(&mut job.ran, true) {
             return;
         }
         let new = match &job.key {
@@ -501,7 +506,7 @@
     fn fetched(&mut self, now: Duration, ended: Option<Fetched>, out: &mut Vec<Output>) {
         match ended {
             Some(Fetched::Whole(job)) => {
-                self.work.fetched(job);
+                self.scheduler.fetched(job);
                 self.run(now, job);
                 self.turn(now, out);
             }
@@ -511,7 +516,7 @@
     }
 
     fn no_state(&mut self, now: Duration, id: u64, out: &mut Vec<Output>) {
-        let Some(job) = self.work.remove(id) else { return };
+        let Some(job) = self.scheduler.remove(id) else { return };
         self.over(now, &job);
         if let Some(conn) = self.conns.get_mut(&job.conn) {
             conn.job = None;
@@ -521,7 +526,7 @@
     }
 
     /// The end of a job's exchange: its connection takes the next one.
-    fn exchange_over(&mut self, now: Duration, job: &Job, out: &mut Vec<Output>) {
+    fn exchange_over(&mut self, now: Duration, job: &ActiveRequest, out: &mut Vec<Output>) {
         self.over(now, job);
         if let Some(conn) = self.conns.get_mut(&job.conn) {
             conn.job = None;
@@ -530,13 +535,13 @@
     }
 
     fn read_done(&mut self, now: Duration, id: u64, out: &mut Vec<Output>) {
-        let Some(job) = self.work.remove(id) else { return };
+        let Some(job) = self.scheduler.remove(id) else { return };
         if self.faults.answers_lost {
             // The work is done and its answer never arrives; its state goes with the connection.
             self.over(now, &job);
             return;
         }
-        let state = self.work.hold(&job, now);
+        let state = self.scheduler.hold_state(&job, now);
         if let Some(what) = job.what() {
             self.note(now, Seen::Holds { engine: self.spec.name.clone(), what, state });
         }
@@ -566,7 +571,7 @@
     /// A writing job has made its next token.
     fn token(&mut self, now: Duration, id: u64, out: &mut Vec<Output>) {
         let load = write_orca(&self.load(now));
-        let Some(job) = self.work.jobs.get_mut(&id) else { return };
+        let Some(job) = self.scheduler.jobs.get_mut(&id) else { return };
         let (conn, n, request) = (job.conn, job.emitted, job.what().map_or(0, |w| w.request));
         let begins = !std::mem::replace(&mut job.begun, true);
         job.emitted += 1;
@@ -575,7 +580,7 @@
         job.lost |= self.faults.answers_lost;
         if job.lost {
             if last {
-                if let Some(job) = self.work.remove(id) {
+                if let Some(job) = self.scheduler.remove(id) {
                     self.over(now, &job);
                 }
             }
@@ -628,7 +633,7 @@
         }
         self.write(conn, bytes, out);
         if last {
-            if let Some(job) = self.work.remove(id) {
+            if let Some(job) = self.scheduler.remove(id) {
                 self.exchange_over(now, &job, out);
             }
         }
@@ -636,7 +641,7 @@
 
     /// The answer of a job that does not stream.
     fn whole(&mut self, now: Duration, id: u64, load: &str, out: &mut Vec<Output>) {
-        let Some(job) = self.work.remove(id) else { return };
+        let Some(job) = self.scheduler.remove(id) else { return };
         let request = job.what().map_or(0, |w| w.request);
         let text: String = (0..job.emitted).map(|n| mark::token(request, n)).collect();
         let finish = if job.length == job.cap { "length" } else { "stop" };
@@ -722,7 +727,7 @@
                 for job in self.fetches.late(now, out) {
                     self.no_state(now, job, out);
                 }
-                let forgotten: Vec<u64> = self.work.forgotten(now, self.spec.hold_time);
+                let forgotten: Vec<u64> = self.scheduler.expired_states(now, self.spec.hold_time);
                 forgotten.into_iter().for_each(|state| self.let_go(now, state));
                 let waiting: Vec<ConnId> = self
                     .conns
@@ -748,7 +753,11 @@
         self.turn(now, out);
         self.remember(now);
         self.change_role(now);
-        if self.stopping && !self.stopped && self.work.jobs.is_empty() && self.work.states.is_empty() {
+        if self.stopping
+            && !self.stopped
+            && self.scheduler.jobs.is_empty()
+            && self.scheduler.states.is_empty()
+        {
             self.stopped = true;
             out.push(Output::Stopped);
         }
@@ -763,8 +772,8 @@
             .map(|c| c.ready_at)
             .min();
         let shy = shy.filter(|_| !self.faults.deaf);
-        let held = self.work.oldest_state().map(|at| at + self.spec.hold_time);
-        [self.work.step_at(), fetch, shy, held].into_iter().flatten().min()
+        let held = self.scheduler.oldest_state().map(|at| at + self.spec.hold_time);
+        [self.scheduler.step_at(), fetch, shy, held].into_iter().flatten().min()
     }
 }
 
--- a/crates/test-servers/src/engine/work.rs
+++ b/crates/test-servers/src/engine/scheduler.rs
@@ -15,9 +15,9 @@
 const BYTES_PER_TOKEN: u64 = 4;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
-    Read,
-    Write,
+pub enum RequestKind {
+    Prefill,
+    Decode,
 }
 
 /// Where a state waits.
@@ -28,16 +28,16 @@
 }
 
 #[derive(Debug)]
-pub struct Job {
+pub struct ActiveRequest {
     pub id: u64,
     pub conn: ConnId,
     pub name: String,
     pub router: String,
     pub key: Option<String>,
     pub mark: Option<Mark>,
-    pub kind: Kind,
+    pub kind: RequestKind,
     pub prompt: u64,
-    pub kept: u64,
+    pub cached: u64,
     pub to_read: u64,
     pub cap: u32,
     pub length: u32,
@@ -51,15 +51,15 @@
     pub prefixes: Vec<u64>,
 }
 
-impl Job {
+impl ActiveRequest {
     pub fn what(&self) -> Option<Try> {
         self.mark.map(|m| m.attempt)
     }
 
     pub fn stage(&self) -> Stage {
         match self.kind {
-            Kind::Read => Stage::Read,
-            Kind::Write => Stage::Write,
+            RequestKind::Prefill => Stage::Read,
+            RequestKind::Decode => Stage::Write,
         }
     }
 
@@ -67,7 +67,7 @@
     pub fn usage(&self) -> Value {
         let made = u64::from(self.emitted.max(1));
         json!({"prompt_tokens": self.prompt, "completion_tokens": made, "total_tokens": self.prompt + made,
-               "prompt_tokens_details": {"cached_tokens": self.kept}})
+               "prompt_tokens_details": {"cached_tokens": self.cached}})
     }
 
     fn memory(&self) -> u64 {
@@ -97,8 +97,8 @@
     writes: Vec<u64>,
 }
 
-pub struct Work {
-    pub jobs: BTreeMap<u64, Job>,
+pub struct Scheduler {
+    pub jobs: BTreeMap<u64, ActiveRequest>,
     queue: VecDeque<u64>,
     /// Jobs with a slot, in the order in which they got it; those that fetch their state are not in it.
     pub running: Vec<u64>,
@@ -116,9 +116,9 @@
     came: VecDeque<(Duration, f64)>,
 }
 
-impl Work {
+impl Scheduler {
     pub fn new(spec: &EngineSpec, now: Duration, wall: Duration) -> Self {
-        Work {
+        Scheduler {
             jobs: BTreeMap::new(),
             queue: VecDeque::new(),
             running: Vec::new(),
@@ -143,7 +143,7 @@
     }
 
     /// Counts the prompt, and how much of its beginning is kept.
-    pub fn measure(&self, job: &mut Job, texts: &[String]) {
+    pub fn measure(&self, job: &mut ActiveRequest, texts: &[String]) {
         let mut hash = 0;
         let part = |text: &String| {
             hash = xxh3_64_with_seed(text.as_bytes(), hash);
@@ -154,18 +154,18 @@
     }
 
     /// The same of parts by their names, each standing for all before it too, and their tokens.
-    pub fn measure_parts(&self, job: &mut Job, parts: &[(u64, u64)]) {
+    pub fn measure_parts(&self, job: &mut ActiveRequest, parts: &[(u64, u64)]) {
         for &(hash, tokens) in parts {
             job.prompt += tokens;
             job.prefixes.push(hash);
             if self.kept.contains_key(&hash) {
-                job.kept = job.prompt;
+                job.cached = job.prompt;
             }
         }
         let reads = job.transfer.is_none();
         // The last token is always read, whatever is kept.
-        job.kept = if reads { job.kept.min(job.prompt.saturating_sub(1)) } else { 0 };
-        job.to_read = if reads { job.prompt - job.kept } else { 0 };
+        job.cached = if reads { job.cached.min(job.prompt.saturating_sub(1)) } else { 0 };
+        job.to_read = if reads { job.prompt - job.cached } else { 0 };
     }
 
     fn keep(&mut self, prefixes: &[u64]) {
@@ -186,19 +186,20 @@
     }
 
     /// Share of its speed that it has by now.
-    pub fn factor(&self, now: Duration, spec: &EngineSpec) -> f64 {
+    pub fn speed_factor(&self, now: Duration, spec: &EngineSpec) -> f64 {
         let age = now.saturating_sub(self.started).as_secs_f64() / spec.cold_time.as_secs_f64().max(1e-9);
         (spec.cold_share + (1.0 - spec.cold_share) * age).min(1.0)
     }
 
     /// Counts work that came in; whether a cold engine falls over under it.
-    pub fn falls(&mut self, now: Duration, spec: &EngineSpec, job: &Job) -> bool {
+    pub fn overloads_cold_engine(&mut self, now: Duration, spec: &EngineSpec, job: &ActiveRequest) -> bool {
         if now >= self.started + spec.cold_time {
             self.came.clear();
             return false;
         }
         let reading = job.to_read as f64 / spec.read_per_s;
-        let writing = if job.kind == Kind::Write { f64::from(job.length) / spec.write_per_s() } else { 0.0 };
+        let writing =
+            if job.kind == RequestKind::Decode { f64::from(job.length) / spec.write_per_s() } else { 0.0 };
         self.came.push_back((now, reading + writing));
         while self.came.front().is_some_and(|(at, _)| *at + spec.fall_time < now) {
             self.came.pop_front();
@@ -207,17 +208,17 @@
         let came: f64 = self.came.iter().map(|(_, work)| work).sum();
         let largest = self.came.iter().map(|(_, work)| *work).fold(0.0, f64::max);
         // A little slack for chance: one piece of work more than the budget.
-        came > spec.fall_multiple * self.factor(now, spec) * window + largest
+        came > spec.fall_multiple * self.speed_factor(now, spec) * window + largest
     }
 
-    pub fn enqueue(&mut self, job: Job) {
+    pub fn enqueue(&mut self, job: ActiveRequest) {
         self.queue.push_back(job.id);
         self.jobs.insert(job.id, job);
     }
 
     pub fn used(&self) -> u64 {
         let active = self.running.iter().chain(&self.fetching).filter_map(|id| self.jobs.get(id));
-        active.map(Job::memory).sum::<u64>() + self.states.values().map(|s| s.tokens).sum::<u64>()
+        active.map(ActiveRequest::memory).sum::<u64>() + self.states.values().map(|s| s.tokens).sum::<u64>()
     }
 
     /// Gives a slot to the next in the queue, if there is one and memory for it.
@@ -252,7 +253,7 @@
     }
 
     /// Takes a job out, wherever it is.
-    pub fn remove(&mut self, id: u64) -> Option<Job> {
+    pub fn remove(&mut self, id: u64) -> Option<ActiveRequest> {
         let job = self.jobs.remove(&id)?;
         self.queue.retain(|&q| q != id);
         self.running.retain(|&r| r != id);
@@ -272,7 +273,7 @@
             if used <= self.memory {
                 break;
             }
-            let Some(job) = self.jobs.get(id).filter(|j| j.kind == Kind::Write) else { continue };
+            let Some(job) = self.jobs.get(id).filter(|j| j.kind == RequestKind::Decode) else { continue };
             used -= job.memory();
             back.push(*id);
         }
@@ -280,7 +281,7 @@
     }
 
     /// Puts an answer back into the queue: its prompt and answer so far are read anew.
-    pub fn send_back(&mut self, id: u64) {
+    pub fn requeue(&mut self, id: u64) {
         self.running.retain(|&r| r != id);
         if let Some(job) = self.jobs.get_mut(&id) {
             job.to_read = job.memory();
@@ -288,18 +289,18 @@
         }
     }
 
-    pub fn hold(&mut self, job: &Job, now: Duration) -> u64 {
+    pub fn hold_state(&mut self, job: &ActiveRequest, now: Duration) -> u64 {
         let state = self.next_id();
         let held = State { name: job.name.clone(), tokens: job.prompt, taken: false, since: now };
         self.states.insert(state, held);
         state
     }
 
-    pub fn let_go(&mut self, state: u64) -> bool {
+    pub fn release(&mut self, state: u64) -> bool {
         self.states.remove(&state).is_some()
     }
 
-    pub fn forgotten(&self, now: Duration, hold_time: Duration) -> Vec<u64> {
+    pub fn expired_states(&self, now: Duration, hold_time: Duration) -> Vec<u64> {
         self.states
             .iter()
             .filter(|(_, s)| !s.taken && s.since + hold_time <= now)
@@ -346,7 +347,7 @@
                     reads.push((id, part));
                     left -= part;
                 }
-            } else if job.kind == Kind::Write && !stalled.contains(&id) {
+            } else if job.kind == RequestKind::Decode && !stalled.contains(&id) {
                 writes.push(id);
             }
         }
@@ -373,7 +374,7 @@
                 continue;
             }
             let prefixes = std::mem::take(&mut job.prefixes);
-            if job.kind == Kind::Read {
+            if job.kind == RequestKind::Prefill {
                 done.read.push(id);
             }
             self.keep(&prefixes);
