--- a/crates/cli/tests/node.rs
+++ b/crates/cli/tests/node.rs
@@ -7,7 +7,7 @@
 use platform::surroundings::Surroundings;
 use platform::{config, folder, is_ready, ms, wait_until_ready};
 use slipreel_event_loop::{Clock, Command as Tell, EventLoop};
-use slipreel_test_servers::platform::{look, Clients, Ending, Faults};
+use slipreel_test_servers::platform::{lock_shared, Clients, Ending, Faults};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::process::Command;
@@ -51,7 +51,7 @@
     assert_eq!(clients.endings.values().sum::<u32>(), 300, "{:?}", clients.endings);
     assert_eq!(clients.odd, [""; 0], "{:?}", clients.endings);
     assert!(clients.endings[&Ending::Served] > 240, "{:?}", clients.endings);
-    assert_eq!(look(&shared).broken, [""; 0]);
+    assert_eq!(lock_shared(&shared).broken, [""; 0]);
     let _ = std::fs::remove_dir_all(folder);
 }
 
--- a/crates/cli/tests/platform/cluster.rs
+++ b/crates/cli/tests/platform/cluster.rs
@@ -7,7 +7,7 @@
 use slipreel_invariants::terms::{judge, Break, Fact, Seen, Terms};
 use slipreel_state_machine::Machine;
 use slipreel_test_servers::platform::{
-    look, Clients, Discovery, Ending, Engine, Faults, Listing, Mood, Shared,
+    lock_shared, Clients, Discovery, Ending, Engine, Faults, Listing, Mood, Shared,
 };
 use std::any::Any;
 use std::collections::BTreeMap;
@@ -220,7 +220,7 @@
     }
 
     fn record(&self, seen: Seen) {
-        look(&self.shared).see(self.clock.now(), seen);
+        lock_shared(&self.shared).see(self.clock.now(), seen);
     }
 
     /// Starts a router's process, and notes when it says that it is ready.
@@ -231,7 +231,7 @@
         self.watching.push(std::thread::spawn(move || {
             for _ in 0..1_000 {
                 if is_ready(addr) {
-                    return look(&shared).see(clock.now(), Seen::Ready { router: format!("n{n}") });
+                    return lock_shared(&shared).see(clock.now(), Seen::Ready { router: format!("n{n}") });
                 }
                 std::thread::sleep(ms(10));
             }
@@ -334,7 +334,7 @@
         self.stand_ins.1.join().expect("the engines' thread").expect("a run of engines");
         self.watching.into_iter().for_each(|watch| watch.join().expect("a watching thread"));
         let _ = std::fs::remove_dir_all(self.folder);
-        let facts = std::mem::take(&mut look(&self.shared).facts);
+        let facts = std::mem::take(&mut lock_shared(&self.shared).facts);
         (Facts { facts, end }, endings)
     }
 }
--- a/crates/cli/tests/repeats.rs
+++ b/crates/cli/tests/repeats.rs
@@ -10,7 +10,7 @@
 use slipreel_invariants::repeats::{judge, Break, Terms};
 use slipreel_state_machine::Machine;
 use slipreel_test_servers::platform::{
-    list_entry, open_ledger, place_of, ClientLayout, DaySettings, Discovery, EngineDies, EngineLayout,
+    list_entry, lock_ledger, place_of, ClientLayout, DaySettings, Discovery, EngineDies, EngineLayout,
     EngineRole, HostileEngine, Listing, Random, RepeatingClients, SharedLedger, EXCHANGE_FAULTS,
 };
 use std::net::SocketAddr;
@@ -148,7 +148,7 @@
         self.around.1.join().expect("the engines' thread").expect("a run of engines");
         let _ = std::fs::remove_dir_all(&self.folder);
         let terms = Terms { second_copies: self.settings.second_copies, wire: WIRE };
-        let breaks = judge(&open_ledger(&self.ledger).facts, &terms);
+        let breaks = judge(&lock_ledger(&self.ledger).facts, &terms);
         (breaks, served)
     }
 
@@ -202,7 +202,7 @@
     fn kill(&mut self, router: usize) {
         let now = self.clock.now();
         let router = &mut self.routers[router];
-        open_ledger(&self.ledger).kills(now, router.port.address());
+        lock_ledger(&self.ledger).kills(now, router.port.address());
         router.process.signal("-KILL");
         assert!(router.process.has_ended_within(ms(5_000)), "it goes on");
         router.restart();
--- a/crates/platform/tests/common/cluster.rs
+++ b/crates/platform/tests/common/cluster.rs
@@ -7,7 +7,7 @@
 use slipreel_state_machine::{ConnId, Input, Machine, Output};
 use slipreel_test_servers::memory::{Delays, World};
 use slipreel_test_servers::platform::{
-    look, Clients, Discovery, Ending, Engine, Faults, Listing, Mood, Shared,
+    lock_shared, Clients, Discovery, Ending, Engine, Faults, Listing, Mood, Shared,
 };
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
@@ -285,7 +285,7 @@
 
     /// Sets the mood of all agents.
     pub fn set_mood(&mut self, mood: Mood) {
-        look(&self.shared).see(self.world.now(), Seen::Reachable(mood == Mood::Fine));
+        lock_shared(&self.shared).see(self.world.now(), Seen::Reachable(mood == Mood::Fine));
         for &agent in &self.agents {
             self.world.news(agent, &mood);
         }
@@ -295,7 +295,7 @@
     pub fn set_status(&mut self, engine: &str, status: &str) {
         let (is_prefill, port, _) = self.engines[engine];
         let (closed, name) = (status != "Ready", engine.to_owned());
-        look(&self.shared).see(self.world.now(), Seen::Has { engine: name.clone(), closed });
+        lock_shared(&self.shared).see(self.world.now(), Seen::Has { engine: name.clone(), closed });
         let change = Listing(vec![(name, entry(engine, is_prefill, port, status, Duration::ZERO))]);
         for &agent in &self.agents {
             self.world.news(agent, &change);
@@ -311,7 +311,7 @@
     /// Stops all routers.
     pub fn stop(&mut self) {
         for listen in &self.listens {
-            look(&self.shared).see(self.world.now(), Seen::Ending { router: listen.to_string() });
+            lock_shared(&self.shared).see(self.world.now(), Seen::Ending { router: listen.to_string() });
         }
         for &router in &self.routers.clone() {
             self.world.stop(router);
@@ -319,13 +319,17 @@
     }
 
     pub fn breaks(&self, terms: &Terms) -> Vec<Break> {
-        judge(&look(&self.shared).facts, terms, self.world.now())
+        judge(&lock_shared(&self.shared).facts, terms, self.world.now())
     }
 
     /// Attempts that reached an engine from `since` on.
     pub fn attempts_at(&self, engine: &str, since: Duration) -> usize {
         let is_attempt = |seen: &Seen| matches!(seen, Seen::Begun { engine: to, .. } if to == engine);
-        look(&self.shared).facts.iter().filter(|fact| fact.at >= since && is_attempt(&fact.seen)).count()
+        lock_shared(&self.shared)
+            .facts
+            .iter()
+            .filter(|fact| fact.at >= since && is_attempt(&fact.seen))
+            .count()
     }
 
     /// When any router opened a watch at discovery.
@@ -350,7 +354,7 @@
 
     /// Whether neither engines nor clients saw anything invalid.
     pub fn is_clean(&self) -> bool {
-        let fabric = look(&self.shared);
+        let fabric = lock_shared(&self.shared);
         let odd = |&at: &usize| matches!(self.world.machine(at), Actor::Clients(clients) if !clients.odd.is_empty());
         fabric.broken.is_empty() && fabric.twice.is_empty() && !self.clients.iter().any(odd)
     }
--- a/crates/platform/tests/common/day.rs
+++ b/crates/platform/tests/common/day.rs
@@ -6,7 +6,7 @@
 use slipreel_platform::{Config, PlatformRouter};
 use slipreel_test_servers::memory::{Delays, World};
 use slipreel_test_servers::platform::{
-    list_entry, open_ledger, place_of, ClientLayout, DaySettings, Discovery, EngineDies, EngineLayout,
+    list_entry, lock_ledger, place_of, ClientLayout, DaySettings, Discovery, EngineDies, EngineLayout,
     EngineRole, ExchangeFault, HostileEngine, Listing, Random, RepeatingClients, SharedLedger,
     EXCHANGE_FAULTS,
 };
@@ -314,7 +314,7 @@
         // The close of a connection into a cut is not seen by its engine until the cut is over.
         let second_copies = self.settings.second_copies || self.day.has_cuts;
         let terms = Terms { second_copies, wire: ms(1) };
-        let breaks = judge(&open_ledger(&self.ledger).facts, &terms);
+        let breaks = judge(&lock_ledger(&self.ledger).facts, &terms);
         let Actor::Clients(clients) = self.world.machine(self.clients) else { unreachable!("the clients") };
         let log = self.world.log().iter().map(|(at, _, line)| (*at, line.clone())).collect();
         Played { breaks, served: clients.served, refused: clients.refused, failed: clients.failed, log }
--- a/crates/platform/tests/fleet.rs
+++ b/crates/platform/tests/fleet.rs
@@ -3,7 +3,9 @@
 
 use slipreel_platform::{Config, HeldState, PlatformRouter};
 use slipreel_test_servers::memory::{Delays, World};
-use slipreel_test_servers::platform::{look, Clients, Discovery, Ending, Engine, Faults, Listing, Shared};
+use slipreel_test_servers::platform::{
+    lock_shared, Clients, Discovery, Ending, Engine, Faults, Listing, Shared,
+};
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -93,7 +95,7 @@
         self.world.news(self.discovery, &Listing(vec![(old, leaves)]));
         self.run(ms(50));
         self.world.kill(gone);
-        look(&self.shared).dies(&left);
+        lock_shared(&self.shared).dies(&left);
     }
 
     /// Runs, and checks in steps that the decision module counts as many attempts in flight as the sockets carry.
@@ -135,7 +137,7 @@
         assert_eq!(total, 1_000, "{:?}", clients.endings);
         assert_eq!(clients.odd, [""; 0], "seed {seed}: {:?}", clients.endings);
         assert!(clients.endings[&Ending::Served] > 700, "{:?}", clients.endings);
-        let fabric = look(&fleet.shared);
+        let fabric = lock_shared(&fleet.shared);
         assert_eq!(fabric.broken, [""; 0], "seed {seed}");
         assert!(fabric.twice.is_empty(), "seed {seed}: second copies {:?}", fabric.twice);
         let held = router.held_state();
@@ -154,7 +156,7 @@
         let mut fleet = Fleet::new(faults, 400, ms(25), seed);
         for _ in 0..300 {
             fleet.run(ms(40));
-            let pinned = look(&fleet.shared).pinned(fleet.world.now(), ms(500));
+            let pinned = lock_shared(&fleet.shared).pinned(fleet.world.now(), ms(500));
             assert_eq!(pinned, [""; 0], "seed {seed} at {:?}", fleet.world.now() - START);
         }
         assert!(fleet.router().counters().releases > 20, "the case came up");
--- a/crates/platform/tests/releases.rs
+++ b/crates/platform/tests/releases.rs
@@ -10,7 +10,7 @@
 use slipreel_invariants::terms::{Fact, Seen};
 use slipreel_platform::Config;
 use slipreel_state_machine::{ConnId, ConnectionLoss, Input, Output};
-use slipreel_test_servers::platform::look;
+use slipreel_test_servers::platform::lock_shared;
 use std::collections::BTreeSet;
 use std::time::Duration;
 
@@ -49,7 +49,7 @@
         cluster.run(step);
         passed += step;
         let now = cluster.world.now();
-        let fabric = look(&cluster.shared);
+        let fabric = lock_shared(&cluster.shared);
         let mut pinned = fabric.pinned(now, HELD_AT_MOST);
         if checked == CheckedRequests::Gone && !pinned.is_empty() {
             let gone = long_gone(&fabric.facts, now);
--- a/crates/test-servers/src/platform/client.rs
+++ b/crates/test-servers/src/platform/client.rs
@@ -1,6 +1,6 @@
 //! Clients that ask at a steady rate and note how each request ended.
 
-use super::{events_in, look, Shared};
+use super::{events_in, lock_shared, Shared};
 use rand_xoshiro::rand_core::{RngCore, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
 use slipreel_invariants::terms::shares::Traits;
@@ -112,7 +112,7 @@
             Ending::Lost | Ending::Left => None,
         };
         if let Some(answer) = answer {
-            look(&self.shared).see(self.now, Seen::Answered { request: open.name.clone(), answer });
+            lock_shared(&self.shared).see(self.now, Seen::Answered { request: open.name.clone(), answer });
         }
         if matches!(ending, Ending::Lost | Ending::Mixed) {
             self.odd.push(format!("{} {ending:?} status {}", open.name, open.status));
@@ -149,7 +149,7 @@
         let (class, session, tokens) =
             (&self.classes[class].clone(), self.draw(50) + 1, 100 + self.draw(2_000));
         // Of the lengths drawn the mean is one request of mean work.
-        look(&self.shared).work.insert(name.to_owned(), tokens as f64 / 1_100.0);
+        lock_shared(&self.shared).work.insert(name.to_owned(), tokens as f64 / 1_100.0);
         let traits = Traits {
             class: class.clone(),
             effect: "untold".to_owned(),
@@ -157,7 +157,7 @@
             session,
             prompt_tokens: tokens as f64,
         };
-        look(&self.shared).see(self.now, Seen::Described { request: name.to_owned(), traits });
+        lock_shared(&self.shared).see(self.now, Seen::Described { request: name.to_owned(), traits });
         let body = "{\"stream\":true}";
         let text = format!(
             "POST /v1/chat/completions HTTP/1.1\r\nHost: api.internal\r\nX-Request-Id: {name}\r\nX-Class: {class}\r\n\
@@ -172,7 +172,7 @@
             open.due
         });
         let router = self.target.to_string();
-        look(&self.shared).see(self.now, Seen::Sent { router, request: name.to_owned(), due });
+        lock_shared(&self.shared).see(self.now, Seen::Sent { router, request: name.to_owned(), due });
     }
 
     fn data(&mut self, now: Duration, conn: ConnId, bytes: &[u8], out: &mut Vec<Output>) {
@@ -204,7 +204,7 @@
         };
         if open.status == 200 && open.body.len() > before {
             let passed = Seen::EventsPassed { request: open.name.clone(), events: events_in(&open.body) };
-            look(&self.shared).see(now, passed);
+            lock_shared(&self.shared).see(now, passed);
         }
         if !is_whole {
             return;
@@ -230,7 +230,7 @@
             let (router, request) = (self.target.to_string(), open.name.clone());
             let first_on_connection = open.first_on_connection;
             let closed = Seen::ClosedUnanswered { router, request, first_on_connection };
-            look(&self.shared).see(self.now, closed);
+            lock_shared(&self.shared).see(self.now, closed);
         }
         let broken = self.open.get(&conn).is_some_and(|o| o.status == 200);
         self.end(conn, if broken { Ending::Failed } else { Ending::Lost });
@@ -272,7 +272,7 @@
         for conn in leaving {
             out.push(Output::Abort(conn));
             if let Some(open) = self.open.get(&conn) {
-                look(&self.shared).see(now, Seen::Gone { request: open.name.clone() });
+                lock_shared(&self.shared).see(now, Seen::Gone { request: open.name.clone() });
             }
             self.end(conn, Ending::Left);
         }
--- a/crates/test-servers/src/platform/discovery.rs
+++ b/crates/test-servers/src/platform/discovery.rs
@@ -1,7 +1,7 @@
 //! Discovery as a machine: a watch of the list, with changes as they are told by [`Listing`]s as news, and troubles of its
 //! own by [`Mood`]s.
 
-use super::{look, Shared};
+use super::{lock_shared, Shared};
 use slipreel_connections::Client;
 use slipreel_invariants::terms::Seen;
 use slipreel_protocol::http::{self, Framing, Limits};
@@ -84,7 +84,7 @@
     fn note_asked(&mut self, now: Duration) {
         self.asked.push(now);
         if let Some((router, shared)) = &self.notes {
-            look(shared).see(now, Seen::Asked { router: router.clone() });
+            lock_shared(shared).see(now, Seen::Asked { router: router.clone() });
         }
     }
 
--- a/crates/test-servers/src/platform/engine.rs
+++ b/crates/test-servers/src/platform/engine.rs
@@ -1,6 +1,6 @@
 //! An engine that reads prompts or writes answers.
 
-use super::{look, Shared};
+use super::{lock_shared, Shared};
 use rand_xoshiro::rand_core::{RngCore, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
 use slipreel_connections::{Client, Received, State, TimerWheel};
@@ -107,7 +107,7 @@
             ("GET", "/-/load") => self.answer(conn, 200, &[], REPORT.as_bytes(), out),
             ("DELETE", target) if target.starts_with("/v1/holds/") => {
                 let request = &target["/v1/holds/".len()..];
-                let mut fabric = look(&self.shared);
+                let mut fabric = lock_shared(&self.shared);
                 if !fabric.out.contains_key(request) {
                     fabric.states.remove(request);
                 }
@@ -123,7 +123,7 @@
         let Some(request) = received.head.get("x-request-id").map(str::to_owned) else {
             return self.answer(conn, 404, &[], b"", out);
         };
-        let mut fabric = look(&self.shared);
+        let mut fabric = lock_shared(&self.shared);
         let work = fabric.work.get(&request).copied().unwrap_or(1.0);
         fabric.see(self.now, Seen::Begun { engine: self.name.clone(), request: request.clone(), work });
         if let Some(left) = received.head.get("x-deadline").and_then(super::deadline) {
@@ -141,7 +141,7 @@
         if drawn(faults.full) {
             return self.answer(conn, 503, &[("x-not-run", "1"), ("x-load", REPORT)], b"", out);
         }
-        if !self.reads && !look(&self.shared).states.contains_key(&request) {
+        if !self.reads && !lock_shared(&self.shared).states.contains_key(&request) {
             return self.answer(conn, 410, &[("x-not-run", "1")], b"", out);
         }
         if drawn(faults.error) {
@@ -154,7 +154,7 @@
             () if drawn(faults.silence) => Fault::Silence,
             () => Fault::None,
         };
-        look(&self.shared).begin(&request, &self.name, self.now);
+        lock_shared(&self.shared).begin(&request, &self.name, self.now);
         self.next += 1;
         let events = (!self.reads).then_some(3 + self.next as u32 % 5);
         self.work.insert(self.next, Work { conn, request, events, written: 0, begun: false, fault });
@@ -184,7 +184,7 @@
                 };
                 out.push(Output::Write(conn, noise.to_vec()));
                 let request = work.request.clone();
-                look(&self.shared).end(&request, &self.name, self.now);
+                lock_shared(&self.shared).end(&request, &self.name, self.now);
                 self.work.remove(&n);
                 return;
             }
@@ -192,7 +192,7 @@
         }
         let request = work.request.clone();
         let Some(left) = work.events else {
-            let mut fabric = look(&self.shared);
+            let mut fabric = lock_shared(&self.shared);
             fabric.states.insert(request.clone(), (self.name.clone(), self.now));
             fabric.end(&request, &self.name, self.now);
             drop(fabric);
@@ -204,7 +204,7 @@
             if fault == Fault::More {
                 out.push(Output::Write(conn, b"HTTP/1.1 103 Early Hints\r\n\r\n".to_vec()));
             }
-            let mut fabric = look(&self.shared);
+            let mut fabric = lock_shared(&self.shared);
             fabric.states.remove(&request);
             if !fabric.written.insert(request.clone()) {
                 fabric.broken.push(format!("{request}: written twice"));
@@ -221,7 +221,7 @@
         out.push(Output::Write(conn, http::chunk(text.as_bytes())));
         work.written += super::events_in(text.as_bytes());
         let written = Seen::EventsWritten { request: request.clone(), events: work.written };
-        look(&self.shared).see(self.now, written);
+        lock_shared(&self.shared).see(self.now, written);
         if left > 0 {
             work.events = Some(left - 1);
             let at = self.now + self.while_of(2, 20);
@@ -236,7 +236,7 @@
             end.extend_from_slice(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
         }
         out.push(Output::Write(conn, end));
-        look(&self.shared).end(&request, &self.name, self.now);
+        lock_shared(&self.shared).end(&request, &self.name, self.now);
         self.work.remove(&n);
         let now = self.now;
         if let Some(client) = self.clients.get_mut(&conn) {
@@ -252,7 +252,7 @@
         let mine: Vec<u64> = self.work.iter().filter(|(_, w)| w.conn == conn).map(|(&n, _)| n).collect();
         for n in mine {
             let Some(work) = self.work.remove(&n) else { continue };
-            let mut fabric = look(&self.shared);
+            let mut fabric = lock_shared(&self.shared);
             if read {
                 fabric.states.insert(work.request.clone(), (self.name.clone(), self.now));
             }
@@ -279,7 +279,9 @@
                         Ok(Some(received)) => self.serve(conn, &received, out),
                         Ok(None) => break,
                         Err(why) => {
-                            look(&self.shared).broken.push(format!("a request that can't be read: {why}"));
+                            lock_shared(&self.shared)
+                                .broken
+                                .push(format!("a request that can't be read: {why}"));
                             out.push(Output::Abort(conn));
                             self.gone(conn, false);
                         }
--- a/crates/test-servers/src/platform/hostile_engine.rs
+++ b/crates/test-servers/src/platform/hostile_engine.rs
@@ -27,7 +27,7 @@
 pub type SharedLedger = Arc<Mutex<Ledger>>;
 
 /// The ledger, whoever else has panicked.
-pub fn open_ledger(ledger: &SharedLedger) -> MutexGuard<'_, Ledger> {
+pub fn lock_ledger(ledger: &SharedLedger) -> MutexGuard<'_, Ledger> {
     ledger.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
@@ -180,7 +180,7 @@
     }
 
     fn see(&self, seen: Seen) {
-        open_ledger(&self.ledger).see(self.now, seen);
+        lock_ledger(&self.ledger).see(self.now, seen);
     }
 
     fn after(&mut self, time: Duration, due: Due) {
@@ -209,7 +209,7 @@
             ("GET", "/-/load" | "/-/healthy") => self.answer(conn, 200, false, out),
             ("DELETE", target) => {
                 if let Some(request) = target.strip_prefix("/v1/holds/") {
-                    open_ledger(&self.ledger).states.remove(request);
+                    lock_ledger(&self.ledger).states.remove(request);
                 }
                 self.answer(conn, 204, false, out);
             }
@@ -223,7 +223,7 @@
             return self.answer(conn, 404, false, out);
         };
         let (attempt, has_state) = {
-            let mut ledger = open_ledger(&self.ledger);
+            let mut ledger = lock_ledger(&self.ledger);
             ledger.attempts += 1;
             (AttemptId(ledger.attempts), ledger.states.contains_key(&request))
         };
@@ -275,11 +275,11 @@
             _ => {}
         }
         if self.layout.role == EngineRole::Reads {
-            open_ledger(&self.ledger).states.insert(request, self.layout.name.clone());
+            lock_ledger(&self.ledger).states.insert(request, self.layout.name.clone());
             self.see(Seen::Over(attempt));
             self.answer(conn, 202, false, out);
         } else {
-            open_ledger(&self.ledger).states.remove(&request);
+            lock_ledger(&self.ledger).states.remove(&request);
             self.stream(conn, &request, fault, out);
             self.see(Seen::Over(attempt));
         }
--- a/crates/test-servers/src/platform/mod.rs
+++ b/crates/test-servers/src/platform/mod.rs
@@ -1,6 +1,6 @@
 //! Stand-ins for what speaks the platform's protocol: engines, discovery and clients, as machines.
 //!
-//! [`Fabric`] is what they share: where read states wait, and what was seen that breaks a rule. Engines fault by chance,
+//! [`SharedState`] is what they share: where read states wait, and what was seen that breaks a rule. Engines fault by chance,
 //! drawn from a seed ([`Faults`]).
 
 mod client;
@@ -16,7 +16,7 @@
 pub use discovery::{Discovery, Listing, Mood};
 pub use engine::{Engine, Faults};
 pub use hostile_engine::{
-    open_ledger, EngineDies, EngineLayout, EngineRole, ExchangeFault, HostileEngine, Ledger, SharedLedger,
+    lock_ledger, EngineDies, EngineLayout, EngineRole, ExchangeFault, HostileEngine, Ledger, SharedLedger,
     EXCHANGE_FAULTS,
 };
 pub use random::Random;
@@ -29,7 +29,7 @@
 
 /// What stand-ins of one fleet share.
 #[derive(Debug, Default)]
-pub struct Fabric {
+pub struct SharedState {
     /// By request: the engine that holds its state, since when no attempt is out.
     pub states: BTreeMap<String, (String, Duration)>,
     /// By request: the engines at which attempts are out.
@@ -49,10 +49,10 @@
 }
 
 /// A fabric in many hands.
-pub type Shared = Arc<Mutex<Fabric>>;
+pub type Shared = Arc<Mutex<SharedState>>;
 
 /// The fabric, whoever else has panicked.
-pub fn look(shared: &Shared) -> MutexGuard<'_, Fabric> {
+pub fn lock_shared(shared: &Shared) -> MutexGuard<'_, SharedState> {
     shared.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
@@ -76,7 +76,7 @@
     Duration::try_from_secs_f64(seconds).ok()
 }
 
-impl Fabric {
+impl SharedState {
     /// Something was seen.
     pub fn see(&mut self, at: Duration, seen: Seen) {
         self.facts.push(Fact { at, seen });
--- a/crates/test-servers/src/platform/repeating_client.rs
+++ b/crates/test-servers/src/platform/repeating_client.rs
@@ -1,7 +1,7 @@
 //! Clients that ask routers by the settings of a day, repeat what they are invited to repeat, and note both for the judge
 //! of repeats.
 
-use super::{open_ledger, Random, SharedLedger};
+use super::{lock_ledger, Random, SharedLedger};
 use slipreel_invariants::repeats::{Effect, Seen};
 use slipreel_protocol::http::{Decoder, Item, Limits, Side, Start};
 use slipreel_state_machine::{ConnId, Input, Machine, Output};
@@ -115,7 +115,7 @@
     }
 
     fn see(&self, seen: Seen) {
-        open_ledger(&self.ledger).see(self.now, seen);
+        lock_ledger(&self.ledger).see(self.now, seen);
     }
 
     fn ask(&mut self, asking: Asking, out: &mut Vec<Output>) {
@@ -232,7 +232,7 @@
         let Some(router) = self.targets.remove(&conn) else { return };
         self.idle.entry(router).or_default().retain(|&idle| idle != conn);
         let Some(open) = self.open.remove(&conn) else { return };
-        let in_order = in_order && !open_ledger(&self.ledger).was_killed(self.now, router);
+        let in_order = in_order && !lock_ledger(&self.ledger).was_killed(self.now, router);
         let unread = in_order && open.kept_connection && !open.heard && open.sent && !open.asking.resent;
         if !unread {
             self.failed += 1;
