--- a/crates/cli/tests/platform/cluster.rs
+++ b/crates/cli/tests/platform/cluster.rs
@@ -7,7 +7,7 @@
 use slipreel_invariants::terms::{judge, Break, Fact, Seen, Terms};
 use slipreel_state_machine::Machine;
 use slipreel_test_servers::platform::{
-    lock_shared, Clients, Discovery, Ending, Engine, Faults, Listing, Mood, Shared,
+    lock_shared, Clients, Discovery, Ending, EndpointChanges, Engine, Faults, Mood, Shared,
 };
 use std::any::Any;
 use std::collections::BTreeMap;
@@ -122,7 +122,7 @@
 
 fn add_engines(
     stand_ins: &mut EventLoop<StandIn>, plan: &ClusterPlan, shared: &Shared,
-) -> (BTreeMap<String, ListedEngine>, Listing) {
+) -> (BTreeMap<String, ListedEngine>, EndpointChanges) {
     let (mut engines, mut entries) = (BTreeMap::new(), Vec::new());
     for n in 1..=plan.readers + plan.writers {
         let (name, reads) = (format!("e{n}"), n <= plan.readers);
@@ -132,12 +132,12 @@
         entries.push(entry(&name, reads, address));
         engines.insert(name, ListedEngine { reads, address });
     }
-    (engines, Listing(entries))
+    (engines, EndpointChanges(entries))
 }
 
 fn add_place(
-    stand_ins: &mut EventLoop<StandIn>, plan: &ClusterPlan, n: usize, listing: &Listing, shared: &Shared,
-    folder: &Path,
+    stand_ins: &mut EventLoop<StandIn>, plan: &ClusterPlan, n: usize, listing: &EndpointChanges,
+    shared: &Shared, folder: &Path,
 ) -> RouterPlace {
     let agent = Discovery::new(listing).beside(&format!("n{n}"), shared);
     let known = agent.whole();
@@ -307,7 +307,7 @@
         let ListedEngine { reads, address } = self.engines[engine];
         self.record(Seen::Has { engine: engine.to_owned(), closed: status != "Ready" });
         let (name, text) = entry(engine, reads, address);
-        let change = Listing(vec![(name, text.replace("\"Ready\"", &format!("\"{status}\"")))]);
+        let change = EndpointChanges(vec![(name, text.replace("\"Ready\"", &format!("\"{status}\"")))]);
         self.tell_agents(&(Arc::new(change) as _));
     }
 
@@ -318,7 +318,7 @@
         let wall = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).expect("after 1970");
         let (name, text) = entry(engine, reads, address);
         let text = text.replace("\"since_ms\":0", &format!("\"since_ms\":{}", wall.as_millis()));
-        self.tell_agents(&(Arc::new(Listing(vec![(name, text)])) as _));
+        self.tell_agents(&(Arc::new(EndpointChanges(vec![(name, text)])) as _));
     }
 
     /// Ends all; gives what was seen, and how the requests ended.
--- a/crates/cli/tests/platform/surroundings.rs
+++ b/crates/cli/tests/platform/surroundings.rs
@@ -3,7 +3,7 @@
 use super::entry;
 use slipreel_event_loop::{Clock, Command, EventLoop, EventLoopHandle};
 use slipreel_state_machine::Machine;
-use slipreel_test_servers::platform::{Discovery, Engine, Faults, Listing, Shared};
+use slipreel_test_servers::platform::{Discovery, EndpointChanges, Engine, Faults, Shared};
 use std::net::SocketAddr;
 use std::thread::JoinHandle;
 
@@ -33,7 +33,7 @@
             let node = stand_ins.add(Box::new(engine));
             entries.push(entry(&name, reads, stand_ins.listen(node, any_port).expect("a port")));
         }
-        let listing = Listing(entries);
+        let listing = EndpointChanges(entries);
         let known = Discovery::new(&listing).whole();
         let discoveries = [0, 1].map(|_| {
             let node = stand_ins.add(Box::new(Discovery::new(&listing)));
--- a/crates/cli/tests/repeats.rs
+++ b/crates/cli/tests/repeats.rs
@@ -10,8 +10,8 @@
 use slipreel_invariants::repeats::{judge, Break, Terms};
 use slipreel_state_machine::Machine;
 use slipreel_test_servers::platform::{
-    list_entry, lock_ledger, place_of, ClientLayout, DaySettings, Discovery, EngineDies, EngineLayout,
-    EngineRole, HostileEngine, Listing, Random, RepeatingClients, SharedLedger, EXCHANGE_FAULTS,
+    list_entry, lock_ledger, place_of, ClientLayout, DaySettings, Discovery, EndpointChanges, EngineDies,
+    EngineLayout, EngineRole, HostileEngine, Random, RepeatingClients, SharedLedger, EXCHANGE_FAULTS,
 };
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -85,7 +85,7 @@
             let text = list_entry(&engine.layout, engine.address, "Ready", Duration::ZERO);
             (engine.layout.name.clone(), text)
         };
-        let first = Listing(engines.iter().map(entry).collect());
+        let first = EndpointChanges(engines.iter().map(entry).collect());
         let known = Discovery::new(&first).whole();
         let count = 2 + random.below(7);
         let mut agents = Vec::new();
@@ -169,7 +169,7 @@
         let Engine { layout, address, .. } = &self.engines[engine];
         let text = list_entry(layout, *address, status, Duration::ZERO);
         for &agent in &self.agents {
-            let change = Listing(vec![(layout.name.clone(), text.clone())]);
+            let change = EndpointChanges(vec![(layout.name.clone(), text.clone())]);
             self.around.0.send(Tell::Message(agent, Arc::new(change)));
         }
     }
--- a/crates/platform/tests/common/cluster.rs
+++ b/crates/platform/tests/common/cluster.rs
@@ -7,7 +7,7 @@
 use slipreel_state_machine::{ConnId, Input, Machine, Output};
 use slipreel_test_servers::memory::{Delays, World};
 use slipreel_test_servers::platform::{
-    lock_shared, Clients, Discovery, Ending, Engine, Faults, Listing, Mood, Shared,
+    lock_shared, Clients, Discovery, Ending, EndpointChanges, Engine, Faults, Mood, Shared,
 };
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
@@ -261,7 +261,7 @@
         let [high, low] = number.to_be_bytes();
         let agent = SocketAddr::from(([127, 9, high, low], 8500));
         let listen = SocketAddr::from(([127, 2, high, low], 5000));
-        let discovery = Discovery::new(&Listing(entries.to_vec())).beside(&name, &self.shared);
+        let discovery = Discovery::new(&EndpointChanges(entries.to_vec())).beside(&name, &self.shared);
         let text = config(&agent.to_string(), &discovery.whole(), 512)
             .replace("127.0.0.2:5000", &listen.to_string())
             .replace("\"balancers\":1", &format!("\"balancers\":{}", layout.routers))
@@ -296,7 +296,7 @@
         let (is_prefill, port, _) = self.engines[engine];
         let (closed, name) = (status != "Ready", engine.to_owned());
         lock_shared(&self.shared).see(self.world.now(), Seen::Has { engine: name.clone(), closed });
-        let change = Listing(vec![(name, entry(engine, is_prefill, port, status, Duration::ZERO))]);
+        let change = EndpointChanges(vec![(name, entry(engine, is_prefill, port, status, Duration::ZERO))]);
         for &agent in &self.agents {
             self.world.news(agent, &change);
         }
--- a/crates/platform/tests/common/day.rs
+++ b/crates/platform/tests/common/day.rs
@@ -6,8 +6,8 @@
 use slipreel_platform::{Config, PlatformRouter};
 use slipreel_test_servers::memory::{Delays, World};
 use slipreel_test_servers::platform::{
-    list_entry, lock_ledger, place_of, ClientLayout, DaySettings, Discovery, EngineDies, EngineLayout,
-    EngineRole, ExchangeFault, HostileEngine, Listing, Random, RepeatingClients, SharedLedger,
+    list_entry, lock_ledger, place_of, ClientLayout, DaySettings, Discovery, EndpointChanges, EngineDies,
+    EngineLayout, EngineRole, ExchangeFault, HostileEngine, Random, RepeatingClients, SharedLedger,
     EXCHANGE_FAULTS,
 };
 use std::net::SocketAddr;
@@ -217,7 +217,7 @@
 
     fn add_router(&mut self, number: usize) {
         let entries = self.engines.iter().map(|engine| (engine.layout.name.clone(), engine.entry("Ready")));
-        let discovery = Discovery::new(&Listing(entries.collect()));
+        let discovery = Discovery::new(&EndpointChanges(entries.collect()));
         let known = discovery.whole();
         let last = number as u8;
         let at = SocketAddr::from(([127, 9, 0, last], 8500));
@@ -368,7 +368,7 @@
 
     fn set_status(&mut self, engine: usize, status: &str) {
         let state = &self.engines[engine];
-        let change = Listing(vec![(state.layout.name.clone(), state.entry(status))]);
+        let change = EndpointChanges(vec![(state.layout.name.clone(), state.entry(status))]);
         for agent in self.routers.iter().map(|router| router.agent).collect::<Vec<_>>() {
             self.world.news(agent, &change);
         }
--- a/crates/platform/tests/fleet.rs
+++ b/crates/platform/tests/fleet.rs
@@ -4,7 +4,7 @@
 use slipreel_platform::{Config, HeldState, PlatformRouter};
 use slipreel_test_servers::memory::{Delays, World};
 use slipreel_test_servers::platform::{
-    lock_shared, Clients, Discovery, Ending, Engine, Faults, Listing, Shared,
+    lock_shared, Clients, Discovery, Ending, EndpointChanges, Engine, Faults, Shared,
 };
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -42,7 +42,7 @@
             first.push((name.clone(), entry(&name, reads, born, "Ready", Duration::ZERO)));
             running.push((name, reads, at));
         }
-        let discovery = Discovery::new(&Listing(first));
+        let discovery = Discovery::new(&EndpointChanges(first));
         let known = discovery.whole();
         let discovery = world.add(Actor::Discovery(Box::new(discovery)), &[DISCOVERY.parse().unwrap()]);
         let config = Config::parse(&config(DISCOVERY, &known, 512)).unwrap();
@@ -88,11 +88,11 @@
         self.running[at] = (name.clone(), reads, number);
         let drains = (old.clone(), entry(&old, reads, 1, "Terminating", Duration::ZERO));
         let joins = (name.clone(), entry(&name, reads, self.last_number, "Ready", Duration::ZERO));
-        self.world.news(self.discovery, &Listing(vec![drains, joins]));
+        self.world.news(self.discovery, &EndpointChanges(vec![drains, joins]));
         self.run(ms(300));
         let left = old.clone();
         let leaves = format!(r#"{{"name":"{old}","status":"Gone"}}"#);
-        self.world.news(self.discovery, &Listing(vec![(old, leaves)]));
+        self.world.news(self.discovery, &EndpointChanges(vec![(old, leaves)]));
         self.run(ms(50));
         self.world.kill(gone);
         lock_shared(&self.shared).dies(&left);
--- a/crates/test-servers/src/platform/discovery.rs
+++ b/crates/test-servers/src/platform/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery as a machine: a watch of the list, with changes as they are told by [`Listing`]s as news, and troubles of its
+//! Discovery as a machine: a watch of the list, with changes as they are told by [`EndpointChanges`]s as news, and troubles of its
 //! own by [`Mood`]s.
 
 use super::{lock_shared, Shared};
@@ -11,7 +11,7 @@
 
 /// News for discovery: entries that changed, each as its JSON object, by name.
 #[derive(Clone, Debug, Default)]
-pub struct Listing(pub Vec<(String, String)>);
+pub struct EndpointChanges(pub Vec<(String, String)>);
 
 /// News for discovery: how it treats who asks from now on. Any but `Fine` ends or forgets the watches that are open.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -67,7 +67,7 @@
 
 impl Discovery {
     /// One whose list is `first`.
-    pub fn new(first: &Listing) -> Self {
+    pub fn new(first: &EndpointChanges) -> Self {
         let mut new =
             Discovery { index: 1, entries: first.0.iter().cloned().collect(), ..Discovery::default() };
         new.before = new.whole();
@@ -153,7 +153,7 @@
         }
     }
 
-    fn changes(&mut self, listing: &Listing, out: &mut Vec<Output>) {
+    fn changes(&mut self, listing: &EndpointChanges, out: &mut Vec<Output>) {
         self.before = self.whole();
         self.index += 1;
         for (name, entry) in &listing.0 {
@@ -192,7 +192,7 @@
                 }
             }
             Input::OwnerMessage(news) => {
-                if let Some(listing) = news.downcast_ref::<Listing>() {
+                if let Some(listing) = news.downcast_ref::<EndpointChanges>() {
                     self.changes(listing, out);
                 } else if let Some(mood) = news.downcast_ref::<Mood>() {
                     self.turns(*mood, out);
