--- a/crates/cli/tests/platform/cluster.rs
+++ b/crates/cli/tests/platform/cluster.rs
@@ -7,7 +7,7 @@
 use slipreel_invariants::terms::{judge, Break, Fact, Seen, Terms};
 use slipreel_state_machine::Machine;
 use slipreel_test_servers::platform::{
-    lock_shared, Clients, Discovery, Ending, EndpointChanges, Engine, Faults, Mood, Shared,
+    lock_shared, Clients, Discovery, DiscoveryMode, Ending, EndpointChanges, Engine, Faults, Shared,
 };
 use std::any::Any;
 use std::collections::BTreeMap;
@@ -297,8 +297,8 @@
     }
 
     /// All agents of discovery behave like this from now on.
-    pub fn set_discovery(&self, mood: Mood) {
-        self.record(Seen::Reachable(mood == Mood::Fine));
+    pub fn set_discovery(&self, mood: DiscoveryMode) {
+        self.record(Seen::Reachable(mood == DiscoveryMode::Healthy));
         self.tell_agents(&(Arc::new(mood) as _));
     }
 
--- a/crates/cli/tests/terms.rs
+++ b/crates/cli/tests/terms.rs
@@ -4,7 +4,7 @@
 use platform::cluster::{Cluster, ClusterPlan};
 use platform::{cold_starts, ms, terms_of_processes, COLD};
 use slipreel_invariants::terms::{Term, Terms};
-use slipreel_test_servers::platform::{Ending, Mood};
+use slipreel_test_servers::platform::{DiscoveryMode, Ending};
 use std::thread::sleep;
 use std::time::Instant;
 
@@ -19,13 +19,13 @@
         ..ClusterPlan::default()
     });
     sleep(ms(2_500));
-    cluster.set_discovery(Mood::Silent);
+    cluster.set_discovery(DiscoveryMode::Silent);
     sleep(ms(1_000));
     cluster.set_status("e4", "Terminating");
     sleep(ms(2_000));
-    cluster.set_discovery(Mood::Refuses);
+    cluster.set_discovery(DiscoveryMode::ResetsConnections);
     sleep(ms(1_500));
-    cluster.set_discovery(Mood::Fine);
+    cluster.set_discovery(DiscoveryMode::Healthy);
     sleep(ms(9_500));
     let (facts, endings) = cluster.end();
     // Twenty processes share the machine with all that they speak with: its delays are not the router's.
@@ -43,7 +43,7 @@
     let mut cluster =
         Cluster::start(&ClusterPlan { routers: 30, every: ms(80), requests: 260, ..ClusterPlan::default() });
     sleep(ms(1_500));
-    cluster.set_discovery(Mood::Silent);
+    cluster.set_discovery(DiscoveryMode::Silent);
     let killed = Instant::now();
     for n in 0..21 {
         cluster.kill(n);
@@ -52,7 +52,7 @@
         cluster.restart(n);
     }
     sleep(ms(3_000));
-    cluster.set_discovery(Mood::Fine);
+    cluster.set_discovery(DiscoveryMode::Healthy);
     sleep(ms(1_000));
     for tenth in 0..3 {
         for n in 21 + tenth * 3..24 + tenth * 3 {
@@ -94,7 +94,7 @@
     let plan = ClusterPlan { descriptors: Some(64), every: ms(40), requests: 330, ..ClusterPlan::default() };
     let cluster = Cluster::start(&plan);
     sleep(ms(2_000));
-    cluster.set_discovery(Mood::Refuses);
+    cluster.set_discovery(DiscoveryMode::ResetsConnections);
     let before: Vec<_> = (0..3).map(|n| cluster.cpu(n)).collect();
     let mut idle = Vec::new();
     for _ in 0..4 {
@@ -106,7 +106,7 @@
     cluster.set_status("e4", "Terminating");
     sleep(ms(500));
     let used: Vec<_> = (0..3).map(|n| cluster.cpu(n) - before[n]).collect();
-    cluster.set_discovery(Mood::Fine);
+    cluster.set_discovery(DiscoveryMode::Healthy);
     sleep(ms(8_500));
     let (facts, endings) = cluster.end();
     assert_eq!(facts.judge(&terms_of_processes()), []);
--- a/crates/platform/tests/common/cluster.rs
+++ b/crates/platform/tests/common/cluster.rs
@@ -7,7 +7,7 @@
 use slipreel_state_machine::{ConnId, Input, Machine, Output};
 use slipreel_test_servers::memory::{Delays, World};
 use slipreel_test_servers::platform::{
-    lock_shared, Clients, Discovery, Ending, EndpointChanges, Engine, Faults, Mood, Shared,
+    lock_shared, Clients, Discovery, DiscoveryMode, Ending, EndpointChanges, Engine, Faults, Shared,
 };
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
@@ -284,8 +284,8 @@
     }
 
     /// Sets the mood of all agents.
-    pub fn set_mood(&mut self, mood: Mood) {
-        lock_shared(&self.shared).see(self.world.now(), Seen::Reachable(mood == Mood::Fine));
+    pub fn set_mood(&mut self, mood: DiscoveryMode) {
+        lock_shared(&self.shared).see(self.world.now(), Seen::Reachable(mood == DiscoveryMode::Healthy));
         for &agent in &self.agents {
             self.world.news(agent, &mood);
         }
--- a/crates/platform/tests/terms.rs
+++ b/crates/platform/tests/terms.rs
@@ -6,24 +6,31 @@
 use common::ms;
 use slipreel_invariants::terms::shares::Floors;
 use slipreel_invariants::terms::{Term, Terms};
-use slipreel_test_servers::platform::{Ending, Faults, Mood};
+use slipreel_test_servers::platform::{DiscoveryMode, Ending, Faults};
 use std::collections::BTreeSet;
 
 /// Discovery fails in a mood, an engine drains meanwhile, and discovery recovers. Returns the cluster a while later.
-fn drain_during(mood: Mood, layout: &ClusterLayout) -> Cluster {
+fn drain_during(mood: DiscoveryMode, layout: &ClusterLayout) -> Cluster {
     let mut cluster = Cluster::new(layout);
     cluster.run(ms(2_000));
     cluster.set_mood(mood);
     cluster.run(ms(1_500));
     cluster.set_status("e4", "Terminating");
     cluster.run(ms(2_500));
-    cluster.set_mood(Mood::Fine);
+    cluster.set_mood(DiscoveryMode::Healthy);
     cluster.run(ms(13_000));
     cluster
 }
 
-const FAULTY_MOODS: [Mood; 7] =
-    [Mood::Refuses, Mood::Silent, Mood::Busy, Mood::Half, Mood::Drips, Mood::Beats, Mood::Older];
+const FAULTY_MOODS: [DiscoveryMode; 7] = [
+    DiscoveryMode::ResetsConnections,
+    DiscoveryMode::Silent,
+    DiscoveryMode::Unavailable,
+    DiscoveryMode::HalfSnapshot,
+    DiscoveryMode::TricklesBytes,
+    DiscoveryMode::HeartbeatsOnly,
+    DiscoveryMode::StaleSnapshot,
+];
 
 #[test]
 fn a_drain_applies_within_six_seconds_whatever_watches_failed() {
@@ -47,10 +54,10 @@
     cluster.set_status("e4", "Terminating");
     cluster.run(ms(500));
     let drained = cluster.world.now();
-    cluster.set_mood(Mood::Older);
+    cluster.set_mood(DiscoveryMode::StaleSnapshot);
     cluster.run(ms(9_000));
     assert_eq!(cluster.attempts_at("e4", drained + ms(300)), 0, "though the older list calls it ready");
-    cluster.set_mood(Mood::Fine);
+    cluster.set_mood(DiscoveryMode::Healthy);
     cluster.set_status("e5", "Terminating");
     cluster.run(ms(8_000));
     assert_eq!(cluster.breaks(&Terms::default()), []);
@@ -60,7 +67,7 @@
 #[test]
 fn the_judge_detects_a_router_that_does_not_reopen_its_watch() {
     let cluster = drain_during(
-        Mood::Refuses,
+        DiscoveryMode::ResetsConnections,
         &ClusterLayout { variant: Variant::WatchesOnce, requests: 600, ..ClusterLayout::default() },
     );
     let broken: BTreeSet<Term> =
@@ -81,7 +88,7 @@
             cluster.set_status(["e3", "e4", "e5"][round % 3], "Terminating");
             cluster.set_status(["e3", "e4", "e5"][(round + 2) % 3], "Ready");
             cluster.run(ms(1_500));
-            cluster.set_mood(Mood::Fine);
+            cluster.set_mood(DiscoveryMode::Healthy);
         }
         cluster.run(ms(10_000));
         assert_eq!(cluster.breaks(&Terms::default()), [], "seed {seed}");
@@ -92,16 +99,18 @@
 /// The load of 300 routers that lost discovery at the same time on the discovery that they share.
 #[test]
 fn reconnects_of_three_hundred_routers_are_spread() {
-    for (mood, most_in_100_ms, most_in_a_second) in
-        [(Mood::Refuses, 130, 620), (Mood::Silent, 60, 420), (Mood::Busy, 130, 620)]
-    {
+    for (mood, most_in_100_ms, most_in_a_second) in [
+        (DiscoveryMode::ResetsConnections, 130, 620),
+        (DiscoveryMode::Silent, 60, 420),
+        (DiscoveryMode::Unavailable, 130, 620),
+    ] {
         let mut cluster =
             Cluster::new(&ClusterLayout { routers: 300, requests: 0, ..ClusterLayout::default() });
         cluster.run(ms(1_000));
         let down = cluster.world.now();
         cluster.set_mood(mood);
         cluster.run(ms(12_000));
-        cluster.set_mood(Mood::Fine);
+        cluster.set_mood(DiscoveryMode::Healthy);
         let up = cluster.world.now();
         cluster.run(ms(6_000));
         assert_eq!(cluster.breaks(&Terms::default()), [], "{mood:?}");
--- a/crates/test-servers/src/platform/discovery.rs
+++ b/crates/test-servers/src/platform/discovery.rs
@@ -1,5 +1,5 @@
 //! Discovery as a machine: a watch of the list, with changes as they are told by [`EndpointChanges`]s as news, and troubles of its
-//! own by [`Mood`]s.
+//! own by [`DiscoveryMode`]s.
 
 use super::{lock_shared, Shared};
 use slipreel_connections::Client;
@@ -15,24 +15,24 @@
 
 /// News for discovery: how it treats who asks from now on. Any but `Fine` ends or forgets the watches that are open.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Mood {
+pub enum DiscoveryMode {
     /// It tells the list.
     #[default]
-    Fine,
+    Healthy,
     /// It resets each connection.
-    Refuses,
+    ResetsConnections,
     /// It takes connections and says nothing. Those of that time stay silent for good.
     Silent,
     /// 503, and to come back in a minute.
-    Busy,
+    Unavailable,
     /// Half of the list, then nothing.
-    Half,
+    HalfSnapshot,
     /// A byte of its answer now and then.
-    Drips,
+    TricklesBytes,
     /// The head of a good answer, and empty lines alone.
-    Beats,
+    HeartbeatsOnly,
     /// The whole list as it was before its last change.
-    Older,
+    StaleSnapshot,
 }
 
 struct Watch {
@@ -53,7 +53,7 @@
     /// The list before its last change.
     before: String,
     watches: BTreeMap<ConnId, Watch>,
-    mood: Mood,
+    mood: DiscoveryMode,
     beat: Option<Duration>,
     drip: Option<Duration>,
     /// Whose calls they are, and where they are noted.
@@ -105,19 +105,19 @@
         let (whole, before) = (self.whole(), self.before.clone());
         let Some(watch) = self.watches.get_mut(&conn) else { return };
         match self.mood {
-            Mood::Fine => {
+            DiscoveryMode::Healthy => {
                 (watch.told, watch.beats) = (true, true);
                 watch.client.begin_stream(&[], out);
                 watch.client.write(http::chunk(format!("{whole}\n").as_bytes()), out);
             }
-            Mood::Refuses => out.push(Output::Abort(conn)),
-            Mood::Silent => {}
-            Mood::Busy => watch.client.answer(503, &[("retry-after", "60")], b"", out),
-            Mood::Half => {
+            DiscoveryMode::ResetsConnections => out.push(Output::Abort(conn)),
+            DiscoveryMode::Silent => {}
+            DiscoveryMode::Unavailable => watch.client.answer(503, &[("retry-after", "60")], b"", out),
+            DiscoveryMode::HalfSnapshot => {
                 watch.client.begin_stream(&[], out);
                 watch.client.write(http::chunk(&whole.as_bytes()[..whole.len() / 2]), out);
             }
-            Mood::Drips => {
+            DiscoveryMode::TricklesBytes => {
                 let fields = [("content-type", "text/event-stream")];
                 let mut all = http::response_head(200, &fields, Framing::Chunked);
                 all.extend_from_slice(&http::chunk(format!("{whole}\n").as_bytes()));
@@ -125,11 +125,11 @@
                 watch.drips = all;
                 self.drip.get_or_insert(now + DRIP);
             }
-            Mood::Beats => {
+            DiscoveryMode::HeartbeatsOnly => {
                 watch.beats = true;
                 watch.client.begin_stream(&[], out);
             }
-            Mood::Older => {
+            DiscoveryMode::StaleSnapshot => {
                 watch.beats = true;
                 watch.client.begin_stream(&[], out);
                 watch.client.write(http::chunk(format!("{before}\n").as_bytes()), out);
@@ -137,16 +137,18 @@
         }
     }
 
-    fn turns(&mut self, mood: Mood, out: &mut Vec<Output>) {
-        if self.mood == Mood::Older && mood == Mood::Fine {
+    fn turns(&mut self, mood: DiscoveryMode, out: &mut Vec<Output>) {
+        if self.mood == DiscoveryMode::StaleSnapshot && mood == DiscoveryMode::Healthy {
             // It was another that lagged behind, and who listened to that one is cut off.
             out.extend(std::mem::take(&mut self.watches).into_keys().map(Output::Abort));
         }
         self.mood = mood;
         match mood {
-            Mood::Fine => {}
+            DiscoveryMode::Healthy => {}
             // They stay open, and nothing is ever said on them again.
-            Mood::Silent => self.watches.values_mut().for_each(|w| (w.told, w.beats) = (false, false)),
+            DiscoveryMode::Silent => {
+                self.watches.values_mut().for_each(|w| (w.told, w.beats) = (false, false))
+            }
             _ => {
                 out.extend(std::mem::take(&mut self.watches).into_keys().map(Output::Abort));
             }
@@ -172,7 +174,7 @@
 impl Machine for Discovery {
     fn handle(&mut self, now: Duration, input: Input<'_>, out: &mut Vec<Output>) {
         match input {
-            Input::Accepted(conn, _) if self.mood == Mood::Refuses => {
+            Input::Accepted(conn, _) if self.mood == DiscoveryMode::ResetsConnections => {
                 self.note_asked(now);
                 out.push(Output::Abort(conn));
             }
@@ -194,7 +196,7 @@
             Input::OwnerMessage(news) => {
                 if let Some(listing) = news.downcast_ref::<EndpointChanges>() {
                     self.changes(listing, out);
-                } else if let Some(mood) = news.downcast_ref::<Mood>() {
+                } else if let Some(mood) = news.downcast_ref::<DiscoveryMode>() {
                     self.turns(*mood, out);
                 }
             }
--- a/crates/test-servers/src/platform/mod.rs
+++ b/crates/test-servers/src/platform/mod.rs
@@ -13,7 +13,7 @@
 
 pub use client::{Clients, Ending};
 pub use day_settings::{list_entry, place_of, DaySettings};
-pub use discovery::{Discovery, EndpointChanges, Mood};
+pub use discovery::{Discovery, DiscoveryMode, EndpointChanges};
 pub use engine::{Engine, Faults};
 pub use hostile_engine::{
     lock_ledger, EngineDies, EngineLayout, EngineRole, ExchangeFault, HostileEngine, Ledger, SharedLedger,
