--- a/crates/cli/tests/platform/cluster.rs
+++ b/crates/cli/tests/platform/cluster.rs
@@ -139,7 +139,7 @@
     stand_ins: &mut EventLoop<StandIn>, plan: &ClusterPlan, n: usize, listing: &EndpointChanges,
     shared: &Shared, folder: &Path,
 ) -> RouterPlace {
-    let agent = Discovery::new(listing).beside(&format!("n{n}"), shared);
+    let agent = Discovery::new(listing).for_router(&format!("n{n}"), shared);
     let known = agent.whole();
     let agent = stand_ins.add(Box::new(agent));
     let discovery = stand_ins.listen(agent, any_port()).expect("a port");
@@ -164,7 +164,7 @@
         let seed = plan.seed * 77 + n as u64;
         let classes = ["chat", "once"];
         let clients = Clients::new(place.port.address(), &classes, plan.every, plan.requests, begin, seed);
-        event_loop.add(clients.noting(shared, plan.leaving));
+        event_loop.add(clients.recording_in(shared, plan.leaving));
     }
     let handle = event_loop.handle();
     let thread = std::thread::spawn(move || {
--- a/crates/cli/tests/repeats.rs
+++ b/crates/cli/tests/repeats.rs
@@ -10,7 +10,7 @@
 use slipreel_invariants::repeats::{judge, Break, Terms};
 use slipreel_state_machine::Machine;
 use slipreel_test_servers::platform::{
-    list_entry, lock_ledger, place_of, ClientLayout, DaySettings, Discovery, EndpointChanges, EngineDies,
+    list_entry, lock_ledger, place_of, ClientLayout, DaySettings, Discovery, EndpointChanges, EngineKilled,
     EngineLayout, EngineRole, HostileEngine, Random, RepeatingClients, SharedLedger, EXCHANGE_FAULTS,
 };
 use std::net::SocketAddr;
@@ -183,7 +183,7 @@
         }
         layout.seed += 1;
         let (node, again) = (*node, HostileEngine::new(layout.clone(), &self.ledger));
-        self.around.0.send(Tell::Message(node, Arc::new(EngineDies)));
+        self.around.0.send(Tell::Message(node, Arc::new(EngineKilled)));
         self.around.0.send(Tell::Kill(node));
         self.tell(engine, "Ready");
         // Who has not heard of the new place yet finds nobody.
@@ -202,7 +202,7 @@
     fn kill(&mut self, router: usize) {
         let now = self.clock.now();
         let router = &mut self.routers[router];
-        lock_ledger(&self.ledger).kills(now, router.port.address());
+        lock_ledger(&self.ledger).router_killed(now, router.port.address());
         router.process.signal("-KILL");
         assert!(router.process.has_ended_within(ms(5_000)), "it goes on");
         router.restart();
--- a/crates/platform/tests/common/cluster.rs
+++ b/crates/platform/tests/common/cluster.rs
@@ -261,7 +261,7 @@
         let [high, low] = number.to_be_bytes();
         let agent = SocketAddr::from(([127, 9, high, low], 8500));
         let listen = SocketAddr::from(([127, 2, high, low], 5000));
-        let discovery = Discovery::new(&EndpointChanges(entries.to_vec())).beside(&name, &self.shared);
+        let discovery = Discovery::new(&EndpointChanges(entries.to_vec())).for_router(&name, &self.shared);
         let text = config(&agent.to_string(), &discovery.whole(), 512)
             .replace("127.0.0.2:5000", &listen.to_string())
             .replace("\"balancers\":1", &format!("\"balancers\":{}", layout.routers))
@@ -274,7 +274,7 @@
         let seed = layout.seed * 77 + u64::from(number);
         let classes = ["chat", "once"];
         let clients = Clients::new(listen, &classes, layout.every, layout.requests, START + ms(50), seed);
-        let clients = clients.noting(&self.shared, layout.leaving);
+        let clients = clients.recording_in(&self.shared, layout.leaving);
         self.clients.push(self.world.add(Actor::Clients(Box::new(clients)), &[]));
     }
 
@@ -356,6 +356,6 @@
     pub fn is_clean(&self) -> bool {
         let fabric = lock_shared(&self.shared);
         let odd = |&at: &usize| matches!(self.world.machine(at), Actor::Clients(clients) if !clients.odd.is_empty());
-        fabric.broken.is_empty() && fabric.twice.is_empty() && !self.clients.iter().any(odd)
+        fabric.broken.is_empty() && fabric.overlapping.is_empty() && !self.clients.iter().any(odd)
     }
 }
--- a/crates/platform/tests/common/day.rs
+++ b/crates/platform/tests/common/day.rs
@@ -6,7 +6,7 @@
 use slipreel_platform::{Config, PlatformRouter};
 use slipreel_test_servers::memory::{Delays, World};
 use slipreel_test_servers::platform::{
-    list_entry, lock_ledger, place_of, ClientLayout, DaySettings, Discovery, EndpointChanges, EngineDies,
+    list_entry, lock_ledger, place_of, ClientLayout, DaySettings, Discovery, EndpointChanges, EngineKilled,
     EngineLayout, EngineRole, ExchangeFault, HostileEngine, Random, RepeatingClients, SharedLedger,
     EXCHANGE_FAULTS,
 };
@@ -347,7 +347,7 @@
         let to = self.random.below(ENGINES);
         let now = self.world.now();
         let state = &mut self.engines[engine];
-        self.world.news(state.machine, &EngineDies);
+        self.world.news(state.machine, &EngineKilled);
         self.world.kill(state.machine);
         if tells_start {
             state.since = now;
--- a/crates/platform/tests/fleet.rs
+++ b/crates/platform/tests/fleet.rs
@@ -95,7 +95,7 @@
         self.world.news(self.discovery, &EndpointChanges(vec![(old, leaves)]));
         self.run(ms(50));
         self.world.kill(gone);
-        lock_shared(&self.shared).dies(&left);
+        lock_shared(&self.shared).engine_died(&left);
     }
 
     /// Runs, and checks in steps that the decision module counts as many attempts in flight as the sockets carry.
@@ -139,7 +139,7 @@
         assert!(clients.endings[&Ending::Served] > 700, "{:?}", clients.endings);
         let fabric = lock_shared(&fleet.shared);
         assert_eq!(fabric.broken, [""; 0], "seed {seed}");
-        assert!(fabric.twice.is_empty(), "seed {seed}: second copies {:?}", fabric.twice);
+        assert!(fabric.overlapping.is_empty(), "seed {seed}: second copies {:?}", fabric.overlapping);
         let held = router.held_state();
         assert_eq!(
             (held.requests, held.releases, router.decision_state_sizes().requests),
--- a/crates/test-servers/src/platform/client.rs
+++ b/crates/test-servers/src/platform/client.rs
@@ -93,7 +93,7 @@
 
     /// The same, noting in `shared` what the judge of the terms goes by, and with this share of them leaving early.
     #[must_use]
-    pub fn noting(mut self, shared: &Shared, leaving: f64) -> Self {
+    pub fn recording_in(mut self, shared: &Shared, leaving: f64) -> Self {
         (self.shared, self.leaving) = (shared.clone(), leaving);
         self
     }
--- a/crates/test-servers/src/platform/day_settings.rs
+++ b/crates/test-servers/src/platform/day_settings.rs
@@ -1,6 +1,6 @@
 //! Settings of a day drawn from a seed, as they say how often requests may run, and the texts in which routers get them.
 
-use super::{AskedClass, EngineLayout, EngineRole, Random};
+use super::{EngineLayout, EngineRole, Random, RequestClass};
 use slipreel_invariants::repeats::{Effect, Group, Place};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,7 +9,7 @@
 #[derive(Clone, Debug)]
 pub struct DaySettings {
     /// The request classes.
-    pub classes: Vec<AskedClass>,
+    pub classes: Vec<RequestClass>,
     /// The most attempts of one request.
     pub attempts: usize,
     /// Two attempts of one request may be out at once.
@@ -36,12 +36,12 @@
         let mut random = Random::new(seed ^ 0x5eed_0002);
         let names = ["first", "second", "third"];
         let count = 2 + random.below(2);
-        let classes = names[..count].iter().map(|&name| AskedClass {
+        let classes = names[..count].iter().map(|&name| RequestClass {
             name: name.to_owned(),
             effect: draw_effect(&mut random),
             deadline: random.millis(300, 4_000),
         });
-        let classes: Vec<AskedClass> = classes.collect();
+        let classes: Vec<RequestClass> = classes.collect();
         DaySettings {
             classes,
             attempts: 1 + random.below(6),
@@ -101,7 +101,7 @@
     time.as_secs_f64() * 1e3
 }
 
-fn class_json(class: &AskedClass) -> String {
+fn class_json(class: &RequestClass) -> String {
     let (effect, group, window) = match class.effect {
         Effect::Safe => ("safe", Group::All, Duration::ZERO),
         Effect::Unsafe => ("unsafe", Group::All, Duration::ZERO),
--- a/crates/test-servers/src/platform/discovery.rs
+++ b/crates/test-servers/src/platform/discovery.rs
@@ -76,7 +76,7 @@
 
     /// The same as the agent beside this router, noting in `shared` when it is asked.
     #[must_use]
-    pub fn beside(mut self, router: &str, shared: &Shared) -> Self {
+    pub fn for_router(mut self, router: &str, shared: &Shared) -> Self {
         self.notes = Some((router.to_owned(), shared.clone()));
         self
     }
--- a/crates/test-servers/src/platform/hostile_engine.rs
+++ b/crates/test-servers/src/platform/hostile_engine.rs
@@ -41,7 +41,7 @@
     }
 
     /// A router is killed.
-    pub fn kills(&mut self, at: Duration, router: SocketAddr) {
+    pub fn router_killed(&mut self, at: Duration, router: SocketAddr) {
         self.killed.insert(router, at);
     }
 
@@ -115,7 +115,7 @@
 
 /// News for an engine: its process is about to be killed, and all that it has at work with it.
 #[derive(Clone, Copy, Debug)]
-pub struct EngineDies;
+pub struct EngineKilled;
 
 /// How an engine is laid out.
 #[derive(Clone, Debug)]
@@ -401,7 +401,7 @@
                 self.gone(conn);
             }
             Input::Lost(conn, _) => self.gone(conn),
-            Input::OwnerMessage(news) if news.is::<EngineDies>() => {
+            Input::OwnerMessage(news) if news.is::<EngineKilled>() => {
                 let connections: Vec<ConnId> = self.connections.keys().copied().collect();
                 connections.into_iter().for_each(|conn| self.gone(conn));
             }
--- a/crates/test-servers/src/platform/mod.rs
+++ b/crates/test-servers/src/platform/mod.rs
@@ -16,11 +16,11 @@
 pub use discovery::{Discovery, DiscoveryMode, EndpointChanges};
 pub use engine::{Engine, Faults};
 pub use hostile_engine::{
-    lock_ledger, EngineDies, EngineLayout, EngineRole, ExchangeFault, HostileEngine, Ledger, SharedLedger,
+    lock_ledger, EngineKilled, EngineLayout, EngineRole, ExchangeFault, HostileEngine, Ledger, SharedLedger,
     EXCHANGE_FAULTS,
 };
 pub use random::Random;
-pub use repeating_client::{AskedClass, ClientLayout, RepeatingClients};
+pub use repeating_client::{ClientLayout, RepeatingClients, RequestClass};
 
 use slipreel_invariants::terms::{Fact, Seen};
 use std::collections::{BTreeMap, BTreeSet};
@@ -35,7 +35,7 @@
     /// By request: the engines at which attempts are out.
     pub out: BTreeMap<String, Vec<String>>,
     /// Second copies, since when: that a connection was closed may still be on its way to the first's engine.
-    pub twice: Vec<(Duration, String)>,
+    pub overlapping: Vec<(Duration, String)>,
     /// By engine: the same.
     pub at: BTreeMap<String, usize>,
     /// Requests that a writer has begun to answer.
@@ -83,7 +83,7 @@
     }
 
     /// An engine's process has died: its work and what it held are gone.
-    pub fn dies(&mut self, engine: &str) {
+    pub fn engine_died(&mut self, engine: &str) {
         self.at.remove(engine);
         self.out.values_mut().for_each(|out| out.retain(|e| e != engine));
         self.out.retain(|_, out| !out.is_empty());
@@ -94,7 +94,7 @@
         let out = self.out.entry(request.to_owned()).or_default();
         out.push(engine.to_owned());
         if out.len() > 1 {
-            self.twice.push((now, request.to_owned()));
+            self.overlapping.push((now, request.to_owned()));
         }
         *self.at.entry(engine.to_owned()).or_default() += 1;
     }
@@ -107,7 +107,7 @@
             if out.is_empty() {
                 self.out.remove(request);
             }
-            self.twice.retain(|(since, name)| name != request || now > *since + ON_ITS_WAY);
+            self.overlapping.retain(|(since, name)| name != request || now > *since + ON_ITS_WAY);
         }
         if let Some(at) = self.at.get_mut(engine) {
             *at -= 1;
--- a/crates/test-servers/src/platform/repeating_client.rs
+++ b/crates/test-servers/src/platform/repeating_client.rs
@@ -11,7 +11,7 @@
 
 /// A class of requests as its clients know it.
 #[derive(Clone, Debug)]
-pub struct AskedClass {
+pub struct RequestClass {
     /// Its name.
     pub name: String,
     /// How often its requests may run.
@@ -26,7 +26,7 @@
     /// The routers.
     pub routers: Vec<SocketAddr>,
     /// The classes, each as likely as any other.
-    pub classes: Vec<AskedClass>,
+    pub classes: Vec<RequestClass>,
     /// From one request to the next.
     pub every: Duration,
     /// When the first is sent.
