--- a/crates/consensus/benches/policy.rs
+++ b/crates/consensus/benches/policy.rs
@@ -88,7 +88,7 @@
 
 fn idle() {
     let mut fleet = settled_fleet(300, 3);
-    let handled_before = fleet.world.handled();
+    let handled_before = fleet.world.inputs_handled();
     let started_at = Instant::now();
     fleet.run(ms(10_000));
     let elapsed = started_at.elapsed();
@@ -96,7 +96,7 @@
         "idle fleet of 300: {:.2} s of a core for 10 s, {:.3} ms a router and second with the simulated network; {} inputs a router and second",
         elapsed.as_secs_f64(),
         elapsed.as_secs_f64() * 1_000.0 / 3_000.0,
-        (fleet.world.handled() - handled_before) / 3_000
+        (fleet.world.inputs_handled() - handled_before) / 3_000
     );
 }
 
--- a/crates/consensus/tests/common/mod.rs
+++ b/crates/consensus/tests/common/mod.rs
@@ -213,7 +213,7 @@
         );
         for router in 0..n {
             let node = world.add(Node::Stopped, &[address_of(router)]);
-            world.open_mailboxes(node, &[address_of(router)]);
+            world.open_datagram_sockets(node, &[address_of(router)]);
             world.kill(node);
         }
         Fleet {
--- a/crates/consensus/tests/thin.rs
+++ b/crates/consensus/tests/thin.rs
@@ -105,14 +105,14 @@
     let crashed = (leader + 1) % 3;
     fleet.kill(crashed);
     propose(&fleet, leader, "x", "two");
-    let before = fleet.world.handled();
+    let before = fleet.world.inputs_handled();
     fleet.run(ms(2_000));
     // The decision waits for the lease of the crashed router. A timer is due once, not at every moment after.
     assert_eq!(
         fleet.handles[leader].status().proposal_status("x"),
         ProposalStatus::Pending(vec![format!("r{crashed}")])
     );
-    let handled = fleet.world.handled() - before;
+    let handled = fleet.world.inputs_handled() - before;
     assert!(handled < 6_000, "{handled} inputs in two seconds");
 }
 
--- a/crates/fault-injection/src/memory.rs
+++ b/crates/fault-injection/src/memory.rs
@@ -208,7 +208,7 @@
             policy: made,
             partition_mode: PartitionMode::Refuse,
         });
-        self.world.news(self.routers[r].front, &board);
+        self.world.send_owner_message(self.routers[r].front, &board);
     }
 
     /// What broken routers do by themselves.
@@ -227,7 +227,7 @@
                 } else {
                     let board = Arc::new(PolicyHandle::default());
                     board.set_permit(Permit { until: now + Duration::from_secs(3_600), ..old });
-                    self.world.news(self.routers[r].front, &board);
+                    self.world.send_owner_message(self.routers[r].front, &board);
                 }
             }
             // Its first configuration's file stands; nothing that is written from now on does.
@@ -256,7 +256,7 @@
             if routers != router.routers {
                 router.routers = routers;
                 let front = router.front;
-                self.world.news(front, &RouterCount(routers));
+                self.world.send_owner_message(front, &RouterCount(routers));
             }
         }
     }
@@ -313,11 +313,11 @@
             self.world.kill(at);
             self.world.revive(at, node);
         }
-        self.world.news(front_at, &board);
-        self.world.news(front_at, &RouterCount(routers));
+        self.world.send_owner_message(front_at, &board);
+        self.world.send_owner_message(front_at, &RouterCount(routers));
         if self.script.founders > 0 {
             let policy = self.routers[r].policy.clone();
-            self.world.news(front_at, &policy);
+            self.world.send_owner_message(front_at, &policy);
         }
         if bend == Some(Bend::Eager) && self.routers[r].starts > 1 {
             self.misled(r, now);
@@ -359,7 +359,7 @@
             let member = Membership::new(settings, peers, &SavedState::default(), seed, now, board.clone());
             let member = Member::new(member, None);
             let node = self.world.add(Node::Fleet(Box::new(member), None), &[address]);
-            self.world.open_mailboxes(node, &[address]);
+            self.world.open_datagram_sockets(node, &[address]);
             self.routers[r].twin = Some((node, board));
         }
         Ok(())
@@ -377,15 +377,15 @@
     fn reload(&mut self, r: usize) {
         self.routers[r].odd_seeds ^= true;
         let peers = Arc::new(self.peers(r));
-        self.world.news(self.routers[r].fleet, &peers);
+        self.world.send_owner_message(self.routers[r].fleet, &peers);
     }
 
     fn links(&mut self, links: Vec<(usize, usize, Link)>) {
-        self.world.news(self.wire, &Arc::new(Links(links)));
+        self.world.send_owner_message(self.wire, &Arc::new(Links(links)));
     }
 
     fn noise(&mut self, r: usize, bytes: Vec<u8>) {
-        self.world.news(self.wire, &Noise(r, bytes));
+        self.world.send_owner_message(self.wire, &Noise(r, bytes));
     }
 
     fn sight(&mut self, r: usize) -> Option<Sight> {
@@ -497,7 +497,7 @@
     let mut routers = Vec::new();
     for r in 0..n {
         let fleet = world.add(Node::Idle, &[member_addr(r)]);
-        world.open_mailboxes(fleet, &[member_addr(r)]);
+        world.open_datagram_sockets(fleet, &[member_addr(r)]);
         let front = world.add(Node::Idle, &[addr(10_000 + r), addr(15_000 + r)]);
         world.kill(fleet);
         world.kill(front);
@@ -520,7 +520,7 @@
     let ways: Vec<SocketAddr> = Wire::ways(n).map(|(from, to)| wire_addr(from, to)).collect();
     let wire =
         world.add(Node::Wire(Box::new(Wire::new((0..n).map(member_addr).collect(), script.seed))), &ways);
-    world.open_mailboxes(wire, &ways);
+    world.open_datagram_sockets(wire, &ways);
     let clients = script.traffic.then(|| {
         let mut plans = script.day.plans.clone();
         plans.iter_mut().for_each(|p| p.at += START + LEAD);
--- a/crates/membership/benches/size.rs
+++ b/crates/membership/benches/size.rs
@@ -377,7 +377,7 @@
         let kind = member(protocol, n, members, start, &mut rng);
         let own = Xoshiro256PlusPlus::seed_from_u64(rng.next_u64());
         let node = world.add(Member { kind, loss, rng: own, sent: 0, bytes: 0 }, &[addr(n)]);
-        world.open_mailboxes(node, &[addr(n)]);
+        world.open_datagram_sockets(node, &[addr(n)]);
     }
     // The dead are the last ones; those who look are spread over the rest.
     let dead = members.div_ceil(50);
--- a/crates/platform/tests/common/cluster.rs
+++ b/crates/platform/tests/common/cluster.rs
@@ -287,7 +287,7 @@
     pub fn set_mood(&mut self, mood: DiscoveryMode) {
         lock_shared(&self.shared).see(self.world.now(), Seen::Reachable(mood == DiscoveryMode::Healthy));
         for &agent in &self.agents {
-            self.world.news(agent, &mood);
+            self.world.send_owner_message(agent, &mood);
         }
     }
 
@@ -298,7 +298,7 @@
         lock_shared(&self.shared).see(self.world.now(), Seen::Has { engine: name.clone(), closed });
         let change = EndpointChanges(vec![(name, entry(engine, is_prefill, port, status, Duration::ZERO))]);
         for &agent in &self.agents {
-            self.world.news(agent, &change);
+            self.world.send_owner_message(agent, &change);
         }
     }
 
--- a/crates/platform/tests/common/day.rs
+++ b/crates/platform/tests/common/day.rs
@@ -347,7 +347,7 @@
         let to = self.random.below(ENGINES);
         let now = self.world.now();
         let state = &mut self.engines[engine];
-        self.world.news(state.machine, &EngineKilled);
+        self.world.send_owner_message(state.machine, &EngineKilled);
         self.world.kill(state.machine);
         if tells_start {
             state.since = now;
@@ -370,7 +370,7 @@
         let state = &self.engines[engine];
         let change = EndpointChanges(vec![(state.layout.name.clone(), state.entry(status))]);
         for agent in self.routers.iter().map(|router| router.agent).collect::<Vec<_>>() {
-            self.world.news(agent, &change);
+            self.world.send_owner_message(agent, &change);
         }
     }
 
--- a/crates/platform/tests/fleet.rs
+++ b/crates/platform/tests/fleet.rs
@@ -88,11 +88,11 @@
         self.running[at] = (name.clone(), reads, number);
         let drains = (old.clone(), entry(&old, reads, 1, "Terminating", Duration::ZERO));
         let joins = (name.clone(), entry(&name, reads, self.last_number, "Ready", Duration::ZERO));
-        self.world.news(self.discovery, &EndpointChanges(vec![drains, joins]));
+        self.world.send_owner_message(self.discovery, &EndpointChanges(vec![drains, joins]));
         self.run(ms(300));
         let left = old.clone();
         let leaves = format!(r#"{{"name":"{old}","status":"Gone"}}"#);
-        self.world.news(self.discovery, &EndpointChanges(vec![(old, leaves)]));
+        self.world.send_owner_message(self.discovery, &EndpointChanges(vec![(old, leaves)]));
         self.run(ms(50));
         self.world.kill(gone);
         lock_shared(&self.shared).engine_died(&left);
--- a/crates/scenario/src/stage.rs
+++ b/crates/scenario/src/stage.rs
@@ -444,7 +444,7 @@
         self.world.freeze(self.node(who), frozen);
     }
     fn news(&mut self, who: Who, news: Arc<dyn Any + Send + Sync>) {
-        self.world.news(self.node(who), &*news);
+        self.world.send_owner_message(self.node(who), &*news);
     }
     fn clients_done(&self) -> bool {
         match self.world.machine(self.clients) {
@@ -497,7 +497,7 @@
         leaks: held.iter().map(|h| h.1).sum(),
         log: world.log().iter().map(|(at, node, line)| format!("{at:?} {node}: {line}")).collect(),
         digest: world.digest(),
-        inputs: world.handled(),
+        inputs: world.inputs_handled(),
         took: world.now() - START,
     }
 }
--- a/crates/test-servers/src/memory.rs
+++ b/crates/test-servers/src/memory.rs
@@ -173,7 +173,7 @@
     }
 
     /// Inputs that machines were given so far.
-    pub fn handled(&self) -> u64 {
+    pub fn inputs_handled(&self) -> u64 {
         self.handled
     }
 
@@ -201,7 +201,7 @@
     }
 
     /// Opens datagram sockets for a machine, at these addresses.
-    pub fn open_mailboxes(&mut self, node: usize, addrs: &[SocketAddr]) {
+    pub fn open_datagram_sockets(&mut self, node: usize, addrs: &[SocketAddr]) {
         for &addr in addrs {
             let door = ListenerId(self.nodes[node].mailboxes.len());
             self.nodes[node].mailboxes.push(addr);
@@ -220,7 +220,7 @@
     }
 
     /// Gives news to a machine.
-    pub fn news(&mut self, node: usize, news: &(dyn Any + Send + Sync)) {
+    pub fn send_owner_message(&mut self, node: usize, news: &(dyn Any + Send + Sync)) {
         self.give(node, Input::OwnerMessage(news));
     }
 
