--- a/crates/cli/src/engine.rs
+++ b/crates/cli/src/engine.rs
@@ -48,7 +48,7 @@
     };
     let mut spec = EngineSpec::new(&args.listen.to_string(), args.listen, role);
     spec.slots = args.slots.unwrap_or(spec.slots);
-    spec.read_per_s = args.read_per_s.filter(|r| *r >= 1.0).unwrap_or(spec.read_per_s);
+    spec.prefill_tokens_per_s = args.read_per_s.filter(|r| *r >= 1.0).unwrap_or(spec.prefill_tokens_per_s);
     let step = args.step_ms.and_then(|ms| Duration::try_from_secs_f64(ms / 1000.0).ok());
     spec.step = step.unwrap_or(spec.step);
     let signals = Signals::watch()?;
--- a/crates/emulator/src/roles.rs
+++ b/crates/emulator/src/roles.rs
@@ -51,12 +51,15 @@
             drain: Duration::from_secs(2),
             slow_start: reader.cold_time,
             slow_start_speed: reader.cold_share,
-            prefill_tokens_per_s: reader.read_per_s,
+            prefill_tokens_per_s: reader.prefill_tokens_per_s,
         };
         Some(Roles {
             planner: Planner::new(limits, costs, policy),
             demand: Demand::default(),
-            speeds: EngineThroughput { prefill: reader.read_per_s, decode: writer.write_per_s() },
+            speeds: EngineThroughput {
+                prefill: reader.prefill_tokens_per_s,
+                decode: writer.decode_tokens_per_s(),
+            },
             counts: BTreeMap::new(),
             orders: Vec::new(),
             cold: reader.cold_time,
--- a/crates/scenario/src/script.rs
+++ b/crates/scenario/src/script.rs
@@ -90,7 +90,7 @@
         spec.slots = doc.or(Some(at), "slots", spec.slots);
         spec.queue = doc.or(Some(at), "queue", spec.queue);
         spec.memory = doc.or(Some(at), "memory", spec.memory);
-        spec.read_per_s = doc.or(Some(at), "read_per_s", spec.read_per_s).max(1.0);
+        spec.prefill_tokens_per_s = doc.or(Some(at), "read_per_s", spec.prefill_tokens_per_s).max(1.0);
         spec.step = doc.or(Some(at), "step", spec.step);
         spec.per_answer = doc.or(Some(at), "per_answer", spec.per_answer);
         spec.cold_share = doc.or(Some(at), "cold_share", spec.cold_share);
--- a/crates/scenario/src/stage.rs
+++ b/crates/scenario/src/stage.rs
@@ -180,7 +180,7 @@
             drain: Duration::from_secs(2),
             slow_start: first.cold_time,
             slow_start_speed: first.cold_share,
-            prefill_tokens_per_s: reader.map_or(1.0, |s| s.read_per_s),
+            prefill_tokens_per_s: reader.map_or(1.0, |s| s.prefill_tokens_per_s),
         };
         let limits = PlannerLimits {
             max_concurrent_changes: 2,
@@ -191,8 +191,8 @@
             frozen: false,
         };
         let speeds = EngineThroughput {
-            prefill: reader.map_or(1.0, |s| s.read_per_s),
-            decode: writer.map_or(1.0, slipreel_test_servers::engine::EngineSpec::write_per_s),
+            prefill: reader.map_or(1.0, |s| s.prefill_tokens_per_s),
+            decode: writer.map_or(1.0, slipreel_test_servers::engine::EngineSpec::decode_tokens_per_s),
         };
         let config = ControllerConfig {
             limits,
--- a/crates/scenario/src/trouble.rs
+++ b/crates/scenario/src/trouble.rs
@@ -192,8 +192,8 @@
             Kind::Ageing => acts.extend(self.ageing(day, rng)),
             Kind::ReportLate => {
                 let all: Vec<usize> = (0..day.engines.len()).collect();
-                let late = Fault::ReportLate(ms(self.size * 1000.0));
-                spell(&mut acts, &all, late, Fault::ReportLate(Duration::ZERO));
+                let late = Fault::ReportDelay(ms(self.size * 1000.0));
+                spell(&mut acts, &all, late, Fault::ReportDelay(Duration::ZERO));
             }
             Kind::AnswerLost => {
                 spell(
@@ -204,8 +204,8 @@
                 );
             }
             Kind::HandshakeSlow => {
-                let slow = Fault::Handshake(ms(self.size));
-                spell(&mut acts, &self.engines(day, rng), slow, Fault::Handshake(Duration::ZERO));
+                let slow = Fault::HandshakeDelay(ms(self.size));
+                spell(&mut acts, &self.engines(day, rng), slow, Fault::HandshakeDelay(Duration::ZERO));
             }
             // A state is served as slowly as its reader works; the stand-ins have no links of their own.
             Kind::OriginSlow => {
@@ -244,7 +244,12 @@
                     ]);
                 }
             }
-            Kind::Deaf => spell(&mut acts, &self.engines(day, rng), Fault::Deaf(true), Fault::Deaf(false)),
+            Kind::Deaf => spell(
+                &mut acts,
+                &self.engines(day, rng),
+                Fault::Unresponsive(true),
+                Fault::Unresponsive(false),
+            ),
             Kind::ClosesOnUse => {
                 spell(
                     &mut acts,
--- a/crates/test-servers/src/engine/faults.rs
+++ b/crates/test-servers/src/engine/faults.rs
@@ -10,13 +10,13 @@
     /// Its answers to work never arrive, though the work is done; probes are answered.
     AnswersLost(bool),
     /// It takes connections and says nothing at all.
-    Deaf(bool),
+    Unresponsive(bool),
     /// It turns away prompts that hold this text as if it were full; `None` ends it.
     Throttle(Option<String>),
     /// Its load reports are so old.
-    ReportLate(Duration),
+    ReportDelay(Duration),
     /// A new connection is not served before this time has passed.
-    Handshake(Duration),
+    HandshakeDelay(Duration),
     /// It answers garbage; `None` ends it.
     Garbage(Option<Garbage>),
     /// It closes a connection in the moment that a request arrives on it.
@@ -127,10 +127,10 @@
         match fault {
             Fault::Slow(times) => self.slow = times.max(0.01),
             Fault::AnswersLost(on) => self.answers_lost = *on,
-            Fault::Deaf(on) => self.deaf = *on,
+            Fault::Unresponsive(on) => self.deaf = *on,
             Fault::Throttle(text) => self.throttle = text.clone(),
-            Fault::ReportLate(by) => self.report_late = *by,
-            Fault::Handshake(by) => self.handshake = *by,
+            Fault::ReportDelay(by) => self.report_late = *by,
+            Fault::HandshakeDelay(by) => self.handshake = *by,
             Fault::Garbage(kind) => self.garbage = *kind,
             Fault::ClosesOnUse(on) => self.closes_on_use = *on,
             Fault::DropConnections => {}
--- a/crates/test-servers/src/engine/scheduler.rs
+++ b/crates/test-servers/src/engine/scheduler.rs
@@ -197,9 +197,12 @@
             self.came.clear();
             return false;
         }
-        let reading = job.to_read as f64 / spec.read_per_s;
-        let writing =
-            if job.kind == RequestKind::Decode { f64::from(job.length) / spec.write_per_s() } else { 0.0 };
+        let reading = job.to_read as f64 / spec.prefill_tokens_per_s;
+        let writing = if job.kind == RequestKind::Decode {
+            f64::from(job.length) / spec.decode_tokens_per_s()
+        } else {
+            0.0
+        };
         self.came.push_back((now, reading + writing));
         while self.came.front().is_some_and(|(at, _)| *at + spec.fall_time < now) {
             self.came.pop_front();
@@ -358,7 +361,7 @@
         let base = if spec.role == Role::Prefill { Duration::ZERO } else { spec.step };
         let takes = base
             + spec.per_answer * writes.len() as u32
-            + Duration::from_secs_f64(read as f64 / spec.read_per_s);
+            + Duration::from_secs_f64(read as f64 / spec.prefill_tokens_per_s);
         let takes = takes.div_f64(factor.max(0.001)).max(Duration::from_micros(100));
         self.step = Some(Step { ends: now + takes, reads, writes });
     }
--- a/crates/test-servers/src/engine/spec.rs
+++ b/crates/test-servers/src/engine/spec.rs
@@ -68,7 +68,7 @@
     /// Prompt tokens read in one step at most.
     pub chunk: u64,
     /// Prompt tokens read a second.
-    pub read_per_s: f64,
+    pub prefill_tokens_per_s: f64,
     /// Shortest step.
     pub step: Duration,
     /// What each running answer adds to a step.
@@ -105,7 +105,7 @@
             queue: 32,
             memory: 200_000,
             chunk: 2_048,
-            read_per_s: if reads { 20_000.0 } else { 6_000.0 },
+            prefill_tokens_per_s: if reads { 20_000.0 } else { 6_000.0 },
             step: Duration::from_millis(10),
             per_answer: Duration::from_micros(100),
             cold_share: 0.3,
@@ -121,7 +121,7 @@
     }
 
     /// Answer tokens a second that it can write with all slots in use.
-    pub fn write_per_s(&self) -> f64 {
+    pub fn decode_tokens_per_s(&self) -> f64 {
         let step = self.step + self.per_answer * self.slots as u32;
         self.slots as f64 / step.as_secs_f64()
     }
