--- a/crates/emulator/src/engine.rs
+++ b/crates/emulator/src/engine.rs
@@ -107,21 +107,21 @@
         let mut job = ActiveRequest {
             id: 0,
             conn: ConnId(0),
-            name: String::new(),
+            request_id: String::new(),
             router: String::new(),
-            key: None,
+            idempotency_key: None,
             mark: None,
             kind: if ask.reads { RequestKind::Prefill } else { RequestKind::Decode },
-            prompt: 0,
+            prompt_tokens: 0,
             cached: 0,
-            to_read: 0,
-            cap: ask.length,
+            prefill_left: 0,
+            max_tokens: ask.length,
             length: ask.length.max(1),
             emitted: 0,
             stream: true,
-            begun: false,
-            ran: false,
-            lost: false,
+            has_begun: false,
+            has_run: false,
+            is_answer_lost: false,
             transfer: ask.state.map(|(_, state)| Transfer { addr: nowhere, state }),
             prefixes: Vec::new(),
         };
@@ -135,7 +135,7 @@
         loop {
             while let Some(id) = self.work.admit(&self.spec) {
                 if let Some(state) = self.asks.get(&id).and_then(|a| a.state) {
-                    if self.work.jobs.get(&id).is_some_and(|j| j.transfer.is_some()) {
+                    if self.work.requests.get(&id).is_some_and(|j| j.transfer.is_some()) {
                         fetches.push((id, state));
                     }
                 }
@@ -144,14 +144,14 @@
                 break;
             }
             let done = self.work.end_step();
-            for id in done.read {
+            for id in done.prefilled {
                 let Some(job) = self.work.remove(id) else { continue };
                 let state = self.work.hold_state(&job, now);
                 if let Some(ask) = self.asks.remove(&id) {
                     said.push((ask.who, Say::Read(state, job.cached)));
                 }
             }
-            for id in done.wrote {
+            for id in done.decoded {
                 self.token(id, &mut said);
             }
             for id in self.work.over_memory() {
@@ -164,9 +164,9 @@
     }
 
     fn token(&mut self, id: u64, said: &mut Vec<(Try, Say)>) {
-        let (Some(job), Some(ask)) = (self.work.jobs.get_mut(&id), self.asks.get(&id)) else { return };
+        let (Some(job), Some(ask)) = (self.work.requests.get_mut(&id), self.asks.get(&id)) else { return };
         job.emitted += 1;
-        if !std::mem::replace(&mut job.begun, true) {
+        if !std::mem::replace(&mut job.has_begun, true) {
             said.push((ask.who, Say::First));
         }
         if job.emitted >= job.length {
@@ -202,7 +202,7 @@
 
     /// Takes its new role once nothing of the old one is left. Whether it did.
     pub(crate) fn change_role(&mut self, now: Duration) -> bool {
-        let Some(state) = self.role.left(now, self.work.jobs.len(), self.work.states.len()) else {
+        let Some(state) = self.role.left(now, self.work.requests.len(), self.work.states.len()) else {
             return false;
         };
         self.spec.role = state.role.into();
--- a/crates/test-servers/src/engine/mod.rs
+++ b/crates/test-servers/src/engine/mod.rs
@@ -262,13 +262,18 @@
     fn abort(&mut self, now: Duration, id: ConnId, body: &[u8], out: &mut Vec<Output>) {
         let value: Value = serde_json::from_slice(body).unwrap_or_default();
         for name in value["request_ids"].as_array().into_iter().flatten().filter_map(Value::as_str) {
-            let named = |(&state, s): (&u64, &State)| (s.name == name && !s.taken).then_some(state);
+            let named = |(&state, s): (&u64, &State)| (s.request_id == name && !s.taken).then_some(state);
             let free: Vec<u64> = self.scheduler.states.iter().filter_map(named).collect();
             for state in free {
                 self.let_go(now, state);
             }
-            let jobs: Vec<(u64, ConnId)> =
-                self.scheduler.jobs.values().filter(|j| j.name == name).map(|j| (j.id, j.conn)).collect();
+            let jobs: Vec<(u64, ConnId)> = self
+                .scheduler
+                .requests
+                .values()
+                .filter(|j| j.request_id == name)
+                .map(|j| (j.id, j.conn))
+                .collect();
             for (job, conn) in jobs {
                 self.cancel(now, job, out);
                 if let Some(c) = self.conns.get_mut(&conn) {
@@ -308,7 +313,8 @@
 
     /// Takes the new role once nothing of the old one is left: empty, with nothing kept, cold, newly started.
     fn change_role(&mut self, now: Duration) {
-        let Some(state) = self.role.left(now, self.scheduler.jobs.len(), self.scheduler.states.len()) else {
+        let Some(state) = self.role.left(now, self.scheduler.requests.len(), self.scheduler.states.len())
+        else {
             return;
         };
         self.spec.role = state.role.into();
@@ -418,26 +424,26 @@
         };
         let texts: Vec<String> = messages.iter().map(|m| m["content"].to_string()).collect();
         let mark = texts.last().and_then(|t| Mark::find(t));
-        let cap = u32::try_from(value["max_tokens"].as_u64()?).ok()?;
+        let max_tokens = u32::try_from(value["max_tokens"].as_u64()?).ok()?;
         let via = head.get("via").and_then(|v| v.split_once(' ')).map_or("", |(_, name)| name);
         let mut job = ActiveRequest {
             id: self.scheduler.next_id(),
             conn,
-            name: head.get("x-request-id").unwrap_or_default().to_owned(),
+            request_id: head.get("x-request-id").unwrap_or_default().to_owned(),
             router: via.to_owned(),
-            key: head.get("idempotency-key").map(str::to_owned),
+            idempotency_key: head.get("idempotency-key").map(str::to_owned),
             mark,
             kind,
-            prompt: 0,
+            prompt_tokens: 0,
             cached: 0,
-            to_read: 0,
-            cap,
-            length: mark.map_or(16, |m| m.length).min(cap),
+            prefill_left: 0,
+            max_tokens,
+            length: mark.map_or(16, |m| m.length).min(max_tokens),
             emitted: 0,
             stream: value["stream"] == true,
-            begun: false,
-            ran: false,
-            lost: false,
+            has_begun: false,
+            has_run: false,
+            is_answer_lost: false,
             transfer: fetch,
             prefixes: Vec::new(),
         };
@@ -455,10 +461,10 @@
                 break;
             }
             let done = self.scheduler.end_step();
-            for id in done.read {
+            for id in done.prefilled {
                 self.read_done(now, id, out);
             }
-            for id in done.wrote {
+            for id in done.decoded {
                 self.token(now, id, out);
             }
             for id in self.scheduler.over_memory() {
@@ -473,13 +479,13 @@
 
     /// Whether its client takes nothing.
     fn is_stalled(&self, id: u64) -> bool {
-        let conn = self.scheduler.jobs.get(&id).and_then(|j| self.conns.get(&j.conn));
+        let conn = self.scheduler.requests.get(&id).and_then(|j| self.conns.get(&j.conn));
         conn.is_some_and(|c| c.unsent > UNSENT)
     }
 
     fn admit(&mut self, now: Duration, out: &mut Vec<Output>) {
         while let Some(id) = self.scheduler.admit(&self.spec) {
-            let Some(job) = self.scheduler.jobs.get(&id) else { continue };
+            let Some(job) = self.scheduler.requests.get(&id) else { continue };
             if let Some(transfer) = job.transfer {
                 self.fetches.start(now, id, transfer, out);
             } else {
@@ -490,11 +496,11 @@
 
     /// A write begins: its effect happens now, unless its key says that it has happened.
     fn run(&mut self, now: Duration, id: u64) {
-        let Some(job) = self.scheduler.jobs.get_mut(&id) else { return };
-        if job.kind == RequestKind::Prefill || std::mem::replace(&mut job.ran, true) {
+        let Some(job) = self.scheduler.requests.get_mut(&id) else { return };
+        if job.kind == RequestKind::Prefill || std::mem::replace(&mut job.has_run, true) {
             return;
         }
-        let new = match &job.key {
+        let new = match &job.idempotency_key {
             Some(key) => self.ledger.first_use(now, &self.spec.group, key, self.spec.key_window),
             None => true,
         };
@@ -554,7 +560,7 @@
             return self.talk_garbage(now, conn, garbage, out);
         }
         let body = json!({
-            "id": job.name, "object": "chat.completion", "choices": [{"index": 0, "finish_reason": "length",
+            "id": job.request_id, "object": "chat.completion", "choices": [{"index": 0, "finish_reason": "length",
             "message": {"role": "assistant", "content": ""}}],
             "usage": job.usage(),
             "kv_transfer_params": {"do_remote_prefill": true, "do_remote_decode": false, "remote_engine_id": self.spec.name,
@@ -571,14 +577,14 @@
     /// A writing job has made its next token.
     fn token(&mut self, now: Duration, id: u64, out: &mut Vec<Output>) {
         let load = write_orca(&self.load(now));
-        let Some(job) = self.scheduler.jobs.get_mut(&id) else { return };
+        let Some(job) = self.scheduler.requests.get_mut(&id) else { return };
         let (conn, n, request) = (job.conn, job.emitted, job.what().map_or(0, |w| w.request));
-        let begins = !std::mem::replace(&mut job.begun, true);
+        let begins = !std::mem::replace(&mut job.has_begun, true);
         job.emitted += 1;
         let last = job.emitted >= job.length;
         // An answer whose beginning was lost stays lost.
-        job.lost |= self.faults.answers_lost;
-        if job.lost {
+        job.is_answer_lost |= self.faults.answers_lost;
+        if job.is_answer_lost {
             if last {
                 if let Some(job) = self.scheduler.remove(id) {
                     self.over(now, &job);
@@ -586,7 +592,7 @@
             }
             return;
         }
-        let (name, cap) = (job.name.clone(), job.cap);
+        let (name, max_tokens) = (job.request_id.clone(), job.max_tokens);
         if !job.stream {
             let garbage = self.faults.garbage.filter(|g| g.before_head());
             return match garbage {
@@ -611,7 +617,7 @@
             &mut events,
         );
         if last {
-            let finish = if job.length == cap { "length" } else { "stop" };
+            let finish = if job.length == max_tokens { "length" } else { "stop" };
             sse::write("", &chunk(json!({}), finish.into()).to_string(), &mut events);
             let usage =
                 json!({"id": name, "object": "chat.completion.chunk", "choices": [], "usage": job.usage()});
@@ -644,9 +650,9 @@
         let Some(job) = self.scheduler.remove(id) else { return };
         let request = job.what().map_or(0, |w| w.request);
         let text: String = (0..job.emitted).map(|n| mark::token(request, n)).collect();
-        let finish = if job.length == job.cap { "length" } else { "stop" };
+        let finish = if job.length == job.max_tokens { "length" } else { "stop" };
         let body = json!({
-            "id": job.name, "object": "chat.completion", "choices": [{"index": 0, "finish_reason": finish,
+            "id": job.request_id, "object": "chat.completion", "choices": [{"index": 0, "finish_reason": finish,
             "message": {"role": "assistant", "content": text}}], "usage": job.usage(),
         });
         let body = body.to_string();
@@ -755,7 +761,7 @@
         self.change_role(now);
         if self.stopping
             && !self.stopped
-            && self.scheduler.jobs.is_empty()
+            && self.scheduler.requests.is_empty()
             && self.scheduler.states.is_empty()
         {
             self.stopped = true;
--- a/crates/test-servers/src/engine/scheduler.rs
+++ b/crates/test-servers/src/engine/scheduler.rs
@@ -31,22 +31,22 @@
 pub struct ActiveRequest {
     pub id: u64,
     pub conn: ConnId,
-    pub name: String,
+    pub request_id: String,
     pub router: String,
-    pub key: Option<String>,
+    pub idempotency_key: Option<String>,
     pub mark: Option<Mark>,
     pub kind: RequestKind,
-    pub prompt: u64,
+    pub prompt_tokens: u64,
     pub cached: u64,
-    pub to_read: u64,
-    pub cap: u32,
+    pub prefill_left: u64,
+    pub max_tokens: u32,
     pub length: u32,
     pub emitted: u32,
     pub stream: bool,
-    pub begun: bool,
-    pub ran: bool,
+    pub has_begun: bool,
+    pub has_run: bool,
     /// Its answer never arrives.
-    pub lost: bool,
+    pub is_answer_lost: bool,
     pub transfer: Option<Transfer>,
     pub prefixes: Vec<u64>,
 }
@@ -66,28 +66,28 @@
     /// What it tells of the tokens that it took; a read makes one.
     pub fn usage(&self) -> Value {
         let made = u64::from(self.emitted.max(1));
-        json!({"prompt_tokens": self.prompt, "completion_tokens": made, "total_tokens": self.prompt + made,
+        json!({"prompt_tokens": self.prompt_tokens, "completion_tokens": made, "total_tokens": self.prompt_tokens + made,
                "prompt_tokens_details": {"cached_tokens": self.cached}})
     }
 
     fn memory(&self) -> u64 {
-        self.prompt + u64::from(self.emitted)
+        self.prompt_tokens + u64::from(self.emitted)
     }
 }
 
 /// Read state that waits to be fetched.
 #[derive(Debug)]
 pub struct State {
-    pub name: String,
+    pub request_id: String,
     pub tokens: u64,
     pub taken: bool,
     since: Duration,
 }
 
 #[derive(Default)]
-pub struct Done {
-    pub read: Vec<u64>,
-    pub wrote: Vec<u64>,
+pub struct StepResult {
+    pub prefilled: Vec<u64>,
+    pub decoded: Vec<u64>,
 }
 
 struct Step {
@@ -98,7 +98,7 @@
 }
 
 pub struct Scheduler {
-    pub jobs: BTreeMap<u64, ActiveRequest>,
+    pub requests: BTreeMap<u64, ActiveRequest>,
     queue: VecDeque<u64>,
     /// Jobs with a slot, in the order in which they got it; those that fetch their state are not in it.
     pub running: Vec<u64>,
@@ -119,7 +119,7 @@
 impl Scheduler {
     pub fn new(spec: &EngineSpec, now: Duration, wall: Duration) -> Self {
         Scheduler {
-            jobs: BTreeMap::new(),
+            requests: BTreeMap::new(),
             queue: VecDeque::new(),
             running: Vec::new(),
             fetching: Vec::new(),
@@ -156,16 +156,16 @@
     /// The same of parts by their names, each standing for all before it too, and their tokens.
     pub fn measure_parts(&self, job: &mut ActiveRequest, parts: &[(u64, u64)]) {
         for &(hash, tokens) in parts {
-            job.prompt += tokens;
+            job.prompt_tokens += tokens;
             job.prefixes.push(hash);
             if self.kept.contains_key(&hash) {
-                job.cached = job.prompt;
+                job.cached = job.prompt_tokens;
             }
         }
         let reads = job.transfer.is_none();
         // The last token is always read, whatever is kept.
-        job.cached = if reads { job.cached.min(job.prompt.saturating_sub(1)) } else { 0 };
-        job.to_read = if reads { job.prompt - job.cached } else { 0 };
+        job.cached = if reads { job.cached.min(job.prompt_tokens.saturating_sub(1)) } else { 0 };
+        job.prefill_left = if reads { job.prompt_tokens - job.cached } else { 0 };
     }
 
     fn keep(&mut self, prefixes: &[u64]) {
@@ -197,7 +197,7 @@
             self.came.clear();
             return false;
         }
-        let reading = job.to_read as f64 / spec.prefill_tokens_per_s;
+        let reading = job.prefill_left as f64 / spec.prefill_tokens_per_s;
         let writing = if job.kind == RequestKind::Decode {
             f64::from(job.length) / spec.decode_tokens_per_s()
         } else {
@@ -216,18 +216,18 @@
 
     pub fn enqueue(&mut self, job: ActiveRequest) {
         self.queue.push_back(job.id);
-        self.jobs.insert(job.id, job);
+        self.requests.insert(job.id, job);
     }
 
     pub fn used(&self) -> u64 {
-        let active = self.running.iter().chain(&self.fetching).filter_map(|id| self.jobs.get(id));
+        let active = self.running.iter().chain(&self.fetching).filter_map(|id| self.requests.get(id));
         active.map(ActiveRequest::memory).sum::<u64>() + self.states.values().map(|s| s.tokens).sum::<u64>()
     }
 
     /// Gives a slot to the next in the queue, if there is one and memory for it.
     pub fn admit(&mut self, spec: &EngineSpec) -> Option<u64> {
         let id = *self.queue.front()?;
-        let Some(job) = self.jobs.get(&id) else {
+        let Some(job) = self.requests.get(&id) else {
             self.queue.pop_front();
             return None;
         };
@@ -249,7 +249,7 @@
     /// A state has come: its job runs.
     pub fn fetched(&mut self, id: u64) {
         self.fetching.retain(|&f| f != id);
-        if let Some(job) = self.jobs.get_mut(&id) {
+        if let Some(job) = self.requests.get_mut(&id) {
             job.transfer = None;
             self.running.push(id);
         }
@@ -257,7 +257,7 @@
 
     /// Takes a job out, wherever it is.
     pub fn remove(&mut self, id: u64) -> Option<ActiveRequest> {
-        let job = self.jobs.remove(&id)?;
+        let job = self.requests.remove(&id)?;
         self.queue.retain(|&q| q != id);
         self.running.retain(|&r| r != id);
         self.fetching.retain(|&f| f != id);
@@ -276,7 +276,7 @@
             if used <= self.memory {
                 break;
             }
-            let Some(job) = self.jobs.get(id).filter(|j| j.kind == RequestKind::Decode) else { continue };
+            let Some(job) = self.requests.get(id).filter(|j| j.kind == RequestKind::Decode) else { continue };
             used -= job.memory();
             back.push(*id);
         }
@@ -286,15 +286,16 @@
     /// Puts an answer back into the queue: its prompt and answer so far are read anew.
     pub fn requeue(&mut self, id: u64) {
         self.running.retain(|&r| r != id);
-        if let Some(job) = self.jobs.get_mut(&id) {
-            job.to_read = job.memory();
+        if let Some(job) = self.requests.get_mut(&id) {
+            job.prefill_left = job.memory();
             self.queue.push_front(id);
         }
     }
 
     pub fn hold_state(&mut self, job: &ActiveRequest, now: Duration) -> u64 {
         let state = self.next_id();
-        let held = State { name: job.name.clone(), tokens: job.prompt, taken: false, since: now };
+        let held =
+            State { request_id: job.request_id.clone(), tokens: job.prompt_tokens, taken: false, since: now };
         self.states.insert(state, held);
         state
     }
@@ -343,9 +344,9 @@
         }
         let (mut left, mut reads, mut writes) = (spec.chunk, Vec::new(), Vec::new());
         for &id in &self.running {
-            let Some(job) = self.jobs.get(&id) else { continue };
-            if job.to_read > 0 {
-                let part = job.to_read.min(left);
+            let Some(job) = self.requests.get(&id) else { continue };
+            if job.prefill_left > 0 {
+                let part = job.prefill_left.min(left);
                 if part > 0 {
                     reads.push((id, part));
                     left -= part;
@@ -367,22 +368,22 @@
     }
 
     /// Ends the present step: the jobs that have read their prompt, and those that have made a token.
-    pub fn end_step(&mut self) -> Done {
-        let mut done = Done::default();
+    pub fn end_step(&mut self) -> StepResult {
+        let mut done = StepResult::default();
         let Some(step) = self.step.take() else { return done };
         for (id, part) in step.reads {
-            let Some(job) = self.jobs.get_mut(&id) else { continue };
-            job.to_read -= part.min(job.to_read);
-            if job.to_read > 0 {
+            let Some(job) = self.requests.get_mut(&id) else { continue };
+            job.prefill_left -= part.min(job.prefill_left);
+            if job.prefill_left > 0 {
                 continue;
             }
             let prefixes = std::mem::take(&mut job.prefixes);
             if job.kind == RequestKind::Prefill {
-                done.read.push(id);
+                done.prefilled.push(id);
             }
             self.keep(&prefixes);
         }
-        done.wrote = step.writes;
+        done.decoded = step.writes;
         done
     }
 }
