--- a/crates/cli/tests/repeats.rs
+++ b/crates/cli/tests/repeats.rs
@@ -236,8 +236,8 @@
 fn layout(n: usize, seed: u64, has_mixed: bool) -> EngineLayout {
     let role = match n % 3 {
         _ if has_mixed && n >= 6 => EngineRole::Mixed,
-        0 => EngineRole::Reads,
-        _ => EngineRole::Writes,
+        0 => EngineRole::Prefill,
+        _ => EngineRole::Decode,
     };
     EngineLayout {
         name: format!("e{n}"),
--- a/crates/platform/tests/common/day.rs
+++ b/crates/platform/tests/common/day.rs
@@ -196,8 +196,8 @@
     fn add_engine(&mut self, number: usize) {
         let role = match number % 3 {
             _ if self.settings.has_mixed_engines && number >= 6 => EngineRole::Mixed,
-            0 => EngineRole::Reads,
-            _ => EngineRole::Writes,
+            0 => EngineRole::Prefill,
+            _ => EngineRole::Decode,
         };
         let layout = EngineLayout {
             name: format!("e{number}"),
@@ -357,8 +357,8 @@
             Moves::Place => state.layout.place = place_of(to),
             Moves::Role => {
                 state.layout.role = match state.layout.role {
-                    EngineRole::Reads => EngineRole::Writes,
-                    EngineRole::Writes | EngineRole::Mixed => EngineRole::Reads,
+                    EngineRole::Prefill => EngineRole::Decode,
+                    EngineRole::Decode | EngineRole::Mixed => EngineRole::Prefill,
                 };
             }
             Moves::Address => state.is_moved = !state.is_moved,
--- a/crates/test-servers/src/platform/day_settings.rs
+++ b/crates/test-servers/src/platform/day_settings.rs
@@ -129,8 +129,8 @@
 /// An engine's entry in discovery's list.
 pub fn list_entry(layout: &EngineLayout, address: SocketAddr, status: &str, since: Duration) -> String {
     let kind = match layout.role {
-        EngineRole::Reads => "reads",
-        EngineRole::Writes => "writes",
+        EngineRole::Prefill => "reads",
+        EngineRole::Decode => "writes",
         EngineRole::Mixed => "mixed",
     };
     let (name, Place { zone, cell }) = (&layout.name, &layout.place);
--- a/crates/test-servers/src/platform/hostile_engine.rs
+++ b/crates/test-servers/src/platform/hostile_engine.rs
@@ -55,9 +55,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EngineRole {
     /// Reads prompts.
-    Reads,
+    Prefill,
     /// Writes answers.
-    Writes,
+    Decode,
     /// Does both.
     Mixed,
 }
@@ -227,7 +227,7 @@
             ledger.attempts += 1;
             (AttemptId(ledger.attempts), ledger.states.contains_key(&request))
         };
-        let reads = self.layout.role == EngineRole::Reads;
+        let reads = self.layout.role == EngineRole::Prefill;
         let (engine, place) = (self.layout.name.clone(), self.layout.place.clone());
         self.see(Seen::Arrived { attempt, request: request.clone(), engine, place, reads });
         let fault = self.draw_fault();
@@ -236,7 +236,7 @@
             Some(ExchangeFault::TurnedAwayLate) => return self.turn_away(conn, attempt, 504, out),
             Some(ExchangeFault::ResetAtLastByte) => return self.close(conn, attempt, true, out),
             Some(ExchangeFault::EndAtLastByte) => return self.close(conn, attempt, false, out),
-            _ if self.layout.role == EngineRole::Writes && !has_state => {
+            _ if self.layout.role == EngineRole::Decode && !has_state => {
                 return self.turn_away(conn, attempt, 410, out);
             }
             _ => {}
@@ -274,7 +274,7 @@
             }
             _ => {}
         }
-        if self.layout.role == EngineRole::Reads {
+        if self.layout.role == EngineRole::Prefill {
             lock_ledger(&self.ledger).states.insert(request, self.layout.name.clone());
             self.see(Seen::Over(attempt));
             self.answer(conn, 202, false, out);
