--- a/crates/test-servers/src/client.rs
+++ b/crates/test-servers/src/client.rs
@@ -1,5 +1,6 @@
-//! Clients that follow a script: each request is asked at its time, whatever became of the others (open loop), its
-//! answer is checked to the byte, and what was seen is noted for the rule checker.
+//! Clients that send a scripted list of requests. Each request is sent at its time, whatever became of the
+//! others (open loop), its answer is compared byte by byte, and observations are recorded for the invariant
+//! checker.
 
 use crate::ledger::Ledger;
 use crate::mark::{self, Mark};
@@ -12,106 +13,108 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A client waits so long past its deadline before it calls the answer missing.
-const GRACE: Duration = Duration::from_millis(200);
-/// A stream that says nothing for so long is given up by its client.
-const SILENCE: Duration = Duration::from_secs(60);
+/// How long a client waits past its deadline before it gives up on an answer that has not begun.
+const DEADLINE_GRACE: Duration = Duration::from_millis(200);
+/// How long a stream may deliver nothing before its client gives it up.
+const STREAM_IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// How a client behaves on one request.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub enum ClientBehaviour {
-    /// Asks and takes the answer.
+    /// Sends the request and reads the whole answer.
     #[default]
     Plain,
-    /// Leaves after this time if the answer has not ended.
+    /// Disconnects after this time if the answer is not complete.
     LeavesAfter(Duration),
-    /// Leaves when so many tokens have come.
+    /// Disconnects once this many tokens have arrived.
     LeavesAtToken(u32),
-    /// Sends no more after its request, and reads on.
+    /// Shuts down its sending side after the request and keeps reading.
     HalfCloses,
-    /// Sends one byte each so often.
+    /// Sends the request one byte at a time, at this interval.
     SendsSlowly(Duration),
-    /// Takes nothing for this time once the answer has begun, then goes on.
+    /// Stops reading for this time once the answer has begun, then reads on.
     StopsReading(Duration),
 }
 
 /// One request of the script.
 #[derive(Clone, Debug)]
 pub struct ScriptedRequest {
-    /// When it is asked, on the clock of the run.
+    /// When it is sent, on the clock of the run.
     pub at: Duration,
-    /// Its number; unique.
+    /// Its unique number.
     pub request: u64,
-    /// The model that it names.
+    /// Name of the model.
     pub model: String,
-    /// What it does when it runs, as its class says.
+    /// Whether it is safe to run more than once, as configured for its class.
     pub effect: Effect,
-    /// The key that it is asked with.
+    /// The API key that it is sent with.
     pub key: String,
-    /// Names the session, as `metadata.user_id`.
+    /// The session id, sent as `metadata.user_id`.
     pub session: String,
-    /// The shared beginning, as `system`.
+    /// The prompt prefix that it shares with other requests, sent as `system`.
     pub system: String,
-    /// The text of the prompt, before the mark.
+    /// The text of the prompt, without the marker.
     pub prompt: String,
-    /// Tokens that the answer will have.
+    /// Length of the answer in tokens, unless `max_tokens` is lower.
     pub length: u32,
-    /// Tokens that it may have.
+    /// The most tokens that the answer may have.
     pub max_tokens: u32,
-    /// Whether it asks for a stream.
+    /// Whether the answer is to be streamed.
     pub stream: bool,
     /// How long the client waits for the answer to begin.
     pub patience: Duration,
-    /// How often it tries in all.
+    /// The most attempts, the first included.
     pub max_attempts: u32,
-    /// Its wait before another try, unless it is told one that it honours_retry_after.
+    /// Wait before the next attempt, unless the client honours a `retry-after-ms` of the answer.
     pub backoff: Duration,
-    /// Whether it honours_retry_after `retry-after`.
+    /// Whether the client honours `retry-after-ms`.
     pub honours_retry_after: bool,
-    /// How it behaves.
+    /// How its client behaves.
     pub behaviour: ClientBehaviour,
 }
 
-/// How a try ended, as its client saw it.
+/// The result of an attempt, as its client saw it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AttemptResult {
-    /// Which try.
+    /// Which attempt.
     pub attempt: Try,
-    /// The model asked for.
+    /// Name of the model.
     pub model: String,
-    /// The key asked with.
+    /// The API key.
     pub key: String,
-    /// What the request does when it runs.
+    /// Whether the request is safe to run more than once.
     pub effect: Effect,
-    /// The router asked, as a position among the targets.
+    /// The router that it was sent to, as an index into the targets.
     pub router: usize,
-    /// The final answer; `None` if it left or was cut off.
+    /// How the final answer ended; `None` if the client disconnected or the connection broke.
     pub ending: Option<Ending>,
-    /// Its connection ended before its answer was whole, and not by its own will.
+    /// The connection ended before the answer was complete, and not because the client disconnected.
     pub is_unanswered: bool,
     /// The status of the answer; 0 if there was none.
     pub status: u16,
-    /// The type of the error, if it was one.
+    /// The type of the error; empty if there was none.
     pub error: String,
-    /// When it was due to be asked.
+    /// When the request was scheduled to be sent.
     pub due: Duration,
     /// When the answer began.
     pub began: Option<Duration>,
-    /// When it ended.
+    /// When the attempt ended.
     pub ended: Duration,
-    /// Tokens that came.
+    /// Tokens that were received.
     pub tokens: u32,
-    /// What is wrong with what came, if anything is.
+    /// What is wrong with the answer, if anything is.
     pub fault: Option<String>,
-    /// What the client was told to wait.
+    /// The wait that the answer asked for in `retry-after-ms`.
     pub retry_after: Option<Duration>,
-    /// What the client was told of trying again.
+    /// The value of `x-should-retry`.
     pub should_retry: Option<bool>,
 }
 
-struct Open {
-    plan: usize,
-    what: Try,
+/// An attempt in progress.
+struct Exchange {
+    /// Index of its request in the script.
+    script_index: usize,
+    attempt: Try,
     due: Duration,
     deadline: Duration,
     target: usize,
@@ -124,10 +127,10 @@
     body: Vec<u8>,
     text: String,
     tokens: u32,
-    /// Grammar of the events: how far the message has come.
-    place: Place,
+    /// Position in the grammar of the event stream.
+    position: StreamPosition,
     began: Option<Duration>,
-    heard: Duration,
+    last_data_at: Duration,
     error: Option<String>,
     fault: Option<String>,
     stop_reason: Option<String>,
@@ -137,8 +140,9 @@
     was_paused: bool,
 }
 
+/// Which event of a streamed message came last.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Place {
+enum StreamPosition {
     Start,
     Message,
     Block(usize),
@@ -146,101 +150,106 @@
     Stop,
 }
 
-enum Alarm {
-    Ask { plan: usize, number: u32, due: Duration },
-    Check(ConnId),
+/// What to do when a timer is due.
+enum Timer {
+    SendAttempt { script_index: usize, number: u32, due: Duration },
+    CheckTimeouts(ConnId),
     SendByte(ConnId),
 }
 
-/// A crowd of clients that follows a script.
+/// Clients that send a scripted list of requests.
 pub struct Clients {
-    plans: Vec<ScriptedRequest>,
+    script: Vec<ScriptedRequest>,
     targets: Vec<SocketAddr>,
     ledger: Ledger,
-    alarms: BTreeMap<(Duration, u64), Alarm>,
-    next: u64,
-    open: BTreeMap<ConnId, Open>,
+    timers: BTreeMap<(Duration, u64), Timer>,
+    next_id: u64,
+    exchanges: BTreeMap<ConnId, Exchange>,
     results: Vec<AttemptResult>,
-    /// Connections that are kept for the next request, by target.
+    /// Idle connections that are kept for later requests, by target.
     idle: Vec<VecDeque<ConnId>>,
     keeps_alive: bool,
+    /// Requests that have not ended.
     left: usize,
     stopped: bool,
 }
 
 impl Clients {
-    /// Clients of routers at `targets`. With `keeps_alive` connections are used again.
+    /// Clients of the routers at `targets`. With `keeps_alive` they reuse their connections.
     pub fn new(
-        plans: Vec<ScriptedRequest>, targets: Vec<SocketAddr>, ledger: Ledger, keeps_alive: bool,
+        script: Vec<ScriptedRequest>, targets: Vec<SocketAddr>, ledger: Ledger, keeps_alive: bool,
     ) -> Self {
         let mut clients = Clients {
-            left: plans.len(),
+            left: script.len(),
             idle: targets.iter().map(|_| VecDeque::new()).collect(),
-            plans,
+            script,
             targets,
             ledger,
-            alarms: BTreeMap::new(),
-            next: 0,
-            open: BTreeMap::new(),
+            timers: BTreeMap::new(),
+            next_id: 0,
+            exchanges: BTreeMap::new(),
             results: Vec::new(),
             keeps_alive,
             stopped: false,
         };
-        for plan in 0..clients.plans.len() {
-            let at = clients.plans[plan].at;
-            clients.alarm(at, Alarm::Ask { plan, number: 0, due: at });
+        for script_index in 0..clients.script.len() {
+            let at = clients.script[script_index].at;
+            clients.set_timer(at, Timer::SendAttempt { script_index, number: 0, due: at });
         }
         clients
     }
 
-    /// How the tries ended so far, in the order of their ends.
+    /// The results of all attempts that have ended, in the order in which they ended.
     pub fn results(&self) -> &[AttemptResult] {
         &self.results
     }
 
-    /// Requests that are not over.
+    /// Number of requests that have not ended.
     pub fn left(&self) -> usize {
         self.left
     }
 
-    fn alarm(&mut self, at: Duration, alarm: Alarm) {
-        self.next += 1;
-        self.alarms.insert((at, self.next), alarm);
+    fn set_timer(&mut self, at: Duration, timer: Timer) {
+        self.next_id += 1;
+        self.timers.insert((at, self.next_id), timer);
     }
 
-    fn ask(&mut self, now: Duration, plan: usize, number: u32, due: Duration, out: &mut Vec<Output>) {
-        let p = &self.plans[plan];
-        let what = Try { request: p.request, number };
-        let mark = Mark { attempt: what, length: p.length, effect: p.effect };
-        let content = format!("{} {}", p.prompt, mark.text());
+    fn start_attempt(
+        &mut self, now: Duration, script_index: usize, number: u32, due: Duration, out: &mut Vec<Output>,
+    ) {
+        let scripted = &self.script[script_index];
+        let what = Try { request: scripted.request, number };
+        let mark = Mark { attempt: what, length: scripted.length, effect: scripted.effect };
+        let content = format!("{} {}", scripted.prompt, mark.text());
         let body = json!({
-            "model": p.model, "max_tokens": p.max_tokens, "stream": p.stream, "system": p.system,
-            "metadata": {"user_id": p.session}, "messages": [{"role": "user", "content": content}],
+            "model": scripted.model, "max_tokens": scripted.max_tokens, "stream": scripted.stream,
+            "system": scripted.system, "metadata": {"user_id": scripted.session},
+            "messages": [{"role": "user", "content": content}],
         })
         .to_string();
-        let (timeout, retries) = (p.patience.as_secs_f64().to_string(), number.to_string());
-        let key = format!("k{}", p.request);
+        let (timeout, retries) = (scripted.patience.as_secs_f64().to_string(), number.to_string());
+        let key = format!("k{}", scripted.request);
         let mut fields = vec![
             ("host", "slipreel"),
             ("content-type", "application/json"),
-            ("x-api-key", p.key.as_str()),
+            ("x-api-key", scripted.key.as_str()),
             ("x-stainless-timeout", timeout.as_str()),
             ("x-stainless-retry-count", retries.as_str()),
         ];
-        if p.effect == Effect::Keyed {
+        if scripted.effect == Effect::Keyed {
             fields.push(("idempotency-key", key.as_str()));
         }
         let mut request = http::request_head("POST", "/v1/messages", &fields, Framing::Length(body.len()));
         request.extend_from_slice(body.as_bytes());
-        // Another try goes elsewhere: the router that was asked first may be gone.
-        let target = (p.request as usize + number as usize) % self.targets.len();
-        let (effect, deadline) = (p.effect, now + p.patience);
-        let plain = matches!(p.behaviour, ClientBehaviour::Plain);
+        // A retry goes to another router: the first one may be gone.
+        let target = (scripted.request as usize + number as usize) % self.targets.len();
+        let (effect, deadline) = (scripted.effect, now + scripted.patience);
+        let is_plain = matches!(scripted.behaviour, ClientBehaviour::Plain);
         self.ledger.note(now, Seen::Asked { what, effect, deadline });
         let limits = Limits { body: u64::MAX, ..Limits::default() };
-        let open = Open {
-            plan,
-            what,
+        let exchange = Exchange {
+            script_index,
+            attempt: what,
             due,
             deadline,
             target,
@@ -253,9 +262,9 @@
             body: Vec::new(),
             text: String::new(),
             tokens: 0,
-            place: Place::Start,
+            position: StreamPosition::Start,
             began: None,
-            heard: now,
+            last_data_at: now,
             error: None,
             fault: None,
             stop_reason: None,
@@ -264,15 +273,15 @@
             paused_until: None,
             was_paused: false,
         };
-        let reused = if plain && self.keeps_alive { self.idle[target].pop_back() } else { None };
+        let reused = if is_plain && self.keeps_alive { self.idle[target].pop_back() } else { None };
         let conn = reused.unwrap_or_else(|| {
-            self.next += 1;
-            ConnId::opened(self.next)
+            self.next_id += 1;
+            ConnId::opened(self.next_id)
         });
-        self.open.insert(conn, open);
-        self.alarm(deadline + GRACE, Alarm::Check(conn));
-        if let ClientBehaviour::LeavesAfter(after) = self.plans[plan].behaviour {
-            self.alarm(now + after, Alarm::Check(conn));
+        self.exchanges.insert(conn, exchange);
+        self.set_timer(deadline + DEADLINE_GRACE, Timer::CheckTimeouts(conn));
+        if let ClientBehaviour::LeavesAfter(after) = self.script[script_index].behaviour {
+            self.set_timer(now + after, Timer::CheckTimeouts(conn));
         }
         match reused {
             Some(_) => self.send(now, conn, out),
@@ -281,240 +290,254 @@
     }
 
     fn send(&mut self, now: Duration, conn: ConnId, out: &mut Vec<Output>) {
-        let Some(open) = self.open.get_mut(&conn) else { return };
-        if let ClientBehaviour::SendsSlowly(_) = self.plans[open.plan].behaviour {
-            return self.alarm(now, Alarm::SendByte(conn));
+        let Some(exchange) = self.exchanges.get_mut(&conn) else { return };
+        if let ClientBehaviour::SendsSlowly(_) = self.script[exchange.script_index].behaviour {
+            return self.set_timer(now, Timer::SendByte(conn));
         }
-        out.push(Output::Write(conn, std::mem::take(&mut open.request)));
+        out.push(Output::Write(conn, std::mem::take(&mut exchange.request)));
     }
 
     fn send_byte(&mut self, now: Duration, conn: ConnId, out: &mut Vec<Output>) {
-        let Some(open) = self.open.get_mut(&conn) else { return };
-        let ClientBehaviour::SendsSlowly(each) = self.plans[open.plan].behaviour else { return };
-        if !open.request.is_empty() {
-            out.push(Output::Write(conn, vec![open.request.remove(0)]));
-            self.alarm(now + each, Alarm::SendByte(conn));
+        let Some(exchange) = self.exchanges.get_mut(&conn) else { return };
+        let ClientBehaviour::SendsSlowly(interval) = self.script[exchange.script_index].behaviour else {
+            return;
+        };
+        if !exchange.request.is_empty() {
+            out.push(Output::Write(conn, vec![exchange.request.remove(0)]));
+            self.set_timer(now + interval, Timer::SendByte(conn));
         }
     }
 
-    fn data(&mut self, now: Duration, conn: ConnId, bytes: &[u8], out: &mut Vec<Output>) {
-        let Some(open) = self.open.get_mut(&conn) else {
+    fn receive(&mut self, now: Duration, conn: ConnId, bytes: &[u8], out: &mut Vec<Output>) {
+        let Some(exchange) = self.exchanges.get_mut(&conn) else {
             return;
         };
-        open.heard = now;
-        open.decoder.feed(bytes);
+        exchange.last_data_at = now;
+        exchange.decoder.feed(bytes);
         loop {
-            let Some(open) = self.open.get_mut(&conn) else { return };
-            match open.decoder.next_item() {
+            let Some(exchange) = self.exchanges.get_mut(&conn) else { return };
+            match exchange.decoder.next_item() {
                 Ok(Some(Item::Head(head))) => {
                     let Start::Response { status } = head.start else { return };
                     if status < 200 {
                         continue;
                     }
-                    open.status = status;
+                    exchange.status = status;
                     let epoch = head.get("x-slipreel-policy").and_then(|e| e.parse().ok());
                     let (router, on) =
-                        (format!("r{}", open.target), slipreel_invariants::policy::On::Answer(status));
-                    self.ledger.note(now, Seen::Stamped { router, what: open.what, epoch, on });
-                    open.stream = head.get("content-type") == Some("text/event-stream");
-                    let ms = |name: &str| head.get(name).and_then(|v| v.parse::<u64>().ok());
-                    open.retry_after = ms("retry-after-ms").map(Duration::from_millis);
-                    open.should_retry = head.get("x-should-retry").and_then(|v| v.parse().ok());
-                    if status == 200 && open.began.is_none() {
-                        open.began = Some(now);
-                        self.ledger.note(now, Seen::Began(open.what));
-                        let habit = &self.plans[open.plan].behaviour;
-                        if let (ClientBehaviour::StopsReading(time), false) = (habit, open.was_paused) {
-                            (open.paused_until, open.was_paused) = (Some(now + *time), true);
+                        (format!("r{}", exchange.target), slipreel_invariants::policy::On::Answer(status));
+                    self.ledger.note(now, Seen::Stamped { router, what: exchange.attempt, epoch, on });
+                    exchange.stream = head.get("content-type") == Some("text/event-stream");
+                    let number_field = |name: &str| head.get(name).and_then(|v| v.parse::<u64>().ok());
+                    exchange.retry_after = number_field("retry-after-ms").map(Duration::from_millis);
+                    exchange.should_retry = head.get("x-should-retry").and_then(|v| v.parse().ok());
+                    if status == 200 && exchange.began.is_none() {
+                        exchange.began = Some(now);
+                        self.ledger.note(now, Seen::Began(exchange.attempt));
+                        let behaviour = &self.script[exchange.script_index].behaviour;
+                        if let (ClientBehaviour::StopsReading(time), false) = (behaviour, exchange.was_paused)
+                        {
+                            (exchange.paused_until, exchange.was_paused) = (Some(now + *time), true);
                             out.push(Output::Pause(conn));
                             let at = now + *time;
-                            self.alarm(at, Alarm::Check(conn));
+                            self.set_timer(at, Timer::CheckTimeouts(conn));
                         }
                     }
                 }
-                Ok(Some(Item::Body(piece))) if open.stream => {
+                Ok(Some(Item::Body(piece))) if exchange.stream => {
                     let mut events = Vec::new();
-                    if open.events.feed(&piece, &mut events).is_err() {
-                        open.fault = Some("an event is too long".into());
+                    if exchange.events.feed(&piece, &mut events).is_err() {
+                        exchange.fault = Some("an event is too long".into());
                     }
-                    events.iter().for_each(|e| open.event(e));
-                    if let ClientBehaviour::LeavesAtToken(n) = self.plans[open.plan].behaviour {
-                        if open.tokens >= n {
-                            return self.leave(now, conn, out);
+                    events.iter().for_each(|e| exchange.take_event(e));
+                    if let ClientBehaviour::LeavesAtToken(n) = self.script[exchange.script_index].behaviour {
+                        if exchange.tokens >= n {
+                            return self.disconnect(now, conn, out);
                         }
                     }
                 }
-                Ok(Some(Item::Body(piece))) => open.body.extend_from_slice(&piece),
-                Ok(Some(Item::End)) => return self.whole(now, conn, out),
+                Ok(Some(Item::Body(piece))) => exchange.body.extend_from_slice(&piece),
+                Ok(Some(Item::End)) => return self.complete(now, conn, out),
                 Ok(None) => return,
                 Err(why) => {
-                    open.fault = Some(format!("the answer is not HTTP: {why}"));
+                    exchange.fault = Some(format!("the answer is not HTTP: {why}"));
                     out.push(Output::Abort(conn));
-                    return self.over(now, conn, None);
+                    return self.finish(now, conn, None);
                 }
             }
         }
     }
 
-    /// The answer's end has come.
-    fn whole(&mut self, now: Duration, conn: ConnId, out: &mut Vec<Output>) {
-        let Some(open) = self.open.get_mut(&conn) else { return };
-        let plan = &self.plans[open.plan];
-        let target = open.target;
-        let ending = open.ending(plan);
-        let again = plan.behaviour == ClientBehaviour::Plain
+    /// Handles the end of a complete answer.
+    fn complete(&mut self, now: Duration, conn: ConnId, out: &mut Vec<Output>) {
+        let Some(exchange) = self.exchanges.get_mut(&conn) else { return };
+        let scripted = &self.script[exchange.script_index];
+        let target = exchange.target;
+        let ending = exchange.evaluate(scripted);
+        let may_reuse = scripted.behaviour == ClientBehaviour::Plain
             && self.keeps_alive
-            && open.error.is_none()
-            && open.decoder.idle();
+            && exchange.error.is_none()
+            && exchange.decoder.idle();
         let idle = &mut self.idle[target];
-        if again && open.status != 0 && idle.len() < 256 {
+        if may_reuse && exchange.status != 0 && idle.len() < 256 {
             idle.push_back(conn);
         } else {
             out.push(Output::CloseWhenSent(conn));
         }
-        self.over(now, conn, Some(ending));
+        self.finish(now, conn, Some(ending));
     }
 
-    fn leave(&mut self, now: Duration, conn: ConnId, out: &mut Vec<Output>) {
-        if let Some(open) = self.open.get(&conn) {
-            self.ledger.note(now, Seen::Left(open.what));
+    fn disconnect(&mut self, now: Duration, conn: ConnId, out: &mut Vec<Output>) {
+        if let Some(exchange) = self.exchanges.get(&conn) {
+            self.ledger.note(now, Seen::Left(exchange.attempt));
             out.push(Output::Abort(conn));
-            self.over(now, conn, None);
+            self.finish(now, conn, None);
         }
     }
 
-    /// The connection is over before the answer was whole.
-    fn cut(&mut self, now: Duration, conn: ConnId, why: ConnectionLoss) {
+    /// Handles the end of a connection, possibly before its answer was complete.
+    fn connection_ended(&mut self, now: Duration, conn: ConnId, why: ConnectionLoss) {
         for idle in &mut self.idle {
             idle.retain(|&c| c != conn);
         }
-        let Some(open) = self.open.get_mut(&conn) else { return };
+        let Some(exchange) = self.exchanges.get_mut(&conn) else { return };
         match why {
-            // Nobody took the request: for the rules it was never asked.
+            // No router accepted the request, so the invariants expect no answer to it.
             ConnectionLoss::NotConnected | ConnectionLoss::Exhausted => {
-                self.ledger.note(now, Seen::Left(open.what));
+                self.ledger.note(now, Seen::Left(exchange.attempt));
             }
-            // It has said that it sends no more: a router may take that for leaving.
-            ConnectionLoss::Reset if self.plans[open.plan].behaviour == ClientBehaviour::HalfCloses => {
-                self.ledger.note(now, Seen::Left(open.what));
+            // A router may take the shutdown of the sending side for a client that has left.
+            ConnectionLoss::Reset
+                if self.script[exchange.script_index].behaviour == ClientBehaviour::HalfCloses =>
+            {
+                self.ledger.note(now, Seen::Left(exchange.attempt));
             }
             ConnectionLoss::Reset => {
-                open.is_unanswered = true;
-                self.ledger.note(now, Seen::Cut(open.what));
+                exchange.is_unanswered = true;
+                self.ledger.note(now, Seen::Cut(exchange.attempt));
             }
         }
-        open.error.get_or_insert(format!("{why:?}"));
-        self.over(now, conn, None);
+        exchange.error.get_or_insert(format!("{why:?}"));
+        self.finish(now, conn, None);
     }
 
-    fn over(&mut self, now: Duration, conn: ConnId, ending: Option<Ending>) {
-        let Some(open) = self.open.remove(&conn) else { return };
+    fn finish(&mut self, now: Duration, conn: ConnId, ending: Option<Ending>) {
+        let Some(exchange) = self.exchanges.remove(&conn) else { return };
         if let Some(ending) = ending {
-            self.ledger.note(now, Seen::Ended(open.what, ending));
+            self.ledger.note(now, Seen::Ended(exchange.attempt, ending));
         }
-        let plan = &self.plans[open.plan];
-        let number = open.what.number + 1;
-        let may_repeat = open.should_retry != Some(false)
+        let scripted = &self.script[exchange.script_index];
+        let number = exchange.attempt.number + 1;
+        let may_repeat = exchange.should_retry != Some(false)
             && match ending {
                 Some(Ending::Served) => false,
                 Some(Ending::Refused) => true,
-                Some(Ending::Failed) => plan.effect != Effect::Unsafe && open.status >= 500,
-                // It left by its own will, or its router died with the request.
+                Some(Ending::Failed) => scripted.effect != Effect::Unsafe && exchange.status >= 500,
+                // The client disconnected, or its router died with the request.
                 None => {
-                    plan.behaviour == ClientBehaviour::Plain
-                        && (plan.effect != Effect::Unsafe || open.error.as_deref() == Some("NotConnected"))
+                    scripted.behaviour == ClientBehaviour::Plain
+                        && (scripted.effect != Effect::Unsafe
+                            || exchange.error.as_deref() == Some("NotConnected"))
                 }
             };
-        if may_repeat && number < plan.max_attempts {
-            let told = open.retry_after.filter(|_| plan.honours_retry_after);
-            let at = now + told.unwrap_or(plan.backoff);
-            let due = open.due;
-            self.alarm(at, Alarm::Ask { plan: open.plan, number, due });
+        if may_repeat && number < scripted.max_attempts {
+            let requested_wait = exchange.retry_after.filter(|_| scripted.honours_retry_after);
+            let at = now + requested_wait.unwrap_or(scripted.backoff);
+            let due = exchange.due;
+            self.set_timer(at, Timer::SendAttempt { script_index: exchange.script_index, number, due });
         } else {
             self.left -= 1;
         }
-        let plan = &self.plans[open.plan];
+        let scripted = &self.script[exchange.script_index];
         self.results.push(AttemptResult {
-            attempt: open.what,
-            model: plan.model.clone(),
-            key: plan.key.clone(),
-            effect: plan.effect,
-            router: open.target,
+            attempt: exchange.attempt,
+            model: scripted.model.clone(),
+            key: scripted.key.clone(),
+            effect: scripted.effect,
+            router: exchange.target,
             ending,
-            is_unanswered: open.is_unanswered,
-            status: open.status,
-            error: open.error.unwrap_or_default(),
-            due: open.due,
-            began: open.began,
+            is_unanswered: exchange.is_unanswered,
+            status: exchange.status,
+            error: exchange.error.unwrap_or_default(),
+            due: exchange.due,
+            began: exchange.began,
             ended: now,
-            tokens: open.tokens,
-            fault: open.fault,
-            retry_after: open.retry_after,
-            should_retry: open.should_retry,
+            tokens: exchange.tokens,
+            fault: exchange.fault,
+            retry_after: exchange.retry_after,
+            should_retry: exchange.should_retry,
         });
     }
 
-    fn check(&mut self, now: Duration, conn: ConnId, out: &mut Vec<Output>) {
-        let Some(open) = self.open.get_mut(&conn) else { return };
-        if open.paused_until.is_some_and(|at| at <= now) {
-            open.paused_until = None;
+    fn check_timeouts(&mut self, now: Duration, conn: ConnId, out: &mut Vec<Output>) {
+        let Some(exchange) = self.exchanges.get_mut(&conn) else { return };
+        if exchange.paused_until.is_some_and(|at| at <= now) {
+            exchange.paused_until = None;
             out.push(Output::Resume(conn));
         }
-        let asked = open.deadline.saturating_sub(self.plans[open.plan].patience);
-        let leaves = match self.plans[open.plan].behaviour {
-            ClientBehaviour::LeavesAfter(after) => now >= asked + after,
+        let sent_at = exchange.deadline.saturating_sub(self.script[exchange.script_index].patience);
+        let disconnects = match self.script[exchange.script_index].behaviour {
+            ClientBehaviour::LeavesAfter(after) => now >= sent_at + after,
             _ => false,
         };
-        let late = open.began.is_none() && now >= open.deadline + GRACE;
-        let silent = open.began.is_some() && open.paused_until.is_none() && now >= open.heard + SILENCE;
-        if leaves || late || silent {
-            return self.leave(now, conn, out);
+        let late = exchange.began.is_none() && now >= exchange.deadline + DEADLINE_GRACE;
+        let silent = exchange.began.is_some()
+            && exchange.paused_until.is_none()
+            && now >= exchange.last_data_at + STREAM_IDLE_TIMEOUT;
+        if disconnects || late || silent {
+            return self.disconnect(now, conn, out);
         }
-        let next = if open.began.is_some() { open.heard.max(now) + SILENCE } else { open.deadline + GRACE };
-        self.alarm(next, Alarm::Check(conn));
+        let next = if exchange.began.is_some() {
+            exchange.last_data_at.max(now) + STREAM_IDLE_TIMEOUT
+        } else {
+            exchange.deadline + DEADLINE_GRACE
+        };
+        self.set_timer(next, Timer::CheckTimeouts(conn));
     }
 }
 
-impl Open {
-    /// Takes one event of a stream, and checks that it may stand where it does.
-    fn event(&mut self, event: &sse::Event) {
+impl Exchange {
+    /// Handles one event of a stream and checks that it is allowed at this position.
+    fn take_event(&mut self, event: &sse::Event) {
         let Ok(data) = serde_json::from_str::<Value>(&event.data) else {
-            return self.wrong(format!("an event that is no JSON: {}", event.data));
+            return self.record_fault(format!("an event that is not JSON: {}", event.data));
         };
         if data["type"] != event.name {
-            self.wrong(format!("event {} of type {}", event.name, data["type"]));
+            self.record_fault(format!("event {} has type {}", event.name, data["type"]));
         }
         let index = data["index"].as_u64().map(|i| i as usize);
-        match (event.name.as_str(), self.place) {
+        match (event.name.as_str(), self.position) {
             ("ping", _) => {}
-            ("message_start", Place::Start) => self.place = Place::Message,
-            ("content_block_start", Place::Message) if index.is_some() => {
-                self.place = Place::Block(index.unwrap_or(0));
+            ("message_start", StreamPosition::Start) => self.position = StreamPosition::Message,
+            ("content_block_start", StreamPosition::Message) if index.is_some() => {
+                self.position = StreamPosition::Block(index.unwrap_or(0));
             }
-            ("content_block_delta", Place::Block(at)) if index == Some(at) => {
+            ("content_block_delta", StreamPosition::Block(at)) if index == Some(at) => {
                 if let Some(text) = data["delta"]["text"].as_str() {
                     self.text.push_str(text);
                     self.tokens += 1;
                 }
             }
-            ("content_block_stop", Place::Block(at)) if index == Some(at) => self.place = Place::Message,
-            ("message_delta", Place::Message) => {
-                self.place = Place::Delta;
+            ("content_block_stop", StreamPosition::Block(at)) if index == Some(at) => {
+                self.position = StreamPosition::Message;
+            }
+            ("message_delta", StreamPosition::Message) => {
+                self.position = StreamPosition::Delta;
                 self.stop_reason = data["delta"]["stop_reason"].as_str().map(str::to_owned);
             }
-            ("message_stop", Place::Delta) => self.place = Place::Stop,
+            ("message_stop", StreamPosition::Delta) => self.position = StreamPosition::Stop,
             ("error", _) => {
                 self.error = Some(data["error"]["type"].as_str().unwrap_or("?").to_owned());
             }
-            (name, place) => self.wrong(format!("event {name} in {place:?}")),
+            (name, position) => self.record_fault(format!("unexpected event {name} in state {position:?}")),
         }
     }
 
-    fn wrong(&mut self, what: String) {
-        self.fault.get_or_insert(what);
+    fn record_fault(&mut self, fault: String) {
+        self.fault.get_or_insert(fault);
     }
 
-    fn ending(&mut self, plan: &ScriptedRequest) -> Ending {
+    fn evaluate(&mut self, scripted: &ScriptedRequest) -> Ending {
         if self.status == 200 && !self.stream {
             let value: Value = serde_json::from_slice(&self.body).unwrap_or_default();
             self.text = value["content"][0]["text"].as_str().unwrap_or_default().to_owned();
@@ -524,25 +547,29 @@
             let value: Value = serde_json::from_slice(&self.body).unwrap_or_default();
             self.error = Some(value["error"]["type"].as_str().unwrap_or("?").to_owned());
         }
-        let expected = mark::answer(plan.request, plan.length.min(plan.max_tokens));
+        let expected = mark::answer(scripted.request, scripted.length.min(scripted.max_tokens));
         if self.error.is_some() {
             if self.status == 200 && !expected.starts_with(&self.text) {
-                self.wrong("the text before the failure is not the beginning of the answer".into());
+                self.record_fault("the text before the error is not a prefix of the expected answer".into());
             }
-            if self.place == Place::Stop {
-                self.wrong("a failure after a finish".into());
+            if self.position == StreamPosition::Stop {
+                self.record_fault("an error after the end of the message".into());
             }
             return if matches!(self.status, 429 | 529) { Ending::Refused } else { Ending::Failed };
         }
-        if self.stream && self.place != Place::Stop {
-            self.wrong(format!("the stream ended in {:?}", self.place));
+        if self.stream && self.position != StreamPosition::Stop {
+            self.record_fault(format!("the stream ended in state {:?}", self.position));
         }
         if self.text != expected {
-            self.wrong(format!("{} bytes of text where {} were expected", self.text.len(), expected.len()));
+            self.record_fault(format!(
+                "{} bytes of text where {} were expected",
+                self.text.len(),
+                expected.len()
+            ));
         }
-        let reason = if plan.length >= plan.max_tokens { "max_tokens" } else { "end_turn" };
+        let reason = if scripted.length >= scripted.max_tokens { "max_tokens" } else { "end_turn" };
         if self.stop_reason.as_deref() != Some(reason) {
-            self.wrong(format!("stop reason {:?}, expected {reason}", self.stop_reason));
+            self.record_fault(format!("stop reason {:?}, expected {reason}", self.stop_reason));
         }
         Ending::Served
     }
@@ -553,17 +580,18 @@
         match input {
             Input::Connected(conn) => {
                 self.send(now, conn, out);
-                let half = |o: &Open| self.plans[o.plan].behaviour == ClientBehaviour::HalfCloses;
-                if self.open.get(&conn).is_some_and(half) {
+                let half_closes =
+                    |o: &Exchange| self.script[o.script_index].behaviour == ClientBehaviour::HalfCloses;
+                if self.exchanges.get(&conn).is_some_and(half_closes) {
                     out.push(Output::ShutdownWrite(conn));
                 }
             }
-            Input::Data(conn, bytes) => self.data(now, conn, bytes, out),
+            Input::Data(conn, bytes) => self.receive(now, conn, bytes, out),
             Input::Eof(conn) => {
                 out.push(Output::CloseWhenSent(conn));
-                self.cut(now, conn, ConnectionLoss::Reset);
+                self.connection_ended(now, conn, ConnectionLoss::Reset);
             }
-            Input::Lost(conn, why) => self.cut(now, conn, why),
+            Input::Lost(conn, why) => self.connection_ended(now, conn, why),
             Input::Stop => self.left = 0,
             Input::Accepted(..)
             | Input::Sent(..)
@@ -573,14 +601,16 @@
             | Input::Datagram(..)
             | Input::OwnerMessage(_) => {}
         }
-        while let Some((&(at, n), _)) = self.alarms.first_key_value() {
+        while let Some((&(at, n), _)) = self.timers.first_key_value() {
             if at > now {
                 break;
             }
-            match self.alarms.remove(&(at, n)) {
-                Some(Alarm::Ask { plan, number, due }) => self.ask(now, plan, number, due, out),
-                Some(Alarm::Check(conn)) => self.check(now, conn, out),
-                Some(Alarm::SendByte(conn)) => self.send_byte(now, conn, out),
+            match self.timers.remove(&(at, n)) {
+                Some(Timer::SendAttempt { script_index, number, due }) => {
+                    self.start_attempt(now, script_index, number, due, out);
+                }
+                Some(Timer::CheckTimeouts(conn)) => self.check_timeouts(now, conn, out),
+                Some(Timer::SendByte(conn)) => self.send_byte(now, conn, out),
                 None => {}
             }
         }
@@ -594,6 +624,6 @@
         if self.left == 0 {
             return None;
         }
-        self.alarms.first_key_value().map(|((at, _), _)| *at)
+        self.timers.first_key_value().map(|((at, _), _)| *at)
     }
 }
--- a/crates/test-servers/src/engine/faults.rs
+++ b/crates/test-servers/src/engine/faults.rs
@@ -1,64 +1,66 @@
-//! What can be made to go wrong at an engine.
+//! Faults that can be injected into an engine.
 
 use std::time::Duration;
 
-/// News for an engine: a trouble begins, changes or ends.
+/// Owner message for an engine: a fault begins, changes or ends.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Fault {
-    /// It works this many times slower; 1 ends it.
+    /// Steps take this many times as long; 1 ends the fault.
     Slow(f64),
-    /// Its answers to work never arrive, though the work is done; probes are answered.
+    /// Requests are executed but never answered; probes are answered.
     AnswersLost(bool),
-    /// It takes connections and says nothing at all.
+    /// It accepts connections but neither reads requests nor answers.
     Unresponsive(bool),
-    /// It turns away prompts that hold this text as if it were full; `None` ends it.
+    /// It rejects prompts that contain this text as if it were full; `None` ends the fault.
     Throttle(Option<String>),
-    /// Its load reports are so old.
+    /// Its load reports are out of date by this much.
     ReportDelay(Duration),
-    /// A new connection is not served before this time has passed.
+    /// It serves a new connection only after this delay.
     HandshakeDelay(Duration),
-    /// It answers garbage; `None` ends it.
+    /// It sends malformed answers; `None` ends the fault.
     Garbage(Option<Garbage>),
-    /// It closes a connection in the moment that a request arrives on it.
+    /// It aborts a connection as soon as a request arrives on it.
     ClosesOnUse(bool),
-    /// All its connections break, once.
+    /// It aborts all present connections, once.
     DropConnections,
-    /// All is well again.
+    /// Ends all faults.
     Clear,
 }
 
-/// Kinds of garbage.
+/// Kinds of malformed answers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Garbage {
-    /// Bytes that are no HTTP.
+    /// Bytes that are not HTTP.
     NotHttp,
-    /// A head that never ends.
+    /// A head without an end.
     EndlessHead,
-    /// A length that is longer than what comes.
+    /// A content length that is larger than the body.
     WrongLength,
-    /// A chunk whose size is no number.
+    /// A chunk whose size is not a number.
     BrokenChunk,
-    /// Two lengths.
+    /// Two content lengths.
     TwoLengths,
-    /// The stream breaks after its first token.
+    /// The stream ends after its first token.
     BreaksAfterFirst,
-    /// The stream breaks after its last token and before its end mark.
+    /// The stream ends before its last token and without `[DONE]`.
     BreaksBeforeEnd,
-    /// The stream breaks after all of the answer, its reason to end included, and before its end mark.
+    /// The stream ends after the whole answer, finish reason included, but without `[DONE]`.
     BreaksBeforeMark,
-    /// The stream stops in the midst and the connection stays.
+    /// The stream stops midway and the connection stays open.
     StopsInMidst,
-    /// An event of the stream is no JSON.
+    /// An event of the stream is not JSON.
     BadEvent,
 }
 
 impl Garbage {
+    /// Whether it replaces the head of the answer.
     pub(super) fn before_head(self) -> bool {
         matches!(self, Garbage::NotHttp | Garbage::EndlessHead | Garbage::WrongLength | Garbage::TwoLengths)
     }
 
-    /// Whether it takes the place of this token's events.
-    pub(super) fn spoils(self, begins: bool, last: bool) -> bool {
+    /// Whether it replaces the events of a token. `begins`: the first token of the answer; `last`: the last
+    /// one.
+    pub(super) fn replaces_token(self, begins: bool, last: bool) -> bool {
         match self {
             Garbage::BreaksAfterFirst | Garbage::StopsInMidst | Garbage::BrokenChunk | Garbage::BadEvent => {
                 !begins
@@ -69,10 +71,12 @@
         }
     }
 
+    /// Whether the connection stays open afterwards.
     pub(super) fn hangs(self) -> bool {
         self == Garbage::StopsInMidst
     }
 
+    /// The malformed bytes; empty where the answer is only cut short.
     pub(super) fn bytes(self) -> Vec<u8> {
         match self {
             Garbage::NotHttp => b"\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03 not http\r\n\r\n".to_vec(),
@@ -95,14 +99,15 @@
     }
 }
 
+/// The faults that are active at an engine.
 #[derive(Clone, Debug)]
 pub(super) struct Faults {
-    pub(super) slow: f64,
+    pub(super) slowdown: f64,
     pub(super) answers_lost: bool,
-    pub(super) deaf: bool,
-    throttle: Option<String>,
-    pub(super) report_late: Duration,
-    pub(super) handshake: Duration,
+    pub(super) unresponsive: bool,
+    rejected_text: Option<String>,
+    pub(super) report_delay: Duration,
+    pub(super) handshake_delay: Duration,
     pub(super) garbage: Option<Garbage>,
     pub(super) closes_on_use: bool,
 }
@@ -110,12 +115,12 @@
 impl Default for Faults {
     fn default() -> Self {
         Faults {
-            slow: 1.0,
+            slowdown: 1.0,
             answers_lost: false,
-            deaf: false,
-            throttle: None,
-            report_late: Duration::ZERO,
-            handshake: Duration::ZERO,
+            unresponsive: false,
+            rejected_text: None,
+            report_delay: Duration::ZERO,
+            handshake_delay: Duration::ZERO,
             garbage: None,
             closes_on_use: false,
         }
@@ -123,14 +128,15 @@
 }
 
 impl Faults {
-    pub(super) fn set(&mut self, fault: &Fault) {
+    /// Applies a fault message.
+    pub(super) fn apply(&mut self, fault: &Fault) {
         match fault {
-            Fault::Slow(times) => self.slow = times.max(0.01),
+            Fault::Slow(factor) => self.slowdown = factor.max(0.01),
             Fault::AnswersLost(on) => self.answers_lost = *on,
-            Fault::Unresponsive(on) => self.deaf = *on,
-            Fault::Throttle(text) => self.throttle = text.clone(),
-            Fault::ReportDelay(by) => self.report_late = *by,
-            Fault::HandshakeDelay(by) => self.handshake = *by,
+            Fault::Unresponsive(on) => self.unresponsive = *on,
+            Fault::Throttle(text) => self.rejected_text = text.clone(),
+            Fault::ReportDelay(delay) => self.report_delay = *delay,
+            Fault::HandshakeDelay(delay) => self.handshake_delay = *delay,
             Fault::Garbage(kind) => self.garbage = *kind,
             Fault::ClosesOnUse(on) => self.closes_on_use = *on,
             Fault::DropConnections => {}
@@ -138,7 +144,8 @@
         }
     }
 
-    pub(super) fn turns_away(&self, prompt: &str) -> bool {
-        self.throttle.as_ref().is_some_and(|text| prompt.contains(text.as_str()))
+    /// Whether `prompt` is rejected as if the engine were full.
+    pub(super) fn rejects(&self, prompt: &str) -> bool {
+        self.rejected_text.as_ref().is_some_and(|text| prompt.contains(text.as_str()))
     }
 }
--- a/crates/test-servers/src/engine/fetch/tests.rs
+++ b/crates/test-servers/src/engine/fetch/tests.rs
@@ -15,36 +15,45 @@
 }
 
 #[test]
-fn a_thousand_fetches_in_turn_take_one_connection() {
-    let (mut all, mut out) = (Fetches::default(), Vec::new());
-    for job in 0..1_000 {
-        all.start(at(job), job, transfer(job), &mut out);
-        all.connected(ConnId::opened(1), &mut out);
-        assert_eq!(all.data(at(job), ConnId::opened(1), ANSWER, &mut out), Some(Fetched::Whole(job)));
+fn a_thousand_consecutive_fetches_use_one_connection() {
+    let (mut fetches, mut out) = (Fetches::default(), Vec::new());
+    for request in 0..1_000 {
+        fetches.start(at(request), request, transfer(request), &mut out);
+        fetches.connected(ConnId::opened(1), &mut out);
+        assert_eq!(
+            fetches.receive(at(request), ConnId::opened(1), ANSWER, &mut out),
+            Some(Fetched::Done(request))
+        );
     }
     assert_eq!(connects(&out), 1);
     assert!(
-        all.late(at(999) + IDLE_TIME, &mut out).is_empty() && all.wires.is_empty() && all.idle.is_empty()
+        fetches.expire(at(999) + IDLE_TIMEOUT, &mut out).is_empty()
+            && fetches.connections.is_empty()
+            && fetches.idle.is_empty()
     );
 }
 
 #[test]
-fn one_that_the_other_side_closed_meanwhile_is_asked_for_anew_once() {
-    let (mut all, mut out) = (Fetches::default(), Vec::new());
-    all.start(at(0), 1, transfer(1), &mut out);
-    all.connected(ConnId::opened(1), &mut out);
-    all.data(at(0), ConnId::opened(1), ANSWER, &mut out);
-    all.start(at(1), 2, transfer(2), &mut out);
-    assert_eq!(all.lost(ConnId::opened(1), &mut out), None);
+fn a_fetch_on_a_stale_connection_is_sent_again_once() {
+    let (mut fetches, mut out) = (Fetches::default(), Vec::new());
+    fetches.start(at(0), 1, transfer(1), &mut out);
+    fetches.connected(ConnId::opened(1), &mut out);
+    fetches.receive(at(0), ConnId::opened(1), ANSWER, &mut out);
+    fetches.start(at(1), 2, transfer(2), &mut out);
+    assert_eq!(fetches.lost(ConnId::opened(1), &mut out), None);
     assert_eq!(connects(&out), 2);
-    assert_eq!(all.lost(ConnId::opened(2), &mut out), Some(Fetched::Failed(2)), "a new one failed too");
+    assert_eq!(
+        fetches.lost(ConnId::opened(2), &mut out),
+        Some(Fetched::Failed(2)),
+        "the new connection failed too"
+    );
 }
 
 #[test]
-fn a_fetch_without_an_end_fails_in_time() {
-    let (mut all, mut out) = (Fetches::default(), Vec::new());
-    all.start(at(0), 7, transfer(1), &mut out);
-    assert_eq!(all.due(), Some(FETCH_TIME));
-    assert_eq!(all.late(FETCH_TIME, &mut out), [7]);
-    assert!(all.wires.is_empty());
+fn a_fetch_without_an_answer_times_out() {
+    let (mut fetches, mut out) = (Fetches::default(), Vec::new());
+    fetches.start(at(0), 7, transfer(1), &mut out);
+    assert_eq!(fetches.next_timeout(), Some(FETCH_TIMEOUT));
+    assert_eq!(fetches.expire(FETCH_TIMEOUT, &mut out), [7]);
+    assert!(fetches.connections.is_empty());
 }
--- a/crates/test-servers/src/engine/mod.rs
+++ b/crates/test-servers/src/engine/mod.rs
@@ -1,8 +1,9 @@
-//! An engine as a state machine: HTTP on the outside, a queue, slots, memory and steps on the inside.
+//! An engine as a state machine: an HTTP server around a scheduler with a queue, slots, memory and steps.
 //!
-//! It speaks what the open engine publishes (chat completions with `kv_transfer_params`, `/metrics`, `/health`, ORCA
-//! headers). What it needs beyond that, how state is fetched and let go of and how it turns work away, is named in
-//! `docs/protocols.md`. `spec` holds its figures, `scheduler` its inside, `faults` what can be made to go wrong.
+//! It speaks the published protocol of the open engine (chat completions with `kv_transfer_params`,
+//! `/metrics`, `/health`, ORCA headers). Its extensions, how states are fetched and released and how requests
+//! are rejected, are described in `docs/protocols.md`. `spec` holds its parameters, `scheduler` schedules its
+//! requests, `fetch` fetches states and `faults` injects faults.
 
 mod faults;
 mod fetch;
@@ -29,50 +30,51 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Bytes that may wait for a peer before an answer's tokens wait too.
-const UNSENT: usize = 256 << 10;
+/// Once this many bytes wait to be sent to a client, its answer gets no more tokens.
+const MAX_UNSENT_BYTES: usize = 256 << 10;
 
-/// Loads that are kept for late reports.
-const REMEMBERED: usize = 4_096;
+/// The most past loads that are kept for delayed reports.
+const MAX_PAST_LOADS: usize = 4_096;
 
+/// A connection from a client: a router or another engine.
 struct Conn {
     decoder: Decoder,
     head: Option<Head>,
     body: Vec<u8>,
-    /// The job that it waits for.
-    job: Option<u64>,
+    /// The request that is being answered.
+    active_request: Option<u64>,
     unsent: usize,
-    /// Serves this state: let go of when all is sent.
-    serves: Option<u64>,
-    /// Not looked at before then.
+    /// The state that is being sent: it is released once all of it has been sent.
+    serves_state: Option<u64>,
+    /// Requests are not read before then.
     ready_at: Duration,
-    /// It has come in and the engine has not looked at it.
-    unheard: Option<Try>,
+    /// An attempt that has arrived and that the engine has not read yet.
+    unread_attempt: Option<Try>,
 }
 
-/// A stand-in engine. Takes as news a [`Fault`], or a [`Role`] to change to.
+/// A test engine. As owner messages it accepts a [`Fault`], or a [`Role`] to change to.
 pub struct Engine {
     spec: EngineSpec,
     ledger: Ledger,
     scheduler: Scheduler,
     role: RoleRecord,
-    /// Wall time at the clock's beginning.
+    /// Wall time when the clock of the run is zero.
     wall: Duration,
     faults: Faults,
     conns: BTreeMap<ConnId, Conn>,
     fetches: Fetches,
-    /// Loads as of some while ago, for reports that are late.
-    past: VecDeque<(Duration, Load)>,
+    /// Past loads, for delayed reports.
+    past_loads: VecDeque<(Duration, Load)>,
     stopping: bool,
     stopped: bool,
-    fallen: bool,
+    crashed: bool,
 }
 
-/// The field that names the epoch of policy by which a request was taken.
-const POLICY: &str = "x-slipreel-policy";
+/// The header that names the policy epoch under which the router accepted a request.
+const POLICY_HEADER: &str = "x-slipreel-policy";
 
 impl Engine {
-    /// An engine that starts at `now`, empty and cold. `wall` is the wall clock at that time.
+    /// An engine that starts at `now`, empty and not at full speed yet. `wall` is the wall time then.
     pub fn new(spec: EngineSpec, ledger: Ledger, now: Duration, wall: Duration) -> Self {
         let scheduler = Scheduler::new(&spec, now, wall);
         Engine {
@@ -84,14 +86,14 @@
             faults: Faults::default(),
             conns: BTreeMap::new(),
             fetches: Fetches::default(),
-            past: VecDeque::new(),
+            past_loads: VecDeque::new(),
             stopping: false,
             stopped: false,
-            fallen: false,
+            crashed: false,
         }
     }
 
-    /// An engine that has been up for long.
+    /// An engine that has run long enough to be at full speed.
     pub fn warm(mut spec: EngineSpec, ledger: Ledger, now: Duration, wall: Duration) -> Self {
         let age = spec.cold_time * 4;
         spec.age = age;
@@ -103,7 +105,7 @@
         &self.spec.name
     }
 
-    /// The states that it holds for writers to fetch: let go of when it dies.
+    /// The states that it holds for decode engines. They are released when it dies.
     pub fn held(&self) -> Vec<u64> {
         self.scheduler.states.keys().copied().collect()
     }
@@ -112,55 +114,63 @@
         self.ledger.note(now, seen);
     }
 
-    /// Its load, or what it was as long ago as reports are late.
+    /// The load to report: the current one, or the one of `report_delay` ago.
     fn load(&self, now: Duration) -> Load {
-        let late = self.faults.report_late;
-        let told = self.past.iter().rev().find(|(at, _)| *at + late <= now).or(self.past.front());
-        told.filter(|_| !late.is_zero()).map_or_else(|| self.scheduler.load(), |&(_, load)| load)
+        let delay = self.faults.report_delay;
+        let past =
+            self.past_loads.iter().rev().find(|(at, _)| *at + delay <= now).or(self.past_loads.front());
+        past.filter(|_| !delay.is_zero()).map_or_else(|| self.scheduler.load(), |&(_, load)| load)
     }
 
-    /// Keeps what late reports will tell, at each change.
-    fn remember(&mut self, now: Duration) {
-        let late = self.faults.report_late;
-        if late.is_zero() {
-            return self.past.clear();
+    /// Stores the current load for delayed reports.
+    fn record_load(&mut self, now: Duration) {
+        let delay = self.faults.report_delay;
+        if delay.is_zero() {
+            return self.past_loads.clear();
         }
-        self.past.push_back((now, self.scheduler.load()));
-        while self.past.len() > 1 && self.past[1].0 + late <= now || self.past.len() > REMEMBERED {
-            self.past.pop_front();
+        self.past_loads.push_back((now, self.scheduler.load()));
+        while self.past_loads.len() > 1 && self.past_loads[1].0 + delay <= now
+            || self.past_loads.len() > MAX_PAST_LOADS
+        {
+            self.past_loads.pop_front();
         }
     }
 
     // ---- Connections --------------------------------------------------------------------------
 
-    fn data(&mut self, now: Duration, id: ConnId, bytes: &[u8], out: &mut Vec<Output>) {
+    fn receive(&mut self, now: Duration, id: ConnId, bytes: &[u8], out: &mut Vec<Output>) {
         let Some(conn) = self.conns.get_mut(&id) else { return };
         conn.decoder.feed(bytes);
-        if self.faults.deaf || now < conn.ready_at {
-            // It has arrived all the same, and is out until its connection ends or the engine hears it.
+        if self.faults.unresponsive || now < conn.ready_at {
+            // The attempt has arrived all the same. It is open until its connection ends or the engine reads
+            // it.
             let text = String::from_utf8_lossy(bytes);
-            conn.unheard = Mark::find(&text).map(|m| m.attempt).or(conn.unheard);
+            conn.unread_attempt = Mark::find(&text).map(|m| m.attempt).or(conn.unread_attempt);
             let via = text.split_once("via: 1.1 ").and_then(|(_, rest)| rest.split("\r\n").next());
-            if let (Some(what), Some(router)) = (conn.unheard, via) {
+            if let (Some(what), Some(router)) = (conn.unread_attempt, via) {
                 let (engine, router) = (self.spec.name.clone(), router.to_owned());
                 self.note(now, Seen::Arrived { engine, router, what, stage: Stage::Write });
             }
         }
-        self.pump(now, id, out);
+        self.read_requests(now, id, out);
     }
 
-    /// What a deaf engine had not heard is heard now, or is over.
-    fn heard_at_last(&mut self, now: Duration, id: ConnId) {
-        if let Some(what) = self.conns.get_mut(&id).and_then(|c| c.unheard.take()) {
+    /// Ends an attempt that the engine had not read: it is being read now, or its connection has closed.
+    fn end_unread(&mut self, now: Duration, id: ConnId) {
+        if let Some(what) = self.conns.get_mut(&id).and_then(|c| c.unread_attempt.take()) {
             self.note(now, Seen::Over { engine: self.spec.name.clone(), what, stage: Stage::Write });
         }
     }
 
-    /// Takes whole requests off a connection that waits for none.
-    fn pump(&mut self, now: Duration, id: ConnId, out: &mut Vec<Output>) {
+    /// Reads and handles complete requests, unless the connection still waits for an answer.
+    fn read_requests(&mut self, now: Duration, id: ConnId, out: &mut Vec<Output>) {
         loop {
             let Some(conn) = self.conns.get_mut(&id) else { return };
-            if conn.job.is_some() || conn.serves.is_some() || now < conn.ready_at || self.faults.deaf {
+            if conn.active_request.is_some()
+                || conn.serves_state.is_some()
+                || now < conn.ready_at
+                || self.faults.unresponsive
+            {
                 return;
             }
             match conn.decoder.next_item() {
@@ -170,11 +180,11 @@
                     let (Some(head), body) = (conn.head.take(), std::mem::take(&mut conn.body)) else {
                         return;
                     };
-                    self.heard_at_last(now, id);
-                    self.request(now, id, &head, &body, out);
+                    self.end_unread(now, id);
+                    self.handle_request(now, id, &head, &body, out);
                 }
                 Ok(None) => return,
-                Err(_) => return self.drop_conn(now, id, out),
+                Err(_) => return self.abort_connection(now, id, out),
             }
         }
     }
@@ -198,40 +208,42 @@
         self.answer(id, status, &body, out);
     }
 
-    fn drop_conn(&mut self, now: Duration, id: ConnId, out: &mut Vec<Output>) {
+    fn abort_connection(&mut self, now: Duration, id: ConnId, out: &mut Vec<Output>) {
         out.push(Output::Abort(id));
-        self.gone(now, id, out);
+        self.connection_closed(now, id, out);
     }
 
-    /// A connection is over: its job is cancelled, wherever it is; state being served on it stays held.
-    fn gone(&mut self, now: Duration, id: ConnId, out: &mut Vec<Output>) {
-        self.heard_at_last(now, id);
+    /// A connection has closed: its request is cancelled, and the state that was being sent on it stays held.
+    fn connection_closed(&mut self, now: Duration, id: ConnId, out: &mut Vec<Output>) {
+        self.end_unread(now, id);
         let Some(conn) = self.conns.remove(&id) else { return };
-        if let Some(state) = conn.serves {
+        if let Some(state) = conn.serves_state {
             if let Some(state) = self.scheduler.states.get_mut(&state) {
-                state.taken = false;
+                state.is_being_sent = false;
             }
         }
-        if let Some(job) = conn.job {
-            self.cancel(now, job, out);
+        if let Some(request) = conn.active_request {
+            self.cancel(now, request, out);
         }
     }
 
+    /// Cancels a request, queued or running.
     fn cancel(&mut self, now: Duration, id: u64, out: &mut Vec<Output>) {
-        let Some(job) = self.scheduler.remove(id) else { return };
-        self.over(now, &job);
+        let Some(request) = self.scheduler.remove(id) else { return };
+        self.note_over(now, &request);
         self.fetches.cancel(id, out);
     }
 
-    fn over(&self, now: Duration, job: &ActiveRequest) {
-        if let Some(what) = job.what() {
-            self.note(now, Seen::Over { engine: self.spec.name.clone(), what, stage: job.stage() });
+    /// Records that an attempt is over at this engine.
+    fn note_over(&self, now: Duration, request: &ActiveRequest) {
+        if let Some(what) = request.attempt() {
+            self.note(now, Seen::Over { engine: self.spec.name.clone(), what, stage: request.stage() });
         }
     }
 
     // ---- Requests -----------------------------------------------------------------------------
 
-    fn request(&mut self, now: Duration, id: ConnId, head: &Head, body: &[u8], out: &mut Vec<Output>) {
+    fn handle_request(&mut self, now: Duration, id: ConnId, head: &Head, body: &[u8], out: &mut Vec<Output>) {
         let Start::Request { method, target } = &head.start else { return };
         match (method.as_str(), target.as_str()) {
             ("GET", "/health") => self.answer(id, 200, "", out),
@@ -247,9 +259,9 @@
                 bytes.extend_from_slice(text.as_bytes());
                 self.write(id, bytes, out);
             }
-            ("POST", "/abort_requests") => self.abort(now, id, body, out),
-            ("GET", "/role") => self.tell_role(id, 200, out),
-            ("POST", "/role") => self.order_role(now, id, body, out),
+            ("POST", "/abort_requests") => self.abort_requests(now, id, body, out),
+            ("GET", "/role") => self.answer_role(id, 200, out),
+            ("POST", "/role") => self.handle_role_order(now, id, body, out),
             ("GET", path) if path.starts_with("/state/") => {
                 let state = path["/state/".len()..].parse().unwrap_or(0);
                 self.serve_state(id, state, out);
@@ -259,41 +271,44 @@
         }
     }
 
-    fn abort(&mut self, now: Duration, id: ConnId, body: &[u8], out: &mut Vec<Output>) {
+    fn abort_requests(&mut self, now: Duration, id: ConnId, body: &[u8], out: &mut Vec<Output>) {
         let value: Value = serde_json::from_slice(body).unwrap_or_default();
         for name in value["request_ids"].as_array().into_iter().flatten().filter_map(Value::as_str) {
-            let named = |(&state, s): (&u64, &State)| (s.request_id == name && !s.taken).then_some(state);
-            let free: Vec<u64> = self.scheduler.states.iter().filter_map(named).collect();
-            for state in free {
-                self.let_go(now, state);
+            let matches_name =
+                |(&state, s): (&u64, &State)| (s.request_id == name && !s.is_being_sent).then_some(state);
+            let matching: Vec<u64> = self.scheduler.states.iter().filter_map(matches_name).collect();
+            for state in matching {
+                self.release_state(now, state);
             }
-            let jobs: Vec<(u64, ConnId)> = self
+            let requests: Vec<(u64, ConnId)> = self
                 .scheduler
                 .requests
                 .values()
-                .filter(|j| j.request_id == name)
-                .map(|j| (j.id, j.conn))
+                .filter(|r| r.request_id == name)
+                .map(|r| (r.id, r.conn))
                 .collect();
-            for (job, conn) in jobs {
-                self.cancel(now, job, out);
+            for (request, conn) in requests {
+                self.cancel(now, request, out);
                 if let Some(c) = self.conns.get_mut(&conn) {
-                    c.job = None;
+                    c.active_request = None;
                 }
-                self.drop_conn(now, conn, out);
+                self.abort_connection(now, conn, out);
             }
         }
         self.answer(id, 200, "{}", out);
     }
 
-    fn tell_role(&mut self, id: ConnId, status: u16, out: &mut Vec<Output>) {
+    fn answer_role(&mut self, id: ConnId, status: u16, out: &mut Vec<Output>) {
         let state = self.role.state();
         let body = json!({"role": Role::from(state.role).name(), "epoch": state.epoch,
-                          "started": (state.started + self.wall).as_secs_f64(), "serving": self.role.takes_work()});
+                          "started": (state.started + self.wall).as_secs_f64(),
+                          "serving": self.role.takes_work()});
         self.answer(id, status, &body.to_string(), out);
     }
 
-    /// An order to change the role: `{"to": "write", "replaces": 3}`. 409 and the present state if it is not taken.
-    fn order_role(&mut self, now: Duration, id: ConnId, body: &[u8], out: &mut Vec<Output>) {
+    /// Handles an order to change the role: `{"to": "write", "replaces": 3}`. Answers 409 and the current
+    /// role if it is rejected.
+    fn handle_role_order(&mut self, now: Duration, id: ConnId, body: &[u8], out: &mut Vec<Output>) {
         let value: Value = serde_json::from_slice(body).unwrap_or_default();
         let to = value["to"].as_str().and_then(Role::from_name);
         let (Some(to), Some(replaces)) = (to, value["replaces"].as_u64()) else {
@@ -305,13 +320,14 @@
                 out,
             );
         };
-        let taken = self.role.order(now, Order { replaces, to: to.into() }).is_ok();
-        self.tell_list();
-        self.tell_role(id, if taken { 202 } else { 409 }, out);
+        let accepted = self.role.order(now, Order { replaces, to: to.into() }).is_ok();
+        self.report_role();
+        self.answer_role(id, if accepted { 202 } else { 409 }, out);
         self.change_role(now);
     }
 
-    /// Takes the new role once nothing of the old one is left: empty, with nothing kept, cold, newly started.
+    /// Takes on the new role once no request or state of the old one is left. The engine is then like a newly
+    /// started one: empty, with no cached prefixes and not at full speed.
     fn change_role(&mut self, now: Duration) {
         let Some(state) = self.role.left(now, self.scheduler.requests.len(), self.scheduler.states.len())
         else {
@@ -319,28 +335,29 @@
         };
         self.spec.role = state.role.into();
         self.scheduler = Scheduler::new(&self.spec, state.started, state.started + self.wall);
-        self.tell_list();
+        self.report_role();
     }
 
-    fn tell_list(&self) {
+    /// Reports the role and whether the engine accepts work in it.
+    fn report_role(&self) {
         let state = self.role.state();
-        self.ledger.tell_role(&self.spec.name, state.role.into(), self.role.takes_work());
+        self.ledger.report_role(&self.spec.name, state.role.into(), self.role.takes_work());
     }
 
-    fn let_go(&mut self, now: Duration, state: u64) {
+    fn release_state(&mut self, now: Duration, state: u64) {
         if self.scheduler.release(state) {
             self.note(now, Seen::Released { engine: self.spec.name.clone(), state });
         }
     }
 
     fn serve_state(&mut self, id: ConnId, state: u64, out: &mut Vec<Output>) {
-        let Some(held) = self.scheduler.states.get_mut(&state).filter(|s| !s.taken) else {
+        let Some(held) = self.scheduler.states.get_mut(&state).filter(|s| !s.is_being_sent) else {
             return self.error(id, 404, NO_STATE, "no such state", out);
         };
-        held.taken = true;
+        held.is_being_sent = true;
         let bytes = held.tokens as usize;
         if let Some(conn) = self.conns.get_mut(&id) {
-            conn.serves = Some(state);
+            conn.serves_state = Some(state);
         }
         let mut answer = http::response_head(200, &[], Framing::Length(bytes));
         answer.resize(answer.len() + bytes, b'k');
@@ -351,73 +368,75 @@
         let Some(conn) = self.conns.get_mut(&id) else { return };
         conn.unsent = conn.unsent.saturating_sub(n);
         if conn.unsent == 0 {
-            if let Some(state) = conn.serves.take() {
-                self.let_go(now, state);
-                self.pump(now, id, out);
+            if let Some(state) = conn.serves_state.take() {
+                self.release_state(now, state);
+                self.read_requests(now, id, out);
             }
         }
     }
 
     fn chat(&mut self, now: Duration, id: ConnId, head: &Head, body: &[u8], out: &mut Vec<Output>) {
-        let Some(job) = self.job(id, head, body) else {
+        let Some(request) = self.parse_request(id, head, body) else {
             return self.error(id, 400, "BadRequestError", "expected a chat completion", out);
         };
-        let what = job.what();
+        let what = request.attempt();
         if let Some(what) = what {
-            let (engine, router) = (self.spec.name.clone(), job.router.clone());
-            let epoch = head.get(POLICY).and_then(|e| e.parse().ok());
+            let (engine, router) = (self.spec.name.clone(), request.router.clone());
+            let epoch = head.get(POLICY_HEADER).and_then(|e| e.parse().ok());
             let (by, on) = (router.clone(), slipreel_invariants::policy::On::Call);
             self.note(now, Seen::Stamped { router: by, what, epoch, on });
-            self.note(now, Seen::Arrived { engine, router, what, stage: job.stage() });
+            self.note(now, Seen::Arrived { engine, router, what, stage: request.stage() });
         }
-        if self.scheduler.overloads_cold_engine(now, &self.spec, &job) && !self.fallen {
-            self.fallen = true;
+        if self.scheduler.overloads_cold_engine(now, &self.spec, &request) && !self.crashed {
+            self.crashed = true;
             self.note(now, Seen::Fell(self.spec.name.clone()));
         }
-        if self.fallen {
-            self.over(now, &job);
-            return self.drop_conn(now, id, out);
+        if self.crashed {
+            self.note_over(now, &request);
+            return self.abort_connection(now, id, out);
         }
         if self.faults.closes_on_use {
-            self.over(now, &job);
-            return self.drop_conn(now, id, out);
+            self.note_over(now, &request);
+            return self.abort_connection(now, id, out);
         }
-        // Work of another stage than its role's comes from a list that is out of date.
-        let misfit = match job.kind {
+        // A request for the wrong phase comes from a router whose engine list is out of date.
+        let is_wrong_phase = match request.kind {
             RequestKind::Prefill => self.spec.role == Role::Decode,
             RequestKind::Decode => self.spec.role == Role::Prefill,
         };
-        let turned = self.faults.turns_away(&String::from_utf8_lossy(body)) || self.stopping || misfit;
-        let turned = turned || !self.role.takes_work();
-        if turned || self.scheduler.is_full(&self.spec) {
-            self.over(now, &job);
+        let is_rejected =
+            self.faults.rejects(&String::from_utf8_lossy(body)) || self.stopping || is_wrong_phase;
+        let is_rejected = is_rejected || !self.role.takes_work();
+        if is_rejected || self.scheduler.is_full(&self.spec) {
+            self.note_over(now, &request);
             return self.error(id, 503, FULL, "slots and queue are full", out);
         }
-        let no_state =
-            job.kind == RequestKind::Decode && job.transfer.is_none() && self.spec.role == Role::Decode;
+        let no_state = request.kind == RequestKind::Decode
+            && request.transfer.is_none()
+            && self.spec.role == Role::Decode;
         if no_state {
-            self.over(now, &job);
+            self.note_over(now, &request);
             return self.error(id, 409, NO_STATE, "there is no state to fetch", out);
         }
         if let Some(conn) = self.conns.get_mut(&id) {
-            conn.job = Some(job.id);
+            conn.active_request = Some(request.id);
         }
-        self.scheduler.enqueue(job);
-        self.turn(now, out);
+        self.scheduler.enqueue(request);
+        self.run_due_steps(now, out);
     }
 
-    fn job(&mut self, conn: ConnId, head: &Head, body: &[u8]) -> Option<ActiveRequest> {
+    fn parse_request(&mut self, conn: ConnId, head: &Head, body: &[u8]) -> Option<ActiveRequest> {
         let value: Value = serde_json::from_slice(body).ok()?;
         let messages = value["messages"].as_array()?;
-        let transfer = &value["kv_transfer_params"];
-        let reads = transfer["do_remote_decode"] == true;
-        let kind = if reads { RequestKind::Prefill } else { RequestKind::Decode };
-        let fetch = if transfer["do_remote_prefill"] == true {
-            let port = u16::try_from(transfer["remote_port"].as_u64()?).ok()?;
-            let host = transfer["remote_host"].as_str()?.parse().ok()?;
+        let params = &value["kv_transfer_params"];
+        let is_prefill = params["do_remote_decode"] == true;
+        let kind = if is_prefill { RequestKind::Prefill } else { RequestKind::Decode };
+        let fetch_from = if params["do_remote_prefill"] == true {
+            let port = u16::try_from(params["remote_port"].as_u64()?).ok()?;
+            let host = params["remote_host"].as_str()?.parse().ok()?;
             Some(Transfer {
                 addr: SocketAddr::new(host, port),
-                state: transfer["remote_block_ids"][0].as_u64()?,
+                state: params["remote_block_ids"][0].as_u64()?,
             })
         } else {
             None
@@ -426,7 +445,7 @@
         let mark = texts.last().and_then(|t| Mark::find(t));
         let max_tokens = u32::try_from(value["max_tokens"].as_u64()?).ok()?;
         let via = head.get("via").and_then(|v| v.split_once(' ')).map_or("", |(_, name)| name);
-        let mut job = ActiveRequest {
+        let mut request = ActiveRequest {
             id: self.scheduler.next_id(),
             conn,
             request_id: head.get("x-request-id").unwrap_or_default().to_owned(),
@@ -444,17 +463,17 @@
             has_begun: false,
             has_run: false,
             is_answer_lost: false,
-            transfer: fetch,
+            transfer: fetch_from,
             prefixes: Vec::new(),
         };
-        self.scheduler.measure(&mut job, &texts);
-        Some(job)
+        self.scheduler.measure(&mut request, &texts);
+        Some(request)
     }
 
     // ---- Steps --------------------------------------------------------------------------------
 
-    /// Admits what has room, and lets steps that are due have their effect.
-    fn turn(&mut self, now: Duration, out: &mut Vec<Output>) {
+    /// Admits requests for which there is room, completes the steps that are due and starts the next one.
+    fn run_due_steps(&mut self, now: Duration, out: &mut Vec<Output>) {
         loop {
             self.admit(now, out);
             if !self.scheduler.step_due(now) {
@@ -462,176 +481,186 @@
             }
             let done = self.scheduler.end_step();
             for id in done.prefilled {
-                self.read_done(now, id, out);
+                self.finish_prefill(now, id, out);
             }
             for id in done.decoded {
-                self.token(now, id, out);
+                self.emit_token(now, id, out);
             }
             for id in self.scheduler.over_memory() {
                 self.scheduler.requeue(id);
             }
         }
-        let factor = self.scheduler.speed_factor(now, &self.spec) / self.faults.slow;
+        let factor = self.scheduler.speed_factor(now, &self.spec) / self.faults.slowdown;
         let stalled: Vec<u64> =
             self.scheduler.running.iter().copied().filter(|id| self.is_stalled(*id)).collect();
         self.scheduler.start_step(now, &self.spec, factor, &stalled);
     }
 
-    /// Whether its client takes nothing.
+    /// Whether the client of a request does not read its answer.
     fn is_stalled(&self, id: u64) -> bool {
-        let conn = self.scheduler.requests.get(&id).and_then(|j| self.conns.get(&j.conn));
-        conn.is_some_and(|c| c.unsent > UNSENT)
+        let conn = self.scheduler.requests.get(&id).and_then(|r| self.conns.get(&r.conn));
+        conn.is_some_and(|c| c.unsent > MAX_UNSENT_BYTES)
     }
 
     fn admit(&mut self, now: Duration, out: &mut Vec<Output>) {
         while let Some(id) = self.scheduler.admit(&self.spec) {
-            let Some(job) = self.scheduler.requests.get(&id) else { continue };
-            if let Some(transfer) = job.transfer {
+            let Some(request) = self.scheduler.requests.get(&id) else { continue };
+            if let Some(transfer) = request.transfer {
                 self.fetches.start(now, id, transfer, out);
             } else {
-                self.run(now, id);
+                self.record_run(now, id);
             }
         }
     }
 
-    /// A write begins: its effect happens now, unless its key says that it has happened.
-    fn run(&mut self, now: Duration, id: u64) {
-        let Some(job) = self.scheduler.requests.get_mut(&id) else { return };
-        if job.kind == RequestKind::Prefill || std::mem::replace(&mut job.has_run, true) {
+    /// Records that a request has run, when its decode begins. A repeat of an idempotency key is not recorded.
+    fn record_run(&mut self, now: Duration, id: u64) {
+        let Some(request) = self.scheduler.requests.get_mut(&id) else { return };
+        if request.kind == RequestKind::Prefill || std::mem::replace(&mut request.has_run, true) {
             return;
         }
-        let new = match &job.idempotency_key {
+        let new = match &request.idempotency_key {
             Some(key) => self.ledger.first_use(now, &self.spec.group, key, self.spec.key_window),
             None => true,
         };
-        if let Some(what) = job.what().filter(|_| new) {
+        if let Some(what) = request.attempt().filter(|_| new) {
             self.note(now, Seen::Ran { engine: self.spec.name.clone(), what });
         }
     }
 
+    /// Handles the result of a fetch.
     fn fetched(&mut self, now: Duration, ended: Option<Fetched>, out: &mut Vec<Output>) {
         match ended {
-            Some(Fetched::Whole(job)) => {
-                self.scheduler.fetched(job);
-                self.run(now, job);
-                self.turn(now, out);
+            Some(Fetched::Done(request)) => {
+                self.scheduler.fetched(request);
+                self.record_run(now, request);
+                self.run_due_steps(now, out);
             }
-            Some(Fetched::Failed(job)) => self.no_state(now, job, out),
+            Some(Fetched::Failed(request)) => self.fail_fetch(now, request, out),
             None => {}
         }
     }
 
-    fn no_state(&mut self, now: Duration, id: u64, out: &mut Vec<Output>) {
-        let Some(job) = self.scheduler.remove(id) else { return };
-        self.over(now, &job);
-        if let Some(conn) = self.conns.get_mut(&job.conn) {
-            conn.job = None;
-            self.error(job.conn, 409, NO_STATE, "the state could not be fetched", out);
+    /// Answers 409 to a request whose state could not be fetched.
+    fn fail_fetch(&mut self, now: Duration, id: u64, out: &mut Vec<Output>) {
+        let Some(request) = self.scheduler.remove(id) else { return };
+        self.note_over(now, &request);
+        if let Some(conn) = self.conns.get_mut(&request.conn) {
+            conn.active_request = None;
+            self.error(request.conn, 409, NO_STATE, "the state could not be fetched", out);
         }
-        self.turn(now, out);
+        self.run_due_steps(now, out);
     }
 
-    /// The end of a job's exchange: its connection takes the next one.
-    fn exchange_over(&mut self, now: Duration, job: &ActiveRequest, out: &mut Vec<Output>) {
-        self.over(now, job);
-        if let Some(conn) = self.conns.get_mut(&job.conn) {
-            conn.job = None;
+    /// Ends the exchange of a request and reads the next one from its connection.
+    fn finish_exchange(&mut self, now: Duration, request: &ActiveRequest, out: &mut Vec<Output>) {
+        self.note_over(now, request);
+        if let Some(conn) = self.conns.get_mut(&request.conn) {
+            conn.active_request = None;
         }
-        self.pump(now, job.conn, out);
+        self.read_requests(now, request.conn, out);
     }
 
-    fn read_done(&mut self, now: Duration, id: u64, out: &mut Vec<Output>) {
-        let Some(job) = self.scheduler.remove(id) else { return };
+    /// Holds the state of a prefilled request and answers with where to fetch it.
+    fn finish_prefill(&mut self, now: Duration, id: u64, out: &mut Vec<Output>) {
+        let Some(request) = self.scheduler.remove(id) else { return };
         if self.faults.answers_lost {
-            // The work is done and its answer never arrives; its state goes with the connection.
-            self.over(now, &job);
+            // The request has run and is never answered; no state is held.
+            self.note_over(now, &request);
             return;
         }
-        let state = self.scheduler.hold_state(&job, now);
-        if let Some(what) = job.what() {
+        let state = self.scheduler.hold_state(&request, now);
+        if let Some(what) = request.attempt() {
             self.note(now, Seen::Holds { engine: self.spec.name.clone(), what, state });
         }
         if let Some(garbage) = self.faults.garbage.filter(|g| g.before_head()) {
-            let conn = job.conn;
-            self.over(now, &job);
+            let conn = request.conn;
+            self.note_over(now, &request);
             if let Some(c) = self.conns.get_mut(&conn) {
-                c.job = None;
+                c.active_request = None;
             }
-            return self.talk_garbage(now, conn, garbage, out);
+            return self.send_garbage(now, conn, garbage, out);
         }
         let body = json!({
-            "id": job.request_id, "object": "chat.completion", "choices": [{"index": 0, "finish_reason": "length",
-            "message": {"role": "assistant", "content": ""}}],
-            "usage": job.usage(),
-            "kv_transfer_params": {"do_remote_prefill": true, "do_remote_decode": false, "remote_engine_id": self.spec.name,
-                "remote_block_ids": [state], "remote_host": self.spec.addr.ip().to_string(), "remote_port": self.spec.addr.port()},
+            "id": request.request_id, "object": "chat.completion",
+            "choices": [{"index": 0, "finish_reason": "length",
+                "message": {"role": "assistant", "content": ""}}],
+            "usage": request.usage(),
+            "kv_transfer_params": {"do_remote_prefill": true, "do_remote_decode": false,
+                "remote_engine_id": self.spec.name, "remote_block_ids": [state],
+                "remote_host": self.spec.addr.ip().to_string(), "remote_port": self.spec.addr.port()},
         });
         let (body, orca) = (body.to_string(), write_orca(&self.load(now)));
         let fields = [("content-type", "application/json"), ("endpoint-load-metrics", orca.as_str())];
         let mut bytes = http::response_head(200, &fields, Framing::Length(body.len()));
         bytes.extend_from_slice(body.as_bytes());
-        self.write(job.conn, bytes, out);
-        self.exchange_over(now, &job, out);
+        self.write(request.conn, bytes, out);
+        self.finish_exchange(now, &request, out);
     }
 
-    /// A writing job has made its next token.
-    fn token(&mut self, now: Duration, id: u64, out: &mut Vec<Output>) {
+    /// Handles the next token of a request in decode.
+    fn emit_token(&mut self, now: Duration, id: u64, out: &mut Vec<Output>) {
         let load = write_orca(&self.load(now));
-        let Some(job) = self.scheduler.requests.get_mut(&id) else { return };
-        let (conn, n, request) = (job.conn, job.emitted, job.what().map_or(0, |w| w.request));
-        let begins = !std::mem::replace(&mut job.has_begun, true);
-        job.emitted += 1;
-        let last = job.emitted >= job.length;
-        // An answer whose beginning was lost stays lost.
-        job.is_answer_lost |= self.faults.answers_lost;
-        if job.is_answer_lost {
+        let Some(request) = self.scheduler.requests.get_mut(&id) else { return };
+        let (conn, n, number) = (request.conn, request.emitted, request.attempt().map_or(0, |w| w.request));
+        let begins = !std::mem::replace(&mut request.has_begun, true);
+        request.emitted += 1;
+        let last = request.emitted >= request.length;
+        // Once the beginning of an answer is lost, the rest is too.
+        request.is_answer_lost |= self.faults.answers_lost;
+        if request.is_answer_lost {
             if last {
-                if let Some(job) = self.scheduler.remove(id) {
-                    self.over(now, &job);
+                if let Some(request) = self.scheduler.remove(id) {
+                    self.note_over(now, &request);
                 }
             }
             return;
         }
-        let (name, max_tokens) = (job.request_id.clone(), job.max_tokens);
-        if !job.stream {
+        let (name, max_tokens) = (request.request_id.clone(), request.max_tokens);
+        if !request.stream {
             let garbage = self.faults.garbage.filter(|g| g.before_head());
             return match garbage {
-                Some(garbage) if last => self.talk_garbage(now, conn, garbage, out),
-                _ if last => self.whole(now, id, &load, out),
+                Some(garbage) if last => self.send_garbage(now, conn, garbage, out),
+                _ if last => self.send_whole_answer(now, id, &load, out),
                 _ => {}
             };
         }
         let mut bytes = Vec::new();
         if begins {
             if let Some(garbage) = self.faults.garbage.filter(|g| g.before_head()) {
-                return self.talk_garbage(now, conn, garbage, out);
+                return self.send_garbage(now, conn, garbage, out);
             }
             let fields = [("content-type", "text/event-stream"), ("endpoint-load-metrics", load.as_str())];
             bytes = http::response_head(200, &fields, Framing::Chunked);
         }
-        let chunk = |delta: Value, finish: Value| json!({"id": name, "object": "chat.completion.chunk", "choices": [{"index": 0, "delta": delta, "finish_reason": finish}]});
+        let chunk = |delta: Value, finish_reason: Value| {
+            json!({
+                "id": name, "object": "chat.completion.chunk",
+                "choices": [{"index": 0, "delta": delta, "finish_reason": finish_reason}],
+            })
+        };
         let mut events = Vec::new();
         sse::write(
             "",
-            &chunk(json!({"content": mark::token(request, n)}), Value::Null).to_string(),
+            &chunk(json!({"content": mark::token(number, n)}), Value::Null).to_string(),
             &mut events,
         );
         if last {
-            let finish = if job.length == max_tokens { "length" } else { "stop" };
-            sse::write("", &chunk(json!({}), finish.into()).to_string(), &mut events);
-            let usage =
-                json!({"id": name, "object": "chat.completion.chunk", "choices": [], "usage": job.usage()});
+            let finish_reason = if request.length == max_tokens { "length" } else { "stop" };
+            sse::write("", &chunk(json!({}), finish_reason.into()).to_string(), &mut events);
+            let usage = json!({"id": name, "object": "chat.completion.chunk", "choices": [],
+                "usage": request.usage()});
             if self.faults.garbage == Some(Garbage::BreaksBeforeMark) {
                 bytes.extend_from_slice(&http::chunk(&events));
                 self.write(conn, bytes, out);
-                return self.talk_garbage(now, conn, Garbage::BreaksBeforeMark, out);
+                return self.send_garbage(now, conn, Garbage::BreaksBeforeMark, out);
             }
             sse::write("", &usage.to_string(), &mut events);
             sse::write("", "[DONE]", &mut events);
         }
-        if let Some(garbage) = self.faults.garbage.filter(|g| g.spoils(begins, last)) {
+        if let Some(garbage) = self.faults.garbage.filter(|g| g.replaces_token(begins, last)) {
             self.write(conn, bytes, out);
-            return self.talk_garbage(now, conn, garbage, out);
+            return self.send_garbage(now, conn, garbage, out);
         }
         bytes.extend_from_slice(&http::chunk(&events));
         if last {
@@ -639,60 +668,64 @@
         }
         self.write(conn, bytes, out);
         if last {
-            if let Some(job) = self.scheduler.remove(id) {
-                self.exchange_over(now, &job, out);
+            if let Some(request) = self.scheduler.remove(id) {
+                self.finish_exchange(now, &request, out);
             }
         }
     }
 
-    /// The answer of a job that does not stream.
-    fn whole(&mut self, now: Duration, id: u64, load: &str, out: &mut Vec<Output>) {
-        let Some(job) = self.scheduler.remove(id) else { return };
-        let request = job.what().map_or(0, |w| w.request);
-        let text: String = (0..job.emitted).map(|n| mark::token(request, n)).collect();
-        let finish = if job.length == job.max_tokens { "length" } else { "stop" };
+    /// Sends the answer of a request that does not stream.
+    fn send_whole_answer(&mut self, now: Duration, id: u64, load: &str, out: &mut Vec<Output>) {
+        let Some(request) = self.scheduler.remove(id) else { return };
+        let number = request.attempt().map_or(0, |w| w.request);
+        let text: String = (0..request.emitted).map(|n| mark::token(number, n)).collect();
+        let finish_reason = if request.length == request.max_tokens { "length" } else { "stop" };
         let body = json!({
-            "id": job.request_id, "object": "chat.completion", "choices": [{"index": 0, "finish_reason": finish,
-            "message": {"role": "assistant", "content": text}}], "usage": job.usage(),
+            "id": request.request_id, "object": "chat.completion",
+            "choices": [{"index": 0, "finish_reason": finish_reason,
+                "message": {"role": "assistant", "content": text}}],
+            "usage": request.usage(),
         });
         let body = body.to_string();
         let fields = [("content-type", "application/json"), ("endpoint-load-metrics", load)];
         let mut bytes = http::response_head(200, &fields, Framing::Length(body.len()));
         bytes.extend_from_slice(body.as_bytes());
-        self.write(job.conn, bytes, out);
-        self.exchange_over(now, &job, out);
+        self.write(request.conn, bytes, out);
+        self.finish_exchange(now, &request, out);
     }
 
-    fn talk_garbage(&mut self, now: Duration, conn: ConnId, garbage: Garbage, out: &mut Vec<Output>) {
+    /// Sends a malformed answer and closes the connection, unless the fault leaves it open.
+    fn send_garbage(&mut self, now: Duration, conn: ConnId, garbage: Garbage, out: &mut Vec<Output>) {
         self.write(conn, garbage.bytes(), out);
         if garbage.hangs() {
             return;
         }
         out.push(Output::CloseWhenSent(conn));
-        self.gone(now, conn, out);
+        self.connection_closed(now, conn, out);
     }
 
-    fn fault(&mut self, now: Duration, fault: &Fault, out: &mut Vec<Output>) {
-        self.faults.set(fault);
+    fn apply_fault(&mut self, now: Duration, fault: &Fault, out: &mut Vec<Output>) {
+        self.faults.apply(fault);
         if let Fault::DropConnections = fault {
             let ids: Vec<ConnId> = self.conns.keys().copied().collect();
-            ids.into_iter().for_each(|id| self.drop_conn(now, id, out));
+            ids.into_iter().for_each(|id| self.abort_connection(now, id, out));
         }
-        if !self.faults.deaf {
+        if !self.faults.unresponsive {
             let ids: Vec<ConnId> = self.conns.keys().copied().collect();
-            ids.into_iter().for_each(|id| self.pump(now, id, out));
+            ids.into_iter().for_each(|id| self.read_requests(now, id, out));
         }
-        self.turn(now, out);
+        self.run_due_steps(now, out);
     }
 }
 
 impl Machine for Engine {
     fn handle(&mut self, now: Duration, input: Input<'_>, out: &mut Vec<Output>) {
-        // What is due comes first, whatever the driver found first: who asks for the load is told of it as it is now.
-        self.turn(now, out);
+        // Steps that are due come first, in whatever order the driver delivers inputs, so that reported loads
+        // are current.
+        self.run_due_steps(now, out);
         match input {
             Input::Accepted(id, _) => {
-                if self.fallen {
+                if self.crashed {
                     out.push(Output::Abort(id));
                     return;
                 }
@@ -701,20 +734,20 @@
                     decoder: Decoder::new(Side::Server, limits),
                     head: None,
                     body: Vec::new(),
-                    job: None,
+                    active_request: None,
                     unsent: 0,
-                    serves: None,
-                    ready_at: now + self.faults.handshake,
-                    unheard: None,
+                    serves_state: None,
+                    ready_at: now + self.faults.handshake_delay,
+                    unread_attempt: None,
                 };
                 self.conns.insert(id, conn);
             }
             Input::Connected(id) => self.fetches.connected(id, out),
             Input::Data(id, bytes) if id.is_opened() => {
-                let ended = self.fetches.data(now, id, bytes, out);
+                let ended = self.fetches.receive(now, id, bytes, out);
                 self.fetched(now, ended, out);
             }
-            Input::Data(id, bytes) => self.data(now, id, bytes, out),
+            Input::Data(id, bytes) => self.receive(now, id, bytes, out),
             Input::Eof(id) | Input::Lost(id, _) if id.is_opened() => {
                 if let Input::Eof(id) = input {
                     out.push(Output::Abort(id));
@@ -724,40 +757,40 @@
             }
             Input::Eof(id) => {
                 out.push(Output::CloseWhenSent(id));
-                self.gone(now, id, out);
+                self.connection_closed(now, id, out);
             }
-            Input::Lost(id, _) => self.gone(now, id, out),
+            Input::Lost(id, _) => self.connection_closed(now, id, out),
             Input::PeerClosedWhilePaused(_) | Input::DescriptorsExhausted(_) => {}
             Input::Sent(id, n) => self.sent(now, id, n, out),
             Input::Wake => {
-                for job in self.fetches.late(now, out) {
-                    self.no_state(now, job, out);
+                for request in self.fetches.expire(now, out) {
+                    self.fail_fetch(now, request, out);
                 }
-                let forgotten: Vec<u64> = self.scheduler.expired_states(now, self.spec.hold_time);
-                forgotten.into_iter().for_each(|state| self.let_go(now, state));
+                let expired: Vec<u64> = self.scheduler.expired_states(now, self.spec.hold_time);
+                expired.into_iter().for_each(|state| self.release_state(now, state));
                 let waiting: Vec<ConnId> = self
                     .conns
                     .iter()
-                    .filter(|(_, c)| c.job.is_none() && c.decoder.buffered() > 0)
+                    .filter(|(_, c)| c.active_request.is_none() && c.decoder.buffered() > 0)
                     .map(|(&c, _)| c)
                     .collect();
-                waiting.into_iter().for_each(|id| self.pump(now, id, out));
+                waiting.into_iter().for_each(|id| self.read_requests(now, id, out));
             }
             Input::Stop => self.stopping = true,
             Input::Datagram(..) => {}
-            Input::OwnerMessage(news) => {
-                if let Some(fault) = news.downcast_ref::<Fault>() {
-                    self.fault(now, fault, out);
+            Input::OwnerMessage(message) => {
+                if let Some(fault) = message.downcast_ref::<Fault>() {
+                    self.apply_fault(now, fault, out);
                 }
-                if let Some(to) = news.downcast_ref::<Role>() {
+                if let Some(to) = message.downcast_ref::<Role>() {
                     let replaces = self.role.state().epoch;
-                    // One that has the role already keeps it.
+                    // The order is rejected if the engine already has the role.
                     let _ = self.role.order(now, Order { replaces, to: (*to).into() });
                 }
             }
         }
-        self.turn(now, out);
-        self.remember(now);
+        self.run_due_steps(now, out);
+        self.record_load(now);
         self.change_role(now);
         if self.stopping
             && !self.stopped
@@ -770,20 +803,20 @@
     }
 
     fn wake_at(&self) -> Option<Duration> {
-        let fetch = self.fetches.due();
-        let shy = self
+        let fetch_timeout = self.fetches.next_timeout();
+        let serve_at = self
             .conns
             .values()
-            .filter(|c| c.decoder.buffered() > 0 && c.job.is_none())
+            .filter(|c| c.decoder.buffered() > 0 && c.active_request.is_none())
             .map(|c| c.ready_at)
             .min();
-        let shy = shy.filter(|_| !self.faults.deaf);
-        let held = self.scheduler.oldest_state().map(|at| at + self.spec.hold_time);
-        [self.scheduler.step_at(), fetch, shy, held].into_iter().flatten().min()
+        let serve_at = serve_at.filter(|_| !self.faults.unresponsive);
+        let state_expiry = self.scheduler.oldest_state().map(|at| at + self.spec.hold_time);
+        [self.scheduler.step_at(), fetch_timeout, serve_at, state_expiry].into_iter().flatten().min()
     }
 }
 
-/// The try that a chat request carries, for tests that look into requests.
-pub fn try_of(body: &[u8]) -> Option<Try> {
+/// The attempt that the marker in a chat request names, for tests that inspect requests.
+pub fn attempt_in(body: &[u8]) -> Option<Try> {
     Mark::find(&String::from_utf8_lossy(body)).map(|m| m.attempt)
 }
--- a/crates/test-servers/src/engine/spec.rs
+++ b/crates/test-servers/src/engine/spec.rs
@@ -1,21 +1,21 @@
-//! The figures of a stand-in engine. Starting values are plausible, not measured on any real one.
+//! Parameters of a test engine, with plausible defaults.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// What an engine does.
+/// Which phases of a request an engine runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// Reads prompts.
+    /// Prefill: computes the KV cache of prompts.
     Prefill,
-    /// Writes answers.
+    /// Decode: generates answers.
     Decode,
-    /// Both.
+    /// Both phases.
     Mixed,
 }
 
 impl Role {
-    /// Its name on the wire.
+    /// The name of the role in the protocol.
     pub fn name(self) -> &'static str {
         match self {
             Role::Prefill => "read",
@@ -24,7 +24,7 @@
         }
     }
 
-    /// The role of that name.
+    /// Parses the name of a role in the protocol.
     pub fn from_name(name: &str) -> Option<Role> {
         [Role::Prefill, Role::Decode, Role::Mixed].into_iter().find(|r| r.name() == name)
     }
@@ -50,53 +50,54 @@
     }
 }
 
-/// What one engine is like.
+/// Parameters of one engine.
 #[derive(Clone, Debug)]
 pub struct EngineSpec {
     /// Its name in records.
     pub name: String,
-    /// Where it listens, so that writers can be told where state waits.
+    /// The address that it listens on, from which decode engines fetch the states that it holds.
     pub addr: SocketAddr,
-    /// What it does.
+    /// Its initial role.
     pub role: Role,
-    /// Requests that run at once.
+    /// Maximum number of requests that run concurrently.
     pub slots: usize,
-    /// Requests that may wait.
+    /// Maximum number of requests in the queue.
     pub queue: usize,
-    /// Memory, tokens.
+    /// Memory for KV caches, in tokens.
     pub memory: u64,
-    /// Prompt tokens read in one step at most.
+    /// Maximum number of prompt tokens that one step prefills.
     pub chunk: u64,
-    /// Prompt tokens read a second.
+    /// Prefill speed, in prompt tokens per second.
     pub prefill_tokens_per_s: f64,
-    /// Shortest step.
+    /// Minimum duration of a step.
     pub step: Duration,
-    /// What each running answer adds to a step.
+    /// Time that each answer in a step adds to its duration.
     pub per_answer: Duration,
-    /// Share of its speed at its start.
+    /// Share of its full speed that it has when it starts.
     pub cold_share: f64,
-    /// Time until it is warm.
+    /// Time from its start until it has full speed.
     pub cold_time: Duration,
-    /// Sent more than this multiple of what it can do while cold ...
+    /// An engine that is not yet at full speed crashes when it is sent more than this multiple of its
+    /// capacity ...
     pub fall_multiple: f64,
-    /// ... for so long, it falls over.
+    /// ... within this time.
     pub fall_time: Duration,
-    /// Beginnings of prompts that it keeps.
-    pub kept: usize,
-    /// Engines of one group drop each other's repeats of a key ...
+    /// Maximum number of prompt prefixes in its cache.
+    pub cached_prefixes: usize,
+    /// Engines of one group run requests of the same idempotency key only once ...
     pub group: String,
-    /// ... for so long.
+    /// ... within this time.
     pub key_window: Duration,
-    /// It lets go of state that nobody asks for after this.
+    /// How long it holds a state that no decode engine fetches.
     pub hold_time: Duration,
-    /// How long it has been up when it begins.
+    /// How long it has been running at the beginning of the test.
     pub age: Duration,
 }
 
 impl EngineSpec {
     /// An engine of ordinary size.
     pub fn new(name: &str, addr: SocketAddr, role: Role) -> Self {
-        let reads = role != Role::Decode;
+        let runs_prefill = role != Role::Decode;
         EngineSpec {
             name: name.into(),
             addr,
@@ -105,14 +106,14 @@
             queue: 32,
             memory: 200_000,
             chunk: 2_048,
-            prefill_tokens_per_s: if reads { 20_000.0 } else { 6_000.0 },
+            prefill_tokens_per_s: if runs_prefill { 20_000.0 } else { 6_000.0 },
             step: Duration::from_millis(10),
             per_answer: Duration::from_micros(100),
             cold_share: 0.3,
             cold_time: Duration::from_secs(10),
             fall_multiple: 3.0,
             fall_time: Duration::from_secs(2),
-            kept: 512,
+            cached_prefixes: 512,
             group: "all".into(),
             key_window: Duration::from_secs(60),
             hold_time: Duration::from_secs(30),
@@ -120,7 +121,7 @@
         }
     }
 
-    /// Answer tokens a second that it can write with all slots in use.
+    /// Decode speed with all slots in use, in answer tokens per second.
     pub fn decode_tokens_per_s(&self) -> f64 {
         let step = self.step + self.per_answer * self.slots as u32;
         self.slots as f64 / step.as_secs_f64()
--- a/crates/test-servers/src/ledger.rs
+++ b/crates/test-servers/src/ledger.rs
@@ -1,4 +1,4 @@
-//! Where stand-ins note what they see. Shared by the stand-ins of one run; the router never sees it.
+//! Records what test servers and clients observe. All of one run share a ledger; the router never sees it.
 
 use crate::engine::Role;
 use slipreel_invariants::{Record, Seen};
@@ -7,52 +7,52 @@
 use std::time::Duration;
 
 #[derive(Default)]
-struct Inside {
+struct LedgerContents {
     records: Vec<Record>,
-    /// The role that each engine tells of itself, and whether it serves in it.
+    /// The role that each engine last reported, and whether it accepts work in that role.
     roles: BTreeMap<String, (Role, bool)>,
-    /// Keys of keyed requests that have run, by group of engines, and when.
+    /// When a request with an idempotency key ran, by engine group and key.
     keys: BTreeMap<(String, String), Duration>,
 }
 
-/// A shared list of records, and the keys that groups of engines remember.
+/// A shared list of records, the roles of engines and the idempotency keys that engine groups remember.
 #[derive(Clone, Default)]
-pub struct Ledger(Arc<Mutex<Inside>>);
+pub struct Ledger(Arc<Mutex<LedgerContents>>);
 
 impl Ledger {
-    fn inside(&self) -> std::sync::MutexGuard<'_, Inside> {
-        // A panic of another stand-in leaves the list as it was.
+    fn lock(&self) -> std::sync::MutexGuard<'_, LedgerContents> {
+        // A panic while the lock was held leaves the data consistent.
         self.0.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
-    /// Notes what was seen.
+    /// Records an observation.
     pub fn note(&self, at: Duration, seen: Seen) {
-        self.inside().records.push(Record { at, seen });
+        self.lock().records.push(Record { at, seen });
     }
 
-    /// All that was noted.
+    /// All records so far.
     pub fn records(&self) -> Vec<Record> {
-        self.inside().records.clone()
+        self.lock().records.clone()
     }
 
-    /// An engine tells its role, for whoever keeps the list of engines.
-    pub fn tell_role(&self, engine: &str, role: Role, serving: bool) {
-        self.inside().roles.insert(engine.to_owned(), (role, serving));
+    /// Stores the role that an engine reports, for the test driver that maintains the list of engines.
+    pub fn report_role(&self, engine: &str, role: Role, serving: bool) {
+        self.lock().roles.insert(engine.to_owned(), (role, serving));
     }
 
-    /// The role that an engine told last, and whether it serves in it.
+    /// The role that an engine reported last, and whether it accepts work in that role.
     pub fn role(&self, engine: &str) -> Option<(Role, bool)> {
-        self.inside().roles.get(engine).copied()
+        self.lock().roles.get(engine).copied()
     }
 
-    /// Whether a key is new to a group of engines that remembers keys for `window`. It is known from now on.
+    /// Returns whether `key` was not used in `group` within the last `window`, and if so stores its use.
     pub fn first_use(&self, now: Duration, group: &str, key: &str, window: Duration) -> bool {
-        let mut inside = self.inside();
-        let name = (group.to_owned(), key.to_owned());
-        if inside.keys.get(&name).is_some_and(|&at| now < at + window) {
+        let mut contents = self.lock();
+        let entry = (group.to_owned(), key.to_owned());
+        if contents.keys.get(&entry).is_some_and(|&at| now < at + window) {
             return false;
         }
-        inside.keys.insert(name, now);
+        contents.keys.insert(entry, now);
         true
     }
 }
--- a/crates/test-servers/src/lib.rs
+++ b/crates/test-servers/src/lib.rs
@@ -1,12 +1,13 @@
-//! Stand-ins: engines and clients as state machines, what they see, and a network in memory with virtual time.
+//! Test servers and clients as state machines, and a simulated network with virtual time.
 //!
-//! - [`engine`]: an engine that reads, writes or does both, by the published protocol, with faults on demand;
-//! - [`client`]: clients that follow a script of requests and check what they get;
-//! - [`partition`]: cuts a machine off from some of its peers;
-//! - [`memory`]: drives machines in memory, in virtual time: the same seed gives the same bytes;
-//! - [`mark`]: how a request is known on both sides of the router;
+//! - [`engine`]: an engine that runs prefill, decode or both over the published protocol, with injectable
+//!   faults;
+//! - [`client`]: clients that send a scripted list of requests and check the answers;
+//! - [`partition`]: simulates a network partition between a machine and some of its peers;
+//! - [`memory`]: runs machines in memory and virtual time: the same seed gives the same bytes;
+//! - [`mark`]: the marker in a prompt that identifies a request on both sides of the router;
 //! - [`platform`]: engines, discovery and clients that speak the platform's protocol;
-//! - [`ledger`]: where stand-ins note what they see, for the rule checker.
+//! - [`ledger`]: records what test servers and clients observe, for the invariant checker.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/crates/test-servers/src/mark/tests.rs
+++ b/crates/test-servers/src/mark/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn the_last_mark_counts() {
+fn finds_the_last_mark() {
     let mark = Mark { attempt: Try { request: 77, number: 2 }, length: 30, effect: Effect::Keyed };
     let older = Mark { attempt: Try { request: 76, number: 0 }, length: 9, effect: Effect::Safe };
     assert_eq!(Mark::find(&format!("a {} b [x] {} c", older.text(), mark.text())), Some(mark));
--- a/crates/test-servers/src/memory.rs
+++ b/crates/test-servers/src/memory.rs
@@ -1,8 +1,9 @@
-//! A network in memory with virtual time: hosts machines, carries their bytes, and is the same for the same seed.
+//! A simulated network with virtual time: it hosts machines and carries their bytes. The same seed gives the
+//! same run.
 //!
-//! It keeps what TCP keeps: order, back-pressure (a window for each direction), half-close, resets after what was
-//! sent before them, connections that the system takes up for a process that does not run. It loses nothing by
-//! itself; what goes wrong is the script's affair.
+//! It behaves like TCP: order, back-pressure (a window for each direction), half-close, resets that arrive
+//! after what was sent before them, and connections that the operating system accepts for a process that does
+//! not run. It loses nothing by itself; faults are up to the test.
 
 use rand_xoshiro::rand_core::{RngCore, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
@@ -14,30 +15,30 @@
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Bytes of one direction that may be on their way or unread.
+/// Once this many bytes of one direction are in flight or unread, no more are sent.
 const WINDOW: usize = 256 << 10;
-/// From one try to connect into a cut to the next.
-const CONNECT_RETRY: Duration = Duration::from_secs(1);
-/// Datagrams that wait in a socket whose process does not run.
-const MAILBOX: usize = 160;
+/// Interval between attempts to connect to a machine that is cut off.
+const CONNECT_RETRY_INTERVAL: Duration = Duration::from_secs(1);
+/// The most datagrams that wait for a process that does not run.
+const MAX_QUEUED_DATAGRAMS: usize = 160;
 
-/// How long things take.
+/// Delays of the network.
 #[derive(Clone, Copy, Debug)]
 pub struct Delays {
-    /// One way between two machines.
+    /// Time from one machine to another.
     pub one_way: Duration,
-    /// Up to so much more, drawn for each piece.
+    /// The most that is added to it, drawn for each transfer.
     pub jitter: Duration,
-    /// How long after a write its machine is told that the bytes have left.
+    /// Time from a write until its machine is told that the bytes have been sent.
     pub sent: Duration,
-    /// The share of connections that come up late.
+    /// The share of connections that are established late.
     pub late_share: f64,
-    /// By up to how much, drawn for each.
+    /// The most by which they are late, drawn for each connection.
     pub late_most: Duration,
 }
 
 impl Default for Delays {
-    /// About a loopback's.
+    /// Delays like those of a loopback interface.
     fn default() -> Self {
         Delays {
             one_way: Duration::from_micros(50),
@@ -49,28 +50,33 @@
     }
 }
 
+/// What a link carries.
 enum Piece {
     Data(Vec<u8>),
     Fin,
     Reset,
 }
 
-/// One direction of a link; it leads to `to`.
+/// One direction of a link.
 #[derive(Default)]
 struct Flow {
     unsent: VecDeque<Piece>,
-    /// Sent into a cut: it arrives when the cut is over, unless its sender closes the connection at once before.
+    /// Sent while the machines were cut off from each other: it arrives when the cut ends, unless its sender
+    /// aborts the connection before.
     stalled: VecDeque<Piece>,
+    /// Bytes in flight or unread.
     window: usize,
     arrived: VecDeque<Piece>,
     paused: bool,
-    /// The machine knows that the other end has closed it though it is paused.
-    hung_up: bool,
-    last: Duration,
-    /// The sender has ended it; nothing follows.
+    /// The machine was told that the other end has closed the connection while it was paused.
+    close_reported: bool,
+    /// When the last piece sent so far arrives.
+    last_arrival: Duration,
+    /// The sender has closed this direction.
     closed: bool,
 }
 
+/// One end of a link.
 #[derive(Clone, Copy)]
 struct End {
     node: usize,
@@ -79,13 +85,14 @@
     open: bool,
 }
 
+/// A connection between two machines.
 struct Link {
     ends: [End; 2],
     /// `flows[i]` leads to `ends[i]`.
     flows: [Flow; 2],
     connected: bool,
-    /// By which listener it came.
-    door: ListenerId,
+    /// The listener that accepted it.
+    listener: ListenerId,
 }
 
 enum Event {
@@ -106,46 +113,46 @@
     dead: bool,
     frozen: bool,
     stopped: bool,
-    wake: Option<Duration>,
-    /// Links that stand and that the frozen machine has not been told of.
+    next_wake: Option<Duration>,
+    /// Established links that the frozen machine has not been told of.
     backlog: Vec<u64>,
     by_id: HashMap<ConnId, (u64, usize)>,
-    /// Its datagram sockets, and what waits in them while it does not run.
-    mailboxes: Vec<SocketAddr>,
-    waiting: VecDeque<(ListenerId, SocketAddr, Vec<u8>)>,
+    /// Addresses of its datagram sockets, and the datagrams that wait while it is frozen.
+    datagram_sockets: Vec<SocketAddr>,
+    queued_datagrams: VecDeque<(ListenerId, SocketAddr, Vec<u8>)>,
 }
 
-/// Hosts machines in virtual time.
+/// A simulated network that hosts machines in virtual time.
 pub struct World<M> {
     now: Duration,
     seq: u64,
-    heap: BinaryHeap<Reverse<(Duration, u64)>>,
+    queue: BinaryHeap<Reverse<(Duration, u64)>>,
     events: HashMap<u64, Event>,
     nodes: Vec<Node<M>>,
     listeners: BTreeMap<SocketAddr, usize>,
-    mailboxes: BTreeMap<SocketAddr, (usize, ListenerId)>,
+    datagram_sockets: BTreeMap<SocketAddr, (usize, ListenerId)>,
     links: HashMap<u64, Link>,
     next_link: u64,
-    /// Pairs of machines between which nothing passes; the lower number first.
+    /// Pairs of machines that are cut off from each other; the lower number first.
     cuts: BTreeSet<(usize, usize)>,
     delays: Delays,
     rng: Xoshiro256PlusPlus,
     digest: u64,
     log: Vec<(Duration, usize, String)>,
-    handled: u64,
+    inputs_handled: u64,
 }
 
 impl<M: Machine> World<M> {
-    /// An empty world at the time `start`.
+    /// An empty network at the time `start`.
     pub fn new(start: Duration, delays: Delays, seed: u64) -> Self {
         World {
             now: start,
             seq: 0,
-            heap: BinaryHeap::new(),
+            queue: BinaryHeap::new(),
             events: HashMap::new(),
             nodes: Vec::new(),
             listeners: BTreeMap::new(),
-            mailboxes: BTreeMap::new(),
+            datagram_sockets: BTreeMap::new(),
             links: HashMap::new(),
             next_link: 0,
             cuts: BTreeSet::new(),
@@ -153,31 +160,31 @@
             rng: Xoshiro256PlusPlus::seed_from_u64(seed),
             digest: seed,
             log: Vec::new(),
-            handled: 0,
+            inputs_handled: 0,
         }
     }
 
-    /// The present time.
+    /// The current virtual time.
     pub fn now(&self) -> Duration {
         self.now
     }
 
-    /// A hash over every byte that was delivered, when and to whom.
+    /// A hash over every delivered byte, the time of its delivery and its receiver.
     pub fn digest(&self) -> u64 {
         self.digest
     }
 
-    /// Lines that machines wrote for the staff.
+    /// Log lines of the machines: time, machine and line.
     pub fn log(&self) -> &[(Duration, usize, String)] {
         &self.log
     }
 
-    /// Inputs that machines were given so far.
+    /// Number of inputs delivered to machines so far.
     pub fn inputs_handled(&self) -> u64 {
-        self.handled
+        self.inputs_handled
     }
 
-    /// Adds a machine that listens on these addresses.
+    /// Adds a machine that listens on these addresses. Returns its number.
     pub fn add(&mut self, machine: M, addrs: &[SocketAddr]) -> usize {
         let node = self.nodes.len();
         self.nodes.push(Node {
@@ -187,65 +194,65 @@
             dead: false,
             frozen: false,
             stopped: false,
-            wake: None,
+            next_wake: None,
             backlog: Vec::new(),
             by_id: HashMap::new(),
-            mailboxes: Vec::new(),
-            waiting: VecDeque::new(),
+            datagram_sockets: Vec::new(),
+            queued_datagrams: VecDeque::new(),
         });
         addrs.iter().for_each(|a| {
             self.listeners.insert(*a, node);
         });
-        self.plan_wake(node);
+        self.schedule_wake(node);
         node
     }
 
     /// Opens datagram sockets for a machine, at these addresses.
     pub fn open_datagram_sockets(&mut self, node: usize, addrs: &[SocketAddr]) {
         for &addr in addrs {
-            let door = ListenerId(self.nodes[node].mailboxes.len());
-            self.nodes[node].mailboxes.push(addr);
-            self.mailboxes.insert(addr, (node, door));
+            let listener = ListenerId(self.nodes[node].datagram_sockets.len());
+            self.nodes[node].datagram_sockets.push(addr);
+            self.datagram_sockets.insert(addr, (node, listener));
         }
     }
 
-    /// A machine.
+    /// Returns a machine.
     pub fn machine(&self, node: usize) -> &M {
         &self.nodes[node].machine
     }
 
-    /// Whether a machine has said that it stopped.
+    /// Whether a machine has reported that it stopped.
     pub fn stopped(&self, node: usize) -> bool {
         self.nodes[node].stopped
     }
 
-    /// Gives news to a machine.
-    pub fn send_owner_message(&mut self, node: usize, news: &(dyn Any + Send + Sync)) {
-        self.give(node, Input::OwnerMessage(news));
+    /// Sends a machine a message from its owner.
+    pub fn send_owner_message(&mut self, node: usize, message: &(dyn Any + Send + Sync)) {
+        self.deliver_input(node, Input::OwnerMessage(message));
     }
 
-    /// Tells a machine to stop in good order.
+    /// Tells a machine to stop gracefully.
     pub fn stop(&mut self, node: usize) {
-        self.give(node, Input::Stop);
+        self.deliver_input(node, Input::Stop);
     }
 
-    /// A machine dies at once.
+    /// Kills a machine: its connections are reset.
     pub fn kill(&mut self, node: usize) {
         let n = &mut self.nodes[node];
         n.dead = true;
         n.backlog.clear();
-        n.waiting.clear();
+        n.queued_datagrams.clear();
         n.by_id.clear();
-        self.mailboxes.retain(|_, (n, _)| *n != node);
+        self.datagram_sockets.retain(|_, (n, _)| *n != node);
         self.listeners.retain(|_, n| *n != node);
-        let mut mine: Vec<u64> = self
+        let mut its_links: Vec<u64> = self
             .links
             .iter()
             .filter(|(_, l)| l.ends.iter().any(|e| e.node == node && e.open))
             .map(|(&k, _)| k)
             .collect();
-        mine.sort_unstable();
-        for link in mine {
+        its_links.sort_unstable();
+        for link in its_links {
             for end in 0..2 {
                 let l = self.links.get(&link);
                 if l.is_some_and(|l| l.ends[end].node == node && l.ends[end].open) {
@@ -255,20 +262,20 @@
         }
     }
 
-    /// A machine takes the place of one that was killed.
+    /// Starts a machine in place of one that was killed.
     pub fn revive(&mut self, node: usize, machine: M) {
         let n = &mut self.nodes[node];
-        (n.machine, n.dead, n.frozen, n.stopped, n.wake) = (machine, false, false, false, None);
+        (n.machine, n.dead, n.frozen, n.stopped, n.next_wake) = (machine, false, false, false, None);
         for addr in n.addrs.clone() {
             self.listeners.insert(addr, node);
         }
-        for (at, addr) in n.mailboxes.clone().into_iter().enumerate() {
-            self.mailboxes.insert(addr, (node, ListenerId(at)));
+        for (at, addr) in n.datagram_sockets.clone().into_iter().enumerate() {
+            self.datagram_sockets.insert(addr, (node, ListenerId(at)));
         }
-        self.plan_wake(node);
+        self.schedule_wake(node);
     }
 
-    /// A machine is not run, or run again.
+    /// Suspends or resumes a machine.
     pub fn freeze(&mut self, node: usize, frozen: bool) {
         self.nodes[node].frozen = frozen;
         if frozen || self.nodes[node].dead {
@@ -277,17 +284,17 @@
         for link in std::mem::take(&mut self.nodes[node].backlog) {
             self.accept(link);
         }
-        let mut mine: Vec<(u64, usize)> = self.nodes[node].by_id.values().copied().collect();
-        mine.sort_unstable();
-        mine.into_iter().for_each(|(link, end)| self.deliver(link, end));
-        for (door, from, bytes) in std::mem::take(&mut self.nodes[node].waiting) {
-            self.give(node, Input::Datagram(door, from, &bytes));
+        let mut its_links: Vec<(u64, usize)> = self.nodes[node].by_id.values().copied().collect();
+        its_links.sort_unstable();
+        its_links.into_iter().for_each(|(link, end)| self.deliver(link, end));
+        for (listener, from, bytes) in std::mem::take(&mut self.nodes[node].queued_datagrams) {
+            self.deliver_input(node, Input::Datagram(listener, from, &bytes));
         }
-        self.give(node, Input::Wake);
+        self.deliver_input(node, Input::Wake);
     }
 
-    /// Nothing passes between two machines any more, or passes again. As with TCP nobody is told, what was sent meanwhile
-    /// arrives late, and who tries to connect tries again.
+    /// Cuts two machines off from each other, or reconnects them. As with TCP they are not told, what was
+    /// sent during the cut arrives late, and new connections are retried.
     pub fn cut(&mut self, one: usize, other: usize, is_cut: bool) {
         let pair = (one.min(other), one.max(other));
         if is_cut {
@@ -306,16 +313,16 @@
         }
     }
 
-    /// What was sent into a cut in the direction to `to` arrives after all.
+    /// Delivers what was sent to `to` during a cut.
     fn resend(&mut self, link: u64, to: usize) {
         let at = self.now + self.delay();
         let Some(l) = self.links.get_mut(&link) else { return };
         let flow = &mut l.flows[to];
         let stalled = std::mem::take(&mut flow.stalled);
-        let at = flow.last.max(at);
-        flow.last = at;
+        let at = flow.last_arrival.max(at);
+        flow.last_arrival = at;
         for piece in stalled {
-            self.plan(at, Event::Arrive { link, to, piece });
+            self.schedule(at, Event::Arrive { link, to, piece });
         }
     }
 
@@ -325,7 +332,7 @@
 
     /// Runs until the given time.
     pub fn run_until(&mut self, until: Duration) {
-        while self.heap.peek().is_some_and(|Reverse((at, _))| *at <= until) {
+        while self.queue.peek().is_some_and(|Reverse((at, _))| *at <= until) {
             self.step();
         }
         self.now = self.now.max(until);
@@ -333,24 +340,24 @@
 
     /// Handles the next event, if there is one.
     pub fn step(&mut self) -> bool {
-        let Some(Reverse((at, seq))) = self.heap.pop() else { return false };
+        let Some(Reverse((at, seq))) = self.queue.pop() else { return false };
         self.now = self.now.max(at);
         let Some(event) = self.events.remove(&seq) else { return true };
         match event {
             Event::Wake(node) => {
                 let n = &mut self.nodes[node];
-                if n.wake == Some(at) {
-                    n.wake = None;
+                if n.next_wake == Some(at) {
+                    n.next_wake = None;
                 }
                 if !n.frozen {
-                    self.give(node, Input::Wake);
+                    self.deliver_input(node, Input::Wake);
                 }
             }
             Event::Connecting { link, addr } => self.connecting(link, addr),
             Event::Connected(link) => self.connected(link),
             Event::Refused { node, id, why } => {
                 if self.nodes[node].by_id.remove(&id).is_some() {
-                    self.give(node, Input::Lost(id, why));
+                    self.deliver_input(node, Input::Lost(id, why));
                 }
             }
             Event::Arrive { link, to, piece } => {
@@ -360,31 +367,32 @@
                 }
             }
             Event::Deliver { link, to } => self.deliver(link, to),
-            Event::Datagram { from, to, bytes } => self.take_datagram(from, to, bytes),
+            Event::Datagram { from, to, bytes } => self.deliver_datagram(from, to, bytes),
             Event::Sent { link, from, n } => {
                 let end = self.links.get(&link).map(|l| l.ends[from]);
                 if let Some(end) = end.filter(|e| e.open) {
-                    self.give(end.node, Input::Sent(end.id, n));
+                    self.deliver_input(end.node, Input::Sent(end.id, n));
                 }
             }
         }
         true
     }
 
-    fn plan(&mut self, at: Duration, event: Event) {
+    fn schedule(&mut self, at: Duration, event: Event) {
         self.seq += 1;
-        self.heap.push(Reverse((at, self.seq)));
+        self.queue.push(Reverse((at, self.seq)));
         self.events.insert(self.seq, event);
     }
 
     fn delay(&mut self) -> Duration {
-        let part = (self.rng.next_u64() >> 11) as f64 / (1u64 << 53) as f64;
-        self.delays.one_way + self.delays.jitter.mul_f64(part)
+        let share = (self.rng.next_u64() >> 11) as f64 / (1u64 << 53) as f64;
+        self.delays.one_way + self.delays.jitter.mul_f64(share)
     }
 
-    /// How much later than usual a connection comes up.
-    fn lateness(&mut self) -> Duration {
-        // Nothing is drawn where nothing is late, so that worlds without it keep their chances.
+    /// By how much the establishment of a connection is late.
+    fn connect_lateness(&mut self) -> Duration {
+        // Draws no random number where no connection is late, so that runs without lateness keep their random
+        // sequence.
         if self.delays.late_share == 0.0 {
             return Duration::ZERO;
         }
@@ -397,17 +405,17 @@
         }
     }
 
-    fn plan_wake(&mut self, node: usize) {
+    fn schedule_wake(&mut self, node: usize) {
         let n = &self.nodes[node];
         if n.dead {
             return;
         }
         let Some(at) = n.machine.wake_at() else { return };
-        // Never in the past, and never now again: a machine that asks for it would stop the clock.
+        // Always in the future: a machine that asks to be woken now or in the past would stop the clock.
         let at = at.max(self.now + Duration::from_micros(1));
-        if n.wake.is_none_or(|planned| at < planned) {
-            self.nodes[node].wake = Some(at);
-            self.plan(at, Event::Wake(node));
+        if n.next_wake.is_none_or(|planned| at < planned) {
+            self.nodes[node].next_wake = Some(at);
+            self.schedule(at, Event::Wake(node));
         }
     }
 
@@ -419,20 +427,20 @@
         let Some(&node) = self.listeners.get(&addr).filter(|_| from.open) else {
             self.links.remove(&link);
             let at = self.now + self.delay();
-            return self.plan(
+            return self.schedule(
                 at,
                 Event::Refused { node: from.node, id: from.id, why: ConnectionLoss::NotConnected },
             );
         };
         if self.is_cut(from.node, node) {
-            return self.plan(self.now + CONNECT_RETRY, Event::Connecting { link, addr });
+            return self.schedule(self.now + CONNECT_RETRY_INTERVAL, Event::Connecting { link, addr });
         }
         if let Some(l) = self.links.get_mut(&link) {
             l.ends[1].node = node;
-            l.door = ListenerId(self.nodes[node].addrs.iter().position(|a| *a == addr).unwrap_or(0));
+            l.listener = ListenerId(self.nodes[node].addrs.iter().position(|a| *a == addr).unwrap_or(0));
         }
-        let at = self.now + self.delay() + self.lateness();
-        self.plan(at, Event::Connected(link));
+        let at = self.now + self.delay() + self.connect_lateness();
+        self.schedule(at, Event::Connected(link));
         if self.nodes[node].frozen {
             self.nodes[node].backlog.push(link);
         } else {
@@ -442,42 +450,42 @@
 
     fn accept(&mut self, link: u64) {
         let Some(l) = self.links.get_mut(&link) else { return };
-        let (node, door) = (l.ends[1].node, l.door);
+        let (node, listener) = (l.ends[1].node, l.listener);
         let n = &mut self.nodes[node];
         n.accepted += 1;
         let id = ConnId(n.accepted);
         l.ends[1] = End { node, id, open: true };
         n.by_id.insert(id, (link, 1));
-        self.give(node, Input::Accepted(id, door));
+        self.deliver_input(node, Input::Accepted(id, listener));
         self.deliver(link, 1);
     }
 
-    fn take_datagram(&mut self, from: SocketAddr, to: SocketAddr, bytes: Vec<u8>) {
-        let Some(&(node, door)) = self.mailboxes.get(&to) else { return };
+    fn deliver_datagram(&mut self, from: SocketAddr, to: SocketAddr, bytes: Vec<u8>) {
+        let Some(&(node, listener)) = self.datagram_sockets.get(&to) else { return };
         let n = &mut self.nodes[node];
         if n.frozen {
-            // As much as a socket holds; what comes after that is lost.
-            if n.waiting.len() < MAILBOX {
-                n.waiting.push_back((door, from, bytes));
+            // The socket holds this many; later datagrams are lost.
+            if n.queued_datagrams.len() < MAX_QUEUED_DATAGRAMS {
+                n.queued_datagrams.push_back((listener, from, bytes));
             }
             return;
         }
         let when = self.now.as_nanos() as u64 ^ (node as u64) << 56;
         self.digest = xxh3_64_with_seed(&bytes, self.digest ^ when);
-        self.give(node, Input::Datagram(door, from, &bytes));
+        self.deliver_input(node, Input::Datagram(listener, from, &bytes));
     }
 
     fn connected(&mut self, link: u64) {
         let Some(l) = self.links.get_mut(&link) else { return };
         if l.ends[0].open && !std::mem::replace(&mut l.connected, true) {
             let End { node, id, .. } = l.ends[0];
-            self.give(node, Input::Connected(id));
+            self.deliver_input(node, Input::Connected(id));
             self.deliver(link, 0);
         }
     }
 
-    /// Sends what the window takes in the direction to `to`.
-    fn launch(&mut self, link: u64, to: usize) {
+    /// Sends as much to `to` as the window allows.
+    fn transmit(&mut self, link: u64, to: usize) {
         loop {
             let delay = self.delay();
             let Some(l) = self.links.get(&link) else { return };
@@ -493,15 +501,15 @@
                 return;
             }
             let Some(piece) = flow.unsent.pop_front() else { return };
-            let at = flow.last.max(self.now + delay);
-            flow.last = at;
+            let at = flow.last_arrival.max(self.now + delay);
+            flow.last_arrival = at;
             if let Piece::Data(bytes) = &piece {
                 let n = bytes.len();
                 flow.window += n;
-                self.plan(self.now + self.delays.sent, Event::Sent { link, from: 1 - to, n });
+                self.schedule(self.now + self.delays.sent, Event::Sent { link, from: 1 - to, n });
             }
             if !is_cut {
-                self.plan(at, Event::Arrive { link, to, piece });
+                self.schedule(at, Event::Arrive { link, to, piece });
                 continue;
             }
             if let Some(l) = self.links.get_mut(&link) {
@@ -510,7 +518,7 @@
         }
     }
 
-    /// Hands over what has arrived at an end, while its machine takes it.
+    /// Delivers what has arrived at an end, unless its machine is frozen or has paused the connection.
     fn deliver(&mut self, link: u64, to: usize) {
         loop {
             let Some(l) = self.links.get_mut(&link) else { return };
@@ -525,9 +533,9 @@
             let flow = &mut l.flows[to];
             let is_data = matches!(flow.arrived.front(), Some(Piece::Data(_) | Piece::Fin));
             if flow.paused && is_data {
-                let closed = |piece: &Piece| matches!(piece, Piece::Fin | Piece::Reset);
-                if flow.arrived.iter().any(closed) && !std::mem::replace(&mut flow.hung_up, true) {
-                    self.give(end.node, Input::PeerClosedWhilePaused(end.id));
+                let is_end = |piece: &Piece| matches!(piece, Piece::Fin | Piece::Reset);
+                if flow.arrived.iter().any(is_end) && !std::mem::replace(&mut flow.close_reported, true) {
+                    self.deliver_input(end.node, Input::PeerClosedWhilePaused(end.id));
                 }
                 return;
             }
@@ -537,19 +545,19 @@
                     flow.window -= bytes.len().min(flow.window);
                     let when = self.now.as_nanos() as u64 ^ (end.node as u64) << 56 ^ end.id.0;
                     self.digest = xxh3_64_with_seed(&bytes, self.digest ^ when);
-                    self.give(end.node, Input::Data(end.id, &bytes));
-                    self.launch(link, to);
+                    self.deliver_input(end.node, Input::Data(end.id, &bytes));
+                    self.transmit(link, to);
                 }
-                Piece::Fin => self.give(end.node, Input::Eof(end.id)),
+                Piece::Fin => self.deliver_input(end.node, Input::Eof(end.id)),
                 Piece::Reset => {
                     self.close_end(link, to);
-                    self.give(end.node, Input::Lost(end.id, ConnectionLoss::Reset));
+                    self.deliver_input(end.node, Input::Lost(end.id, ConnectionLoss::Reset));
                 }
             }
         }
     }
 
-    /// An end is closed at once: the other learns of it after what was sent before.
+    /// Closes an end at once. The other end learns of it after what was sent before.
     fn reset(&mut self, link: u64, end: usize) {
         let Some(l) = self.links.get_mut(&link) else { return };
         let flow = &mut l.flows[1 - end];
@@ -558,7 +566,7 @@
         if !std::mem::replace(&mut flow.closed, true) {
             flow.unsent.push_back(Piece::Reset);
         }
-        self.launch(link, 1 - end);
+        self.transmit(link, 1 - end);
         self.close_end(link, end);
     }
 
@@ -568,27 +576,27 @@
         let End { node, id, .. } = l.ends[end];
         self.nodes[node].by_id.remove(&id);
         if !l.ends[1 - end].open {
-            // What is still on its way finds nobody.
+            // Pieces in flight are dropped.
             self.links.remove(&link);
         }
     }
 
     // ---- Machines ------------------------------------------------------------------------------
 
-    fn give(&mut self, node: usize, input: Input<'_>) {
+    fn deliver_input(&mut self, node: usize, input: Input<'_>) {
         if self.nodes[node].dead {
             return;
         }
-        self.handled += 1;
+        self.inputs_handled += 1;
         let mut out = Vec::new();
         self.nodes[node].machine.handle(self.now, input, &mut out);
         for output in out {
-            self.carry_out(node, output);
+            self.apply_output(node, output);
         }
-        self.plan_wake(node);
+        self.schedule_wake(node);
     }
 
-    fn carry_out(&mut self, node: usize, output: Output) {
+    fn apply_output(&mut self, node: usize, output: Output) {
         let found = |id: &ConnId| self.nodes[node].by_id.get(id).copied();
         match output {
             Output::Connect(id, addr) => {
@@ -601,20 +609,20 @@
                         ends: [from, to],
                         flows: Default::default(),
                         connected: false,
-                        door: ListenerId(0),
+                        listener: ListenerId(0),
                     },
                 );
                 self.nodes[node].by_id.insert(id, (link, 0));
                 let at = self.now + self.delay();
-                self.plan(at, Event::Connecting { link, addr });
+                self.schedule(at, Event::Connecting { link, addr });
             }
-            // A socket knows no empty writes.
+            // An empty write has no effect on a socket.
             Output::Write(_, bytes) if bytes.is_empty() => {}
             Output::Write(id, bytes) => {
                 let Some((link, end)) = found(&id) else { return };
                 if let Some(l) = self.links.get_mut(&link) {
                     l.flows[1 - end].unsent.push_back(Piece::Data(bytes));
-                    self.launch(link, 1 - end);
+                    self.transmit(link, 1 - end);
                 }
             }
             Output::ShutdownWrite(id) => {
@@ -624,7 +632,7 @@
                         l.flows[1 - end].unsent.push_back(Piece::Fin);
                     }
                 }
-                self.launch(link, 1 - end);
+                self.transmit(link, 1 - end);
             }
             Output::CloseWhenSent(id) => {
                 let Some((link, end)) = found(&id) else { return };
@@ -632,10 +640,10 @@
                     if !std::mem::replace(&mut l.flows[1 - end].closed, true) {
                         l.flows[1 - end].unsent.push_back(Piece::Fin);
                     }
-                    // What comes in from now on is dropped, so that the other side is not held up.
+                    // Later input is dropped, so that the other side is not blocked.
                     l.flows[end].paused = false;
                 }
-                self.launch(link, 1 - end);
+                self.transmit(link, 1 - end);
                 self.close_end(link, end);
                 self.deliver(link, end);
             }
@@ -643,10 +651,10 @@
                 let Some((link, end)) = found(&id) else { return };
                 self.reset(link, end);
             }
-            Output::Datagram(ListenerId(door), to, bytes) => {
-                let Some(&from) = self.nodes[node].mailboxes.get(door) else { return };
+            Output::Datagram(ListenerId(listener), to, bytes) => {
+                let Some(&from) = self.nodes[node].datagram_sockets.get(listener) else { return };
                 let at = self.now + self.delay();
-                self.plan(at, Event::Datagram { from, to, bytes });
+                self.schedule(at, Event::Datagram { from, to, bytes });
             }
             Output::Pause(id) | Output::Resume(id) => {
                 let Some((link, end)) = found(&id) else { return };
@@ -655,15 +663,15 @@
                     l.flows[end].paused = paused;
                 }
                 if !paused {
-                    // In a moment of its own: the machine is in the midst of its outputs.
-                    self.plan(self.now, Event::Deliver { link, to: end });
+                    // As an event of its own: the outputs of the machine are still being applied.
+                    self.schedule(self.now, Event::Deliver { link, to: end });
                 }
             }
             Output::StopListening => self.listeners.retain(|_, n| *n != node),
             Output::Stopped => {
                 self.nodes[node].stopped = true;
                 self.listeners.retain(|_, n| *n != node);
-                self.mailboxes.retain(|_, (n, _)| *n != node);
+                self.datagram_sockets.retain(|_, (n, _)| *n != node);
             }
             Output::Log(line) => self.log.push((self.now, node, line)),
         }
--- a/crates/test-servers/src/partition.rs
+++ b/crates/test-servers/src/partition.rs
@@ -1,5 +1,5 @@
-//! Cuts a machine off from some peers, as a lost link does: connections opened to them stay open and silent, new
-//! ones do not come to stand. What was under way goes on when the link is back.
+//! Simulates a network partition between a machine and some of its peers: connections to them stay open but
+//! carry nothing, and new ones are not established. What was held back is delivered when the partition heals.
 
 use crate::ledger::Ledger;
 use crate::mark::Mark;
@@ -9,69 +9,71 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// News for a [`PartitionedMachine`]: the addresses that can't be reached from now on.
+/// Owner message for a [`PartitionedMachine`]: the peer addresses that are unreachable from now on.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct UnreachablePeers(pub BTreeSet<SocketAddr>);
 
-enum Held {
-    In(ConnId, Vec<u8>),
+/// An input from or an output to an unreachable peer.
+enum HeldBack {
+    Data(ConnId, Vec<u8>),
     Eof(ConnId),
-    Out(Output),
+    Output(Output),
 }
 
-/// A machine behind a link that can be cut.
+/// A machine whose peers can be made unreachable.
 pub struct PartitionedMachine<M> {
     machine: M,
-    cut: BTreeSet<SocketAddr>,
+    unreachable: BTreeSet<SocketAddr>,
+    /// Peer addresses of the connections that the machine opened.
     peers: BTreeMap<ConnId, SocketAddr>,
-    held: Vec<Held>,
+    held_back: Vec<HeldBack>,
     ledger: Option<Ledger>,
-    /// Work that waits on a cut link, by connection.
-    on_the_way: BTreeMap<ConnId, Try>,
+    /// Attempts whose bytes are held back, by connection.
+    in_transit: BTreeMap<ConnId, Try>,
 }
 
 impl<M: Machine> PartitionedMachine<M> {
-    /// A machine whose links all stand.
+    /// Wraps a machine whose peers are all reachable.
     pub fn new(machine: M) -> Self {
         PartitionedMachine {
             machine,
-            cut: BTreeSet::new(),
+            unreachable: BTreeSet::new(),
             peers: BTreeMap::new(),
-            held: Vec::new(),
+            held_back: Vec::new(),
             ledger: None,
-            on_the_way: BTreeMap::new(),
+            in_transit: BTreeMap::new(),
         }
     }
 
-    /// Notes work that its machine sends and that waits on a cut link.
+    /// Records the attempts that are held back on their way to an unreachable peer.
     #[must_use]
     pub fn watched(mut self, ledger: Ledger) -> Self {
         self.ledger = Some(ledger);
         self
     }
 
-    fn note_way(&mut self, now: Duration, conn: ConnId, what: Option<Try>) {
+    fn set_in_transit(&mut self, now: Duration, conn: ConnId, what: Option<Try>) {
         let way = conn.0;
-        if let Some(what) = self.on_the_way.remove(&conn) {
+        if let Some(what) = self.in_transit.remove(&conn) {
             self.ledger.iter().for_each(|l| l.note(now, Seen::OffTheWay { what, way }));
         }
         if let Some(what) = what {
-            self.on_the_way.insert(conn, what);
+            self.in_transit.insert(conn, what);
             self.ledger.iter().for_each(|l| l.note(now, Seen::OnTheWay { what, way }));
         }
     }
 
-    /// The machine.
+    /// The wrapped machine.
     pub fn inner(&self) -> &M {
         &self.machine
     }
 
-    fn is_cut(&self, conn: ConnId) -> bool {
-        self.peers.get(&conn).is_some_and(|addr| self.cut.contains(addr))
+    fn is_unreachable(&self, conn: ConnId) -> bool {
+        self.peers.get(&conn).is_some_and(|addr| self.unreachable.contains(addr))
     }
 
-    fn filter(&mut self, now: Duration, asked: Vec<Output>, out: &mut Vec<Output>) {
-        for output in asked {
+    fn filter_outputs(&mut self, now: Duration, outputs: Vec<Output>, out: &mut Vec<Output>) {
+        for output in outputs {
             let conn = match &output {
                 Output::Connect(conn, addr) => {
                     self.peers.insert(*conn, *addr);
@@ -83,64 +85,67 @@
                 | Output::Abort(conn) => Some(*conn),
                 _ => None,
             };
-            let cut = conn.is_some_and(|c| self.is_cut(c));
-            let last = matches!(output, Output::CloseWhenSent(_) | Output::Abort(_));
-            if let (true, Some(conn)) = (cut, conn) {
+            let unreachable = conn.is_some_and(|c| self.is_unreachable(c));
+            let closes = matches!(output, Output::CloseWhenSent(_) | Output::Abort(_));
+            if let (true, Some(conn)) = (unreachable, conn) {
                 match &output {
                     Output::Write(_, bytes) => {
                         if let Some(mark) = Mark::find(&String::from_utf8_lossy(bytes)) {
-                            self.note_way(now, conn, Some(mark.attempt));
+                            self.set_in_transit(now, conn, Some(mark.attempt));
                         }
                     }
-                    _ if last => self.note_way(now, conn, None),
+                    _ if closes => self.set_in_transit(now, conn, None),
                     _ => {}
                 }
             }
-            if cut {
-                // A connection that never stood is forgotten; one that stood learns of its end with the link.
-                let unknown = |h: &Held| matches!(h, Held::Out(Output::Connect(c, _)) if Some(*c) == conn);
-                if last && self.held.iter().any(unknown) {
-                    self.held.retain(|h| {
-                        !unknown(h) && !matches!(h, Held::Out(Output::Write(c, _)) if Some(*c) == conn)
+            if unreachable {
+                // A connection that was never established is dropped. The peer of an established one learns
+                // of the close when the partition heals.
+                let is_unestablished =
+                    |h: &HeldBack| matches!(h, HeldBack::Output(Output::Connect(c, _)) if Some(*c) == conn);
+                if closes && self.held_back.iter().any(is_unestablished) {
+                    self.held_back.retain(|h| {
+                        !is_unestablished(h)
+                            && !matches!(h, HeldBack::Output(Output::Write(c, _)) if Some(*c) == conn)
                     });
                 } else {
-                    self.held.push(Held::Out(output));
+                    self.held_back.push(HeldBack::Output(output));
                 }
             } else {
                 out.push(output);
             }
-            if let (true, false, Some(conn)) = (last, cut, conn) {
+            if let (true, false, Some(conn)) = (closes, unreachable, conn) {
                 self.peers.remove(&conn);
             }
         }
     }
 
-    fn tell(&mut self, now: Duration, input: Input<'_>, out: &mut Vec<Output>) {
-        let mut asked = Vec::new();
-        self.machine.handle(now, input, &mut asked);
-        self.filter(now, asked, out);
+    fn pass_input(&mut self, now: Duration, input: Input<'_>, out: &mut Vec<Output>) {
+        let mut outputs = Vec::new();
+        self.machine.handle(now, input, &mut outputs);
+        self.filter_outputs(now, outputs, out);
     }
 
-    fn set(&mut self, now: Duration, cut: &UnreachablePeers, out: &mut Vec<Output>) {
-        self.cut = cut.0.clone();
-        for held in std::mem::take(&mut self.held) {
+    fn set_unreachable(&mut self, now: Duration, peers: &UnreachablePeers, out: &mut Vec<Output>) {
+        self.unreachable = peers.0.clone();
+        for held in std::mem::take(&mut self.held_back) {
             let conn = match &held {
-                Held::In(conn, _) | Held::Eof(conn) => *conn,
-                Held::Out(Output::Connect(conn, _) | Output::Write(conn, _)) => *conn,
-                Held::Out(
+                HeldBack::Data(conn, _) | HeldBack::Eof(conn) => *conn,
+                HeldBack::Output(Output::Connect(conn, _) | Output::Write(conn, _)) => *conn,
+                HeldBack::Output(
                     Output::ShutdownWrite(conn) | Output::CloseWhenSent(conn) | Output::Abort(conn),
                 ) => *conn,
-                Held::Out(_) => continue,
+                HeldBack::Output(_) => continue,
             };
-            if self.is_cut(conn) {
-                self.held.push(held);
+            if self.is_unreachable(conn) {
+                self.held_back.push(held);
                 continue;
             }
             match held {
-                Held::In(conn, bytes) => self.tell(now, Input::Data(conn, &bytes), out),
-                Held::Eof(conn) => self.tell(now, Input::Eof(conn), out),
-                Held::Out(output) => {
-                    self.note_way(now, conn, None);
+                HeldBack::Data(conn, bytes) => self.pass_input(now, Input::Data(conn, &bytes), out),
+                HeldBack::Eof(conn) => self.pass_input(now, Input::Eof(conn), out),
+                HeldBack::Output(output) => {
+                    self.set_in_transit(now, conn, None);
                     out.push(output);
                 }
             }
@@ -151,19 +156,22 @@
 impl<M: Machine> Machine for PartitionedMachine<M> {
     fn handle(&mut self, now: Duration, input: Input<'_>, out: &mut Vec<Output>) {
         match input {
-            Input::OwnerMessage(news) if news.is::<UnreachablePeers>() => {
-                if let Some(cut) = news.downcast_ref::<UnreachablePeers>() {
-                    self.set(now, cut, out);
+            Input::OwnerMessage(message) if message.is::<UnreachablePeers>() => {
+                if let Some(peers) = message.downcast_ref::<UnreachablePeers>() {
+                    self.set_unreachable(now, peers, out);
                 }
             }
-            Input::Data(conn, bytes) if self.is_cut(conn) => self.held.push(Held::In(conn, bytes.to_vec())),
-            Input::Eof(conn) if self.is_cut(conn) => self.held.push(Held::Eof(conn)),
+            Input::Data(conn, bytes) if self.is_unreachable(conn) => {
+                self.held_back.push(HeldBack::Data(conn, bytes.to_vec()));
+            }
+            Input::Eof(conn) if self.is_unreachable(conn) => self.held_back.push(HeldBack::Eof(conn)),
             Input::Lost(conn, _) => {
-                self.held.retain(|h| !matches!(h, Held::In(c, _) | Held::Eof(c) if *c == conn));
-                self.tell(now, input, out);
+                self.held_back
+                    .retain(|h| !matches!(h, HeldBack::Data(c, _) | HeldBack::Eof(c) if *c == conn));
+                self.pass_input(now, input, out);
                 self.peers.remove(&conn);
             }
-            _ => self.tell(now, input, out),
+            _ => self.pass_input(now, input, out),
         }
     }
 
--- a/crates/test-servers/src/platform/client.rs
+++ b/crates/test-servers/src/platform/client.rs
@@ -1,4 +1,4 @@
-//! Clients that ask at a steady rate and note how each request ended.
+//! Clients that send requests at a constant rate and record how each ended.
 
 use super::{events_in, lock_shared, Shared};
 use rand_xoshiro::rand_core::{RngCore, SeedableRng};
@@ -14,87 +14,91 @@
 /// How a request ended at its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Ending {
-    /// A whole stream of this request's own events.
+    /// A complete stream of this request's own events.
     Served,
     /// 429 or 503.
     Refused,
     /// Any other answer, or a stream that ended without its last chunk.
     Failed,
-    /// Its client left.
+    /// Its client disconnected.
     Left,
-    /// Nothing came in time, or the connection ended without an answer.
+    /// No answer arrived in time, or the connection ended without one.
     Lost,
-    /// What came is none of this request's.
+    /// The answer is malformed or belongs to another request.
     Mixed,
 }
 
-struct Open {
+/// A request in progress.
+struct Exchange {
     name: String,
     due: Duration,
     decoder: Decoder,
     status: u16,
     body: Vec<u8>,
-    leaves: Option<Duration>,
-    /// Its request is the first on its connection.
+    leaves_at: Option<Duration>,
+    /// The request is the first on its connection.
     first_on_connection: bool,
-    /// Its request was written; a connection that never came to stand has carried none.
+    /// The request was written; on a connection that is never established it is not.
     sent: bool,
 }
 
-/// Many clients: each request on a connection that is free, else on a new one; some never come again.
+/// Many clients. Each request is sent on an idle connection or else on a new one; some connections are not
+/// reused.
 pub struct Clients {
     target: SocketAddr,
     classes: Vec<String>,
-    every: Duration,
-    left: u32,
+    interval: Duration,
+    requests_left: u32,
     next_at: Option<Duration>,
     rng: Xoshiro256PlusPlus,
-    next: u64,
+    last_number: u64,
     idle: Vec<ConnId>,
-    open: BTreeMap<ConnId, Open>,
-    /// Where they note what each request is worth of work, and when they leave.
+    exchanges: BTreeMap<ConnId, Exchange>,
+    /// Where they record the work of each request and what they observe.
     shared: Shared,
-    /// Share of requests whose clients leave before the answer.
-    leaving: f64,
-    /// How many ended how.
+    /// Share of requests whose clients disconnect early.
+    leaving_share: f64,
+    /// Number of requests by how they ended.
     pub endings: BTreeMap<Ending, u32>,
-    /// Names of those that must not be.
+    /// Descriptions of requests that ended in a way that is not allowed.
     pub odd: Vec<String>,
     /// The time of the last input.
     now: Duration,
 }
 
 const DEADLINE: Duration = Duration::from_millis(3_000);
-/// A stream's time, and what the protocol adds.
-const PATIENCE: Duration = Duration::from_millis(9_000);
+/// How long a client waits for the rest of a stream that has begun: the time of the stream and what the
+/// protocol adds.
+const STREAM_TIME: Duration = Duration::from_millis(9_000);
 
 impl Clients {
-    /// `count` requests, one every `every` from `start` on.
+    /// `count` requests, one every `interval` from `start` on.
     pub fn new(
-        target: SocketAddr, classes: &[&str], every: Duration, count: u32, start: Duration, seed: u64,
+        target: SocketAddr, classes: &[&str], interval: Duration, count: u32, start: Duration, seed: u64,
     ) -> Self {
         Clients {
             target,
             classes: classes.iter().map(|&c| c.to_owned()).collect(),
-            every,
-            left: count,
+            interval,
+            requests_left: count,
             next_at: Some(start),
             rng: Xoshiro256PlusPlus::seed_from_u64(seed),
-            next: 0,
+            last_number: 0,
             idle: Vec::new(),
-            open: BTreeMap::new(),
+            exchanges: BTreeMap::new(),
             shared: Shared::default(),
-            leaving: 0.05,
+            leaving_share: 0.05,
             endings: BTreeMap::new(),
             odd: Vec::new(),
             now: start,
         }
     }
 
-    /// The same, noting in `shared` what the judge of the terms goes by, and with this share of them leaving early.
+    /// Records in `shared` what the checker of the terms needs, and sets the share of clients that disconnect
+    /// early.
     #[must_use]
-    pub fn recording_in(mut self, shared: &Shared, leaving: f64) -> Self {
-        (self.shared, self.leaving) = (shared.clone(), leaving);
+    pub fn recording_in(mut self, shared: &Shared, leaving_share: f64) -> Self {
+        (self.shared, self.leaving_share) = (shared.clone(), leaving_share);
         self
     }
 
@@ -102,8 +106,8 @@
         self.rng.next_u64() % below
     }
 
-    fn end(&mut self, conn: ConnId, ending: Ending) {
-        let Some(open) = self.open.remove(&conn) else { return };
+    fn finish(&mut self, conn: ConnId, ending: Ending) {
+        let Some(exchange) = self.exchanges.remove(&conn) else { return };
         *self.endings.entry(ending).or_default() += 1;
         let answer = match ending {
             Ending::Served => Some(Answer::Served),
@@ -112,35 +116,36 @@
             Ending::Lost | Ending::Left => None,
         };
         if let Some(answer) = answer {
-            lock_shared(&self.shared).see(self.now, Seen::Answered { request: open.name.clone(), answer });
+            lock_shared(&self.shared)
+                .see(self.now, Seen::Answered { request: exchange.name.clone(), answer });
         }
         if matches!(ending, Ending::Lost | Ending::Mixed) {
-            self.odd.push(format!("{} {ending:?} status {}", open.name, open.status));
+            self.odd.push(format!("{} {ending:?} status {}", exchange.name, exchange.status));
         }
     }
 
-    fn ask(&mut self, now: Duration, out: &mut Vec<Output>) {
-        self.next += 1;
-        let leaves = (self.draw(20) < (self.leaving * 20.0) as u64)
+    fn start_request(&mut self, now: Duration, out: &mut Vec<Output>) {
+        self.last_number += 1;
+        let leaves_at = (self.draw(20) < (self.leaving_share * 20.0) as u64)
             .then(|| now + Duration::from_millis(self.draw(200)));
-        let open = Open {
+        let exchange = Exchange {
             name: format!("{:x}", self.rng.next_u64()),
             due: now + DEADLINE,
             decoder: Decoder::new(Side::Client, Limits::default()),
             status: 0,
             body: Vec::new(),
-            leaves,
+            leaves_at,
             first_on_connection: self.idle.is_empty(),
             sent: false,
         };
         if let Some(conn) = self.idle.pop() {
-            let name = open.name.clone();
-            self.open.insert(conn, open);
+            let name = exchange.name.clone();
+            self.exchanges.insert(conn, exchange);
             self.send(conn, &name, out);
         } else {
-            let conn = ConnId::opened(self.next);
+            let conn = ConnId::opened(self.last_number);
             out.push(Output::Connect(conn, self.target));
-            self.open.insert(conn, open);
+            self.exchanges.insert(conn, exchange);
         }
     }
 
@@ -148,7 +153,7 @@
         let class = self.draw(self.classes.len() as u64) as usize;
         let (class, session, tokens) =
             (&self.classes[class].clone(), self.draw(50) + 1, 100 + self.draw(2_000));
-        // Of the lengths drawn the mean is one request of mean work.
+        // A request of the mean of the drawn lengths has mean work.
         lock_shared(&self.shared).work.insert(name.to_owned(), tokens as f64 / 1_100.0);
         let traits = Traits {
             class: class.clone(),
@@ -167,73 +172,76 @@
             body.len()
         );
         out.push(Output::Write(conn, text.into_bytes()));
-        let due = self.open.get_mut(&conn).map_or(self.now + DEADLINE, |open| {
-            open.sent = true;
-            open.due
+        let due = self.exchanges.get_mut(&conn).map_or(self.now + DEADLINE, |exchange| {
+            exchange.sent = true;
+            exchange.due
         });
         let router = self.target.to_string();
         lock_shared(&self.shared).see(self.now, Seen::Sent { router, request: name.to_owned(), due });
     }
 
-    fn data(&mut self, now: Duration, conn: ConnId, bytes: &[u8], out: &mut Vec<Output>) {
-        let Some(open) = self.open.get_mut(&conn) else { return };
-        open.decoder.feed(bytes);
-        let before = open.body.len();
-        let is_whole = loop {
-            match open.decoder.next_item() {
+    fn receive(&mut self, now: Duration, conn: ConnId, bytes: &[u8], out: &mut Vec<Output>) {
+        let Some(exchange) = self.exchanges.get_mut(&conn) else { return };
+        exchange.decoder.feed(bytes);
+        let old_len = exchange.body.len();
+        let has_ended = loop {
+            match exchange.decoder.next_item() {
                 Ok(None) => break false,
                 Ok(Some(Item::Head(head))) => {
                     if let Start::Response { status } = head.start {
-                        open.status = status;
+                        exchange.status = status;
                     }
                 }
                 Ok(Some(Item::Body(piece))) => {
-                    let first = open.body.is_empty();
-                    open.body.extend_from_slice(&piece);
-                    if open.status == 200 && first {
-                        // Once it has begun there is no deadline, but it has to go on.
-                        open.due += PATIENCE;
+                    let is_first = exchange.body.is_empty();
+                    exchange.body.extend_from_slice(&piece);
+                    if exchange.status == 200 && is_first {
+                        // A stream that has begun has no deadline, but it has to continue.
+                        exchange.due += STREAM_TIME;
                     }
                 }
                 Ok(Some(Item::End)) => break true,
                 Err(_) => {
                     out.push(Output::Abort(conn));
-                    return self.end(conn, Ending::Mixed);
+                    return self.finish(conn, Ending::Mixed);
                 }
             }
         };
-        if open.status == 200 && open.body.len() > before {
-            let passed = Seen::EventsPassed { request: open.name.clone(), events: events_in(&open.body) };
-            lock_shared(&self.shared).see(now, passed);
+        if exchange.status == 200 && exchange.body.len() > old_len {
+            let event =
+                Seen::EventsPassed { request: exchange.name.clone(), events: events_in(&exchange.body) };
+            lock_shared(&self.shared).see(now, event);
         }
-        if !is_whole {
+        if !has_ended {
             return;
         }
-        let own = String::from_utf8_lossy(&open.body).matches(&open.name).count();
-        let whole = open.body.ends_with(b"data: [DONE]\n\n") && own >= 3;
-        let ending = match open.status {
-            200 if whole => Ending::Served,
+        let own_events = String::from_utf8_lossy(&exchange.body).matches(&exchange.name).count();
+        let is_complete = exchange.body.ends_with(b"data: [DONE]\n\n") && own_events >= 3;
+        let ending = match exchange.status {
+            200 if is_complete => Ending::Served,
             200 => Ending::Mixed,
             429 | 503 => Ending::Refused,
             _ => Ending::Failed,
         };
-        self.end(conn, ending);
-        // One in four asks once and keeps its connection for good.
+        self.finish(conn, ending);
+        // One in four connections is used once and then stays open.
         if self.draw(4) > 0 {
             self.idle.push(conn);
         }
     }
 
-    fn closed(&mut self, conn: ConnId) {
+    fn connection_closed(&mut self, conn: ConnId) {
         self.idle.retain(|&c| c != conn);
-        if let Some(open) = self.open.get(&conn).filter(|open| open.sent && open.status == 0) {
-            let (router, request) = (self.target.to_string(), open.name.clone());
-            let first_on_connection = open.first_on_connection;
-            let closed = Seen::ClosedUnanswered { router, request, first_on_connection };
-            lock_shared(&self.shared).see(self.now, closed);
+        if let Some(exchange) =
+            self.exchanges.get(&conn).filter(|exchange| exchange.sent && exchange.status == 0)
+        {
+            let (router, request) = (self.target.to_string(), exchange.name.clone());
+            let first_on_connection = exchange.first_on_connection;
+            let event = Seen::ClosedUnanswered { router, request, first_on_connection };
+            lock_shared(&self.shared).see(self.now, event);
         }
-        let broken = self.open.get(&conn).is_some_and(|o| o.status == 200);
-        self.end(conn, if broken { Ending::Failed } else { Ending::Lost });
+        let is_broken = self.exchanges.get(&conn).is_some_and(|e| e.status == 200);
+        self.finish(conn, if is_broken { Ending::Failed } else { Ending::Lost });
     }
 }
 
@@ -242,45 +250,49 @@
         self.now = now;
         match input {
             Input::Connected(conn) => {
-                let Some(name) = self.open.get(&conn).map(|o| o.name.clone()) else { return };
+                let Some(name) = self.exchanges.get(&conn).map(|e| e.name.clone()) else { return };
                 self.send(conn, &name, out);
             }
-            Input::Data(conn, bytes) => self.data(now, conn, bytes, out),
+            Input::Data(conn, bytes) => self.receive(now, conn, bytes, out),
             Input::Eof(conn) => {
                 out.push(Output::CloseWhenSent(conn));
-                self.closed(conn);
+                self.connection_closed(conn);
             }
-            Input::Lost(conn, _) => self.closed(conn),
+            Input::Lost(conn, _) => self.connection_closed(conn),
             _ => {}
         }
         while self.next_at.is_some_and(|at| at <= now) {
-            if self.left == 0 {
+            if self.requests_left == 0 {
                 self.next_at = None;
                 break;
             }
-            self.left -= 1;
-            self.next_at = self.next_at.map(|at| at + self.every);
-            self.ask(now, out);
+            self.requests_left -= 1;
+            self.next_at = self.next_at.map(|at| at + self.interval);
+            self.start_request(now, out);
         }
-        let late: Vec<ConnId> = self.open.iter().filter(|(_, o)| now > o.due).map(|(&c, _)| c).collect();
-        for conn in late {
+        let overdue: Vec<ConnId> =
+            self.exchanges.iter().filter(|(_, e)| now > e.due).map(|(&c, _)| c).collect();
+        for conn in overdue {
             out.push(Output::Abort(conn));
-            self.end(conn, Ending::Lost);
+            self.finish(conn, Ending::Lost);
         }
-        let leaving = |o: &Open| o.leaves.is_some_and(|at| at <= now);
-        let leaving: Vec<ConnId> = self.open.iter().filter(|(_, o)| leaving(o)).map(|(&c, _)| c).collect();
+        let is_leaving = |e: &Exchange| e.leaves_at.is_some_and(|at| at <= now);
+        let leaving: Vec<ConnId> =
+            self.exchanges.iter().filter(|(_, e)| is_leaving(e)).map(|(&c, _)| c).collect();
         for conn in leaving {
             out.push(Output::Abort(conn));
-            if let Some(open) = self.open.get(&conn) {
-                lock_shared(&self.shared).see(now, Seen::Gone { request: open.name.clone() });
+            if let Some(exchange) = self.exchanges.get(&conn) {
+                lock_shared(&self.shared).see(now, Seen::Gone { request: exchange.name.clone() });
             }
-            self.end(conn, Ending::Left);
+            self.finish(conn, Ending::Left);
         }
     }
 
     fn wake_at(&self) -> Option<Duration> {
-        let open =
-            self.open.values().map(|o| (o.due + Duration::from_micros(1)).min(o.leaves.unwrap_or(o.due)));
-        open.chain(self.next_at).min()
+        let deadlines = self
+            .exchanges
+            .values()
+            .map(|e| (e.due + Duration::from_micros(1)).min(e.leaves_at.unwrap_or(e.due)));
+        deadlines.chain(self.next_at).min()
     }
 }
--- a/crates/test-servers/src/platform/day_settings.rs
+++ b/crates/test-servers/src/platform/day_settings.rs
@@ -1,37 +1,37 @@
-//! Settings of a day drawn from a seed, as they say how often requests may run, and the texts in which routers get them.
+//! Random settings of a test day, drawn from a seed, and the configuration files that they give for routers.
 
 use super::{EngineLayout, EngineRole, Random, RequestClass};
 use slipreel_invariants::repeats::{Effect, Group, Place};
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The settings of a day.
+/// The settings of a test day: how often requests may run and how routers reach engines.
 #[derive(Clone, Debug)]
 pub struct DaySettings {
     /// The request classes.
     pub classes: Vec<RequestClass>,
-    /// The most attempts of one request.
+    /// Maximum number of attempts of one request.
     pub attempts: usize,
-    /// Two attempts of one request may be out at once.
+    /// Two attempts of one request may be in progress at once.
     pub second_copies: bool,
     /// Attempts may be cancelled.
     pub cancel: bool,
     /// Engines may be probed.
     pub probes: bool,
-    /// Where load reports come from, as the settings name it.
+    /// The source of load reports, by its name in the settings.
     pub reports: &'static str,
-    /// How long a connection may take to come up.
+    /// How long it may take to establish a connection.
     pub connect_timeout: Duration,
-    /// When engines close idle connections at the latest.
+    /// The time after which engines close idle connections.
     pub idle_close: Duration,
-    /// Within this held state is to be taken or released.
+    /// The time within which a held state has to be fetched or released.
     pub let_go_within: Duration,
-    /// Some engines read and write.
+    /// Some engines run both prefill and decode.
     pub has_mixed_engines: bool,
 }
 
 impl DaySettings {
-    /// The settings of a seed.
+    /// Draws settings from a seed.
     pub fn draw(seed: u64) -> Self {
         let mut random = Random::new(seed ^ 0x5eed_0002);
         let names = ["first", "second", "third"];
@@ -56,7 +56,7 @@
         }
     }
 
-    /// The configuration file of one of so many routers.
+    /// The configuration file of one of `routers` routers.
     pub fn router_config(
         &self, routers: usize, listen: SocketAddr, discovery: SocketAddr, seed: u64, known: &str,
     ) -> String {
@@ -120,13 +120,13 @@
     )
 }
 
-/// The `n`th place of engines: zones a and b, two cells in each.
+/// The zone and cell of the `n`th engine: zones a and b, two cells in each.
 pub fn place_of(n: usize) -> Place {
     let (zone, cell) = [("a", 1), ("b", 2), ("a", 3), ("b", 4)][n / 3 % 2 + n % 2 * 2];
     Place { zone: zone.to_owned(), cell }
 }
 
-/// An engine's entry in discovery's list.
+/// The entry of an engine in discovery's list.
 pub fn list_entry(layout: &EngineLayout, address: SocketAddr, status: &str, since: Duration) -> String {
     let kind = match layout.role {
         EngineRole::Prefill => "reads",
--- a/crates/test-servers/src/platform/discovery.rs
+++ b/crates/test-servers/src/platform/discovery.rs
@@ -1,5 +1,5 @@
-//! Discovery as a machine: a watch of the list, with changes as they are told by [`EndpointChanges`]s as news, and troubles of its
-//! own by [`DiscoveryMode`]s.
+//! Discovery as a state machine: it serves watches of the engine list. Its owner changes the list by sending
+//! [`EndpointChanges`], and injects faults by sending a [`DiscoveryMode`].
 
 use super::{lock_shared, Shared};
 use slipreel_connections::Client;
@@ -9,104 +9,110 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// News for discovery: entries that changed, each as its JSON object, by name.
+/// Owner message for discovery: the entries that changed, by name, each as its JSON object.
 #[derive(Clone, Debug, Default)]
 pub struct EndpointChanges(pub Vec<(String, String)>);
 
-/// News for discovery: how it treats who asks from now on. Any but `Fine` ends or forgets the watches that are open.
+/// Owner message for discovery: how it answers from now on. Every mode but `Healthy` aborts the open watches
+/// or stops serving them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum DiscoveryMode {
-    /// It tells the list.
+    /// It sends the list and its changes.
     #[default]
     Healthy,
-    /// It resets each connection.
+    /// It resets every connection.
     ResetsConnections,
-    /// It takes connections and says nothing. Those of that time stay silent for good.
+    /// It accepts connections and sends nothing. Connections of this time stay silent for good.
     Silent,
-    /// 503, and to come back in a minute.
+    /// It answers 503 and asks for a retry after a minute.
     Unavailable,
-    /// Half of the list, then nothing.
+    /// It sends half of the list, then nothing.
     HalfSnapshot,
-    /// A byte of its answer now and then.
+    /// It sends its answer slowly, byte by byte.
     TricklesBytes,
-    /// The head of a good answer, and empty lines alone.
+    /// It sends the head of a good answer, then only the empty lines that serve as heartbeats.
     HeartbeatsOnly,
-    /// The whole list as it was before its last change.
+    /// It sends the whole list as it was before the last change.
     StaleSnapshot,
 }
 
 struct Watch {
     client: Client,
-    /// It has asked, and is told what changes.
-    told: bool,
-    /// It gets the empty lines.
-    beats: bool,
-    /// What is still to drip to it.
-    drips: Vec<u8>,
+    /// Changes of the list are sent to it.
+    gets_changes: bool,
+    /// Heartbeats, which are empty lines, are sent to it.
+    gets_heartbeats: bool,
+    /// In `TricklesBytes`: bytes still to be sent, last byte first.
+    unsent_reversed: Vec<u8>,
 }
 
-/// Discovery. An entry whose status is `Gone` leaves the whole list.
+/// Discovery. An entry whose status changes to `Gone` is removed from the list.
 #[derive(Default)]
 pub struct Discovery {
     index: u64,
     entries: BTreeMap<String, String>,
-    /// The list before its last change.
-    before: String,
+    /// The list before the last change.
+    previous: String,
     watches: BTreeMap<ConnId, Watch>,
-    mood: DiscoveryMode,
-    beat: Option<Duration>,
-    drip: Option<Duration>,
-    /// Whose calls they are, and where they are noted.
-    notes: Option<(String, Shared)>,
-    /// When it was asked for the list.
+    mode: DiscoveryMode,
+    next_heartbeat: Option<Duration>,
+    next_byte: Option<Duration>,
+    /// The router that it serves, and where its queries are recorded.
+    observer: Option<(String, Shared)>,
+    /// When it was queried for the list.
     pub asked: Vec<Duration>,
 }
 
-const BEAT: Duration = Duration::from_secs(2);
-const DRIP: Duration = Duration::from_millis(400);
+/// Time between heartbeats.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(2);
+/// Time between bytes in `TricklesBytes`.
+const BYTE_INTERVAL: Duration = Duration::from_millis(400);
 
 impl Discovery {
-    /// One whose list is `first`.
+    /// Discovery with the list `first`.
     pub fn new(first: &EndpointChanges) -> Self {
-        let mut new =
+        let mut discovery =
             Discovery { index: 1, entries: first.0.iter().cloned().collect(), ..Discovery::default() };
-        new.before = new.whole();
-        new
+        discovery.previous = discovery.whole();
+        discovery
     }
 
-    /// The same as the agent beside this router, noting in `shared` when it is asked.
+    /// Makes it the agent of one router, and records in `shared` when it is queried.
     #[must_use]
     pub fn for_router(mut self, router: &str, shared: &Shared) -> Self {
-        self.notes = Some((router.to_owned(), shared.clone()));
+        self.observer = Some((router.to_owned(), shared.clone()));
         self
     }
 
-    fn note_asked(&mut self, now: Duration) {
+    fn record_query(&mut self, now: Duration) {
         self.asked.push(now);
-        if let Some((router, shared)) = &self.notes {
+        if let Some((router, shared)) = &self.observer {
             lock_shared(shared).see(now, Seen::Asked { router: router.clone() });
         }
     }
 
-    /// The whole list as the protocol has it.
+    /// The whole list in the format of the protocol.
     pub fn whole(&self) -> String {
         let entries: Vec<&str> = self.entries.values().map(String::as_str).collect();
         format!("{{\"index\":{},\"snapshot\":true,\"endpoints\":[{}]}}", self.index, entries.join(","))
     }
 
-    fn say(&mut self, line: &str, beat: bool, out: &mut Vec<Output>) {
+    fn send_line(&mut self, line: &str, is_heartbeat: bool, out: &mut Vec<Output>) {
         let chunk = http::chunk(format!("{line}\n").as_bytes());
-        let hears = self.watches.iter().filter(|(_, w)| if beat { w.beats } else { w.told });
-        out.extend(hears.map(|(&conn, _)| Output::Write(conn, chunk.clone())));
+        let receivers =
+            self.watches
+                .iter()
+                .filter(|(_, w)| if is_heartbeat { w.gets_heartbeats } else { w.gets_changes });
+        out.extend(receivers.map(|(&conn, _)| Output::Write(conn, chunk.clone())));
     }
 
     fn answer(&mut self, conn: ConnId, now: Duration, out: &mut Vec<Output>) {
-        self.note_asked(now);
-        let (whole, before) = (self.whole(), self.before.clone());
+        self.record_query(now);
+        let (whole, previous) = (self.whole(), self.previous.clone());
         let Some(watch) = self.watches.get_mut(&conn) else { return };
-        match self.mood {
+        match self.mode {
             DiscoveryMode::Healthy => {
-                (watch.told, watch.beats) = (true, true);
+                (watch.gets_changes, watch.gets_heartbeats) = (true, true);
                 watch.client.begin_stream(&[], out);
                 watch.client.write(http::chunk(format!("{whole}\n").as_bytes()), out);
             }
@@ -119,35 +125,35 @@
             }
             DiscoveryMode::TricklesBytes => {
                 let fields = [("content-type", "text/event-stream")];
-                let mut all = http::response_head(200, &fields, Framing::Chunked);
-                all.extend_from_slice(&http::chunk(format!("{whole}\n").as_bytes()));
-                all.reverse();
-                watch.drips = all;
-                self.drip.get_or_insert(now + DRIP);
+                let mut bytes = http::response_head(200, &fields, Framing::Chunked);
+                bytes.extend_from_slice(&http::chunk(format!("{whole}\n").as_bytes()));
+                bytes.reverse();
+                watch.unsent_reversed = bytes;
+                self.next_byte.get_or_insert(now + BYTE_INTERVAL);
             }
             DiscoveryMode::HeartbeatsOnly => {
-                watch.beats = true;
+                watch.gets_heartbeats = true;
                 watch.client.begin_stream(&[], out);
             }
             DiscoveryMode::StaleSnapshot => {
-                watch.beats = true;
+                watch.gets_heartbeats = true;
                 watch.client.begin_stream(&[], out);
-                watch.client.write(http::chunk(format!("{before}\n").as_bytes()), out);
+                watch.client.write(http::chunk(format!("{previous}\n").as_bytes()), out);
             }
         }
     }
 
-    fn turns(&mut self, mood: DiscoveryMode, out: &mut Vec<Output>) {
-        if self.mood == DiscoveryMode::StaleSnapshot && mood == DiscoveryMode::Healthy {
-            // It was another that lagged behind, and who listened to that one is cut off.
+    fn set_mode(&mut self, mode: DiscoveryMode, out: &mut Vec<Output>) {
+        if self.mode == DiscoveryMode::StaleSnapshot && mode == DiscoveryMode::Healthy {
+            // Another replica lagged behind; the watches that it served are aborted.
             out.extend(std::mem::take(&mut self.watches).into_keys().map(Output::Abort));
         }
-        self.mood = mood;
-        match mood {
+        self.mode = mode;
+        match mode {
             DiscoveryMode::Healthy => {}
-            // They stay open, and nothing is ever said on them again.
+            // The watches stay open, and nothing is sent on them any more.
             DiscoveryMode::Silent => {
-                self.watches.values_mut().for_each(|w| (w.told, w.beats) = (false, false))
+                self.watches.values_mut().for_each(|w| (w.gets_changes, w.gets_heartbeats) = (false, false));
             }
             _ => {
                 out.extend(std::mem::take(&mut self.watches).into_keys().map(Output::Abort));
@@ -155,33 +161,45 @@
         }
     }
 
-    fn changes(&mut self, listing: &EndpointChanges, out: &mut Vec<Output>) {
-        self.before = self.whole();
+    fn apply_changes(&mut self, changes: &EndpointChanges, out: &mut Vec<Output>) {
+        self.previous = self.whole();
         self.index += 1;
-        for (name, entry) in &listing.0 {
+        for (name, entry) in &changes.0 {
             if entry.contains("\"Gone\"") {
                 self.entries.remove(name);
             } else {
                 self.entries.insert(name.clone(), entry.clone());
             }
         }
-        let entries: Vec<&str> = listing.0.iter().map(|(_, e)| e.as_str()).collect();
+        let entries: Vec<&str> = changes.0.iter().map(|(_, e)| e.as_str()).collect();
         let (index, entries) = (self.index, entries.join(","));
-        self.say(&format!("{{\"index\":{index},\"snapshot\":false,\"endpoints\":[{entries}]}}"), false, out);
+        self.send_line(
+            &format!("{{\"index\":{index},\"snapshot\":false,\"endpoints\":[{entries}]}}"),
+            false,
+            out,
+        );
     }
 }
 
 impl Machine for Discovery {
     fn handle(&mut self, now: Duration, input: Input<'_>, out: &mut Vec<Output>) {
         match input {
-            Input::Accepted(conn, _) if self.mood == DiscoveryMode::ResetsConnections => {
-                self.note_asked(now);
+            Input::Accepted(conn, _) if self.mode == DiscoveryMode::ResetsConnections => {
+                self.record_query(now);
                 out.push(Output::Abort(conn));
             }
-            Input::Accepted(conn, door) => {
-                let client = Client::new(conn, door, now, Limits::default(), 0);
-                self.watches.insert(conn, Watch { client, told: false, beats: false, drips: Vec::new() });
-                self.beat.get_or_insert(now + BEAT);
+            Input::Accepted(conn, listener) => {
+                let client = Client::new(conn, listener, now, Limits::default(), 0);
+                self.watches.insert(
+                    conn,
+                    Watch {
+                        client,
+                        gets_changes: false,
+                        gets_heartbeats: false,
+                        unsent_reversed: Vec::new(),
+                    },
+                );
+                self.next_heartbeat.get_or_insert(now + HEARTBEAT_INTERVAL);
             }
             Input::Data(conn, bytes) => {
                 let Some(watch) = self.watches.get_mut(&conn) else { return };
@@ -193,22 +211,22 @@
                     self.answer(conn, now, out);
                 }
             }
-            Input::OwnerMessage(news) => {
-                if let Some(listing) = news.downcast_ref::<EndpointChanges>() {
-                    self.changes(listing, out);
-                } else if let Some(mood) = news.downcast_ref::<DiscoveryMode>() {
-                    self.turns(*mood, out);
+            Input::OwnerMessage(message) => {
+                if let Some(changes) = message.downcast_ref::<EndpointChanges>() {
+                    self.apply_changes(changes, out);
+                } else if let Some(mode) = message.downcast_ref::<DiscoveryMode>() {
+                    self.set_mode(*mode, out);
                 }
             }
             Input::Wake => {
-                if self.beat.is_some_and(|at| at <= now) {
-                    self.beat = Some(now + BEAT);
-                    self.say("", true, out);
+                if self.next_heartbeat.is_some_and(|at| at <= now) {
+                    self.next_heartbeat = Some(now + HEARTBEAT_INTERVAL);
+                    self.send_line("", true, out);
                 }
-                if self.drip.is_some_and(|at| at <= now) {
-                    self.drip = Some(now + DRIP);
+                if self.next_byte.is_some_and(|at| at <= now) {
+                    self.next_byte = Some(now + BYTE_INTERVAL);
                     for (&conn, watch) in &mut self.watches {
-                        out.extend(watch.drips.pop().map(|byte| Output::Write(conn, vec![byte])));
+                        out.extend(watch.unsent_reversed.pop().map(|byte| Output::Write(conn, vec![byte])));
                     }
                 }
             }
@@ -224,6 +242,6 @@
     }
 
     fn wake_at(&self) -> Option<Duration> {
-        self.beat.into_iter().chain(self.drip).min()
+        self.next_heartbeat.into_iter().chain(self.next_byte).min()
     }
 }
