--- a/crates/test-servers/src/platform/engine.rs
+++ b/crates/test-servers/src/platform/engine.rs
@@ -1,4 +1,4 @@
-//! An engine that reads prompts or writes answers.
+//! An engine that runs either prefill or decode.
 
 use super::{lock_shared, Shared};
 use rand_xoshiro::rand_core::{RngCore, SeedableRng};
@@ -10,36 +10,40 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// How often an engine fails, each as a share of attempts, and how slow it is.
+/// How often an engine fails, as shares of attempts, and how slow it is.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Faults {
-    /// Turned away: nothing ran.
+    /// 503 with `X-Not-Run: 1`: the attempt did not run.
     pub full: f64,
-    /// 500.
+    /// Status 500.
     pub error: f64,
-    /// The connection breaks, before or within the answer.
+    /// The connection is reset before or during the answer.
     pub reset: f64,
-    /// Noise in place of an opening, or a chunk that can't be read, or one that claims 3 GB and keeps coming.
+    /// Noise in place of the head of the answer, a malformed chunk, or a chunk with a size of 3 GB that does
+    /// not end.
     pub garble: f64,
-    /// Good, but with more than belongs to it: an interim answer ahead, an odd report, a second answer behind.
+    /// A good answer with additions: an interim response before it, a malformed load report and a second
+    /// response after it.
     pub more: f64,
-    /// Nothing more is said, on a connection that stays open.
+    /// Nothing more is sent, on a connection that stays open.
     pub silence: f64,
-    /// No fault: so much longer than usual an attempt takes until it begins to answer.
+    /// Not a share: the extra time that every attempt takes before its answer begins.
     pub slow: Duration,
 }
 
-struct Work {
+/// An attempt in progress.
+struct ActiveAttempt {
     conn: ConnId,
     request: String,
-    /// Events still to come; `None`: a read.
+    /// Events still to be sent; `None` for a prefill.
     events: Option<u32>,
-    /// Events written so far.
+    /// Events sent so far.
     written: usize,
-    begun: bool,
+    has_begun: bool,
     fault: Fault,
 }
 
+/// The fault of one attempt.
 #[derive(Clone, Copy, PartialEq)]
 enum Fault {
     None,
@@ -49,45 +53,46 @@
     Silence,
 }
 
-/// One engine. It serves whatever comes, each after a while of its own.
+/// One engine. It serves every attempt after a random delay.
 pub struct Engine {
     name: String,
-    reads: bool,
+    is_prefill: bool,
     shared: Shared,
     faults: Faults,
     now: Duration,
     rng: Xoshiro256PlusPlus,
     clients: BTreeMap<ConnId, Client>,
-    work: BTreeMap<u64, Work>,
-    wheel: TimerWheel<u64>,
-    next: u64,
+    attempts: BTreeMap<u64, ActiveAttempt>,
+    timers: TimerWheel<u64>,
+    last_number: u64,
 }
 
-const REPORT: &str = "queue=1,x0=0.2";
+/// The load report of every answer.
+const LOAD_REPORT: &str = "queue=1,x0=0.2";
 
 impl Engine {
-    /// An engine that reads prompts, or writes answers.
-    pub fn new(name: &str, reads: bool, shared: Shared, faults: Faults, seed: u64) -> Self {
+    /// An engine that runs prefill or, if not `is_prefill`, decode.
+    pub fn new(name: &str, is_prefill: bool, shared: Shared, faults: Faults, seed: u64) -> Self {
         Engine {
             name: name.to_owned(),
-            reads,
+            is_prefill,
             shared,
             faults,
             now: Duration::ZERO,
             rng: Xoshiro256PlusPlus::seed_from_u64(seed),
             clients: BTreeMap::new(),
-            work: BTreeMap::new(),
-            wheel: TimerWheel::default(),
-            next: 0,
+            attempts: BTreeMap::new(),
+            timers: TimerWheel::default(),
+            last_number: 0,
         }
     }
 
-    fn chance(&mut self) -> f64 {
+    fn random_share(&mut self) -> f64 {
         (self.rng.next_u64() >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    fn while_of(&mut self, least: u64, more: u64) -> Duration {
-        Duration::from_micros(least * 1_000 + (self.chance() * more as f64 * 1e3) as u64)
+    fn random_delay(&mut self, min_ms: u64, range_ms: u64) -> Duration {
+        Duration::from_micros(min_ms * 1_000 + (self.random_share() * range_ms as f64 * 1e3) as u64)
     }
 
     fn answer(
@@ -104,78 +109,81 @@
     fn serve(&mut self, conn: ConnId, received: &Received, out: &mut Vec<Output>) {
         let target = received.target().to_owned();
         match (received.method(), target.as_str()) {
-            ("GET", "/-/load") => self.answer(conn, 200, &[], REPORT.as_bytes(), out),
+            ("GET", "/-/load") => self.answer(conn, 200, &[], LOAD_REPORT.as_bytes(), out),
             ("DELETE", target) if target.starts_with("/v1/holds/") => {
                 let request = &target["/v1/holds/".len()..];
-                let mut fabric = lock_shared(&self.shared);
-                if !fabric.out.contains_key(request) {
-                    fabric.states.remove(request);
+                let mut shared = lock_shared(&self.shared);
+                if !shared.open_attempts.contains_key(request) {
+                    shared.held_states.remove(request);
                 }
-                drop(fabric);
+                drop(shared);
                 self.answer(conn, 204, &[], b"", out);
             }
-            ("POST", _) => self.attempt(conn, received, out),
+            ("POST", _) => self.start_attempt(conn, received, out),
             _ => self.answer(conn, 404, &[], b"", out),
         }
     }
 
-    fn attempt(&mut self, conn: ConnId, received: &Received, out: &mut Vec<Output>) {
+    fn start_attempt(&mut self, conn: ConnId, received: &Received, out: &mut Vec<Output>) {
         let Some(request) = received.head.get("x-request-id").map(str::to_owned) else {
             return self.answer(conn, 404, &[], b"", out);
         };
-        let mut fabric = lock_shared(&self.shared);
-        let work = fabric.work.get(&request).copied().unwrap_or(1.0);
-        fabric.see(self.now, Seen::Begun { engine: self.name.clone(), request: request.clone(), work });
-        if let Some(left) = received.head.get("x-deadline").and_then(super::deadline) {
+        let mut shared = lock_shared(&self.shared);
+        let work = shared.work.get(&request).copied().unwrap_or(1.0);
+        shared.see(self.now, Seen::Begun { engine: self.name.clone(), request: request.clone(), work });
+        if let Some(left) = received.head.get("x-deadline").and_then(super::parse_time) {
             let (engine, request) = (self.name.clone(), request.clone());
-            fabric.see(self.now, Seen::DeadlineTold { engine, request, left });
+            shared.see(self.now, Seen::DeadlineTold { engine, request, left });
         }
-        drop(fabric);
+        drop(shared);
         let faults = self.faults;
-        let draw = self.chance();
-        let mut under = 0.0;
-        let mut drawn = |share: f64| {
-            under += share;
-            draw < under
+        let draw = self.random_share();
+        let mut threshold = 0.0;
+        let mut falls_in = |share: f64| {
+            threshold += share;
+            draw < threshold
         };
-        if drawn(faults.full) {
-            return self.answer(conn, 503, &[("x-not-run", "1"), ("x-load", REPORT)], b"", out);
+        if falls_in(faults.full) {
+            return self.answer(conn, 503, &[("x-not-run", "1"), ("x-load", LOAD_REPORT)], b"", out);
         }
-        if !self.reads && !lock_shared(&self.shared).states.contains_key(&request) {
+        if !self.is_prefill && !lock_shared(&self.shared).held_states.contains_key(&request) {
             return self.answer(conn, 410, &[("x-not-run", "1")], b"", out);
         }
-        if drawn(faults.error) {
+        if falls_in(faults.error) {
             return self.answer(conn, 500, &[], b"", out);
         }
         let fault = match () {
-            () if drawn(faults.reset) => Fault::Reset,
-            () if drawn(faults.garble) => Fault::Garble,
-            () if drawn(faults.more) => Fault::More,
-            () if drawn(faults.silence) => Fault::Silence,
+            () if falls_in(faults.reset) => Fault::Reset,
+            () if falls_in(faults.garble) => Fault::Garble,
+            () if falls_in(faults.more) => Fault::More,
+            () if falls_in(faults.silence) => Fault::Silence,
             () => Fault::None,
         };
         lock_shared(&self.shared).begin(&request, &self.name, self.now);
-        self.next += 1;
-        let events = (!self.reads).then_some(3 + self.next as u32 % 5);
-        self.work.insert(self.next, Work { conn, request, events, written: 0, begun: false, fault });
-        let at = self.now + self.faults.slow + self.while_of(10, 40);
-        self.wheel.set(at, self.next);
+        self.last_number += 1;
+        let events = (!self.is_prefill).then_some(3 + self.last_number as u32 % 5);
+        self.attempts.insert(
+            self.last_number,
+            ActiveAttempt { conn, request, events, written: 0, has_begun: false, fault },
+        );
+        let at = self.now + self.faults.slow + self.random_delay(10, 40);
+        self.timers.set(at, self.last_number);
     }
 
-    /// The next step of a work is due.
+    /// Takes the next step of an attempt.
     fn step(&mut self, n: u64, out: &mut Vec<Output>) {
-        let Some(work) = self.work.get_mut(&n) else { return };
-        let (conn, fault, begun) = (work.conn, work.fault, work.begun);
-        let midway = begun || work.events.is_none();
+        let Some(attempt) = self.attempts.get_mut(&n) else { return };
+        let (conn, fault, has_begun) = (attempt.conn, attempt.fault, attempt.has_begun);
+        let has_fault_point = has_begun || attempt.events.is_none();
         match fault {
-            Fault::Silence if midway => return,
-            Fault::Reset if midway => {
-                let finished = work.events.is_none();
+            Fault::Silence if has_fault_point => return,
+            Fault::Reset if has_fault_point => {
+                let is_prefill = attempt.events.is_none();
                 out.push(Output::Abort(conn));
-                return self.gone(conn, finished);
+                return self.connection_closed(conn, is_prefill);
             }
-            Fault::Garble if midway => {
-                let noise: &[u8] = match (begun, n % 3) {
+            Fault::Garble if has_fault_point => {
+                let noise: &[u8] = match (has_begun, n % 3) {
                     (false, 0) => b"\x01\x02\x03 noise\r\n\r\n",
                     (false, _) => b"HTTP/1.1 200 OK\r\nX-Endless: ",
                     (true, 0) => b"zz\r\n",
@@ -183,33 +191,33 @@
                     (true, _) => b"b2d05e00\r\ndata: aaaaaaaaaaaa",
                 };
                 out.push(Output::Write(conn, noise.to_vec()));
-                let request = work.request.clone();
+                let request = attempt.request.clone();
                 lock_shared(&self.shared).end(&request, &self.name, self.now);
-                self.work.remove(&n);
+                self.attempts.remove(&n);
                 return;
             }
             _ => {}
         }
-        let request = work.request.clone();
-        let Some(left) = work.events else {
-            let mut fabric = lock_shared(&self.shared);
-            fabric.states.insert(request.clone(), (self.name.clone(), self.now));
-            fabric.end(&request, &self.name, self.now);
-            drop(fabric);
-            self.work.remove(&n);
-            return self.answer(conn, 202, &[("x-load", REPORT)], b"{\"cached_tokens\":4}", out);
+        let request = attempt.request.clone();
+        let Some(left) = attempt.events else {
+            let mut shared = lock_shared(&self.shared);
+            shared.held_states.insert(request.clone(), (self.name.clone(), self.now));
+            shared.end(&request, &self.name, self.now);
+            drop(shared);
+            self.attempts.remove(&n);
+            return self.answer(conn, 202, &[("x-load", LOAD_REPORT)], b"{\"cached_tokens\":4}", out);
         };
-        if !begun {
-            work.begun = true;
+        if !has_begun {
+            attempt.has_begun = true;
             if fault == Fault::More {
                 out.push(Output::Write(conn, b"HTTP/1.1 103 Early Hints\r\n\r\n".to_vec()));
             }
-            let mut fabric = lock_shared(&self.shared);
-            fabric.states.remove(&request);
-            if !fabric.written.insert(request.clone()) {
-                fabric.broken.push(format!("{request}: written twice"));
+            let mut shared = lock_shared(&self.shared);
+            shared.held_states.remove(&request);
+            if !shared.decoded.insert(request.clone()) {
+                shared.broken.push(format!("{request}: decoded twice"));
             }
-            drop(fabric);
+            drop(shared);
             if let Some(client) = self.clients.get_mut(&conn) {
                 client.begin_stream(&[], out);
             }
@@ -219,13 +227,13 @@
             n => format!("data: {{\"choices\":[{{\"delta\":{{\"content\":\"{request} {n}\"}}}}]}}\n\n"),
         };
         out.push(Output::Write(conn, http::chunk(text.as_bytes())));
-        work.written += super::events_in(text.as_bytes());
-        let written = Seen::EventsWritten { request: request.clone(), events: work.written };
+        attempt.written += super::events_in(text.as_bytes());
+        let written = Seen::EventsWritten { request: request.clone(), events: attempt.written };
         lock_shared(&self.shared).see(self.now, written);
         if left > 0 {
-            work.events = Some(left - 1);
-            let at = self.now + self.while_of(2, 20);
-            self.wheel.set(at, n);
+            attempt.events = Some(left - 1);
+            let at = self.now + self.random_delay(2, 20);
+            self.timers.set(at, n);
             return;
         }
         let report =
@@ -237,7 +245,7 @@
         }
         out.push(Output::Write(conn, end));
         lock_shared(&self.shared).end(&request, &self.name, self.now);
-        self.work.remove(&n);
+        self.attempts.remove(&n);
         let now = self.now;
         if let Some(client) = self.clients.get_mut(&conn) {
             if !client.finish_answer(now, out) {
@@ -246,17 +254,19 @@
         }
     }
 
-    /// A connection is over, and with it its work. `read`: the read was finished at that moment.
-    fn gone(&mut self, conn: ConnId, read: bool) {
+    /// A connection has closed, and its attempts have ended. `is_prefilled`: their prefill had been
+    /// completed.
+    fn connection_closed(&mut self, conn: ConnId, is_prefilled: bool) {
         self.clients.remove(&conn);
-        let mine: Vec<u64> = self.work.iter().filter(|(_, w)| w.conn == conn).map(|(&n, _)| n).collect();
-        for n in mine {
-            let Some(work) = self.work.remove(&n) else { continue };
-            let mut fabric = lock_shared(&self.shared);
-            if read {
-                fabric.states.insert(work.request.clone(), (self.name.clone(), self.now));
+        let its_attempts: Vec<u64> =
+            self.attempts.iter().filter(|(_, a)| a.conn == conn).map(|(&n, _)| n).collect();
+        for n in its_attempts {
+            let Some(attempt) = self.attempts.remove(&n) else { continue };
+            let mut shared = lock_shared(&self.shared);
+            if is_prefilled {
+                shared.held_states.insert(attempt.request.clone(), (self.name.clone(), self.now));
             }
-            fabric.end(&work.request, &self.name, self.now);
+            shared.end(&attempt.request, &self.name, self.now);
         }
     }
 }
@@ -264,12 +274,12 @@
 impl Machine for Engine {
     fn handle(&mut self, now: Duration, input: Input<'_>, out: &mut Vec<Output>) {
         self.now = now;
-        while let Some(n) = self.wheel.pop(now) {
+        while let Some(n) = self.timers.pop(now) {
             self.step(n, out);
         }
         match input {
-            Input::Accepted(conn, door) => {
-                self.clients.insert(conn, Client::new(conn, door, now, Limits::default(), 1 << 20));
+            Input::Accepted(conn, listener) => {
+                self.clients.insert(conn, Client::new(conn, listener, now, Limits::default(), 1 << 20));
             }
             Input::Data(conn, bytes) => {
                 let Some(client) = self.clients.get_mut(&conn) else { return };
@@ -283,7 +293,7 @@
                                 .broken
                                 .push(format!("a request that can't be read: {why}"));
                             out.push(Output::Abort(conn));
-                            self.gone(conn, false);
+                            self.connection_closed(conn, false);
                         }
                     }
                 }
@@ -295,15 +305,15 @@
             }
             Input::Eof(conn) => {
                 out.push(Output::CloseWhenSent(conn));
-                self.gone(conn, false);
+                self.connection_closed(conn, false);
             }
-            Input::Lost(conn, _) => self.gone(conn, false),
+            Input::Lost(conn, _) => self.connection_closed(conn, false),
             _ => {}
         }
         debug_assert!(self.clients.values().all(|c| c.state != State::Serving(Some(0))));
     }
 
     fn wake_at(&self) -> Option<Duration> {
-        self.wheel.next_at()
+        self.timers.next_at()
     }
 }
--- a/crates/test-servers/src/platform/hostile_engine.rs
+++ b/crates/test-servers/src/platform/hostile_engine.rs
@@ -1,4 +1,5 @@
-//! An engine that fails at each step of an exchange, and notes what it received for the judge of repeats.
+//! An engine that can fail at each step of an exchange, and records what it received for the checker of
+//! repeats.
 
 use super::Random;
 use slipreel_connections::{Client, Received, TimerWheel};
@@ -10,88 +11,89 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-/// What hostile engines and repeating clients of one day share.
+/// What the hostile engines and repeating clients of one test day share.
 #[derive(Debug, Default)]
 pub struct Ledger {
-    /// What the judge goes by.
+    /// Observations for the checker of repeats.
     pub facts: Vec<Fact>,
-    /// By request: whether its prompt was read and its state waits somewhere.
-    states: BTreeMap<String, String>,
+    /// By request: the engine that holds the state of its prompt.
+    held_states: BTreeMap<String, String>,
     attempts: u64,
-    /// Routers that were killed, and when: what they had read is not sent again by itself. A killed process's connections
-    /// may end as if they were closed in order.
+    /// When each router was killed. Clients don't send again what a killed router may have read: the
+    /// connections of a killed process may end as if they were closed gracefully.
     killed: BTreeMap<SocketAddr, Duration>,
 }
 
-/// A ledger in many hands.
+/// Shared access to a ledger.
 pub type SharedLedger = Arc<Mutex<Ledger>>;
 
-/// The ledger, whoever else has panicked.
+/// Locks the ledger, also after a panic of another holder.
 pub fn lock_ledger(ledger: &SharedLedger) -> MutexGuard<'_, Ledger> {
     ledger.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// The connections of a killed router have ended within this.
-const KILL_SEEN: Duration = Duration::from_secs(1);
+/// The time within which all connections of a killed router have ended.
+const KILL_EFFECT_TIME: Duration = Duration::from_secs(1);
 
 impl Ledger {
-    /// Something was seen.
+    /// Records an observation.
     pub fn see(&mut self, at: Duration, seen: Seen) {
         self.facts.push(Fact { at, seen });
     }
 
-    /// A router is killed.
+    /// Records that a router is killed.
     pub fn router_killed(&mut self, at: Duration, router: SocketAddr) {
         self.killed.insert(router, at);
     }
 
-    /// Whether a router was killed a moment ago.
+    /// Whether a router was killed so recently that its connections may still be ending.
     pub fn was_killed(&self, now: Duration, router: SocketAddr) -> bool {
-        self.killed.get(&router).is_some_and(|&at| now <= at + KILL_SEEN)
+        self.killed.get(&router).is_some_and(|&at| now <= at + KILL_EFFECT_TIME)
     }
 }
 
-/// What an engine does.
+/// Which phases an engine runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EngineRole {
-    /// Reads prompts.
+    /// Prefill only.
     Prefill,
-    /// Writes answers.
+    /// Decode only.
     Decode,
-    /// Does both.
+    /// Both phases.
     Mixed,
 }
 
 /// A fault at one step of an exchange.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ExchangeFault {
-    /// The connection is reset as the first bytes of the request come.
+    /// The connection is reset when the first bytes of the request arrive.
     ResetAtFirstByte,
-    /// The connection is reset as the last byte comes. The attempt has run.
+    /// The connection is reset when the last byte of the request arrives. The attempt has run.
     ResetAtLastByte,
-    /// The connection is ended in order as the last byte comes. The attempt has run.
+    /// The connection is closed gracefully when the last byte of the request arrives. The attempt has run.
     EndAtLastByte,
-    /// Nothing is ever answered.
+    /// No answer is sent.
     Silence,
     /// 503 with `X-Not-Run: 1`.
     TurnedAway,
     /// 504 with `X-Not-Run: 1`.
     TurnedAwayLate,
-    /// 500 after it has run.
+    /// 500 after the attempt has run.
     Error,
     /// The connection is reset within the head of the answer.
     ResetInHead,
     /// The connection is reset after the first event.
     ResetInStream,
-    /// A good answer, and on the kept connection a while later one that nobody asked for: 503 with `X-Not-Run: 1`.
+    /// A good answer, and some time later an unsolicited response on the idle connection: 503 with
+    /// `X-Not-Run: 1`.
     StrayTurnedAway,
     /// The same with 410 and `X-Not-Run: 1`.
     StrayNoState,
     /// The same with 202.
     StrayRead,
-    /// A good answer, and the connection is ended in order a while later.
+    /// A good answer, and the connection is closed gracefully some time later.
     CloseIdle,
-    /// A good answer, and the connection is reset a while later.
+    /// A good answer, and the connection is reset some time later.
     ResetIdle,
 }
 
@@ -113,55 +115,58 @@
     ExchangeFault::ResetIdle,
 ];
 
-/// News for an engine: its process is about to be killed, and all that it has at work with it.
+/// Owner message for an engine: its process is about to be killed, and with it all of its attempts.
 #[derive(Clone, Copy, Debug)]
 pub struct EngineKilled;
 
-/// How an engine is laid out.
+/// The parameters of an engine.
 #[derive(Clone, Debug)]
 pub struct EngineLayout {
     /// Its name.
     pub name: String,
-    /// What it does.
+    /// Which phases it runs.
     pub role: EngineRole,
-    /// Where it stands.
+    /// Its zone and cell.
     pub place: Place,
-    /// The faults that it may have.
+    /// The faults that may be injected.
     pub faults: Vec<ExchangeFault>,
-    /// The share of attempts that meet one of them.
+    /// The share of attempts that get one of them.
     pub fault_share: f64,
-    /// How long after a good answer its stray answers and closes come, at most, milliseconds.
+    /// The most milliseconds from a good answer to a stray response or the close of the connection.
     pub stray_most_ms: u64,
-    /// For its chances.
+    /// Seed of its random numbers.
     pub seed: u64,
 }
 
-struct Work {
+/// An attempt in progress.
+struct ActiveAttempt {
     conn: ConnId,
     attempt: AttemptId,
     request: String,
     fault: Option<ExchangeFault>,
 }
 
-enum Due {
+/// What to do when a timer is due.
+enum TimerAction {
     Answer(u64),
     Stray(ConnId, ExchangeFault),
 }
 
-/// One engine.
+/// An engine that fails at random.
 pub struct HostileEngine {
     layout: EngineLayout,
     ledger: SharedLedger,
     now: Duration,
     random: Random,
     connections: BTreeMap<ConnId, Client>,
-    work: BTreeMap<u64, Work>,
-    wheel: TimerWheel<u64>,
-    due: BTreeMap<u64, Due>,
-    next: u64,
+    active_attempts: BTreeMap<u64, ActiveAttempt>,
+    timers: TimerWheel<u64>,
+    timer_actions: BTreeMap<u64, TimerAction>,
+    last_timer: u64,
 }
 
-const STREAM_EVENTS: usize = 3;
+/// Events in the stream of an answer, without `[DONE]`.
+const EVENTS_PER_STREAM: usize = 3;
 
 impl HostileEngine {
     /// An engine of this layout.
@@ -172,10 +177,10 @@
             ledger: ledger.clone(),
             now: Duration::ZERO,
             connections: BTreeMap::new(),
-            work: BTreeMap::new(),
-            wheel: TimerWheel::default(),
-            due: BTreeMap::new(),
-            next: 0,
+            active_attempts: BTreeMap::new(),
+            timers: TimerWheel::default(),
+            timer_actions: BTreeMap::new(),
+            last_timer: 0,
         }
     }
 
@@ -183,10 +188,10 @@
         lock_ledger(&self.ledger).see(self.now, seen);
     }
 
-    fn after(&mut self, time: Duration, due: Due) {
-        self.next += 1;
-        self.due.insert(self.next, due);
-        self.wheel.set(self.now + time, self.next);
+    fn schedule(&mut self, time: Duration, action: TimerAction) {
+        self.last_timer += 1;
+        self.timer_actions.insert(self.last_timer, action);
+        self.timers.set(self.now + time, self.last_timer);
     }
 
     fn draw_fault(&mut self) -> Option<ExchangeFault> {
@@ -209,23 +214,23 @@
             ("GET", "/-/load" | "/-/healthy") => self.answer(conn, 200, false, out),
             ("DELETE", target) => {
                 if let Some(request) = target.strip_prefix("/v1/holds/") {
-                    lock_ledger(&self.ledger).states.remove(request);
+                    lock_ledger(&self.ledger).held_states.remove(request);
                 }
                 self.answer(conn, 204, false, out);
             }
-            ("POST", _) => self.attempt(conn, received, out),
+            ("POST", _) => self.start_attempt(conn, received, out),
             _ => self.answer(conn, 404, false, out),
         }
     }
 
-    fn attempt(&mut self, conn: ConnId, received: &Received, out: &mut Vec<Output>) {
+    fn start_attempt(&mut self, conn: ConnId, received: &Received, out: &mut Vec<Output>) {
         let Some(request) = received.head.get("x-request-id").map(str::to_owned) else {
             return self.answer(conn, 404, false, out);
         };
         let (attempt, has_state) = {
             let mut ledger = lock_ledger(&self.ledger);
             ledger.attempts += 1;
-            (AttemptId(ledger.attempts), ledger.states.contains_key(&request))
+            (AttemptId(ledger.attempts), ledger.held_states.contains_key(&request))
         };
         let reads = self.layout.role == EngineRole::Prefill;
         let (engine, place) = (self.layout.name.clone(), self.layout.place.clone());
@@ -234,16 +239,16 @@
         match fault {
             Some(ExchangeFault::TurnedAway) => return self.turn_away(conn, attempt, 503, out),
             Some(ExchangeFault::TurnedAwayLate) => return self.turn_away(conn, attempt, 504, out),
-            Some(ExchangeFault::ResetAtLastByte) => return self.close(conn, attempt, true, out),
-            Some(ExchangeFault::EndAtLastByte) => return self.close(conn, attempt, false, out),
+            Some(ExchangeFault::ResetAtLastByte) => return self.end_connection(conn, attempt, true, out),
+            Some(ExchangeFault::EndAtLastByte) => return self.end_connection(conn, attempt, false, out),
             _ if self.layout.role == EngineRole::Decode && !has_state => {
                 return self.turn_away(conn, attempt, 410, out);
             }
             _ => {}
         }
-        let takes = self.random.millis(2, 60);
-        self.after(takes, Due::Answer(attempt.0));
-        self.work.insert(attempt.0, Work { conn, attempt, request, fault });
+        let time = self.random.millis(2, 60);
+        self.schedule(time, TimerAction::Answer(attempt.0));
+        self.active_attempts.insert(attempt.0, ActiveAttempt { conn, attempt, request, fault });
     }
 
     fn turn_away(&mut self, conn: ConnId, attempt: AttemptId, status: u16, out: &mut Vec<Output>) {
@@ -251,18 +256,21 @@
         self.answer(conn, status, true, out);
     }
 
-    fn close(&mut self, conn: ConnId, attempt: AttemptId, resets: bool, out: &mut Vec<Output>) {
+    fn end_connection(&mut self, conn: ConnId, attempt: AttemptId, is_reset: bool, out: &mut Vec<Output>) {
         self.see(Seen::Over(attempt));
         self.connections.remove(&conn);
-        out.push(if resets { Output::Abort(conn) } else { Output::CloseWhenSent(conn) });
+        out.push(if is_reset { Output::Abort(conn) } else { Output::CloseWhenSent(conn) });
     }
 
     fn finish(&mut self, number: u64, out: &mut Vec<Output>) {
-        let Some(work) = self.work.get(&number) else { return };
-        if work.fault == Some(ExchangeFault::Silence) {
+        let Some(active) = self.active_attempts.get(&number) else { return };
+        if active.fault == Some(ExchangeFault::Silence) {
             return;
         }
-        let Some(Work { conn, attempt, request, fault }) = self.work.remove(&number) else { return };
+        let Some(ActiveAttempt { conn, attempt, request, fault }) = self.active_attempts.remove(&number)
+        else {
+            return;
+        };
         match fault {
             Some(ExchangeFault::Error) => {
                 self.see(Seen::Over(attempt));
@@ -270,31 +278,33 @@
             }
             Some(ExchangeFault::ResetInHead) => {
                 out.push(Output::Write(conn, b"HTTP/1.1 200 O".to_vec()));
-                return self.close(conn, attempt, true, out);
+                return self.end_connection(conn, attempt, true, out);
             }
             _ => {}
         }
         if self.layout.role == EngineRole::Prefill {
-            lock_ledger(&self.ledger).states.insert(request, self.layout.name.clone());
+            lock_ledger(&self.ledger).held_states.insert(request, self.layout.name.clone());
             self.see(Seen::Over(attempt));
             self.answer(conn, 202, false, out);
         } else {
-            lock_ledger(&self.ledger).states.remove(&request);
-            self.stream(conn, &request, fault, out);
+            lock_ledger(&self.ledger).held_states.remove(&request);
+            self.send_stream(conn, &request, fault, out);
             self.see(Seen::Over(attempt));
         }
         let stray = fault.filter(|fault| fault.follows_a_good_answer());
         if let Some(stray) = stray {
             let time = self.random.millis(0, self.layout.stray_most_ms);
-            self.after(time, Due::Stray(conn, stray));
+            self.schedule(time, TimerAction::Stray(conn, stray));
         }
     }
 
-    fn stream(&mut self, conn: ConnId, request: &str, fault: Option<ExchangeFault>, out: &mut Vec<Output>) {
+    fn send_stream(
+        &mut self, conn: ConnId, request: &str, fault: Option<ExchangeFault>, out: &mut Vec<Output>,
+    ) {
         let now = self.now;
         let Some(connection) = self.connections.get_mut(&conn) else { return };
         connection.begin_stream(&[], out);
-        for n in 0..STREAM_EVENTS {
+        for n in 0..EVENTS_PER_STREAM {
             let event =
                 format!("data: {{\"choices\":[{{\"delta\":{{\"content\":\"{request} {n}\"}}}}]}}\n\n");
             connection.write(http::chunk(event.as_bytes()), out);
@@ -310,7 +320,7 @@
         }
     }
 
-    fn stray(&mut self, conn: ConnId, fault: ExchangeFault, out: &mut Vec<Output>) {
+    fn send_stray(&mut self, conn: ConnId, fault: ExchangeFault, out: &mut Vec<Output>) {
         if !self.connections.contains_key(&conn) {
             return;
         }
@@ -326,24 +336,25 @@
                 } else {
                     Output::CloseWhenSent(conn)
                 });
-                return self.gone(conn);
+                return self.connection_closed(conn);
             }
         };
         out.push(Output::Write(conn, answer.to_vec()));
     }
 
-    /// A connection is over, and with it what was at work on it.
-    fn gone(&mut self, conn: ConnId) {
+    /// A connection has closed, and its attempts have ended.
+    fn connection_closed(&mut self, conn: ConnId) {
         self.connections.remove(&conn);
-        let mine: Vec<u64> = self.work.iter().filter(|(_, w)| w.conn == conn).map(|(&n, _)| n).collect();
-        for number in mine {
-            if let Some(work) = self.work.remove(&number) {
-                self.see(Seen::Over(work.attempt));
+        let its_attempts: Vec<u64> =
+            self.active_attempts.iter().filter(|(_, a)| a.conn == conn).map(|(&n, _)| n).collect();
+        for number in its_attempts {
+            if let Some(active) = self.active_attempts.remove(&number) {
+                self.see(Seen::Over(active.attempt));
             }
         }
     }
 
-    fn data(&mut self, conn: ConnId, bytes: &[u8], out: &mut Vec<Output>) {
+    fn receive(&mut self, conn: ConnId, bytes: &[u8], out: &mut Vec<Output>) {
         let now = self.now;
         let Some(connection) = self.connections.get_mut(&conn) else { return };
         connection.feed(now, bytes, out);
@@ -354,16 +365,16 @@
                 Ok(None) => break,
                 Err(_) => {
                     out.push(Output::Abort(conn));
-                    return self.gone(conn);
+                    return self.connection_closed(conn);
                 }
             }
         }
-        let in_part =
+        let is_incomplete =
             self.connections.get(&conn).is_some_and(|c| c.state == slipreel_connections::State::Receiving);
         let may_reset = self.layout.faults.contains(&ExchangeFault::ResetAtFirstByte);
-        if in_part && may_reset && self.random.chance(self.layout.fault_share / 4.0) {
+        if is_incomplete && may_reset && self.random.chance(self.layout.fault_share / 4.0) {
             out.push(Output::Abort(conn));
-            self.gone(conn);
+            self.connection_closed(conn);
         }
     }
 }
@@ -378,19 +389,19 @@
 impl Machine for HostileEngine {
     fn handle(&mut self, now: Duration, input: Input<'_>, out: &mut Vec<Output>) {
         self.now = now;
-        while let Some(number) = self.wheel.pop(now) {
-            match self.due.remove(&number) {
-                Some(Due::Answer(attempt)) => self.finish(attempt, out),
-                Some(Due::Stray(conn, fault)) => self.stray(conn, fault, out),
+        while let Some(number) = self.timers.pop(now) {
+            match self.timer_actions.remove(&number) {
+                Some(TimerAction::Answer(attempt)) => self.finish(attempt, out),
+                Some(TimerAction::Stray(conn, fault)) => self.send_stray(conn, fault, out),
                 None => {}
             }
         }
         match input {
-            Input::Accepted(conn, door) => {
-                let connection = Client::new(conn, door, now, Limits::default(), 1 << 20);
+            Input::Accepted(conn, listener) => {
+                let connection = Client::new(conn, listener, now, Limits::default(), 1 << 20);
                 self.connections.insert(conn, connection);
             }
-            Input::Data(conn, bytes) => self.data(conn, bytes, out),
+            Input::Data(conn, bytes) => self.receive(conn, bytes, out),
             Input::Sent(conn, n) => {
                 if let Some(connection) = self.connections.get_mut(&conn) {
                     connection.unsent = connection.unsent.saturating_sub(n);
@@ -398,18 +409,18 @@
             }
             Input::Eof(conn) => {
                 out.push(Output::CloseWhenSent(conn));
-                self.gone(conn);
+                self.connection_closed(conn);
             }
-            Input::Lost(conn, _) => self.gone(conn),
-            Input::OwnerMessage(news) if news.is::<EngineKilled>() => {
+            Input::Lost(conn, _) => self.connection_closed(conn),
+            Input::OwnerMessage(message) if message.is::<EngineKilled>() => {
                 let connections: Vec<ConnId> = self.connections.keys().copied().collect();
-                connections.into_iter().for_each(|conn| self.gone(conn));
+                connections.into_iter().for_each(|conn| self.connection_closed(conn));
             }
             _ => {}
         }
     }
 
     fn wake_at(&self) -> Option<Duration> {
-        self.wheel.next_at()
+        self.timers.next_at()
     }
 }
--- a/crates/test-servers/src/platform/mod.rs
+++ b/crates/test-servers/src/platform/mod.rs
@@ -1,7 +1,7 @@
-//! Stand-ins for what speaks the platform's protocol: engines, discovery and clients, as machines.
+//! Engines, discovery and clients that speak the platform's protocol, as state machines.
 //!
-//! [`SharedState`] is what they share: where read states wait, and what was seen that breaks a rule. Engines fault by chance,
-//! drawn from a seed ([`Faults`]).
+//! [`SharedState`] is what they share: which engine holds which state, and what they observed. Engines fail
+//! at random, drawn from a seed ([`Faults`]).
 
 mod client;
 mod day_settings;
@@ -27,45 +27,46 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-/// What stand-ins of one fleet share.
+/// State that the test servers and clients of one fleet share.
 #[derive(Debug, Default)]
 pub struct SharedState {
-    /// By request: the engine that holds its state, since when no attempt is out.
-    pub states: BTreeMap<String, (String, Duration)>,
-    /// By request: the engines at which attempts are out.
-    pub out: BTreeMap<String, Vec<String>>,
-    /// Second copies, since when: that a connection was closed may still be on its way to the first's engine.
+    /// By request: the engine that holds its state, and when its last attempt ended or the state was stored.
+    pub held_states: BTreeMap<String, (String, Duration)>,
+    /// By request: the engines at which attempts are in progress.
+    pub open_attempts: BTreeMap<String, Vec<String>>,
+    /// Requests with more than one attempt in progress, and since when. For a moment this is allowed: the
+    /// close of a connection may still be on its way to the first engine.
     pub overlapping: Vec<(Duration, String)>,
-    /// By engine: the same.
-    pub at: BTreeMap<String, usize>,
-    /// Requests that a writer has begun to answer.
-    pub written: BTreeSet<String>,
-    /// What was seen that must not be.
+    /// By engine: the number of attempts in progress.
+    pub attempts_at: BTreeMap<String, usize>,
+    /// Requests whose decode has begun.
+    pub decoded: BTreeSet<String>,
+    /// Violations that were observed.
     pub broken: Vec<String>,
-    /// By request: its work, in requests of mean work.
+    /// By request: its work, as a multiple of the mean work of a request.
     pub work: BTreeMap<String, f64>,
-    /// What the judge of the terms goes by.
+    /// Observations for the checker of the terms.
     pub facts: Vec<Fact>,
 }
 
-/// A fabric in many hands.
+/// Shared access to the state of a fleet.
 pub type Shared = Arc<Mutex<SharedState>>;
 
-/// The fabric, whoever else has panicked.
+/// Locks the shared state, also after a panic of another holder.
 pub fn lock_shared(shared: &Shared) -> MutexGuard<'_, SharedState> {
     shared.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// How long a close may be on its way.
-const ON_ITS_WAY: Duration = Duration::from_millis(1);
+/// How long the close of a connection may take to arrive.
+const CLOSE_DELAY: Duration = Duration::from_millis(1);
 
-/// How many events have come whole in these bytes of a stream.
+/// Number of complete events in the bytes of a stream.
 fn events_in(bytes: &[u8]) -> usize {
     bytes.windows(2).filter(|pair| *pair == b"\n\n").count()
 }
 
-/// A time as the protocol writes it: milliseconds as `4800m`, microseconds as `4800u`.
-fn deadline(text: &str) -> Option<Duration> {
+/// Parses a time of the protocol: milliseconds as `4800m`, microseconds as `4800u`.
+fn parse_time(text: &str) -> Option<Duration> {
     let (number, unit) = text.split_at_checked(text.len().checked_sub(1)?)?;
     let number: f64 = number.parse().ok()?;
     let seconds = match unit {
@@ -77,54 +78,56 @@
 }
 
 impl SharedState {
-    /// Something was seen.
+    /// Records an observation.
     pub fn see(&mut self, at: Duration, seen: Seen) {
         self.facts.push(Fact { at, seen });
     }
 
-    /// An engine's process has died: its work and what it held are gone.
+    /// An engine's process has died: its attempts and the states that it held are gone.
     pub fn engine_died(&mut self, engine: &str) {
-        self.at.remove(engine);
-        self.out.values_mut().for_each(|out| out.retain(|e| e != engine));
-        self.out.retain(|_, out| !out.is_empty());
-        self.states.retain(|_, (holder, _)| holder != engine);
+        self.attempts_at.remove(engine);
+        self.open_attempts.values_mut().for_each(|engines| engines.retain(|e| e != engine));
+        self.open_attempts.retain(|_, engines| !engines.is_empty());
+        self.held_states.retain(|_, (holder, _)| holder != engine);
     }
 
+    /// An attempt begins at an engine.
     fn begin(&mut self, request: &str, engine: &str, now: Duration) {
-        let out = self.out.entry(request.to_owned()).or_default();
-        out.push(engine.to_owned());
-        if out.len() > 1 {
+        let engines = self.open_attempts.entry(request.to_owned()).or_default();
+        engines.push(engine.to_owned());
+        if engines.len() > 1 {
             self.overlapping.push((now, request.to_owned()));
         }
-        *self.at.entry(engine.to_owned()).or_default() += 1;
+        *self.attempts_at.entry(engine.to_owned()).or_default() += 1;
     }
 
+    /// An attempt has ended at an engine.
     fn end(&mut self, request: &str, engine: &str, now: Duration) {
-        if let Some(out) = self.out.get_mut(request) {
-            if let Some(at) = out.iter().position(|e| e == engine) {
-                out.remove(at);
+        if let Some(engines) = self.open_attempts.get_mut(request) {
+            if let Some(at) = engines.iter().position(|e| e == engine) {
+                engines.remove(at);
             }
-            if out.is_empty() {
-                self.out.remove(request);
+            if engines.is_empty() {
+                self.open_attempts.remove(request);
             }
-            self.overlapping.retain(|(since, name)| name != request || now > *since + ON_ITS_WAY);
+            self.overlapping.retain(|(since, name)| name != request || now > *since + CLOSE_DELAY);
         }
-        if let Some(at) = self.at.get_mut(engine) {
+        if let Some(at) = self.attempts_at.get_mut(engine) {
             *at -= 1;
             if *at == 0 {
-                self.at.remove(engine);
+                self.attempts_at.remove(engine);
             }
         }
-        if let Some((_, since)) = self.states.get_mut(request) {
+        if let Some((_, since)) = self.held_states.get_mut(request) {
             *since = now;
         }
     }
 
-    /// States that have waited for longer than `bound` while no attempt was out.
+    /// Requests whose state has been held for longer than `bound` without an attempt in progress.
     pub fn pinned(&self, now: Duration, bound: Duration) -> Vec<String> {
-        let pinned = |(name, (_, since)): (&String, &(String, Duration))| {
-            (!self.out.contains_key(name) && now > *since + bound).then(|| name.clone())
+        let is_leaked = |(name, (_, since)): (&String, &(String, Duration))| {
+            (!self.open_attempts.contains_key(name) && now > *since + bound).then(|| name.clone())
         };
-        self.states.iter().filter_map(pinned).collect()
+        self.held_states.iter().filter_map(is_leaked).collect()
     }
 }
