--- a/crates/test-servers/src/platform/client.rs
+++ b/crates/test-servers/src/platform/client.rs
@@ -66,6 +66,7 @@
     now: Duration,
 }
 
+/// How long a client waits for an answer to begin.
 const DEADLINE: Duration = Duration::from_millis(3_000);
 /// How long a client waits for the rest of a stream that has begun: the time of the stream and what the
 /// protocol adds.
--- a/crates/test-servers/src/platform/engine.rs
+++ b/crates/test-servers/src/platform/engine.rs
@@ -87,10 +87,12 @@
         }
     }
 
+    /// A number from 0 up to but not including 1.
     fn random_share(&mut self) -> f64 {
         (self.rng.next_u64() >> 11) as f64 / (1u64 << 53) as f64
     }
 
+    /// A delay of at least `min_ms` and less than `min_ms + range_ms`.
     fn random_delay(&mut self, min_ms: u64, range_ms: u64) -> Duration {
         Duration::from_micros(min_ms * 1_000 + (self.random_share() * range_ms as f64 * 1e3) as u64)
     }
@@ -170,19 +172,19 @@
         self.timers.set(at, self.last_number);
     }
 
-    /// Takes the next step of an attempt.
+    /// Takes the next step of an attempt: a fault, or the next part of its answer.
     fn step(&mut self, n: u64, out: &mut Vec<Output>) {
         let Some(attempt) = self.attempts.get_mut(&n) else { return };
         let (conn, fault, has_begun) = (attempt.conn, attempt.fault, attempt.has_begun);
-        let has_fault_point = has_begun || attempt.events.is_none();
+        let may_fail_now = has_begun || attempt.events.is_none();
         match fault {
-            Fault::Silence if has_fault_point => return,
-            Fault::Reset if has_fault_point => {
+            Fault::Silence if may_fail_now => return,
+            Fault::Reset if may_fail_now => {
                 let is_prefill = attempt.events.is_none();
                 out.push(Output::Abort(conn));
                 return self.connection_closed(conn, is_prefill);
             }
-            Fault::Garble if has_fault_point => {
+            Fault::Garble if may_fail_now => {
                 let noise: &[u8] = match (has_begun, n % 3) {
                     (false, 0) => b"\x01\x02\x03 noise\r\n\r\n",
                     (false, _) => b"HTTP/1.1 200 OK\r\nX-Endless: ",
--- a/crates/test-servers/src/platform/hostile_engine.rs
+++ b/crates/test-servers/src/platform/hostile_engine.rs
@@ -169,7 +169,7 @@
 const EVENTS_PER_STREAM: usize = 3;
 
 impl HostileEngine {
-    /// An engine of this layout.
+    /// An engine with these parameters.
     pub fn new(layout: EngineLayout, ledger: &SharedLedger) -> Self {
         HostileEngine {
             random: Random::new(layout.seed),
@@ -188,12 +188,14 @@
         lock_ledger(&self.ledger).see(self.now, seen);
     }
 
+    /// Sets a timer.
     fn schedule(&mut self, time: Duration, action: TimerAction) {
         self.last_timer += 1;
         self.timer_actions.insert(self.last_timer, action);
         self.timers.set(self.now + time, self.last_timer);
     }
 
+    /// Draws the fault of an attempt.
     fn draw_fault(&mut self) -> Option<ExchangeFault> {
         let has_fault = !self.layout.faults.is_empty() && self.random.chance(self.layout.fault_share);
         has_fault.then(|| self.random.one_of(&self.layout.faults))
@@ -380,6 +382,7 @@
 }
 
 impl ExchangeFault {
+    /// Whether the engine first answers well and injects the fault later.
     fn follows_a_good_answer(self) -> bool {
         use ExchangeFault::{CloseIdle, ResetIdle, StrayNoState, StrayRead, StrayTurnedAway};
         matches!(self, StrayTurnedAway | StrayNoState | StrayRead | CloseIdle | ResetIdle)
--- a/crates/test-servers/src/platform/repeating_client.rs
+++ b/crates/test-servers/src/platform/repeating_client.rs
@@ -218,6 +218,7 @@
         }
     }
 
+    /// Repeats a refused request under a new id, with probability `REPEATED_SHARE`.
     fn maybe_repeat(&mut self, request: &Request) {
         if !self.random.chance(REPEATED_SHARE) {
             return;
