--- a/crates/test-servers/src/client.rs
+++ b/crates/test-servers/src/client.rs
@@ -214,6 +214,7 @@
         self.timers.insert((at, self.next_id), timer);
     }
 
+    /// Starts an attempt on an idle connection or on a new one.
     fn start_attempt(
         &mut self, now: Duration, script_index: usize, number: u32, due: Duration, out: &mut Vec<Output>,
     ) {
@@ -421,6 +422,7 @@
         self.finish(now, conn, None);
     }
 
+    /// Records the result of an attempt, and schedules the next one if the request may be repeated.
     fn finish(&mut self, now: Duration, conn: ConnId, ending: Option<Ending>) {
         let Some(exchange) = self.exchanges.remove(&conn) else { return };
         if let Some(ending) = ending {
@@ -469,6 +471,7 @@
         });
     }
 
+    /// Resumes a paused connection that is due, and disconnects from an answer that is late or has stalled.
     fn check_timeouts(&mut self, now: Duration, conn: ConnId, out: &mut Vec<Output>) {
         let Some(exchange) = self.exchanges.get_mut(&conn) else { return };
         if exchange.paused_until.is_some_and(|at| at <= now) {
@@ -533,10 +536,12 @@
         }
     }
 
+    /// Records what is wrong with the answer. The first fault is kept.
     fn record_fault(&mut self, fault: String) {
         self.fault.get_or_insert(fault);
     }
 
+    /// Compares a complete answer with the expected one, and returns how the attempt ended.
     fn evaluate(&mut self, scripted: &ScriptedRequest) -> Ending {
         if self.status == 200 && !self.stream {
             let value: Value = serde_json::from_slice(&self.body).unwrap_or_default();
@@ -581,7 +586,7 @@
             Input::Connected(conn) => {
                 self.send(now, conn, out);
                 let half_closes =
-                    |o: &Exchange| self.script[o.script_index].behaviour == ClientBehaviour::HalfCloses;
+                    |e: &Exchange| self.script[e.script_index].behaviour == ClientBehaviour::HalfCloses;
                 if self.exchanges.get(&conn).is_some_and(half_closes) {
                     out.push(Output::ShutdownWrite(conn));
                 }
