--- a/crates/gateway/benches/gateway.rs
+++ b/crates/gateway/benches/gateway.rs
@@ -3,7 +3,7 @@
 
 use slipreel_connections::TimerWheel;
 use slipreel_gateway::settings::{
-    starting_class, starting_settings, Bounds, ClassSettings, EngineSettings, ModelSettings, KINDS,
+    class_defaults, starting_settings, Bounds, ClassSettings, EngineSettings, ModelSettings, KINDS,
 };
 use slipreel_gateway::{Gateway, GatewaySettings};
 use slipreel_protocol::http::chunk;
@@ -16,7 +16,7 @@
 const CLIENTS: ListenerId = ListenerId(0);
 
 fn settings() -> GatewaySettings {
-    let start = starting_class();
+    let start = class_defaults();
     let class = slipreel::Class {
         latency_objective: start.aim,
         latency_objective_per_1000_tokens: start.aim_per_1000,
--- a/crates/gateway/src/limits.rs
+++ b/crates/gateway/src/limits.rs
@@ -44,7 +44,7 @@
 }
 
 /// Starting values of a class that says nothing of its own.
-pub struct StartingClass {
+pub struct ClassDefaults {
     /// First-token aim of an empty prompt.
     pub aim: Duration,
     /// What it grows by for each 1,000 prompt tokens.
@@ -56,8 +56,8 @@
 }
 
 /// Starting values of a class: those of a chat.
-pub fn starting_class() -> StartingClass {
-    StartingClass { aim: ms(1_000), aim_per_1000: ms(40), patience: ms(6_000), window: ms(5_000) }
+pub fn class_defaults() -> ClassDefaults {
+    ClassDefaults { aim: ms(1_000), aim_per_1000: ms(40), patience: ms(6_000), window: ms(5_000) }
 }
 
 /// Starting values of what the decision module is handed, without classes and tenants: one router, what the brief's sites have
--- a/crates/gateway/tests/connections.rs
+++ b/crates/gateway/tests/connections.rs
@@ -14,7 +14,7 @@
 }
 
 fn settings() -> GatewaySettings {
-    let start = starting_class();
+    let start = class_defaults();
     let class = slipreel::Class {
         latency_objective: start.aim,
         latency_objective_per_1000_tokens: start.aim_per_1000,
--- a/crates/settings/src/site.rs
+++ b/crates/settings/src/site.rs
@@ -7,7 +7,7 @@
     Class, DeduplicationScope, EngineState, Idempotency, Limits, ReportSource, Role, Settings, Tenant, ZoneId,
 };
 use slipreel_gateway::settings::{
-    starting_class, starting_settings, Bounds, ClassSettings, EngineSettings, GatewaySettings, ModelSettings,
+    class_defaults, starting_settings, Bounds, ClassSettings, EngineSettings, GatewaySettings, ModelSettings,
 };
 use slipreel_gateway::settings::{TenantSettings, KINDS};
 use std::net::SocketAddr;
@@ -221,7 +221,7 @@
 }
 
 fn read_classes(doc: &mut Doc) -> Vec<(Class, ClassSettings)> {
-    let start = starting_class();
+    let start = class_defaults();
     let mut classes = Vec::new();
     for at in doc.all("class") {
         let name = named(doc, at);
