--- a/crates/gateway/benches/gateway.rs
+++ b/crates/gateway/benches/gateway.rs
@@ -3,7 +3,7 @@
 
 use slipreel_connections::TimerWheel;
 use slipreel_gateway::settings::{
-    class_defaults, starting_settings, Bounds, ClassSettings, EngineSettings, ModelSettings, KINDS,
+    class_defaults, default_decision_settings, Bounds, ClassSettings, EngineSettings, ModelSettings, KINDS,
 };
 use slipreel_gateway::{Gateway, GatewaySettings};
 use slipreel_protocol::http::chunk;
@@ -34,7 +34,7 @@
     };
     let roles = [slipreel::Role::Prefill, slipreel::Role::Decode];
     GatewaySettings {
-        decisions: slipreel::Settings { classes: vec![class], ..starting_settings() },
+        decisions: slipreel::Settings { classes: vec![class], ..default_decision_settings() },
         classes: vec![ClassSettings { name: "chat".into(), patience: start.patience }],
         models: vec![ModelSettings { name: "m".into(), class: 0, served_as: "m".into() }],
         tenants: Vec::new(),
--- a/crates/gateway/src/limits.rs
+++ b/crates/gateway/src/limits.rs
@@ -62,7 +62,7 @@
 
 /// Starting values of what the decision module is handed, without classes and tenants: one router, what the brief's sites have
 /// in common.
-pub fn starting_settings() -> Settings {
+pub fn default_decision_settings() -> Settings {
     Settings {
         router_count: 1,
         zone: ZoneId(0),
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -3,7 +3,7 @@
 use slipreel::{EngineState, Role, Settings};
 use std::net::SocketAddr;
 
-pub use crate::limits::{class_defaults, starting_settings, ClassDefaults};
+pub use crate::limits::{class_defaults, default_decision_settings, ClassDefaults};
 use std::time::Duration;
 
 /// Settings: what the decision module is handed, and what the gateway needs beside it.
--- a/crates/gateway/tests/connections.rs
+++ b/crates/gateway/tests/connections.rs
@@ -31,7 +31,7 @@
         state: slipreel::EngineState::Ready,
     };
     GatewaySettings {
-        decisions: slipreel::Settings { classes: vec![class], ..starting_settings() },
+        decisions: slipreel::Settings { classes: vec![class], ..default_decision_settings() },
         classes: vec![ClassSettings { name: "chat".into(), patience: start.patience }],
         models: vec![ModelSettings { name: "m".into(), class: 0, served_as: "engine-m".into() }],
         tenants: Vec::new(),
--- a/crates/settings/src/site.rs
+++ b/crates/settings/src/site.rs
@@ -7,7 +7,8 @@
     Class, DeduplicationScope, EngineState, Idempotency, Limits, ReportSource, Role, Settings, Tenant, ZoneId,
 };
 use slipreel_gateway::settings::{
-    class_defaults, starting_settings, Bounds, ClassSettings, EngineSettings, GatewaySettings, ModelSettings,
+    class_defaults, default_decision_settings, Bounds, ClassSettings, EngineSettings, GatewaySettings,
+    ModelSettings,
 };
 use slipreel_gateway::settings::{TenantSettings, KINDS};
 use std::net::SocketAddr;
@@ -165,7 +166,7 @@
     doc: &mut Doc, router: Option<usize>, routers: u32, classes: Vec<Class>, tenants: Vec<Tenant>,
 ) -> Settings {
     let at = doc.one("limits");
-    let start = starting_settings();
+    let start = default_decision_settings();
     let cold_share = doc.or(at, "cold_share", start.warmup_initial_share);
     if let Some(at) = at.filter(|_| cold_share > 1.0) {
         doc.say(at, "cold_share", format!("{cold_share}: expected a share from 0 to 1"));
