--- a/crates/gateway/src/limits.rs
+++ b/crates/gateway/src/limits.rs
@@ -46,9 +46,9 @@
 /// Starting values of a class that says nothing of its own.
 pub struct ClassDefaults {
     /// First-token aim of an empty prompt.
-    pub aim: Duration,
+    pub latency_objective: Duration,
     /// What it grows by for each 1,000 prompt tokens.
-    pub aim_per_1000: Duration,
+    pub latency_objective_per_1000_tokens: Duration,
     /// How long clients wait for the beginning.
     pub patience: Duration,
     /// How long repeats of a key are remembered.
@@ -57,7 +57,12 @@
 
 /// Starting values of a class: those of a chat.
 pub fn class_defaults() -> ClassDefaults {
-    ClassDefaults { aim: ms(1_000), aim_per_1000: ms(40), patience: ms(6_000), window: ms(5_000) }
+    ClassDefaults {
+        latency_objective: ms(1_000),
+        latency_objective_per_1000_tokens: ms(40),
+        patience: ms(6_000),
+        window: ms(5_000),
+    }
 }
 
 /// Starting values of what the decision module is handed, without classes and tenants: one router, what the brief's sites have
--- a/crates/gateway/tests/connections.rs
+++ b/crates/gateway/tests/connections.rs
@@ -16,8 +16,8 @@
 fn settings() -> GatewaySettings {
     let start = class_defaults();
     let class = slipreel::Class {
-        latency_objective: start.aim,
-        latency_objective_per_1000_tokens: start.aim_per_1000,
+        latency_objective: start.latency_objective,
+        latency_objective_per_1000_tokens: start.latency_objective_per_1000_tokens,
         priority_weight: 1.0,
         idempotency: slipreel::Idempotency::Idempotent,
         streams: true,
--- a/crates/settings/src/site.rs
+++ b/crates/settings/src/site.rs
@@ -238,14 +238,18 @@
                 Idempotency::NotIdempotent
             }
         };
-        let aim = doc.or(Some(at), "aim", start.aim);
+        let aim = doc.or(Some(at), "aim", start.latency_objective);
         let patience = doc.or(Some(at), "patience", start.patience);
         if patience <= aim {
             doc.say(at, "patience", format!("{patience:?}: expected more than the aim, {aim:?}"));
         }
         let class = Class {
             latency_objective: aim,
-            latency_objective_per_1000_tokens: doc.or(Some(at), "aim_per_1000", start.aim_per_1000),
+            latency_objective_per_1000_tokens: doc.or(
+                Some(at),
+                "aim_per_1000",
+                start.latency_objective_per_1000_tokens,
+            ),
             priority_weight: doc.or(Some(at), "worth", 1.0),
             idempotency: effect,
             streams: true,
