--- a/crates/emulator/src/play.rs
+++ b/crates/emulator/src/play.rs
@@ -285,7 +285,7 @@
         }
         let call = Call { plan, tries, due: self.now, attempts: Vec::new(), began: false, over: false };
         self.hosts[router].calls.insert(id, call);
-        let time_left = p.patience.min(self.day.site.classes[class].patience);
+        let time_left = p.patience.min(self.day.site.classes[class].client_timeout);
         let tenant = self.day.site.tenants.iter().position(|t| t.keys.contains(&p.key)).unwrap_or(0);
         let request = slipreel::Request {
             id: RequestId(id),
--- a/crates/gateway/benches/gateway.rs
+++ b/crates/gateway/benches/gateway.rs
@@ -35,7 +35,7 @@
     let roles = [slipreel::Role::Prefill, slipreel::Role::Decode];
     GatewaySettings {
         decisions: slipreel::Settings { classes: vec![class], ..default_decision_settings() },
-        classes: vec![ClassSettings { name: "chat".into(), patience: start.patience }],
+        classes: vec![ClassSettings { name: "chat".into(), client_timeout: start.client_timeout }],
         models: vec![ModelSettings { name: "m".into(), class: 0, served_as: "m".into() }],
         tenants: Vec::new(),
         engines: (0..8u16).map(|n| engine(n + 1, roles[usize::from(n) % 2])).collect(),
--- a/crates/gateway/src/classify.rs
+++ b/crates/gateway/src/classify.rs
@@ -101,8 +101,9 @@
         session: session(head, request),
         shared_prefix: shared_prefix(request),
         prompt_tokens: prompt_tokens(request, body_len),
-        time_left: told
-            .map_or(settings.classes[class].patience, |told| told.min(settings.classes[class].patience)),
+        time_left: told.map_or(settings.classes[class].client_timeout, |told| {
+            told.min(settings.classes[class].client_timeout)
+        }),
         told,
         // The public clients count their own retries in this field.
         repeat: head
--- a/crates/gateway/src/limits.rs
+++ b/crates/gateway/src/limits.rs
@@ -50,7 +50,7 @@
     /// What it grows by for each 1,000 prompt tokens.
     pub latency_objective_per_1000_tokens: Duration,
     /// How long clients wait for the beginning.
-    pub patience: Duration,
+    pub client_timeout: Duration,
     /// How long repeats of a key are remembered.
     pub window: Duration,
 }
@@ -60,7 +60,7 @@
     ClassDefaults {
         latency_objective: ms(1_000),
         latency_objective_per_1000_tokens: ms(40),
-        patience: ms(6_000),
+        client_timeout: ms(6_000),
         window: ms(5_000),
     }
 }
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -40,7 +40,7 @@
     /// Its name.
     pub name: String,
     /// How long its clients wait for an answer to begin, unless they say less.
-    pub patience: Duration,
+    pub client_timeout: Duration,
 }
 
 /// A model that is offered.
--- a/crates/gateway/tests/connections.rs
+++ b/crates/gateway/tests/connections.rs
@@ -32,7 +32,7 @@
     };
     GatewaySettings {
         decisions: slipreel::Settings { classes: vec![class], ..default_decision_settings() },
-        classes: vec![ClassSettings { name: "chat".into(), patience: start.patience }],
+        classes: vec![ClassSettings { name: "chat".into(), client_timeout: start.client_timeout }],
         models: vec![ModelSettings { name: "m".into(), class: 0, served_as: "engine-m".into() }],
         tenants: Vec::new(),
         engines: vec![engine(1, slipreel::Role::Prefill), engine(2, slipreel::Role::Decode)],
--- a/crates/settings/src/site.rs
+++ b/crates/settings/src/site.rs
@@ -239,7 +239,7 @@
             }
         };
         let aim = doc.or(Some(at), "aim", start.latency_objective);
-        let patience = doc.or(Some(at), "patience", start.patience);
+        let patience = doc.or(Some(at), "patience", start.client_timeout);
         if patience <= aim {
             doc.say(at, "patience", format!("{patience:?}: expected more than the aim, {aim:?}"));
         }
@@ -254,7 +254,7 @@
             idempotency: effect,
             streams: true,
         };
-        classes.push((class, ClassSettings { name, patience }));
+        classes.push((class, ClassSettings { name, client_timeout: patience }));
     }
     if classes.is_empty() {
         doc.say_file("expected at least one section [class NAME]");
