--- a/crates/gateway/benches/gateway.rs
+++ b/crates/gateway/benches/gateway.rs
@@ -40,7 +40,7 @@
         tenants: Vec::new(),
         engines: (0..8u16).map(|n| engine(n + 1, roles[usize::from(n) % 2])).collect(),
         bounds: Bounds { requests: 1 << 20, connections: 1 << 20, per_engine: 1 << 20, ..Bounds::default() },
-        taken_out: Vec::new(),
+        drained_engines: Vec::new(),
         roles_frozen: false,
         zone: "a".into(),
         name: "r".into(),
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -276,7 +276,7 @@
     /// The list, in which engines that operators have taken out take nothing new.
     fn effective_engine_list(&self) -> Vec<EngineSettings> {
         let mut list = self.listed.clone();
-        for engine in list.iter_mut().filter(|e| self.settings.taken_out.contains(&e.name)) {
+        for engine in list.iter_mut().filter(|e| self.settings.drained_engines.contains(&e.name)) {
             if engine.state == EngineState::Ready {
                 engine.state = EngineState::Draining;
             }
--- a/crates/gateway/src/policy.rs
+++ b/crates/gateway/src/policy.rs
@@ -81,7 +81,7 @@
         else {
             return;
         };
-        let listed = settings.taken_out != self.settings.taken_out;
+        let listed = settings.drained_engines != self.settings.drained_engines;
         self.settings = settings;
         for action in decision.actions {
             self.dispatch(decision.generation, action, out);
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -22,7 +22,7 @@
     /// What the gateway bounds.
     pub bounds: Bounds,
     /// Engines that take nothing new whatever the list says, by name.
-    pub taken_out: Vec<String>,
+    pub drained_engines: Vec<String>,
     /// Operators want no engine to change its role: shown to who changes them.
     pub roles_frozen: bool,
     /// The zone of this router, by name; it goes into `decisions.zone` as the list numbers it.
--- a/crates/gateway/tests/connections.rs
+++ b/crates/gateway/tests/connections.rs
@@ -37,7 +37,7 @@
         tenants: Vec::new(),
         engines: vec![engine(1, slipreel::Role::Prefill), engine(2, slipreel::Role::Decode)],
         bounds: Bounds { requests: 3, body: 10_000, unsent: 2_000, ..Bounds::default() },
-        taken_out: Vec::new(),
+        drained_engines: Vec::new(),
         roles_frozen: false,
         zone: "a".into(),
         name: "r".into(),
--- a/crates/settings/src/site.rs
+++ b/crates/settings/src/site.rs
@@ -137,7 +137,7 @@
         tenants: tenant_sites,
         engines,
         bounds,
-        taken_out,
+        drained_engines: taken_out,
         roles_frozen: read_roles_frozen(doc),
         zone: doc.or(router, "zone", Name("default".into())).0,
         name: doc.or(router, "name", Name("slipreel".into())).0,
