--- a/crates/gateway/benches/gateway.rs
+++ b/crates/gateway/benches/gateway.rs
@@ -1,5 +1,6 @@
-//! What the front costs on one thread, fed by hand: requests, streamed events, memory of open streams, its timer wheel
-//! against a heap, and the module's part of it. No sockets: the system's part is not in these figures.
+//! What the front costs on one thread, fed by hand: requests, streamed events, memory of open streams, its
+//! timer wheel against a heap, and the module's part of it. No sockets: the system's part is not in these
+//! figures.
 
 use slipreel_connections::TimerWheel;
 use slipreel_gateway::settings::{
--- a/crates/gateway/src/active_requests.rs
+++ b/crates/gateway/src/active_requests.rs
@@ -1,4 +1,4 @@
-//! The requests in progress, and the ids that requests are given.
+//! The requests in progress, and the assignment of request ids.
 
 use crate::request::ActiveRequest;
 use slipreel::{EngineId, RequestId};
@@ -9,7 +9,7 @@
     by_id: BTreeMap<RequestId, ActiveRequest>,
     /// Requests that may be finished and can then be removed.
     maybe_finished: Vec<RequestId>,
-    /// Begins the ids on the wire: another one at each start of a process.
+    /// Prefix of the ids on the wire, different at each start of the process.
     seed: u64,
     last_number: u64,
 }
@@ -19,7 +19,7 @@
         ActiveRequests { by_id: BTreeMap::new(), maybe_finished: Vec::new(), seed, last_number: 0 }
     }
 
-    /// An id for the wire that no request has had, and its number.
+    /// A new request number, and the id that stands for it on the wire.
     pub(crate) fn next_id(&mut self) -> (RequestId, String) {
         self.last_number += 1;
         let wire_id = format!("req_{:016x}{:08x}", self.seed, self.last_number);
@@ -71,12 +71,13 @@
         self.by_id.is_empty()
     }
 
-    /// A request may be finished: it is looked at when no event waits any more.
-    pub(crate) fn check_when_settled(&mut self, id: RequestId) {
+    /// Marks a request as possibly finished; `remove_finished` checks it.
+    pub(crate) fn mark_maybe_finished(&mut self, id: RequestId) {
         self.maybe_finished.push(id);
     }
 
-    /// Removes the requests that are finished. Returns the engines that still counted as holders of their state.
+    /// Removes finished requests. Returns the engines that still count as holders of their state, once for
+    /// each state.
     pub(crate) fn remove_finished(&mut self) -> Vec<EngineId> {
         let mut holders = Vec::new();
         for id in std::mem::take(&mut self.maybe_finished) {
--- a/crates/gateway/src/classify.rs
+++ b/crates/gateway/src/classify.rs
@@ -1,5 +1,6 @@
-//! What the decision module is given of a request: class, tenant, session, shared beginning, length, time left, repeat.
-//! Each is read from what the client sent; where a client says nothing, the rule is stated beside it.
+//! The attributes of a request for the decision module: class, tenant, session, shared prefix, prompt length,
+//! time left, and whether it is a retry. Each is taken from what the client sent, with a documented rule for
+//! what it left out.
 
 use crate::settings::GatewaySettings;
 use serde_json::Value;
@@ -9,66 +10,71 @@
 use std::time::Duration;
 use xxhash_rust::xxh3::{xxh3_64, Xxh3};
 
-/// Bytes of text that are taken for one token. English prose in common vocabularies; a seam for a tokeniser.
+/// Bytes of text that count as one token: English prose in common vocabularies. A tokeniser can replace this
+/// estimate.
 const BYTES_PER_TOKEN: f64 = 4.0;
-/// Tokens that the frame of a message adds. What common chat templates add.
+/// Tokens that common chat templates add to each message.
 const TOKENS_PER_MESSAGE: f64 = 4.0;
-/// Longest idempotency key that is passed on, bytes.
-const MAX_IDEMPOTENCY_KEY: usize = 256;
+/// The longest idempotency key that is accepted, bytes.
+const MAX_IDEMPOTENCY_KEY_BYTES: usize = 256;
 
-/// Who asks, as the key tells.
+/// The client's tenant and rights, determined by its key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Caller {
     pub(crate) tenant: TenantId,
     pub(crate) may_choose_class: bool,
 }
 
-/// Finds the tenant of `x-api-key`, else of a bearer token.
+/// Identifies the caller by `x-api-key`, else by a bearer token.
 pub(crate) fn caller(settings: &GatewaySettings, head: &Head) -> Result<Caller, ApiError> {
     if settings.tenants.is_empty() {
         return Ok(Caller { tenant: TenantId(0), may_choose_class: true });
     }
     let bearer = head
         .get("authorization")
-        .and_then(|v| v.split_once(' '))
-        .filter(|(s, _)| s.eq_ignore_ascii_case("bearer"));
-    let Some(key) = head.get("x-api-key").or(bearer.map(|(_, key)| key.trim())).filter(|k| !k.is_empty())
+        .and_then(|value| value.split_once(' '))
+        .filter(|(scheme, _)| scheme.eq_ignore_ascii_case("bearer"));
+    let Some(key) = head.get("x-api-key").or(bearer.map(|(_, key)| key.trim())).filter(|key| !key.is_empty())
     else {
         return Err(ApiError::new(ErrorKind::Authentication, "x-api-key: expected a key, or a bearer token"));
     };
-    let holds = |keys: &[String]| keys.iter().fold(false, |found, k| found | same_key(k, key));
-    let found = settings.tenants.iter().position(|t| holds(&t.keys));
-    let Some(tenant) = found else {
+    let contains_key = |keys: &[String]| keys.iter().fold(false, |found, k| found | keys_match(k, key));
+    let position = settings.tenants.iter().position(|tenant| contains_key(&tenant.keys));
+    let Some(tenant) = position else {
         return Err(ApiError::new(ErrorKind::Authentication, "invalid x-api-key"));
     };
     Ok(Caller { tenant: TenantId(tenant), may_choose_class: settings.tenants[tenant].may_choose_class })
 }
 
-/// Compares in a time that does not tell how much of the key was right.
-fn same_key(a: &str, b: &str) -> bool {
+/// Compares two keys in a time that does not reveal how much of the key was right.
+fn keys_match(a: &str, b: &str) -> bool {
     a.len() == b.len() && a.bytes().zip(b.bytes()).fold(0, |diff, (a, b)| diff | (a ^ b)) == 0
 }
 
-/// What was found out about one request.
+/// The attributes of a message request.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct RequestAttributes {
     pub(crate) class: ClassId,
+    /// The name of the model at the engines.
     pub(crate) served_as: String,
+    /// A hash that is the same for all requests of a session.
     pub(crate) session: u64,
+    /// A hash of the beginning of the prompt that other sessions share, if there is one.
     pub(crate) shared_prefix: Option<u64>,
     pub(crate) prompt_tokens: f64,
+    /// How long the client still waits for the answer to begin.
     pub(crate) time_left: Duration,
     /// The client's own timeout, if it sends one.
-    pub(crate) told: Option<Duration>,
-    pub(crate) repeat: bool,
+    pub(crate) client_timeout: Option<Duration>,
+    pub(crate) is_retry: bool,
     pub(crate) idempotency_key: Option<String>,
 }
 
-/// Reads them off a message request.
-pub(crate) fn traits(
+/// Extracts the attributes of a message request.
+pub(crate) fn attributes(
     settings: &GatewaySettings, head: &Head, caller: Caller, request: &MessagesRequest, body_len: usize,
 ) -> Result<RequestAttributes, ApiError> {
-    let Some(model) = settings.models.iter().find(|m| m.name == request.model) else {
+    let Some(model) = settings.models.iter().find(|model| model.name == request.model) else {
         return Err(ApiError::new(ErrorKind::NotFound, format!("model: {}", request.model)));
     };
     let class = match head.get("x-slipreel-class") {
@@ -80,57 +86,60 @@
             ));
         }
         Some(name) => {
-            if let Some(class) = settings.classes.iter().position(|c| c.name == name) {
+            if let Some(class) = settings.classes.iter().position(|class| class.name == name) {
                 class
             } else {
-                let known: Vec<&str> = settings.classes.iter().map(|c| c.name.as_str()).collect();
+                let known: Vec<&str> = settings.classes.iter().map(|class| class.name.as_str()).collect();
                 let text = format!("x-slipreel-class: {name:?}: expected one of {}", known.join(", "));
                 return Err(ApiError::new(ErrorKind::InvalidRequest, text));
             }
         }
     };
-    let keyed = matches!(settings.decisions.classes[class].idempotency, Idempotency::WithKey { .. });
-    let idempotency_key = head.get("idempotency-key").filter(|_| keyed);
-    if idempotency_key.is_some_and(|k| k.is_empty() || k.len() > MAX_IDEMPOTENCY_KEY) {
+    let uses_key = matches!(settings.decisions.classes[class].idempotency, Idempotency::WithKey { .. });
+    let idempotency_key = head.get("idempotency-key").filter(|_| uses_key);
+    if idempotency_key.is_some_and(|key| key.is_empty() || key.len() > MAX_IDEMPOTENCY_KEY_BYTES) {
         return Err(ApiError::new(ErrorKind::InvalidRequest, "idempotency-key: expected 1 to 256 bytes"));
     }
-    let told = client_timeout(head);
+    let client_timeout = client_timeout(head);
     Ok(RequestAttributes {
         class: ClassId(class),
         served_as: model.served_as.clone(),
         session: session(head, request),
         shared_prefix: shared_prefix(request),
         prompt_tokens: prompt_tokens(request, body_len),
-        time_left: told.map_or(settings.classes[class].client_timeout, |told| {
-            told.min(settings.classes[class].client_timeout)
+        time_left: client_timeout.map_or(settings.classes[class].client_timeout, |client_timeout| {
+            client_timeout.min(settings.classes[class].client_timeout)
         }),
-        told,
-        // The public clients count their own retries in this field.
-        repeat: head
+        client_timeout,
+        // The public client libraries count their own retries in this field.
+        is_retry: head
             .get("x-stainless-retry-count")
-            .and_then(|v| v.parse::<u32>().ok())
-            .is_some_and(|n| n > 0),
+            .and_then(|value| value.parse::<u32>().ok())
+            .is_some_and(|retries| retries > 0),
         idempotency_key: idempotency_key.map(str::to_owned),
     })
 }
 
-/// A header, else `metadata.user_id`, else the first message with the system text: later turns repeat both.
+/// The session: `x-session-id`, else `metadata.user_id`, else the system text and the first message, which
+/// later turns repeat.
 fn session(head: &Head, request: &MessagesRequest) -> u64 {
-    let named = head.get("x-session-id").or(request.user.as_deref());
-    named.map_or_else(
+    let session_name = head.get("x-session-id").or(request.user.as_deref());
+    session_name.map_or_else(
         || hash_values([request.system.as_ref(), request.messages.first()]),
         |name| xxh3_64(name.as_bytes()),
     )
 }
 
-/// The beginning that other sessions share: tools and system, and the first message as far as its first
-/// `cache_control` mark, where the client itself says that a beginning ends. `None` if there is neither.
+/// The beginning of the prompt that other sessions share: the tools, the system text, and the first message
+/// up to its first `cache_control` mark, with which the client itself ends a shared prefix. `None` if there
+/// is none of these.
 fn shared_prefix(request: &MessagesRequest) -> Option<u64> {
-    let marked = request.messages.first().and_then(|m| m.get("content")?.as_array()).and_then(|blocks| {
-        let end = blocks.iter().position(|b| b.get("cache_control").is_some())?;
-        Some(Value::Array(blocks[..=end].to_vec()))
-    });
-    let parts = [request.tools.as_ref(), request.system.as_ref(), marked.as_ref()];
+    let marked_blocks =
+        request.messages.first().and_then(|message| message.get("content")?.as_array()).and_then(|blocks| {
+            let end = blocks.iter().position(|block| block.get("cache_control").is_some())?;
+            Some(Value::Array(blocks[..=end].to_vec()))
+        });
+    let parts = [request.tools.as_ref(), request.system.as_ref(), marked_blocks.as_ref()];
     parts.iter().any(Option::is_some).then(|| hash_values(parts))
 }
 
@@ -143,13 +152,13 @@
     hash.digest()
 }
 
-/// The length of the prompt, estimated from its bytes.
+/// The number of prompt tokens, estimated from the length of the body.
 pub(crate) fn prompt_tokens(request: &MessagesRequest, body_len: usize) -> f64 {
     (body_len as f64 / BYTES_PER_TOKEN + TOKENS_PER_MESSAGE * request.messages.len() as f64).ceil()
 }
 
-/// The client's own timeout. The public clients send it in seconds.
+/// The client's own timeout. The public client libraries send it in seconds.
 fn client_timeout(head: &Head) -> Option<Duration> {
-    let told = head.get("x-stainless-timeout").and_then(|v| v.parse::<f64>().ok());
-    told.filter(|s| s.is_finite() && *s > 0.0).and_then(|s| Duration::try_from_secs_f64(s).ok())
+    let seconds = head.get("x-stainless-timeout").and_then(|value| value.parse::<f64>().ok());
+    seconds.filter(|s| s.is_finite() && *s > 0.0).and_then(|s| Duration::try_from_secs_f64(s).ok())
 }
--- a/crates/gateway/src/client_connections.rs
+++ b/crates/gateway/src/client_connections.rs
@@ -42,7 +42,7 @@
         self.0.sorted_ids(|_| true)
     }
 
-    /// When a connection times out; `None` if it does not in its present state.
+    /// When a connection times out; `None` if its state has no timeout.
     pub(crate) fn deadline(&self, conn: ConnId, bounds: &Bounds) -> Option<Duration> {
         let client = self.get(conn)?;
         let stalled = (client.unsent > 0).then(|| client.last_sent_at + bounds.stalled_peer);
@@ -54,13 +54,13 @@
         by_state.into_iter().chain(stalled).min()
     }
 
-    /// Sets a connection's timer in place of the one that it had.
+    /// Replaces a connection's timer according to its state.
     pub(crate) fn arm_timer(&mut self, conn: ConnId, bounds: &Bounds, timers: &mut Timers) {
         let deadline = self.deadline(conn, bounds);
         self.0.arm_timer(conn, deadline, timers, Timer::Client(conn));
     }
 
-    /// A connection's timer has fired.
+    /// Records that a connection's timer has fired.
     pub(crate) fn timer_fired(&mut self, conn: ConnId) {
         self.0.timer_fired(conn);
     }
--- a/crates/gateway/src/decisions.rs
+++ b/crates/gateway/src/decisions.rs
@@ -1,13 +1,13 @@
-//! The decision modules of a gateway, one for each generation of settings, and the events that wait for them.
+//! The decision modules of a gateway, one for each generation of settings, and their event queue.
 //!
-//! A request belongs to the generation that admitted it. After settings were replaced the earlier modules go on until their
-//! requests are finished.
+//! A request belongs to the generation that admitted it. After settings were replaced, earlier modules are
+//! kept until their requests are finished.
 
 use slipreel::{Action, Event, Router, Settings, SettingsMapping};
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// A decision module and the generation of settings that it decides by.
+/// A decision module and the generation of its settings.
 struct DecisionModule {
     generation: u64,
     router: Router,
@@ -17,34 +17,38 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Recipient {
     All,
-    /// The module of this generation. Later ones, which inherit what it learnt, hear how attempts go.
+    /// The module of this generation. Later modules, which took over what it had learnt, also receive the
+    /// outcomes and first tokens of its attempts.
     Generation(u64),
 }
 
-/// An event that waits.
+/// An event in the queue.
 pub(crate) struct QueuedEvent {
     recipient: Recipient,
     event: Event,
 }
 
 impl QueuedEvent {
+    /// Whether the module of this generation receives the event.
     fn is_for(&self, generation: u64) -> bool {
-        let is_inherited = matches!(self.event, Event::AttemptEnded(_) | Event::FirstToken { .. });
+        let is_for_later_modules = matches!(self.event, Event::AttemptEnded(_) | Event::FirstToken { .. });
         match self.recipient {
             Recipient::All => true,
-            Recipient::Generation(to) => to == generation || (is_inherited && to < generation),
+            Recipient::Generation(recipient) => {
+                recipient == generation || (is_for_later_modules && recipient < generation)
+            }
         }
     }
 }
 
-/// What a module decided on one event.
+/// The actions with which a module responds to one event.
 pub(crate) struct Decision {
     /// The generation of the decision module.
     pub(crate) generation: u64,
     pub(crate) actions: Vec<Action>,
 }
 
-/// The decision modules, oldest first, with their queue of events.
+/// The decision modules, oldest first, with their event queue.
 pub(crate) struct DecisionModules {
     modules: Vec<DecisionModule>,
     events: VecDeque<QueuedEvent>,
@@ -52,12 +56,13 @@
 }
 
 impl DecisionModules {
-    /// No module yet. `seed`: of the random numbers of the first one; each later one has the next.
+    /// Creates an empty list of modules. `seed` seeds the random numbers of the first module, `seed + 1`
+    /// those of the second, and so on.
     pub(crate) fn new(seed: u64) -> Self {
         DecisionModules { modules: Vec::new(), events: VecDeque::new(), seed }
     }
 
-    /// The generation that admits requests now.
+    /// The generation that admits requests now: the last one.
     pub(crate) fn generation(&self) -> u64 {
         self.modules.last().map_or(0, |module| module.generation)
     }
@@ -73,8 +78,8 @@
         self.modules.push(DecisionModule { generation, router });
     }
 
-    /// Adds a module that takes over what the last one learnt. Returns what it decides at once; `None` if there is no last
-    /// one.
+    /// Adds a module that takes over what the last one has learnt. Returns its first decision; `None` if
+    /// there is no module yet.
     pub(crate) fn add_successor(
         &mut self, now: Duration, settings: Settings, mapping: &SettingsMapping,
     ) -> Option<Decision> {
@@ -86,7 +91,7 @@
         Some(Decision { generation, actions })
     }
 
-    /// Sets how many routers share the fleet; what was learnt stays.
+    /// Sets the number of routers that share the engines; the modules keep what they have learnt.
     pub(crate) fn set_router_count(&mut self, count: u32) {
         self.modules.iter_mut().for_each(|module| module.router.set_router_count(count));
     }
@@ -101,17 +106,17 @@
         self.events.push_back(QueuedEvent { recipient: Recipient::All, event });
     }
 
-    /// The event that has waited longest.
+    /// Removes the oldest event from the queue.
     pub(crate) fn next_event(&mut self) -> Option<QueuedEvent> {
         self.events.pop_front()
     }
 
-    /// How many modules there are.
+    /// The number of modules.
     pub(crate) fn len(&self) -> usize {
         self.modules.len()
     }
 
-    /// Hands an event to the module at `index`; `None` if it is not for that one.
+    /// Passes an event to the module at `index`; `None` if it is not for that module.
     pub(crate) fn handle(&mut self, index: usize, now: Duration, queued: &QueuedEvent) -> Option<Decision> {
         let module = self.modules.get_mut(index).filter(|module| queued.is_for(module.generation))?;
         let mut actions = Vec::new();
@@ -119,7 +124,7 @@
         Some(Decision { generation: module.generation, actions })
     }
 
-    /// Removes earlier modules whose generation is not in use any more.
+    /// Removes earlier modules whose generation is no longer in use.
     pub(crate) fn remove_unused(&mut self, is_in_use: impl Fn(u64) -> bool) {
         if self.modules.len() > 1 {
             let current = self.generation();
--- a/crates/gateway/src/engine_connection.rs
+++ b/crates/gateway/src/engine_connection.rs
@@ -1,11 +1,13 @@
-//! A connection to an engine: the client side of HTTP, one exchange at a time, and what its bytes mean.
+//! A connection to an engine: the client side of HTTP with one exchange at a time, and the parsing of
+//! engines' answers.
 //!
-//! States and their timeouts: `Connecting` (the decision module's connect time), `Busy` (the exchange's own: the decision module's
-//! patience for attempts, `probe` for probes, `silent_stream` once an answer has begun), `Idle` (`engine_idle`). A
-//! release has `limits::RELEASE_EXCHANGE_TIMEOUT` for both connecting and its answer.
+//! States and their timeouts: `Connecting` (the decision module's connect timeout), `Busy` (by the exchange:
+//! the timeout that the decision module gives an attempt, `probe` for probes, `silent_stream` once an answer
+//! has begun), `Idle` (`engine_idle`). A release has `limits::RELEASE_EXCHANGE_TIMEOUT` for connecting and
+//! its answer together if the connection was opened for it, else until it is given up.
 
 use crate::engine_error::{self, EngineError};
-use crate::limits::{self, MAX_ENGINE_BODY};
+use crate::limits::{self, MAX_ENGINE_BODY_BYTES};
 use crate::settings::GatewaySettings;
 use serde_json::Value;
 use slipreel::EngineId;
@@ -19,47 +21,55 @@
 /// What a connection is used for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ConnectionPurpose {
-    /// An attempt: of which request, which of its attempts, and whether it is a prefill.
+    /// An attempt: the number of its request, its index among the request's attempts, and whether it is a
+    /// prefill.
     Attempt { request: u64, attempt: usize, is_prefill: bool },
     /// A probe of the engine's load.
     Probe,
-    /// A release; the id is that of the release queue.
+    /// A release, with its id in the release queue.
     Release(ReleaseId),
 }
 
-/// Where a connection stands.
+/// The state of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum State {
+    /// Being opened.
     Connecting,
+    /// An exchange is in progress.
     Busy,
+    /// Open and without an exchange.
     Idle,
 }
 
-/// What the bytes of an exchange said.
+/// An event parsed from the bytes of an exchange.
 #[derive(Debug)]
 pub(crate) enum EngineEvent {
-    /// The head of an answer came, with a load report if there is one.
+    /// The head of an answer carries a load report.
     LoadReport(Load),
-    /// The prompt is read.
+    /// The prefill is completed.
     Prefilled { transfer: Value, usage: Usage },
-    /// A part of a streamed answer.
+    /// A chunk of a streamed answer.
     Chunk(Chunk),
-    /// The stream's end mark.
-    Done,
+    /// The end of a streamed answer, or a successful answer to a release.
+    Completed,
     /// A probe was answered.
     Metrics(Load),
-    /// Rejected; it never ran.
+    /// Rejected by the engine; it never ran.
     Rejected { state_missing: bool },
-    /// The engine says that the request is wrong: status and message.
+    /// The engine reports that the request is invalid, with this status and message.
     InvalidRequest(u16, String),
-    /// The engine failed, or what it said can't be read.
+    /// The engine failed, or its answer can't be parsed.
     Failed(String),
 }
 
+/// How the body of the present answer is parsed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Body {
+enum ResponseBody {
+    /// No answer is in progress.
     None,
-    Whole(u16),
+    /// As a whole, once it is complete; with the answer's status.
+    Complete(u16),
+    /// As a stream of events.
     Stream,
 }
 
@@ -70,28 +80,32 @@
     pub(crate) engine: EngineId,
     pub(crate) state: State,
     pub(crate) purpose: ConnectionPurpose,
-    /// Since when the state lasts; in an answer: when it last said something.
-    pub(crate) since: Duration,
-    /// Written when the connection stands.
-    pub(crate) pending: Vec<u8>,
+    /// When the state began or data last arrived, which is when its timeout starts. Also set when reading is
+    /// paused or resumed.
+    pub(crate) state_since: Duration,
+    /// The request that is written once the connection is established.
+    pub(crate) unsent_request: Vec<u8>,
+    /// Reading is paused, since the client takes its answer too slowly.
     pub(crate) paused: bool,
     /// The load report in the head of the present answer.
-    pub(crate) load: Option<Load>,
+    pub(crate) load_report: Option<Load>,
     decoder: Decoder,
     events: sse::Decoder,
-    body: Body,
-    held: Vec<u8>,
-    /// It has carried an exchange before: a late second answer to that can't be told from the answer to the present one.
+    body: ResponseBody,
+    /// The part of a `ResponseBody::Complete` that has arrived.
+    buffered: Vec<u8>,
+    /// It has carried an exchange before. A late second answer to that one can't be distinguished from the
+    /// answer to the present one.
     pub(crate) is_reused: bool,
     /// The exchange is over and the connection can be used again.
     pub(crate) reusable: bool,
-    /// It was opened to send a release, and has not answered yet.
+    /// It was opened to send a release, and no exchange on it has completed yet.
     pub(crate) opened_for_release: bool,
 }
 
 impl EngineConnection {
     pub(crate) fn new(
-        conn: ConnId, engine: EngineId, purpose: ConnectionPurpose, now: Duration, pending: Vec<u8>,
+        conn: ConnId, engine: EngineId, purpose: ConnectionPurpose, now: Duration, unsent_request: Vec<u8>,
     ) -> Self {
         let limits = Limits { body: u64::MAX, ..Limits::default() };
         EngineConnection {
@@ -99,52 +113,54 @@
             engine,
             state: State::Connecting,
             purpose,
-            since: now,
-            pending,
+            state_since: now,
+            unsent_request,
             paused: false,
-            load: None,
+            load_report: None,
             decoder: Decoder::new(Side::Client, limits),
-            events: sse::Decoder::new(MAX_ENGINE_BODY),
-            body: Body::None,
-            held: Vec::new(),
+            events: sse::Decoder::new(MAX_ENGINE_BODY_BYTES),
+            body: ResponseBody::None,
+            buffered: Vec::new(),
             is_reused: false,
             reusable: false,
             opened_for_release: matches!(purpose, ConnectionPurpose::Release(_)),
         }
     }
 
-    /// When it times out; `None` if it does not in its present state. `is_streaming`: it carries an answer that has begun.
+    /// When it times out; `None` if its state has no timeout. `is_streaming`: it carries an answer that has
+    /// begun.
     pub(crate) fn deadline(&self, settings: &GatewaySettings, is_streaming: bool) -> Option<Duration> {
         let bounds = &settings.bounds;
         match (self.state, self.purpose) {
-            (State::Idle, _) => Some(self.since + bounds.engine_idle),
+            (State::Idle, _) => Some(self.state_since + bounds.engine_idle),
             (_, ConnectionPurpose::Release(_)) if self.opened_for_release => {
-                Some(self.since + limits::RELEASE_EXCHANGE_TIMEOUT)
+                Some(self.state_since + limits::RELEASE_EXCHANGE_TIMEOUT)
             }
-            (_, ConnectionPurpose::Release(_)) => Some(self.since + limits::RELEASE_TIMING.give_up),
-            (State::Connecting, _) => Some(self.since + settings.decisions.limits.connect_timeout),
-            (State::Busy, ConnectionPurpose::Probe) => Some(self.since + bounds.probe),
+            (_, ConnectionPurpose::Release(_)) => Some(self.state_since + limits::RELEASE_TIMING.give_up),
+            (State::Connecting, _) => Some(self.state_since + settings.decisions.limits.connect_timeout),
+            (State::Busy, ConnectionPurpose::Probe) => Some(self.state_since + bounds.probe),
             (State::Busy, ConnectionPurpose::Attempt { .. }) => {
-                (is_streaming && !self.paused).then(|| self.since + bounds.silent_stream)
+                (is_streaming && !self.paused).then(|| self.state_since + bounds.silent_stream)
             }
         }
     }
 
     /// Starts another exchange on an idle connection.
     pub(crate) fn reuse(&mut self, purpose: ConnectionPurpose, now: Duration) {
-        (self.purpose, self.state, self.since) = (purpose, State::Busy, now);
+        (self.purpose, self.state, self.state_since) = (purpose, State::Busy, now);
         (self.reusable, self.is_reused) = (false, true);
-        (self.events, self.load) = (sse::Decoder::new(MAX_ENGINE_BODY), None);
+        (self.events, self.load_report) = (sse::Decoder::new(MAX_ENGINE_BODY_BYTES), None);
     }
 
-    /// Takes bytes and appends what they say. After `Failed` the connection is of no use.
+    /// Parses received bytes and appends their events to `out`. After `Failed` the connection can't be used
+    /// any more.
     pub(crate) fn feed(&mut self, bytes: &[u8], out: &mut Vec<EngineEvent>) {
         self.decoder.feed(bytes);
         loop {
             match self.decoder.next_item() {
                 Ok(None) => return,
-                Ok(Some(item)) => self.item(item, out),
-                Err(why) => return out.push(EngineEvent::Failed(why.to_string())),
+                Ok(Some(item)) => self.handle_item(item, out),
+                Err(error) => return out.push(EngineEvent::Failed(error.to_string())),
             }
             if matches!(out.last(), Some(EngineEvent::Failed(_))) {
                 return;
@@ -152,11 +168,11 @@
         }
     }
 
-    /// The engine sends no more. Whether that ends the exchange in order.
+    /// Handles the end of what the engine sends. Returns whether that completes the exchange.
     pub(crate) fn eof(&mut self, out: &mut Vec<EngineEvent>) -> bool {
         match self.decoder.eof() {
             Ok(Some(item)) => {
-                self.item(item, out);
+                self.handle_item(item, out);
                 self.reusable = false;
                 true
             }
@@ -164,48 +180,55 @@
         }
     }
 
-    fn item(&mut self, item: Item, out: &mut Vec<EngineEvent>) {
+    /// Handles one part of an HTTP answer.
+    fn handle_item(&mut self, item: Item, out: &mut Vec<EngineEvent>) {
         match item {
             Item::Head(head) => {
                 let Start::Response { status } = head.start else { return };
                 if status < 200 {
-                    self.body = Body::None;
+                    self.body = ResponseBody::None;
                     return;
                 }
                 if let Some(report) = head.get("endpoint-load-metrics") {
                     out.push(EngineEvent::LoadReport(engine::orca(report)));
                 }
                 self.reusable = head.keep_alive;
-                let streams = head.get("content-type").is_some_and(|t| t.starts_with("text/event-stream"));
-                let writes = matches!(self.purpose, ConnectionPurpose::Attempt { is_prefill: false, .. });
-                self.body =
-                    if status == 200 && writes && streams { Body::Stream } else { Body::Whole(status) };
+                let is_event_stream = head
+                    .get("content-type")
+                    .is_some_and(|media_type| media_type.starts_with("text/event-stream"));
+                let is_decode = matches!(self.purpose, ConnectionPurpose::Attempt { is_prefill: false, .. });
+                self.body = if status == 200 && is_decode && is_event_stream {
+                    ResponseBody::Stream
+                } else {
+                    ResponseBody::Complete(status)
+                };
             }
-            Item::Body(piece) if self.body == Body::Stream => self.stream(&piece, out),
+            Item::Body(piece) if self.body == ResponseBody::Stream => self.parse_stream(&piece, out),
             Item::Body(piece) => {
-                self.held.extend_from_slice(&piece);
-                if self.held.len() > MAX_ENGINE_BODY {
-                    out.push(EngineEvent::Failed(format!("an answer over {MAX_ENGINE_BODY} bytes")));
+                self.buffered.extend_from_slice(&piece);
+                if self.buffered.len() > MAX_ENGINE_BODY_BYTES {
+                    out.push(EngineEvent::Failed(format!("an answer over {MAX_ENGINE_BODY_BYTES} bytes")));
                 }
             }
-            Item::End => match std::mem::replace(&mut self.body, Body::None) {
-                Body::Whole(status) => {
-                    let body = std::mem::take(&mut self.held);
-                    out.push(self.whole(status, &body));
+            Item::End => match std::mem::replace(&mut self.body, ResponseBody::None) {
+                ResponseBody::Complete(status) => {
+                    let body = std::mem::take(&mut self.buffered);
+                    out.push(self.parse_complete_body(status, &body));
                 }
-                Body::Stream if self.events.inside() => {
+                ResponseBody::Stream if self.events.inside() => {
                     out.push(EngineEvent::Failed("a stream that ends in an event".into()));
                 }
-                Body::Stream => out.push(EngineEvent::Done),
-                Body::None => {}
+                ResponseBody::Stream => out.push(EngineEvent::Completed),
+                ResponseBody::None => {}
             },
         }
     }
 
-    fn stream(&mut self, piece: &[u8], out: &mut Vec<EngineEvent>) {
+    /// Parses a part of a streamed answer.
+    fn parse_stream(&mut self, piece: &[u8], out: &mut Vec<EngineEvent>) {
         let mut events = Vec::new();
         if self.events.feed(piece, &mut events).is_err() {
-            return out.push(EngineEvent::Failed(format!("an event over {MAX_ENGINE_BODY} bytes")));
+            return out.push(EngineEvent::Failed(format!("an event over {MAX_ENGINE_BODY_BYTES} bytes")));
         }
         for event in events.iter().filter(|e| e.data != "[DONE]") {
             match serde_json::from_str::<Chunk>(&event.data) {
@@ -220,20 +243,20 @@
         }
     }
 
-    /// What a complete answer says.
-    fn whole(&self, status: u16, body: &[u8]) -> EngineEvent {
+    /// The event of an answer that has been received completely.
+    fn parse_complete_body(&self, status: u16, body: &[u8]) -> EngineEvent {
         match (status, self.purpose) {
             (200, ConnectionPurpose::Attempt { is_prefill: true, .. }) => match engine::read_answer(body) {
-                Ok(read) => EngineEvent::Prefilled {
-                    transfer: read.kv_transfer_params,
-                    usage: read.usage.unwrap_or_default(),
+                Ok(answer) => EngineEvent::Prefilled {
+                    transfer: answer.kv_transfer_params,
+                    usage: answer.usage.unwrap_or_default(),
                 },
-                Err(why) => EngineEvent::Failed(why),
+                Err(error) => EngineEvent::Failed(error),
             },
             (200, ConnectionPurpose::Probe) => {
                 EngineEvent::Metrics(engine::metrics(&String::from_utf8_lossy(body)))
             }
-            (200, ConnectionPurpose::Release(_)) => EngineEvent::Done,
+            (200, ConnectionPurpose::Release(_)) => EngineEvent::Completed,
             (200, ConnectionPurpose::Attempt { .. }) => {
                 EngineEvent::Failed("no stream where one was asked for".into())
             }
--- a/crates/gateway/src/engine_connections.rs
+++ b/crates/gateway/src/engine_connections.rs
@@ -1,4 +1,4 @@
-//! The connections to engines: their timers, and which idle one carries the next exchange.
+//! The connections to engines, their timers, and the pool that chooses the connection of the next exchange.
 
 use crate::engine_connection::{ConnectionPurpose, EngineConnection};
 use crate::timer::{Timer, Timers};
@@ -12,13 +12,13 @@
 pub(crate) struct EngineConnections {
     by_id: ConnectionMap<EngineConnection>,
     pool: Pool,
-    /// Connections whose client has left: to be closed before the next decision.
+    /// Connections that carry an answer whose client has disconnected; closed before the next decision.
     abandoned: Vec<ConnId>,
     last_id: u64,
 }
 
 impl EngineConnections {
-    /// An id for a connection that is opened to an engine.
+    /// The id for a new connection to an engine.
     pub(crate) fn next_id(&mut self) -> ConnId {
         self.last_id += 1;
         ConnId::opened(self.last_id)
@@ -66,12 +66,14 @@
         self.pool.open_count(engine)
     }
 
-    /// Whether the last idle connection to an engine stays open: state is held there, and has to be released.
+    /// Whether the last idle connection to an engine stays open, because the engine holds state that has to
+    /// be released.
     pub(crate) fn keeps_last_idle(&self, engine: EngineId) -> bool {
         self.pool.keeps_last_idle(engine)
     }
 
-    /// Takes a place in the pool: a connection that is idle since `idle_since` or longer, or one to be opened.
+    /// Reserves a connection for an exchange: one that has been idle since `idle_since` or earlier, or one to
+    /// be opened.
     pub(crate) fn reserve(
         &mut self, engine: EngineId, purpose: ConnectionPurpose, max_connections: usize, idle_since: Duration,
     ) -> Slot {
@@ -83,39 +85,40 @@
         self.pool.reserve(engine, max_connections, pool_purpose, idle_since)
     }
 
-    /// Makes a connection available for further exchanges. False if as many as may be are idle.
+    /// Makes a connection available for further exchanges. Returns false if the limit of idle connections is
+    /// reached.
     pub(crate) fn keep_idle(
         &mut self, engine: EngineId, conn: ConnId, max_idle: usize, now: Duration,
     ) -> bool {
         self.pool.put_idle(engine, conn, max_idle, now)
     }
 
-    /// An engine may hold state from now on.
+    /// Counts one more state that an engine may hold.
     pub(crate) fn state_held(&mut self, engine: EngineId) {
         self.pool.state_held(engine);
     }
 
-    /// An engine, if one is given, holds one state less.
+    /// Counts one state less that an engine may hold; does nothing for `None`.
     pub(crate) fn state_released(&mut self, engine: Option<EngineId>) {
         self.pool.state_released(engine);
     }
 
-    /// The client of what this connection carries has left.
+    /// Marks a connection whose client has disconnected, to be closed.
     pub(crate) fn abandon(&mut self, conn: ConnId) {
         self.abandoned.push(conn);
     }
 
-    /// The connections abandoned since the last call.
+    /// Returns the connections that were abandoned since the last call.
     pub(crate) fn take_abandoned(&mut self) -> Vec<ConnId> {
         std::mem::take(&mut self.abandoned)
     }
 
-    /// Sets a connection's timer in place of the one that it had; none if it does not time out.
+    /// Replaces a connection's timer; removes it if there is no deadline.
     pub(crate) fn arm_timer(&mut self, conn: ConnId, deadline: Option<Duration>, timers: &mut Timers) {
         self.by_id.arm_timer(conn, deadline, timers, Timer::Engine(conn));
     }
 
-    /// A connection's timer has fired.
+    /// Records that a connection's timer has fired.
     pub(crate) fn timer_fired(&mut self, conn: ConnId) {
         self.by_id.timer_fired(conn);
     }
--- a/crates/gateway/src/engine_error.rs
+++ b/crates/gateway/src/engine_error.rs
@@ -1,21 +1,23 @@
-//! What an engine's refusal of an exchange proves: whether anything can have run, and whose fault it is.
+//! Classifies error answers of engines: whether the request may have run, and whether the request itself is
+//! invalid.
 //!
-//! Only an engine that says itself that nothing ran is believed; every other failure counts as may have run.
+//! Only an explicit rejection by the engine proves that nothing ran; after every other failure the request
+//! may have run.
 
 use slipreel_protocol::engine;
 
-/// What an answer other than success means.
+/// The meaning of an error answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum EngineError {
-    /// Rejected; it never ran.
+    /// Rejected by the engine; it never ran.
     Rejected { state_missing: bool },
-    /// The request is wrong, and would be at every engine: its client gets the error.
+    /// The request is invalid at every engine; its client gets the error message.
     InvalidRequest(String),
     /// It failed and may have run.
     Failed,
 }
 
-/// Judges an answer by its status and body.
+/// Classifies an error answer by its status and body.
 pub(crate) fn classify(status: u16, body: &[u8]) -> EngineError {
     match engine::error_type(body) {
         Some((kind, _)) if kind == engine::FULL => EngineError::Rejected { state_missing: false },
--- a/crates/gateway/src/engines.rs
+++ b/crates/gateway/src/engines.rs
@@ -1,4 +1,4 @@
-//! Turns what engines send into events for the decision module and pieces of the client's answer.
+//! Turns what engines send into events for the decision module and parts of the client's answer.
 
 use crate::dispatch::load_report;
 use crate::engine_connection::{ConnectionPurpose, EngineEvent, State};
@@ -25,35 +25,41 @@
 }
 
 impl Gateway {
+    /// Sends the request of a connection that is now established.
     pub(crate) fn engine_connected(&mut self, conn: ConnId, out: &mut Vec<Output>) {
         let now = self.now;
-        let Some(connection) = self.engines.get_mut(conn).filter(|l| l.state == State::Connecting) else {
+        let Some(connection) =
+            self.engines.get_mut(conn).filter(|connection| connection.state == State::Connecting)
+        else {
             return;
         };
         if let ConnectionPurpose::Attempt { request, .. } = connection.purpose {
-            // Where the decision module may not cancel, an attempt for a client that has left is not begun any more.
+            // Without cancellation by the decision module, an attempt whose client has disconnected is not
+            // sent.
             if self.requests.get(RequestId(request)).is_none_or(|request| request.is_closed) {
                 return self.abort_connection(conn, out, Outcome::NotSent);
             }
         }
-        (connection.state, connection.since) = (State::Busy, now);
-        out.push(Output::Write(conn, std::mem::take(&mut connection.pending)));
+        (connection.state, connection.state_since) = (State::Busy, now);
+        out.push(Output::Write(conn, std::mem::take(&mut connection.unsent_request)));
         self.arm_engine_timer(conn);
     }
 
+    /// Handles bytes from an engine.
     pub(crate) fn engine_data(&mut self, conn: ConnId, bytes: &[u8], out: &mut Vec<Output>) {
         let now = self.now;
         let Some(connection) = self.engines.get_mut(conn) else { return };
         if connection.state != State::Busy {
-            // Bytes that nobody asked for: what follows could be taken for the next answer.
+            // Bytes without a request: what follows could be taken for the next answer.
             return self.abort_connection(conn, out, Outcome::Error);
         }
-        connection.since = now;
+        connection.state_since = now;
         let mut events = Vec::new();
         connection.feed(bytes, &mut events);
         self.handle_engine_events(conn, events, out);
     }
 
+    /// Handles the end of what an engine sends.
     pub(crate) fn engine_eof(&mut self, conn: ConnId, out: &mut Vec<Output>) {
         let Some(connection) = self.engines.get_mut(conn) else { return };
         let mut events = Vec::new();
@@ -63,16 +69,17 @@
         self.abort_connection(conn, out, Outcome::Reset);
     }
 
+    /// Ends the exchange of a connection that was lost.
     pub(crate) fn engine_connection_lost(
-        &mut self, conn: ConnId, why: ConnectionLoss, out: &mut Vec<Output>,
+        &mut self, conn: ConnId, loss: ConnectionLoss, out: &mut Vec<Output>,
     ) {
         if let Some(connection) = self.engines.remove(conn, &mut self.timers) {
-            self.exchange_ended(&connection, loss_outcome(why), out);
+            self.exchange_interrupted(&connection, loss_outcome(loss), out);
         }
     }
 
-    /// Its time is up: by its state, a connection that did not stand, an exchange without an answer, a stream that
-    /// fell silent, or an idle connection.
+    /// Handles a timeout of a connection. By its state: it was not established in time, its exchange got no
+    /// answer in time, its stream stalled, or it was idle for too long.
     pub(crate) fn engine_timed_out(&mut self, conn: ConnId, out: &mut Vec<Output>) {
         let Some(connection) = self.engines.get(conn) else { return };
         match connection.state {
@@ -80,7 +87,7 @@
             State::Busy => self.abort_connection(conn, out, Outcome::TimedOut),
             State::Idle if self.engines.keeps_last_idle(connection.engine) => {
                 if let Some(connection) = self.engines.get_mut(conn) {
-                    connection.since = self.now;
+                    connection.state_since = self.now;
                 }
                 self.arm_engine_timer(conn);
             }
@@ -91,21 +98,29 @@
         }
     }
 
+    /// Aborts an attempt whose timeout has passed, if no answer of its request has begun.
     pub(crate) fn attempt_timed_out(&mut self, id: RequestId, attempt: usize, out: &mut Vec<Output>) {
-        let Some(request) = self.requests.get(id).filter(|c| c.streaming_attempt.is_none()) else { return };
-        let conn = request.attempts.get(attempt).filter(|a| a.in_flight).and_then(|a| a.conn);
+        let Some(request) = self.requests.get(id).filter(|request| request.streaming_attempt.is_none())
+        else {
+            return;
+        };
+        let conn = request
+            .attempts
+            .get(attempt)
+            .filter(|attempt| attempt.in_flight)
+            .and_then(|attempt| attempt.conn);
         if let Some(conn) = conn {
             self.abort_connection(conn, out, Outcome::TimedOut);
         }
     }
 
-    /// Handles what one connection received, in order.
+    /// Handles the events of one connection, in order.
     fn handle_engine_events(&mut self, conn: ConnId, events: Vec<EngineEvent>, out: &mut Vec<Output>) {
         let mut piece = Vec::new();
         for event in events {
             let Some(connection) = self.engines.get(conn) else { break };
             if connection.state != State::Busy {
-                // More than was asked for.
+                // The exchange has ended, so these bytes answer no request.
                 self.abort_connection(conn, out, Outcome::Error);
                 break;
             }
@@ -114,25 +129,26 @@
         let purpose = self.engines.get(conn).map(|connection| connection.purpose);
         if let Some(ConnectionPurpose::Attempt { request, .. }) = purpose {
             self.write_stream(RequestId(request), &mut piece, out);
-            self.check_pace(RequestId(request), out);
+            self.apply_backpressure(RequestId(request), out);
         }
     }
 
-    /// Handles one event of a busy connection. `piece` collects what is written to the client.
+    /// Handles one event of a busy connection. `piece` collects the part of the answer to write to the
+    /// client.
     fn handle_engine_event(
         &mut self, conn: ConnId, event: EngineEvent, piece: &mut Vec<u8>, out: &mut Vec<Output>,
     ) {
         let Some(connection) = self.engines.get_mut(conn) else { return };
-        let (engine, purpose, load) = (connection.engine, connection.purpose, connection.load);
+        let (engine, purpose, load) = (connection.engine, connection.purpose, connection.load_report);
         match (event, purpose) {
             (EngineEvent::LoadReport(load), ConnectionPurpose::Attempt { is_prefill: false, .. }) => {
-                // The head of a stream comes long before its end: its load report is handed on now.
-                let report = self.report(&load);
+                // The head of a stream comes long before its end, so its load report is passed on now.
+                let report = self.answer_load_report(&load);
                 if report != LoadReport::default() {
                     self.probe_ended(engine, Outcome::Completed, report);
                 }
             }
-            (EngineEvent::LoadReport(load), _) => connection.load = Some(load),
+            (EngineEvent::LoadReport(load), _) => connection.load_report = Some(load),
             (EngineEvent::Failed(why), _) => {
                 if let ConnectionPurpose::Attempt { request, .. } = purpose {
                     self.write_stream(RequestId(request), piece, out);
@@ -148,7 +164,7 @@
             (EngineEvent::Metrics(load), ConnectionPurpose::Probe) => {
                 self.finish_exchange(conn, out);
                 self.probe_ended(engine, Outcome::Completed, load_report(&load));
-                self.note_start(engine, load.started);
+                self.record_engine_start(engine, load.started);
             }
             (_, ConnectionPurpose::Probe) => {
                 self.finish_exchange(conn, out);
@@ -172,37 +188,37 @@
                 if let Some(request) = self.requests.get_mut(id) {
                     request.prefill_completed(attempt, transfer, usage);
                     let tokens = usage.prompt_tokens.saturating_sub(usage.cached_tokens());
-                    self.metrics.read(request.class_name(), tokens);
+                    self.metrics.prefill_completed(request.class_name(), tokens);
                 }
-                self.ended(id, attempt, Outcome::Prefilled, usage.cached_tokens() as f64, load);
+                self.attempt_ended(id, attempt, Outcome::Prefilled, usage.cached_tokens() as f64, load);
             }
             EngineEvent::Chunk(chunk) => {
-                if !self.chunk(id, attempt, &chunk, piece, out) {
+                if !self.handle_chunk(id, attempt, &chunk, piece, out) {
                     self.abort_connection(conn, out, Outcome::Cancelled);
                 }
             }
-            EngineEvent::Done if !is_prefill => {
+            EngineEvent::Completed if !is_prefill => {
                 self.write_stream(id, piece, out);
                 self.finish_exchange(conn, out);
-                self.stream_done(id, attempt, out);
+                self.stream_ended(id, attempt, out);
             }
             EngineEvent::Rejected { state_missing } => {
                 self.end_rejected_exchange(conn, out);
-                self.ended(id, attempt, Outcome::Rejected { state_missing }, 0.0, load);
+                self.attempt_ended(id, attempt, Outcome::Rejected { state_missing }, 0.0, load);
             }
             EngineEvent::InvalidRequest(status, message) => {
                 self.end_rejected_exchange(conn, out);
-                self.request_is_invalid(id, attempt, status, message, out);
+                self.fail_invalid_request(id, attempt, status, message, out);
             }
-            EngineEvent::Done
+            EngineEvent::Completed
             | EngineEvent::Metrics(_)
             | EngineEvent::LoadReport(_)
             | EngineEvent::Failed(_) => self.abort_connection(conn, out, Outcome::Error),
         }
     }
 
-    /// An attempt was rejected. On a kept connection that may be an answer left over from the exchange before, with this
-    /// attempt still at work: it is given up by closing the connection.
+    /// Ends the exchange of an attempt that was rejected. On a reused connection the rejection may be a late
+    /// answer to an earlier exchange while this attempt still runs, so the connection is closed to abort it.
     fn end_rejected_exchange(&mut self, conn: ConnId, out: &mut Vec<Output>) {
         if self.engines.get(conn).is_some_and(|connection| !connection.is_reused) {
             return self.finish_exchange(conn, out);
@@ -211,19 +227,19 @@
         out.push(Output::Abort(conn));
     }
 
-    /// An exchange has ended in order: its connection is kept for the next, or closed.
+    /// Ends a completed exchange: its connection is kept for the next one, or closed.
     fn finish_exchange(&mut self, conn: ConnId, out: &mut Vec<Output>) {
         let now = self.now;
-        let most = self.settings.bounds.idle_per_engine;
+        let max_idle = self.settings.bounds.idle_per_engine;
         let Some(connection) = self.engines.get_mut(conn) else { return };
         let engine = connection.engine;
-        (connection.state, connection.since) = (State::Idle, now);
+        (connection.state, connection.state_since) = (State::Idle, now);
         connection.opened_for_release = false;
         if std::mem::take(&mut connection.paused) {
             out.push(Output::Resume(conn));
         }
         let reusable = connection.reusable;
-        if reusable && self.engines.keep_idle(engine, conn, most, now) {
+        if reusable && self.engines.keep_idle(engine, conn, max_idle, now) {
             self.arm_engine_timer(conn);
             let waiting = self.releases.oldest_waiting_for(engine);
             if let Some((id, release)) = waiting.and_then(|id| Some((id, self.releases.get(id)?.clone()))) {
@@ -235,30 +251,34 @@
         }
     }
 
-    fn note_start(&mut self, engine: slipreel::EngineId, started: Option<f64>) {
-        let Some(wall) = started.and_then(|s| Duration::try_from_secs_f64(s).ok()) else { return };
-        let started = wall.saturating_sub(self.epoch_ahead);
-        let cold = self.settings.decisions.warmup_time;
-        if let Some(event) = self.engine_list.note_start(self.now, engine, started, cold) {
+    /// Records the start time that an engine reports, in seconds since the Unix epoch.
+    fn record_engine_start(&mut self, engine: slipreel::EngineId, start_time: Option<f64>) {
+        let Some(wall_time) = start_time.and_then(|seconds| Duration::try_from_secs_f64(seconds).ok()) else {
+            return;
+        };
+        let started_at = wall_time.saturating_sub(self.wall_clock_offset);
+        let warmup_time = self.settings.decisions.warmup_time;
+        if let Some(event) = self.engine_list.record_engine_start(self.now, engine, started_at, warmup_time) {
             self.queue_event_for_all(event);
         }
     }
 
-    /// A piece of an answer. False if nobody wants it any more.
-    fn chunk(
+    /// Handles a chunk of an answer. Returns false if the request has ended, so that its answer is not needed
+    /// any more.
+    fn handle_chunk(
         &mut self, id: RequestId, attempt: usize, chunk: &Chunk, piece: &mut Vec<u8>, out: &mut Vec<Output>,
     ) -> bool {
         let now = self.now;
         let Some(request) = self.requests.get_open_mut(id) else { return false };
-        if request.streaming_attempt.is_none() && MessageWriter::begins(chunk) {
-            let taken = request.answer_began(attempt);
-            let name = self.settings.classes.get(request.class).map_or("", |c| &c.name);
-            // Of a complete answer that begins anew the first beginning counts.
+        if request.streaming_attempt.is_none() && MessageWriter::has_output(chunk) {
+            let released_engine = request.answer_began(attempt);
+            let class_name = self.settings.classes.get(request.class).map_or("", |class| &class.name);
+            // If an unstreamed answer is restarted, only its first beginning is counted.
             if !request.is_restarted() {
-                self.metrics.first_token(name, now, request);
+                self.metrics.first_token_received(class_name, now, request);
             }
-            self.engines.state_released(taken);
-            let latency = now.saturating_sub(request.attempts[attempt].sent);
+            self.engines.state_released(released_engine);
+            let latency = now.saturating_sub(request.attempts[attempt].sent_at);
             let (generation, conn, stream, complete_by) =
                 (request.generation, request.attempts[attempt].conn, request.stream, request.complete_by);
             self.queue_event(generation, Event::FirstToken { request: id, attempt, latency });
@@ -272,71 +292,78 @@
             }
         }
         if let Some(request) = self.requests.get_mut(id) {
-            request.writer.chunk(chunk, piece);
+            request.message_writer.write_chunk(chunk, piece);
         }
         true
     }
 
-    /// The end of a stream: whole if the engine said why it ended.
-    fn stream_done(&mut self, id: RequestId, attempt: usize, out: &mut Vec<Output>) {
-        let whole = self
-            .requests
-            .get(id)
-            .is_some_and(|c| c.streaming_attempt == Some(attempt) && c.writer.is_whole());
-        if whole {
+    /// Handles the end of a stream. The answer is complete if the engine sent a finish reason.
+    fn stream_ended(&mut self, id: RequestId, attempt: usize, out: &mut Vec<Output>) {
+        let is_complete = self.requests.get(id).is_some_and(|request| {
+            request.streaming_attempt == Some(attempt) && request.message_writer.is_complete()
+        });
+        if is_complete {
             self.complete_request(id, out);
-            self.ended(id, attempt, Outcome::Completed, 0.0, None);
+            self.attempt_ended(id, attempt, Outcome::Completed, 0.0, None);
         } else {
-            self.attempt_broke(id, attempt, Outcome::Error, out);
+            self.attempt_interrupted(id, attempt, Outcome::Error, out);
         }
     }
 
-    /// An attempt ended otherwise than in order. If its answer had begun the request ends with it: whole, if the
-    /// engine had said so and only its end mark is missing, else failed.
-    pub(crate) fn attempt_broke(
+    /// Ends an attempt that was interrupted. If its streamed answer had begun, the request ends with it:
+    /// completed if the engine had sent the finish reason and only the end of the stream is missing, else
+    /// failed.
+    pub(crate) fn attempt_interrupted(
         &mut self, id: RequestId, attempt: usize, outcome: Outcome, out: &mut Vec<Output>,
     ) {
-        let streaming_attempt =
-            self.requests.get(id).filter(|c| c.streaming_attempt == Some(attempt) && !c.is_closed);
-        let Some(request) = streaming_attempt else { return self.ended(id, attempt, outcome, 0.0, None) };
-        if request.writer.is_whole() {
+        let streaming_attempt = self
+            .requests
+            .get(id)
+            .filter(|request| request.streaming_attempt == Some(attempt) && !request.is_closed);
+        let Some(request) = streaming_attempt else {
+            return self.attempt_ended(id, attempt, outcome, 0.0, None);
+        };
+        if request.message_writer.is_complete() {
             self.complete_request(id, out);
-            return self.ended(id, attempt, Outcome::Completed, 0.0, None);
+            return self.attempt_ended(id, attempt, Outcome::Completed, 0.0, None);
         }
         if !request.stream {
-            // Nothing of it has gone out: the decision module settles whether another attempt follows.
+            // Nothing was sent to the client: the decision module decides whether another attempt follows.
             if let Some(request) = self.requests.get_mut(id) {
                 request.restart_answer();
             }
-            return self.ended(id, attempt, outcome, 0.0, None);
+            return self.attempt_ended(id, attempt, outcome, 0.0, None);
         }
         let error = match outcome {
             Outcome::TimedOut => ApiError::new(ErrorKind::Timeout, "the answer stopped coming"),
             _ => ApiError::new(ErrorKind::Api, "the answer broke off"),
         };
         self.answer_with_error(id, &error, None, RequestEnd::Failed, out);
-        self.ended(id, attempt, outcome, 0.0, None);
+        self.attempt_ended(id, attempt, outcome, 0.0, None);
     }
 
-    fn request_is_invalid(
+    /// Passes an engine's error on an invalid request to the client.
+    fn fail_invalid_request(
         &mut self, id: RequestId, attempt: usize, status: u16, message: String, out: &mut Vec<Output>,
     ) {
         let error = ApiError::new(ErrorKind::of_status(status), message);
         self.answer_with_error(id, &error, None, RequestEnd::Failed, out);
-        self.ended(id, attempt, Outcome::Error, 0.0, None);
+        self.attempt_ended(id, attempt, Outcome::Error, 0.0, None);
     }
 
-    /// Pauses or resumes the engine's connection by what waits for the client.
-    pub(crate) fn check_pace(&mut self, id: RequestId, out: &mut Vec<Output>) {
+    /// Pauses or resumes reading from the engine, by the number of bytes that wait for the client.
+    pub(crate) fn apply_backpressure(&mut self, id: RequestId, out: &mut Vec<Output>) {
         let Some(request) = self.requests.get(id) else { return };
-        let Some(conn) = request.streaming_attempt.and_then(|a| request.attempts[a].conn) else { return };
-        let Some(unsent) = self.clients.get(request.client).map(|c| c.unsent) else { return };
+        let Some(conn) = request.streaming_attempt.and_then(|attempt| request.attempts[attempt].conn) else {
+            return;
+        };
+        let Some(unsent) = self.clients.get(request.client).map(|client| client.unsent) else { return };
         let (now, bounds) = (self.now, &self.settings.bounds);
         let Some(connection) = self.engines.get_mut(conn) else { return };
-        let pauses = limits::pauses(bounds, unsent, connection.paused);
-        if pauses != connection.paused {
-            (connection.paused, connection.since) = (pauses, now);
-            out.push(if pauses { Output::Pause(conn) } else { Output::Resume(conn) });
+        let should_pause = limits::should_pause(bounds, unsent, connection.paused);
+        if should_pause != connection.paused {
+            (connection.paused, connection.state_since) = (should_pause, now);
+            out.push(if should_pause { Output::Pause(conn) } else { Output::Resume(conn) });
             self.arm_engine_timer(conn);
         }
     }
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -1,5 +1,5 @@
-//! The gateway as a state machine: takes inputs in turn, fires timers, and lets the decision modules decide until no event
-//! is left.
+//! The gateway as a state machine: handles inputs one by one, fires timers, and runs the decision modules
+//! until their event queue is empty.
 
 use crate::active_requests::ActiveRequests;
 use crate::client_connections::ClientConnections;
@@ -21,12 +21,12 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How many requests ended how, and what the gateway holds. Counters only grow.
+/// Requests by how they ended, and what was sent to engines. Counters never decrease.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
     /// Requests handed to the decision module.
     pub admitted: u64,
-    /// Final answers by kind.
+    /// Answered completely.
     pub completed: u64,
     /// Rejected by the decision module.
     pub rejected: u64,
@@ -34,7 +34,7 @@
     pub failed: u64,
     /// Clients that disconnected before their answer ended.
     pub disconnected: u64,
-    /// Answered without the decision module: bad input, unknown paths, the gateway's own bounds.
+    /// Rejected before the decision module: invalid input, unknown paths, the gateway's own limits.
     pub rejected_before_admission: u64,
     /// Attempts sent to engines.
     pub attempts: u64,
@@ -47,57 +47,60 @@
 pub struct HeldState {
     /// Client connections.
     pub client_connections: usize,
-    /// Connections to engines, those that are being opened included.
+    /// Connections to engines, including those that are being opened.
     pub engine_connections: usize,
-    /// Requests that are not finished.
+    /// Requests in progress.
     pub requests: usize,
     /// Timers that are set.
     pub timers: usize,
 }
 
-/// Owner message: how many routers share the fleet from now on, this one included. What was learnt stays.
+/// Owner message: the number of routers that share the engines from now on, including this one. The decision
+/// modules keep what they have learnt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RouterCount(pub u32);
 
 /// A router between clients and engines, without I/O and clock.
 ///
-/// Takes as [`Input::OwnerMessage`]: `Vec<EngineSettings>`, the complete list of engines; `Arc<GatewaySettings>`, new settings;
-/// [`RouterCount`]; `Arc<SharedView>`, the membership; `Arc<PolicyHandle>`, the policy that the fleet agrees on.
+/// Accepts as [`Input::OwnerMessage`]: `Vec<EngineSettings>`, the complete list of engines;
+/// `Arc<GatewaySettings>`, new settings; [`RouterCount`]; `Arc<SharedView>`, this router's view of the fleet;
+/// `Arc<PolicyHandle>`, the policy that the fleet agrees on.
 pub struct Gateway {
     pub(crate) now: Duration,
     pub(crate) settings: Arc<GatewaySettings>,
-    /// Clock of the gateway at the epoch of wall time, if that is after the epoch: engines report start times in wall time.
-    pub(crate) epoch_ahead: Duration,
+    /// Wall clock minus the gateway's clock, 0 if negative. Engines report their start times in wall time.
+    pub(crate) wall_clock_offset: Duration,
     pub(crate) decision_modules: DecisionModules,
     pub(crate) engine_list: EngineList,
     pub(crate) clients: ClientConnections,
     pub(crate) engines: EngineConnections,
     pub(crate) requests: ActiveRequests,
     pub(crate) timers: Timers,
-    /// State that engines still have to release.
+    /// Releases that engines have not acknowledged yet.
     pub(crate) releases: ReleaseQueue,
     pub(crate) shutdown: Shutdown,
     pub(crate) counters: Counters,
-    /// By class name, as names outlive reloads.
+    /// Labelled by class name, since class positions change when settings are reloaded.
     pub(crate) metrics: Metrics,
-    /// The view of the fleet, where this process is a member of one.
-    pub(crate) fleet: Option<Arc<SharedView>>,
-    /// The fleet's policy, where this process takes part in agreeing on one, and the epoch by which this gateway admits requests.
+    /// The view of the fleet, if this process is a member of one.
+    pub(crate) fleet_view: Option<Arc<SharedView>>,
+    /// The fleet's policy, if this process takes part in the agreement on one.
     pub(crate) policy: Option<Arc<PolicyHandle>>,
+    /// The policy epoch under which this gateway admits requests.
     pub(crate) policy_epoch: u64,
-    /// Engines as they were listed, those included that operators have taken out.
-    pub(crate) listed: Vec<EngineSettings>,
-    /// Routers to reckon with by that view; it holds for settings that are read again too.
-    routers: Option<u32>,
+    /// The engine list as it was received, including engines that operators drain.
+    pub(crate) listed_engines: Vec<EngineSettings>,
+    /// The number of routers by the fleet's view. It overrides the configured number, also after a reload.
+    router_count: Option<u32>,
 }
 
 impl Gateway {
-    /// A gateway at its start. `seed` settles its chances and begins its request ids, so it is to be a new one at
-    /// each start. `wall` is the wall clock, since the epoch, at the clock's time `now`.
-    pub fn new(settings: Arc<GatewaySettings>, seed: u64, now: Duration, wall: Duration) -> Self {
+    /// Creates a gateway. `seed` seeds its random numbers and is the prefix of its request ids, so each start
+    /// needs a new one. `wall_clock` is the time since the Unix epoch at `now` on the gateway's clock.
+    pub fn new(settings: Arc<GatewaySettings>, seed: u64, now: Duration, wall_clock: Duration) -> Self {
         let mut gateway = Gateway {
             now,
-            epoch_ahead: wall.saturating_sub(now),
+            wall_clock_offset: wall_clock.saturating_sub(now),
             decision_modules: DecisionModules::new(seed),
             engine_list: EngineList::default(),
             clients: ClientConnections::default(),
@@ -108,29 +111,29 @@
             shutdown: Shutdown::default(),
             counters: Counters::default(),
             metrics: Metrics::default(),
-            fleet: None,
+            fleet_view: None,
             policy: None,
             policy_epoch: 0,
-            listed: settings.engines.clone(),
-            routers: None,
+            listed_engines: settings.engines.clone(),
+            router_count: None,
             settings: settings.clone(),
         };
         gateway.add_decision_module(settings.clone());
         let list = gateway.effective_engine_list();
         let (event, _) = gateway.engine_list.replace(now, &list);
-        // A router comes up with the list that it is given, which may be old.
+        // The list that a router starts with may be outdated, so it is queued as a cached one.
         if let Event::Engines { engines, .. } = event {
             gateway.queue_event_for_all(Event::Engines { listing: Listing::Cached, engines });
         }
         gateway
     }
 
-    /// Its counters.
+    /// The counters of ended requests and of exchanges with engines.
     pub fn counters(&self) -> Counters {
         self.counters
     }
 
-    /// How much state it holds.
+    /// The amount of state that the gateway holds.
     pub fn held_state(&self) -> HeldState {
         HeldState {
             client_connections: self.clients.len(),
@@ -146,23 +149,25 @@
         self.settings = settings;
     }
 
-    /// The settings as the decision module is handed them here.
+    /// The settings for the decision module, with this router's zone number and the router count of the
+    /// fleet's view.
     pub(crate) fn decision_settings(&mut self, settings: &GatewaySettings) -> slipreel::Settings {
         let mut decisions = settings.decisions.clone();
         decisions.zone = self.engine_list.zone(&settings.zone);
-        decisions.router_count = self.routers.unwrap_or(decisions.router_count);
+        decisions.router_count = self.router_count.unwrap_or(decisions.router_count);
         decisions
     }
 
-    /// The view reckons with another number of routers: all that was learnt stays.
-    fn share_with(&mut self, routers: RouterCount) {
-        self.routers = Some(routers.0);
-        self.decision_modules.set_router_count(routers.0);
+    /// Sets the number of routers of the fleet's view; the decision modules keep what they have learnt.
+    fn set_router_count(&mut self, count: RouterCount) {
+        self.router_count = Some(count.0);
+        self.decision_modules.set_router_count(count.0);
     }
 
-    /// Whether another process holds this one's name in the fleet, or is not yet known not to.
+    /// Why this router's membership keeps it from being ready: another process holds its name in the fleet,
+    /// or that is not known yet, or the router has left.
     pub(crate) fn membership_obstacle(&self) -> Option<&'static str> {
-        match self.fleet.as_ref()?.view().status {
+        match self.fleet_view.as_ref()?.view().status {
             MemberStatus::Ready => None,
             MemberStatus::Joining => Some("joining"),
             MemberStatus::Challenged => Some("challenged"),
@@ -181,7 +186,8 @@
         self.decision_modules.queue_for_all(event);
     }
 
-    /// Lets the decision modules decide until no event waits; then removes what is finished.
+    /// Runs the decision modules until their event queue is empty, then removes finished requests and unused
+    /// modules.
     fn run_decisions(&mut self, out: &mut Vec<Output>) {
         self.drop_abandoned_connections(out);
         while let Some(queued) = self.decision_modules.next_event() {
@@ -201,8 +207,8 @@
         }
     }
 
-    /// Dispatches the actions of a decision. What a module decides on a request of another generation is dropped: that
-    /// generation's own module decides on it.
+    /// Dispatches the actions of a decision. Actions on a request of another generation are dropped, since
+    /// that generation's own module decides on the request.
     fn dispatch_decision(&mut self, decision: Decision, out: &mut Vec<Output>) {
         for action in decision.actions {
             if !self.is_of_other_generation(decision.generation, &action) {
@@ -213,7 +219,7 @@
 
     // ---- Timers -----------------------------------------------------------------------------
 
-    /// When a connection to an engine times out; `None` if it does not in its present state.
+    /// When a connection to an engine times out; `None` if its state has no timeout.
     fn engine_deadline(&self, conn: ConnId) -> Option<Duration> {
         let connection = self.engines.get(conn)?;
         let is_streaming = match connection.purpose {
@@ -225,12 +231,12 @@
         connection.deadline(&self.settings, is_streaming)
     }
 
-    /// Sets the timer of a client connection by its state.
+    /// Sets the timer of a client connection according to its state.
     pub(crate) fn arm_client_timer(&mut self, conn: ConnId) {
         self.clients.arm_timer(conn, &self.settings.bounds, &mut self.timers);
     }
 
-    /// Sets the timer of a connection to an engine by its state.
+    /// Sets the timer of a connection to an engine according to its state.
     pub(crate) fn arm_engine_timer(&mut self, conn: ConnId) {
         let deadline = self.engine_deadline(conn);
         self.engines.arm_timer(conn, deadline, &mut self.timers);
@@ -271,12 +277,12 @@
         }
     }
 
-    // ---- News ---------------------------------------------------------------------------------
+    // ---- Engine list, settings, shutdown ------------------------------------------------------
 
-    /// The list, in which engines that operators have taken out take nothing new.
+    /// The engine list, with engines that operators drain marked as draining.
     fn effective_engine_list(&self) -> Vec<EngineSettings> {
-        let mut list = self.listed.clone();
-        for engine in list.iter_mut().filter(|e| self.settings.drained_engines.contains(&e.name)) {
+        let mut list = self.listed_engines.clone();
+        for engine in list.iter_mut().filter(|engine| self.settings.drained_engines.contains(&engine.name)) {
             if engine.state == EngineState::Ready {
                 engine.state = EngineState::Draining;
             }
@@ -284,16 +290,18 @@
         list
     }
 
-    pub(crate) fn take_list(&mut self, list: &[EngineSettings], out: &mut Vec<Output>) {
-        self.listed = list.to_vec();
+    /// Replaces the engine list and closes what no longer belongs to a ready engine.
+    pub(crate) fn replace_engine_list(&mut self, list: &[EngineSettings], out: &mut Vec<Output>) {
+        self.listed_engines = list.to_vec();
         let list = self.effective_engine_list();
         let (event, closed) = self.engine_list.replace(self.now, &list);
         self.queue_event_for_all(event);
-        // What has not left for an engine that drains or is gone goes elsewhere.
-        let unsent: Vec<ConnId> = self.engines.sorted_ids(|l| {
-            closed.contains(&l.engine)
-                && l.state == ConnectionState::Connecting
-                && matches!(l.purpose, ConnectionPurpose::Attempt { .. })
+        // Attempts that were not sent yet to an engine that drains or is gone are ended, so that they are
+        // sent to another.
+        let unsent: Vec<ConnId> = self.engines.sorted_ids(|connection| {
+            closed.contains(&connection.engine)
+                && connection.state == ConnectionState::Connecting
+                && matches!(connection.purpose, ConnectionPurpose::Attempt { .. })
         });
         for conn in unsent {
             self.abort_connection(conn, out, slipreel::Outcome::NotSent);
@@ -303,24 +311,26 @@
         }
     }
 
-    fn take_site(&mut self, settings: &Arc<GatewaySettings>, out: &mut Vec<Output>) {
-        let listed = self.settings.engines != settings.engines;
+    /// Applies settings that were read again.
+    fn apply_settings(&mut self, settings: &Arc<GatewaySettings>, out: &mut Vec<Output>) {
+        let engines_changed = self.settings.engines != settings.engines;
         if self.policy.is_some() {
-            // What is the router's own has changed; the policy has not, and what was learnt stays.
+            // Only this router's own settings have changed, not the policy, so what was learnt is kept.
             self.replace_settings(settings.clone(), out);
         } else {
             self.add_decision_module(settings.clone());
         }
-        if listed {
-            self.take_list(&settings.engines.clone(), out);
+        if engines_changed {
+            self.replace_engine_list(&settings.engines.clone(), out);
         } else {
-            let current = self.listed.clone();
-            self.take_list(&current, out);
+            let current = self.listed_engines.clone();
+            self.replace_engine_list(&current, out);
         }
         out.push(Output::Log("settings were read again; requests under way end by the old ones".into()));
     }
 
-    fn stop(&mut self, out: &mut Vec<Output>) {
+    /// Begins the graceful shutdown: closes idle clients, and the others after their answer.
+    fn begin_shutdown(&mut self, out: &mut Vec<Output>) {
         if !self.shutdown.begin() {
             return;
         }
@@ -337,7 +347,7 @@
         self.timers.set(self.now + self.settings.bounds.stop, Timer::ShutdownDeadline);
     }
 
-    pub(crate) fn count(&mut self, end: RequestEnd) {
+    pub(crate) fn count_end(&mut self, end: RequestEnd) {
         match end {
             RequestEnd::Completed => self.counters.completed += 1,
             RequestEnd::Rejected => self.counters.rejected += 1,
@@ -345,20 +355,20 @@
         }
     }
 
-    /// The name of a class, for what is published.
+    /// The name of a class, for metrics; empty if there is none at this position.
     pub(crate) fn class_name(&self, class: usize) -> &str {
         self.settings.classes.get(class).map_or("", |c| &c.name)
     }
 
-    /// What stands now, for what is published.
+    /// The current values of the gauges.
     pub(crate) fn snapshot(&self) -> Snapshot {
-        let engine = |(_, m): (_, &crate::engine_list::EngineEntry)| {
-            let role = match m.settings.role {
+        let role_and_state = |(_, entry): (_, &crate::engine_list::EngineEntry)| {
+            let role = match entry.settings.role {
                 slipreel::Role::Prefill => "read",
                 slipreel::Role::Decode => "write",
                 slipreel::Role::Mixed => "both",
             };
-            let state = match m.settings.state {
+            let state = match entry.settings.state {
                 slipreel::EngineState::Ready => "ready",
                 slipreel::EngineState::Draining => "draining",
                 slipreel::EngineState::Gone => "gone",
@@ -366,32 +376,33 @@
             (role, state)
         };
         Snapshot {
-            engines: self.engine_list.iter().map(engine).collect(),
+            engines: self.engine_list.iter().map(role_and_state).collect(),
             clients: self.clients.len(),
             engine_connections: self.engines.len(),
-            under_way: self.requests.len(),
+            active_requests: self.requests.len(),
             releases: self.releases.len(),
         }
     }
 
+    /// The name of an engine, or its id if it is not in the list.
     pub(crate) fn engine_name(&self, id: EngineId) -> String {
-        self.engine_list.get(id).map_or_else(|| format!("{:x}", id.0), |m| m.settings.name.clone())
+        self.engine_list.get(id).map_or_else(|| format!("{:x}", id.0), |entry| entry.settings.name.clone())
     }
 }
 
 impl Gateway {
-    /// Takes what the owner of this machine hands in; other types are ignored.
+    /// Handles a message of the owner of this machine; other types are ignored.
     fn handle_owner_message(&mut self, message: &(dyn std::any::Any + Send + Sync), out: &mut Vec<Output>) {
         if let Some(list) = message.downcast_ref::<Vec<EngineSettings>>() {
-            self.take_list(list, out);
+            self.replace_engine_list(list, out);
         } else if let Some(settings) = message.downcast_ref::<Arc<GatewaySettings>>() {
-            self.take_site(settings, out);
-        } else if let Some(board) = message.downcast_ref::<Arc<SharedView>>() {
-            self.fleet = Some(board.clone());
+            self.apply_settings(settings, out);
+        } else if let Some(view) = message.downcast_ref::<Arc<SharedView>>() {
+            self.fleet_view = Some(view.clone());
         } else if let Some(handle) = message.downcast_ref::<Arc<PolicyHandle>>() {
             self.policy = Some(handle.clone());
-        } else if let Some(routers) = message.downcast_ref::<RouterCount>() {
-            self.share_with(*routers);
+        } else if let Some(count) = message.downcast_ref::<RouterCount>() {
+            self.set_router_count(*count);
         }
     }
 }
@@ -399,17 +410,23 @@
 impl Machine for Gateway {
     fn handle(&mut self, now: Duration, input: Input<'_>, out: &mut Vec<Output>) {
         self.now = self.now.max(now);
-        // What is due comes before what has just come in, whatever order the driver found them in.
+        // Due timers come before the input, whatever order the driver found them in.
         self.run_timers(out);
         self.apply_policy(out);
         match input {
-            Input::Accepted(conn, door) => {
+            Input::Accepted(conn, listener) => {
                 let limits =
                     slipreel_protocol::http::Limits { body: self.settings.bounds.body, ..Default::default() };
                 if self.shutdown.has_begun() || self.clients.len() >= self.settings.bounds.connections {
                     out.push(Output::Abort(conn));
                 } else {
-                    self.clients.insert(Client::new(conn, door, self.now, limits, limits::MAX_PIPELINED));
+                    self.clients.insert(Client::new(
+                        conn,
+                        listener,
+                        self.now,
+                        limits,
+                        limits::MAX_PIPELINED_BYTES,
+                    ));
                     self.arm_client_timer(conn);
                 }
             }
@@ -421,13 +438,14 @@
             Input::Sent(conn, n) if !conn.is_opened() => self.client_sent(conn, n, out),
             Input::Sent(..) => {}
             Input::Lost(conn, why) if conn.is_opened() => self.engine_connection_lost(conn, why, out),
-            Input::Lost(conn, _) => self.client_gone(conn),
-            // A client may ask, close its side and only listen: what it sent before is read first.
+            Input::Lost(conn, _) => self.client_disconnected(conn),
+            // A client may send a request, close its sending side and wait for the answer: what it sent is
+            // read first.
             Input::PeerClosedWhilePaused(_)
             | Input::DescriptorsExhausted(_)
             | Input::Wake
             | Input::Datagram(..) => {}
-            Input::Stop => self.stop(out),
+            Input::Stop => self.begin_shutdown(out),
             Input::OwnerMessage(message) => self.handle_owner_message(message, out),
         }
         self.run_decisions(out);
@@ -438,7 +456,7 @@
     }
 }
 
-/// What the loss of a connection that carried something means for the decision module.
+/// The outcome of an exchange whose connection was lost.
 pub(crate) fn loss_outcome(loss: ConnectionLoss) -> slipreel::Outcome {
     match loss {
         ConnectionLoss::NotConnected => slipreel::Outcome::ConnectFailed,
--- a/crates/gateway/src/limits.rs
+++ b/crates/gateway/src/limits.rs
@@ -1,27 +1,29 @@
-//! What the gateway itself turns away, so that its own memory and descriptors are bounded whatever comes.
+//! The gateway's own resource limits, which bound its memory and descriptors under any input, and default
+//! settings.
 //!
-//! None of this looks at load or worth: that is the decision module's affair. These are the smallest bounds that keep the
-//! process alive, and what they turn away was never handed to the decision module.
+//! These limits ignore load and priority, which are the decision module's concern. They are the minimum that
+//! keeps the process alive. Requests that they reject never reach the decision module.
 
 use crate::settings::{Bounds, KINDS};
 use slipreel::{Limits, ReportSource, Settings, ZoneId};
 use slipreel_connections::ReleaseTiming;
 use std::time::Duration;
 
-/// When to come back after one of these bounds turned a request away. Long enough for a few requests to end.
+/// When a client may retry after one of these limits rejected its request: long enough for a few requests to
+/// end.
 pub(crate) const RETRY_AFTER: Duration = Duration::from_millis(1_000);
-/// The longest answer to a read, a probe or a failure, and the longest event of a stream, bytes. Far over what engines
-/// send, far under what would hurt.
-pub(crate) const MAX_ENGINE_BODY: usize = 256 << 10;
-/// Bytes of pipelined requests that are kept while one is served.
-pub(crate) const MAX_PIPELINED: usize = 64 << 10;
+/// The largest answer body to a prefill, probe or release, the largest error body, and the largest event of a
+/// stream, bytes. Far above what engines send, and far below what would strain the router's memory.
+pub(crate) const MAX_ENGINE_BODY_BYTES: usize = 256 << 10;
+/// Bytes of pipelined requests that are buffered while one is served.
+pub(crate) const MAX_PIPELINED_BYTES: usize = 64 << 10;
 
 const fn ms(n: u64) -> Duration {
     Duration::from_millis(n)
 }
 
 impl Default for Bounds {
-    /// Starting values for one thread on a small machine: some 20,000 streams of 64 KiB at the very most.
+    /// Defaults for one thread on a small machine: at most some 20,000 streams of 64 KiB each.
     fn default() -> Self {
         Bounds {
             connections: 20_000,
@@ -30,7 +32,7 @@
             unsent: 64 << 10,
             per_engine: 1_024,
             idle_per_engine: 64,
-            // Below the idle time of common servers, so that they seldom close first.
+            // Below the idle timeout of common servers, so that the engine rarely closes first.
             engine_idle: ms(4_000),
             client_idle: ms(60_000),
             receive: ms(10_000),
@@ -43,19 +45,19 @@
     }
 }
 
-/// Starting values of a class that says nothing of its own.
+/// Default settings of a class.
 pub struct ClassDefaults {
-    /// First-token aim of an empty prompt.
+    /// Latency objective of the first token for an empty prompt.
     pub latency_objective: Duration,
-    /// What it grows by for each 1,000 prompt tokens.
+    /// Increase of the objective for each 1,000 prompt tokens.
     pub latency_objective_per_1000_tokens: Duration,
-    /// How long clients wait for the beginning.
+    /// How long clients wait for an answer to begin.
     pub client_timeout: Duration,
-    /// How long repeats of a key are remembered.
+    /// How long engines remember an idempotency key.
     pub window: Duration,
 }
 
-/// Starting values of a class: those of a chat.
+/// The default settings of a class, which suit a chat.
 pub fn class_defaults() -> ClassDefaults {
     ClassDefaults {
         latency_objective: ms(1_000),
@@ -65,8 +67,7 @@
     }
 }
 
-/// Starting values of what the decision module is handed, without classes and tenants: one router, what the brief's sites have
-/// in common.
+/// The default settings of the decision module for one router, without classes and tenants.
 pub fn default_decision_settings() -> Settings {
     Settings {
         router_count: 1,
@@ -95,43 +96,45 @@
     }
 }
 
-/// How releases are retried: several times within the rule's half second once a link is back. The engines of this gateway
-/// end a request's work with its release, so nothing is repeated.
+/// How releases are retried: several times within the half second that the held-state limit allows once a
+/// link is back. A release also ends the request's work at this gateway's engines, so a release that was
+/// acknowledged needs no repeat.
 pub(crate) const RELEASE_TIMING: ReleaseTiming =
     ReleaseTiming { retry: ms(200), repeat: ms(500), give_up: Duration::from_secs(30) };
-/// How long a connection that is opened for a release may take to carry it: as long as slow hand-shakes last. One that
-/// has answered before is left with the release until that is given up, as it is the first to work when a link is back.
+/// How long a connection that was opened for a release may take to connect and to get its answer: as long as
+/// slow handshakes take. A connection that was already established keeps the release until the release is
+/// given up, since it is the first to work again when a link is back.
 pub(crate) const RELEASE_EXCHANGE_TIMEOUT: Duration = ms(2_000);
 
-/// Why the gateway does not take a request.
+/// Why the gateway does not admit a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AdmissionError {
-    /// As many as may be under way are.
+    /// The limit of concurrent requests is reached.
     TooManyRequests,
-    /// It is stopping.
+    /// The gateway is shutting down.
     Stopping,
 }
 
-/// Whether one more request may be taken.
+/// Checks whether one more request may be admitted.
 pub(crate) fn check_admission(
-    bounds: &Bounds, under_way: usize, stopping: bool,
+    bounds: &Bounds, active_requests: usize, stopping: bool,
 ) -> Result<(), AdmissionError> {
     if stopping {
         return Err(AdmissionError::Stopping);
     }
-    if under_way >= bounds.requests {
+    if active_requests >= bounds.requests {
         return Err(AdmissionError::TooManyRequests);
     }
     Ok(())
 }
 
-/// Whether the source of what waits for a peer is to be paused, given whether it is: some hysteresis, so that a
-/// peer of steady pace does not make it change with each write.
-pub(crate) fn pauses(bounds: &Bounds, unsent: usize, paused: bool) -> bool {
+/// Whether to pause reading from the source of data while `unsent_bytes` wait for the peer. A paused source
+/// resumes at half of the limit, so that a peer with a steady rate does not toggle it with each write.
+pub(crate) fn should_pause(bounds: &Bounds, unsent_bytes: usize, paused: bool) -> bool {
     if paused {
-        unsent > bounds.unsent / 2
+        unsent_bytes > bounds.unsent / 2
     } else {
-        unsent > bounds.unsent
+        unsent_bytes > bounds.unsent
     }
 }
 
--- a/crates/gateway/src/message_writer.rs
+++ b/crates/gateway/src/message_writer.rs
@@ -1,69 +1,73 @@
-//! From an engine's chunks to a message: keeps block boundaries, tool calls in parts, usage and the stop reason.
+//! Converts an engine's chunks to a message: content blocks, partial tool calls, usage and the stop reason.
 
 use slipreel_protocol::engine::{self, Chunk};
 use slipreel_protocol::messages::{AnswerBuilder, ApiError, Usage};
 
 /// Writes one message from chunks.
 pub(crate) struct MessageWriter {
-    name: (String, String, bool),
+    /// The message's id, its model, and whether it is streamed.
+    message_args: (String, String, bool),
     answer: AnswerBuilder,
     usage: Usage,
-    /// Chunks with output: the count of tokens where the engine tells none.
-    counted: u64,
-    told: bool,
-    finish: Option<(&'static str, Option<String>)>,
-    tool: Option<usize>,
+    /// Chunks with output, which stand for the number of output tokens if the engine reports none.
+    output_chunks: u64,
+    /// Whether the engine has reported the number of output tokens.
+    has_output_usage: bool,
+    /// The stop reason and the stop sequence, once the engine has sent its finish reason.
+    stop: Option<(&'static str, Option<String>)>,
+    /// The index of the tool call that is being written.
+    tool_call: Option<usize>,
 }
 
 impl MessageWriter {
     pub(crate) fn new(id: String, model: String, stream: bool) -> Self {
-        let name = (id.clone(), model.clone(), stream);
+        let message_args = (id.clone(), model.clone(), stream);
         let answer = AnswerBuilder::new(id, model, stream);
         MessageWriter {
-            name,
+            message_args,
             answer,
             usage: Usage::default(),
-            counted: 0,
-            told: false,
-            finish: None,
-            tool: None,
+            output_chunks: 0,
+            has_output_usage: false,
+            stop: None,
+            tool_call: None,
         }
     }
 
-    /// Drops what was written; the count of the prompt stays.
+    /// Drops what was written; the usage of the prompt is kept.
     pub(crate) fn restart_answer(&mut self) {
-        let (id, model, stream) = self.name.clone();
-        let prompt = Usage { output_tokens: 0, ..self.usage };
-        *self = MessageWriter { usage: prompt, ..MessageWriter::new(id, model, stream) };
+        let (id, model, stream) = self.message_args.clone();
+        let prompt_usage = Usage { output_tokens: 0, ..self.usage };
+        *self = MessageWriter { usage: prompt_usage, ..MessageWriter::new(id, model, stream) };
     }
 
-    /// The prompt was counted by who read it.
-    pub(crate) fn prompt(&mut self, usage: engine::Usage) {
-        let kept = usage.cached_tokens();
-        self.usage.input_tokens = usage.prompt_tokens.saturating_sub(kept);
-        self.usage.cache_read_input_tokens = kept;
+    /// Records the prompt's usage as the engine that prefilled it reports it.
+    pub(crate) fn record_prompt_usage(&mut self, usage: engine::Usage) {
+        let cached_tokens = usage.cached_tokens();
+        self.usage.input_tokens = usage.prompt_tokens.saturating_sub(cached_tokens);
+        self.usage.cache_read_input_tokens = cached_tokens;
     }
 
-    /// Whether a chunk carries any of the answer, or its end.
-    pub(crate) fn begins(chunk: &Chunk) -> bool {
+    /// Whether a chunk carries a part of the answer, or its finish reason.
+    pub(crate) fn has_output(chunk: &Chunk) -> bool {
         chunk.choices.first().is_some_and(|choice| {
-            choice.delta.content.as_ref().is_some_and(|t| !t.is_empty())
-                || choice.delta.tool_calls.as_ref().is_some_and(|t| !t.is_empty())
+            choice.delta.content.as_ref().is_some_and(|text| !text.is_empty())
+                || choice.delta.tool_calls.as_ref().is_some_and(|calls| !calls.is_empty())
                 || choice.finish_reason.is_some()
         })
     }
 
-    /// Writes what a chunk adds.
-    pub(crate) fn chunk(&mut self, chunk: &Chunk, out: &mut Vec<u8>) {
+    /// Writes the output of a chunk.
+    pub(crate) fn write_chunk(&mut self, chunk: &Chunk, out: &mut Vec<u8>) {
         if let Some(usage) = &chunk.usage {
             if usage.completion_tokens > 0 {
-                (self.usage.output_tokens, self.told) = (usage.completion_tokens, true);
+                (self.usage.output_tokens, self.has_output_usage) = (usage.completion_tokens, true);
             }
             if self.usage.input_tokens + self.usage.cache_read_input_tokens == 0 {
-                self.prompt(*usage);
+                self.record_prompt_usage(*usage);
             }
         }
-        if !Self::begins(chunk) {
+        if !Self::has_output(chunk) {
             return;
         }
         if !self.answer.started() {
@@ -71,34 +75,35 @@
             self.answer.ping(out);
         }
         let Some(choice) = chunk.choices.first() else { return };
-        self.counted += u64::from(choice.finish_reason.is_none());
-        if let Some(text) = choice.delta.content.as_deref().filter(|t| !t.is_empty()) {
-            self.tool = None;
+        self.output_chunks += u64::from(choice.finish_reason.is_none());
+        if let Some(text) = choice.delta.content.as_deref().filter(|text| !text.is_empty()) {
+            self.tool_call = None;
             self.answer.text(text, out);
         }
         for call in choice.delta.tool_calls.iter().flatten() {
-            if self.tool != Some(call.index) {
-                self.tool = Some(call.index);
+            if self.tool_call != Some(call.index) {
+                self.tool_call = Some(call.index);
                 let name = call.function.name.as_deref().unwrap_or_default();
                 self.answer.tool(call.id.as_deref().unwrap_or_default(), name, out);
             }
             self.answer.tool_json(call.function.arguments.as_deref().unwrap_or_default(), out);
         }
-        if let Some(finish) = &choice.finish_reason {
-            let stop = choice.stop_reason.as_ref().and_then(|v| v.as_str()).map(str::to_owned);
-            self.finish = Some((engine::stop_reason(finish, stop.is_some()), stop));
+        if let Some(finish_reason) = &choice.finish_reason {
+            let stop_sequence =
+                choice.stop_reason.as_ref().and_then(|reason| reason.as_str()).map(str::to_owned);
+            self.stop = Some((engine::stop_reason(finish_reason, stop_sequence.is_some()), stop_sequence));
         }
     }
 
-    /// Whether the engine has said that the answer is complete.
-    pub(crate) fn is_whole(&self) -> bool {
-        self.finish.is_some()
+    /// Whether the engine has sent its finish reason, so that the answer is complete.
+    pub(crate) fn is_complete(&self) -> bool {
+        self.stop.is_some()
     }
 
     /// Writes the end of a complete answer.
     pub(crate) fn finish(&mut self, out: &mut Vec<u8>) {
-        let (reason, sequence) = self.finish.take().unwrap_or(("end_turn", None));
-        self.answer.finish(reason, sequence.as_deref(), self.used(), out);
+        let (reason, stop_sequence) = self.stop.take().unwrap_or(("end_turn", None));
+        self.answer.finish(reason, stop_sequence.as_deref(), self.usage(), out);
     }
 
     /// Writes an `error` event.
@@ -106,9 +111,9 @@
         self.answer.error(error, request_id, out);
     }
 
-    /// What was used so far.
-    pub(crate) fn used(&self) -> Usage {
-        let output_tokens = if self.told { self.usage.output_tokens } else { self.counted };
+    /// The usage so far.
+    pub(crate) fn usage(&self) -> Usage {
+        let output_tokens = if self.has_output_usage { self.usage.output_tokens } else { self.output_chunks };
         Usage { output_tokens, ..self.usage }
     }
 }
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -1,6 +1,6 @@
-//! What a router publishes of itself at `GET /metrics` of its operators' port, by the Prometheus client library: what was
-//! asked of it, by class, the refused too, what became of it, and how long it took. Who plans for the fleet sums these
-//! over routers; counters start anew with a process.
+//! The metrics that a router publishes at `GET /metrics` on its operators' port, with the Prometheus client
+//! library: requests by class, including rejected ones, their outcomes and their latencies. Capacity planning
+//! sums these over routers. Counters start at 0 with each process.
 
 use crate::request::{ActiveRequest, RequestEnd};
 use prometheus_client::encoding::{EncodeLabelSet, LabelSetEncoder};
@@ -12,10 +12,10 @@
 use slipreel::Outcome;
 use std::time::Duration;
 
-/// The media type of what is published.
+/// The media type of the published metrics.
 pub(crate) const MEDIA_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
-/// Labels with their values, in order.
+/// Labels with their values, in the order in which they are written.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Labels<const N: usize>([(&'static str, String); N]);
 
@@ -27,40 +27,41 @@
     }
 }
 
-fn class(name: &str) -> Labels<1> {
+fn class_label(name: &str) -> Labels<1> {
     Labels([("class", name.to_owned())])
 }
 
 type Counts<const N: usize> = Family<Labels<N>, Counter>;
 type Times = Family<Labels<1>, Histogram, fn() -> Histogram>;
 
-/// From 1 ms to 65 s, doubling: first tokens.
+/// Buckets from 1 ms to 65 s, doubling, for the time to the first token.
 fn first_token_buckets() -> Histogram {
     Histogram::new(exponential_buckets(0.001, 2.0, 17))
 }
 
-/// From 10 us to 0.3 s, doubling: what the router itself adds.
-fn added_buckets() -> Histogram {
+/// Buckets from 10 us to 0.3 s, doubling, for the latency that the router itself adds.
+fn router_latency_buckets() -> Histogram {
     Histogram::new(exponential_buckets(0.000_01, 2.0, 16))
 }
 
 /// Why a request was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RejectionReason {
-    /// By the curve or as hopeless, before any attempt.
+    /// By admission control or as unlikely to succeed in time, before any attempt.
     Admission,
-    /// The same, and its tenant was over its share.
+    /// Before any attempt, with its tenant over its quota.
     OverQuota,
-    /// After attempts that came to nothing.
+    /// After attempts that all failed.
     AttemptsFailed,
-    /// The gateway's own bound on requests under way.
+    /// By the gateway's own limit of concurrent requests.
     TooManyRequests,
-    /// The router is stopping.
+    /// The router is shutting down.
     Stopping,
 }
 
 impl RejectionReason {
-    fn name(self) -> &'static str {
+    /// The value of the label `reason`.
+    fn label(self) -> &'static str {
         match self {
             RejectionReason::Admission => "door",
             RejectionReason::OverQuota => "over_share",
@@ -71,7 +72,8 @@
     }
 }
 
-fn outcome_name(outcome: Outcome) -> &'static str {
+/// The value of the label `outcome`.
+fn outcome_label(outcome: Outcome) -> &'static str {
     match outcome {
         Outcome::Completed => "ok",
         Outcome::Prefilled => "read",
@@ -86,14 +88,14 @@
     }
 }
 
-/// What stands now; taken when it is asked for.
+/// The current values of the gauges, taken when metrics are requested.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Snapshot {
     /// Engines by role and state.
     pub(crate) engines: Vec<(&'static str, &'static str)>,
     pub(crate) clients: usize,
     pub(crate) engine_connections: usize,
-    pub(crate) under_way: usize,
+    pub(crate) active_requests: usize,
     pub(crate) releases: usize,
 }
 
@@ -101,20 +103,20 @@
 pub(crate) struct Metrics {
     registry: Registry,
     answers: Counts<2>,
-    refusals: Counts<2>,
+    rejections: Counts<2>,
     attempts: Counts<2>,
     probes: Counter,
-    left: Counter,
-    turned: Counter,
+    disconnections: Counter,
+    rejections_before_admission: Counter,
     admitted: Counts<1>,
-    reads: Counts<1>,
-    read_tokens: Counts<1>,
-    whole: Counts<1>,
+    prefills: Counts<1>,
+    prefill_tokens: Counts<1>,
+    completed_answers: Counts<1>,
     answer_tokens: Counts<1>,
     first_token: Times,
-    added: Times,
+    router_latency: Times,
     engines: Family<Labels<2>, Gauge>,
-    open: Family<Labels<1>, Gauge>,
+    open_items: Family<Labels<1>, Gauge>,
 }
 
 impl Default for Metrics {
@@ -122,20 +124,20 @@
         let mut metrics = Metrics {
             registry: Registry::with_prefix("slipreel"),
             answers: Family::default(),
-            refusals: Family::default(),
+            rejections: Family::default(),
             attempts: Family::default(),
             probes: Counter::default(),
-            left: Counter::default(),
-            turned: Counter::default(),
+            disconnections: Counter::default(),
+            rejections_before_admission: Counter::default(),
             admitted: Family::default(),
-            reads: Family::default(),
-            read_tokens: Family::default(),
-            whole: Family::default(),
+            prefills: Family::default(),
+            prefill_tokens: Family::default(),
+            completed_answers: Family::default(),
             answer_tokens: Family::default(),
             first_token: Family::new_with_constructor(first_token_buckets),
-            added: Family::new_with_constructor(added_buckets),
+            router_latency: Family::new_with_constructor(router_latency_buckets),
             engines: Family::default(),
-            open: Family::default(),
+            open_items: Family::default(),
         };
         metrics.register();
         metrics
@@ -144,46 +146,70 @@
 
 impl Metrics {
     fn register(&mut self) {
-        let r = &mut self.registry;
-        r.register("answers", "Final answers of requests that were taken", self.answers.clone());
-        r.register("refusals", "Requests refused or turned away, by reason", self.refusals.clone());
-        r.register("attempts", "Attempts at engines that ended", self.attempts.clone());
-        r.register("probes", "Probes sent to engines", self.probes.clone());
-        r.register("left", "Clients that left before their answer ended", self.left.clone());
-        r.register("turned", "Answers that needed no engine, bad input among them", self.turned.clone());
-        r.register("class_asked", "Requests told to the decision module", self.admitted.clone());
-        r.register("class_reads", "Reads that ended", self.reads.clone());
-        r.register("class_read_tokens", "Prompt tokens that reads had to read", self.read_tokens.clone());
-        r.register("class_answers", "Whole answers", self.whole.clone());
-        r.register("class_answer_tokens", "Tokens of whole answers", self.answer_tokens.clone());
-        let (first, added) = (self.first_token.clone(), self.added.clone());
-        r.register_with_unit("first_token", "From a whole request to its first token", Unit::Seconds, first);
-        r.register_with_unit("added", "Of that, what no engine was at work in", Unit::Seconds, added);
-        r.register("engines", "Engines in the list", self.engines.clone());
-        r.register("open", "Connections, requests and words to let go that are open", self.open.clone());
+        let registry = &mut self.registry;
+        registry.register("answers", "Final answers of requests that were taken", self.answers.clone());
+        registry.register("refusals", "Requests refused or turned away, by reason", self.rejections.clone());
+        registry.register("attempts", "Attempts at engines that ended", self.attempts.clone());
+        registry.register("probes", "Probes sent to engines", self.probes.clone());
+        registry.register("left", "Clients that left before their answer ended", self.disconnections.clone());
+        registry.register(
+            "turned",
+            "Answers that needed no engine, bad input among them",
+            self.rejections_before_admission.clone(),
+        );
+        registry.register("class_asked", "Requests told to the decision module", self.admitted.clone());
+        registry.register("class_reads", "Reads that ended", self.prefills.clone());
+        registry.register(
+            "class_read_tokens",
+            "Prompt tokens that reads had to read",
+            self.prefill_tokens.clone(),
+        );
+        registry.register("class_answers", "Whole answers", self.completed_answers.clone());
+        registry.register("class_answer_tokens", "Tokens of whole answers", self.answer_tokens.clone());
+        let (first_token, router_latency) = (self.first_token.clone(), self.router_latency.clone());
+        registry.register_with_unit(
+            "first_token",
+            "From a whole request to its first token",
+            Unit::Seconds,
+            first_token,
+        );
+        registry.register_with_unit(
+            "added",
+            "Of that, what no engine was at work in",
+            Unit::Seconds,
+            router_latency,
+        );
+        registry.register("engines", "Engines in the list", self.engines.clone());
+        registry.register(
+            "open",
+            "Connections, requests and words to let go that are open",
+            self.open_items.clone(),
+        );
     }
 
-    /// A request was handed to the decision module.
-    pub(crate) fn admitted(&self, name: &str) {
-        self.admitted.get_or_create(&class(name)).inc();
-        // What has not happened yet is told as 0, so that who sums knows the class.
-        for counts in [&self.reads, &self.read_tokens, &self.whole, &self.answer_tokens] {
-            drop(counts.get_or_create(&class(name)));
+    /// Counts a request that was passed to the decision module.
+    pub(crate) fn request_admitted(&self, name: &str) {
+        self.admitted.get_or_create(&class_label(name)).inc();
+        // The other counters of the class are published as 0, so that whoever sums them sees the class.
+        for counts in [&self.prefills, &self.prefill_tokens, &self.completed_answers, &self.answer_tokens] {
+            drop(counts.get_or_create(&class_label(name)));
         }
     }
 
-    pub(crate) fn read(&self, name: &str, tokens: u64) {
-        self.reads.get_or_create(&class(name)).inc();
-        self.read_tokens.get_or_create(&class(name)).inc_by(tokens);
+    /// Counts a completed prefill, with the prompt tokens that were not cached.
+    pub(crate) fn prefill_completed(&self, name: &str, tokens: u64) {
+        self.prefills.get_or_create(&class_label(name)).inc();
+        self.prefill_tokens.get_or_create(&class_label(name)).inc_by(tokens);
     }
 
-    pub(crate) fn answered(&self, name: &str, tokens: u64) {
-        self.whole.get_or_create(&class(name)).inc();
-        self.answer_tokens.get_or_create(&class(name)).inc_by(tokens);
+    /// Counts a complete answer and its tokens.
+    pub(crate) fn answer_completed(&self, name: &str, tokens: u64) {
+        self.completed_answers.get_or_create(&class_label(name)).inc();
+        self.answer_tokens.get_or_create(&class_label(name)).inc_by(tokens);
     }
 
-    /// A request has its final answer.
-    pub(crate) fn ended(&self, name: &str, end: RequestEnd) {
+    /// Counts a final answer.
+    pub(crate) fn request_ended(&self, name: &str, end: RequestEnd) {
         let end = match end {
             RequestEnd::Completed => "served",
             RequestEnd::Rejected => "refused",
@@ -192,86 +218,92 @@
         self.answers.get_or_create(&Labels([("class", name.to_owned()), ("end", end.to_owned())])).inc();
     }
 
-    pub(crate) fn refused(&self, name: &str, why: RejectionReason) {
-        let labels = Labels([("class", name.to_owned()), ("reason", why.name().to_owned())]);
-        self.refusals.get_or_create(&labels).inc();
+    /// Counts a rejected request.
+    pub(crate) fn request_rejected(&self, name: &str, reason: RejectionReason) {
+        let labels = Labels([("class", name.to_owned()), ("reason", reason.label().to_owned())]);
+        self.rejections.get_or_create(&labels).inc();
     }
 
-    pub(crate) fn attempt(&self, is_prefill: bool, outcome: Outcome) {
+    /// Counts an attempt that has ended.
+    pub(crate) fn attempt_ended(&self, is_prefill: bool, outcome: Outcome) {
         let stage = if is_prefill { "read" } else { "write" };
-        let labels = Labels([("stage", stage.to_owned()), ("outcome", outcome_name(outcome).to_owned())]);
+        let labels = Labels([("stage", stage.to_owned()), ("outcome", outcome_label(outcome).to_owned())]);
         self.attempts.get_or_create(&labels).inc();
     }
 
-    pub(crate) fn probe(&self) {
+    /// Counts a probe.
+    pub(crate) fn probe_sent(&self) {
         self.probes.inc();
     }
 
-    pub(crate) fn left(&self) {
-        self.left.inc();
+    /// Counts a client that disconnected before its answer ended.
+    pub(crate) fn client_disconnected(&self) {
+        self.disconnections.inc();
     }
 
-    pub(crate) fn turned(&self) {
-        self.turned.inc();
+    /// Counts an answer that did not need the decision module.
+    pub(crate) fn rejected_before_admission(&self) {
+        self.rejections_before_admission.inc();
     }
 
-    /// The first token of a request has come, so long after it was whole.
-    pub(crate) fn first_token(&self, name: &str, now: Duration, request: &ActiveRequest) {
-        let took = now.saturating_sub(request.since);
-        self.first_token.get_or_create(&class(name)).observe(took.as_secs_f64());
-        let added = took.saturating_sub(request.time_at_engines(now));
-        self.added.get_or_create(&class(name)).observe(added.as_secs_f64());
+    /// Records the time from the complete request to its first token, and the part of it without an engine at
+    /// work.
+    pub(crate) fn first_token_received(&self, name: &str, now: Duration, request: &ActiveRequest) {
+        let latency = now.saturating_sub(request.received_at);
+        self.first_token.get_or_create(&class_label(name)).observe(latency.as_secs_f64());
+        let router_latency = latency.saturating_sub(request.time_at_engines(now));
+        self.router_latency.get_or_create(&class_label(name)).observe(router_latency.as_secs_f64());
     }
 
-    /// All as `OpenMetrics` text.
-    pub(crate) fn write(&self, now: &Snapshot) -> String {
+    /// All metrics as `OpenMetrics` text.
+    pub(crate) fn write(&self, snapshot: &Snapshot) -> String {
         self.engines.clear();
-        for (role, state) in &now.engines {
+        for (role, state) in &snapshot.engines {
             let labels = Labels([("role", (*role).to_owned()), ("state", (*state).to_owned())]);
             self.engines.get_or_create(&labels).inc();
         }
-        let open = [
-            ("clients", now.clients),
-            ("engine_connections", now.engine_connections),
-            ("requests", now.under_way),
-            ("words", now.releases),
+        let open_items = [
+            ("clients", snapshot.clients),
+            ("engine_connections", snapshot.engine_connections),
+            ("requests", snapshot.active_requests),
+            ("words", snapshot.releases),
         ];
-        for (what, count) in open {
-            self.open
+        for (what, count) in open_items {
+            self.open_items
                 .get_or_create(&Labels([("what", what.to_owned())]))
                 .set(i64::try_from(count).unwrap_or(i64::MAX));
         }
         let mut out = String::new();
-        // Writing to a text does not fail.
+        // Writing to a `String` does not fail.
         let _ = prometheus_client::encoding::text::encode(&mut out, &self.registry);
-        in_order(&out)
+        sort_samples(&out)
     }
 }
 
-/// A published text with further lines before its end.
-pub(crate) fn with(text: String, more: Option<String>) -> String {
+/// Inserts further lines before the end mark of an `OpenMetrics` text.
+pub(crate) fn append(text: String, more: Option<String>) -> String {
     let Some(more) = more else { return text };
-    let end = text.strip_suffix("# EOF\n").unwrap_or(&text);
-    format!("{end}{more}# EOF\n")
+    let lines = text.strip_suffix("# EOF\n").unwrap_or(&text);
+    format!("{lines}{more}# EOF\n")
 }
 
-/// The same text with the samples of each metric in the order of their labels: the library keeps them in hash maps, and
-/// the same day has to give the same bytes. The samples of one histogram stay together, as their own order counts.
-fn in_order(text: &str) -> String {
+/// Sorts the samples of each metric by their labels. The library keeps them in hash maps, but simulations of
+/// the same day have to give the same bytes. The samples of one histogram stay together in their own order.
+fn sort_samples(text: &str) -> String {
     let mut out = String::with_capacity(text.len());
     let mut samples: Vec<Vec<&str>> = Vec::new();
-    let mut histogram = false;
+    let mut is_histogram = false;
     for line in text.lines().chain(["#"]) {
         if line.starts_with('#') {
             samples.sort();
-            samples.drain(..).flatten().for_each(|l| out.extend([l, "\n"]));
-            histogram = line.ends_with(" histogram") || (histogram && line.starts_with("# UNIT"));
+            samples.drain(..).flatten().for_each(|sample| out.extend([sample, "\n"]));
+            is_histogram = line.ends_with(" histogram") || (is_histogram && line.starts_with("# UNIT"));
             if line != "#" {
                 out.extend([line, "\n"]);
             }
         } else {
             match samples.last_mut() {
-                Some(last) if histogram && !line.contains("_sum{") => last.push(line),
+                Some(last) if is_histogram && !line.contains("_sum{") => last.push(line),
                 _ => samples.push(vec![line]),
             }
         }
--- a/crates/gateway/src/metrics/tests.rs
+++ b/crates/gateway/src/metrics/tests.rs
@@ -1,22 +1,24 @@
 use super::*;
 
 #[test]
-fn samples_are_in_the_order_of_their_labels_and_histograms_whole() {
+fn samples_are_sorted_by_labels_and_histograms_stay_together() {
     let metrics = Metrics::default();
     for name in ["d", "b", "a", "c"] {
-        metrics.admitted(name);
-        metrics.added.get_or_create(&class(name)).observe(0.5);
+        metrics.request_admitted(name);
+        metrics.router_latency.get_or_create(&class_label(name)).observe(0.5);
     }
     let text = metrics.write(&Snapshot::default());
-    let lines = |part: &str| text.lines().filter(|l| l.contains(part)).map(str::to_owned).collect::<Vec<_>>();
-    let asked = lines("class_asked_total");
-    assert!(asked.is_sorted() && asked.len() == 4, "{asked:?}");
-    let added = lines("slipreel_added_seconds_");
-    let of = |l: &String| l.split("class=\"").nth(1).and_then(|rest| rest.chars().next());
-    assert!(added.iter().map(of).is_sorted(), "{added:?}");
+    let lines =
+        |part: &str| text.lines().filter(|line| line.contains(part)).map(str::to_owned).collect::<Vec<_>>();
+    let admitted = lines("class_asked_total");
+    assert!(admitted.is_sorted() && admitted.len() == 4, "{admitted:?}");
+    let router_latency = lines("slipreel_added_seconds_");
+    let class_of = |line: &String| line.split("class=\"").nth(1).and_then(|rest| rest.chars().next());
+    assert!(router_latency.iter().map(class_of).is_sorted(), "{router_latency:?}");
     assert!(
-        added[0].starts_with("slipreel_added_seconds_sum") && added[2].contains("le=\"0.00001\""),
-        "{added:?}"
+        router_latency[0].starts_with("slipreel_added_seconds_sum")
+            && router_latency[2].contains("le=\"0.00001\""),
+        "{router_latency:?}"
     );
     assert!(text.ends_with("# EOF\n"));
 }
--- a/crates/gateway/src/operators.rs
+++ b/crates/gateway/src/operators.rs
@@ -1,4 +1,5 @@
-//! What operators ask for on a port of their own: metrics, and changes of the fleet and of its policy.
+//! Requests of operators on a port of their own: metrics, and the state and changes of the fleet and of its
+//! policy.
 
 use crate::gateway::Gateway;
 use crate::metrics;
@@ -8,20 +9,23 @@
 use slipreel_state_machine::{ConnId, Output};
 
 impl Gateway {
-    /// What operators ask of the view of the fleet.
+    /// Handles a request under `/fleet/`.
     fn handle_fleet_operation(&mut self, conn: ConnId, method: &str, path: &str, out: &mut Vec<Output>) {
-        let Some(board) = self.fleet.clone() else { return };
-        let (what, name) = path["/fleet/".len()..].split_once('/').unwrap_or((&path["/fleet/".len()..], ""));
-        let done = json!({"done": true}).to_string();
-        let (status, text) = match (method, what, name) {
-            ("GET", "status", "") => (200, board.view().json(self.now)),
+        let Some(fleet_view) = self.fleet_view.clone() else { return };
+        let (operation, name) =
+            path["/fleet/".len()..].split_once('/').unwrap_or((&path["/fleet/".len()..], ""));
+        let accepted = json!({"done": true}).to_string();
+        let (status, body) = match (method, operation, name) {
+            ("GET", "status", "") => (200, fleet_view.view().json(self.now)),
             ("POST", "leave", "") => {
-                board.request_leave();
-                (202, done)
+                fleet_view.request_leave();
+                (202, accepted)
             }
-            ("POST", "forget", name) if board.view().members.iter().any(|m| m.name == name) => {
-                let room = board.request_forget(name);
-                (if room { 202 } else { 503 }, done)
+            ("POST", "forget", name)
+                if fleet_view.view().members.iter().any(|member| member.name == name) =>
+            {
+                let is_queued = fleet_view.request_forget(name);
+                (if is_queued { 202 } else { 503 }, accepted)
             }
             ("POST", "forget", name) => {
                 let error =
@@ -29,31 +33,31 @@
                 return self.reject_before_admission(conn, 404, &error, &[], out);
             }
             _ => {
-                let what = format!(
+                let text = format!(
                     "{method} {path}: expected GET /fleet/status, POST /fleet/leave or /fleet/forget/NAME"
                 );
                 return self.reject_before_admission(
                     conn,
                     404,
-                    &ApiError::new(ErrorKind::NotFound, what),
+                    &ApiError::new(ErrorKind::NotFound, text),
                     &[],
                     out,
                 );
             }
         };
-        self.answer(conn, status, &[], text.as_bytes(), out);
+        self.answer(conn, status, &[], body.as_bytes(), out);
     }
 
-    /// What operators ask, on a port of their own.
+    /// Handles a request on the operators' port.
     pub(crate) fn handle_operator_request(
         &mut self, conn: ConnId, received: &Received, out: &mut Vec<Output>,
     ) {
         let (method, path) = (received.method(), received.path());
         match (method, path) {
             ("GET", "/metrics") => {
-                let view = self.fleet.as_ref().map(|board| board.view().metrics());
-                let text = metrics::with(self.metrics.write(&self.snapshot()), view);
-                let text = metrics::with(text, self.policy_metrics());
+                let fleet_metrics = self.fleet_view.as_ref().map(|fleet_view| fleet_view.view().metrics());
+                let text = metrics::append(self.metrics.write(&self.snapshot()), fleet_metrics);
+                let text = metrics::append(text, self.policy_metrics());
                 self.answer(conn, 200, &[("content-type", metrics::MEDIA_TYPE)], text.as_bytes(), out);
             }
             (_, "/metrics") => {
@@ -64,7 +68,7 @@
             _ if path.starts_with("/policy/") && self.policy.is_some() => {
                 self.handle_policy_operation(conn, received, out);
             }
-            _ if path.starts_with("/fleet/") && self.fleet.is_some() => {
+            _ if path.starts_with("/fleet/") && self.fleet_view.is_some() => {
                 self.handle_fleet_operation(conn, method, path, out);
             }
             _ => {
--- a/crates/gateway/src/request.rs
+++ b/crates/gateway/src/request.rs
@@ -1,4 +1,4 @@
-//! One request that was taken: who asked, its attempts, the state held for it, and its one final answer.
+//! One admitted request: its client, its attempts, the state that engines hold for it, and its answer.
 
 use crate::message_writer::MessageWriter;
 use crate::settings::GatewaySettings;
@@ -11,72 +11,77 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The field that names the epoch by which a request was taken, on its answer and on each request to an engine.
-pub const POLICY: &str = "x-slipreel-policy";
+/// The header field with the policy epoch under which a request was admitted, in its answer and in requests
+/// to engines.
+pub const POLICY_FIELD: &str = "x-slipreel-policy";
 
-/// How a request ended. Each that was taken has exactly one of these, unless its client left.
+/// How a request ended. Each admitted request has exactly one of these, unless its client disconnected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RequestEnd {
     /// The complete answer was written.
     Completed,
-    /// Rejected; trying again is harmless.
+    /// Rejected; a retry is harmless.
     Rejected,
-    /// Failed, with no promise.
+    /// Failed; it may have run.
     Failed,
 }
 
-/// An attempt, as far as the wire goes.
+/// One exchange with an engine for a request.
 #[derive(Debug)]
 pub(crate) struct Attempt {
     pub(crate) engine: EngineId,
-    /// The connection that carries it, while it is out.
+    /// The connection that carries it, while it is in flight.
     pub(crate) conn: Option<ConnId>,
-    pub(crate) sent: Duration,
+    pub(crate) sent_at: Duration,
     pub(crate) is_prefill: bool,
-    /// Has no outcome yet.
+    /// It has no outcome yet.
     pub(crate) in_flight: bool,
 }
 
-/// A request under way.
+/// A request in progress.
 pub(crate) struct ActiveRequest {
     pub(crate) id: RequestId,
     /// The generation of the decision module that decides for it.
     pub(crate) generation: u64,
     pub(crate) client: ConnId,
+    /// Its id on the wire.
     pub(crate) request_id: String,
-    /// The settings by which it was taken, and the epoch of their policy, where the fleet has agreed on one.
+    /// The settings under which it was admitted.
     pub(crate) settings: Arc<GatewaySettings>,
+    /// The policy epoch of these settings, if the fleet agrees on a policy.
     pub(crate) epoch: Option<u64>,
-    /// Position of its class in them.
+    /// The index of its class in `settings`.
     pub(crate) class: usize,
     pub(crate) idempotency: Idempotency,
+    /// Whether the client requested a streamed answer.
     pub(crate) stream: bool,
     /// When it had been received completely.
-    pub(crate) since: Duration,
-    /// For how long engines were at work for it, up to the end of its last ended attempt.
+    pub(crate) received_at: Duration,
+    /// The time that engines spent on its ended attempts.
     engine_time: Duration,
-    /// When its client gives up waiting for the beginning.
+    /// When its client stops waiting for the answer to begin.
     pub(crate) deadline: Duration,
-    /// When its client gives up waiting for a complete answer, if it says so.
+    /// When its client stops waiting for a complete answer, if it sent a timeout.
     pub(crate) complete_by: Option<Duration>,
-    chat: Map<String, Value>,
+    /// The request in the form of the engines' chat API.
+    chat_body: Map<String, Value>,
     max_tokens: u32,
-    key: String,
-    pub(crate) writer: MessageWriter,
+    idempotency_key: String,
+    pub(crate) message_writer: MessageWriter,
     pub(crate) attempts: Vec<Attempt>,
-    /// Where the state of the last read waits.
+    /// The engine that holds the state of the last prefill, and the parameters to fetch it.
     transfer: Option<(EngineId, Value)>,
-    /// Readers that may hold state for it, and for which attempt.
-    holders: Vec<(EngineId, SocketAddr, usize)>,
+    /// Prefill engines that may hold state for it, each with the index of the prefill attempt.
+    state_holders: Vec<(EngineId, SocketAddr, usize)>,
     /// The attempt whose answer has begun.
     pub(crate) streaming_attempt: Option<usize>,
-    /// It had begun before and broke, with nothing gone out.
+    /// An answer had begun and was interrupted before any of it was sent to the client.
     is_restarted: bool,
-    /// It has its final answer, or its client has left.
+    /// It has its final answer, or its client has disconnected.
     pub(crate) is_closed: bool,
 }
 
-/// What a new request is made of.
+/// The parts of a new request.
 pub(crate) struct NewRequest {
     pub(crate) id: RequestId,
     pub(crate) generation: u64,
@@ -90,9 +95,9 @@
     pub(crate) now: Duration,
     pub(crate) time_left: Duration,
     pub(crate) complete_within: Option<Duration>,
-    pub(crate) chat: Map<String, Value>,
+    pub(crate) chat_body: Map<String, Value>,
     pub(crate) max_tokens: u32,
-    pub(crate) key: Option<String>,
+    pub(crate) idempotency_key: Option<String>,
     pub(crate) model: String,
 }
 
@@ -108,52 +113,57 @@
             class: new.class,
             idempotency: new.idempotency,
             stream: new.stream,
-            since: new.now,
+            received_at: new.now,
             engine_time: Duration::ZERO,
             deadline: new.now.saturating_add(new.time_left),
             complete_by: new.complete_within.map(|within| new.now.saturating_add(within)),
-            chat: new.chat,
+            chat_body: new.chat_body,
             max_tokens: new.max_tokens,
-            // A client that names no key makes each of its tries a request of its own.
-            key: new.key.unwrap_or_else(|| new.request_id.clone()),
-            writer: MessageWriter::new(message_id, new.model, new.stream),
+            // Without a key each of the client's retries counts as a new request.
+            idempotency_key: new.idempotency_key.unwrap_or_else(|| new.request_id.clone()),
+            message_writer: MessageWriter::new(message_id, new.model, new.stream),
             request_id: new.request_id,
             attempts: Vec::new(),
             transfer: None,
-            holders: Vec::new(),
+            state_holders: Vec::new(),
             streaming_attempt: None,
             is_restarted: false,
             is_closed: false,
         }
     }
 
-    /// Adds an attempt at an engine of this role and gives the request to write to it.
-    pub(crate) fn send(
+    /// Adds an attempt at an engine of this role. Returns its index and the HTTP request to send to the
+    /// engine.
+    pub(crate) fn add_attempt(
         &mut self, now: Duration, engine: EngineId, addr: SocketAddr, role: Role, via: &str,
     ) -> (usize, Vec<u8>) {
         let attempt = self.attempts.len();
         let is_prefill = role == Role::Prefill;
         let body = if is_prefill {
-            self.holders.push((engine, addr, attempt));
-            engine::read_body(&self.chat)
+            self.state_holders.push((engine, addr, attempt));
+            engine::read_body(&self.chat_body)
         } else {
-            engine::write_body(&self.chat, self.max_tokens, self.transfer.as_ref().map(|(_, t)| t))
+            engine::write_body(
+                &self.chat_body,
+                self.max_tokens,
+                self.transfer.as_ref().map(|(_, parameters)| parameters),
+            )
         };
-        self.attempts.push(Attempt { engine, conn: None, sent: now, is_prefill, in_flight: true });
-        let (name, host) = (self.attempt_name(attempt), addr.to_string());
+        self.attempts.push(Attempt { engine, conn: None, sent_at: now, is_prefill, in_flight: true });
+        let (attempt_id, host) = (self.attempt_id(attempt), addr.to_string());
         let mut fields = vec![
             ("host", host.as_str()),
             ("via", via),
             ("content-type", "application/json"),
-            ("x-request-id", name.as_str()),
+            ("x-request-id", attempt_id.as_str()),
             ("endpoint-load-metrics-format", "TEXT"),
         ];
         if matches!(self.idempotency, Idempotency::WithKey { .. }) {
-            fields.push(("idempotency-key", self.key.as_str()));
+            fields.push(("idempotency-key", self.idempotency_key.as_str()));
         }
-        let epoch = self.epoch.map(|e| e.to_string());
+        let epoch = self.epoch.map(|epoch| epoch.to_string());
         if let Some(epoch) = &epoch {
-            fields.push((POLICY, epoch.as_str()));
+            fields.push((POLICY_FIELD, epoch.as_str()));
         }
         let mut bytes =
             http::request_head("POST", "/v1/chat/completions", &fields, Framing::Length(body.len()));
@@ -163,87 +173,101 @@
 
     /// The name of its class.
     pub(crate) fn class_name(&self) -> &str {
-        self.settings.classes.get(self.class).map_or("", |c| &c.name)
+        self.settings.classes.get(self.class).map_or("", |class| &class.name)
     }
 
-    /// What an engine knows an attempt by.
-    pub(crate) fn attempt_name(&self, attempt: usize) -> String {
+    /// The id of an attempt at its engine.
+    pub(crate) fn attempt_id(&self, attempt: usize) -> String {
         format!("{}-{attempt}", self.request_id)
     }
 
-    /// An attempt has read the prompt.
+    /// Records that a prefill attempt has completed.
     pub(crate) fn prefill_completed(&mut self, attempt: usize, transfer: Value, usage: engine::Usage) {
-        self.writer.prompt(usage);
+        self.message_writer.record_prompt_usage(usage);
         self.transfer = Some((self.attempts[attempt].engine, transfer));
     }
 
-    /// An attempt's answer has begun: it has fetched the state, which its reader has released with that. Gives that
-    /// reader, once for each state.
+    /// Records that an attempt's answer has begun: the decode engine has fetched the state, with which the
+    /// prefill engine has released it. Returns that prefill engine, once for each state.
     pub(crate) fn answer_began(&mut self, attempt: usize) -> Option<EngineId> {
         self.streaming_attempt = Some(attempt);
-        let (reader, _) = self.transfer.take()?;
-        let read = self.attempts.iter().rposition(|a| a.is_prefill && a.engine == reader);
-        let before = self.holders.len();
-        self.holders.retain(|&(engine, _, at)| (engine, Some(at)) != (reader, read));
-        (self.holders.len() < before).then_some(reader)
+        let (prefill_engine, _) = self.transfer.take()?;
+        let prefill =
+            self.attempts.iter().rposition(|attempt| attempt.is_prefill && attempt.engine == prefill_engine);
+        let previous_count = self.state_holders.len();
+        self.state_holders
+            .retain(|&(engine, _, attempt)| (engine, Some(attempt)) != (prefill_engine, prefill));
+        (self.state_holders.len() < previous_count).then_some(prefill_engine)
     }
 
-    /// Whether an answer to it had begun before and broke.
+    /// Whether an answer had begun and was interrupted before any of it was sent to the client.
     pub(crate) fn is_restarted(&self) -> bool {
         self.is_restarted
     }
 
-    /// An attempt has ended after this time.
-    pub(crate) fn engine_time(&mut self, latency: Duration) {
+    /// Adds the time that an ended attempt took.
+    pub(crate) fn add_engine_time(&mut self, latency: Duration) {
         self.engine_time += latency;
     }
 
-    /// For how long engines were at work for it: in attempts that ended, and in those that are out.
+    /// The time that engines have spent on it, in ended attempts and in those in flight.
     pub(crate) fn time_at_engines(&self, now: Duration) -> Duration {
-        let out = self.attempts.iter().filter(|a| a.in_flight).map(|a| now.saturating_sub(a.sent));
-        self.engine_time + out.sum::<Duration>()
+        let in_flight = self
+            .attempts
+            .iter()
+            .filter(|attempt| attempt.in_flight)
+            .map(|attempt| now.saturating_sub(attempt.sent_at));
+        self.engine_time + in_flight.sum::<Duration>()
     }
 
-    /// Its answer broke before any of it went out: what came of it is dropped.
+    /// Drops the part of an answer that was interrupted before any of it was sent to the client.
     pub(crate) fn restart_answer(&mut self) {
         (self.streaming_attempt, self.is_restarted) = (None, true);
-        self.writer.restart_answer();
+        self.message_writer.restart_answer();
     }
 
-    /// All that may be held for it and that no attempt reads now: to be released.
-    pub(crate) fn release(&mut self) -> Vec<(EngineId, SocketAddr, String)> {
+    /// Takes the states that may be held for it, except those whose prefill attempt is in flight. Returns
+    /// each one's engine and address, and the attempt's id at that engine.
+    pub(crate) fn take_releasable_state(&mut self) -> Vec<(EngineId, SocketAddr, String)> {
         self.transfer = None;
-        let (out, free): (Vec<_>, Vec<_>) =
-            self.holders.drain(..).partition(|&(_, _, at)| self.attempts[at].in_flight);
-        self.holders = out;
-        free.into_iter().map(|(engine, addr, at)| (engine, addr, self.attempt_name(at))).collect()
+        let (in_flight, releasable): (Vec<_>, Vec<_>) =
+            self.state_holders.drain(..).partition(|&(_, _, attempt)| self.attempts[attempt].in_flight);
+        self.state_holders = in_flight;
+        releasable
+            .into_iter()
+            .map(|(engine, addr, attempt)| (engine, addr, self.attempt_id(attempt)))
+            .collect()
     }
 
-    /// The readers that still count as holders, once for each state.
+    /// The prefill engines that still count as holders, once for each state.
     pub(crate) fn into_holders(self) -> Vec<EngineId> {
-        self.holders.into_iter().map(|(engine, ..)| engine).collect()
+        self.state_holders.into_iter().map(|(engine, ..)| engine).collect()
     }
 
-    /// An attempt that read nothing holds nothing. Gives its engine if it counted as a holder.
+    /// Removes the holder of a prefill attempt that never ran, so that no state is held. Returns its engine
+    /// if it counted as a holder.
     pub(crate) fn drop_holder_of(&mut self, attempt: usize, outcome: Outcome) -> Option<EngineId> {
         if !matches!(outcome, Outcome::Rejected { .. } | Outcome::ConnectFailed | Outcome::NotSent) {
             return None;
         }
-        let at = self.holders.iter().position(|&(_, _, at)| at == attempt)?;
-        Some(self.holders.swap_remove(at).0)
+        let index =
+            self.state_holders.iter().position(|&(_, _, holder_attempt)| holder_attempt == attempt)?;
+        Some(self.state_holders.swap_remove(index).0)
     }
 
-    /// Nothing more can come of it.
+    /// Whether it is closed and no attempt is in flight.
     pub(crate) fn is_finished(&self) -> bool {
-        self.is_closed && self.attempts.iter().all(|a| !a.in_flight)
+        self.is_closed && self.attempts.iter().all(|attempt| !attempt.in_flight)
     }
 
-    /// Whether trying again could run it twice, for all that this router knows.
+    /// Whether a retry could run it twice, as far as this router knows.
     pub(crate) fn must_not_repeat(&self) -> bool {
-        let ran = self.attempts.iter().any(|a| !a.is_prefill);
-        ran && !matches!(
-            self.idempotency,
-            Idempotency::Idempotent | Idempotency::WithKey { scope: slipreel::DeduplicationScope::All, .. }
-        )
+        let may_have_run = self.attempts.iter().any(|attempt| !attempt.is_prefill);
+        may_have_run
+            && !matches!(
+                self.idempotency,
+                Idempotency::Idempotent
+                    | Idempotency::WithKey { scope: slipreel::DeduplicationScope::All, .. }
+            )
     }
 }
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -1,10 +1,11 @@
-//! The clients' side: what a request asks for, and its one final answer.
+//! The client side: routes requests by path, admits message requests, and handles clients that disconnect or
+//! time out.
 
 use crate::classify::{self, Caller, RequestAttributes};
 use crate::gateway::Gateway;
 use crate::limits::{self, AdmissionError};
 use crate::metrics::RejectionReason;
-use crate::request::{ActiveRequest, NewRequest, POLICY};
+use crate::request::{ActiveRequest, NewRequest, POLICY_FIELD};
 use serde_json::json;
 use slipreel::{Event, Outcome, RequestId};
 use slipreel_connections::{Received, State};
@@ -13,24 +14,25 @@
 use slipreel_state_machine::{ConnId, ListenerId, Output};
 use std::time::Duration;
 
-/// The door of operators; clients come by the first.
-const OPERATORS: ListenerId = ListenerId(1);
+/// The listener of operators; clients use listener 0.
+const OPERATOR_LISTENER: ListenerId = ListenerId(1);
 
 impl Gateway {
-    // ---- In ---------------------------------------------------------------------------------
+    // ---- Requests ---------------------------------------------------------------------------
 
+    /// Handles bytes from a client.
     pub(crate) fn client_data(&mut self, conn: ConnId, bytes: &[u8], out: &mut Vec<Output>) {
         let now = self.now;
         let Some(client) = self.clients.get_mut(conn) else { return };
-        let before = client.state;
+        let previous_state = client.state;
         client.feed(now, bytes, out);
         self.read_requests(conn, out);
-        if self.clients.get(conn).is_some_and(|c| c.state != before) {
+        if self.clients.get(conn).is_some_and(|client| client.state != previous_state) {
             self.arm_client_timer(conn);
         }
     }
 
-    /// Handles the requests that were received completely, one after another as each is answered.
+    /// Handles the requests that were received completely, each after the answer to the previous one.
     pub(crate) fn read_requests(&mut self, conn: ConnId, out: &mut Vec<Output>) {
         loop {
             let now = self.now;
@@ -38,33 +40,35 @@
             match client.receive(now, out) {
                 Ok(None) => return,
                 Ok(Some(received)) => self.route(conn, &received, out),
-                Err(why) => return self.reject_malformed(conn, &why, out),
+                Err(malformed) => return self.reject_malformed(conn, &malformed, out),
             }
         }
     }
 
-    fn reject_malformed(&mut self, conn: ConnId, why: &Malformed, out: &mut Vec<Output>) {
-        let error = ApiError::new(ErrorKind::of_status(why.status), why.why.clone());
+    /// Answers a request that can't be parsed, and closes the connection after it.
+    fn reject_malformed(&mut self, conn: ConnId, malformed: &Malformed, out: &mut Vec<Output>) {
+        let error = ApiError::new(ErrorKind::of_status(malformed.status), malformed.why.clone());
         if let Some(client) = self.clients.get_mut(conn) {
             client.close_after_answer();
         }
-        self.reject_before_admission(conn, why.status, &error, &[], out);
+        self.reject_before_admission(conn, malformed.status, &error, &[], out);
     }
 
-    /// An answer that needs no engine.
+    /// Answers a request with an error before it reaches the decision module.
     pub(crate) fn reject_before_admission(
         &mut self, conn: ConnId, status: u16, error: &ApiError, fields: &[(&str, &str)],
         out: &mut Vec<Output>,
     ) {
-        let request_id = self.request_id();
+        let request_id = self.new_request_id();
         self.counters.rejected_before_admission += 1;
-        self.metrics.turned();
+        self.metrics.rejected_before_admission();
         let body = error.body(&request_id);
-        let mut all = vec![("request-id", request_id.as_str())];
-        all.extend_from_slice(fields);
-        self.answer(conn, status, &all, body.as_bytes(), out);
+        let mut all_fields = vec![("request-id", request_id.as_str())];
+        all_fields.extend_from_slice(fields);
+        self.answer(conn, status, &all_fields, body.as_bytes(), out);
     }
 
+    /// Sends a complete answer, with the policy epoch if there is one.
     pub(crate) fn answer(
         &mut self, conn: ConnId, status: u16, fields: &[(&str, &str)], body: &[u8], out: &mut Vec<Output>,
     ) {
@@ -75,13 +79,16 @@
             client.close_after_answer();
         }
         match &epoch {
-            Some(epoch) => client.answer(status, &[fields, &[(POLICY, epoch.as_str())]].concat(), body, out),
+            Some(epoch) => {
+                client.answer(status, &[fields, &[(POLICY_FIELD, epoch.as_str())]].concat(), body, out);
+            }
             None => client.answer(status, fields, body, out),
         }
-        self.client_done(conn, out);
+        self.finish_client_answer(conn, out);
     }
 
-    pub(crate) fn client_done(&mut self, conn: ConnId, out: &mut Vec<Output>) {
+    /// Ends the answer on a client connection, which is then kept open or removed.
+    pub(crate) fn finish_client_answer(&mut self, conn: ConnId, out: &mut Vec<Output>) {
         let now = self.now;
         let Some(client) = self.clients.get_mut(conn) else { return };
         if client.finish_answer(now, out) {
@@ -91,24 +98,26 @@
         }
     }
 
-    fn request_id(&mut self) -> String {
+    /// A request id for an answer that needs no engine.
+    fn new_request_id(&mut self) -> String {
         self.requests.next_id().1
     }
 
+    /// Routes a request by its listener, method and path.
     fn route(&mut self, conn: ConnId, received: &Received, out: &mut Vec<Output>) {
         let (method, path) = (received.method(), received.path());
-        if self.clients.get(conn).is_some_and(|c| c.listener == OPERATORS) {
+        if self.clients.get(conn).is_some_and(|client| client.listener == OPERATOR_LISTENER) {
             return self.handle_operator_request(conn, received, out);
         }
-        if path != "/health" && !self.holds_policy() {
+        if path != "/health" && !self.has_valid_policy() {
             return self.reject_without_policy(conn, out);
         }
         let answered = match (method, path) {
             ("POST", "/v1/messages") => self.handle_messages_request(conn, received, out),
             ("POST", "/v1/messages/count_tokens") => self.count_tokens(conn, received, out),
-            ("GET", "/v1/models") => self.models(conn, received, None, out),
+            ("GET", "/v1/models") => self.answer_models(conn, received, None, out),
             ("GET", _) if path.starts_with("/v1/models/") => {
-                self.models(conn, received, Some(&path["/v1/models/".len()..]), out)
+                self.answer_models(conn, received, Some(&path["/v1/models/".len()..]), out)
             }
             ("GET", "/health") => {
                 self.answer_health(conn, out);
@@ -127,63 +136,73 @@
         }
     }
 
-    /// Answers whether this gateway takes requests.
+    /// Answers whether this gateway accepts requests.
     fn answer_health(&mut self, conn: ConnId, out: &mut Vec<Output>) {
-        let (status, word) = match self.membership_obstacle() {
+        let (status, health) = match self.membership_obstacle() {
             _ if self.shutdown.has_begun() => (503, "stopping"),
-            Some(word) => (503, word),
-            None if !self.holds_policy() => (503, "policy"),
+            Some(obstacle) => (503, obstacle),
+            None if !self.has_valid_policy() => (503, "policy"),
             None => (200, "ok"),
         };
-        self.answer(conn, status, &[], json!({"status": word}).to_string().as_bytes(), out);
+        self.answer(conn, status, &[], json!({"status": health}).to_string().as_bytes(), out);
     }
 
-    fn models(
-        &mut self, conn: ConnId, received: &Received, one: Option<&str>, out: &mut Vec<Output>,
+    /// Answers with the list of models, or with one of them by name.
+    fn answer_models(
+        &mut self, conn: ConnId, received: &Received, requested: Option<&str>, out: &mut Vec<Output>,
     ) -> Result<(), ApiError> {
         classify::caller(&self.settings, &received.head)?;
         let model = |name: &str| json!({"type": "model", "id": name, "display_name": name, "created_at": "1970-01-01T00:00:00Z"});
-        let names: Vec<&str> = self.settings.models.iter().map(|m| m.name.as_str()).collect();
-        let body = match one {
+        let names: Vec<&str> = self.settings.models.iter().map(|model| model.name.as_str()).collect();
+        let body = match requested {
             Some(name) if names.contains(&name) => model(name),
             Some(name) => return Err(ApiError::new(ErrorKind::NotFound, format!("model: {name}"))),
-            None => json!({"data": names.iter().map(|n| model(n)).collect::<Vec<_>>(), "has_more": false,
-                           "first_id": names.first(), "last_id": names.last()}),
+            None => {
+                json!({"data": names.iter().map(|name| model(name)).collect::<Vec<_>>(), "has_more": false,
+                           "first_id": names.first(), "last_id": names.last()})
+            }
         };
-        let request_id = self.request_id();
+        let request_id = self.new_request_id();
         self.answer(conn, 200, &[("request-id", &request_id)], body.to_string().as_bytes(), out);
         Ok(())
     }
 
+    /// Answers with the estimated number of prompt tokens.
     fn count_tokens(
         &mut self, conn: ConnId, received: &Received, out: &mut Vec<Output>,
     ) -> Result<(), ApiError> {
         classify::caller(&self.settings, &received.head)?;
         let messages_request = MessagesRequest::parse(&received.body, true)?;
-        if !self.settings.models.iter().any(|m| m.name == messages_request.model) {
+        if !self.settings.models.iter().any(|model| model.name == messages_request.model) {
             return Err(ApiError::new(ErrorKind::NotFound, format!("model: {}", messages_request.model)));
         }
         let tokens = classify::prompt_tokens(&messages_request, received.body.len()) as u64;
         let body = json!({"input_tokens": tokens}).to_string();
-        let request_id = self.request_id();
+        let request_id = self.new_request_id();
         self.answer(conn, 200, &[("request-id", &request_id)], body.as_bytes(), out);
         Ok(())
     }
 
-    /// A message request: the decision module is notified of it, unless it can't be taken at all.
+    /// Handles a message request: passes it to the decision module if it is valid and within the gateway's
+    /// limits.
     fn handle_messages_request(
         &mut self, conn: ConnId, received: &Received, out: &mut Vec<Output>,
     ) -> Result<(), ApiError> {
         let caller = classify::caller(&self.settings, &received.head)?;
         let mut messages_request = MessagesRequest::parse(&received.body, false)?;
-        let traits =
-            classify::traits(&self.settings, &received.head, caller, &messages_request, received.body.len())?;
-        let model = std::mem::replace(&mut messages_request.model, traits.served_as.clone());
+        let attributes = classify::attributes(
+            &self.settings,
+            &received.head,
+            caller,
+            &messages_request,
+            received.body.len(),
+        )?;
+        let model = std::mem::replace(&mut messages_request.model, attributes.served_as.clone());
         let chat = messages_request.to_chat()?;
         if let Err(error) =
             limits::check_admission(&self.settings.bounds, self.requests.len(), self.shutdown.has_begun())
         {
-            self.reject_not_admitted(conn, traits.class.0, error, out);
+            self.reject_not_admitted(conn, attributes.class.0, error, out);
             return Ok(());
         }
         let (id, request_id) = self.requests.next_id();
@@ -191,28 +210,28 @@
         if let Some(client) = self.clients.get_mut(conn) {
             client.state = State::Serving(Some(id.0));
         }
-        let new = NewRequest {
+        let new_request = NewRequest {
             id,
             generation,
             client: conn,
             request_id,
             settings: self.settings.clone(),
             epoch: self.epoch(),
-            class: traits.class.0,
-            idempotency: self.settings.decisions.classes[traits.class.0].idempotency,
+            class: attributes.class.0,
+            idempotency: self.settings.decisions.classes[attributes.class.0].idempotency,
             stream: messages_request.stream,
             now: self.now,
-            time_left: traits.time_left,
-            complete_within: traits.told,
-            chat,
+            time_left: attributes.time_left,
+            complete_within: attributes.client_timeout,
+            chat_body: chat,
             max_tokens: messages_request.max_tokens,
-            key: traits.idempotency_key.clone(),
+            idempotency_key: attributes.idempotency_key.clone(),
             model,
         };
-        self.requests.insert(ActiveRequest::new(new));
+        self.requests.insert(ActiveRequest::new(new_request));
         self.counters.admitted += 1;
-        self.metrics.admitted(self.class_name(traits.class.0));
-        let request = decision_request(id, caller, &traits, &messages_request);
+        self.metrics.request_admitted(self.class_name(attributes.class.0));
+        let request = decision_request(id, caller, &attributes, &messages_request);
         self.queue_event(generation, Event::Request(request));
         Ok(())
     }
@@ -227,9 +246,9 @@
             }
             AdmissionError::Stopping => (RejectionReason::Stopping, "this router is stopping"),
         };
-        self.metrics.refused(self.class_name(class), reason);
+        self.metrics.request_rejected(self.class_name(class), reason);
         let error = ApiError::new(ErrorKind::Overloaded, text);
-        let (seconds, milliseconds) = retry_after(limits::RETRY_AFTER);
+        let (seconds, milliseconds) = retry_after_fields(limits::RETRY_AFTER);
         let fields = [
             ("retry-after", seconds.as_str()),
             ("retry-after-ms", &milliseconds),
@@ -238,24 +257,26 @@
         self.reject_before_admission(conn, error.kind.status(), &error, &fields, out);
     }
 
-    // ---- Leaving ------------------------------------------------------------------------------
+    // ---- Disconnects and timeouts -------------------------------------------------------------
 
+    /// Handles a client that has closed its sending side.
     pub(crate) fn client_eof(&mut self, conn: ConnId, out: &mut Vec<Output>) {
         let half_close = self.settings.bounds.half_close;
         let Some(client) = self.clients.get_mut(conn) else { return };
         client.is_closed_by_peer = true;
         match client.state {
             State::Serving(_) if half_close => {}
-            // Between requests, or in the midst of one that can't be ended any more.
+            // Between requests, or within one that will never be complete, or half-closed connections are not
+            // served.
             _ => {
                 out.push(Output::CloseWhenSent(conn));
-                self.client_gone(conn);
+                self.client_disconnected(conn);
             }
         }
     }
 
-    /// A client's connection is over: its request, if one is under way, is owed no answer any more.
-    pub(crate) fn client_gone(&mut self, conn: ConnId) {
+    /// Removes a client whose connection has ended, and cancels its request if one is in progress.
+    pub(crate) fn client_disconnected(&mut self, conn: ConnId) {
         let Some(client) = self.clients.get(conn) else { return };
         let state = client.state;
         self.clients.remove(conn, &mut self.timers);
@@ -264,48 +285,50 @@
         let Some(request) = self.requests.get_open_mut(id) else { return };
         request.is_closed = true;
         self.counters.disconnected += 1;
-        self.metrics.left();
+        self.metrics.client_disconnected();
         let (generation, streaming_attempt) = (request.generation, request.streaming_attempt);
-        let conn = streaming_attempt.and_then(|a| request.attempts[a].conn);
-        self.requests.check_when_settled(id);
+        let conn = streaming_attempt.and_then(|attempt| request.attempts[attempt].conn);
+        self.requests.mark_maybe_finished(id);
         self.queue_event(generation, Event::ClientDisconnected(id));
-        // The decision module leaves a stream that has begun to its client, and this one is gone.
+        // The decision module does not cancel a stream that has begun, so the gateway ends it.
         if let Some(conn) = conn {
             self.engines.abandon(conn);
         }
     }
 
-    pub(crate) fn client_sent(&mut self, conn: ConnId, n: usize, out: &mut Vec<Output>) {
+    /// Records that bytes to a client have been sent.
+    pub(crate) fn client_sent(&mut self, conn: ConnId, sent_bytes: usize, out: &mut Vec<Output>) {
         let now = self.now;
         let Some(client) = self.clients.get_mut(conn) else { return };
-        client.unsent = client.unsent.saturating_sub(n);
+        client.unsent = client.unsent.saturating_sub(sent_bytes);
         client.last_sent_at = now;
         if let State::Serving(Some(id)) = client.state {
-            self.check_pace(RequestId(id), out);
+            self.apply_backpressure(RequestId(id), out);
         }
     }
 
-    /// A client's connection did not move on in time, by its state.
+    /// Handles a timeout of a client connection, according to its state.
     pub(crate) fn client_timed_out(&mut self, conn: ConnId, out: &mut Vec<Output>) {
         let Some(client) = self.clients.get(conn) else { return };
         match client.state {
             State::Receiving if client.unsent == 0 => {
-                let why = Malformed { status: 408, why: "the request did not come in whole in time".into() };
-                self.reject_malformed(conn, &why, out);
+                let malformed =
+                    Malformed { status: 408, why: "the request did not come in whole in time".into() };
+                self.reject_malformed(conn, &malformed, out);
             }
             State::Idle if client.unsent == 0 => {
                 out.push(Output::CloseWhenSent(conn));
                 self.clients.remove(conn, &mut self.timers);
             }
-            // It takes nothing of what waits for it.
+            // The client does not read what was written to it.
             _ => {
                 out.push(Output::Abort(conn));
-                self.client_gone(conn);
+                self.client_disconnected(conn);
             }
         }
     }
 
-    /// Connections whose stream nobody waits for any more.
+    /// Aborts connections that carry a stream whose client has disconnected.
     pub(crate) fn drop_abandoned_connections(&mut self, out: &mut Vec<Output>) {
         for conn in self.engines.take_abandoned() {
             self.abort_connection(conn, out, Outcome::Cancelled);
@@ -315,25 +338,26 @@
 
 /// A request as the decision module takes it.
 fn decision_request(
-    id: RequestId, caller: Caller, traits: &RequestAttributes, messages_request: &MessagesRequest,
+    id: RequestId, caller: Caller, attributes: &RequestAttributes, messages_request: &MessagesRequest,
 ) -> slipreel::Request {
     slipreel::Request {
         id,
-        class: traits.class,
+        class: attributes.class,
         tenant: caller.tenant,
-        session: traits.session,
-        shared_prefix: traits.shared_prefix,
-        prompt_tokens: traits.prompt_tokens,
+        session: attributes.session,
+        shared_prefix: attributes.shared_prefix,
+        prompt_tokens: attributes.prompt_tokens,
         max_output_tokens: f64::from(messages_request.max_tokens),
-        client_timeout: traits.time_left,
-        complete_answer_timeout: (!messages_request.stream).then(|| traits.told.unwrap_or(traits.time_left)),
-        is_retry: traits.repeat,
+        client_timeout: attributes.time_left,
+        complete_answer_timeout: (!messages_request.stream)
+            .then(|| attributes.client_timeout.unwrap_or(attributes.time_left)),
+        is_retry: attributes.is_retry,
         is_resumption: false,
     }
 }
 
-/// The two fields that tell when to come back: whole seconds as HTTP has it, and milliseconds.
-pub(crate) fn retry_after(wait: Duration) -> (String, String) {
-    let ms = wait.as_millis().max(1);
-    (ms.div_ceil(1000).to_string(), ms.to_string())
+/// The values of the two fields that say when to retry: whole seconds as HTTP defines them, and milliseconds.
+pub(crate) fn retry_after_fields(wait: Duration) -> (String, String) {
+    let milliseconds = wait.as_millis().max(1);
+    (milliseconds.div_ceil(1000).to_string(), milliseconds.to_string())
 }
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -1,4 +1,4 @@
-//! What a gateway is handed at its start or at a reload: the settings as they were configured. Decides nothing.
+//! The settings of a gateway as they were configured, which it receives at its start and at each reload.
 
 use slipreel::{EngineState, Role, Settings};
 use std::net::SocketAddr;
@@ -6,111 +6,112 @@
 pub use crate::limits::{class_defaults, default_decision_settings, ClassDefaults};
 use std::time::Duration;
 
-/// Settings: what the decision module is handed, and what the gateway needs beside it.
+/// The settings of the decision module, and those that the gateway itself needs.
 #[derive(Clone, Debug)]
 pub struct GatewaySettings {
-    /// Handed to the decision module as it is. Its kinds are [`KINDS`].
+    /// The settings of the decision module. Their engine kinds are [`KINDS`].
     pub decisions: Settings,
     /// The classes, in the order of `decisions.classes`.
     pub classes: Vec<ClassSettings>,
-    /// The models that are offered.
+    /// The models that clients may request.
     pub models: Vec<ModelSettings>,
-    /// The tenants, in the order of `decisions.tenants`. Where there are none, any key or none is taken.
+    /// The tenants, in the order of `decisions.tenants`. If there are none, requests with any key or none are
+    /// accepted.
     pub tenants: Vec<TenantSettings>,
-    /// The engines, unless a list comes from elsewhere.
+    /// The engines, unless the owner of the gateway sends a list.
     pub engines: Vec<EngineSettings>,
-    /// What the gateway bounds.
+    /// The gateway's own limits.
     pub bounds: Bounds,
-    /// Engines that take nothing new whatever the list says, by name.
+    /// Names of engines that operators drain, whatever their state in the list.
     pub drained_engines: Vec<String>,
-    /// Operators want no engine to change its role: shown to who changes them.
+    /// Whether operators want no engine to change its role; published for the process that changes roles.
     pub roles_frozen: bool,
-    /// The zone of this router, by name; it goes into `decisions.zone` as the list numbers it.
+    /// The name of this router's zone. `decisions.zone` gets the number that the engine list assigns to it.
     pub zone: String,
-    /// Names this router to engines (`via`), and begins its request ids.
+    /// The name of this router for engines, in the `via` field.
     pub name: String,
 }
 
-/// The kinds of engine, by role: `KindId` is the position here.
+/// The kinds of engines by role; a `KindId` is an index into this array.
 pub const KINDS: [Role; 3] = [Role::Prefill, Role::Decode, Role::Mixed];
 
-/// What the gateway knows of a class beside what the decision module does.
+/// The settings of a class beyond those of the decision module.
 #[derive(Clone, Debug)]
 pub struct ClassSettings {
-    /// Its name.
+    /// The name.
     pub name: String,
-    /// How long its clients wait for an answer to begin, unless they say less.
+    /// How long its clients wait for an answer to begin, unless a client sends a shorter timeout.
     pub client_timeout: Duration,
 }
 
-/// A model that is offered.
+/// A model that clients may request.
 #[derive(Clone, Debug)]
 pub struct ModelSettings {
-    /// The name that clients ask for.
+    /// The name in clients' requests.
     pub name: String,
-    /// Position of its class.
+    /// The index of its class.
     pub class: usize,
-    /// The name that the engines know it by.
+    /// The name of the model at the engines.
     pub served_as: String,
 }
 
-/// A tenant and its keys.
+/// A tenant and its API keys.
 #[derive(Clone, Debug)]
 pub struct TenantSettings {
-    /// Its name.
+    /// The name.
     pub name: String,
-    /// The keys that name it.
+    /// The keys that identify it.
     pub keys: Vec<String>,
-    /// Whether its requests may name another class in `x-slipreel-class`.
+    /// Whether its requests may choose another class with `x-slipreel-class`.
     pub may_choose_class: bool,
 }
 
 /// An engine of the list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EngineSettings {
-    /// For operators.
+    /// The name for operators.
     pub name: String,
-    /// Where it is.
+    /// The address.
     pub addr: SocketAddr,
-    /// What it does.
+    /// The role: prefill, decode or both.
     pub role: Role,
-    /// Its zone.
+    /// The name of its zone.
     pub zone: String,
-    /// Its cell.
+    /// The name of its cell.
     pub cell: String,
-    /// Whether it takes new work.
+    /// Whether it accepts new work, drains or is gone.
     pub state: EngineState,
 }
 
-/// What the gateway bounds. All of these have to be set; `slipreel-settings` names defaults.
+/// The gateway's own limits. All have to be set; `slipreel-settings` fills in the defaults.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Bounds {
-    /// Client connections at once; further ones are closed.
+    /// Concurrent client connections; further ones are closed.
     pub connections: usize,
-    /// Requests under way at once; further ones are refused.
+    /// Concurrent requests; further ones are rejected.
     pub requests: usize,
-    /// Bytes of a request's body.
+    /// Bytes of a request's body; larger ones are rejected.
     pub body: u64,
-    /// Bytes that may wait for one peer before its source is paused.
+    /// Bytes that may wait for one peer before reading from their source is paused.
     pub unsent: usize,
-    /// Connections to one engine.
+    /// Concurrent connections to one engine.
     pub per_engine: usize,
-    /// Idle ones of these that are kept.
+    /// Idle connections to one engine that are kept open.
     pub idle_per_engine: usize,
-    /// After this an idle connection to an engine is closed.
+    /// Time after which an idle connection to an engine is closed.
     pub engine_idle: Duration,
-    /// After this an idle connection of a client is closed.
+    /// Time after which an idle connection of a client is closed.
     pub client_idle: Duration,
-    /// In this time a head, and then a body, has to come in completely.
+    /// Time within which a request has to be received completely.
     pub receive: Duration,
-    /// A peer that takes nothing for so long while something waits for it is cut off.
+    /// A client connection that accepts no data for this time while some is waiting is closed.
     pub stalled_peer: Duration,
-    /// An engine that says nothing for so long in the midst of an answer is given up.
+    /// An answer during which the engine sends nothing for this time is aborted.
     pub silent_stream: Duration,
-    /// In this time a probe or a release is answered, or counts as lost.
+    /// Time within which a probe has to be answered.
     pub probe: Duration,
-    /// A request ends by then after the gateway was told to stop.
+    /// Time after the start of a shutdown at which requests that still run are ended.
     pub stop: Duration,
-    /// Whether a client that sends no more still waits for its answer.
+    /// Whether a client that has closed its sending side still gets its answer.
     pub half_close: bool,
 }
--- a/crates/gateway/src/shutdown.rs
+++ b/crates/gateway/src/shutdown.rs
@@ -1,19 +1,19 @@
 //! The graceful shutdown of a gateway.
 
-/// How far a shutdown is.
+/// The progress of a shutdown.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) enum Shutdown {
-    /// It has not begun.
+    /// No shutdown has begun.
     #[default]
     Running,
-    /// Requests in progress are finished, new ones are rejected.
+    /// Requests in progress are being finished, new ones are rejected.
     Draining,
-    /// Nothing is left to do, and the driver was told so.
+    /// Nothing is left to do, and the driver was notified.
     Stopped,
 }
 
 impl Shutdown {
-    /// Begins a shutdown. False if it had begun before.
+    /// Begins a shutdown. Returns false if it had begun before.
     pub(crate) fn begin(&mut self) -> bool {
         let begins = !self.has_begun();
         if begins {
@@ -22,11 +22,13 @@
         begins
     }
 
+    /// Whether a shutdown has begun.
     pub(crate) fn has_begun(self) -> bool {
         self != Shutdown::Running
     }
 
-    /// Nothing is left to do. True if this ends the shutdown: it has begun, and has not ended before.
+    /// Called when nothing is left to do. Returns true if this ends the shutdown: it has begun, and has not
+    /// ended before.
     pub(crate) fn finish(&mut self) -> bool {
         let ends = *self == Shutdown::Draining;
         if ends {
--- a/crates/gateway/tests/connections.rs
+++ b/crates/gateway/tests/connections.rs
@@ -376,8 +376,8 @@
     assert_eq!(connects(&host.out), [], "it has been heard");
 }
 
-/// While a reader holds state, a connection to it that stands is kept for the word to let go, which need not wait
-/// until a new one has come to stand.
+/// While a reader holds state, a connection to it that stands is kept for the word to let go, which need not
+/// wait until a new one has come to stand.
 #[test]
 fn a_connection_that_stands_is_kept_for_letting_go() {
     let mut host = Host::new(settings());
@@ -387,7 +387,8 @@
     let (reader, _) = connects(&host.out)[0];
     host.tell(Input::Connected(reader));
     host.tell(Input::Data(reader, answer.as_bytes()));
-    // Another request is read at the same engine meanwhile, on a connection of its own that does not come to stand.
+    // Another request is read at the same engine meanwhile, on a connection of its own that does not come to
+    // stand.
     let other = ConnId(77);
     host.tell(Input::Accepted(other, CLIENTS));
     let out = host.tell(Input::Data(other, post(BODY).as_bytes()));
@@ -399,8 +400,8 @@
 const STREAM_END: &str =
     "data: {\"choices\":[{\"delta\":{},\"finish_reason\":\"stop\"}]}\n\ndata: [DONE]\n\n";
 
-/// A first request is served whole, and a second one read: gives the host, the writer's kept connection, and what came of
-/// the second read.
+/// A first request is served whole, and a second one read: gives the host, the writer's kept connection, and
+/// what came of the second read.
 fn up_to_a_second_write(effect: slipreel::Idempotency) -> (Host, ConnId, Vec<Output>) {
     let mut settings = settings();
     settings.decisions.classes[0].idempotency = effect;
