--- a/crates/gateway/src/limits.rs
+++ b/crates/gateway/src/limits.rs
@@ -54,7 +54,7 @@
     /// How long clients wait for an answer to begin.
     pub client_timeout: Duration,
     /// How long engines remember an idempotency key.
-    pub window: Duration,
+    pub deduplication_window: Duration,
 }
 
 /// The default settings of a class, which suit a chat.
@@ -63,7 +63,7 @@
         latency_objective: ms(1_000),
         latency_objective_per_1000_tokens: ms(40),
         client_timeout: ms(6_000),
-        window: ms(5_000),
+        deduplication_window: ms(5_000),
     }
 }
 
--- a/crates/settings/src/site.rs
+++ b/crates/settings/src/site.rs
@@ -227,7 +227,7 @@
     for at in doc.all("class") {
         let name = named(doc, at);
         let group = doc.or(Some(at), "group", DeduplicationScope::All);
-        let window = doc.or(Some(at), "window", start.window);
+        let window = doc.or(Some(at), "window", start.deduplication_window);
         let word = doc.text(at, "effect").unwrap_or_else(|| "safe".into());
         let effect = match word.as_str() {
             "safe" => Idempotency::Idempotent,
