--- a/crates/gateway/benches/gateway.rs
+++ b/crates/gateway/benches/gateway.rs
@@ -1,5 +1,5 @@
-//! What the front costs on one thread, fed by hand: requests, streamed events, memory of open streams, its
-//! timer wheel against a heap, and the module's part of it. No sockets: the system's part is not in these
+//! Measures the gateway on one thread without sockets: requests, streamed events, memory of open streams, the
+//! decision module's part, and the timer wheel against a heap. The operating system's part is not in these
 //! figures.
 
 use slipreel_connections::TimerWheel;
@@ -14,13 +14,13 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-const CLIENTS: ListenerId = ListenerId(0);
+const CLIENT_LISTENER: ListenerId = ListenerId(0);
 
 fn settings() -> GatewaySettings {
-    let start = class_defaults();
+    let defaults = class_defaults();
     let class = slipreel::Class {
-        latency_objective: start.latency_objective,
-        latency_objective_per_1000_tokens: start.latency_objective_per_1000_tokens,
+        latency_objective: defaults.latency_objective,
+        latency_objective_per_1000_tokens: defaults.latency_objective_per_1000_tokens,
         priority_weight: 1.0,
         idempotency: slipreel::Idempotency::Idempotent,
         streams: true,
@@ -36,7 +36,7 @@
     let roles = [slipreel::Role::Prefill, slipreel::Role::Decode];
     GatewaySettings {
         decisions: slipreel::Settings { classes: vec![class], ..default_decision_settings() },
-        classes: vec![ClassSettings { name: "chat".into(), client_timeout: start.client_timeout }],
+        classes: vec![ClassSettings { name: "chat".into(), client_timeout: defaults.client_timeout }],
         models: vec![ModelSettings { name: "m".into(), class: 0, served_as: "m".into() }],
         tenants: Vec::new(),
         engines: (0..8u16).map(|n| engine(n + 1, roles[usize::from(n) % 2])).collect(),
@@ -48,14 +48,16 @@
     }
 }
 
-struct Host {
+/// Passes inputs to a gateway, with its own clock, and answers as clients and engines.
+struct Driver {
     gateway: Gateway,
     now: Duration,
     out: Vec<Output>,
-    read: Vec<u8>,
+    /// The answer to a prefill.
+    prefill_answer: Vec<u8>,
 }
 
-fn request() -> Vec<u8> {
+fn request_bytes() -> Vec<u8> {
     let body = format!(
         r#"{{"model":"m","max_tokens":50,"stream":true,"system":"{}","messages":[{{"role":"user","content":"{}"}}]}}"#,
         "be short ".repeat(60),
@@ -65,170 +67,173 @@
         .into_bytes()
 }
 
-fn metrics() -> Vec<u8> {
+fn metrics_answer() -> Vec<u8> {
     let text = "vllm:num_requests_running 3\nvllm:num_requests_waiting 0\nvllm:kv_cache_usage_perc 0.2\nprocess_start_time_seconds 1\n";
     format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{text}", text.len()).into_bytes()
 }
 
-const HEAD: &[u8] =
+const STREAM_HEAD: &[u8] =
     b"HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\ntransfer-encoding: chunked\r\n\r\n";
 
-fn token() -> Vec<u8> {
+fn token_event() -> Vec<u8> {
     chunk(b"data: {\"id\":\"x\",\"object\":\"chat.completion.chunk\",\"choices\":[{\"index\":0,\"delta\":{\"content\":\"word \"},\"finish_reason\":null}]}\n\n")
 }
 
-fn last() -> Vec<u8> {
+fn last_event() -> Vec<u8> {
     let mut bytes = chunk(b"data: {\"choices\":[{\"delta\":{},\"finish_reason\":\"stop\"}]}\n\ndata: {\"choices\":[],\"usage\":{\"prompt_tokens\":9,\"completion_tokens\":5}}\n\ndata: [DONE]\n\n");
     bytes.extend_from_slice(b"0\r\n\r\n");
     bytes
 }
 
-impl Host {
+impl Driver {
     fn new() -> Self {
         let now = Duration::from_secs(1 << 20);
         let body = r#"{"kv_transfer_params":{"do_remote_prefill":true,"remote_block_ids":[7]},"usage":{"prompt_tokens":300}}"#;
         let load = "TEXT named_metrics.num_requests_running=3, named_metrics.num_requests_waiting=0, named_metrics.kv_cache_usage_perc=0.2";
-        let read = format!(
+        let prefill_answer = format!(
             "HTTP/1.1 200 OK\r\nendpoint-load-metrics: {load}\r\ncontent-length: {}\r\n\r\n{body}",
             body.len()
         );
-        Host {
+        Driver {
             gateway: Gateway::new(Arc::new(settings()), 5, now, now),
             now,
             out: Vec::new(),
-            read: read.into_bytes(),
+            prefill_answer: prefill_answer.into_bytes(),
         }
     }
 
-    fn tell(&mut self, input: Input<'_>) {
+    fn handle(&mut self, input: Input<'_>) {
         self.gateway.handle(self.now, input, &mut self.out);
     }
 
-    /// Asks and plays the engines until the answer has begun; gives the writer's connection.
-    fn begin(&mut self, client: ConnId, request: &[u8], metrics: &[u8]) -> ConnId {
-        self.tell(Input::Data(client, request));
+    /// Sends a request and answers for the engines up to the head of the stream. Returns the decode attempt's
+    /// connection.
+    fn start_stream(&mut self, client: ConnId, request: &[u8], metrics: &[u8]) -> ConnId {
+        self.handle(Input::Data(client, request));
         for _ in 0..100 {
-            let mut writer = None;
+            let mut decode_conn = None;
             for output in std::mem::take(&mut self.out) {
                 match output {
-                    Output::Connect(conn, _) => self.tell(Input::Connected(conn)),
+                    Output::Connect(conn, _) => self.handle(Input::Connected(conn)),
                     Output::Write(conn, bytes) if conn.is_opened() => {
                         if bytes.starts_with(b"GET /metrics") {
-                            self.tell(Input::Data(conn, metrics));
+                            self.handle(Input::Data(conn, metrics));
                         } else if bytes.windows(24).any(|w| w == b"\"do_remote_decode\":true,") {
-                            let read = std::mem::take(&mut self.read);
-                            self.tell(Input::Data(conn, &read));
-                            self.read = read;
+                            let prefill_answer = std::mem::take(&mut self.prefill_answer);
+                            self.handle(Input::Data(conn, &prefill_answer));
+                            self.prefill_answer = prefill_answer;
                         } else if bytes.starts_with(b"POST /v1/chat") {
-                            writer = Some(conn);
+                            decode_conn = Some(conn);
                         }
                     }
-                    Output::Write(conn, bytes) => self.tell(Input::Sent(conn, bytes.len())),
+                    Output::Write(conn, bytes) => self.handle(Input::Sent(conn, bytes.len())),
                     _ => {}
                 }
             }
-            if let Some(writer) = writer {
-                self.tell(Input::Data(writer, HEAD));
-                return writer;
+            if let Some(decode_conn) = decode_conn {
+                self.handle(Input::Data(decode_conn, STREAM_HEAD));
+                return decode_conn;
             }
         }
         panic!("the answer did not begin: {:?}", self.gateway.counters())
     }
 
+    /// Reports all written bytes as sent.
     fn drain(&mut self) {
         for output in std::mem::take(&mut self.out) {
             if let Output::Write(conn, bytes) = output {
-                self.tell(Input::Sent(conn, bytes.len()));
+                self.handle(Input::Sent(conn, bytes.len()));
             }
         }
     }
 }
 
-fn requests_a_second() {
-    let (request, metrics, token, last) = (request(), metrics(), token(), last());
-    let mut host = Host::new();
-    host.tell(Input::Accepted(ConnId(1), CLIENTS));
+fn measure_requests() {
+    let (request, metrics, token, last) = (request_bytes(), metrics_answer(), token_event(), last_event());
+    let mut driver = Driver::new();
+    driver.handle(Input::Accepted(ConnId(1), CLIENT_LISTENER));
     const N: u32 = 20_000;
-    let began = Instant::now();
+    let started = Instant::now();
     for _ in 0..N {
-        host.now += Duration::from_micros(200);
-        host.tell(Input::Wake);
-        let writer = host.begin(ConnId(1), &request, &metrics);
-        (0..4).for_each(|_| host.tell(Input::Data(writer, &token)));
-        host.tell(Input::Data(writer, &last));
-        host.drain();
+        driver.now += Duration::from_micros(200);
+        driver.handle(Input::Wake);
+        let decode_conn = driver.start_stream(ConnId(1), &request, &metrics);
+        (0..4).for_each(|_| driver.handle(Input::Data(decode_conn, &token)));
+        driver.handle(Input::Data(decode_conn, &last));
+        driver.drain();
     }
-    let each = began.elapsed() / N;
+    let time_per_request = started.elapsed() / N;
     println!(
-        "a request with read, write and 4 events: {:.1} us, {:.0} a second; served {}",
-        each.as_secs_f64() * 1e6,
-        1.0 / each.as_secs_f64(),
-        host.gateway.counters().completed
+        "a request with prefill, decode and 4 events: {:.1} us, {:.0} per second; {} completed",
+        time_per_request.as_secs_f64() * 1e6,
+        1.0 / time_per_request.as_secs_f64(),
+        driver.gateway.counters().completed
     );
 }
 
-fn events_a_second() {
-    let (request, metrics, token) = (request(), metrics(), token());
-    let mut host = Host::new();
-    let writers: Vec<ConnId> = (1..=100)
+fn measure_streamed_events() {
+    let (request, metrics, token) = (request_bytes(), metrics_answer(), token_event());
+    let mut driver = Driver::new();
+    let decode_conns: Vec<ConnId> = (1..=100)
         .map(|n| {
-            host.tell(Input::Accepted(ConnId(n), CLIENTS));
-            host.begin(ConnId(n), &request, &metrics)
+            driver.handle(Input::Accepted(ConnId(n), CLIENT_LISTENER));
+            driver.start_stream(ConnId(n), &request, &metrics)
         })
         .collect();
     const N: usize = 1_000_000;
-    let began = Instant::now();
+    let started = Instant::now();
     for n in 0..N {
-        host.tell(Input::Data(writers[n % writers.len()], &token));
+        driver.handle(Input::Data(decode_conns[n % decode_conns.len()], &token));
         if n % 100 == 99 {
-            host.now += Duration::from_micros(500);
-            host.drain();
+            driver.now += Duration::from_micros(500);
+            driver.drain();
         }
     }
-    println!("streamed events, one a read: {:.0} a second", N as f64 / began.elapsed().as_secs_f64());
+    println!("streamed events, one per read: {:.0} per second", N as f64 / started.elapsed().as_secs_f64());
 }
 
-fn resident() -> usize {
+/// The resident memory of this process, bytes.
+fn resident_bytes() -> usize {
     let text = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     text.split(' ').nth(1).and_then(|n| n.parse::<usize>().ok()).unwrap_or(0) * 4096
 }
 
-fn memory_of_streams() {
-    let (request, metrics, token) = (request(), metrics(), token());
-    let mut host = Host::new();
+fn measure_stream_memory() {
+    let (request, metrics, token) = (request_bytes(), metrics_answer(), token_event());
+    let mut driver = Driver::new();
     const N: u64 = 10_000;
-    let before = resident();
+    let bytes_before = resident_bytes();
     for n in 1..=N {
-        host.tell(Input::Accepted(ConnId(n), CLIENTS));
-        let writer = host.begin(ConnId(n), &request, &metrics);
-        host.tell(Input::Data(writer, &token));
-        host.drain();
+        driver.handle(Input::Accepted(ConnId(n), CLIENT_LISTENER));
+        let decode_conn = driver.start_stream(ConnId(n), &request, &metrics);
+        driver.handle(Input::Data(decode_conn, &token));
+        driver.drain();
     }
-    let each = (resident() - before) as f64 / N as f64;
+    let bytes_per_stream = (resident_bytes() - bytes_before) as f64 / N as f64;
     println!(
         "memory of an open stream, {N} open, prompt of {} bytes: {:.1} KiB",
         request.len(),
-        each / 1024.0
+        bytes_per_stream / 1024.0
     );
 }
 
-fn module_alone() {
+fn measure_decision_module() {
     use slipreel::{
         Action, AttemptEnded, Engine, Event, KindId, Listing, LoadReport, Outcome, Request, RequestId, Router,
     };
     let settings = settings();
     let mut router = Router::new(settings.decisions.clone(), 5);
     let (mut now, mut out) = (Duration::from_secs(1 << 20), Vec::new());
-    let entry = |e: &EngineSettings| Engine {
-        id: slipreel_gateway::engine_id(e.addr),
-        kind: KindId(KINDS.iter().position(|k| *k == e.role).unwrap_or(0)),
+    let engine = |settings: &EngineSettings| Engine {
+        id: slipreel_gateway::engine_id(settings.addr),
+        kind: KindId(KINDS.iter().position(|role| *role == settings.role).unwrap_or(0)),
         ..Engine::default()
     };
-    let engines = settings.engines.iter().map(entry).collect();
+    let engines = settings.engines.iter().map(engine).collect();
     router.handle(now, Event::Engines { listing: Listing::Complete, engines }, &mut out);
     const N: u64 = 20_000;
     let report = LoadReport { queued: Some(0.0), memory_share: Some(0.2), ..LoadReport::default() };
-    let began = Instant::now();
+    let started = Instant::now();
     for n in 0..N {
         now += Duration::from_micros(200);
         let request = Request {
@@ -276,25 +281,25 @@
         }
     }
     println!(
-        "of that the module's decisions: {:.1} us a request with 8 engines",
-        began.elapsed().as_secs_f64() * 1e6 / N as f64
+        "of that the decision module: {:.1} us per request with 8 engines",
+        started.elapsed().as_secs_f64() * 1e6 / N as f64
     );
 }
 
-/// A million settings with half of them cancelled, as connections do, and the rest fired.
-fn wheel_against_heap() {
+/// Sets a million timers, of which half are cancelled and the rest fire, as connections do.
+fn compare_timer_wheel_with_heap() {
     const N: u64 = 1_000_000;
-    let draw = |x: &mut u64| {
+    let random_delay = |x: &mut u64| {
         *x = x.wrapping_mul(0x5851_f42d_4c95_7f2d).wrapping_add(1);
         (*x >> 33) % 10_000
     };
-    let (mut x, began) = (7, Instant::now());
+    let (mut x, started) = (7, Instant::now());
     let mut wheel = TimerWheel::default();
     let mut last = None;
     let mut fired = 0u64;
     for n in 0..N {
         let now = Duration::from_micros(n * 10);
-        let key = wheel.set(now + Duration::from_millis(draw(&mut x)), n);
+        let key = wheel.set(now + Duration::from_millis(random_delay(&mut x)), n);
         if let Some(key) = last.replace(key).filter(|_| n % 2 == 0) {
             wheel.cancel(key);
         }
@@ -302,13 +307,13 @@
             fired += 1;
         }
     }
-    let wheel_time = began.elapsed();
-    let (mut x, began) = (7, Instant::now());
+    let wheel_time = started.elapsed();
+    let (mut x, started) = (7, Instant::now());
     let (mut heap, mut cancelled) = (BinaryHeap::new(), std::collections::HashSet::new());
     let mut fired_heap = 0u64;
     for n in 0..N {
         let now = n * 10;
-        heap.push(Reverse((now + draw(&mut x) * 1000, n)));
+        heap.push(Reverse((now + random_delay(&mut x) * 1000, n)));
         if n % 2 == 0 && n > 0 {
             cancelled.insert(n - 1);
         }
@@ -318,15 +323,15 @@
             }
         }
     }
-    let heap_time = began.elapsed();
+    let heap_time = started.elapsed();
     let ns = |t: Duration| t.as_nanos() as f64 / N as f64;
-    println!("a timer set, half of them cancelled: wheel {:.0} ns, heap with a set {:.0} ns (fired {fired}, {fired_heap})", ns(wheel_time), ns(heap_time));
+    println!("a timer, half of them cancelled: wheel {:.0} ns, heap with a set {:.0} ns (fired {fired}, {fired_heap})", ns(wheel_time), ns(heap_time));
 }
 
 fn main() {
-    requests_a_second();
-    module_alone();
-    events_a_second();
-    memory_of_streams();
-    wheel_against_heap();
+    measure_requests();
+    measure_decision_module();
+    measure_streamed_events();
+    measure_stream_memory();
+    compare_timer_wheel_with_heap();
 }
--- a/crates/gateway/tests/connections.rs
+++ b/crates/gateway/tests/connections.rs
@@ -1,4 +1,5 @@
-//! The front fed by hand: what it does with connections when nothing else is there.
+//! Tests how the gateway handles connections. The tests pass it inputs directly, without sockets, clients or
+//! engines.
 
 use slipreel_gateway::settings::*;
 use slipreel_gateway::{Gateway, GatewaySettings};
@@ -6,7 +7,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-const CLIENTS: ListenerId = ListenerId(0);
+const CLIENT_LISTENER: ListenerId = ListenerId(0);
 const CLIENT: ConnId = ConnId(1);
 
 fn ms(n: u64) -> Duration {
@@ -14,10 +15,10 @@
 }
 
 fn settings() -> GatewaySettings {
-    let start = class_defaults();
+    let defaults = class_defaults();
     let class = slipreel::Class {
-        latency_objective: start.latency_objective,
-        latency_objective_per_1000_tokens: start.latency_objective_per_1000_tokens,
+        latency_objective: defaults.latency_objective,
+        latency_objective_per_1000_tokens: defaults.latency_objective_per_1000_tokens,
         priority_weight: 1.0,
         idempotency: slipreel::Idempotency::Idempotent,
         streams: true,
@@ -32,7 +33,7 @@
     };
     GatewaySettings {
         decisions: slipreel::Settings { classes: vec![class], ..default_decision_settings() },
-        classes: vec![ClassSettings { name: "chat".into(), client_timeout: start.client_timeout }],
+        classes: vec![ClassSettings { name: "chat".into(), client_timeout: defaults.client_timeout }],
         models: vec![ModelSettings { name: "m".into(), class: 0, served_as: "engine-m".into() }],
         tenants: Vec::new(),
         engines: vec![engine(1, slipreel::Role::Prefill), engine(2, slipreel::Role::Decode)],
@@ -44,44 +45,48 @@
     }
 }
 
-struct Host {
+/// Passes inputs to a gateway, with its own clock, and keeps the outputs until a test takes them.
+struct Driver {
     gateway: Gateway,
     now: Duration,
     out: Vec<Output>,
 }
 
-impl Host {
+impl Driver {
     fn new(settings: GatewaySettings) -> Self {
         let now = Duration::from_secs(1000);
-        Host { gateway: Gateway::new(Arc::new(settings), 5, now, now), now, out: Vec::new() }
+        Driver { gateway: Gateway::new(Arc::new(settings), 5, now, now), now, out: Vec::new() }
     }
 
-    fn tell(&mut self, input: Input<'_>) -> Vec<Output> {
+    /// Handles one input. Returns its outputs and also adds them to `out`.
+    fn handle(&mut self, input: Input<'_>) -> Vec<Output> {
         let mut out = Vec::new();
         self.gateway.handle(self.now, input, &mut out);
         self.out.extend(out.iter().cloned());
         out
     }
 
-    /// Lets time pass, waking the gateway when it asks for it.
-    fn pass(&mut self, time: Duration) -> Vec<Output> {
+    /// Advances the clock and wakes the gateway at the times that it asks for.
+    fn advance(&mut self, time: Duration) -> Vec<Output> {
         let (end, mut out) = (self.now + time, Vec::new());
         while let Some(at) = self.gateway.wake_at().filter(|at| *at <= end) {
             self.now = self.now.max(at);
-            out.extend(self.tell(Input::Wake));
+            out.extend(self.handle(Input::Wake));
         }
         self.now = end;
         out
     }
 
-    fn ask(&mut self, bytes: &str) -> String {
-        self.tell(Input::Accepted(CLIENT, CLIENTS));
-        let out = self.tell(Input::Data(CLIENT, bytes.as_bytes()));
-        text(&out, CLIENT)
+    /// Sends bytes on a new connection of the client and returns what is written to it.
+    fn send_request(&mut self, bytes: &str) -> String {
+        self.handle(Input::Accepted(CLIENT, CLIENT_LISTENER));
+        let out = self.handle(Input::Data(CLIENT, bytes.as_bytes()));
+        written_text(&out, CLIENT)
     }
 }
 
-fn text(out: &[Output], conn: ConnId) -> String {
+/// The text written to a connection.
+fn written_text(out: &[Output], conn: ConnId) -> String {
     let written = out.iter().filter_map(|o| match o {
         Output::Write(c, bytes) if *c == conn => Some(String::from_utf8_lossy(bytes).into_owned()),
         _ => None,
@@ -96,15 +101,15 @@
 const BODY: &str =
     r#"{"model":"m","max_tokens":5,"stream":true,"messages":[{"role":"user","content":"hello"}]}"#;
 
-/// The connections opened, in order.
-fn connects(out: &[Output]) -> Vec<(ConnId, u16)> {
+/// The connections that were opened, in order, each with the engine's port.
+fn opened_connections(out: &[Output]) -> Vec<(ConnId, u16)> {
     out.iter()
         .filter_map(|o| if let Output::Connect(c, a) = o { Some((*c, a.port())) } else { None })
         .collect()
 }
 
 #[test]
-fn paths_and_methods_that_are_not_there() {
+fn unknown_paths_wrong_methods_and_malformed_requests_get_their_status() {
     for (request, status) in [
         ("GET /nope HTTP/1.1\r\nhost: a\r\n\r\n", "404"),
         ("GET /v1/messages HTTP/1.1\r\nhost: a\r\n\r\n", "405"),
@@ -114,146 +119,152 @@
         ("BAD\r\n\r\n", "400"),
         ("GET / HTTP/3.0\r\nhost: a\r\n\r\n", "505"),
     ] {
-        let answer = Host::new(settings()).ask(request);
+        let answer = Driver::new(settings()).send_request(request);
         assert!(answer.starts_with(&format!("HTTP/1.1 {status} ")), "{request:?}: {answer}");
     }
 }
 
 #[test]
-fn a_body_that_is_too_large_is_refused_before_it_comes() {
-    let mut host = Host::new(settings());
-    let answer = host.ask("POST /v1/messages HTTP/1.1\r\nhost: a\r\ncontent-length: 104857600\r\n\r\n");
+fn a_body_that_is_too_large_is_rejected_before_it_arrives() {
+    let mut driver = Driver::new(settings());
+    let answer =
+        driver.send_request("POST /v1/messages HTTP/1.1\r\nhost: a\r\ncontent-length: 104857600\r\n\r\n");
     assert!(answer.starts_with("HTTP/1.1 413 ") && answer.contains("request_too_large"), "{answer}");
-    assert!(host.out.contains(&Output::CloseWhenSent(CLIENT)));
+    assert!(driver.out.contains(&Output::CloseWhenSent(CLIENT)));
 }
 
 #[test]
-fn a_client_that_expects_continue_gets_it_once() {
-    let mut host = Host::new(settings());
+fn expect_100_continue_is_answered_once() {
+    let mut driver = Driver::new(settings());
     let head = format!(
         "POST /v1/messages HTTP/1.1\r\nhost: a\r\nexpect: 100-continue\r\ncontent-length: {}\r\n\r\n",
         BODY.len()
     );
-    assert_eq!(host.ask(&head), "HTTP/1.1 100 Continue\r\n\r\n");
-    let out = host.tell(Input::Data(CLIENT, BODY.as_bytes()));
-    assert!(!connects(&out).is_empty(), "{out:?}");
+    assert_eq!(driver.send_request(&head), "HTTP/1.1 100 Continue\r\n\r\n");
+    let out = driver.handle(Input::Data(CLIENT, BODY.as_bytes()));
+    assert!(!opened_connections(&out).is_empty(), "{out:?}");
 }
 
 #[test]
 fn pipelined_requests_are_answered_in_order_and_bounded() {
-    let mut host = Host::new(settings());
+    let mut driver = Driver::new(settings());
     let two = "GET /health HTTP/1.1\r\nhost: a\r\n\r\nGET /nope HTTP/1.1\r\nhost: a\r\n\r\n";
-    let answer = host.ask(two);
+    let answer = driver.send_request(two);
     assert!(answer.find("200 OK") < answer.find("404 Not Found"), "{answer}");
-    host.tell(Input::Data(CLIENT, post(BODY).as_bytes()));
+    driver.handle(Input::Data(CLIENT, post(BODY).as_bytes()));
     let flood = "GET /health HTTP/1.1\r\nhost: a\r\n\r\n".repeat(4000);
-    assert!(host.tell(Input::Data(CLIENT, flood.as_bytes())).contains(&Output::Pause(CLIENT)));
+    assert!(driver.handle(Input::Data(CLIENT, flood.as_bytes())).contains(&Output::Pause(CLIENT)));
 }
 
 #[test]
-fn slow_heads_and_idle_connections_end() {
-    let mut host = Host::new(settings());
-    host.ask("GET /health HT");
-    let out = host.pass(Bounds::default().receive + ms(5));
+fn slow_heads_and_idle_connections_time_out() {
+    let mut driver = Driver::new(settings());
+    driver.send_request("GET /health HT");
+    let out = driver.advance(Bounds::default().receive + ms(5));
     assert!(
-        text(&out, CLIENT).starts_with("HTTP/1.1 408 ") && out.contains(&Output::CloseWhenSent(CLIENT)),
+        written_text(&out, CLIENT).starts_with("HTTP/1.1 408 ")
+            && out.contains(&Output::CloseWhenSent(CLIENT)),
         "{out:?}"
     );
-    let mut host = Host::new(settings());
-    host.tell(Input::Accepted(CLIENT, CLIENTS));
-    assert!(host.pass(Bounds::default().client_idle - ms(5)).is_empty());
-    assert!(host.pass(ms(10)).contains(&Output::CloseWhenSent(CLIENT)));
-    assert_eq!(host.gateway.held_state().client_connections, 0);
+    let mut driver = Driver::new(settings());
+    driver.handle(Input::Accepted(CLIENT, CLIENT_LISTENER));
+    assert!(driver.advance(Bounds::default().client_idle - ms(5)).is_empty());
+    assert!(driver.advance(ms(10)).contains(&Output::CloseWhenSent(CLIENT)));
+    assert_eq!(driver.gateway.held_state().client_connections, 0);
 }
 
 #[test]
-fn requests_over_the_bound_are_turned_away_with_a_time() {
-    let mut host = Host::new(settings());
+fn requests_over_the_limit_are_rejected_with_retry_after() {
+    let mut driver = Driver::new(settings());
     for n in 1..=4 {
-        host.tell(Input::Accepted(ConnId(n), CLIENTS));
-        let out = host.tell(Input::Data(ConnId(n), post(BODY).as_bytes()));
-        let answer = text(&out, ConnId(n));
-        let over = answer.starts_with("HTTP/1.1 529 ")
+        driver.handle(Input::Accepted(ConnId(n), CLIENT_LISTENER));
+        let out = driver.handle(Input::Data(ConnId(n), post(BODY).as_bytes()));
+        let answer = written_text(&out, ConnId(n));
+        let is_rejected = answer.starts_with("HTTP/1.1 529 ")
             && answer.contains("retry-after: 1\r\n")
             && answer.contains("x-should-retry: true");
-        assert_eq!(over, n == 4, "{n}: {answer}");
+        assert_eq!(is_rejected, n == 4, "{n}: {answer}");
     }
 }
 
 #[test]
-fn no_descriptors_means_that_nothing_was_sent() {
-    let mut host = Host::new(settings());
-    host.ask(&post(BODY));
+fn attempts_without_a_descriptor_count_as_not_sent() {
+    let mut driver = Driver::new(settings());
+    driver.send_request(&post(BODY));
     let mut answer = String::new();
     for _ in 0..40 {
-        let out = std::mem::take(&mut host.out);
-        for (conn, _) in connects(&out) {
-            host.tell(Input::Lost(conn, ConnectionLoss::Exhausted));
+        let out = std::mem::take(&mut driver.out);
+        for (conn, _) in opened_connections(&out) {
+            driver.handle(Input::Lost(conn, ConnectionLoss::Exhausted));
         }
-        host.pass(ms(50));
-        answer.push_str(&text(&host.out, CLIENT));
+        driver.advance(ms(50));
+        answer.push_str(&written_text(&driver.out, CLIENT));
     }
     assert!(answer.starts_with("HTTP/1.1 529 ") || answer.starts_with("HTTP/1.1 504 "), "{answer}");
-    assert_eq!(host.gateway.held_state().requests, 0);
+    assert_eq!(driver.gateway.held_state().requests, 0);
     assert!(
-        !host.out.iter().any(|o| matches!(o, Output::Log(l) if l.contains("ejected"))),
-        "no engine is to blame"
+        !driver.out.iter().any(|o| matches!(o, Output::Log(l) if l.contains("ejected"))),
+        "no engine is ejected for the router's lack of descriptors"
     );
 }
 
-/// Plays reader and writer up to the first token; gives the writer's connection.
-fn up_to_the_stream(host: &mut Host) -> ConnId {
-    host.ask(&post(BODY));
-    let read = r#"{"kv_transfer_params":{"x":1},"usage":{"prompt_tokens":9}}"#;
-    let answer = format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{read}", read.len());
-    let (reader, _) = connects(&host.out)[0];
-    host.tell(Input::Connected(reader));
-    let out = host.tell(Input::Data(reader, answer.as_bytes()));
-    let (writer, port) = connects(&out)[0];
+/// Sends a request and answers for the engines: a complete prefill, then the head of the decode engine's
+/// stream. Returns the connection of the decode attempt.
+fn run_until_stream_head(driver: &mut Driver) -> ConnId {
+    driver.send_request(&post(BODY));
+    let prefill_answer = r#"{"kv_transfer_params":{"x":1},"usage":{"prompt_tokens":9}}"#;
+    let answer =
+        format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{prefill_answer}", prefill_answer.len());
+    let (prefill_conn, _) = opened_connections(&driver.out)[0];
+    driver.handle(Input::Connected(prefill_conn));
+    let out = driver.handle(Input::Data(prefill_conn, answer.as_bytes()));
+    let (decode_conn, port) = opened_connections(&out)[0];
     assert_eq!(port, 2);
-    let out = host.tell(Input::Connected(writer));
-    assert!(text(&out, writer).contains("\"kv_transfer_params\":{\"x\":1}"));
+    let out = driver.handle(Input::Connected(decode_conn));
+    assert!(written_text(&out, decode_conn).contains("\"kv_transfer_params\":{\"x\":1}"));
     let head = "HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\ntransfer-encoding: chunked\r\n\r\n";
-    host.tell(Input::Data(writer, head.as_bytes()));
-    writer
+    driver.handle(Input::Data(decode_conn, head.as_bytes()));
+    decode_conn
 }
 
-fn token(words: usize) -> Vec<u8> {
+/// A stream event with a text of this many words.
+fn token_event(words: usize) -> Vec<u8> {
     let event =
         format!("data: {{\"choices\":[{{\"delta\":{{\"content\":\"{}\"}}}}]}}\n\n", "word ".repeat(words));
     slipreel_protocol::http::chunk(event.as_bytes())
 }
 
 #[test]
-fn a_client_that_takes_nothing_holds_its_writer_back_and_is_cut() {
-    let mut host = Host::new(settings());
-    let writer = up_to_the_stream(&mut host);
+fn a_client_that_does_not_read_pauses_its_decode_engine_and_is_disconnected() {
+    let mut driver = Driver::new(settings());
+    let decode_conn = run_until_stream_head(&mut driver);
     let mut paused = false;
     for _ in 0..20 {
-        paused |= host.tell(Input::Data(writer, &token(50))).contains(&Output::Pause(writer));
+        paused |=
+            driver.handle(Input::Data(decode_conn, &token_event(50))).contains(&Output::Pause(decode_conn));
         if paused {
             break;
         }
     }
-    assert!(paused, "back-pressure reaches the engine");
+    assert!(paused, "reading from the engine is paused");
     let written: usize =
-        host.out.iter().map(|o| if let Output::Write(CLIENT, b) = o { b.len() } else { 0 }).sum();
+        driver.out.iter().map(|o| if let Output::Write(CLIENT, b) = o { b.len() } else { 0 }).sum();
     assert!(written < 4_000, "{written} bytes wait");
-    let out = host.tell(Input::Sent(CLIENT, written));
-    assert!(out.contains(&Output::Resume(writer)), "{out:?}");
-    while !host.tell(Input::Data(writer, &token(50))).contains(&Output::Pause(writer)) {}
-    let out = host.pass(Bounds::default().stalled_peer + ms(10));
-    assert!(out.contains(&Output::Abort(CLIENT)) && out.contains(&Output::Abort(writer)), "{out:?}");
-    assert_eq!(host.gateway.held_state().requests, 0);
+    let out = driver.handle(Input::Sent(CLIENT, written));
+    assert!(out.contains(&Output::Resume(decode_conn)), "{out:?}");
+    while !driver.handle(Input::Data(decode_conn, &token_event(50))).contains(&Output::Pause(decode_conn)) {}
+    let out = driver.advance(Bounds::default().stalled_peer + ms(10));
+    assert!(out.contains(&Output::Abort(CLIENT)) && out.contains(&Output::Abort(decode_conn)), "{out:?}");
+    assert_eq!(driver.gateway.held_state().requests, 0);
 }
 
 #[test]
-fn a_stream_that_breaks_ends_with_an_error_event() {
-    let mut host = Host::new(settings());
-    let writer = up_to_the_stream(&mut host);
-    host.tell(Input::Data(writer, &token(1)));
-    let out = host.tell(Input::Lost(writer, ConnectionLoss::Reset));
-    let end = text(&out, CLIENT);
+fn an_interrupted_stream_ends_with_an_error_event() {
+    let mut driver = Driver::new(settings());
+    let decode_conn = run_until_stream_head(&mut driver);
+    driver.handle(Input::Data(decode_conn, &token_event(1)));
+    let out = driver.handle(Input::Lost(decode_conn, ConnectionLoss::Reset));
+    let end = written_text(&out, CLIENT);
     assert!(
         end.contains("event: error\n") && end.ends_with("0\r\n\r\n") && !end.contains("message_stop"),
         "{end}"
@@ -261,57 +272,57 @@
 }
 
 #[test]
-fn a_stop_ends_what_runs_and_takes_nothing_new() {
-    let mut host = Host::new(settings());
-    let writer = up_to_the_stream(&mut host);
-    host.tell(Input::Data(writer, &token(1)));
-    host.tell(Input::Accepted(ConnId(2), CLIENTS));
-    let out = host.tell(Input::Stop);
+fn a_shutdown_finishes_requests_and_accepts_no_new_ones() {
+    let mut driver = Driver::new(settings());
+    let decode_conn = run_until_stream_head(&mut driver);
+    driver.handle(Input::Data(decode_conn, &token_event(1)));
+    driver.handle(Input::Accepted(ConnId(2), CLIENT_LISTENER));
+    let out = driver.handle(Input::Stop);
     assert!(out.contains(&Output::CloseWhenSent(ConnId(2))) && !out.contains(&Output::Stopped));
-    assert!(host.tell(Input::Accepted(ConnId(3), CLIENTS)).contains(&Output::Abort(ConnId(3))));
+    assert!(driver.handle(Input::Accepted(ConnId(3), CLIENT_LISTENER)).contains(&Output::Abort(ConnId(3))));
     let end = "data: {\"choices\":[{\"delta\":{},\"finish_reason\":\"stop\"}]}\n\ndata: [DONE]\n\n";
     let mut bytes = slipreel_protocol::http::chunk(end.as_bytes());
     bytes.extend_from_slice(b"0\r\n\r\n");
-    let out = host.tell(Input::Data(writer, &bytes));
-    assert!(text(&out, CLIENT).contains("message_stop") && out.contains(&Output::Stopped), "{out:?}");
+    let out = driver.handle(Input::Data(decode_conn, &bytes));
+    assert!(written_text(&out, CLIENT).contains("message_stop") && out.contains(&Output::Stopped), "{out:?}");
 }
 
 #[test]
-fn a_stop_gives_up_in_the_end() {
-    let mut host = Host::new(settings());
-    let writer = up_to_the_stream(&mut host);
-    host.tell(Input::Data(writer, &token(1)));
-    host.tell(Input::Stop);
+fn a_shutdown_ends_slow_requests_at_its_deadline() {
+    let mut driver = Driver::new(settings());
+    let decode_conn = run_until_stream_head(&mut driver);
+    driver.handle(Input::Data(decode_conn, &token_event(1)));
+    driver.handle(Input::Stop);
     let mut out = Vec::new();
     for _ in 0..40 {
-        out.extend(host.pass(ms(1_000)));
+        out.extend(driver.advance(ms(1_000)));
         if out.contains(&Output::Stopped) {
             break;
         }
-        // The engine is alive and slow: it says a word each second.
-        host.tell(Input::Data(writer, &token(1)));
+        // The engine is alive and slow: it sends a token each second.
+        driver.handle(Input::Data(decode_conn, &token_event(1)));
         let unsent: usize =
-            host.out.drain(..).map(|o| if let Output::Write(CLIENT, b) = o { b.len() } else { 0 }).sum();
-        host.tell(Input::Sent(CLIENT, unsent));
+            driver.out.drain(..).map(|o| if let Output::Write(CLIENT, b) = o { b.len() } else { 0 }).sum();
+        driver.handle(Input::Sent(CLIENT, unsent));
     }
-    assert!(text(&out, CLIENT).contains("event: error"), "{out:?}");
+    assert!(written_text(&out, CLIENT).contains("event: error"), "{out:?}");
     assert!(out.contains(&Output::Stopped));
 }
 
-/// What operators get to see; metrics are not on the clients' port.
-fn published(host: &mut Host) -> String {
-    host.tell(Input::Accepted(ConnId(2), ListenerId(1)));
-    let out = host.tell(Input::Data(ConnId(2), b"GET /metrics HTTP/1.1\r\nhost: a\r\n\r\n"));
-    text(&out, ConnId(2))
+/// The metrics on the operators' port.
+fn operator_metrics(driver: &mut Driver) -> String {
+    driver.handle(Input::Accepted(ConnId(2), ListenerId(1)));
+    let out = driver.handle(Input::Data(ConnId(2), b"GET /metrics HTTP/1.1\r\nhost: a\r\n\r\n"));
+    written_text(&out, ConnId(2))
 }
 
 #[test]
-fn what_was_asked_is_published_to_operators() {
-    let mut host = Host::new(settings());
-    let writer = up_to_the_stream(&mut host);
-    host.pass(ms(40));
-    host.tell(Input::Data(writer, &token(1)));
-    let text = published(&mut host);
+fn requests_and_latencies_are_published_on_the_operators_port_only() {
+    let mut driver = Driver::new(settings());
+    let decode_conn = run_until_stream_head(&mut driver);
+    driver.advance(ms(40));
+    driver.handle(Input::Data(decode_conn, &token_event(1)));
+    let text = operator_metrics(&mut driver);
     assert!(text.contains("content-type: application/openmetrics-text"), "{text}");
     for line in [
         "class_asked_total{class=\"chat\"} 1",
@@ -327,136 +338,146 @@
         assert!(text.contains(&format!("slipreel_{line}\n")), "{line}: {text}");
     }
     assert!(text.contains("# HELP slipreel_attempts ") && text.contains("# TYPE slipreel_attempts counter"));
-    let out = host.ask("GET /metrics HTTP/1.1\r\nhost: a\r\n\r\n");
-    assert!(out.contains("404"), "not on the port of the clients: {out}");
-    let out = host.tell(Input::Data(ConnId(2), b"GET /v1/models HTTP/1.1\r\nhost: a\r\n\r\n"));
-    assert!(self::text(&out, ConnId(2)).starts_with("HTTP/1.1 404"), "operators ask for nothing of clients");
+    let out = driver.send_request("GET /metrics HTTP/1.1\r\nhost: a\r\n\r\n");
+    assert!(out.contains("404"), "metrics are not on the clients' port: {out}");
+    let out = driver.handle(Input::Data(ConnId(2), b"GET /v1/models HTTP/1.1\r\nhost: a\r\n\r\n"));
+    assert!(
+        written_text(&out, ConnId(2)).starts_with("HTTP/1.1 404"),
+        "clients' paths are not on the operators' port"
+    );
 }
 
 #[test]
-fn refusals_are_published_by_reason() {
+fn rejections_are_published_by_reason() {
     let mut settings = settings();
     settings.bounds.requests = 1;
-    let mut host = Host::new(settings);
-    host.ask(&post(BODY));
-    host.tell(Input::Accepted(ConnId(3), CLIENTS));
-    host.tell(Input::Data(ConnId(3), post(BODY).as_bytes()));
-    let text = published(&mut host);
+    let mut driver = Driver::new(settings);
+    driver.send_request(&post(BODY));
+    driver.handle(Input::Accepted(ConnId(3), CLIENT_LISTENER));
+    driver.handle(Input::Data(ConnId(3), post(BODY).as_bytes()));
+    let text = operator_metrics(&mut driver);
     assert!(text.contains("slipreel_refusals_total{class=\"chat\",reason=\"bound\"} 1\n"), "{text}");
 }
 
-/// A reader that can't be told to let go of state is told again, until it has heard.
+/// A release that can't be sent to the prefill engine is retried until the engine acknowledges it.
 #[test]
-fn a_lost_word_to_let_go_is_said_again() {
-    let mut host = Host::new(settings());
-    host.ask(&post(BODY));
-    let read = r#"{"kv_transfer_params":{"x":1},"usage":{"prompt_tokens":9}}"#;
-    let answer =
-        format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\nconnection: close\r\n\r\n{read}", read.len());
-    let (reader, _) = connects(&host.out)[0];
-    host.tell(Input::Connected(reader));
-    host.tell(Input::Data(reader, answer.as_bytes()));
-    // The client leaves while the state waits at the reader, whose links are cut for a second.
-    host.out.clear();
-    host.tell(Input::Lost(CLIENT, ConnectionLoss::Reset));
-    let mut tries = 0;
+fn a_lost_release_is_sent_again() {
+    let mut driver = Driver::new(settings());
+    driver.send_request(&post(BODY));
+    let prefill_answer = r#"{"kv_transfer_params":{"x":1},"usage":{"prompt_tokens":9}}"#;
+    let answer = format!(
+        "HTTP/1.1 200 OK\r\ncontent-length: {}\r\nconnection: close\r\n\r\n{prefill_answer}",
+        prefill_answer.len()
+    );
+    let (prefill_conn, _) = opened_connections(&driver.out)[0];
+    driver.handle(Input::Connected(prefill_conn));
+    driver.handle(Input::Data(prefill_conn, answer.as_bytes()));
+    // The client disconnects while the prefill engine holds the state. For a second that engine can't be
+    // reached.
+    driver.out.clear();
+    driver.handle(Input::Lost(CLIENT, ConnectionLoss::Reset));
+    let mut release_connections = 0;
     for _ in 0..5 {
-        let opened: Vec<(ConnId, u16)> = connects(&std::mem::take(&mut host.out));
-        tries += opened.iter().filter(|(_, port)| *port == 1).count();
-        host.pass(ms(300));
+        let opened: Vec<(ConnId, u16)> = opened_connections(&std::mem::take(&mut driver.out));
+        release_connections += opened.iter().filter(|(_, port)| *port == 1).count();
+        driver.advance(ms(300));
     }
-    assert!(tries >= 3, "{tries} tries");
-    // Then one stands, and the reader hears.
-    let (conn, _) = *connects(&host.out).iter().rfind(|(_, port)| *port == 1).expect("one more try");
-    let said = text(&host.tell(Input::Connected(conn)), conn);
-    assert!(said.starts_with("POST /abort_requests ") && said.contains("-0\"]"), "{said}");
-    host.tell(Input::Data(conn, b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\n{}"));
-    host.out.clear();
-    host.pass(ms(1_000));
-    assert_eq!(connects(&host.out), [], "it has been heard");
+    assert!(release_connections >= 3, "{release_connections} connections");
+    // Then a connection is established, and the prefill engine receives the release.
+    let (conn, _) =
+        *opened_connections(&driver.out).iter().rfind(|(_, port)| *port == 1).expect("one more connection");
+    let release = written_text(&driver.handle(Input::Connected(conn)), conn);
+    assert!(release.starts_with("POST /abort_requests ") && release.contains("-0\"]"), "{release}");
+    driver.handle(Input::Data(conn, b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\n{}"));
+    driver.out.clear();
+    driver.advance(ms(1_000));
+    assert_eq!(opened_connections(&driver.out), [], "the release was acknowledged");
 }
 
-/// While a reader holds state, a connection to it that stands is kept for the word to let go, which need not
-/// wait until a new one has come to stand.
+/// While a prefill engine holds state, an idle connection to it is kept for the release, which then need not
+/// wait until a new connection is established.
 #[test]
-fn a_connection_that_stands_is_kept_for_letting_go() {
-    let mut host = Host::new(settings());
-    host.ask(&post(BODY));
-    let read = r#"{"kv_transfer_params":{"x":1},"usage":{"prompt_tokens":9}}"#;
-    let answer = format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{read}", read.len());
-    let (reader, _) = connects(&host.out)[0];
-    host.tell(Input::Connected(reader));
-    host.tell(Input::Data(reader, answer.as_bytes()));
-    // Another request is read at the same engine meanwhile, on a connection of its own that does not come to
-    // stand.
+fn an_idle_connection_is_kept_for_releases() {
+    let mut driver = Driver::new(settings());
+    driver.send_request(&post(BODY));
+    let prefill_answer = r#"{"kv_transfer_params":{"x":1},"usage":{"prompt_tokens":9}}"#;
+    let answer =
+        format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{prefill_answer}", prefill_answer.len());
+    let (prefill_conn, _) = opened_connections(&driver.out)[0];
+    driver.handle(Input::Connected(prefill_conn));
+    driver.handle(Input::Data(prefill_conn, answer.as_bytes()));
+    // Meanwhile another request is prefilled at the same engine, on its own connection, which is not
+    // established.
     let other = ConnId(77);
-    host.tell(Input::Accepted(other, CLIENTS));
-    let out = host.tell(Input::Data(other, post(BODY).as_bytes()));
-    assert_eq!(connects(&out).iter().filter(|(_, port)| *port == 1).count(), 1, "{out:?}");
-    let out = host.tell(Input::Lost(CLIENT, ConnectionLoss::Reset));
-    assert!(text(&out, reader).starts_with("POST /abort_requests "), "{out:?}");
+    driver.handle(Input::Accepted(other, CLIENT_LISTENER));
+    let out = driver.handle(Input::Data(other, post(BODY).as_bytes()));
+    assert_eq!(opened_connections(&out).iter().filter(|(_, port)| *port == 1).count(), 1, "{out:?}");
+    let out = driver.handle(Input::Lost(CLIENT, ConnectionLoss::Reset));
+    assert!(written_text(&out, prefill_conn).starts_with("POST /abort_requests "), "{out:?}");
 }
 
 const STREAM_END: &str =
     "data: {\"choices\":[{\"delta\":{},\"finish_reason\":\"stop\"}]}\n\ndata: [DONE]\n\n";
 
-/// A first request is served whole, and a second one read: gives the host, the writer's kept connection, and
-/// what came of the second read.
-fn up_to_a_second_write(effect: slipreel::Idempotency) -> (Host, ConnId, Vec<Output>) {
+/// Completes a first request and the prefill of a second one. Returns the driver, the idle connection to the
+/// decode engine, and the outputs of the second prefill's answer.
+fn run_until_second_decode(idempotency: slipreel::Idempotency) -> (Driver, ConnId, Vec<Output>) {
     let mut settings = settings();
-    settings.decisions.classes[0].idempotency = effect;
-    let mut host = Host::new(settings);
-    let writer = up_to_the_stream(&mut host);
-    host.tell(Input::Data(writer, &token(1)));
+    settings.decisions.classes[0].idempotency = idempotency;
+    let mut driver = Driver::new(settings);
+    let decode_conn = run_until_stream_head(&mut driver);
+    driver.handle(Input::Data(decode_conn, &token_event(1)));
     let mut end = slipreel_protocol::http::chunk(STREAM_END.as_bytes());
     end.extend_from_slice(b"0\r\n\r\n");
-    host.tell(Input::Data(writer, &end));
-    host.pass(ms(300));
-    let out = host.tell(Input::Data(CLIENT, post(BODY).as_bytes()));
-    // The reader's kept connection carries the release of the first.
-    let (reader, port) = connects(&out)[0];
+    driver.handle(Input::Data(decode_conn, &end));
+    driver.advance(ms(300));
+    let out = driver.handle(Input::Data(CLIENT, post(BODY).as_bytes()));
+    // The idle connection to the prefill engine carries the release of the first request.
+    let (prefill_conn, port) = opened_connections(&out)[0];
     assert_eq!(port, 1);
-    host.tell(Input::Connected(reader));
-    let read = r#"{"kv_transfer_params":{"x":1},"usage":{"prompt_tokens":9}}"#;
-    let answer = format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{read}", read.len());
-    let out = host.tell(Input::Data(reader, answer.as_bytes()));
-    (host, writer, out)
+    driver.handle(Input::Connected(prefill_conn));
+    let prefill_answer = r#"{"kv_transfer_params":{"x":1},"usage":{"prompt_tokens":9}}"#;
+    let answer =
+        format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{prefill_answer}", prefill_answer.len());
+    let out = driver.handle(Input::Data(prefill_conn, answer.as_bytes()));
+    (driver, decode_conn, out)
 }
 
-/// An answer which says that nothing ran is no proof where it may be one left over from the exchange before.
+/// A rejection proves that nothing ran only if it can't be a late answer to an earlier exchange on the same
+/// connection.
 #[test]
-fn a_write_that_must_not_be_repeated_goes_out_on_a_connection_that_carried_nothing_before() {
-    let keyed =
+fn a_decode_attempt_that_must_not_be_repeated_uses_a_new_connection() {
+    let with_key =
         slipreel::Idempotency::WithKey { scope: slipreel::DeduplicationScope::Cell, window: ms(5_000) };
-    for (effect, opens) in [
+    for (idempotency, opens_connection) in [
         (slipreel::Idempotency::Idempotent, false),
         (slipreel::Idempotency::NotIdempotent, true),
-        (keyed, true),
+        (with_key, true),
     ] {
-        let (_, writer, out) = up_to_a_second_write(effect);
-        assert_eq!(connects(&out).len(), usize::from(opens), "{effect:?}: {out:?}");
-        assert_eq!(text(&out, writer).is_empty(), opens, "{effect:?}");
+        let (_, decode_conn, out) = run_until_second_decode(idempotency);
+        assert_eq!(opened_connections(&out).len(), usize::from(opens_connection), "{idempotency:?}: {out:?}");
+        assert_eq!(written_text(&out, decode_conn).is_empty(), opens_connection, "{idempotency:?}");
     }
 }
 
 #[test]
-fn a_kept_connection_that_turns_an_attempt_away_is_closed() {
-    let (mut host, writer, _) = up_to_a_second_write(slipreel::Idempotency::Idempotent);
-    let full = r#"{"error":{"type":"overloaded_error","message":"full"}}"#;
-    let full = full.replace("overloaded_error", slipreel_protocol::engine::FULL);
-    let answer = format!("HTTP/1.1 503 Busy\r\ncontent-length: {}\r\n\r\n{full}", full.len());
-    let out = host.tell(Input::Data(writer, answer.as_bytes()));
-    assert!(out.contains(&Output::Abort(writer)), "it may be at work there all the same: {out:?}");
+fn a_reused_connection_on_which_an_attempt_is_rejected_is_closed() {
+    let (mut driver, decode_conn, _) = run_until_second_decode(slipreel::Idempotency::Idempotent);
+    let error_body = r#"{"error":{"type":"overloaded_error","message":"full"}}"#;
+    let error_body = error_body.replace("overloaded_error", slipreel_protocol::engine::FULL);
+    let answer = format!("HTTP/1.1 503 Busy\r\ncontent-length: {}\r\n\r\n{error_body}", error_body.len());
+    let out = driver.handle(Input::Data(decode_conn, answer.as_bytes()));
+    assert!(out.contains(&Output::Abort(decode_conn)), "the attempt may still run there: {out:?}");
 }
 
 #[test]
-fn nothing_is_begun_for_a_client_that_left_while_the_connection_came_up() {
+fn no_attempt_is_sent_for_a_client_that_left_while_the_connection_was_opened() {
     let mut settings = settings();
     settings.decisions.limits.cancellation = false;
-    let mut host = Host::new(settings);
-    host.ask(&post(BODY));
-    let (reader, _) = connects(&host.out)[0];
-    host.tell(Input::Lost(CLIENT, ConnectionLoss::Reset));
-    let out = host.tell(Input::Connected(reader));
-    assert_eq!(text(&out, reader), "");
+    let mut driver = Driver::new(settings);
+    driver.send_request(&post(BODY));
+    let (prefill_conn, _) = opened_connections(&driver.out)[0];
+    driver.handle(Input::Lost(CLIENT, ConnectionLoss::Reset));
+    let out = driver.handle(Input::Connected(prefill_conn));
+    assert_eq!(written_text(&out, prefill_conn), "");
 }
