--- a/crates/gateway/src/answers.rs
+++ b/crates/gateway/src/answers.rs
@@ -17,9 +17,9 @@
         let Some(request) = self.requests.get(id) else { return };
         let Some(client) = self.clients.get_mut(request.client) else { return };
         client.last_sent_at = now;
-        let epoch = request.epoch.map(|e| e.to_string());
+        let epoch = request.epoch.map(|epoch| epoch.to_string());
         let mut fields = vec![("request-id", request.request_id.as_str())];
-        fields.extend(epoch.as_ref().map(|e| (POLICY_FIELD, e.as_str())));
+        fields.extend(epoch.as_ref().map(|epoch| (POLICY_FIELD, epoch.as_str())));
         client.begin_stream(&fields, out);
         let conn = client.conn;
         self.arm_client_timer(conn);
@@ -77,7 +77,7 @@
         let must_not_repeat = end == RequestEnd::Failed && request.must_not_repeat();
         if request.stream && request.streaming_attempt.is_some() {
             let mut bytes = Vec::new();
-            request.message_writer.error(error, &request_id, &mut bytes);
+            request.message_writer.write_error(error, &request_id, &mut bytes);
             let mut last = http::chunk(&bytes);
             last.extend_from_slice(http::LAST_CHUNK);
             self.record_end(id, end);
--- a/crates/gateway/src/dispatch.rs
+++ b/crates/gateway/src/dispatch.rs
@@ -49,6 +49,7 @@
         }
     }
 
+    /// Starts an attempt of a request at an engine.
     fn start_attempt(
         &mut self, id: RequestId, engine: EngineId, timeout: Option<Duration>, out: &mut Vec<Output>,
     ) {
@@ -61,7 +62,7 @@
         self.counters.attempts += 1;
         let is_prefill = role == slipreel::Role::Prefill;
         if is_prefill {
-            self.engines.state_held(engine);
+            self.engine_connections.state_held(engine);
         }
         let purpose = ConnectionPurpose::Attempt { request: id.0, attempt, is_prefill };
         let reuse = if is_prefill || !runs_at_most_once {
@@ -106,24 +107,26 @@
     ) -> Option<ConnId> {
         let max_connections = self.settings.bounds.per_engine;
         let slot = match reuse {
-            ConnectionReuse::Allowed => self.engines.reserve(engine, purpose, max_connections, self.now),
+            ConnectionReuse::Allowed => {
+                self.engine_connections.reserve(engine, purpose, max_connections, self.now)
+            }
             ConnectionReuse::Forbidden => {
                 self.free_connection_slot(engine, max_connections, out);
                 // No connection has been idle since time 0, so none is reused.
-                self.engines.reserve(engine, purpose, max_connections, Duration::ZERO)
+                self.engine_connections.reserve(engine, purpose, max_connections, Duration::ZERO)
             }
         };
         let conn = match slot {
             Slot::Full => return None,
             Slot::Idle(conn) => {
-                let connection = self.engines.get_mut(conn)?;
+                let connection = self.engine_connections.get_mut(conn)?;
                 connection.reuse(purpose, self.now);
                 out.push(Output::Write(conn, bytes));
                 conn
             }
             Slot::Open => {
-                let conn = self.engines.next_id();
-                self.engines.insert(EngineConnection::new(conn, engine, purpose, self.now, bytes));
+                let conn = self.engine_connections.next_id();
+                self.engine_connections.insert(EngineConnection::new(conn, engine, purpose, self.now, bytes));
                 out.push(Output::Connect(conn, addr));
                 conn
             }
@@ -135,11 +138,11 @@
     /// Closes an idle connection to an engine if the limit of connections is reached, to make room for a new
     /// one.
     fn free_connection_slot(&mut self, engine: EngineId, max_connections: usize, out: &mut Vec<Output>) {
-        if self.engines.count_to(engine) < max_connections {
+        if self.engine_connections.count_to(engine) < max_connections {
             return;
         }
-        if let Some(&idle) = self.engines.idle_to(engine).first() {
-            self.engines.remove(idle, &mut self.timers);
+        if let Some(&idle) = self.engine_connections.idle_to(engine).first() {
+            self.engine_connections.remove(idle, &mut self.timers);
             out.push(Output::CloseWhenSent(idle));
         }
     }
@@ -159,13 +162,14 @@
         else {
             return;
         };
-        let unsent = self.engines.get(conn).is_some_and(|connection| connection.state == State::Connecting);
+        let unsent =
+            self.engine_connections.get(conn).is_some_and(|connection| connection.state == State::Connecting);
         self.abort_connection(conn, out, if unsent { Outcome::NotSent } else { Outcome::Cancelled });
     }
 
     /// Closes a connection at once; its exchange ends with this outcome.
     pub(crate) fn abort_connection(&mut self, conn: ConnId, out: &mut Vec<Output>, outcome: Outcome) {
-        let Some(connection) = self.engines.remove(conn, &mut self.timers) else { return };
+        let Some(connection) = self.engine_connections.remove(conn, &mut self.timers) else { return };
         out.push(Output::Abort(conn));
         self.exchange_interrupted(&connection, outcome, out);
     }
@@ -191,7 +195,7 @@
     fn release_held_state(&mut self, id: RequestId, out: &mut Vec<Output>) {
         let Some(request) = self.requests.get_mut(id) else { return };
         for (engine, addr, name) in request.take_releasable_state() {
-            self.engines.state_released(Some(engine));
+            self.engine_connections.state_released(Some(engine));
             let release_id = self.releases.add(self.now, engine, addr, name);
             self.release_due(release_id, out);
         }
@@ -213,7 +217,7 @@
 
     /// Sends a release on an idle connection, else on a new one.
     pub(crate) fn send_release(&mut self, id: ReleaseId, release: &Release, out: &mut Vec<Output>) {
-        let has_idle_connection = self.engines.has_idle_to(release.holder);
+        let has_idle_connection = self.engine_connections.has_idle_to(release.holder);
         if !has_idle_connection
             && !self.releases.may_open(release.holder, self.now, limits::RELEASE_TIMING.retry)
         {
@@ -223,8 +227,8 @@
         let mut fields = vec![("host", host.as_str()), ("content-type", "application/json")];
         // The release is this router's own request, so it carries the present epoch and not that of the
         // released request.
-        let epoch = self.epoch().map(|e| e.to_string());
-        fields.extend(epoch.as_ref().map(|e| (POLICY_FIELD, e.as_str())));
+        let epoch = self.epoch().map(|epoch| epoch.to_string());
+        fields.extend(epoch.as_ref().map(|epoch| (POLICY_FIELD, epoch.as_str())));
         let mut bytes = http::request_head("POST", "/abort_requests", &fields, Framing::Length(body.len()));
         bytes.extend_from_slice(body.as_bytes());
         // A new connection may take long to open, so the release counts as sent only on an established one. A
@@ -250,9 +254,9 @@
         let Some(addr) = self.engine_list.addr(engine) else {
             return self.probe_ended(engine, Outcome::NotSent, LoadReport::default());
         };
-        let (host, epoch) = (addr.to_string(), self.epoch().map(|e| e.to_string()));
+        let (host, epoch) = (addr.to_string(), self.epoch().map(|epoch| epoch.to_string()));
         let mut fields = vec![("host", host.as_str())];
-        fields.extend(epoch.as_ref().map(|e| (POLICY_FIELD, e.as_str())));
+        fields.extend(epoch.as_ref().map(|epoch| (POLICY_FIELD, epoch.as_str())));
         let bytes = http::request_head("GET", "/metrics", &fields, Framing::Length(0));
         self.counters.probes += 1;
         self.metrics.probe_sent();
@@ -271,18 +275,19 @@
 
     /// Closes all idle connections to an engine.
     pub(crate) fn close_idle(&mut self, engine: EngineId, out: &mut Vec<Output>) {
-        for conn in self.engines.idle_to(engine) {
-            self.engines.remove(conn, &mut self.timers);
+        for conn in self.engine_connections.idle_to(engine) {
+            self.engine_connections.remove(conn, &mut self.timers);
             out.push(Output::CloseWhenSent(conn));
         }
     }
 
     /// Notifies the decision module of how an attempt ended, unless it was notified before.
     pub(crate) fn attempt_ended(
-        &mut self, id: RequestId, attempt: usize, outcome: Outcome, cached_tokens: f64, load: Option<Load>,
+        &mut self, id: RequestId, attempt: usize, outcome: Outcome, cached_tokens: f64,
+        load_report: Option<Load>,
     ) {
         let now = self.now;
-        let report = load.map(|load| self.answer_load_report(&load)).unwrap_or_default();
+        let report = load_report.map(|load| self.answer_load_report(&load)).unwrap_or_default();
         let Some(request) = self.requests.get_mut(id) else { return };
         let Some(ended) = request.attempts.get_mut(attempt).filter(|attempt| attempt.in_flight) else {
             return;
@@ -291,7 +296,7 @@
         let latency = now.saturating_sub(ended.sent_at);
         self.metrics.attempt_ended(ended.is_prefill, outcome);
         request.add_engine_time(latency);
-        self.engines.state_released(request.drop_holder_of(attempt, outcome));
+        self.engine_connections.state_released(request.drop_holder_of(attempt, outcome));
         let ended = slipreel::AttemptEnded {
             request: id,
             attempt,
@@ -312,7 +317,7 @@
         if self.settings.decisions.report_source != ReportSource::Answers {
             return LoadReport::default();
         }
-        load_report(load)
+        to_load_report(load)
     }
 
     /// Records that a request has its final answer.
@@ -327,7 +332,7 @@
 }
 
 /// The metrics of an engine in the decision module's terms.
-pub(crate) fn load_report(load: &Load) -> LoadReport {
+pub(crate) fn to_load_report(load: &Load) -> LoadReport {
     LoadReport {
         in_flight: load.running.zip(load.waiting).map(|(running, waiting)| running + waiting),
         queued: load.waiting,
--- a/crates/gateway/src/engine_connection.rs
+++ b/crates/gateway/src/engine_connection.rs
@@ -230,7 +230,7 @@
         if self.events.feed(piece, &mut events).is_err() {
             return out.push(EngineEvent::Failed(format!("an event over {MAX_ENGINE_BODY_BYTES} bytes")));
         }
-        for event in events.iter().filter(|e| e.data != "[DONE]") {
+        for event in events.iter().filter(|event| event.data != "[DONE]") {
             match serde_json::from_str::<Chunk>(&event.data) {
                 Ok(Chunk { error: Some(error), .. }) => {
                     return out.push(EngineEvent::Failed(error.to_string()))
--- a/crates/gateway/src/engine_list.rs
+++ b/crates/gateway/src/engine_list.rs
@@ -38,7 +38,7 @@
 impl NameTable {
     /// The number of a name, assigned on its first use.
     fn number_of(&mut self, name: &str) -> u32 {
-        let index = self.0.iter().position(|n| n == name).unwrap_or_else(|| {
+        let index = self.0.iter().position(|known| known == name).unwrap_or_else(|| {
             self.0.push(name.to_owned());
             self.0.len() - 1
         });
--- a/crates/gateway/src/engines.rs
+++ b/crates/gateway/src/engines.rs
@@ -1,6 +1,6 @@
 //! Turns what engines send into events for the decision module and parts of the client's answer.
 
-use crate::dispatch::load_report;
+use crate::dispatch::to_load_report;
 use crate::engine_connection::{ConnectionPurpose, EngineEvent, State};
 use crate::gateway::{loss_outcome, Gateway};
 use crate::limits;
@@ -21,7 +21,7 @@
     attempt: usize,
     is_prefill: bool,
     /// The load report in the head of the answer.
-    load: Option<Load>,
+    load_report: Option<Load>,
 }
 
 impl Gateway {
@@ -29,7 +29,7 @@
     pub(crate) fn engine_connected(&mut self, conn: ConnId, out: &mut Vec<Output>) {
         let now = self.now;
         let Some(connection) =
-            self.engines.get_mut(conn).filter(|connection| connection.state == State::Connecting)
+            self.engine_connections.get_mut(conn).filter(|connection| connection.state == State::Connecting)
         else {
             return;
         };
@@ -48,7 +48,7 @@
     /// Handles bytes from an engine.
     pub(crate) fn engine_data(&mut self, conn: ConnId, bytes: &[u8], out: &mut Vec<Output>) {
         let now = self.now;
-        let Some(connection) = self.engines.get_mut(conn) else { return };
+        let Some(connection) = self.engine_connections.get_mut(conn) else { return };
         if connection.state != State::Busy {
             // Bytes without a request: what follows could be taken for the next answer.
             return self.abort_connection(conn, out, Outcome::Error);
@@ -61,7 +61,7 @@
 
     /// Handles the end of what an engine sends.
     pub(crate) fn engine_eof(&mut self, conn: ConnId, out: &mut Vec<Output>) {
-        let Some(connection) = self.engines.get_mut(conn) else { return };
+        let Some(connection) = self.engine_connections.get_mut(conn) else { return };
         let mut events = Vec::new();
         if connection.state == State::Busy && connection.eof(&mut events) {
             self.handle_engine_events(conn, events, out);
@@ -73,7 +73,7 @@
     pub(crate) fn engine_connection_lost(
         &mut self, conn: ConnId, loss: ConnectionLoss, out: &mut Vec<Output>,
     ) {
-        if let Some(connection) = self.engines.remove(conn, &mut self.timers) {
+        if let Some(connection) = self.engine_connections.remove(conn, &mut self.timers) {
             self.exchange_interrupted(&connection, loss_outcome(loss), out);
         }
     }
@@ -81,18 +81,18 @@
     /// Handles a timeout of a connection. By its state: it was not established in time, its exchange got no
     /// answer in time, its stream stalled, or it was idle for too long.
     pub(crate) fn engine_timed_out(&mut self, conn: ConnId, out: &mut Vec<Output>) {
-        let Some(connection) = self.engines.get(conn) else { return };
+        let Some(connection) = self.engine_connections.get(conn) else { return };
         match connection.state {
             State::Connecting => self.abort_connection(conn, out, Outcome::ConnectFailed),
             State::Busy => self.abort_connection(conn, out, Outcome::TimedOut),
-            State::Idle if self.engines.keeps_last_idle(connection.engine) => {
-                if let Some(connection) = self.engines.get_mut(conn) {
+            State::Idle if self.engine_connections.keeps_last_idle(connection.engine) => {
+                if let Some(connection) = self.engine_connections.get_mut(conn) {
                     connection.state_since = self.now;
                 }
                 self.arm_engine_timer(conn);
             }
             State::Idle => {
-                self.engines.remove(conn, &mut self.timers);
+                self.engine_connections.remove(conn, &mut self.timers);
                 out.push(Output::CloseWhenSent(conn));
             }
         }
@@ -118,7 +118,7 @@
     fn handle_engine_events(&mut self, conn: ConnId, events: Vec<EngineEvent>, out: &mut Vec<Output>) {
         let mut piece = Vec::new();
         for event in events {
-            let Some(connection) = self.engines.get(conn) else { break };
+            let Some(connection) = self.engine_connections.get(conn) else { break };
             if connection.state != State::Busy {
                 // The exchange has ended, so these bytes answer no request.
                 self.abort_connection(conn, out, Outcome::Error);
@@ -126,7 +126,7 @@
             }
             self.handle_engine_event(conn, event, &mut piece, out);
         }
-        let purpose = self.engines.get(conn).map(|connection| connection.purpose);
+        let purpose = self.engine_connections.get(conn).map(|connection| connection.purpose);
         if let Some(ConnectionPurpose::Attempt { request, .. }) = purpose {
             self.write_stream(RequestId(request), &mut piece, out);
             self.apply_backpressure(RequestId(request), out);
@@ -138,8 +138,8 @@
     fn handle_engine_event(
         &mut self, conn: ConnId, event: EngineEvent, piece: &mut Vec<u8>, out: &mut Vec<Output>,
     ) {
-        let Some(connection) = self.engines.get_mut(conn) else { return };
-        let (engine, purpose, load) = (connection.engine, connection.purpose, connection.load_report);
+        let Some(connection) = self.engine_connections.get_mut(conn) else { return };
+        let (engine, purpose, load_report) = (connection.engine, connection.purpose, connection.load_report);
         match (event, purpose) {
             (EngineEvent::LoadReport(load), ConnectionPurpose::Attempt { is_prefill: false, .. }) => {
                 // The head of a stream comes long before its end, so its load report is passed on now.
@@ -158,12 +158,12 @@
             }
             (event, ConnectionPurpose::Attempt { request, attempt, is_prefill }) => {
                 let exchange =
-                    AttemptExchange { conn, request: RequestId(request), attempt, is_prefill, load };
+                    AttemptExchange { conn, request: RequestId(request), attempt, is_prefill, load_report };
                 self.handle_attempt_event(&exchange, event, piece, out);
             }
             (EngineEvent::Metrics(load), ConnectionPurpose::Probe) => {
                 self.finish_exchange(conn, out);
-                self.probe_ended(engine, Outcome::Completed, load_report(&load));
+                self.probe_ended(engine, Outcome::Completed, to_load_report(&load));
                 self.record_engine_start(engine, load.started);
             }
             (_, ConnectionPurpose::Probe) => {
@@ -181,7 +181,7 @@
     fn handle_attempt_event(
         &mut self, exchange: &AttemptExchange, event: EngineEvent, piece: &mut Vec<u8>, out: &mut Vec<Output>,
     ) {
-        let AttemptExchange { conn, request: id, attempt, is_prefill, load } = *exchange;
+        let AttemptExchange { conn, request: id, attempt, is_prefill, load_report } = *exchange;
         match event {
             EngineEvent::Prefilled { transfer, usage } => {
                 self.finish_exchange(conn, out);
@@ -190,7 +190,13 @@
                     let tokens = usage.prompt_tokens.saturating_sub(usage.cached_tokens());
                     self.metrics.prefill_completed(request.class_name(), tokens);
                 }
-                self.attempt_ended(id, attempt, Outcome::Prefilled, usage.cached_tokens() as f64, load);
+                self.attempt_ended(
+                    id,
+                    attempt,
+                    Outcome::Prefilled,
+                    usage.cached_tokens() as f64,
+                    load_report,
+                );
             }
             EngineEvent::Chunk(chunk) => {
                 if !self.handle_chunk(id, attempt, &chunk, piece, out) {
@@ -204,7 +210,7 @@
             }
             EngineEvent::Rejected { state_missing } => {
                 self.end_rejected_exchange(conn, out);
-                self.attempt_ended(id, attempt, Outcome::Rejected { state_missing }, 0.0, load);
+                self.attempt_ended(id, attempt, Outcome::Rejected { state_missing }, 0.0, load_report);
             }
             EngineEvent::InvalidRequest(status, message) => {
                 self.end_rejected_exchange(conn, out);
@@ -220,10 +226,10 @@
     /// Ends the exchange of an attempt that was rejected. On a reused connection the rejection may be a late
     /// answer to an earlier exchange while this attempt still runs, so the connection is closed to abort it.
     fn end_rejected_exchange(&mut self, conn: ConnId, out: &mut Vec<Output>) {
-        if self.engines.get(conn).is_some_and(|connection| !connection.is_reused) {
+        if self.engine_connections.get(conn).is_some_and(|connection| !connection.is_reused) {
             return self.finish_exchange(conn, out);
         }
-        self.engines.remove(conn, &mut self.timers);
+        self.engine_connections.remove(conn, &mut self.timers);
         out.push(Output::Abort(conn));
     }
 
@@ -231,7 +237,7 @@
     fn finish_exchange(&mut self, conn: ConnId, out: &mut Vec<Output>) {
         let now = self.now;
         let max_idle = self.settings.bounds.idle_per_engine;
-        let Some(connection) = self.engines.get_mut(conn) else { return };
+        let Some(connection) = self.engine_connections.get_mut(conn) else { return };
         let engine = connection.engine;
         (connection.state, connection.state_since) = (State::Idle, now);
         connection.opened_for_release = false;
@@ -239,14 +245,14 @@
             out.push(Output::Resume(conn));
         }
         let reusable = connection.reusable;
-        if reusable && self.engines.keep_idle(engine, conn, max_idle, now) {
+        if reusable && self.engine_connections.keep_idle(engine, conn, max_idle, now) {
             self.arm_engine_timer(conn);
             let waiting = self.releases.oldest_waiting_for(engine);
             if let Some((id, release)) = waiting.and_then(|id| Some((id, self.releases.get(id)?.clone()))) {
                 self.send_release(id, &release, out);
             }
         } else {
-            self.engines.remove(conn, &mut self.timers);
+            self.engine_connections.remove(conn, &mut self.timers);
             out.push(Output::CloseWhenSent(conn));
         }
     }
@@ -277,7 +283,7 @@
             if !request.is_restarted() {
                 self.metrics.first_token_received(class_name, now, request);
             }
-            self.engines.state_released(released_engine);
+            self.engine_connections.state_released(released_engine);
             let latency = now.saturating_sub(request.attempts[attempt].sent_at);
             let (generation, conn, stream, complete_by) =
                 (request.generation, request.attempts[attempt].conn, request.stream, request.complete_by);
@@ -359,7 +365,7 @@
         };
         let Some(unsent) = self.clients.get(request.client).map(|client| client.unsent) else { return };
         let (now, bounds) = (self.now, &self.settings.bounds);
-        let Some(connection) = self.engines.get_mut(conn) else { return };
+        let Some(connection) = self.engine_connections.get_mut(conn) else { return };
         let should_pause = limits::should_pause(bounds, unsent, connection.paused);
         if should_pause != connection.paused {
             (connection.paused, connection.state_since) = (should_pause, now);
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -24,7 +24,7 @@
 /// Requests by how they ended, and what was sent to engines. Counters never decrease.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
-    /// Requests handed to the decision module.
+    /// Requests passed to the decision module.
     pub admitted: u64,
     /// Answered completely.
     pub completed: u64,
@@ -34,7 +34,8 @@
     pub failed: u64,
     /// Clients that disconnected before their answer ended.
     pub disconnected: u64,
-    /// Rejected before the decision module: invalid input, unknown paths, the gateway's own limits.
+    /// Answered with an error before the decision module: invalid input, unknown paths, the gateway's own
+    /// limits.
     pub rejected_before_admission: u64,
     /// Attempts sent to engines.
     pub attempts: u64,
@@ -73,7 +74,7 @@
     pub(crate) decision_modules: DecisionModules,
     pub(crate) engine_list: EngineList,
     pub(crate) clients: ClientConnections,
-    pub(crate) engines: EngineConnections,
+    pub(crate) engine_connections: EngineConnections,
     pub(crate) requests: ActiveRequests,
     pub(crate) timers: Timers,
     /// Releases that engines have not acknowledged yet.
@@ -104,7 +105,7 @@
             decision_modules: DecisionModules::new(seed),
             engine_list: EngineList::default(),
             clients: ClientConnections::default(),
-            engines: EngineConnections::default(),
+            engine_connections: EngineConnections::default(),
             requests: ActiveRequests::new(seed),
             timers: Timers::default(),
             releases: ReleaseQueue::new(limits::RELEASE_TIMING),
@@ -137,12 +138,13 @@
     pub fn held_state(&self) -> HeldState {
         HeldState {
             client_connections: self.clients.len(),
-            engine_connections: self.engines.len(),
+            engine_connections: self.engine_connections.len(),
             requests: self.requests.len(),
             timers: self.timers.len(),
         }
     }
 
+    /// Applies settings with a new decision module that has learnt nothing.
     fn add_decision_module(&mut self, settings: Arc<GatewaySettings>) {
         let decision_settings = self.decision_settings(&settings);
         self.decision_modules.add(decision_settings);
@@ -198,7 +200,7 @@
             }
         }
         for engine in self.requests.remove_finished() {
-            self.engines.state_released(Some(engine));
+            self.engine_connections.state_released(Some(engine));
         }
         let requests = &self.requests;
         self.decision_modules.remove_unused(|generation| requests.has_generation(generation));
@@ -221,7 +223,7 @@
 
     /// When a connection to an engine times out; `None` if its state has no timeout.
     fn engine_deadline(&self, conn: ConnId) -> Option<Duration> {
-        let connection = self.engines.get(conn)?;
+        let connection = self.engine_connections.get(conn)?;
         let is_streaming = match connection.purpose {
             ConnectionPurpose::Attempt { request, attempt, .. } => {
                 self.requests.is_streaming(RequestId(request), attempt)
@@ -239,9 +241,10 @@
     /// Sets the timer of a connection to an engine according to its state.
     pub(crate) fn arm_engine_timer(&mut self, conn: ConnId) {
         let deadline = self.engine_deadline(conn);
-        self.engines.arm_timer(conn, deadline, &mut self.timers);
+        self.engine_connections.arm_timer(conn, deadline, &mut self.timers);
     }
 
+    /// Handles the timer of a client connection, whose deadline may have moved since.
     fn client_timer_fired(&mut self, conn: ConnId, out: &mut Vec<Output>) {
         self.clients.timer_fired(conn);
         match self.clients.deadline(conn, &self.settings.bounds) {
@@ -250,8 +253,9 @@
         }
     }
 
+    /// Handles the timer of a connection to an engine, whose deadline may have moved since.
     fn engine_timer_fired(&mut self, conn: ConnId, out: &mut Vec<Output>) {
-        self.engines.timer_fired(conn);
+        self.engine_connections.timer_fired(conn);
         match self.engine_deadline(conn) {
             Some(deadline) if deadline <= self.now => self.engine_timed_out(conn, out),
             _ => self.arm_engine_timer(conn),
@@ -270,6 +274,7 @@
         }
     }
 
+    /// Handles all due timers.
     fn run_timers(&mut self, out: &mut Vec<Output>) {
         while let Some(timer) = self.timers.pop(self.now) {
             self.handle_timer(timer, out);
@@ -290,23 +295,24 @@
         list
     }
 
-    /// Replaces the engine list and closes what no longer belongs to a ready engine.
+    /// Replaces the engine list, and closes connections to engines that are no longer ready unless they are
+    /// busy.
     pub(crate) fn replace_engine_list(&mut self, list: &[EngineSettings], out: &mut Vec<Output>) {
         self.listed_engines = list.to_vec();
         let list = self.effective_engine_list();
-        let (event, closed) = self.engine_list.replace(self.now, &list);
+        let (event, no_longer_ready) = self.engine_list.replace(self.now, &list);
         self.queue_event_for_all(event);
-        // Attempts that were not sent yet to an engine that drains or is gone are ended, so that they are
-        // sent to another.
-        let unsent: Vec<ConnId> = self.engines.sorted_ids(|connection| {
-            closed.contains(&connection.engine)
+        // An attempt that waits for a connection to such an engine is ended, so that another engine gets the
+        // request.
+        let unsent: Vec<ConnId> = self.engine_connections.sorted_ids(|connection| {
+            no_longer_ready.contains(&connection.engine)
                 && connection.state == ConnectionState::Connecting
                 && matches!(connection.purpose, ConnectionPurpose::Attempt { .. })
         });
         for conn in unsent {
             self.abort_connection(conn, out, slipreel::Outcome::NotSent);
         }
-        for engine in closed {
+        for engine in no_longer_ready {
             self.close_idle(engine, out);
         }
     }
@@ -347,6 +353,7 @@
         self.timers.set(self.now + self.settings.bounds.stop, Timer::ShutdownDeadline);
     }
 
+    /// Counts a final answer.
     pub(crate) fn count_end(&mut self, end: RequestEnd) {
         match end {
             RequestEnd::Completed => self.counters.completed += 1,
@@ -357,7 +364,7 @@
 
     /// The name of a class, for metrics; empty if there is none at this position.
     pub(crate) fn class_name(&self, class: usize) -> &str {
-        self.settings.classes.get(class).map_or("", |c| &c.name)
+        self.settings.classes.get(class).map_or("", |class| &class.name)
     }
 
     /// The current values of the gauges.
@@ -378,7 +385,7 @@
         Snapshot {
             engines: self.engine_list.iter().map(role_and_state).collect(),
             clients: self.clients.len(),
-            engine_connections: self.engines.len(),
+            engine_connections: self.engine_connections.len(),
             active_requests: self.requests.len(),
             releases: self.releases.len(),
         }
@@ -435,9 +442,9 @@
             Input::Data(conn, bytes) => self.client_data(conn, bytes, out),
             Input::Eof(conn) if conn.is_opened() => self.engine_eof(conn, out),
             Input::Eof(conn) => self.client_eof(conn, out),
-            Input::Sent(conn, n) if !conn.is_opened() => self.client_sent(conn, n, out),
+            Input::Sent(conn, sent_bytes) if !conn.is_opened() => self.client_sent(conn, sent_bytes, out),
             Input::Sent(..) => {}
-            Input::Lost(conn, why) if conn.is_opened() => self.engine_connection_lost(conn, why, out),
+            Input::Lost(conn, loss) if conn.is_opened() => self.engine_connection_lost(conn, loss, out),
             Input::Lost(conn, _) => self.client_disconnected(conn),
             // A client may send a request, close its sending side and wait for the answer: what it sent is
             // read first.
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,5 +1,5 @@
-//! The gateway: a complete router between clients of the Messages API and open engines, without I/O and
-//! clock.
+//! The gateway: a complete router between clients of the Messages API and engines that serve chat completions,
+//! without I/O and clock.
 //!
 //! A [`Gateway`] is a [`Machine`](slipreel_state_machine::Machine). It owns the decision modules
 //! (`slipreel::Router`), one for each generation of settings, queues events for them and dispatches the
--- a/crates/gateway/src/message_writer.rs
+++ b/crates/gateway/src/message_writer.rs
@@ -20,6 +20,7 @@
 }
 
 impl MessageWriter {
+    /// Starts a message with this id and model.
     pub(crate) fn new(id: String, model: String, stream: bool) -> Self {
         let message_args = (id.clone(), model.clone(), stream);
         let answer = AnswerBuilder::new(id, model, stream);
@@ -107,7 +108,7 @@
     }
 
     /// Writes an `error` event.
-    pub(crate) fn error(&self, error: &ApiError, request_id: &str, out: &mut Vec<u8>) {
+    pub(crate) fn write_error(&self, error: &ApiError, request_id: &str, out: &mut Vec<u8>) {
         self.answer.error(error, request_id, out);
     }
 
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -27,8 +27,8 @@
     }
 }
 
-fn class_label(name: &str) -> Labels<1> {
-    Labels([("class", name.to_owned())])
+fn class_label(class_name: &str) -> Labels<1> {
+    Labels([("class", class_name.to_owned())])
 }
 
 type Counts<const N: usize> = Family<Labels<N>, Counter>;
@@ -188,39 +188,41 @@
     }
 
     /// Counts a request that was passed to the decision module.
-    pub(crate) fn request_admitted(&self, name: &str) {
-        self.admitted.get_or_create(&class_label(name)).inc();
+    pub(crate) fn request_admitted(&self, class_name: &str) {
+        self.admitted.get_or_create(&class_label(class_name)).inc();
         // The other counters of the class are published as 0, so that whoever sums them sees the class.
         for counts in [&self.prefills, &self.prefill_tokens, &self.completed_answers, &self.answer_tokens] {
-            drop(counts.get_or_create(&class_label(name)));
+            drop(counts.get_or_create(&class_label(class_name)));
         }
     }
 
     /// Counts a completed prefill, with the prompt tokens that were not cached.
-    pub(crate) fn prefill_completed(&self, name: &str, tokens: u64) {
-        self.prefills.get_or_create(&class_label(name)).inc();
-        self.prefill_tokens.get_or_create(&class_label(name)).inc_by(tokens);
+    pub(crate) fn prefill_completed(&self, class_name: &str, tokens: u64) {
+        self.prefills.get_or_create(&class_label(class_name)).inc();
+        self.prefill_tokens.get_or_create(&class_label(class_name)).inc_by(tokens);
     }
 
     /// Counts a complete answer and its tokens.
-    pub(crate) fn answer_completed(&self, name: &str, tokens: u64) {
-        self.completed_answers.get_or_create(&class_label(name)).inc();
-        self.answer_tokens.get_or_create(&class_label(name)).inc_by(tokens);
+    pub(crate) fn answer_completed(&self, class_name: &str, tokens: u64) {
+        self.completed_answers.get_or_create(&class_label(class_name)).inc();
+        self.answer_tokens.get_or_create(&class_label(class_name)).inc_by(tokens);
     }
 
     /// Counts a final answer.
-    pub(crate) fn request_ended(&self, name: &str, end: RequestEnd) {
+    pub(crate) fn request_ended(&self, class_name: &str, end: RequestEnd) {
         let end = match end {
             RequestEnd::Completed => "served",
             RequestEnd::Rejected => "refused",
             RequestEnd::Failed => "failed",
         };
-        self.answers.get_or_create(&Labels([("class", name.to_owned()), ("end", end.to_owned())])).inc();
+        self.answers
+            .get_or_create(&Labels([("class", class_name.to_owned()), ("end", end.to_owned())]))
+            .inc();
     }
 
     /// Counts a rejected request.
-    pub(crate) fn request_rejected(&self, name: &str, reason: RejectionReason) {
-        let labels = Labels([("class", name.to_owned()), ("reason", reason.label().to_owned())]);
+    pub(crate) fn request_rejected(&self, class_name: &str, reason: RejectionReason) {
+        let labels = Labels([("class", class_name.to_owned()), ("reason", reason.label().to_owned())]);
         self.rejections.get_or_create(&labels).inc();
     }
 
@@ -248,11 +250,11 @@
 
     /// Records the time from the complete request to its first token, and the part of it without an engine at
     /// work.
-    pub(crate) fn first_token_received(&self, name: &str, now: Duration, request: &ActiveRequest) {
+    pub(crate) fn first_token_received(&self, class_name: &str, now: Duration, request: &ActiveRequest) {
         let latency = now.saturating_sub(request.received_at);
-        self.first_token.get_or_create(&class_label(name)).observe(latency.as_secs_f64());
+        self.first_token.get_or_create(&class_label(class_name)).observe(latency.as_secs_f64());
         let router_latency = latency.saturating_sub(request.time_at_engines(now));
-        self.router_latency.get_or_create(&class_label(name)).observe(router_latency.as_secs_f64());
+        self.router_latency.get_or_create(&class_label(class_name)).observe(router_latency.as_secs_f64());
     }
 
     /// All metrics as `OpenMetrics` text.
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -292,7 +292,7 @@
         self.queue_event(generation, Event::ClientDisconnected(id));
         // The decision module does not cancel a stream that has begun, so the gateway ends it.
         if let Some(conn) = conn {
-            self.engines.abandon(conn);
+            self.engine_connections.abandon(conn);
         }
     }
 
@@ -330,7 +330,7 @@
 
     /// Aborts connections that carry a stream whose client has disconnected.
     pub(crate) fn drop_abandoned_connections(&mut self, out: &mut Vec<Output>) {
-        for conn in self.engines.take_abandoned() {
+        for conn in self.engine_connections.take_abandoned() {
             self.abort_connection(conn, out, Outcome::Cancelled);
         }
     }
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -102,7 +102,7 @@
     pub engine_idle: Duration,
     /// Time after which an idle connection of a client is closed.
     pub client_idle: Duration,
-    /// Time within which a request has to be received completely.
+    /// Time within which a request's head, and then its body, has to be received completely.
     pub receive: Duration,
     /// A client connection that accepts no data for this time while some is waiting is closed.
     pub stalled_peer: Duration,
