--- a/crates/gateway/src/decisions.rs
+++ b/crates/gateway/src/decisions.rs
@@ -16,6 +16,7 @@
 /// Which modules an event is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Recipient {
+    /// All modules.
     All,
     /// The module of this generation. Later modules, which took over what it had learnt, also receive the
     /// outcomes and first tokens of its attempts.
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -266,8 +266,8 @@
         client.is_closed_by_peer = true;
         match client.state {
             State::Serving(_) if half_close => {}
-            // Between requests, or within one that will never be complete, or half-closed connections are not
-            // served.
+            // The client is between requests, or its request will never be complete, or half-closed clients get
+            // no answer.
             _ => {
                 out.push(Output::CloseWhenSent(conn));
                 self.client_disconnected(conn);
