--- a/crates/fault-injection/src/run.rs
+++ b/crates/fault-injection/src/run.rs
@@ -456,13 +456,13 @@
             self.away.push((r, since, now));
         }
         let margin = Duration::from_secs(1);
-        let mut asked: BTreeMap<slipreel_invariants::Try, (Duration, Duration)> = BTreeMap::new();
+        let mut asked: BTreeMap<slipreel_invariants::ClientAttempt, (Duration, Duration)> = BTreeMap::new();
         for r in &records {
             if let Seen::Asked { what, deadline, .. } = &r.seen {
                 asked.insert(*what, (r.at, *deadline));
             }
         }
-        let excused = |what: &slipreel_invariants::Try| {
+        let excused = |what: &slipreel_invariants::ClientAttempt| {
             let router = (what.request as usize + what.number as usize) % self.script.routers;
             let (from, to) = asked.get(what).copied().unwrap_or_default();
             self.away.iter().any(|(r, a, b)| *r == router && *a <= to + margin && from <= *b + margin)
--- a/crates/invariants/src/lib.rs
+++ b/crates/invariants/src/lib.rs
@@ -17,7 +17,7 @@
 
 /// One try of a client: the same request may be asked again as another try.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Try {
+pub struct ClientAttempt {
     /// The request, the same over its tries.
     pub request: u64,
     /// Which of its tries, from 0.
@@ -61,20 +61,20 @@
     /// A client sent a try. It waits for its answer to begin until the deadline.
     Asked {
         /// Which.
-        what: Try,
+        what: ClientAttempt,
         /// What it does when it runs.
         effect: Effect,
         /// When its time is up.
         deadline: Duration,
     },
     /// The first part of an answer reached a client.
-    Began(Try),
+    Began(ClientAttempt),
     /// A final answer reached a client.
-    Ended(Try, Ending),
+    Ended(ClientAttempt, Ending),
     /// A client left, or its time was up, without a final answer.
-    Left(Try),
+    Left(ClientAttempt),
     /// The connection of a client broke without a final answer: only a router that died may do that.
-    Cut(Try),
+    Cut(ClientAttempt),
     /// A router died at once with whatever it had taken.
     RouterDied(String),
     /// A router was told that an engine takes nothing new (`true`) or again (`false`).
@@ -93,7 +93,7 @@
         /// The router that sent it.
         router: String,
         /// Which.
-        what: Try,
+        what: ClientAttempt,
         /// Reading or writing.
         stage: Stage,
     },
@@ -102,7 +102,7 @@
         /// The engine.
         engine: String,
         /// Which.
-        what: Try,
+        what: ClientAttempt,
         /// Reading or writing.
         stage: Stage,
     },
@@ -111,14 +111,14 @@
         /// The engine.
         engine: String,
         /// Which.
-        what: Try,
+        what: ClientAttempt,
     },
     /// Read state of a request began to wait at an engine.
     Holds {
         /// The engine.
         engine: String,
         /// Which.
-        what: Try,
+        what: ClientAttempt,
         /// Tells several states of one try apart.
         state: u64,
     },
@@ -132,14 +132,14 @@
     /// Work that a router has sent waits on a link that is cut: it is out, though no engine has it.
     OnTheWay {
         /// Which.
-        what: Try,
+        what: ClientAttempt,
         /// Tells several apart.
         way: u64,
     },
     /// It has gone on, or was given up.
     OffTheWay {
         /// Which.
-        what: Try,
+        what: ClientAttempt,
         /// Tells several apart.
         way: u64,
     },
@@ -163,7 +163,7 @@
         /// The router.
         router: String,
         /// Which.
-        what: Try,
+        what: ClientAttempt,
         /// The epoch.
         epoch: Option<u64>,
         /// On what it stood.
@@ -251,7 +251,7 @@
     /// What was seen.
     pub what: String,
     /// Of which try, where the rule is about one answer.
-    pub of: Option<Try>,
+    pub of: Option<ClientAttempt>,
 }
 
 /// Judges the records of one run. They need not be in order.
@@ -282,10 +282,11 @@
 }
 
 fn answers(records: &[&Record], figures: &Figures, breaks: &mut Vec<Break>) {
-    let mut tries: BTreeMap<Try, Asked> = BTreeMap::new();
+    let mut tries: BTreeMap<ClientAttempt, Asked> = BTreeMap::new();
     let mut died = Vec::new();
-    let mut say =
-        |of: &Try, at, what: String| breaks.push(Break { rule: Rule::OneAnswer, at, what, of: Some(*of) });
+    let mut say = |of: &ClientAttempt, at, what: String| {
+        breaks.push(Break { rule: Rule::OneAnswer, at, what, of: Some(*of) });
+    };
     for r in records {
         match &r.seen {
             Seen::Asked { what, deadline, .. } => {
@@ -336,7 +337,7 @@
 fn effects(records: &[&Record], breaks: &mut Vec<Break>) {
     let mut effects: BTreeMap<u64, Effect> = BTreeMap::new();
     let mut ran: BTreeMap<u64, usize> = BTreeMap::new();
-    let mut refused: BTreeSet<Try> = BTreeSet::new();
+    let mut refused: BTreeSet<ClientAttempt> = BTreeSet::new();
     for r in records {
         match &r.seen {
             Seen::Asked { what, effect, .. } => {
@@ -393,7 +394,7 @@
 
 struct Held<'a> {
     engine: &'a str,
-    what: Try,
+    what: ClientAttempt,
     /// Since when nothing is at work; `None` while something is.
     quiet: Option<Duration>,
 }
@@ -409,8 +410,8 @@
 /// What an engine held ends with it; what a router left when it died is for its engines to free.
 fn pinned(records: &[&Record], figures: &Figures, breaks: &mut Vec<Break>) {
     let mut held: BTreeMap<(&str, u64), Held> = BTreeMap::new();
-    let mut at_work: BTreeMap<Try, Vec<Place>> = BTreeMap::new();
-    let mut routers: BTreeMap<Try, (&str, Duration)> = BTreeMap::new();
+    let mut at_work: BTreeMap<ClientAttempt, Vec<Place>> = BTreeMap::new();
+    let mut routers: BTreeMap<ClientAttempt, (&str, Duration)> = BTreeMap::new();
     let mut died: BTreeMap<&str, Duration> = BTreeMap::new();
     let mut apart: BTreeSet<(&str, &str)> = BTreeSet::new();
     let most = figures.let_go + figures.wire;
--- a/crates/invariants/src/policy.rs
+++ b/crates/invariants/src/policy.rs
@@ -1,7 +1,7 @@
 //! Judges a change of policy from the stamps in the traffic and from what operators were told: one order of epochs, everywhere or nowhere, no
 //! two at once, and each request by one epoch from its beginning to its end. The routers' own state is never asked.
 
-use crate::{Record, Seen, Try};
+use crate::{ClientAttempt, Record, Seen};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -88,8 +88,8 @@
     verdict
 }
 
-fn stamps(records: &[&Record], stamped: bool, verdict: &mut Verdict) -> BTreeMap<Try, Request> {
-    let mut requests: BTreeMap<Try, Request> = BTreeMap::new();
+fn stamps(records: &[&Record], stamped: bool, verdict: &mut Verdict) -> BTreeMap<ClientAttempt, Request> {
+    let mut requests: BTreeMap<ClientAttempt, Request> = BTreeMap::new();
     for r in records {
         match &r.seen {
             Seen::Asked { what, .. } => {
@@ -136,7 +136,7 @@
 }
 
 /// When each epoch was first seen to be acted by.
-fn firsts(requests: &BTreeMap<Try, Request>) -> BTreeMap<u64, Duration> {
+fn firsts(requests: &BTreeMap<ClientAttempt, Request>) -> BTreeMap<u64, Duration> {
     let mut firsts: BTreeMap<u64, Duration> = BTreeMap::new();
     for (_, at, epoch) in requests.values().filter_map(|r| r.taken.as_ref()) {
         let first = firsts.entry(*epoch).or_insert(*at);
@@ -145,7 +145,7 @@
     firsts
 }
 
-fn two_at_once(requests: &BTreeMap<Try, Request>, overlap: Duration, verdict: &mut Verdict) {
+fn two_at_once(requests: &BTreeMap<ClientAttempt, Request>, overlap: Duration, verdict: &mut Verdict) {
     let firsts = firsts(requests);
     for (what, request) in requests {
         let Some((router, at, epoch)) = &request.taken else { continue };
@@ -164,7 +164,7 @@
     }
 }
 
-fn order(requests: &BTreeMap<Try, Request>, records: &[&Record], verdict: &mut Verdict) {
+fn order(requests: &BTreeMap<ClientAttempt, Request>, records: &[&Record], verdict: &mut Verdict) {
     // By router: the newest epoch that it was seen to act by, and when first.
     let mut by: BTreeMap<&str, Vec<(Duration, u64)>> = BTreeMap::new();
     for (router, at, epoch) in requests.values().filter_map(|r| r.taken.as_ref()) {
--- a/crates/invariants/src/policy/tests.rs
+++ b/crates/invariants/src/policy/tests.rs
@@ -6,12 +6,12 @@
 }
 
 fn asked(at: u64, request: u64) -> Record {
-    let what = Try { request, number: 0 };
+    let what = ClientAttempt { request, number: 0 };
     Record { at: ms(at), seen: Seen::Asked { what, effect: Effect::Safe, deadline: ms(at + 1_000) } }
 }
 
 fn stamp(at: u64, request: u64, router: &str, epoch: u64, on: On) -> Record {
-    let what = Try { request, number: 0 };
+    let what = ClientAttempt { request, number: 0 };
     Record { at: ms(at), seen: Seen::Stamped { router: router.into(), what, epoch: Some(epoch), on } }
 }
 
@@ -61,7 +61,7 @@
         at: ms(2),
         seen: Seen::Stamped {
             router: "a".into(),
-            what: Try { request: 1, number: 0 },
+            what: ClientAttempt { request: 1, number: 0 },
             epoch: None,
             on: On::Answer(200),
         },
--- a/crates/invariants/src/tests.rs
+++ b/crates/invariants/src/tests.rs
@@ -10,7 +10,7 @@
     let_go: Duration::from_millis(500),
     wire: Duration::from_millis(50),
 };
-const T: Try = Try { request: 1, number: 0 };
+const T: ClientAttempt = ClientAttempt { request: 1, number: 0 };
 
 fn broken(records: &[(u64, Seen)]) -> Vec<Rule> {
     let records: Vec<Record> =
--- a/crates/scenario/tests/report.rs
+++ b/crates/scenario/tests/report.rs
@@ -1,13 +1,13 @@
 //! The report of a day: who was served, by group.
 
-use slipreel_invariants::{Effect, Ending, Try};
+use slipreel_invariants::{ClientAttempt, Effect, Ending};
 use slipreel_scenario::Played;
 use slipreel_test_servers::client::Result as TryResult;
 use std::time::Duration;
 
 fn result(request: u64, due_ms: u64, router: usize, effect: Effect, ending: Option<Ending>) -> TryResult {
     TryResult {
-        what: Try { request, number: 0 },
+        what: ClientAttempt { request, number: 0 },
         model: "chat".to_owned(),
         key: "key".to_owned(),
         effect,
--- a/crates/test-servers/src/client.rs
+++ b/crates/test-servers/src/client.rs
@@ -4,7 +4,7 @@
 use crate::ledger::Ledger;
 use crate::mark::{self, Mark};
 use serde_json::{json, Value};
-use slipreel_invariants::{Effect, Ending, Seen, Try};
+use slipreel_invariants::{ClientAttempt, Effect, Ending, Seen};
 use slipreel_protocol::http::{self, Decoder, Framing, Item, Limits, Side, Start};
 use slipreel_protocol::sse;
 use slipreel_state_machine::{ConnId, ConnectionLoss, Input, Machine, Output};
@@ -76,7 +76,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Result {
     /// Which try.
-    pub what: Try,
+    pub what: ClientAttempt,
     /// The model asked for.
     pub model: String,
     /// The key asked with.
@@ -111,7 +111,7 @@
 
 struct Open {
     plan: usize,
-    what: Try,
+    what: ClientAttempt,
     due: Duration,
     deadline: Duration,
     target: usize,
@@ -208,7 +208,7 @@
 
     fn ask(&mut self, now: Duration, plan: usize, number: u32, due: Duration, out: &mut Vec<Output>) {
         let p = &self.plans[plan];
-        let what = Try { request: p.request, number };
+        let what = ClientAttempt { request: p.request, number };
         let mark = Mark { what, length: p.length, effect: p.effect };
         let content = format!("{} {}", p.prompt, mark.text());
         let body = json!({
--- a/crates/test-servers/src/engine/mod.rs
+++ b/crates/test-servers/src/engine/mod.rs
@@ -18,7 +18,7 @@
 use faults::Faults;
 use fetch::{Fetched, Fetches};
 use serde_json::{json, Value};
-use slipreel_invariants::{Seen, Stage, Try};
+use slipreel_invariants::{ClientAttempt, Seen, Stage};
 use slipreel_protocol::engine::{write_metrics, write_orca, Load, FULL, NO_STATE};
 use slipreel_protocol::http::{self, Decoder, Framing, Head, Item, Limits, Side, Start};
 use slipreel_protocol::sse;
@@ -47,7 +47,7 @@
     /// Not looked at before then.
     ready_at: Duration,
     /// It has come in and the engine has not looked at it.
-    unheard: Option<Try>,
+    unheard: Option<ClientAttempt>,
 }
 
 /// A stand-in engine. Takes as news a [`Fault`], or a [`Role`] to change to.
@@ -769,6 +769,6 @@
 }
 
 /// The try that a chat request carries, for tests that look into requests.
-pub fn try_of(body: &[u8]) -> Option<Try> {
+pub fn try_of(body: &[u8]) -> Option<ClientAttempt> {
     Mark::find(&String::from_utf8_lossy(body)).map(|m| m.what)
 }
--- a/crates/test-servers/src/engine/work.rs
+++ b/crates/test-servers/src/engine/work.rs
@@ -3,7 +3,7 @@
 use super::spec::{EngineSpec, Role};
 use crate::mark::Mark;
 use serde_json::{json, Value};
-use slipreel_invariants::{Stage, Try};
+use slipreel_invariants::{ClientAttempt, Stage};
 use slipreel_protocol::engine::Load;
 use slipreel_state_machine::ConnId;
 use std::collections::{BTreeMap, HashMap, VecDeque};
@@ -52,7 +52,7 @@
 }
 
 impl Job {
-    pub fn what(&self) -> Option<Try> {
+    pub fn what(&self) -> Option<ClientAttempt> {
         self.mark.map(|m| m.what)
     }
 
--- a/crates/test-servers/src/gate.rs
+++ b/crates/test-servers/src/gate.rs
@@ -3,7 +3,7 @@
 
 use crate::ledger::Ledger;
 use crate::mark::Mark;
-use slipreel_invariants::{Seen, Try};
+use slipreel_invariants::{ClientAttempt, Seen};
 use slipreel_state_machine::{ConnId, Input, Machine, Output};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -27,7 +27,7 @@
     held: Vec<Held>,
     ledger: Option<Ledger>,
     /// Work that waits on a cut link, by connection.
-    on_the_way: BTreeMap<ConnId, Try>,
+    on_the_way: BTreeMap<ConnId, ClientAttempt>,
 }
 
 impl<M: Machine> Gate<M> {
@@ -50,7 +50,7 @@
         self
     }
 
-    fn note_way(&mut self, now: Duration, conn: ConnId, what: Option<Try>) {
+    fn note_way(&mut self, now: Duration, conn: ConnId, what: Option<ClientAttempt>) {
         let way = conn.0;
         if let Some(what) = self.on_the_way.remove(&conn) {
             self.ledger.iter().for_each(|l| l.note(now, Seen::OffTheWay { what, way }));
--- a/crates/test-servers/src/mark.rs
+++ b/crates/test-servers/src/mark.rs
@@ -3,13 +3,13 @@
 //! `[[request.try.length.effect]]`. Engines read it out of the prompt, so that neither side needs the router to know
 //! what belongs together.
 
-use slipreel_invariants::{Effect, Try};
+use slipreel_invariants::{ClientAttempt, Effect};
 
 /// What a mark says.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Mark {
     /// Which try.
-    pub what: Try,
+    pub what: ClientAttempt,
     /// Tokens of the answer.
     pub length: u32,
     /// What the request does when it runs.
@@ -41,7 +41,7 @@
             "u" => Effect::Unsafe,
             _ => return None,
         };
-        Some(Mark { what: Try { request, number }, length, effect })
+        Some(Mark { what: ClientAttempt { request, number }, length, effect })
     }
 }
 
--- a/crates/test-servers/src/mark/tests.rs
+++ b/crates/test-servers/src/mark/tests.rs
@@ -2,8 +2,8 @@
 
 #[test]
 fn the_last_mark_counts() {
-    let mark = Mark { what: Try { request: 77, number: 2 }, length: 30, effect: Effect::Keyed };
-    let older = Mark { what: Try { request: 76, number: 0 }, length: 9, effect: Effect::Safe };
+    let mark = Mark { what: ClientAttempt { request: 77, number: 2 }, length: 30, effect: Effect::Keyed };
+    let older = Mark { what: ClientAttempt { request: 76, number: 0 }, length: 9, effect: Effect::Safe };
     assert_eq!(Mark::find(&format!("a {} b [x] {} c", older.text(), mark.text())), Some(mark));
     assert_eq!(Mark::find("none [[1.2]]"), None);
     assert_eq!(Mark::find("[[1.2.3.s"), None);
