--- a/crates/fault-injection/src/history.rs
+++ b/crates/fault-injection/src/history.rs
@@ -1,7 +1,7 @@
 //! What happened in a run, by one clock: what was done to whom, and what each router told of its view.
 
 use crate::script::Kind;
-use slipreel_invariants::policy::Said;
+use slipreel_invariants::policy::ChangeStatus;
 use slipreel_membership::{MemberState, MembershipView};
 use std::collections::BTreeMap;
 use std::io::Write;
@@ -103,13 +103,13 @@
 }
 
 /// What `policy status ID --json` prints.
-pub(crate) fn said_of_json(text: &str) -> Option<Said> {
+pub(crate) fn said_of_json(text: &str) -> Option<ChangeStatus> {
     let value: serde_json::Value = serde_json::from_str(text).ok()?;
     Some(match value["outcome"].as_str()? {
-        "in force" => Said::InForce(value["epoch"].as_u64()?),
-        "dropped" => Said::Dropped(value["why"].to_string()),
-        "pending" => Said::Pending,
-        _ => Said::Unknown,
+        "in force" => ChangeStatus::InForce(value["epoch"].as_u64()?),
+        "dropped" => ChangeStatus::Dropped(value["why"].to_string()),
+        "pending" => ChangeStatus::Pending,
+        _ => ChangeStatus::Unknown,
     })
 }
 
--- a/crates/fault-injection/src/memory.rs
+++ b/crates/fault-injection/src/memory.rs
@@ -17,7 +17,7 @@
     PolicyHandle, ProposalStatus, Startup,
 };
 use slipreel_gateway::{Gateway, RouterCount};
-use slipreel_invariants::policy::Said;
+use slipreel_invariants::policy::ChangeStatus;
 use slipreel_membership::{Membership, MembershipSettings, Peers, SavedState, SharedView};
 use slipreel_state_machine::{Input, Machine, Output};
 use slipreel_test_servers::client::Clients;
@@ -432,13 +432,13 @@
         board.submit(word)
     }
 
-    fn heard(&mut self, r: usize, id: &str) -> Option<Said> {
+    fn heard(&mut self, r: usize, id: &str) -> Option<ChangeStatus> {
         let said = match self.routers[r].policy.status().proposal_status(id) {
-            ProposalStatus::InForce(epoch) => Said::InForce(epoch),
-            ProposalStatus::Dropped(_) if self.bend(r) == Some(Bend::Liar) => Said::InForce(99),
-            ProposalStatus::Dropped(o) => Said::Dropped(rejections_text(&o.rejections)),
-            ProposalStatus::Pending(_) => Said::Pending,
-            ProposalStatus::Unknown => Said::Unknown,
+            ProposalStatus::InForce(epoch) => ChangeStatus::InForce(epoch),
+            ProposalStatus::Dropped(_) if self.bend(r) == Some(Bend::Liar) => ChangeStatus::InForce(99),
+            ProposalStatus::Dropped(o) => ChangeStatus::Dropped(rejections_text(&o.rejections)),
+            ProposalStatus::Pending(_) => ChangeStatus::Pending,
+            ProposalStatus::Unknown => ChangeStatus::Unknown,
         };
         Some(said)
     }
--- a/crates/fault-injection/src/policy.rs
+++ b/crates/fault-injection/src/policy.rs
@@ -3,7 +3,7 @@
 use crate::history::History;
 use crate::script::{Expect, Propose, Script, Wish};
 use slipreel_consensus::timing;
-use slipreel_invariants::policy::{Said, Verdict};
+use slipreel_invariants::policy::{ChangeStatus, Verdict};
 use slipreel_invariants::Record;
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -14,7 +14,7 @@
     pub(crate) propose: Propose,
     /// Since when a router has it.
     pub(crate) taken: Option<Duration>,
-    end: Option<(Said, Duration)>,
+    end: Option<(ChangeStatus, Duration)>,
     again: u32,
     /// Somebody knew at the end what came of it.
     pub(crate) known: bool,
@@ -37,7 +37,7 @@
     }
 
     /// It has ended so, after this time. Whether that was not known before.
-    pub(crate) fn ended(&mut self, said: Said, took: Duration) -> bool {
+    pub(crate) fn ended(&mut self, said: ChangeStatus, took: Duration) -> bool {
         self.again += 1;
         let first = self.end.is_none();
         if first {
@@ -111,7 +111,7 @@
             continue;
         }
         match &track.end {
-            Some((Said::InForce(_), took)) => {
+            Some((ChangeStatus::InForce(_), took)) => {
                 outcome.changed_in.push(*took);
                 outcome.ended.0 += 1;
             }
@@ -122,7 +122,8 @@
         }
         let against = matches!(
             (&track.end, expect),
-            (Some((Said::InForce(_), _)), Expect::Dropped) | (Some((Said::Dropped(_), _)), Expect::InForce)
+            (Some((ChangeStatus::InForce(_), _)), Expect::Dropped)
+                | (Some((ChangeStatus::Dropped(_), _)), Expect::InForce)
         );
         if against {
             outcome.wrong.push(format!("{id}: {:?}: expected {expect:?}", track.end));
--- a/crates/fault-injection/src/processes.rs
+++ b/crates/fault-injection/src/processes.rs
@@ -9,7 +9,7 @@
 use crate::wire::{Link, Links, Noise, Wire};
 use rustix::process::{kill_process, Pid, Signal};
 use slipreel_event_loop::{Clock, Command as Tell, EventLoop, EventLoopHandle, MachineId};
-use slipreel_invariants::policy::Said;
+use slipreel_invariants::policy::ChangeStatus;
 use slipreel_state_machine::Machine;
 use slipreel_test_servers::client::Clients;
 use slipreel_test_servers::engine::Engine;
@@ -299,7 +299,7 @@
         call(self.addr(propose.to, 9180), "POST", &path, &said).is_some_and(|(status, _)| status == 202)
     }
 
-    fn heard(&mut self, r: usize, id: &str) -> Option<Said> {
+    fn heard(&mut self, r: usize, id: &str) -> Option<ChangeStatus> {
         said_of_json(&call(self.addr(r, 9180), "GET", &format!("/policy/status/{id}"), "")?.1)
     }
 
--- a/crates/fault-injection/src/run.rs
+++ b/crates/fault-injection/src/run.rs
@@ -7,7 +7,7 @@
 use crate::wire::Link;
 use rand_xoshiro::rand_core::{RngCore, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
-use slipreel_invariants::policy::Said;
+use slipreel_invariants::policy::ChangeStatus;
 use slipreel_invariants::{Record, Seen, Violation};
 use slipreel_scenario::figures_of;
 use slipreel_test_servers::client::Result as TryResult;
@@ -79,7 +79,7 @@
     /// An operator says something to a router; whether it has taken it.
     fn propose(&mut self, propose: &Propose) -> bool;
     /// What a router says of a change.
-    fn heard(&mut self, router: usize, id: &str) -> Option<Said>;
+    fn heard(&mut self, router: usize, id: &str) -> Option<ChangeStatus>;
     /// A router's disk has no room any more, or has again.
     fn fill(&mut self, router: usize, full: bool);
     /// A router that was killed had begun a write.
@@ -253,7 +253,7 @@
         }
         if let (Some(taken), Some(said)) = (self.tracks[n].taken, stage.heard(propose.to, &propose.id)) {
             self.hear(stage, propose.to, &propose.id, &said);
-            if matches!(said, Said::InForce(_) | Said::Dropped(_)) {
+            if matches!(said, ChangeStatus::InForce(_) | ChangeStatus::Dropped(_)) {
                 let took = (stage.now() - self.zero).saturating_sub(taken);
                 let first = self.tracks[n].ended(said, took);
                 if first {
@@ -263,7 +263,7 @@
         }
     }
 
-    fn hear(&mut self, stage: &impl Stage, r: usize, id: &str, said: &Said) {
+    fn hear(&mut self, stage: &impl Stage, r: usize, id: &str, said: &ChangeStatus) {
         let (router, id) = (format!("r{r}"), id.to_owned());
         self.note(stage, Event::Heard(id.clone(), r, format!("{said:?}")));
         self.ledger.note(stage.now(), Seen::Heard { router, id, said: said.clone() });
@@ -277,7 +277,9 @@
             for (n, id) in ids.iter().enumerate() {
                 if let Some(said) = stage.heard(r, id) {
                     self.hear(stage, r, id, &said);
-                    if let (Some(t), Said::InForce(_) | Said::Dropped(_)) = (self.tracks.get_mut(n), &said) {
+                    if let (Some(t), ChangeStatus::InForce(_) | ChangeStatus::Dropped(_)) =
+                        (self.tracks.get_mut(n), &said)
+                    {
                         t.known = true;
                     }
                 }
--- a/crates/invariants/src/lib.rs
+++ b/crates/invariants/src/lib.rs
@@ -176,7 +176,7 @@
         /// The change.
         id: String,
         /// What it said.
-        said: policy::Said,
+        said: policy::ChangeStatus,
     },
     /// What an operator heard from a router of the policy that it acts by.
     ActsBy {
--- a/crates/invariants/src/policy.rs
+++ b/crates/invariants/src/policy.rs
@@ -16,7 +16,7 @@
 
 /// What a router says of a change.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Said {
+pub enum ChangeStatus {
     /// In force as this epoch, of a policy of this digest.
     InForce(u64),
     /// Dropped, and why.
@@ -207,14 +207,14 @@
 }
 
 fn outcomes(records: &[&Record], verdict: &mut Verdict) {
-    let mut ended: BTreeMap<&str, (&Said, &str)> = BTreeMap::new();
+    let mut ended: BTreeMap<&str, (&ChangeStatus, &str)> = BTreeMap::new();
     let mut epochs: BTreeMap<u64, &str> = BTreeMap::new();
     for r in records {
         let Seen::Heard { router, id, said } = &r.seen else { continue };
         let mut say = |what: String| {
             verdict.broken.push(Violation { promise: Promise::EverywhereOrNowhere, at: r.at, what });
         };
-        if let Said::InForce(epoch) = said {
+        if let ChangeStatus::InForce(epoch) = said {
             match epochs.get(epoch) {
                 Some(other) if *other != id => {
                     say(format!("{router}: epoch {epoch} is {id}, and was {other}"));
@@ -225,14 +225,16 @@
             }
         }
         match (ended.get(id.as_str()), said) {
-            (None, Said::InForce(_) | Said::Dropped(_)) => {
+            (None, ChangeStatus::InForce(_) | ChangeStatus::Dropped(_)) => {
                 ended.insert(id, (said, router));
             }
-            (Some((before, other)), Said::InForce(_) | Said::Dropped(_)) if *before != said => {
+            (Some((before, other)), ChangeStatus::InForce(_) | ChangeStatus::Dropped(_))
+                if *before != said =>
+            {
                 say(format!("{id}: {router} says {said:?}, and {other} said {before:?}"));
             }
             // A router that lags may not know yet; one that takes it back does not.
-            (Some((before, other)), Said::Pending) if *other == router => {
+            (Some((before, other)), ChangeStatus::Pending) if *other == router => {
                 say(format!("{id}: {router} calls it pending, and said {before:?}"));
             }
             _ => {}
--- a/crates/invariants/src/policy/tests.rs
+++ b/crates/invariants/src/policy/tests.rs
@@ -15,7 +15,7 @@
     Record { at: ms(at), seen: Seen::Stamped { router: router.into(), what, epoch: Some(epoch), on } }
 }
 
-fn heard(at: u64, router: &str, said: Said) -> Record {
+fn heard(at: u64, router: &str, said: ChangeStatus) -> Record {
     Record { at: ms(at), seen: Seen::Heard { router: router.into(), id: "x".into(), said } }
 }
 
@@ -50,13 +50,16 @@
         seen: Seen::ActsBy { router: "a".into(), epoch: 2, digest: digest.into() },
     };
     assert_eq!(with(&[acts(5, "aa"), acts(6, "bb")]), [Promise::OneOrder]);
-    let both = [heard(5, "a", Said::InForce(2)), heard(6, "b", Said::Dropped("no".into()))];
+    let both = [heard(5, "a", ChangeStatus::InForce(2)), heard(6, "b", ChangeStatus::Dropped("no".into()))];
     assert_eq!(with(&both), [Promise::EverywhereOrNowhere]);
     assert_eq!(
-        with(&[heard(5, "a", Said::InForce(2)), heard(6, "a", Said::Pending)]),
+        with(&[heard(5, "a", ChangeStatus::InForce(2)), heard(6, "a", ChangeStatus::Pending)]),
         [Promise::EverywhereOrNowhere]
     );
-    assert!(with(&[heard(5, "a", Said::InForce(2)), heard(6, "b", Said::Pending)]).is_empty(), "it lags");
+    assert!(
+        with(&[heard(5, "a", ChangeStatus::InForce(2)), heard(6, "b", ChangeStatus::Pending)]).is_empty(),
+        "it lags"
+    );
     let none = Record {
         at: ms(2),
         seen: Seen::Stamped {
