--- a/crates/invariants/src/lib.rs
+++ b/crates/invariants/src/lib.rs
@@ -78,7 +78,7 @@
     /// A router died at once with whatever it had taken.
     RouterDied(String),
     /// A router was told that an engine takes nothing new (`true`) or again (`false`).
-    Told {
+    RouterNotified {
         /// The router's name, as engines see it.
         router: String,
         /// The engine.
@@ -376,10 +376,10 @@
     let mut closed: BTreeMap<(&str, &str), Duration> = BTreeMap::new();
     for r in records {
         match &r.seen {
-            Seen::Told { router, engine, closed: true } => {
+            Seen::RouterNotified { router, engine, closed: true } => {
                 closed.entry((router, engine)).or_insert(r.at);
             }
-            Seen::Told { router, engine, closed: false } => {
+            Seen::RouterNotified { router, engine, closed: false } => {
                 closed.remove(&(router.as_str(), engine.as_str()));
             }
             Seen::RouterDied(router) => closed.retain(|(r, _), _| r != router),
--- a/crates/invariants/src/tests.rs
+++ b/crates/invariants/src/tests.rs
@@ -62,7 +62,7 @@
 
 #[test]
 fn work_after_the_grace_breaks_a_drain() {
-    let told = |closed| Seen::Told { router: "r".into(), engine: "e".into(), closed };
+    let told = |closed| Seen::RouterNotified { router: "r".into(), engine: "e".into(), closed };
     assert_eq!(broken(&[(0, told(true)), arrived(1900), over(1901)]), []);
     assert_eq!(broken(&[(0, told(true)), arrived(2100), over(2101)]), [Rule::Drains]);
     assert_eq!(broken(&[(0, told(true)), (500, told(false)), arrived(2100), over(2101)]), []);
--- a/crates/scenario/src/stage.rs
+++ b/crates/scenario/src/stage.rs
@@ -358,7 +358,7 @@
                 let (was, is) = (takes(&before, e), takes(list, e));
                 if was != is {
                     let (router, engine) = (Day::router_name(r), e.name.clone());
-                    self.ledger.note(now, Seen::Told { router, engine, closed: !is });
+                    self.ledger.note(now, Seen::RouterNotified { router, engine, closed: !is });
                 }
             }
             stage.news(Who::Router(r), Arc::new(list.to_vec()));
