--- a/crates/invariants/src/lib.rs
+++ b/crates/invariants/src/lib.rs
@@ -130,18 +130,18 @@
         state: u64,
     },
     /// Work that a router has sent waits on a link that is cut: it is out, though no engine has it.
-    OnTheWay {
+    InTransit {
         /// Which.
         what: ClientAttempt,
         /// Tells several apart.
-        way: u64,
+        transfer: u64,
     },
     /// It has gone on, or was given up.
-    OffTheWay {
+    TransitEnded {
         /// Which.
         what: ClientAttempt,
         /// Tells several apart.
-        way: u64,
+        transfer: u64,
     },
     /// A router can't reach an engine (`true`), or can again: it can let go of nothing there in the meantime.
     Apart {
@@ -408,7 +408,7 @@
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Place<'a> {
     Engine(&'a str),
-    Way(u64),
+    Transfer(u64),
 }
 
 /// For each held state: the longest time between its start and its end in which nothing of its try was at work.
@@ -432,7 +432,7 @@
                 routers.insert(*what, (router, r.at));
                 Some((*what, Place::Engine(engine)))
             }
-            Seen::OnTheWay { what, way } => Some((*what, Place::Way(*way))),
+            Seen::InTransit { what, transfer } => Some((*what, Place::Transfer(*transfer))),
             _ => None,
         };
         if let Some((what, place)) = begins {
@@ -444,7 +444,7 @@
         }
         let ends = match &r.seen {
             Seen::Over { what, engine, .. } => Some((*what, Place::Engine(engine))),
-            Seen::OffTheWay { what, way } => Some((*what, Place::Way(*way))),
+            Seen::TransitEnded { what, transfer } => Some((*what, Place::Transfer(*transfer))),
             _ => None,
         };
         if let Some((what, place)) = ends {
