--- a/crates/invariants/src/lib.rs
+++ b/crates/invariants/src/lib.rs
@@ -144,13 +144,13 @@
         transfer: u64,
     },
     /// A router can't reach an engine (`true`), or can again: it can let go of nothing there in the meantime.
-    Apart {
+    LinkCut {
         /// The router's name.
         router: String,
         /// The engine.
         engine: String,
         /// Whether the link is cut.
-        apart: bool,
+        cut: bool,
     },
     /// An engine died with whatever it had.
     EngineDied(String),
@@ -470,7 +470,7 @@
                     check(&h, r.at, breaks);
                 }
             }
-            Seen::Apart { router, engine, apart: cut } => {
+            Seen::LinkCut { router, engine, cut } => {
                 if *cut {
                     apart.insert((router, engine));
                 } else {
--- a/crates/scenario/src/stage.rs
+++ b/crates/scenario/src/stage.rs
@@ -377,7 +377,7 @@
             let cut = beyond(&self.day.router_zone(r));
             for (e, addr) in self.addrs.iter().enumerate() {
                 let (router, engine) = (Day::router_name(r), self.day.engines[e].spec.name.clone());
-                self.ledger.note(now, Seen::Apart { router, engine, apart: cut.0.contains(addr) });
+                self.ledger.note(now, Seen::LinkCut { router, engine, cut: cut.0.contains(addr) });
             }
             stage.news(Who::Router(r), Arc::new(cut));
         }
