--- a/crates/invariants/src/lib.rs
+++ b/crates/invariants/src/lib.rs
@@ -157,7 +157,7 @@
     /// The run is over: what is held until now is judged up to here.
     RunOver,
     /// A cold engine was sent more than it bears and fell over.
-    Fell(String),
+    EngineOverloaded(String),
     /// A call to an engine, or an answer to a client, named the epoch of policy by which the request was taken, or none.
     Stamped {
         /// The router.
@@ -263,7 +263,7 @@
     effects(&records, &mut breaks);
     drains(&records, figures, &mut breaks);
     for r in &records {
-        if let Seen::Fell(engine) = &r.seen {
+        if let Seen::EngineOverloaded(engine) = &r.seen {
             breaks.push(Violation {
                 rule: Rule::Cold,
                 at: r.at,
--- a/crates/invariants/src/tests.rs
+++ b/crates/invariants/src/tests.rs
@@ -93,7 +93,7 @@
     assert_eq!(broken(&[holds.clone(), arrived(400), let_go(2000), over(2001)]), [], "it waits for a writer");
     assert_eq!(broken(&[holds.clone(), arrived(400), over(900), let_go(1500)]), [Rule::Pinned]);
     assert_eq!(
-        broken(&[holds, (800, Seen::Fell("x".into()))]),
+        broken(&[holds, (800, Seen::EngineOverloaded("x".into()))]),
         [Rule::Cold, Rule::Pinned],
         "never let go of"
     );
--- a/crates/test-servers/src/engine/mod.rs
+++ b/crates/test-servers/src/engine/mod.rs
@@ -363,7 +363,7 @@
         }
         if self.work.falls(now, &self.spec, &job) && !self.fallen {
             self.fallen = true;
-            self.note(now, Seen::Fell(self.spec.name.clone()));
+            self.note(now, Seen::EngineOverloaded(self.spec.name.clone()));
         }
         if self.fallen {
             self.over(now, &job);
