--- a/crates/invariants/src/lib.rs
+++ b/crates/invariants/src/lib.rs
@@ -114,7 +114,7 @@
         what: ClientAttempt,
     },
     /// Read state of a request began to wait at an engine.
-    Holds {
+    StateHeld {
         /// The engine.
         engine: String,
         /// Which.
@@ -123,7 +123,7 @@
         state: u64,
     },
     /// Held state was taken, let go of, or lost with its engine.
-    Released {
+    StateReleased {
         /// The engine.
         engine: String,
         /// Which state.
@@ -459,13 +459,13 @@
         }
         match &r.seen {
             // A read may end in the moment in which its router dies: what that left is for its engines to free.
-            Seen::Holds { what, .. }
+            Seen::StateHeld { what, .. }
                 if routers.get(what).is_some_and(|(router, sent)| died.get(router) >= Some(sent)) => {}
-            Seen::Holds { engine, what, state } => {
+            Seen::StateHeld { engine, what, state } => {
                 let quiet = (!at_work.contains_key(what)).then_some(r.at);
                 held.insert((engine, *state), Held { engine, what: *what, quiet });
             }
-            Seen::Released { engine, state } => {
+            Seen::StateReleased { engine, state } => {
                 if let Some(h) = held.remove(&(engine.as_str(), *state)) {
                     check(&h, r.at, breaks);
                 }
--- a/crates/invariants/src/tests.rs
+++ b/crates/invariants/src/tests.rs
@@ -71,7 +71,7 @@
 /// Found on the proving ground: a router was killed while its read ended, and the state was called pinned for ever.
 #[test]
 fn what_a_dead_router_asked_for_is_for_its_engine_to_free() {
-    let holds = |at| (at, Seen::Holds { engine: "e".into(), what: T, state: 7 });
+    let holds = |at| (at, Seen::StateHeld { engine: "e".into(), what: T, state: 7 });
     let died = |at| (at, Seen::RouterDied("r".into()));
     let end = (9_000, Seen::RunOver);
     assert_eq!(broken(&[arrived(10), over(20), holds(20), end.clone()]), [Rule::Pinned]);
@@ -86,8 +86,8 @@
 
 #[test]
 fn state_is_pinned_when_nothing_is_at_work() {
-    let holds = (100, Seen::Holds { engine: "e".into(), what: T, state: 7 });
-    let let_go = |at| (at, Seen::Released { engine: "e".into(), state: 7 });
+    let holds = (100, Seen::StateHeld { engine: "e".into(), what: T, state: 7 });
+    let let_go = |at| (at, Seen::StateReleased { engine: "e".into(), state: 7 });
     assert_eq!(broken(&[holds.clone(), let_go(600)]), []);
     assert_eq!(broken(&[holds.clone(), let_go(700)]), [Rule::Pinned]);
     assert_eq!(broken(&[holds.clone(), arrived(400), let_go(2000), over(2001)]), [], "it waits for a writer");
--- a/crates/test-servers/src/engine/mod.rs
+++ b/crates/test-servers/src/engine/mod.rs
@@ -320,7 +320,7 @@
 
     fn let_go(&mut self, now: Duration, state: u64) {
         if self.work.let_go(state) {
-            self.note(now, Seen::Released { engine: self.spec.name.clone(), state });
+            self.note(now, Seen::StateReleased { engine: self.spec.name.clone(), state });
         }
     }
 
@@ -538,7 +538,7 @@
         }
         let state = self.work.hold(&job, now);
         if let Some(what) = job.what() {
-            self.note(now, Seen::Holds { engine: self.spec.name.clone(), what, state });
+            self.note(now, Seen::StateHeld { engine: self.spec.name.clone(), what, state });
         }
         if let Some(garbage) = self.faults.garbage.filter(|g| g.before_head()) {
             let conn = job.conn;
