--- a/crates/invariants/src/lib.rs
+++ b/crates/invariants/src/lib.rs
@@ -98,7 +98,7 @@
         stage: Stage,
     },
     /// What had arrived is over at the engine: answered, turned away or dropped.
-    Over {
+    Finished {
         /// The engine.
         engine: String,
         /// Which.
@@ -443,7 +443,7 @@
             }
         }
         let ends = match &r.seen {
-            Seen::Over { what, engine, .. } => Some((*what, Place::Engine(engine))),
+            Seen::Finished { what, engine, .. } => Some((*what, Place::Engine(engine))),
             Seen::TransitEnded { what, transfer } => Some((*what, Place::Transfer(*transfer))),
             _ => None,
         };
--- a/crates/invariants/src/repeats.rs
+++ b/crates/invariants/src/repeats.rs
@@ -76,7 +76,7 @@
     /// The engine answered that this attempt never ran.
     TurnedAway(AttemptId),
     /// The attempt is answered whole, or the router has closed its connection or ended its sending on it.
-    Over(AttemptId),
+    Finished(AttemptId),
     /// A client was told that trying again is harmless: by 429 or 503, or by a close without an answer on a kept connection.
     Invited {
         /// The request.
@@ -199,7 +199,7 @@
                     arrival.over.get_or_insert(fact.at);
                 }
             }
-            Seen::Over(attempt) => {
+            Seen::Finished(attempt) => {
                 if let Some(arrival) = arrival_of(&mut all, &at, *attempt) {
                     arrival.over.get_or_insert(fact.at);
                 }
--- a/crates/invariants/src/tests.rs
+++ b/crates/invariants/src/tests.rs
@@ -27,7 +27,7 @@
 }
 
 fn over(at: u64) -> (u64, Seen) {
-    (at, Seen::Over { engine: "e".into(), what: T, stage: Stage::Write })
+    (at, Seen::Finished { engine: "e".into(), what: T, stage: Stage::Write })
 }
 
 #[test]
--- a/crates/invariants/tests/repeats.rs
+++ b/crates/invariants/tests/repeats.rs
@@ -32,7 +32,7 @@
 }
 
 fn over(ms: u64, attempt: u64) -> Fact {
-    at(ms, Seen::Over(AttemptId(attempt)))
+    at(ms, Seen::Finished(AttemptId(attempt)))
 }
 
 fn turned_away(ms: u64, attempt: u64) -> Fact {
--- a/crates/test-servers/src/engine/mod.rs
+++ b/crates/test-servers/src/engine/mod.rs
@@ -152,7 +152,7 @@
     /// What a deaf engine had not heard is heard now, or is over.
     fn heard_at_last(&mut self, now: Duration, id: ConnId) {
         if let Some(what) = self.conns.get_mut(&id).and_then(|c| c.unheard.take()) {
-            self.note(now, Seen::Over { engine: self.spec.name.clone(), what, stage: Stage::Write });
+            self.note(now, Seen::Finished { engine: self.spec.name.clone(), what, stage: Stage::Write });
         }
     }
 
@@ -225,7 +225,7 @@
 
     fn over(&self, now: Duration, job: &Job) {
         if let Some(what) = job.what() {
-            self.note(now, Seen::Over { engine: self.spec.name.clone(), what, stage: job.stage() });
+            self.note(now, Seen::Finished { engine: self.spec.name.clone(), what, stage: job.stage() });
         }
     }
 
--- a/crates/test-servers/src/platform/hostile_engine.rs
+++ b/crates/test-servers/src/platform/hostile_engine.rs
@@ -252,7 +252,7 @@
     }
 
     fn close(&mut self, conn: ConnId, attempt: AttemptId, resets: bool, out: &mut Vec<Output>) {
-        self.see(Seen::Over(attempt));
+        self.see(Seen::Finished(attempt));
         self.connections.remove(&conn);
         out.push(if resets { Output::Abort(conn) } else { Output::CloseWhenSent(conn) });
     }
@@ -265,7 +265,7 @@
         let Some(Work { conn, attempt, request, fault }) = self.work.remove(&number) else { return };
         match fault {
             Some(ExchangeFault::Error) => {
-                self.see(Seen::Over(attempt));
+                self.see(Seen::Finished(attempt));
                 return self.answer(conn, 500, false, out);
             }
             Some(ExchangeFault::ResetInHead) => {
@@ -276,12 +276,12 @@
         }
         if self.layout.role == EngineRole::Reads {
             open_ledger(&self.ledger).states.insert(request, self.layout.name.clone());
-            self.see(Seen::Over(attempt));
+            self.see(Seen::Finished(attempt));
             self.answer(conn, 202, false, out);
         } else {
             open_ledger(&self.ledger).states.remove(&request);
             self.stream(conn, &request, fault, out);
-            self.see(Seen::Over(attempt));
+            self.see(Seen::Finished(attempt));
         }
         let stray = fault.filter(|fault| fault.follows_a_good_answer());
         if let Some(stray) = stray {
@@ -338,7 +338,7 @@
         let mine: Vec<u64> = self.work.iter().filter(|(_, w)| w.conn == conn).map(|(&n, _)| n).collect();
         for number in mine {
             if let Some(work) = self.work.remove(&number) {
-                self.see(Seen::Over(work.attempt));
+                self.see(Seen::Finished(work.attempt));
             }
         }
     }
