--- a/crates/invariants/src/lib.rs
+++ b/crates/invariants/src/lib.rs
@@ -167,7 +167,7 @@
         /// The epoch.
         epoch: Option<u64>,
         /// On what it stood.
-        on: policy::On,
+        on: policy::StampedMessage,
     },
     /// What an operator heard from a router of a change.
     Heard {
--- a/crates/invariants/src/policy.rs
+++ b/crates/invariants/src/policy.rs
@@ -5,11 +5,11 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// On what a stamp stood.
+/// A message that carries an epoch stamp.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum On {
+pub enum StampedMessage {
     /// A call to an engine.
-    Call,
+    Attempt,
     /// An answer of this status.
     Answer(u16),
 }
@@ -99,7 +99,7 @@
                 let mut say = |what: String| {
                     verdict.broken.push(Violation { promise: Promise::OneEpochEach, at: r.at, what });
                 };
-                if *on == On::Answer(UNCERTAIN) {
+                if *on == StampedMessage::Answer(UNCERTAIN) {
                     verdict.uncertain += 1;
                     continue;
                 }
--- a/crates/invariants/src/policy/tests.rs
+++ b/crates/invariants/src/policy/tests.rs
@@ -10,7 +10,7 @@
     Record { at: ms(at), seen: Seen::Asked { what, effect: Effect::Safe, deadline: ms(at + 1_000) } }
 }
 
-fn stamp(at: u64, request: u64, router: &str, epoch: u64, on: On) -> Record {
+fn stamp(at: u64, request: u64, router: &str, epoch: u64, on: StampedMessage) -> Record {
     let what = ClientAttempt { request, number: 0 };
     Record { at: ms(at), seen: Seen::Stamped { router: router.into(), what, epoch: Some(epoch), on } }
 }
@@ -25,12 +25,16 @@
 
 #[test]
 fn a_change_in_order_breaks_nothing_and_its_overlap_is_measured() {
-    let mut records = vec![asked(0, 1), stamp(1, 1, "a", 1, On::Call), stamp(2, 1, "a", 1, On::Answer(200))];
+    let mut records = vec![
+        asked(0, 1),
+        stamp(1, 1, "a", 1, StampedMessage::Attempt),
+        stamp(2, 1, "a", 1, StampedMessage::Answer(200)),
+    ];
     records.extend([
         asked(10, 2),
-        stamp(11, 2, "b", 2, On::Call),
+        stamp(11, 2, "b", 2, StampedMessage::Attempt),
         asked(60, 3),
-        stamp(61, 3, "a", 1, On::Call),
+        stamp(61, 3, "a", 1, StampedMessage::Attempt),
     ]);
     let verdict = judge(&records, ms(100), true);
     assert_eq!((verdict.broken.len(), verdict.overlap), (0, ms(49)));
@@ -40,11 +44,18 @@
 
 #[test]
 fn each_break_is_named() {
-    let first = [asked(0, 1), stamp(1, 1, "a", 2, On::Call)];
+    let first = [asked(0, 1), stamp(1, 1, "a", 2, StampedMessage::Attempt)];
     let with = |more: &[Record]| promises(&[&first[..], more].concat());
-    assert_eq!(with(&[stamp(2, 1, "a", 3, On::Answer(200))]), [Promise::OneEpochEach]);
-    assert_eq!(with(&[asked(300, 2), stamp(301, 2, "b", 1, On::Call)]), [Promise::NoTwoAtOnce]);
-    assert_eq!(with(&[asked(5, 2), stamp(6, 2, "a", 1, On::Call)]), [Promise::OneOrder], "it goes back");
+    assert_eq!(with(&[stamp(2, 1, "a", 3, StampedMessage::Answer(200))]), [Promise::OneEpochEach]);
+    assert_eq!(
+        with(&[asked(300, 2), stamp(301, 2, "b", 1, StampedMessage::Attempt)]),
+        [Promise::NoTwoAtOnce]
+    );
+    assert_eq!(
+        with(&[asked(5, 2), stamp(6, 2, "a", 1, StampedMessage::Attempt)]),
+        [Promise::OneOrder],
+        "it goes back"
+    );
     let acts = |at, digest: &str| Record {
         at: ms(at),
         seen: Seen::ActsBy { router: "a".into(), epoch: 2, digest: digest.into() },
@@ -66,10 +77,10 @@
             router: "a".into(),
             what: ClientAttempt { request: 1, number: 0 },
             epoch: None,
-            on: On::Answer(200),
+            on: StampedMessage::Answer(200),
         },
     };
     assert_eq!(with(&[none]), [Promise::OneEpochEach]);
-    let uncertain = stamp(400, 9, "b", 1, On::Answer(503));
+    let uncertain = stamp(400, 9, "b", 1, StampedMessage::Answer(503));
     assert!(with(&[asked(399, 9), uncertain]).is_empty(), "it was not taken");
 }
--- a/crates/test-servers/src/client.rs
+++ b/crates/test-servers/src/client.rs
@@ -311,8 +311,10 @@
                     }
                     open.status = status;
                     let epoch = head.get("x-slipreel-policy").and_then(|e| e.parse().ok());
-                    let (router, on) =
-                        (format!("r{}", open.target), slipreel_invariants::policy::On::Answer(status));
+                    let (router, on) = (
+                        format!("r{}", open.target),
+                        slipreel_invariants::policy::StampedMessage::Answer(status),
+                    );
                     self.ledger.note(now, Seen::Stamped { router, what: open.what, epoch, on });
                     open.stream = head.get("content-type") == Some("text/event-stream");
                     let ms = |name: &str| head.get(name).and_then(|v| v.parse::<u64>().ok());
--- a/crates/test-servers/src/engine/mod.rs
+++ b/crates/test-servers/src/engine/mod.rs
@@ -357,7 +357,7 @@
         if let Some(what) = what {
             let (engine, router) = (self.spec.name.clone(), job.router.clone());
             let epoch = head.get(POLICY).and_then(|e| e.parse().ok());
-            let (by, on) = (router.clone(), slipreel_invariants::policy::On::Call);
+            let (by, on) = (router.clone(), slipreel_invariants::policy::StampedMessage::Attempt);
             self.note(now, Seen::Stamped { router: by, what, epoch, on });
             self.note(now, Seen::Arrived { engine, router, what, stage: job.stage() });
         }
