--- a/crates/fault-injection/src/run.rs
+++ b/crates/fault-injection/src/run.rs
@@ -460,7 +460,7 @@
         let margin = Duration::from_secs(1);
         let mut asked: BTreeMap<slipreel_invariants::ClientAttempt, (Duration, Duration)> = BTreeMap::new();
         for r in &records {
-            if let Seen::Asked { what, deadline, .. } = &r.seen {
+            if let Seen::Asked { attempt: what, deadline, .. } = &r.seen {
                 asked.insert(*what, (r.at, *deadline));
             }
         }
--- a/crates/invariants/src/lib.rs
+++ b/crates/invariants/src/lib.rs
@@ -61,7 +61,7 @@
     /// A client sent a try. It waits for its answer to begin until the deadline.
     Asked {
         /// Which.
-        what: ClientAttempt,
+        attempt: ClientAttempt,
         /// What it does when it runs.
         effect: Effect,
         /// When its time is up.
@@ -93,7 +93,7 @@
         /// The router that sent it.
         router: String,
         /// Which.
-        what: ClientAttempt,
+        attempt: ClientAttempt,
         /// Reading or writing.
         stage: Stage,
     },
@@ -102,7 +102,7 @@
         /// The engine.
         engine: String,
         /// Which.
-        what: ClientAttempt,
+        attempt: ClientAttempt,
         /// Reading or writing.
         stage: Stage,
     },
@@ -111,14 +111,14 @@
         /// The engine.
         engine: String,
         /// Which.
-        what: ClientAttempt,
+        attempt: ClientAttempt,
     },
     /// Read state of a request began to wait at an engine.
     StateHeld {
         /// The engine.
         engine: String,
         /// Which.
-        what: ClientAttempt,
+        attempt: ClientAttempt,
         /// Tells several states of one try apart.
         state: u64,
     },
@@ -132,14 +132,14 @@
     /// Work that a router has sent waits on a link that is cut: it is out, though no engine has it.
     InTransit {
         /// Which.
-        what: ClientAttempt,
+        attempt: ClientAttempt,
         /// Tells several apart.
         transfer: u64,
     },
     /// It has gone on, or was given up.
     TransitEnded {
         /// Which.
-        what: ClientAttempt,
+        attempt: ClientAttempt,
         /// Tells several apart.
         transfer: u64,
     },
@@ -163,7 +163,7 @@
         /// The router.
         router: String,
         /// Which.
-        what: ClientAttempt,
+        attempt: ClientAttempt,
         /// The epoch.
         epoch: Option<u64>,
         /// On what it stood.
@@ -294,7 +294,7 @@
     };
     for r in records {
         match &r.seen {
-            Seen::Asked { what, deadline, .. } => {
+            Seen::Asked { attempt: what, deadline, .. } => {
                 tries.insert(*what, Asked { deadline: *deadline, ..Asked::default() });
             }
             Seen::Began(what) => {
@@ -345,7 +345,7 @@
     let mut refused: BTreeSet<ClientAttempt> = BTreeSet::new();
     for r in records {
         match &r.seen {
-            Seen::Asked { what, effect, .. } => {
+            Seen::Asked { attempt: what, effect, .. } => {
                 effects.insert(what.request, *effect);
             }
             Seen::Ended(what, Ending::Refused) => {
@@ -355,7 +355,7 @@
         }
     }
     for r in records {
-        let Seen::Ran { engine, what } = &r.seen else { continue };
+        let Seen::Ran { engine, attempt: what } = &r.seen else { continue };
         let effect = effects.get(&what.request).copied().unwrap_or(Effect::Safe);
         if effect == Effect::Safe {
             continue;
@@ -383,7 +383,7 @@
                 closed.remove(&(router.as_str(), engine.as_str()));
             }
             Seen::RouterDied(router) => closed.retain(|(r, _), _| r != router),
-            Seen::Arrived { engine, router, what, .. } => {
+            Seen::Arrived { engine, router, attempt: what, .. } => {
                 let told = closed.get(&(router.as_str(), engine.as_str()));
                 if told.is_some_and(|&told| r.at > told + figures.drain_grace + figures.wire) {
                     let what = format!(
@@ -428,11 +428,11 @@
     };
     for r in records {
         let begins = match &r.seen {
-            Seen::Arrived { what, engine, router, .. } => {
+            Seen::Arrived { attempt: what, engine, router, .. } => {
                 routers.insert(*what, (router, r.at));
                 Some((*what, Place::Engine(engine)))
             }
-            Seen::InTransit { what, transfer } => Some((*what, Place::Transfer(*transfer))),
+            Seen::InTransit { attempt: what, transfer } => Some((*what, Place::Transfer(*transfer))),
             _ => None,
         };
         if let Some((what, place)) = begins {
@@ -443,8 +443,8 @@
             }
         }
         let ends = match &r.seen {
-            Seen::Finished { what, engine, .. } => Some((*what, Place::Engine(engine))),
-            Seen::TransitEnded { what, transfer } => Some((*what, Place::Transfer(*transfer))),
+            Seen::Finished { attempt: what, engine, .. } => Some((*what, Place::Engine(engine))),
+            Seen::TransitEnded { attempt: what, transfer } => Some((*what, Place::Transfer(*transfer))),
             _ => None,
         };
         if let Some((what, place)) = ends {
@@ -459,9 +459,9 @@
         }
         match &r.seen {
             // A read may end in the moment in which its router dies: what that left is for its engines to free.
-            Seen::StateHeld { what, .. }
+            Seen::StateHeld { attempt: what, .. }
                 if routers.get(what).is_some_and(|(router, sent)| died.get(router) >= Some(sent)) => {}
-            Seen::StateHeld { engine, what, state } => {
+            Seen::StateHeld { engine, attempt: what, state } => {
                 let quiet = (!at_work.contains_key(what)).then_some(r.at);
                 held.insert((engine, *state), Held { engine, what: *what, quiet });
             }
--- a/crates/invariants/src/policy.rs
+++ b/crates/invariants/src/policy.rs
@@ -92,10 +92,10 @@
     let mut requests: BTreeMap<ClientAttempt, Request> = BTreeMap::new();
     for r in records {
         match &r.seen {
-            Seen::Asked { what, .. } => {
+            Seen::Asked { attempt: what, .. } => {
                 requests.insert(*what, Request { asked: r.at, taken: None });
             }
-            Seen::Stamped { router, what, epoch, on } => {
+            Seen::Stamped { router, attempt: what, epoch, on } => {
                 let mut say = |what: String| {
                     verdict.broken.push(Violation { promise: Promise::OneEpochEach, at: r.at, what });
                 };
--- a/crates/invariants/src/policy/tests.rs
+++ b/crates/invariants/src/policy/tests.rs
@@ -7,12 +7,15 @@
 
 fn asked(at: u64, request: u64) -> Record {
     let what = ClientAttempt { request, number: 0 };
-    Record { at: ms(at), seen: Seen::Asked { what, effect: Effect::Safe, deadline: ms(at + 1_000) } }
+    Record { at: ms(at), seen: Seen::Asked { attempt: what, effect: Effect::Safe, deadline: ms(at + 1_000) } }
 }
 
 fn stamp(at: u64, request: u64, router: &str, epoch: u64, on: StampedMessage) -> Record {
     let what = ClientAttempt { request, number: 0 };
-    Record { at: ms(at), seen: Seen::Stamped { router: router.into(), what, epoch: Some(epoch), on } }
+    Record {
+        at: ms(at),
+        seen: Seen::Stamped { router: router.into(), attempt: what, epoch: Some(epoch), on },
+    }
 }
 
 fn heard(at: u64, router: &str, said: ChangeStatus) -> Record {
@@ -75,7 +78,7 @@
         at: ms(2),
         seen: Seen::Stamped {
             router: "a".into(),
-            what: ClientAttempt { request: 1, number: 0 },
+            attempt: ClientAttempt { request: 1, number: 0 },
             epoch: None,
             on: StampedMessage::Answer(200),
         },
--- a/crates/invariants/src/tests.rs
+++ b/crates/invariants/src/tests.rs
@@ -19,15 +19,15 @@
 }
 
 fn asked(effect: Effect) -> (u64, Seen) {
-    (0, Seen::Asked { what: T, effect, deadline: ms(1000) })
+    (0, Seen::Asked { attempt: T, effect, deadline: ms(1000) })
 }
 
 fn arrived(at: u64) -> (u64, Seen) {
-    (at, Seen::Arrived { engine: "e".into(), router: "r".into(), what: T, stage: Stage::Write })
+    (at, Seen::Arrived { engine: "e".into(), router: "r".into(), attempt: T, stage: Stage::Write })
 }
 
 fn over(at: u64) -> (u64, Seen) {
-    (at, Seen::Finished { engine: "e".into(), what: T, stage: Stage::Write })
+    (at, Seen::Finished { engine: "e".into(), attempt: T, stage: Stage::Write })
 }
 
 #[test]
@@ -51,7 +51,7 @@
 
 #[test]
 fn effects_are_counted() {
-    let ran = |at| (at, Seen::Ran { engine: "e".into(), what: T });
+    let ran = |at| (at, Seen::Ran { engine: "e".into(), attempt: T });
     let served = (900, Seen::Ended(T, Ending::Served));
     assert_eq!(broken(&[asked(Effect::Safe), ran(1), ran(2), served.clone()]), []);
     assert_eq!(broken(&[asked(Effect::Keyed), ran(1), ran(2), served.clone()]), [Rule::NoEffectTwice]);
@@ -71,7 +71,7 @@
 /// Found on the proving ground: a router was killed while its read ended, and the state was called pinned for ever.
 #[test]
 fn what_a_dead_router_asked_for_is_for_its_engine_to_free() {
-    let holds = |at| (at, Seen::StateHeld { engine: "e".into(), what: T, state: 7 });
+    let holds = |at| (at, Seen::StateHeld { engine: "e".into(), attempt: T, state: 7 });
     let died = |at| (at, Seen::RouterDied("r".into()));
     let end = (9_000, Seen::RunOver);
     assert_eq!(broken(&[arrived(10), over(20), holds(20), end.clone()]), [Rule::Pinned]);
@@ -86,7 +86,7 @@
 
 #[test]
 fn state_is_pinned_when_nothing_is_at_work() {
-    let holds = (100, Seen::StateHeld { engine: "e".into(), what: T, state: 7 });
+    let holds = (100, Seen::StateHeld { engine: "e".into(), attempt: T, state: 7 });
     let let_go = |at| (at, Seen::StateReleased { engine: "e".into(), state: 7 });
     assert_eq!(broken(&[holds.clone(), let_go(600)]), []);
     assert_eq!(broken(&[holds.clone(), let_go(700)]), [Rule::Pinned]);
--- a/crates/test-servers/src/client.rs
+++ b/crates/test-servers/src/client.rs
@@ -234,7 +234,7 @@
         let target = (p.request as usize + number as usize) % self.targets.len();
         let (effect, deadline) = (p.effect, now + p.patience);
         let plain = matches!(p.habit, Habit::Plain);
-        self.ledger.note(now, Seen::Asked { what, effect, deadline });
+        self.ledger.note(now, Seen::Asked { attempt: what, effect, deadline });
         let limits = Limits { body: u64::MAX, ..Limits::default() };
         let open = Open {
             plan,
@@ -315,7 +315,7 @@
                         format!("r{}", open.target),
                         slipreel_invariants::policy::StampedMessage::Answer(status),
                     );
-                    self.ledger.note(now, Seen::Stamped { router, what: open.what, epoch, on });
+                    self.ledger.note(now, Seen::Stamped { router, attempt: open.what, epoch, on });
                     open.stream = head.get("content-type") == Some("text/event-stream");
                     let ms = |name: &str| head.get(name).and_then(|v| v.parse::<u64>().ok());
                     open.come_back = ms("retry-after-ms").map(Duration::from_millis);
--- a/crates/test-servers/src/engine/mod.rs
+++ b/crates/test-servers/src/engine/mod.rs
@@ -143,7 +143,7 @@
             let via = text.split_once("via: 1.1 ").and_then(|(_, rest)| rest.split("\r\n").next());
             if let (Some(what), Some(router)) = (conn.unheard, via) {
                 let (engine, router) = (self.spec.name.clone(), router.to_owned());
-                self.note(now, Seen::Arrived { engine, router, what, stage: Stage::Write });
+                self.note(now, Seen::Arrived { engine, router, attempt: what, stage: Stage::Write });
             }
         }
         self.pump(now, id, out);
@@ -152,7 +152,10 @@
     /// What a deaf engine had not heard is heard now, or is over.
     fn heard_at_last(&mut self, now: Duration, id: ConnId) {
         if let Some(what) = self.conns.get_mut(&id).and_then(|c| c.unheard.take()) {
-            self.note(now, Seen::Finished { engine: self.spec.name.clone(), what, stage: Stage::Write });
+            self.note(
+                now,
+                Seen::Finished { engine: self.spec.name.clone(), attempt: what, stage: Stage::Write },
+            );
         }
     }
 
@@ -225,7 +228,10 @@
 
     fn over(&self, now: Duration, job: &Job) {
         if let Some(what) = job.what() {
-            self.note(now, Seen::Finished { engine: self.spec.name.clone(), what, stage: job.stage() });
+            self.note(
+                now,
+                Seen::Finished { engine: self.spec.name.clone(), attempt: what, stage: job.stage() },
+            );
         }
     }
 
@@ -358,8 +364,8 @@
             let (engine, router) = (self.spec.name.clone(), job.router.clone());
             let epoch = head.get(POLICY).and_then(|e| e.parse().ok());
             let (by, on) = (router.clone(), slipreel_invariants::policy::StampedMessage::Attempt);
-            self.note(now, Seen::Stamped { router: by, what, epoch, on });
-            self.note(now, Seen::Arrived { engine, router, what, stage: job.stage() });
+            self.note(now, Seen::Stamped { router: by, attempt: what, epoch, on });
+            self.note(now, Seen::Arrived { engine, router, attempt: what, stage: job.stage() });
         }
         if self.work.falls(now, &self.spec, &job) && !self.fallen {
             self.fallen = true;
@@ -494,7 +500,7 @@
             None => true,
         };
         if let Some(what) = job.what().filter(|_| new) {
-            self.note(now, Seen::Ran { engine: self.spec.name.clone(), what });
+            self.note(now, Seen::Ran { engine: self.spec.name.clone(), attempt: what });
         }
     }
 
@@ -538,7 +544,7 @@
         }
         let state = self.work.hold(&job, now);
         if let Some(what) = job.what() {
-            self.note(now, Seen::StateHeld { engine: self.spec.name.clone(), what, state });
+            self.note(now, Seen::StateHeld { engine: self.spec.name.clone(), attempt: what, state });
         }
         if let Some(garbage) = self.faults.garbage.filter(|g| g.before_head()) {
             let conn = job.conn;
--- a/crates/test-servers/src/gate.rs
+++ b/crates/test-servers/src/gate.rs
@@ -53,11 +53,11 @@
     fn note_way(&mut self, now: Duration, conn: ConnId, what: Option<ClientAttempt>) {
         let way = conn.0;
         if let Some(what) = self.on_the_way.remove(&conn) {
-            self.ledger.iter().for_each(|l| l.note(now, Seen::TransitEnded { what, transfer: way }));
+            self.ledger.iter().for_each(|l| l.note(now, Seen::TransitEnded { attempt: what, transfer: way }));
         }
         if let Some(what) = what {
             self.on_the_way.insert(conn, what);
-            self.ledger.iter().for_each(|l| l.note(now, Seen::InTransit { what, transfer: way }));
+            self.ledger.iter().for_each(|l| l.note(now, Seen::InTransit { attempt: what, transfer: way }));
         }
     }
 
