--- a/crates/invariants/src/lib.rs
+++ b/crates/invariants/src/lib.rs
@@ -198,9 +198,9 @@
     pub seen: Seen,
 }
 
-/// The figures of the rules.
+/// The limits of the rules.
 #[derive(Clone, Copy, Debug)]
-pub struct Figures {
+pub struct Limits {
     /// A final answer may come so much after its client's time is up.
     pub answer_slack: Duration,
     /// Work may reach a closed engine so long after a router was told.
@@ -255,13 +255,13 @@
 }
 
 /// Judges the records of one run. They need not be in order.
-pub fn judge(records: &[Record], figures: &Figures) -> Vec<Violation> {
+pub fn judge(records: &[Record], limits: &Limits) -> Vec<Violation> {
     let mut records: Vec<&Record> = records.iter().collect();
     records.sort_by_key(|r| r.at);
     let mut breaks = Vec::new();
-    answers(&records, figures, &mut breaks);
+    answers(&records, limits, &mut breaks);
     effects(&records, &mut breaks);
-    drains(&records, figures, &mut breaks);
+    drains(&records, limits, &mut breaks);
     for r in &records {
         if let Seen::EngineOverloaded(engine) = &r.seen {
             breaks.push(Violation {
@@ -272,7 +272,7 @@
             });
         }
     }
-    pinned(&records, figures, &mut breaks);
+    pinned(&records, limits, &mut breaks);
     breaks.sort_by_key(|b| (b.at, b.rule));
     breaks
 }
@@ -286,7 +286,7 @@
     cut: Option<Duration>,
 }
 
-fn answers(records: &[&Record], figures: &Figures, breaks: &mut Vec<Violation>) {
+fn answers(records: &[&Record], limits: &Limits, breaks: &mut Vec<Violation>) {
     let mut tries: BTreeMap<ClientAttempt, Asked> = BTreeMap::new();
     let mut died = Vec::new();
     let mut say = |of: &ClientAttempt, at, what: String| {
@@ -308,7 +308,7 @@
                 if t.endings > 1 {
                     say(what, r.at, format!("{what:?} got a second final answer, {ending:?}"));
                 }
-                let last = t.deadline + figures.answer_slack;
+                let last = t.deadline + limits.answer_slack;
                 if t.began.unwrap_or(r.at) > last {
                     say(what, r.at, format!("{what:?} ended {ending:?} after its time was up"));
                 }
@@ -316,7 +316,7 @@
             Seen::Left(what) => {
                 if let Some(t) = tries.get_mut(what) {
                     t.left = true;
-                    if t.endings == 0 && t.began.is_none() && r.at > t.deadline + figures.answer_slack {
+                    if t.endings == 0 && t.began.is_none() && r.at > t.deadline + limits.answer_slack {
                         say(what, r.at, format!("{what:?} had no answer when its time was up"));
                     }
                 }
@@ -332,7 +332,7 @@
     }
     for (what, t) in &tries {
         let excused =
-            t.left || t.cut.is_some_and(|at| died.iter().any(|&d| d <= at && at <= d + figures.wire));
+            t.left || t.cut.is_some_and(|at| died.iter().any(|&d| d <= at && at <= d + limits.wire));
         if t.endings == 0 && !excused {
             say(what, t.deadline, format!("{what:?} got no final answer"));
         }
@@ -372,7 +372,7 @@
     }
 }
 
-fn drains(records: &[&Record], figures: &Figures, breaks: &mut Vec<Violation>) {
+fn drains(records: &[&Record], limits: &Limits, breaks: &mut Vec<Violation>) {
     let mut closed: BTreeMap<(&str, &str), Duration> = BTreeMap::new();
     for r in records {
         match &r.seen {
@@ -385,7 +385,7 @@
             Seen::RouterDied(router) => closed.retain(|(r, _), _| r != router),
             Seen::Arrived { engine, router, attempt: what, .. } => {
                 let told = closed.get(&(router.as_str(), engine.as_str()));
-                if told.is_some_and(|&told| r.at > told + figures.drain_grace + figures.wire) {
+                if told.is_some_and(|&told| r.at > told + limits.drain_grace + limits.wire) {
                     let what = format!(
                         "{what:?} reached {engine} from {router} long after it was told of the drain"
                     );
@@ -413,13 +413,13 @@
 
 /// For each held state: the longest time between its start and its end in which nothing of its try was at work.
 /// What an engine held ends with it; what a router left when it died is for its engines to free.
-fn pinned(records: &[&Record], figures: &Figures, breaks: &mut Vec<Violation>) {
+fn pinned(records: &[&Record], limits: &Limits, breaks: &mut Vec<Violation>) {
     let mut held: BTreeMap<(&str, u64), Held> = BTreeMap::new();
     let mut at_work: BTreeMap<ClientAttempt, Vec<Place>> = BTreeMap::new();
     let mut routers: BTreeMap<ClientAttempt, (&str, Duration)> = BTreeMap::new();
     let mut died: BTreeMap<&str, Duration> = BTreeMap::new();
     let mut apart: BTreeSet<(&str, &str)> = BTreeSet::new();
-    let most = figures.let_go + figures.wire;
+    let most = limits.let_go + limits.wire;
     let check = |h: &Held, now: Duration, breaks: &mut Vec<Violation>| {
         if h.quiet.is_some_and(|since| now > since + most) {
             let what = format!("state of {:?} lay at {} with nothing at work", h.what, h.engine);
--- a/crates/invariants/src/tests.rs
+++ b/crates/invariants/src/tests.rs
@@ -4,7 +4,7 @@
     Duration::from_millis(n)
 }
 
-const FIGURES: Figures = Figures {
+const LIMITS: Limits = Limits {
     answer_slack: Duration::from_millis(16),
     drain_grace: Duration::from_millis(2000),
     let_go: Duration::from_millis(500),
@@ -15,7 +15,7 @@
 fn broken(records: &[(u64, Seen)]) -> Vec<Rule> {
     let records: Vec<Record> =
         records.iter().map(|(at, seen)| Record { at: ms(*at), seen: seen.clone() }).collect();
-    judge(&records, &FIGURES).into_iter().map(|b| b.rule).collect()
+    judge(&records, &LIMITS).into_iter().map(|b| b.rule).collect()
 }
 
 fn asked(effect: Effect) -> (u64, Seen) {
--- a/crates/scenario/src/report.rs
+++ b/crates/scenario/src/report.rs
@@ -2,7 +2,7 @@
 
 use crate::fleet::Day;
 use crate::stage::Played;
-use slipreel_invariants::{Effect, Ending, Figures, RULES};
+use slipreel_invariants::{Effect, Ending, Limits, RULES};
 use slipreel_test_servers::client::Result as TryResult;
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -14,8 +14,8 @@
 const DRAIN_GRACE: Duration = Duration::from_millis(2_000);
 
 /// The figures of the rules for a day.
-pub fn figures_of(day: &Day) -> Figures {
-    Figures {
+pub fn figures_of(day: &Day) -> Limits {
+    Limits {
         answer_slack: WIRE,
         drain_grace: DRAIN_GRACE,
         let_go: day.site.decisions.held_state_limit,
