--- a/crates/invariants/src/lib.rs
+++ b/crates/invariants/src/lib.rs
@@ -206,7 +206,7 @@
     /// Work may reach a closed engine so long after a router was told.
     pub drain_grace: Duration,
     /// Held state is taken or let go of within this time.
-    pub let_go: Duration,
+    pub held_state_limit: Duration,
     /// What the wire and the clocks add to a time measured at an engine.
     pub wire: Duration,
 }
@@ -419,7 +419,7 @@
     let mut routers: BTreeMap<ClientAttempt, (&str, Duration)> = BTreeMap::new();
     let mut died: BTreeMap<&str, Duration> = BTreeMap::new();
     let mut apart: BTreeSet<(&str, &str)> = BTreeSet::new();
-    let most = limits.let_go + limits.wire;
+    let most = limits.held_state_limit + limits.wire;
     let check = |h: &Held, now: Duration, breaks: &mut Vec<Violation>| {
         if h.quiet.is_some_and(|since| now > since + most) {
             let what = format!("state of {:?} lay at {} with nothing at work", h.what, h.engine);
--- a/crates/invariants/src/tests.rs
+++ b/crates/invariants/src/tests.rs
@@ -7,7 +7,7 @@
 const LIMITS: Limits = Limits {
     answer_slack: Duration::from_millis(16),
     drain_grace: Duration::from_millis(2000),
-    let_go: Duration::from_millis(500),
+    held_state_limit: Duration::from_millis(500),
     wire: Duration::from_millis(50),
 };
 const T: ClientAttempt = ClientAttempt { request: 1, number: 0 };
--- a/crates/scenario/src/report.rs
+++ b/crates/scenario/src/report.rs
@@ -18,7 +18,7 @@
     Limits {
         answer_slack: WIRE,
         drain_grace: DRAIN_GRACE,
-        let_go: day.site.decisions.held_state_limit,
+        held_state_limit: day.site.decisions.held_state_limit,
         wire: WIRE,
     }
 }
