--- a/crates/cli/tests/platform/cluster.rs
+++ b/crates/cli/tests/platform/cluster.rs
@@ -305,7 +305,7 @@
     /// All agents list an engine with this status: `Ready` takes work, others want nothing new.
     pub fn set_status(&self, engine: &str, status: &str) {
         let ListedEngine { reads, address } = self.engines[engine];
-        self.record(Seen::Has { engine: engine.to_owned(), closed: status != "Ready" });
+        self.record(Seen::EngineListed { engine: engine.to_owned(), closed: status != "Ready" });
         let (name, text) = entry(engine, reads, address);
         let change = Listing(vec![(name, text.replace("\"Ready\"", &format!("\"{status}\"")))]);
         self.tell_agents(&(Arc::new(change) as _));
--- a/crates/invariants/src/terms.rs
+++ b/crates/invariants/src/terms.rs
@@ -15,7 +15,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Seen {
     /// Discovery has it from now on that an engine wants nothing new (`true`), or takes work.
-    Has {
+    EngineListed {
         /// The engine.
         engine: String,
         /// It drains or is gone.
@@ -377,10 +377,10 @@
     let mut closed: BTreeMap<&str, Option<Duration>> = BTreeMap::new();
     for f in facts {
         match &f.seen {
-            Seen::Has { engine, closed: true } => {
+            Seen::EngineListed { engine, closed: true } => {
                 closed.insert(engine, reachable_from(facts, f.at));
             }
-            Seen::Has { engine, closed: false } => {
+            Seen::EngineListed { engine, closed: false } => {
                 closed.remove(engine.as_str());
             }
             Seen::Begun { engine, request, .. } => {
--- a/crates/invariants/tests/terms.rs
+++ b/crates/invariants/tests/terms.rs
@@ -17,7 +17,7 @@
 }
 
 fn closed(n: u64, engine: &str, closed: bool) -> Fact {
-    at(n, Seen::Has { engine: engine.into(), closed })
+    at(n, Seen::EngineListed { engine: engine.into(), closed })
 }
 
 fn broken(facts: &[Fact], terms: &Terms, end: u64) -> Vec<Term> {
--- a/crates/platform/tests/common/cluster.rs
+++ b/crates/platform/tests/common/cluster.rs
@@ -295,7 +295,7 @@
     pub fn set_status(&mut self, engine: &str, status: &str) {
         let (is_prefill, port, _) = self.engines[engine];
         let (closed, name) = (status != "Ready", engine.to_owned());
-        look(&self.shared).see(self.world.now(), Seen::Has { engine: name.clone(), closed });
+        look(&self.shared).see(self.world.now(), Seen::EngineListed { engine: name.clone(), closed });
         let change = Listing(vec![(name, entry(engine, is_prefill, port, status, Duration::ZERO))]);
         for &agent in &self.agents {
             self.world.news(agent, &change);
