--- a/crates/cli/tests/platform/cluster.rs
+++ b/crates/cli/tests/platform/cluster.rs
@@ -352,7 +352,7 @@
 
     /// Attempts that came to an engine.
     pub fn begun(&self, engine: &str) -> usize {
-        let at = |f: &&Fact| matches!(&f.seen, Seen::Begun { engine: e, .. } if e == engine);
+        let at = |f: &&Fact| matches!(&f.seen, Seen::AttemptArrived { engine: e, .. } if e == engine);
         self.facts.iter().filter(at).count()
     }
 
--- a/crates/invariants/src/terms.rs
+++ b/crates/invariants/src/terms.rs
@@ -29,7 +29,7 @@
         router: String,
     },
     /// The last byte of an attempt has come to an engine, whatever it did with it.
-    Begun {
+    AttemptArrived {
         /// The engine.
         engine: String,
         /// The request, by the id that its client gave it.
@@ -383,7 +383,7 @@
             Seen::EngineListed { engine, closed: false } => {
                 closed.remove(engine.as_str());
             }
-            Seen::Begun { engine, request, .. } => {
+            Seen::AttemptArrived { engine, request, .. } => {
                 let Some(Some(from)) = closed.get(engine.as_str()) else { continue };
                 if f.at > *from + terms.told + terms.drain_grace + terms.wire {
                     let late = (f.at - *from).as_millis();
@@ -436,7 +436,7 @@
             Seen::Gone { request } => {
                 left.entry(request).or_insert(f.at);
             }
-            Seen::Begun { engine, request, .. } => {
+            Seen::AttemptArrived { engine, request, .. } => {
                 let late = left.get(request.as_str()).map(|&at| f.at - at);
                 if let Some(late) = late.filter(|&late| late > terms.gone + terms.wire) {
                     let what = format!(
@@ -474,7 +474,7 @@
     let begun: BTreeSet<&str> = facts
         .iter()
         .filter_map(|f| match &f.seen {
-            Seen::Begun { request, .. } => Some(request.as_str()),
+            Seen::AttemptArrived { request, .. } => Some(request.as_str()),
             _ => None,
         })
         .collect();
@@ -504,7 +504,7 @@
     let mut left: BTreeMap<&str, Duration> = BTreeMap::new();
     for f in facts {
         match &f.seen {
-            Seen::Begun { request, .. } => drop(first_attempt.entry(request).or_insert(f.at)),
+            Seen::AttemptArrived { request, .. } => drop(first_attempt.entry(request).or_insert(f.at)),
             Seen::Gone { request } => drop(left.entry(request).or_insert(f.at)),
             _ => {}
         }
@@ -562,7 +562,7 @@
             Seen::Started { engine } => {
                 starts.insert(engine, Start { at: f.at, sent: Vec::new(), fell: false });
             }
-            Seen::Begun { engine, work, .. } => {
+            Seen::AttemptArrived { engine, work, .. } => {
                 let Some(start) = starts.get_mut(engine.as_str()) else { continue };
                 let age = f.at - start.at;
                 if start.fell || age > budget.warm_after {
--- a/crates/invariants/tests/terms.rs
+++ b/crates/invariants/tests/terms.rs
@@ -13,7 +13,7 @@
 }
 
 fn begun(n: u64, engine: &str, request: &str) -> Fact {
-    at(n, Seen::Begun { engine: engine.into(), request: request.into(), work: 1.0 })
+    at(n, Seen::AttemptArrived { engine: engine.into(), request: request.into(), work: 1.0 })
 }
 
 fn closed(n: u64, engine: &str, closed: bool) -> Fact {
--- a/crates/platform/tests/common/cluster.rs
+++ b/crates/platform/tests/common/cluster.rs
@@ -324,7 +324,8 @@
 
     /// Attempts that reached an engine from `since` on.
     pub fn attempts_at(&self, engine: &str, since: Duration) -> usize {
-        let is_attempt = |seen: &Seen| matches!(seen, Seen::Begun { engine: to, .. } if to == engine);
+        let is_attempt =
+            |seen: &Seen| matches!(seen, Seen::AttemptArrived { engine: to, .. } if to == engine);
         look(&self.shared).facts.iter().filter(|fact| fact.at >= since && is_attempt(&fact.seen)).count()
     }
 
--- a/crates/test-servers/src/platform/engine.rs
+++ b/crates/test-servers/src/platform/engine.rs
@@ -125,7 +125,10 @@
         };
         let mut fabric = look(&self.shared);
         let work = fabric.work.get(&request).copied().unwrap_or(1.0);
-        fabric.see(self.now, Seen::Begun { engine: self.name.clone(), request: request.clone(), work });
+        fabric.see(
+            self.now,
+            Seen::AttemptArrived { engine: self.name.clone(), request: request.clone(), work },
+        );
         if let Some(left) = received.head.get("x-deadline").and_then(super::deadline) {
             let (engine, request) = (self.name.clone(), request.clone());
             fabric.see(self.now, Seen::DeadlineTold { engine, request, left });
