--- a/crates/cli/tests/platform/cluster.rs
+++ b/crates/cli/tests/platform/cluster.rs
@@ -284,7 +284,7 @@
 
     /// SIGKILL.
     pub fn kill(&mut self, n: usize) {
-        self.record(Seen::Ending { router: self.address(n).to_string() });
+        self.record(Seen::RouterEnding { router: self.address(n).to_string() });
         self.record(Seen::Killed { router: self.address(n).to_string() });
         self.processes[n].signal("-KILL");
         assert!(self.processes[n].has_ended_within(ms(2_000)), "n{n} goes on");
@@ -292,7 +292,7 @@
 
     /// SIGTERM.
     pub fn stop(&mut self, n: usize) {
-        self.record(Seen::Ending { router: self.address(n).to_string() });
+        self.record(Seen::RouterEnding { router: self.address(n).to_string() });
         self.processes[n].signal("-TERM");
     }
 
--- a/crates/invariants/src/terms.rs
+++ b/crates/invariants/src/terms.rs
@@ -78,7 +78,7 @@
     },
     /// A router is killed or told to stop. What it held when it was killed is its client's to send again, and so is what
     /// crosses the end of its connection.
-    Ending {
+    RouterEnding {
         /// Which.
         router: String,
     },
--- a/crates/invariants/src/terms/answers.rs
+++ b/crates/invariants/src/terms/answers.rs
@@ -51,7 +51,7 @@
             Seen::EventsPassed { request, .. } => drop(began.entry(request).or_insert(f.at)),
             Seen::AttemptArrived { request, .. } => attempts.entry(request).or_default().push(f.at),
             Seen::Gone { request } => drop(gone.insert(request)),
-            Seen::Ending { router } => endings.entry(router).or_default().push(f.at),
+            Seen::RouterEnding { router } => endings.entry(router).or_default().push(f.at),
             _ => {}
         }
     }
--- a/crates/invariants/tests/terms.rs
+++ b/crates/invariants/tests/terms.rs
@@ -192,7 +192,7 @@
     assert_eq!([late(3_900), late(4_600)], [vec![], vec![Term::Unanswered]]);
     // What a router held as it was killed is its client's to send again; another router's end excuses none.
     let ended = |router: &str| {
-        let ending = at(2_000, Seen::Ending { router: router.into() });
+        let ending = at(2_000, Seen::RouterEnding { router: router.into() });
         broken(&[asked("n", &[None; 10]), vec![ending]].concat(), &watched, 60_000)
     };
     assert_eq!([ended("n"), ended("m")], [vec![], vec![Term::Unanswered]]);
--- a/crates/platform/tests/common/cluster.rs
+++ b/crates/platform/tests/common/cluster.rs
@@ -311,7 +311,7 @@
     /// Stops all routers.
     pub fn stop(&mut self) {
         for listen in &self.listens {
-            look(&self.shared).see(self.world.now(), Seen::Ending { router: listen.to_string() });
+            look(&self.shared).see(self.world.now(), Seen::RouterEnding { router: listen.to_string() });
         }
         for &router in &self.routers.clone() {
             self.world.stop(router);
