--- a/crates/invariants/src/terms.rs
+++ b/crates/invariants/src/terms.rs
@@ -90,7 +90,7 @@
         answer: Answer,
     },
     /// The client of a request has closed or reset its connection.
-    Gone {
+    ClientGone {
         /// The request.
         request: String,
     },
@@ -433,7 +433,7 @@
     let mut left: BTreeMap<&str, Duration> = BTreeMap::new();
     for f in facts {
         match &f.seen {
-            Seen::Gone { request } => {
+            Seen::ClientGone { request } => {
                 left.entry(request).or_insert(f.at);
             }
             Seen::AttemptArrived { engine, request, .. } => {
@@ -505,7 +505,7 @@
     for f in facts {
         match &f.seen {
             Seen::AttemptArrived { request, .. } => drop(first_attempt.entry(request).or_insert(f.at)),
-            Seen::Gone { request } => drop(left.entry(request).or_insert(f.at)),
+            Seen::ClientGone { request } => drop(left.entry(request).or_insert(f.at)),
             _ => {}
         }
     }
--- a/crates/invariants/src/terms/answers.rs
+++ b/crates/invariants/src/terms/answers.rs
@@ -50,7 +50,7 @@
             Seen::Answered { request, answer } => drop(answers.entry(request).or_insert((f.at, *answer))),
             Seen::EventsPassed { request, .. } => drop(began.entry(request).or_insert(f.at)),
             Seen::AttemptArrived { request, .. } => attempts.entry(request).or_default().push(f.at),
-            Seen::Gone { request } => drop(gone.insert(request)),
+            Seen::ClientGone { request } => drop(gone.insert(request)),
             Seen::RouterEnding { router } => endings.entry(router).or_default().push(f.at),
             _ => {}
         }
--- a/crates/invariants/src/terms/shares.rs
+++ b/crates/invariants/src/terms/shares.rs
@@ -114,7 +114,7 @@
                     ended.answer.get_or_insert(*answer);
                 }
             }
-            Seen::Gone { request } => drop(all.remove(request.as_str())),
+            Seen::ClientGone { request } => drop(all.remove(request.as_str())),
             _ => {}
         }
     }
--- a/crates/invariants/tests/terms.rs
+++ b/crates/invariants/tests/terms.rs
@@ -59,7 +59,7 @@
 /// Ten requests whose clients left before any attempt at 1 s; the first `sent` are sent on at this time.
 fn left_while_waiting(sent: usize, sent_at: u64) -> Vec<Fact> {
     let name = |n: usize| format!("r{n}");
-    let gone = (0..10).map(|n| at(1_000, Seen::Gone { request: name(n) }));
+    let gone = (0..10).map(|n| at(1_000, Seen::ClientGone { request: name(n) }));
     let begun = (0..sent).map(|n| begun(sent_at, "e", &name(n)));
     gone.chain(begun).collect()
 }
@@ -77,7 +77,7 @@
     assert_eq!(broken(&sent_before, &terms, 9_000), []);
     // Five of twenty are a quarter and no more.
     let mut many = left_while_waiting(5, 1_306);
-    many.extend((10..20).map(|n| at(1_000, Seen::Gone { request: format!("r{n}") })));
+    many.extend((10..20).map(|n| at(1_000, Seen::ClientGone { request: format!("r{n}") })));
     assert_eq!(broken(&many, &terms, 9_000), []);
 }
 
@@ -112,7 +112,7 @@
 
 #[test]
 fn an_attempt_begins_no_later_than_a_tenth_of_a_second_after_its_client_has_gone() {
-    let gone = at(1_000, Seen::Gone { request: "a".into() });
+    let gone = at(1_000, Seen::ClientGone { request: "a".into() });
     assert_eq!(
         broken(&[gone.clone(), begun(1_105, "e", "a"), begun(9_000, "e", "b")], &Terms::default(), 9_999),
         []
@@ -199,7 +199,7 @@
     // Those whose clients left are owed none, and neither are those whose time is not up.
     let mut facts = asked("n", &[&[None; 6][..], &[served; 20]].concat());
     assert_eq!(broken(&facts, &watched, 4_000), []);
-    facts.push(at(1_010, Seen::Gone { request: "n-0".into() }));
+    facts.push(at(1_010, Seen::ClientGone { request: "n-0".into() }));
     assert_eq!(broken(&facts, &watched, 60_000), []);
 }
 
--- a/crates/platform/tests/releases.rs
+++ b/crates/platform/tests/releases.rs
@@ -35,7 +35,7 @@
 fn long_gone(facts: &[Fact], now: Duration) -> BTreeSet<&str> {
     let long_ago = facts.iter().filter(|fact| fact.at + HELD_AT_MOST < now);
     let gone = long_ago.filter_map(|fact| match &fact.seen {
-        Seen::Gone { request } => Some(request.as_str()),
+        Seen::ClientGone { request } => Some(request.as_str()),
         _ => None,
     });
     gone.collect()
--- a/crates/test-servers/src/platform/client.rs
+++ b/crates/test-servers/src/platform/client.rs
@@ -272,7 +272,7 @@
         for conn in leaving {
             out.push(Output::Abort(conn));
             if let Some(open) = self.open.get(&conn) {
-                look(&self.shared).see(now, Seen::Gone { request: open.name.clone() });
+                look(&self.shared).see(now, Seen::ClientGone { request: open.name.clone() });
             }
             self.end(conn, Ending::Left);
         }
