--- a/crates/invariants/src/lib.rs
+++ b/crates/invariants/src/lib.rs
@@ -50,9 +50,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
     /// Reads the prompt.
-    Read,
+    Prefill,
     /// Writes the answer.
-    Write,
+    Decode,
 }
 
 /// What was seen, by whom is told by the variant.
--- a/crates/invariants/src/tests.rs
+++ b/crates/invariants/src/tests.rs
@@ -23,11 +23,11 @@
 }
 
 fn arrived(at: u64) -> (u64, Seen) {
-    (at, Seen::Arrived { engine: "e".into(), router: "r".into(), attempt: T, stage: Stage::Write })
+    (at, Seen::Arrived { engine: "e".into(), router: "r".into(), attempt: T, stage: Stage::Decode })
 }
 
 fn over(at: u64) -> (u64, Seen) {
-    (at, Seen::Finished { engine: "e".into(), attempt: T, stage: Stage::Write })
+    (at, Seen::Finished { engine: "e".into(), attempt: T, stage: Stage::Decode })
 }
 
 #[test]
--- a/crates/test-servers/src/engine/mod.rs
+++ b/crates/test-servers/src/engine/mod.rs
@@ -143,7 +143,7 @@
             let via = text.split_once("via: 1.1 ").and_then(|(_, rest)| rest.split("\r\n").next());
             if let (Some(what), Some(router)) = (conn.unheard, via) {
                 let (engine, router) = (self.spec.name.clone(), router.to_owned());
-                self.note(now, Seen::Arrived { engine, router, attempt: what, stage: Stage::Write });
+                self.note(now, Seen::Arrived { engine, router, attempt: what, stage: Stage::Decode });
             }
         }
         self.pump(now, id, out);
@@ -154,7 +154,7 @@
         if let Some(what) = self.conns.get_mut(&id).and_then(|c| c.unheard.take()) {
             self.note(
                 now,
-                Seen::Finished { engine: self.spec.name.clone(), attempt: what, stage: Stage::Write },
+                Seen::Finished { engine: self.spec.name.clone(), attempt: what, stage: Stage::Decode },
             );
         }
     }
--- a/crates/test-servers/src/engine/work.rs
+++ b/crates/test-servers/src/engine/work.rs
@@ -58,8 +58,8 @@
 
     pub fn stage(&self) -> Stage {
         match self.kind {
-            Kind::Read => Stage::Read,
-            Kind::Write => Stage::Write,
+            Kind::Read => Stage::Prefill,
+            Kind::Write => Stage::Decode,
         }
     }
 
