--- a/crates/invariants/src/repeats.rs
+++ b/crates/invariants/src/repeats.rs
@@ -71,7 +71,7 @@
         /// Where it stands.
         place: Place,
         /// It reads the prompt alone, which has no effect.
-        reads: bool,
+        is_prefill: bool,
     },
     /// The engine answered that this attempt never ran.
     TurnedAway(AttemptId),
@@ -146,7 +146,7 @@
     request: &'a str,
     engine: &'a str,
     place: &'a Place,
-    reads: bool,
+    is_prefill: bool,
     never_ran: bool,
     over: Option<Duration>,
 }
@@ -186,12 +186,12 @@
                 originals.insert(request, original);
                 all.entry(original).or_default().effect.get_or_insert(*effect);
             }
-            Seen::Arrived { attempt, request, engine, place, reads } => {
+            Seen::Arrived { attempt, request, engine, place, is_prefill } => {
                 let original = originals.get(request.as_str()).copied().unwrap_or(request);
                 let arrivals = &mut all.entry(original).or_default().arrivals;
                 at.insert(*attempt, (original, arrivals.len()));
-                let (at, reads, never_ran, over) = (fact.at, *reads, false, None);
-                arrivals.push(Arrival { at, request, engine, place, reads, never_ran, over });
+                let (at, is_prefill, never_ran, over) = (fact.at, *is_prefill, false, None);
+                arrivals.push(Arrival { at, request, engine, place, is_prefill, never_ran, over });
             }
             Seen::TurnedAway(attempt) => {
                 if let Some(arrival) = arrival_of(&mut all, &at, *attempt) {
@@ -224,7 +224,7 @@
 impl History<'_> {
     /// Arrivals that had or may have had an effect.
     fn effects(&self) -> impl Iterator<Item = &Arrival<'_>> {
-        self.arrivals.iter().filter(|arrival| !arrival.reads && !arrival.never_ran)
+        self.arrivals.iter().filter(|arrival| !arrival.is_prefill && !arrival.never_ran)
     }
 
     /// A request of which nobody told how often it may run may run once.
@@ -255,7 +255,8 @@
     /// router may send is judged, not what became of it.
     fn repeats(&self, terms: &Terms, breaks: &mut Vec<Violation>) {
         let Some(first) = self.effects().next() else { return };
-        let later = self.arrivals.iter().filter(|arrival| !arrival.reads && !std::ptr::eq(*arrival, first));
+        let later =
+            self.arrivals.iter().filter(|arrival| !arrival.is_prefill && !std::ptr::eq(*arrival, first));
         for arrival in later.filter(|arrival| arrival.at >= first.at) {
             let clause = match self.effect() {
                 Effect::Safe => continue,
--- a/crates/invariants/tests/repeats.rs
+++ b/crates/invariants/tests/repeats.rs
@@ -22,13 +22,13 @@
 fn arrived(ms: u64, attempt: u64, request: &str, engine: &str) -> Fact {
     let place = Place { zone: engine[..1].into(), cell: engine[1..2].parse().expect("a cell") };
     let (attempt, request, engine) = (AttemptId(attempt), request.to_owned(), engine.to_owned());
-    at(ms, Seen::Arrived { attempt, request, engine, place, reads: false })
+    at(ms, Seen::Arrived { attempt, request, engine, place, is_prefill: false })
 }
 
 fn read(ms: u64, attempt: u64, request: &str) -> Fact {
     let place = Place { zone: "a".into(), cell: 1 };
     let (attempt, request, engine) = (AttemptId(attempt), request.to_owned(), "reader".to_owned());
-    at(ms, Seen::Arrived { attempt, request, engine, place, reads: true })
+    at(ms, Seen::Arrived { attempt, request, engine, place, is_prefill: true })
 }
 
 fn over(ms: u64, attempt: u64) -> Fact {
--- a/crates/test-servers/src/platform/hostile_engine.rs
+++ b/crates/test-servers/src/platform/hostile_engine.rs
@@ -229,7 +229,7 @@
         };
         let reads = self.layout.role == EngineRole::Reads;
         let (engine, place) = (self.layout.name.clone(), self.layout.place.clone());
-        self.see(Seen::Arrived { attempt, request: request.clone(), engine, place, reads });
+        self.see(Seen::Arrived { attempt, request: request.clone(), engine, place, is_prefill: reads });
         let fault = self.draw_fault();
         match fault {
             Some(ExchangeFault::TurnedAway) => return self.turn_away(conn, attempt, 503, out),
