--- a/crates/fault-injection/src/run.rs
+++ b/crates/fault-injection/src/run.rs
@@ -221,7 +221,7 @@
             let now = stage.now();
             if self.history.policy_told(now - self.zero, r, sight.clone()) {
                 if let Some(PolicySight { epoch, digest, .. }) = sight {
-                    self.ledger.note(now, Seen::ActsBy { router: format!("r{r}"), epoch, digest });
+                    self.ledger.note(now, Seen::PolicyReported { router: format!("r{r}"), epoch, digest });
                 }
             }
         }
@@ -266,7 +266,7 @@
     fn hear(&mut self, stage: &impl Stage, r: usize, id: &str, said: &ChangeStatus) {
         let (router, id) = (format!("r{r}"), id.to_owned());
         self.note(stage, Event::Heard(id.clone(), r, format!("{said:?}")));
-        self.ledger.note(stage.now(), Seen::Heard { router, id, said: said.clone() });
+        self.ledger.note(stage.now(), Seen::ChangeReported { router, id, status: said.clone() });
     }
 
     /// At the end everybody is asked of every change.
--- a/crates/invariants/src/lib.rs
+++ b/crates/invariants/src/lib.rs
@@ -170,16 +170,16 @@
         on: policy::StampedMessage,
     },
     /// What an operator heard from a router of a change.
-    Heard {
+    ChangeReported {
         /// The router.
         router: String,
         /// The change.
         id: String,
         /// What it said.
-        said: policy::ChangeStatus,
+        status: policy::ChangeStatus,
     },
     /// What an operator heard from a router of the policy that it acts by.
-    ActsBy {
+    PolicyReported {
         /// The router.
         router: String,
         /// The epoch.
--- a/crates/invariants/src/policy.rs
+++ b/crates/invariants/src/policy.rs
@@ -183,7 +183,7 @@
     let mut digests: BTreeMap<u64, (String, String)> = BTreeMap::new();
     let mut last: BTreeMap<&str, u64> = BTreeMap::new();
     for r in records {
-        let Seen::ActsBy { router, epoch, digest } = &r.seen else { continue };
+        let Seen::PolicyReported { router, epoch, digest } = &r.seen else { continue };
         if *epoch == 0 {
             continue;
         }
@@ -210,7 +210,7 @@
     let mut ended: BTreeMap<&str, (&ChangeStatus, &str)> = BTreeMap::new();
     let mut epochs: BTreeMap<u64, &str> = BTreeMap::new();
     for r in records {
-        let Seen::Heard { router, id, said } = &r.seen else { continue };
+        let Seen::ChangeReported { router, id, status: said } = &r.seen else { continue };
         let mut say = |what: String| {
             verdict.broken.push(Violation { promise: Promise::EverywhereOrNowhere, at: r.at, what });
         };
--- a/crates/invariants/src/policy/tests.rs
+++ b/crates/invariants/src/policy/tests.rs
@@ -19,7 +19,7 @@
 }
 
 fn heard(at: u64, router: &str, said: ChangeStatus) -> Record {
-    Record { at: ms(at), seen: Seen::Heard { router: router.into(), id: "x".into(), said } }
+    Record { at: ms(at), seen: Seen::ChangeReported { router: router.into(), id: "x".into(), status: said } }
 }
 
 fn promises(records: &[Record]) -> Vec<Promise> {
@@ -61,7 +61,7 @@
     );
     let acts = |at, digest: &str| Record {
         at: ms(at),
-        seen: Seen::ActsBy { router: "a".into(), epoch: 2, digest: digest.into() },
+        seen: Seen::PolicyReported { router: "a".into(), epoch: 2, digest: digest.into() },
     };
     assert_eq!(with(&[acts(5, "aa"), acts(6, "bb")]), [Promise::OneOrder]);
     let both = [heard(5, "a", ChangeStatus::InForce(2)), heard(6, "b", ChangeStatus::Dropped("no".into()))];
