--- a/crates/fault-injection/src/run.rs
+++ b/crates/fault-injection/src/run.rs
@@ -482,7 +482,7 @@
         let figures = figures_of(&self.script.day);
         let breaks = slipreel_invariants::judge(&kept, &figures)
             .into_iter()
-            .filter(|b| b.of.is_none_or(|what| !excused(&what)))
+            .filter(|b| b.attempt.is_none_or(|what| !excused(&what)))
             .collect();
         let verdict = judge(self.script, &self.history);
         let up: Vec<usize> = (0..self.script.routers).filter(|r| self.phases[*r] == Phase::Up).collect();
--- a/crates/invariants/src/lib.rs
+++ b/crates/invariants/src/lib.rs
@@ -251,7 +251,7 @@
     /// What was seen.
     pub description: String,
     /// Of which try, where the rule is about one answer.
-    pub of: Option<ClientAttempt>,
+    pub attempt: Option<ClientAttempt>,
 }
 
 /// Judges the records of one run. They need not be in order.
@@ -268,7 +268,7 @@
                 rule: Rule::Cold,
                 at: r.at,
                 description: format!("{engine} fell over"),
-                of: None,
+                attempt: None,
             });
         }
     }
@@ -290,7 +290,7 @@
     let mut tries: BTreeMap<ClientAttempt, Asked> = BTreeMap::new();
     let mut died = Vec::new();
     let mut say = |of: &ClientAttempt, at, what: String| {
-        breaks.push(Violation { rule: Rule::OneAnswer, at, description: what, of: Some(*of) });
+        breaks.push(Violation { rule: Rule::OneAnswer, at, description: what, attempt: Some(*of) });
     };
     for r in records {
         match &r.seen {
@@ -364,10 +364,10 @@
         *times += 1;
         if *times > 1 {
             let what = format!("{what:?} ({effect:?}) ran {times} times, last at {engine}");
-            breaks.push(Violation { rule: Rule::NoEffectTwice, at: r.at, description: what, of: None });
+            breaks.push(Violation { rule: Rule::NoEffectTwice, at: r.at, description: what, attempt: None });
         } else if effect == Effect::Unsafe && refused.contains(what) {
             let what = format!("{what:?} (unsafe) ran at {engine} and was refused as harmless to repeat");
-            breaks.push(Violation { rule: Rule::NoEffectTwice, at: r.at, description: what, of: None });
+            breaks.push(Violation { rule: Rule::NoEffectTwice, at: r.at, description: what, attempt: None });
         }
     }
 }
@@ -389,7 +389,7 @@
                     let what = format!(
                         "{what:?} reached {engine} from {router} long after it was told of the drain"
                     );
-                    breaks.push(Violation { rule: Rule::Drains, at: r.at, description: what, of: None });
+                    breaks.push(Violation { rule: Rule::Drains, at: r.at, description: what, attempt: None });
                 }
             }
             _ => {}
@@ -423,7 +423,7 @@
     let check = |h: &Held, now: Duration, breaks: &mut Vec<Violation>| {
         if h.quiet.is_some_and(|since| now > since + most) {
             let what = format!("state of {:?} lay at {} with nothing at work", h.what, h.engine);
-            breaks.push(Violation { rule: Rule::Pinned, at: now, description: what, of: None });
+            breaks.push(Violation { rule: Rule::Pinned, at: now, description: what, attempt: None });
         }
     };
     for r in records {
