--- a/crates/invariants/src/lib.rs
+++ b/crates/invariants/src/lib.rs
@@ -1,8 +1,8 @@
-//! Judges the five rules from traffic alone: what clients, engines and the list saw on the wire.
+//! Checks the five rules from traffic alone: what clients, engines and the engine list saw on the wire.
 //!
-//! Clients and engines append [`Record`]s as they send and receive; [`judge`] reads them afterwards. The router is
-//! never asked. A request is known by the mark that its client put into the prompt, so that engines can name it
-//! without the router's help.
+//! Clients and engines append [`Record`]s as they send and receive; [`judge`] evaluates them after the run. The
+//! router is never queried. Each client puts a mark into the prompt of its requests, so that engines can identify
+//! a request without the router's help.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -15,135 +15,136 @@
 use std::fmt;
 use std::time::Duration;
 
-/// One try of a client: the same request may be asked again as another try.
+/// One attempt of a client at a request. A client that retries a request makes another attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ClientAttempt {
-    /// The request, the same over its tries.
+    /// The request, the same for all its attempts.
     pub request: u64,
-    /// Which of its tries, from 0.
+    /// The number of the attempt, from 0.
     pub number: u32,
 }
 
-/// What a request does when it runs, as the checker has to know it.
+/// How often a request may run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// May run any number of times.
+    /// Any number of times.
     Safe,
-    /// Runs once for each key where repeats are dropped.
+    /// Once per idempotency key on engines that discard repeats.
     Keyed,
-    /// Must never run twice.
+    /// At most once.
     Unsafe,
 }
 
-/// The three final answers.
+/// The three kinds of final answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Ending {
-    /// The whole answer.
+    /// A complete answer.
     Served,
-    /// Turned away: harmless to try again.
+    /// A refusal; a retry is harmless.
     Refused,
-    /// Failed.
+    /// A failure.
     Failed,
 }
 
-/// What an engine does with a request, as it sees it.
+/// The part of a request that an engine works on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
-    /// Reads the prompt.
+    /// Processing of the prompt.
     Prefill,
-    /// Writes the answer.
+    /// Generation of the answer.
     Decode,
 }
 
-/// What was seen, by whom is told by the variant.
+/// An observation. The variant determines whether a client, an engine or the test harness made it.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Seen {
-    /// A client sent a try. It waits for its answer to begin until the deadline.
+    /// A client sent an attempt and waits until the deadline for the answer to begin.
     Asked {
-        /// Which.
+        /// The attempt.
         attempt: ClientAttempt,
-        /// What it does when it runs.
+        /// How often the request may run.
         effect: Effect,
-        /// When its time is up.
+        /// The time until which the client waits.
         deadline: Duration,
     },
-    /// The first part of an answer reached a client.
+    /// The first part of an answer reached the client.
     Began(ClientAttempt),
-    /// A final answer reached a client.
+    /// A final answer reached the client.
     Ended(ClientAttempt, Ending),
-    /// A client left, or its time was up, without a final answer.
+    /// A client left, or its deadline passed, without a final answer.
     Left(ClientAttempt),
-    /// The connection of a client broke without a final answer: only a router that died may do that.
+    /// A client's connection broke without a final answer. Only the crash of its router excuses this.
     Cut(ClientAttempt),
-    /// A router died at once with whatever it had taken.
+    /// A router crashed and lost all requests that it had accepted.
     RouterDied(String),
-    /// A router was told that an engine takes nothing new (`true`) or again (`false`).
+    /// A router was notified that an engine accepts no new work (`true`), or accepts work again (`false`).
     RouterNotified {
         /// The router's name, as engines see it.
         router: String,
         /// The engine.
         engine: String,
-        /// It drains or is gone.
+        /// Whether the engine drains or is gone.
         closed: bool,
     },
-    /// Work reached an engine, whatever it did with it.
+    /// Work reached an engine, whether or not the engine accepted it.
     Arrived {
         /// The engine.
         engine: String,
         /// The router that sent it.
         router: String,
-        /// Which.
+        /// The client's attempt that the work belongs to.
         attempt: ClientAttempt,
-        /// Reading or writing.
+        /// Prefill or decode.
         stage: Stage,
     },
-    /// What had arrived is over at the engine: answered, turned away or dropped.
+    /// Work that had arrived at an engine ended: it was answered, refused or dropped.
     Finished {
         /// The engine.
         engine: String,
-        /// Which.
+        /// The client's attempt that the work belongs to.
         attempt: ClientAttempt,
-        /// Reading or writing.
+        /// Prefill or decode.
         stage: Stage,
     },
-    /// The request had its effect at an engine.
+    /// The request took effect at an engine.
     Ran {
         /// The engine.
         engine: String,
-        /// Which.
+        /// The client's attempt.
         attempt: ClientAttempt,
     },
-    /// Read state of a request began to wait at an engine.
+    /// An engine began to hold the prefill state of a request until a decode engine fetches it.
     StateHeld {
         /// The engine.
         engine: String,
-        /// Which.
+        /// The client's attempt.
         attempt: ClientAttempt,
-        /// Tells several states of one try apart.
+        /// Identifies the state; one attempt may leave several on an engine.
         state: u64,
     },
-    /// Held state was taken, let go of, or lost with its engine.
+    /// Held state was fetched, released, or lost with its engine.
     StateReleased {
         /// The engine.
         engine: String,
-        /// Which state.
+        /// Identifies the state.
         state: u64,
     },
-    /// Work that a router has sent waits on a link that is cut: it is out, though no engine has it.
+    /// Work that a router has sent waits on a cut link: it is still active, although no engine has received it.
     InTransit {
-        /// Which.
+        /// The client's attempt.
         attempt: ClientAttempt,
-        /// Tells several apart.
+        /// Identifies the transfer; one attempt may have several.
         transfer: u64,
     },
-    /// It has gone on, or was given up.
+    /// Work in transit was delivered or abandoned.
     TransitEnded {
-        /// Which.
+        /// The client's attempt.
         attempt: ClientAttempt,
-        /// Tells several apart.
+        /// Identifies the transfer.
         transfer: u64,
     },
-    /// A router can't reach an engine (`true`), or can again: it can let go of nothing there in the meantime.
+    /// The link between a router and an engine was cut (`true`) or restored (`false`). While it is cut, the router
+    /// can't release state on the engine.
     LinkCut {
         /// The router's name.
         router: String,
@@ -152,81 +153,82 @@
         /// Whether the link is cut.
         cut: bool,
     },
-    /// An engine died with whatever it had.
+    /// An engine crashed and lost all its work and held state.
     EngineDied(String),
-    /// The run is over: what is held until now is judged up to here.
+    /// The run ended: state that is still held is checked up to this time.
     RunOver,
-    /// A cold engine was sent more than it bears and fell over.
+    /// A cold engine received more than it can handle and crashed.
     EngineOverloaded(String),
-    /// A call to an engine, or an answer to a client, named the epoch of policy by which the request was taken, or none.
+    /// An attempt at an engine, or an answer to a client, carried the epoch of the policy under which the request
+    /// was accepted, or none.
     Stamped {
         /// The router.
         router: String,
-        /// Which.
+        /// The client's attempt.
         attempt: ClientAttempt,
-        /// The epoch.
+        /// The epoch, if the message named one.
         epoch: Option<u64>,
-        /// On what it stood.
+        /// The message that carried the stamp.
         on: policy::StampedMessage,
     },
-    /// What an operator heard from a router of a change.
+    /// A router reported the status of a policy change to an operator.
     ChangeReported {
         /// The router.
         router: String,
-        /// The change.
+        /// Identifies the change.
         id: String,
-        /// What it said.
+        /// The reported status.
         status: policy::ChangeStatus,
     },
-    /// What an operator heard from a router of the policy that it acts by.
+    /// A router reported to an operator which policy it applies.
     PolicyReported {
         /// The router.
         router: String,
-        /// The epoch.
+        /// The epoch of the policy.
         epoch: u64,
-        /// Of the policy.
+        /// The digest of the policy.
         digest: String,
     },
 }
 
-/// What was seen and when.
+/// An observation and its time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Record {
-    /// When.
+    /// When it was made.
     pub at: Duration,
-    /// What.
+    /// What was observed.
     pub seen: Seen,
 }
 
-/// The limits of the rules.
+/// The time limits of the rules.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// A final answer may come so much after its client's time is up.
+    /// How long after its client's deadline a final answer may come.
     pub answer_slack: Duration,
-    /// Work may reach a closed engine so long after a router was told.
+    /// How long after a router was notified its work may still reach a closed engine.
     pub drain_grace: Duration,
-    /// Held state is taken or let go of within this time.
+    /// How long state may be held while no work of its attempt is active.
     pub held_state_limit: Duration,
-    /// What the wire and the clocks add to a time measured at an engine.
+    /// What the network and the clocks add to a time measured at an engine.
     pub wire: Duration,
 }
 
 /// The five rules.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
-    /// Each request taken gets exactly one final answer before its client's time is up.
+    /// Each accepted request gets exactly one final answer before its client's deadline.
     OneAnswer,
-    /// No effect twice.
+    /// No request takes effect twice.
     NoEffectTwice,
-    /// Drains kept.
+    /// No new work reaches an engine that drains.
     Drains,
-    /// A cold engine is not pushed over.
+    /// No cold engine is overloaded.
     Cold,
-    /// Nothing stays pinned.
+    /// No state stays on an engine without active work.
     Pinned,
 }
 
-/// All five, in their order.
+/// The five rules in the order of their declaration.
 pub const RULES: [Rule; 5] = [Rule::OneAnswer, Rule::NoEffectTwice, Rule::Drains, Rule::Cold, Rule::Pinned];
 
 impl fmt::Display for Rule {
@@ -241,44 +243,44 @@
     }
 }
 
-/// One break of a rule.
+/// A violation of a rule.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation {
-    /// Which rule.
+    /// The rule.
     pub rule: Rule,
-    /// When.
+    /// When it was violated.
     pub at: Duration,
-    /// What was seen.
+    /// What was observed.
     pub description: String,
-    /// Of which try, where the rule is about one answer.
+    /// The client's attempt, where the rule concerns a single answer.
     pub attempt: Option<ClientAttempt>,
 }
 
-/// Judges the records of one run. They need not be in order.
+/// Checks the records of one run, which may be in any order.
 pub fn judge(records: &[Record], limits: &Limits) -> Vec<Violation> {
     let mut records: Vec<&Record> = records.iter().collect();
     records.sort_by_key(|r| r.at);
-    let mut breaks = Vec::new();
-    answers(&records, limits, &mut breaks);
-    effects(&records, &mut breaks);
-    drains(&records, limits, &mut breaks);
+    let mut violations = Vec::new();
+    check_answers(&records, limits, &mut violations);
+    check_effects(&records, &mut violations);
+    check_drains(&records, limits, &mut violations);
     for r in &records {
         if let Seen::EngineOverloaded(engine) = &r.seen {
-            breaks.push(Violation {
+            violations.push(Violation {
                 rule: Rule::Cold,
                 at: r.at,
-                description: format!("{engine} fell over"),
+                description: format!("{engine} was overloaded and crashed"),
                 attempt: None,
             });
         }
     }
-    pinned(&records, limits, &mut breaks);
-    breaks.sort_by_key(|b| (b.at, b.rule));
-    breaks
+    check_pinned_state(&records, limits, &mut violations);
+    violations.sort_by_key(|b| (b.at, b.rule));
+    violations
 }
 
 #[derive(Default)]
-struct Asked {
+struct AttemptState {
     deadline: Duration,
     began: Option<Duration>,
     endings: usize,
@@ -286,93 +288,95 @@
     cut: Option<Duration>,
 }
 
-fn answers(records: &[&Record], limits: &Limits, breaks: &mut Vec<Violation>) {
-    let mut tries: BTreeMap<ClientAttempt, Asked> = BTreeMap::new();
-    let mut died = Vec::new();
-    let mut say = |of: &ClientAttempt, at, what: String| {
-        breaks.push(Violation { rule: Rule::OneAnswer, at, description: what, attempt: Some(*of) });
+fn check_answers(records: &[&Record], limits: &Limits, violations: &mut Vec<Violation>) {
+    let mut attempts: BTreeMap<ClientAttempt, AttemptState> = BTreeMap::new();
+    let mut crashed = Vec::new();
+    let mut report = |attempt: &ClientAttempt, at, description: String| {
+        violations.push(Violation { rule: Rule::OneAnswer, at, description, attempt: Some(*attempt) });
     };
     for r in records {
         match &r.seen {
-            Seen::Asked { attempt: what, deadline, .. } => {
-                tries.insert(*what, Asked { deadline: *deadline, ..Asked::default() });
+            Seen::Asked { attempt, deadline, .. } => {
+                attempts.insert(*attempt, AttemptState { deadline: *deadline, ..AttemptState::default() });
             }
-            Seen::Began(what) => {
-                if let Some(t) = tries.get_mut(what) {
+            Seen::Began(attempt) => {
+                if let Some(t) = attempts.get_mut(attempt) {
                     t.began.get_or_insert(r.at);
                 }
             }
-            Seen::Ended(what, ending) => {
-                let Some(t) = tries.get_mut(what) else { continue };
+            Seen::Ended(attempt, ending) => {
+                let Some(t) = attempts.get_mut(attempt) else { continue };
                 t.endings += 1;
                 if t.endings > 1 {
-                    say(what, r.at, format!("{what:?} got a second final answer, {ending:?}"));
+                    report(attempt, r.at, format!("{attempt:?} got a second final answer, {ending:?}"));
                 }
-                let last = t.deadline + limits.answer_slack;
-                if t.began.unwrap_or(r.at) > last {
-                    say(what, r.at, format!("{what:?} ended {ending:?} after its time was up"));
+                let latest = t.deadline + limits.answer_slack;
+                if t.began.unwrap_or(r.at) > latest {
+                    report(attempt, r.at, format!("{attempt:?} ended {ending:?} after its deadline"));
                 }
             }
-            Seen::Left(what) => {
-                if let Some(t) = tries.get_mut(what) {
+            Seen::Left(attempt) => {
+                if let Some(t) = attempts.get_mut(attempt) {
                     t.left = true;
                     if t.endings == 0 && t.began.is_none() && r.at > t.deadline + limits.answer_slack {
-                        say(what, r.at, format!("{what:?} had no answer when its time was up"));
+                        report(attempt, r.at, format!("{attempt:?} had no answer at its deadline"));
                     }
                 }
             }
-            Seen::Cut(what) => {
-                if let Some(t) = tries.get_mut(what) {
+            Seen::Cut(attempt) => {
+                if let Some(t) = attempts.get_mut(attempt) {
                     t.cut = Some(r.at);
                 }
             }
-            Seen::RouterDied(_) => died.push(r.at),
+            Seen::RouterDied(_) => crashed.push(r.at),
             _ => {}
         }
     }
-    for (what, t) in &tries {
+    for (attempt, t) in &attempts {
         let excused =
-            t.left || t.cut.is_some_and(|at| died.iter().any(|&d| d <= at && at <= d + limits.wire));
+            t.left || t.cut.is_some_and(|at| crashed.iter().any(|&d| d <= at && at <= d + limits.wire));
         if t.endings == 0 && !excused {
-            say(what, t.deadline, format!("{what:?} got no final answer"));
+            report(attempt, t.deadline, format!("{attempt:?} got no final answer"));
         }
     }
 }
 
-fn effects(records: &[&Record], breaks: &mut Vec<Violation>) {
+fn check_effects(records: &[&Record], violations: &mut Vec<Violation>) {
     let mut effects: BTreeMap<u64, Effect> = BTreeMap::new();
     let mut ran: BTreeMap<u64, usize> = BTreeMap::new();
     let mut refused: BTreeSet<ClientAttempt> = BTreeSet::new();
     for r in records {
         match &r.seen {
-            Seen::Asked { attempt: what, effect, .. } => {
-                effects.insert(what.request, *effect);
+            Seen::Asked { attempt, effect, .. } => {
+                effects.insert(attempt.request, *effect);
             }
-            Seen::Ended(what, Ending::Refused) => {
-                refused.insert(*what);
+            Seen::Ended(attempt, Ending::Refused) => {
+                refused.insert(*attempt);
             }
             _ => {}
         }
     }
     for r in records {
-        let Seen::Ran { engine, attempt: what } = &r.seen else { continue };
-        let effect = effects.get(&what.request).copied().unwrap_or(Effect::Safe);
+        let Seen::Ran { engine, attempt } = &r.seen else { continue };
+        let effect = effects.get(&attempt.request).copied().unwrap_or(Effect::Safe);
         if effect == Effect::Safe {
             continue;
         }
-        let times = ran.entry(what.request).or_default();
-        *times += 1;
-        if *times > 1 {
-            let what = format!("{what:?} ({effect:?}) ran {times} times, last at {engine}");
-            breaks.push(Violation { rule: Rule::NoEffectTwice, at: r.at, description: what, attempt: None });
-        } else if effect == Effect::Unsafe && refused.contains(what) {
-            let what = format!("{what:?} (unsafe) ran at {engine} and was refused as harmless to repeat");
-            breaks.push(Violation { rule: Rule::NoEffectTwice, at: r.at, description: what, attempt: None });
+        let runs = ran.entry(attempt.request).or_default();
+        *runs += 1;
+        if *runs > 1 {
+            let description = format!("{attempt:?} ({effect:?}) ran {runs} times, last at {engine}");
+            violations.push(Violation { rule: Rule::NoEffectTwice, at: r.at, description, attempt: None });
+        } else if effect == Effect::Unsafe && refused.contains(attempt) {
+            let description = format!(
+                "{attempt:?} (unsafe) ran at {engine}, but its refusal said that a retry is harmless"
+            );
+            violations.push(Violation { rule: Rule::NoEffectTwice, at: r.at, description, attempt: None });
         }
     }
 }
 
-fn drains(records: &[&Record], limits: &Limits, breaks: &mut Vec<Violation>) {
+fn check_drains(records: &[&Record], limits: &Limits, violations: &mut Vec<Violation>) {
     let mut closed: BTreeMap<(&str, &str), Duration> = BTreeMap::new();
     for r in records {
         match &r.seen {
@@ -383,13 +387,13 @@
                 closed.remove(&(router.as_str(), engine.as_str()));
             }
             Seen::RouterDied(router) => closed.retain(|(r, _), _| r != router),
-            Seen::Arrived { engine, router, attempt: what, .. } => {
-                let told = closed.get(&(router.as_str(), engine.as_str()));
-                if told.is_some_and(|&told| r.at > told + limits.drain_grace + limits.wire) {
-                    let what = format!(
-                        "{what:?} reached {engine} from {router} long after it was told of the drain"
+            Seen::Arrived { engine, router, attempt, .. } => {
+                let notified = closed.get(&(router.as_str(), engine.as_str()));
+                if notified.is_some_and(|&notified| r.at > notified + limits.drain_grace + limits.wire) {
+                    let description = format!(
+                        "{attempt:?} reached {engine} from {router} after the grace period of its drain"
                     );
-                    breaks.push(Violation { rule: Rule::Drains, at: r.at, description: what, attempt: None });
+                    violations.push(Violation { rule: Rule::Drains, at: r.at, description, attempt: None });
                 }
             }
             _ => {}
@@ -397,119 +401,123 @@
     }
 }
 
-struct Held<'a> {
+struct HeldState<'a> {
     engine: &'a str,
-    what: ClientAttempt,
-    /// Since when nothing is at work; `None` while something is.
-    quiet: Option<Duration>,
+    attempt: ClientAttempt,
+    /// Since when no work of the attempt has been active; `None` while some is.
+    idle_since: Option<Duration>,
 }
 
-/// Where work of a try is.
+/// Where work of an attempt is.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Place<'a> {
+enum WorkLocation<'a> {
     Engine(&'a str),
     Transfer(u64),
 }
 
-/// For each held state: the longest time between its start and its end in which nothing of its try was at work.
-/// What an engine held ends with it; what a router left when it died is for its engines to free.
-fn pinned(records: &[&Record], limits: &Limits, breaks: &mut Vec<Violation>) {
-    let mut held: BTreeMap<(&str, u64), Held> = BTreeMap::new();
-    let mut at_work: BTreeMap<ClientAttempt, Vec<Place>> = BTreeMap::new();
+/// Checks for each held state the longest time between its start and its end in which no work of its attempt was
+/// active. State of an engine that crashes ends with the engine, and engines have to free what a crashed router
+/// left behind.
+fn check_pinned_state(records: &[&Record], limits: &Limits, violations: &mut Vec<Violation>) {
+    let mut held: BTreeMap<(&str, u64), HeldState> = BTreeMap::new();
+    let mut active: BTreeMap<ClientAttempt, Vec<WorkLocation>> = BTreeMap::new();
     let mut routers: BTreeMap<ClientAttempt, (&str, Duration)> = BTreeMap::new();
-    let mut died: BTreeMap<&str, Duration> = BTreeMap::new();
-    let mut apart: BTreeSet<(&str, &str)> = BTreeSet::new();
-    let most = limits.held_state_limit + limits.wire;
-    let check = |h: &Held, now: Duration, breaks: &mut Vec<Violation>| {
-        if h.quiet.is_some_and(|since| now > since + most) {
-            let what = format!("state of {:?} lay at {} with nothing at work", h.what, h.engine);
-            breaks.push(Violation { rule: Rule::Pinned, at: now, description: what, attempt: None });
+    let mut crashed: BTreeMap<&str, Duration> = BTreeMap::new();
+    let mut unreachable: BTreeSet<(&str, &str)> = BTreeSet::new();
+    let limit = limits.held_state_limit + limits.wire;
+    let check = |h: &HeldState, now: Duration, violations: &mut Vec<Violation>| {
+        if h.idle_since.is_some_and(|since| now > since + limit) {
+            let description =
+                format!("state of {:?} was held at {} too long without active work", h.attempt, h.engine);
+            violations.push(Violation { rule: Rule::Pinned, at: now, description, attempt: None });
         }
     };
     for r in records {
-        let begins = match &r.seen {
-            Seen::Arrived { attempt: what, engine, router, .. } => {
-                routers.insert(*what, (router, r.at));
-                Some((*what, Place::Engine(engine)))
+        let started = match &r.seen {
+            Seen::Arrived { attempt, engine, router, .. } => {
+                routers.insert(*attempt, (router, r.at));
+                Some((*attempt, WorkLocation::Engine(engine)))
             }
-            Seen::InTransit { attempt: what, transfer } => Some((*what, Place::Transfer(*transfer))),
+            Seen::InTransit { attempt, transfer } => Some((*attempt, WorkLocation::Transfer(*transfer))),
             _ => None,
         };
-        if let Some((what, place)) = begins {
-            at_work.entry(what).or_default().push(place);
-            for h in held.values_mut().filter(|h| h.what == what) {
-                check(h, r.at, breaks);
-                h.quiet = None;
+        if let Some((attempt, location)) = started {
+            active.entry(attempt).or_default().push(location);
+            for h in held.values_mut().filter(|h| h.attempt == attempt) {
+                check(h, r.at, violations);
+                h.idle_since = None;
             }
         }
-        let ends = match &r.seen {
-            Seen::Finished { attempt: what, engine, .. } => Some((*what, Place::Engine(engine))),
-            Seen::TransitEnded { attempt: what, transfer } => Some((*what, Place::Transfer(*transfer))),
+        let ended = match &r.seen {
+            Seen::Finished { attempt, engine, .. } => Some((*attempt, WorkLocation::Engine(engine))),
+            Seen::TransitEnded { attempt, transfer } => Some((*attempt, WorkLocation::Transfer(*transfer))),
             _ => None,
         };
-        if let Some((what, place)) = ends {
-            let Some(places) = at_work.get_mut(&what) else { continue };
-            if let Some(at) = places.iter().position(|p| *p == place) {
-                places.swap_remove(at);
+        if let Some((attempt, location)) = ended {
+            let Some(locations) = active.get_mut(&attempt) else { continue };
+            if let Some(at) = locations.iter().position(|p| *p == location) {
+                locations.swap_remove(at);
             }
-            if places.is_empty() {
-                at_work.remove(&what);
-                held.values_mut().filter(|h| h.what == what).for_each(|h| h.quiet = Some(r.at));
+            if locations.is_empty() {
+                active.remove(&attempt);
+                held.values_mut().filter(|h| h.attempt == attempt).for_each(|h| h.idle_since = Some(r.at));
             }
         }
         match &r.seen {
-            // A read may end in the moment in which its router dies: what that left is for its engines to free.
-            Seen::StateHeld { attempt: what, .. }
-                if routers.get(what).is_some_and(|(router, sent)| died.get(router) >= Some(sent)) => {}
-            Seen::StateHeld { engine, attempt: what, state } => {
-                let quiet = (!at_work.contains_key(what)).then_some(r.at);
-                held.insert((engine, *state), Held { engine, what: *what, quiet });
+            // Prefill may end at the moment at which the router crashes. Its engine has to free this state.
+            Seen::StateHeld { attempt, .. }
+                if routers.get(attempt).is_some_and(|(router, sent)| crashed.get(router) >= Some(sent)) => {}
+            Seen::StateHeld { engine, attempt, state } => {
+                let idle_since = (!active.contains_key(attempt)).then_some(r.at);
+                held.insert((engine, *state), HeldState { engine, attempt: *attempt, idle_since });
             }
             Seen::StateReleased { engine, state } => {
                 if let Some(h) = held.remove(&(engine.as_str(), *state)) {
-                    check(&h, r.at, breaks);
+                    check(&h, r.at, violations);
                 }
             }
             Seen::LinkCut { router, engine, cut } => {
                 if *cut {
-                    apart.insert((router, engine));
+                    unreachable.insert((router, engine));
                 } else {
-                    apart.remove(&(router.as_str(), engine.as_str()));
-                    let mine = |h: &&mut Held| {
-                        h.engine == engine && routers.get(&h.what).map(|r| r.0) == Some(router)
+                    unreachable.remove(&(router.as_str(), engine.as_str()));
+                    let is_affected = |h: &&mut HeldState| {
+                        h.engine == engine && routers.get(&h.attempt).map(|r| r.0) == Some(router)
                     };
                     held.values_mut()
-                        .filter(mine)
-                        .filter(|h| h.quiet.is_some())
-                        .for_each(|h| h.quiet = Some(r.at));
+                        .filter(is_affected)
+                        .filter(|h| h.idle_since.is_some())
+                        .for_each(|h| h.idle_since = Some(r.at));
                 }
             }
             Seen::EngineDied(engine) => {
                 held.retain(|(at, _), _| at != engine);
-                at_work.retain(|what, places| {
-                    places.retain(|p| *p != Place::Engine(engine));
-                    if places.is_empty() {
-                        held.values_mut().filter(|h| h.what == *what).for_each(|h| h.quiet = Some(r.at));
+                active.retain(|attempt, locations| {
+                    locations.retain(|p| *p != WorkLocation::Engine(engine));
+                    if locations.is_empty() {
+                        held.values_mut()
+                            .filter(|h| h.attempt == *attempt)
+                            .for_each(|h| h.idle_since = Some(r.at));
                     }
-                    !places.is_empty()
+                    !locations.is_empty()
                 });
             }
             Seen::RouterDied(router) => {
-                died.insert(router, r.at);
-                held.retain(|_, h| routers.get(&h.what).map(|r| r.0) != Some(router));
+                crashed.insert(router, r.at);
+                held.retain(|_, h| routers.get(&h.attempt).map(|r| r.0) != Some(router));
             }
             _ => {}
         }
-        // While its router can't reach the engine, state there waits for the link, not for the router.
-        for h in held.values_mut().filter(|h| h.quiet.is_some()) {
-            let router = routers.get(&h.what).map(|r| r.0).unwrap_or_default();
-            if apart.contains(&(router, h.engine)) {
-                h.quiet = Some(r.at);
+        // While the router can't reach the engine, state there waits for the link and not for the router.
+        for h in held.values_mut().filter(|h| h.idle_since.is_some()) {
+            let router = routers.get(&h.attempt).map(|r| r.0).unwrap_or_default();
+            if unreachable.contains(&(router, h.engine)) {
+                h.idle_since = Some(r.at);
             }
         }
     }
     let end = records.last().map_or(Duration::ZERO, |r| r.at);
-    held.values().for_each(|h| check(h, end, breaks));
+    held.values().for_each(|h| check(h, end, violations));
 }
 
 #[cfg(test)]
