--- a/crates/invariants/src/policy.rs
+++ b/crates/invariants/src/policy.rs
@@ -1,109 +1,110 @@
-//! Judges a change of policy from the stamps in the traffic and from what operators were told: one order of epochs, everywhere or nowhere, no
-//! two at once, and each request by one epoch from its beginning to its end. The routers' own state is never asked.
+//! Checks policy changes from the epoch stamps in the traffic and from the reports of routers to operators: epochs
+//! follow one order, a change is applied by all routers or by none, two epochs don't overlap, and each request keeps
+//! the epoch under which it was accepted. The routers' own state is never queried.
 
 use crate::{ClientAttempt, Record, Seen};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A message that carries an epoch stamp.
+/// The kind of message that carries an epoch stamp.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StampedMessage {
-    /// A call to an engine.
+    /// An attempt at an engine.
     Attempt,
-    /// An answer of this status.
+    /// An answer to a client, with this HTTP status.
     Answer(u16),
 }
 
-/// What a router says of a change.
+/// The status of a policy change as a router reports it.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ChangeStatus {
-    /// In force as this epoch, of a policy of this digest.
+    /// The change is in force as this epoch.
     InForce(u64),
-    /// Dropped, and why.
+    /// The change was dropped for this reason.
     Dropped(String),
-    /// Under way.
+    /// The change is not decided yet.
     Pending,
-    /// It can't tell.
+    /// The router can't tell the outcome of the change.
     Unknown,
 }
 
-/// The promises.
+/// The guarantees of a policy change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Promise {
-    /// All go through one sequence of epochs, and none goes back.
+    /// All routers follow one sequence of epochs, and none returns to an earlier epoch.
     OneOrder,
-    /// A change ends the same everywhere and for ever.
+    /// All routers report the same final outcome of a change, and it stays final.
     EverywhereOrNowhere,
-    /// Nobody takes a request by an older epoch after somebody has taken one by a newer, but for the overlap.
+    /// Once a router has accepted a request under a newer epoch, no router accepts one under an older epoch, except
+    /// within the permitted overlap.
     NoTwoAtOnce,
-    /// A request lives and ends by the epoch under which it was taken, and says so.
+    /// All attempts and answers of a request name the epoch under which it was accepted.
     OneEpochEach,
 }
 
-/// One break of a promise.
+/// A violation of a guarantee.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation {
-    /// Which.
+    /// The guarantee.
     pub promise: Promise,
-    /// When.
+    /// When it was violated.
     pub at: Duration,
-    /// What was seen.
+    /// What was observed.
     pub description: String,
 }
 
-/// What came of it.
+/// The result of a check.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Verdict {
-    /// Promises that broke.
+    /// The violated guarantees.
     pub broken: Vec<Violation>,
-    /// The latest that a request was asked for after the first of a newer epoch was seen, and was taken by an older one all the same.
+    /// The longest time from the first message of a newer epoch to the sending of a request that was still accepted
+    /// under an older one.
     pub overlap: Duration,
-    /// Requests that were taken, by epoch.
+    /// The number of accepted requests by epoch.
     pub taken: BTreeMap<u64, usize>,
-    /// Answers of routers that could not know whether their epoch held.
+    /// Answers of routers that could not confirm that their epoch was still in force.
     pub uncertain: usize,
 }
 
-/// A router that can't know answers so; such a request was not taken.
-const UNCERTAIN: u16 = 503;
+/// The status with which a router answers if it can't confirm its epoch. It does not accept such a request.
+const UNCERTAIN_STATUS: u16 = 503;
 
 #[derive(Default)]
-struct Request {
+struct RequestState {
     asked: Duration,
-    /// Who took it, when that was seen first, by which epoch.
-    taken: Option<(String, Duration, u64)>,
+    /// The router that accepted the request, the time of the first message that shows it, and the epoch.
+    accepted: Option<(String, Duration, u64)>,
 }
 
-/// Judges a run. `overlap`: for how long two epochs may overlap, with what clocks and wire add. `stamped`: every answer and call is to name an
-/// epoch; else none is.
+/// Checks a run. Two epochs may overlap for `overlap`, which includes what the clocks and the network add.
+/// If `stamped` is true, every answer and attempt has to name an epoch; otherwise none may.
 pub fn judge(records: &[Record], overlap: Duration, stamped: bool) -> Verdict {
     let mut records: Vec<&Record> = records.iter().collect();
     records.sort_by_key(|r| r.at);
     let mut verdict = Verdict::default();
-    let requests = stamps(&records, stamped, &mut verdict);
-    two_at_once(&requests, overlap, &mut verdict);
-    order(&requests, &records, &mut verdict);
-    outcomes(&records, &mut verdict);
+    let requests = check_stamps(&records, stamped, &mut verdict);
+    check_overlap(&requests, overlap, &mut verdict);
+    check_order(&requests, &records, &mut verdict);
+    check_outcomes(&records, &mut verdict);
     verdict.broken.sort_by_key(|b| (b.at, b.promise));
     verdict
 }
 
-fn stamps(records: &[&Record], stamped: bool, verdict: &mut Verdict) -> BTreeMap<ClientAttempt, Request> {
-    let mut requests: BTreeMap<ClientAttempt, Request> = BTreeMap::new();
+fn check_stamps(
+    records: &[&Record], stamped: bool, verdict: &mut Verdict,
+) -> BTreeMap<ClientAttempt, RequestState> {
+    let mut requests: BTreeMap<ClientAttempt, RequestState> = BTreeMap::new();
     for r in records {
         match &r.seen {
-            Seen::Asked { attempt: what, .. } => {
-                requests.insert(*what, Request { asked: r.at, taken: None });
+            Seen::Asked { attempt, .. } => {
+                requests.insert(*attempt, RequestState { asked: r.at, accepted: None });
             }
-            Seen::Stamped { router, attempt: what, epoch, on } => {
-                let mut say = |what: String| {
-                    verdict.broken.push(Violation {
-                        promise: Promise::OneEpochEach,
-                        at: r.at,
-                        description: what,
-                    });
+            Seen::Stamped { router, attempt, epoch, on } => {
+                let mut report = |description: String| {
+                    verdict.broken.push(Violation { promise: Promise::OneEpochEach, at: r.at, description });
                 };
-                if *on == StampedMessage::Answer(UNCERTAIN) {
+                if *on == StampedMessage::Answer(UNCERTAIN_STATUS) {
                     verdict.uncertain += 1;
                     continue;
                 }
@@ -111,25 +112,27 @@
                     (Some(epoch), true) => *epoch,
                     (None, false) => continue,
                     (None, true) => {
-                        say(format!("{router}, {what:?}, {on:?}: no epoch is named"));
+                        report(format!("{router}, {attempt:?}, {on:?}: names no epoch"));
                         continue;
                     }
                     (Some(epoch), false) => {
-                        say(format!(
-                            "{router}, {what:?}, {on:?}: epoch {epoch} is named, and none is agreed on"
+                        report(format!(
+                            "{router}, {attempt:?}, {on:?}: names epoch {epoch}, but no policy was agreed on"
                         ));
                         continue;
                     }
                 };
-                let Some(request) = requests.get_mut(what) else { continue };
-                match &request.taken {
+                let Some(request) = requests.get_mut(attempt) else { continue };
+                match &request.accepted {
                     Some((_, _, first)) if *first != epoch => {
-                        say(format!("{router}, {what:?}, {on:?}: epoch {epoch}, and epoch {first} before"));
+                        report(format!(
+                            "{router}, {attempt:?}, {on:?}: names epoch {epoch} after epoch {first}"
+                        ));
                     }
                     Some(_) => {}
                     None => {
                         *verdict.taken.entry(epoch).or_default() += 1;
-                        request.taken = Some((router.clone(), r.at, epoch));
+                        request.accepted = Some((router.clone(), r.at, epoch));
                     }
                 }
             }
@@ -139,49 +142,53 @@
     requests
 }
 
-/// When each epoch was first seen to be acted by.
-fn firsts(requests: &BTreeMap<ClientAttempt, Request>) -> BTreeMap<u64, Duration> {
+/// The time at which a request was first accepted under each epoch.
+fn first_accepted(requests: &BTreeMap<ClientAttempt, RequestState>) -> BTreeMap<u64, Duration> {
     let mut firsts: BTreeMap<u64, Duration> = BTreeMap::new();
-    for (_, at, epoch) in requests.values().filter_map(|r| r.taken.as_ref()) {
+    for (_, at, epoch) in requests.values().filter_map(|r| r.accepted.as_ref()) {
         let first = firsts.entry(*epoch).or_insert(*at);
         *first = (*first).min(*at);
     }
     firsts
 }
 
-fn two_at_once(requests: &BTreeMap<ClientAttempt, Request>, overlap: Duration, verdict: &mut Verdict) {
-    let firsts = firsts(requests);
-    for (what, request) in requests {
-        let Some((router, at, epoch)) = &request.taken else { continue };
+fn check_overlap(requests: &BTreeMap<ClientAttempt, RequestState>, overlap: Duration, verdict: &mut Verdict) {
+    let firsts = first_accepted(requests);
+    for (attempt, request) in requests {
+        let Some((router, at, epoch)) = &request.accepted else { continue };
         let newer = firsts.range(epoch + 1..).map(|(f, first)| (*first, *f)).min();
-        // It was taken after it was asked: what was asked late enough was taken too late for certain.
+        // A request is accepted after it was sent, so one that was sent too late was certainly accepted too late.
         let Some((first, newest)) = newer.filter(|(first, _)| request.asked > *first) else { continue };
-        let over = request.asked - first;
-        verdict.overlap = verdict.overlap.max(over);
-        if over > overlap {
-            let what = format!(
-                "{router} took {what:?} by epoch {epoch}, asked {} ms after the first by epoch {newest}",
-                over.as_millis()
+        let lag = request.asked - first;
+        verdict.overlap = verdict.overlap.max(lag);
+        if lag > overlap {
+            let description = format!(
+                "{router} accepted {attempt:?} under epoch {epoch}, sent {} ms after the first request under epoch {newest}",
+                lag.as_millis()
             );
-            verdict.broken.push(Violation { promise: Promise::NoTwoAtOnce, at: *at, description: what });
+            verdict.broken.push(Violation { promise: Promise::NoTwoAtOnce, at: *at, description });
         }
     }
 }
 
-fn order(requests: &BTreeMap<ClientAttempt, Request>, records: &[&Record], verdict: &mut Verdict) {
-    // By router: the newest epoch that it was seen to act by, and when first.
-    let mut by: BTreeMap<&str, Vec<(Duration, u64)>> = BTreeMap::new();
-    for (router, at, epoch) in requests.values().filter_map(|r| r.taken.as_ref()) {
-        by.entry(router).or_default().push((*at, *epoch));
+fn check_order(requests: &BTreeMap<ClientAttempt, RequestState>, records: &[&Record], verdict: &mut Verdict) {
+    // By router: each epoch that it applied, and when.
+    let mut epochs_by_router: BTreeMap<&str, Vec<(Duration, u64)>> = BTreeMap::new();
+    for (router, at, epoch) in requests.values().filter_map(|r| r.accepted.as_ref()) {
+        epochs_by_router.entry(router).or_default().push((*at, *epoch));
     }
-    for (what, request) in requests {
-        let Some((router, at, epoch)) = &request.taken else { continue };
-        let before =
-            by[router.as_str()].iter().filter(|(seen, _)| *seen < request.asked).map(|(_, e)| *e).max();
+    for (attempt, request) in requests {
+        let Some((router, at, epoch)) = &request.accepted else { continue };
+        let before = epochs_by_router[router.as_str()]
+            .iter()
+            .filter(|(seen, _)| *seen < request.asked)
+            .map(|(_, e)| *e)
+            .max();
         if let Some(before) = before.filter(|before| before > epoch) {
-            let what =
-                format!("{router} took {what:?} by epoch {epoch} after it had acted by epoch {before}");
-            verdict.broken.push(Violation { promise: Promise::OneOrder, at: *at, description: what });
+            let description = format!(
+                "{router} accepted {attempt:?} under epoch {epoch} after it had applied epoch {before}"
+            );
+            verdict.broken.push(Violation { promise: Promise::OneOrder, at: *at, description });
         }
     }
     let mut digests: BTreeMap<u64, (String, String)> = BTreeMap::new();
@@ -191,12 +198,12 @@
         if *epoch == 0 {
             continue;
         }
-        let mut say = |what: String| {
-            verdict.broken.push(Violation { promise: Promise::OneOrder, at: r.at, description: what });
+        let mut report = |description: String| {
+            verdict.broken.push(Violation { promise: Promise::OneOrder, at: r.at, description });
         };
         match digests.get(epoch) {
             Some((first, other)) if first != digest => {
-                say(format!("epoch {epoch} is {digest} at {router} and {first} at {other}"));
+                report(format!("epoch {epoch} has digest {digest} at {router} and {first} at {other}"));
             }
             Some(_) => {}
             None => {
@@ -205,45 +212,43 @@
         }
         let before = last.insert(router, *epoch).unwrap_or(0);
         if before > *epoch {
-            say(format!("{router} tells epoch {epoch} after epoch {before}"));
+            report(format!("{router} reports epoch {epoch} after epoch {before}"));
         }
     }
 }
 
-fn outcomes(records: &[&Record], verdict: &mut Verdict) {
-    let mut ended: BTreeMap<&str, (&ChangeStatus, &str)> = BTreeMap::new();
+fn check_outcomes(records: &[&Record], verdict: &mut Verdict) {
+    let mut final_statuses: BTreeMap<&str, (&ChangeStatus, &str)> = BTreeMap::new();
     let mut epochs: BTreeMap<u64, &str> = BTreeMap::new();
     for r in records {
-        let Seen::ChangeReported { router, id, status: said } = &r.seen else { continue };
-        let mut say = |what: String| {
-            verdict.broken.push(Violation {
-                promise: Promise::EverywhereOrNowhere,
-                at: r.at,
-                description: what,
-            });
+        let Seen::ChangeReported { router, id, status } = &r.seen else { continue };
+        let mut report = |description: String| {
+            verdict.broken.push(Violation { promise: Promise::EverywhereOrNowhere, at: r.at, description });
         };
-        if let ChangeStatus::InForce(epoch) = said {
+        if let ChangeStatus::InForce(epoch) = status {
             match epochs.get(epoch) {
                 Some(other) if *other != id => {
-                    say(format!("{router}: epoch {epoch} is {id}, and was {other}"));
+                    report(format!(
+                        "{router} reports that epoch {epoch} is change {id}; it was change {other}"
+                    ));
                 }
                 _ => {
                     epochs.insert(*epoch, id);
                 }
             }
         }
-        match (ended.get(id.as_str()), said) {
+        match (final_statuses.get(id.as_str()), status) {
             (None, ChangeStatus::InForce(_) | ChangeStatus::Dropped(_)) => {
-                ended.insert(id, (said, router));
+                final_statuses.insert(id, (status, router));
             }
             (Some((before, other)), ChangeStatus::InForce(_) | ChangeStatus::Dropped(_))
-                if *before != said =>
+                if *before != status =>
             {
-                say(format!("{id}: {router} says {said:?}, and {other} said {before:?}"));
+                report(format!("{id}: {router} reports {status:?}, but {other} reported {before:?}"));
             }
-            // A router that lags may not know yet; one that takes it back does not.
+            // A router that lags behind may not know the outcome yet, but none may withdraw an outcome it reported.
             (Some((before, other)), ChangeStatus::Pending) if *other == router => {
-                say(format!("{id}: {router} calls it pending, and said {before:?}"));
+                report(format!("{id}: {router} reports it as pending, but reported {before:?} before"));
             }
             _ => {}
         }
--- a/crates/invariants/src/policy/tests.rs
+++ b/crates/invariants/src/policy/tests.rs
@@ -6,28 +6,25 @@
 }
 
 fn asked(at: u64, request: u64) -> Record {
-    let what = ClientAttempt { request, number: 0 };
-    Record { at: ms(at), seen: Seen::Asked { attempt: what, effect: Effect::Safe, deadline: ms(at + 1_000) } }
+    let attempt = ClientAttempt { request, number: 0 };
+    Record { at: ms(at), seen: Seen::Asked { attempt, effect: Effect::Safe, deadline: ms(at + 1_000) } }
 }
 
 fn stamp(at: u64, request: u64, router: &str, epoch: u64, on: StampedMessage) -> Record {
-    let what = ClientAttempt { request, number: 0 };
-    Record {
-        at: ms(at),
-        seen: Seen::Stamped { router: router.into(), attempt: what, epoch: Some(epoch), on },
-    }
+    let attempt = ClientAttempt { request, number: 0 };
+    Record { at: ms(at), seen: Seen::Stamped { router: router.into(), attempt, epoch: Some(epoch), on } }
 }
 
-fn heard(at: u64, router: &str, said: ChangeStatus) -> Record {
-    Record { at: ms(at), seen: Seen::ChangeReported { router: router.into(), id: "x".into(), status: said } }
+fn reported(at: u64, router: &str, status: ChangeStatus) -> Record {
+    Record { at: ms(at), seen: Seen::ChangeReported { router: router.into(), id: "x".into(), status } }
 }
 
-fn promises(records: &[Record]) -> Vec<Promise> {
-    judge(records, ms(100), true).broken.into_iter().map(|b| b.promise).collect()
+fn violated(records: &[Record]) -> Vec<Promise> {
+    judge(records, ms(100), true).broken.into_iter().map(|v| v.promise).collect()
 }
 
 #[test]
-fn a_change_in_order_breaks_nothing_and_its_overlap_is_measured() {
+fn an_orderly_change_violates_nothing_and_its_overlap_is_measured() {
     let mut records = vec![
         asked(0, 1),
         stamp(1, 1, "a", 1, StampedMessage::Attempt),
@@ -46,9 +43,9 @@
 }
 
 #[test]
-fn each_break_is_named() {
+fn each_violation_names_its_guarantee() {
     let first = [asked(0, 1), stamp(1, 1, "a", 2, StampedMessage::Attempt)];
-    let with = |more: &[Record]| promises(&[&first[..], more].concat());
+    let with = |more: &[Record]| violated(&[&first[..], more].concat());
     assert_eq!(with(&[stamp(2, 1, "a", 3, StampedMessage::Answer(200))]), [Promise::OneEpochEach]);
     assert_eq!(
         with(&[asked(300, 2), stamp(301, 2, "b", 1, StampedMessage::Attempt)]),
@@ -57,24 +54,26 @@
     assert_eq!(
         with(&[asked(5, 2), stamp(6, 2, "a", 1, StampedMessage::Attempt)]),
         [Promise::OneOrder],
-        "it goes back"
+        "the router returns to an earlier epoch"
     );
-    let acts = |at, digest: &str| Record {
+    let policy_reported = |at, digest: &str| Record {
         at: ms(at),
         seen: Seen::PolicyReported { router: "a".into(), epoch: 2, digest: digest.into() },
     };
-    assert_eq!(with(&[acts(5, "aa"), acts(6, "bb")]), [Promise::OneOrder]);
-    let both = [heard(5, "a", ChangeStatus::InForce(2)), heard(6, "b", ChangeStatus::Dropped("no".into()))];
-    assert_eq!(with(&both), [Promise::EverywhereOrNowhere]);
+    assert_eq!(with(&[policy_reported(5, "aa"), policy_reported(6, "bb")]), [Promise::OneOrder]);
+    let contradictory =
+        [reported(5, "a", ChangeStatus::InForce(2)), reported(6, "b", ChangeStatus::Dropped("no".into()))];
+    assert_eq!(with(&contradictory), [Promise::EverywhereOrNowhere]);
     assert_eq!(
-        with(&[heard(5, "a", ChangeStatus::InForce(2)), heard(6, "a", ChangeStatus::Pending)]),
+        with(&[reported(5, "a", ChangeStatus::InForce(2)), reported(6, "a", ChangeStatus::Pending)]),
         [Promise::EverywhereOrNowhere]
     );
     assert!(
-        with(&[heard(5, "a", ChangeStatus::InForce(2)), heard(6, "b", ChangeStatus::Pending)]).is_empty(),
-        "it lags"
+        with(&[reported(5, "a", ChangeStatus::InForce(2)), reported(6, "b", ChangeStatus::Pending)])
+            .is_empty(),
+        "the router lags behind"
     );
-    let none = Record {
+    let unstamped = Record {
         at: ms(2),
         seen: Seen::Stamped {
             router: "a".into(),
@@ -83,7 +82,7 @@
             on: StampedMessage::Answer(200),
         },
     };
-    assert_eq!(with(&[none]), [Promise::OneEpochEach]);
+    assert_eq!(with(&[unstamped]), [Promise::OneEpochEach]);
     let uncertain = stamp(400, 9, "b", 1, StampedMessage::Answer(503));
-    assert!(with(&[asked(399, 9), uncertain]).is_empty(), "it was not taken");
+    assert!(with(&[asked(399, 9), uncertain]).is_empty(), "the request was not accepted");
 }
