--- a/crates/invariants/src/lib.rs
+++ b/crates/invariants/src/lib.rs
@@ -1,8 +1,8 @@
 //! Checks the five rules from traffic alone: what clients, engines and the engine list saw on the wire.
 //!
-//! Clients and engines append [`Record`]s as they send and receive; [`judge`] evaluates them after the run. The
-//! router is never queried. Each client puts a mark into the prompt of its requests, so that engines can identify
-//! a request without the router's help.
+//! Clients and engines append [`Record`]s as they send and receive; [`judge`] evaluates them after the run.
+//! The router is never queried. Each client puts a mark into the prompt of its requests, so that engines can
+//! identify a request without the router's help.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -129,7 +129,8 @@
         /// Identifies the state.
         state: u64,
     },
-    /// Work that a router has sent waits on a cut link: it is still active, although no engine has received it.
+    /// Work that a router has sent waits on a cut link: it is still active, although no engine has received
+    /// it.
     InTransit {
         /// The client's attempt.
         attempt: ClientAttempt,
@@ -143,8 +144,8 @@
         /// Identifies the transfer.
         transfer: u64,
     },
-    /// The link between a router and an engine was cut (`true`) or restored (`false`). While it is cut, the router
-    /// can't release state on the engine.
+    /// The link between a router and an engine was cut (`true`) or restored (`false`). While it is cut, the
+    /// router can't release state on the engine.
     LinkCut {
         /// The router's name.
         router: String,
@@ -159,8 +160,8 @@
     RunOver,
     /// A cold engine received more than it can handle and crashed.
     EngineOverloaded(String),
-    /// An attempt at an engine, or an answer to a client, carried the epoch of the policy under which the request
-    /// was accepted, or none.
+    /// An attempt at an engine, or an answer to a client, carried the epoch of the policy under which the
+    /// request was accepted, or none.
     Stamped {
         /// The router.
         router: String,
@@ -415,9 +416,9 @@
     Transfer(u64),
 }
 
-/// Checks for each held state the longest time between its start and its end in which no work of its attempt was
-/// active. State of an engine that crashes ends with the engine, and engines have to free what a crashed router
-/// left behind.
+/// Checks for each held state the longest time between its start and its end in which no work of its attempt
+/// was active. State of an engine that crashes ends with the engine, and engines have to free what a crashed
+/// router left behind.
 fn check_pinned_state(records: &[&Record], limits: &Limits, violations: &mut Vec<Violation>) {
     let mut held: BTreeMap<(&str, u64), HeldState> = BTreeMap::new();
     let mut active: BTreeMap<ClientAttempt, Vec<WorkLocation>> = BTreeMap::new();
--- a/crates/invariants/src/policy.rs
+++ b/crates/invariants/src/policy.rs
@@ -1,6 +1,6 @@
-//! Checks policy changes from the epoch stamps in the traffic and from the reports of routers to operators: epochs
-//! follow one order, a change is applied by all routers or by none, two epochs don't overlap, and each request keeps
-//! the epoch under which it was accepted. The routers' own state is never queried.
+//! Checks policy changes from the epoch stamps in the traffic and from the reports of routers to operators:
+//! epochs follow one order, a change is applied by all routers or by none, two epochs don't overlap, and each
+//! request keeps the epoch under which it was accepted. The routers' own state is never queried.
 
 use crate::{ClientAttempt, Record, Seen};
 use std::collections::BTreeMap;
@@ -35,8 +35,8 @@
     OneOrder,
     /// All routers report the same final outcome of a change, and it stays final.
     EverywhereOrNowhere,
-    /// Once a router has accepted a request under a newer epoch, no router accepts one under an older epoch, except
-    /// within the permitted overlap.
+    /// Once a router has accepted a request under a newer epoch, no router accepts one under an older epoch,
+    /// except within the permitted overlap.
     NoTwoAtOnce,
     /// All attempts and answers of a request name the epoch under which it was accepted.
     OneEpochEach,
@@ -58,8 +58,8 @@
 pub struct Verdict {
     /// The violated guarantees.
     pub broken: Vec<Violation>,
-    /// The longest time from the first message of a newer epoch to the sending of a request that was still accepted
-    /// under an older one.
+    /// The longest time from the first message of a newer epoch to the sending of a request that was still
+    /// accepted under an older one.
     pub overlap: Duration,
     /// The number of accepted requests by epoch.
     pub taken: BTreeMap<u64, usize>,
@@ -157,13 +157,14 @@
     for (attempt, request) in requests {
         let Some((router, at, epoch)) = &request.accepted else { continue };
         let newer = firsts.range(epoch + 1..).map(|(f, first)| (*first, *f)).min();
-        // A request is accepted after it was sent, so one that was sent too late was certainly accepted too late.
+        // A request is accepted after it was sent, so one that was sent too late was certainly accepted too
+        // late.
         let Some((first, newest)) = newer.filter(|(first, _)| request.asked > *first) else { continue };
         let lag = request.asked - first;
         verdict.overlap = verdict.overlap.max(lag);
         if lag > overlap {
             let description = format!(
-                "{router} accepted {attempt:?} under epoch {epoch}, sent {} ms after the first request under epoch {newest}",
+                "{router} accepted {attempt:?} under epoch {epoch}, sent {} ms after the first under epoch {newest}",
                 lag.as_millis()
             );
             verdict.broken.push(Violation { promise: Promise::NoTwoAtOnce, at: *at, description });
@@ -246,7 +247,8 @@
             {
                 report(format!("{id}: {router} reports {status:?}, but {other} reported {before:?}"));
             }
-            // A router that lags behind may not know the outcome yet, but none may withdraw an outcome it reported.
+            // A router that lags behind may not know the outcome yet, but none may withdraw an outcome it
+            // reported.
             (Some((before, other)), ChangeStatus::Pending) if *other == router => {
                 report(format!("{id}: {router} reports it as pending, but reported {before:?} before"));
             }
--- a/crates/invariants/src/tests.rs
+++ b/crates/invariants/src/tests.rs
@@ -78,8 +78,8 @@
     );
 }
 
-/// A router that is killed while its prefill ends can't release the state, which must not be reported as pinned: the
-/// engine has to free it.
+/// A router that is killed while its prefill ends can't release the state, which must not be reported as
+/// pinned: the engine has to free it.
 #[test]
 fn state_left_by_a_crashed_router_is_not_reported_as_pinned() {
     let held = |at| (at, Seen::StateHeld { engine: "e".into(), attempt: ATTEMPT, state: 7 });
