--- a/crates/invariants/src/terms.rs
+++ b/crates/invariants/src/terms.rs
@@ -195,8 +195,8 @@
 /// The limits of the acceptance terms.
 #[derive(Clone, Copy, Debug)]
 pub struct Terms {
-    /// How long a router may take to apply a change of the list, from when the discovery service lists it and
-    /// can be reached.
+    /// How long a router may take to apply a change of the list, from when the discovery service lists the
+    /// change and can be reached.
     pub list_delay: Duration,
     /// How long after that work may still reach a closed engine.
     pub drain_grace: Duration,
--- a/crates/invariants/src/terms/answers.rs
+++ b/crates/invariants/src/terms/answers.rs
@@ -84,17 +84,17 @@
     let counts = |request: &&ClientRequest| {
         !request.client_left && !request.router_ended && request.due + terms.wire < end
     };
-    let judged = || by_router.values().flatten().filter(counts);
+    let checked = || by_router.values().flatten().filter(counts);
     // The deadline applies to the first event; a stream that has begun may continue after it.
     let in_time = |request: &&ClientRequest| {
         let first = request.began.into_iter().chain(request.answered.map(|(at, _)| at)).min();
         first.is_some_and(|at| at <= request.due + terms.wire)
     };
     let unanswered: Vec<&str> =
-        judged().filter(|request| !in_time(request)).map(|request| request.request).collect();
-    if unanswered.len() > judged().count() / one_in.max(1) + UNANSWERED_ALLOWANCE {
+        checked().filter(|request| !in_time(request)).map(|request| request.request).collect();
+    if unanswered.len() > checked().count() / one_in.max(1) + UNANSWERED_ALLOWANCE {
         let description =
-            format!("{} of {} requests had no answer by their deadline", unanswered.len(), judged().count());
+            format!("{} of {} requests had no answer by their deadline", unanswered.len(), checked().count());
         violations.push(Violation { term: Term::Unanswered, at: end, description });
     }
 }
