--- a/crates/invariants/src/terms.rs
+++ b/crates/invariants/src/terms.rs
@@ -481,7 +481,7 @@
 }
 
 fn check_closed_unanswered(facts: &[&Fact], violations: &mut Vec<Violation>) {
-    let begun: BTreeSet<&str> = facts
+    let arrived: BTreeSet<&str> = facts
         .iter()
         .filter_map(|f| match &f.seen {
             Seen::AttemptArrived { request, .. } => Some(request.as_str()),
@@ -494,7 +494,7 @@
             Seen::Killed { router } => drop(killed.insert(router, f.at)),
             Seen::ClosedUnanswered { router, request, first_on_connection } => {
                 let was_killed = killed.get(router.as_str()).is_some_and(|&at| f.at <= at + CLOSE_AFTER_KILL);
-                let was_read = *first_on_connection || begun.contains(request.as_str());
+                let was_read = *first_on_connection || arrived.contains(request.as_str());
                 if was_read && !was_killed {
                     let description = format!("{router} closed {request} without an answer");
                     violations.push(Violation { term: Term::ClosedUnanswered, at: f.at, description });
@@ -520,11 +520,12 @@
             _ => {}
         }
     }
-    let begun = |request: &str| first_attempt.get(request).copied();
-    let waited = left.iter().filter(|&(&request, &at)| begun(request).is_none_or(|begun| begun > at));
+    let first_arrival = |request: &str| first_attempt.get(request).copied();
+    let waited =
+        left.iter().filter(|&(&request, &at)| first_arrival(request).is_none_or(|arrival| arrival > at));
     let waited: Vec<(&str, Duration)> = waited.map(|(&request, &at)| (request, at)).collect();
     let late = |(request, at): &&(&str, Duration)| {
-        begun(request).is_some_and(|b| b > *at + terms.waiting_left_delay + terms.wire)
+        first_arrival(request).is_some_and(|b| b > *at + terms.waiting_left_delay + terms.wire)
     };
     let sent = waited.iter().filter(late).count();
     if sent >= MIN_SENT_AFTER_LEAVING && sent as f64 > waited.len() as f64 * terms.waiting_left_part {
--- a/crates/invariants/tests/terms.rs
+++ b/crates/invariants/tests/terms.rs
@@ -246,15 +246,15 @@
 #[test]
 fn an_attempt_names_no_more_time_than_its_client_still_waits() {
     let sent = at(1_000, Seen::Sent { router: "r".into(), request: "a".into(), due: ms(3_000) });
-    let told =
+    let named =
         |n, left| at(n, Seen::DeadlineTold { engine: "e".into(), request: "a".into(), left: ms(left) });
-    assert_eq!(violated_terms(&[sent.clone(), told(2_000, 1_155)], &Terms::default(), 9_000), []);
+    assert_eq!(violated_terms(&[sent.clone(), named(2_000, 1_155)], &Terms::default(), 9_000), []);
     assert_eq!(
-        violated_terms(&[sent.clone(), told(2_000, 1_156)], &Terms::default(), 9_000),
+        violated_terms(&[sent.clone(), named(2_000, 1_156)], &Terms::default(), 9_000),
         [Term::Deadline]
     );
     assert_eq!(
-        violated_terms(&[sent, told(3_500, 156)], &Terms::default(), 9_000),
+        violated_terms(&[sent, named(3_500, 156)], &Terms::default(), 9_000),
         [Term::Deadline],
         "the deadline has passed"
     );
