--- a/crates/cli/tests/platform/cluster.rs
+++ b/crates/cli/tests/platform/cluster.rs
@@ -7,7 +7,7 @@
 use slipreel_invariants::terms::{judge, Break, Fact, Seen, Terms};
 use slipreel_state_machine::Machine;
 use slipreel_test_servers::platform::{
-    look, Clients, Discovery, Ending, Engine, Faults, Listing, Mood, Shared,
+    lock_shared, Clients, Discovery, DiscoveryMode, Ending, EndpointChanges, Engine, Faults, Shared,
 };
 use std::any::Any;
 use std::collections::BTreeMap;
@@ -122,7 +122,7 @@
 
 fn add_engines(
     stand_ins: &mut EventLoop<StandIn>, plan: &ClusterPlan, shared: &Shared,
-) -> (BTreeMap<String, ListedEngine>, Listing) {
+) -> (BTreeMap<String, ListedEngine>, EndpointChanges) {
     let (mut engines, mut entries) = (BTreeMap::new(), Vec::new());
     for n in 1..=plan.readers + plan.writers {
         let (name, reads) = (format!("e{n}"), n <= plan.readers);
@@ -132,14 +132,14 @@
         entries.push(entry(&name, reads, address));
         engines.insert(name, ListedEngine { reads, address });
     }
-    (engines, Listing(entries))
+    (engines, EndpointChanges(entries))
 }
 
 fn add_place(
-    stand_ins: &mut EventLoop<StandIn>, plan: &ClusterPlan, n: usize, listing: &Listing, shared: &Shared,
-    folder: &Path,
+    stand_ins: &mut EventLoop<StandIn>, plan: &ClusterPlan, n: usize, listing: &EndpointChanges,
+    shared: &Shared, folder: &Path,
 ) -> RouterPlace {
-    let agent = Discovery::new(listing).beside(&format!("n{n}"), shared);
+    let agent = Discovery::new(listing).for_router(&format!("n{n}"), shared);
     let known = agent.whole();
     let agent = stand_ins.add(Box::new(agent));
     let discovery = stand_ins.listen(agent, any_port()).expect("a port");
@@ -164,7 +164,7 @@
         let seed = plan.seed * 77 + n as u64;
         let classes = ["chat", "once"];
         let clients = Clients::new(place.port.address(), &classes, plan.every, plan.requests, begin, seed);
-        event_loop.add(clients.noting(shared, plan.leaving));
+        event_loop.add(clients.recording_in(shared, plan.leaving));
     }
     let handle = event_loop.handle();
     let thread = std::thread::spawn(move || {
@@ -220,7 +220,7 @@
     }
 
     fn record(&self, seen: Seen) {
-        look(&self.shared).see(self.clock.now(), seen);
+        lock_shared(&self.shared).see(self.clock.now(), seen);
     }
 
     /// Starts a router's process, and notes when it says that it is ready.
@@ -231,7 +231,7 @@
         self.watching.push(std::thread::spawn(move || {
             for _ in 0..1_000 {
                 if is_ready(addr) {
-                    return look(&shared).see(clock.now(), Seen::Ready { router: format!("n{n}") });
+                    return lock_shared(&shared).see(clock.now(), Seen::Ready { router: format!("n{n}") });
                 }
                 std::thread::sleep(ms(10));
             }
@@ -297,8 +297,8 @@
     }
 
     /// All agents of discovery behave like this from now on.
-    pub fn set_discovery(&self, mood: Mood) {
-        self.record(Seen::Reachable(mood == Mood::Fine));
+    pub fn set_discovery(&self, mood: DiscoveryMode) {
+        self.record(Seen::Reachable(mood == DiscoveryMode::Healthy));
         self.tell_agents(&(Arc::new(mood) as _));
     }
 
@@ -307,7 +307,7 @@
         let ListedEngine { reads, address } = self.engines[engine];
         self.record(Seen::Has { engine: engine.to_owned(), closed: status != "Ready" });
         let (name, text) = entry(engine, reads, address);
-        let change = Listing(vec![(name, text.replace("\"Ready\"", &format!("\"{status}\"")))]);
+        let change = EndpointChanges(vec![(name, text.replace("\"Ready\"", &format!("\"{status}\"")))]);
         self.tell_agents(&(Arc::new(change) as _));
     }
 
@@ -318,7 +318,7 @@
         let wall = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).expect("after 1970");
         let (name, text) = entry(engine, reads, address);
         let text = text.replace("\"since_ms\":0", &format!("\"since_ms\":{}", wall.as_millis()));
-        self.tell_agents(&(Arc::new(Listing(vec![(name, text)])) as _));
+        self.tell_agents(&(Arc::new(EndpointChanges(vec![(name, text)])) as _));
     }
 
     /// Ends all; gives what was seen, and how the requests ended.
@@ -334,7 +334,7 @@
         self.stand_ins.1.join().expect("the engines' thread").expect("a run of engines");
         self.watching.into_iter().for_each(|watch| watch.join().expect("a watching thread"));
         let _ = std::fs::remove_dir_all(self.folder);
-        let facts = std::mem::take(&mut look(&self.shared).facts);
+        let facts = std::mem::take(&mut lock_shared(&self.shared).facts);
         (Facts { facts, end }, endings)
     }
 }
--- a/crates/scenario/tests/report.rs
+++ b/crates/scenario/tests/report.rs
@@ -2,12 +2,12 @@
 
 use slipreel_invariants::{Effect, Ending, Try};
 use slipreel_scenario::Played;
-use slipreel_test_servers::client::Result as TryResult;
+use slipreel_test_servers::client::AttemptResult;
 use std::time::Duration;
 
-fn result(request: u64, due_ms: u64, router: usize, effect: Effect, ending: Option<Ending>) -> TryResult {
-    TryResult {
-        what: Try { request, number: 0 },
+fn result(request: u64, due_ms: u64, router: usize, effect: Effect, ending: Option<Ending>) -> AttemptResult {
+    AttemptResult {
+        attempt: Try { request, number: 0 },
         model: "chat".to_owned(),
         key: "key".to_owned(),
         effect,
@@ -21,12 +21,12 @@
         ended: Duration::from_millis(due_ms + 1),
         tokens: 0,
         fault: None,
-        come_back: None,
+        retry_after: None,
         should_retry: None,
     }
 }
 
-fn played(results: Vec<TryResult>) -> Played {
+fn played(results: Vec<AttemptResult>) -> Played {
     Played {
         results,
         records: Vec::new(),
@@ -43,7 +43,7 @@
 
 #[test]
 fn shares_are_counted_by_effect_third_and_router() {
-    let cut = TryResult { is_unanswered: true, ..result(4, 900, 1, Effect::Unsafe, None) };
+    let cut = AttemptResult { is_unanswered: true, ..result(4, 900, 1, Effect::Unsafe, None) };
     let day = played(vec![
         result(1, 0, 0, Effect::Safe, Some(Ending::Served)),
         result(2, 299, 0, Effect::Keyed, Some(Ending::Refused)),
@@ -67,7 +67,7 @@
 #[test]
 fn a_request_counts_in_the_group_of_its_last_try() {
     let mut second = result(1, 10, 1, Effect::Safe, Some(Ending::Served));
-    second.what.number = 1;
+    second.attempt.number = 1;
     let day = played(vec![result(1, 10, 0, Effect::Safe, Some(Ending::Refused)), second]);
     let report = day.report();
     assert_eq!((report.routers["router-0"].asked, report.routers["router-0"].tries), (0, 1));
