--- a/crates/fault-injection/src/run.rs
+++ b/crates/fault-injection/src/run.rs
@@ -10,7 +10,7 @@
 use slipreel_invariants::policy::ChangeStatus;
 use slipreel_invariants::{Record, Seen, Violation};
 use slipreel_scenario::figures_of;
-use slipreel_test_servers::client::Result as TryResult;
+use slipreel_test_servers::client::AttemptResult;
 use slipreel_test_servers::ledger::Ledger;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -29,7 +29,7 @@
     /// Rules that broke, by the traffic.
     pub breaks: Vec<Violation>,
     /// How every try of a client ended.
-    pub results: Vec<TryResult>,
+    pub results: Vec<AttemptResult>,
     /// Lines of the machines or processes.
     pub log: Vec<String>,
     /// In memory: a hash over every byte; the same for the same script.
@@ -452,7 +452,8 @@
     /// Judges what was seen. A try whose router was killed, stopped or leaving while it was under way gets its final answer from nobody: for
     /// those the first rule is not asked; the others are.
     pub(crate) fn outcome(
-        mut self, records: Vec<Record>, results: Vec<TryResult>, log: Vec<String>, digest: u64, now: Duration,
+        mut self, records: Vec<Record>, results: Vec<AttemptResult>, log: Vec<String>, digest: u64,
+        now: Duration,
     ) -> Outcome {
         for (r, since) in std::mem::take(&mut self.since) {
             self.away.push((r, since, now));
--- a/crates/scenario/benches/sockets.rs
+++ b/crates/scenario/benches/sockets.rs
@@ -8,7 +8,7 @@
 use slipreel_protocol::http::{chunk, Decoder, Item, Limits, Side, Start};
 use slipreel_scenario::read_day;
 use slipreel_state_machine::{ConnId, Input, Machine, Output};
-use slipreel_test_servers::client::{Clients, Habit, Plan};
+use slipreel_test_servers::client::{ClientBehaviour, Clients, ScriptedRequest};
 use slipreel_test_servers::ledger::Ledger;
 use slipreel_test_servers::mark;
 use std::collections::HashMap;
@@ -32,7 +32,7 @@
 fn answer(target: &str, body: &[u8]) -> Vec<u8> {
     let text = String::from_utf8_lossy(body);
     let head = b"HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\ntransfer-encoding: chunked\r\n\r\n";
-    let request = mark::Mark::find(&text).map_or(0, |m| m.what.request);
+    let request = mark::Mark::find(&text).map_or(0, |m| m.attempt.request);
     let mut events = String::new();
     match target {
         "/metrics" => {
@@ -131,7 +131,7 @@
 fn load(clock: Clock, target: SocketAddr, rate: f64, seconds: f64) -> Run {
     let start = clock.now() + Duration::from_millis(100);
     let n = (rate * seconds) as u64;
-    let plan = |i: u64| Plan {
+    let plan = |i: u64| ScriptedRequest {
         at: start + Duration::from_secs_f64(i as f64 / rate),
         request: i + 1,
         model: "m".into(),
@@ -144,10 +144,10 @@
         max_tokens: TOKENS,
         stream: true,
         patience: Duration::from_secs(5),
-        tries: 1,
+        max_attempts: 1,
         backoff: Duration::ZERO,
-        heeds: true,
-        habit: Habit::Plain,
+        honours_retry_after: true,
+        behaviour: ClientBehaviour::Plain,
     };
     let mut looped = EventLoop::new(clock).expect("descriptors");
     let node = looped.add(Clients::new((0..n).map(plan).collect(), vec![target], Ledger::default(), true));
--- a/crates/scenario/src/stage.rs
+++ b/crates/scenario/src/stage.rs
@@ -15,11 +15,11 @@
     ChangeCosts, ControllerConfig, ControllerMode, EngineThroughput, FullLoadRequests, PlannerLimits,
     RoleController, Watched,
 };
-use slipreel_test_servers::client::{Clients, Result as TryResult};
+use slipreel_test_servers::client::{AttemptResult, Clients};
 use slipreel_test_servers::engine::{Engine, Role};
-use slipreel_test_servers::gate::{Cut, Gate};
 use slipreel_test_servers::ledger::Ledger;
 use slipreel_test_servers::memory::{Delays, World};
+use slipreel_test_servers::partition::{PartitionedMachine, UnreachablePeers};
 use std::any::Any;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -41,7 +41,7 @@
 /// What a day left behind.
 pub struct Played {
     /// How every try ended, by request and try.
-    pub results: Vec<TryResult>,
+    pub results: Vec<AttemptResult>,
     /// What clients and engines saw.
     pub records: Vec<Record>,
     /// The rules that broke.
@@ -170,7 +170,7 @@
         };
         let engines: Vec<Watched> = self.day.engines.iter().zip(&self.addrs).map(watched).collect();
         let spec = |role| self.day.engines.iter().map(|e| &e.spec).find(|s| s.role == role);
-        let (reader, writer) = (spec(Role::Read), spec(Role::Write));
+        let (reader, writer) = (spec(Role::Prefill), spec(Role::Decode));
         let places = FullLoadRequests {
             prefill: reader.map_or(1.0, |s| s.slots as f64),
             decode: writer.map_or(1.0, |s| s.slots as f64),
@@ -180,7 +180,7 @@
             drain: Duration::from_secs(2),
             slow_start: first.cold_time,
             slow_start_speed: first.cold_share,
-            prefill_tokens_per_s: reader.map_or(1.0, |s| s.read_per_s),
+            prefill_tokens_per_s: reader.map_or(1.0, |s| s.prefill_tokens_per_s),
         };
         let limits = PlannerLimits {
             max_concurrent_changes: 2,
@@ -191,8 +191,8 @@
             frozen: false,
         };
         let speeds = EngineThroughput {
-            prefill: reader.map_or(1.0, |s| s.read_per_s),
-            decode: writer.map_or(1.0, slipreel_test_servers::engine::EngineSpec::write_per_s),
+            prefill: reader.map_or(1.0, |s| s.prefill_tokens_per_s),
+            decode: writer.map_or(1.0, slipreel_test_servers::engine::EngineSpec::decode_tokens_per_s),
         };
         let config = ControllerConfig {
             limits,
@@ -223,7 +223,7 @@
         // One that comes back after a change comes back in the role that the list has.
         (spec.addr, spec.role) = (self.addrs[e], self.roles[e]);
         let make = if warm { Engine::warm } else { Engine::new };
-        Actor::Engine(Box::new(Gate::new(make(spec, self.ledger.clone(), now, WALL + now))))
+        Actor::Engine(Box::new(PartitionedMachine::new(make(spec, self.ledger.clone(), now, WALL + now))))
     }
 
     fn router(&mut self, r: usize, now: Duration) -> Actor {
@@ -232,7 +232,7 @@
         self.lives += 1;
         let seed = self.day.seed.wrapping_mul(0x9e37_79b9).wrapping_add(r as u64 + 1000 * self.lives);
         let front = Gateway::new(Arc::new(site), seed, now, WALL + now);
-        let gate = Gate::new(front).watched(self.ledger.clone());
+        let gate = PartitionedMachine::new(front).watched(self.ledger.clone());
         match self.day.sabotage {
             None => Actor::Front(Box::new(gate)),
             Some(how) => Actor::Sabotaged(Box::new(Sabotaged::new(gate, how))),
@@ -324,16 +324,16 @@
                 self.cut_links(stage);
             }
             Act::ChangeRole(e) => {
-                let to = if self.roles[e] == Role::Read { Role::Write } else { Role::Read };
+                let to = if self.roles[e] == Role::Prefill { Role::Decode } else { Role::Prefill };
                 stage.news(Who::Engine(e), Arc::new(to));
             }
             Act::ListRole(e) => {
-                self.roles[e] = if self.roles[e] == Role::Read { Role::Write } else { Role::Read };
+                self.roles[e] = if self.roles[e] == Role::Prefill { Role::Decode } else { Role::Prefill };
                 self.list_changes(now);
             }
             Act::CutLink(e, to) => {
                 let cut: BTreeSet<SocketAddr> = to.map(|to| self.addrs[to]).into_iter().collect();
-                stage.news(Who::Engine(e), Arc::new(Cut(cut)));
+                stage.news(Who::Engine(e), Arc::new(UnreachablePeers(cut)));
             }
             Act::ListDraining(e, draining) => {
                 self.draining[e] = draining;
@@ -367,10 +367,12 @@
 
     /// Tells each machine what it can't reach now.
     fn cut_links(&self, stage: &mut impl Stage) {
-        let beyond = |zone: &str| -> Cut {
-            let Some(cut) = &self.cut else { return Cut::default() };
+        let beyond = |zone: &str| -> UnreachablePeers {
+            let Some(cut) = &self.cut else { return UnreachablePeers::default() };
             let far = |e: &usize| (self.day.engines[*e].zone == *cut) != (zone == cut);
-            Cut((0..self.addrs.len()).filter(far).map(|e| self.addrs[e]).collect::<BTreeSet<_>>())
+            UnreachablePeers(
+                (0..self.addrs.len()).filter(far).map(|e| self.addrs[e]).collect::<BTreeSet<_>>(),
+            )
         };
         let now = stage.now();
         for r in (0..self.day.routers).filter(|&r| self.routers_up[r]) {
@@ -393,8 +395,8 @@
     Clients::new(plans, targets, ledger, true)
 }
 
-fn sorted(mut results: Vec<TryResult>) -> Vec<TryResult> {
-    results.sort_by_key(|r| r.what);
+fn sorted(mut results: Vec<AttemptResult>) -> Vec<AttemptResult> {
+    results.sort_by_key(|r| r.attempt);
     results
 }
 
@@ -442,7 +444,7 @@
         self.world.freeze(self.node(who), frozen);
     }
     fn news(&mut self, who: Who, news: Arc<dyn Any + Send + Sync>) {
-        self.world.news(self.node(who), &*news);
+        self.world.send_owner_message(self.node(who), &*news);
     }
     fn clients_done(&self) -> bool {
         match self.world.machine(self.clients) {
@@ -495,7 +497,7 @@
         leaks: held.iter().map(|h| h.1).sum(),
         log: world.log().iter().map(|(at, node, line)| format!("{at:?} {node}: {line}")).collect(),
         digest: world.digest(),
-        inputs: world.handled(),
+        inputs: world.inputs_handled(),
         took: world.now() - START,
     }
 }
