--- a/crates/cli/tests/platform/cluster.rs
+++ b/crates/cli/tests/platform/cluster.rs
@@ -4,7 +4,7 @@
 use super::process::{start_with, Process};
 use super::{config, entry, folder, is_ready, ms};
 use slipreel_event_loop::{Clock, Command, EventLoop, EventLoopHandle, MachineId};
-use slipreel_invariants::terms::{judge, Break, Fact, Seen, Terms};
+use slipreel_invariants::terms::{judge, Fact, Seen, Terms, Violation};
 use slipreel_state_machine::Machine;
 use slipreel_test_servers::platform::{
     lock_shared, Clients, Discovery, DiscoveryMode, Ending, EndpointChanges, Engine, Faults, Shared,
@@ -284,7 +284,7 @@
 
     /// SIGKILL.
     pub fn kill(&mut self, n: usize) {
-        self.record(Seen::Ending { router: self.address(n).to_string() });
+        self.record(Seen::RouterEnding { router: self.address(n).to_string() });
         self.record(Seen::Killed { router: self.address(n).to_string() });
         self.processes[n].signal("-KILL");
         assert!(self.processes[n].has_ended_within(ms(2_000)), "n{n} goes on");
@@ -292,7 +292,7 @@
 
     /// SIGTERM.
     pub fn stop(&mut self, n: usize) {
-        self.record(Seen::Ending { router: self.address(n).to_string() });
+        self.record(Seen::RouterEnding { router: self.address(n).to_string() });
         self.processes[n].signal("-TERM");
     }
 
@@ -305,7 +305,7 @@
     /// All agents list an engine with this status: `Ready` takes work, others want nothing new.
     pub fn set_status(&self, engine: &str, status: &str) {
         let ListedEngine { reads, address } = self.engines[engine];
-        self.record(Seen::Has { engine: engine.to_owned(), closed: status != "Ready" });
+        self.record(Seen::EngineListed { engine: engine.to_owned(), closed: status != "Ready" });
         let (name, text) = entry(engine, reads, address);
         let change = EndpointChanges(vec![(name, text.replace("\"Ready\"", &format!("\"{status}\"")))]);
         self.tell_agents(&(Arc::new(change) as _));
@@ -346,13 +346,13 @@
 }
 
 impl Facts {
-    pub fn judge(&self, terms: &Terms) -> Vec<Break> {
+    pub fn judge(&self, terms: &Terms) -> Vec<Violation> {
         judge(&self.facts, terms, self.end)
     }
 
     /// Attempts that came to an engine.
     pub fn begun(&self, engine: &str) -> usize {
-        let at = |f: &&Fact| matches!(&f.seen, Seen::Begun { engine: e, .. } if e == engine);
+        let at = |f: &&Fact| matches!(&f.seen, Seen::AttemptArrived { engine: e, .. } if e == engine);
         self.facts.iter().filter(at).count()
     }
 
--- a/crates/platform/tests/common/cluster.rs
+++ b/crates/platform/tests/common/cluster.rs
@@ -2,7 +2,7 @@
 
 use super::actor::Actor;
 use super::{config, ms};
-use slipreel_invariants::terms::{judge, Break, Seen, Terms};
+use slipreel_invariants::terms::{judge, Seen, Terms, Violation};
 use slipreel_platform::{Config, PlatformRouter};
 use slipreel_state_machine::{ConnId, Input, Machine, Output};
 use slipreel_test_servers::memory::{Delays, World};
@@ -295,7 +295,7 @@
     pub fn set_status(&mut self, engine: &str, status: &str) {
         let (is_prefill, port, _) = self.engines[engine];
         let (closed, name) = (status != "Ready", engine.to_owned());
-        lock_shared(&self.shared).see(self.world.now(), Seen::Has { engine: name.clone(), closed });
+        lock_shared(&self.shared).see(self.world.now(), Seen::EngineListed { engine: name.clone(), closed });
         let change = EndpointChanges(vec![(name, entry(engine, is_prefill, port, status, Duration::ZERO))]);
         for &agent in &self.agents {
             self.world.send_owner_message(agent, &change);
@@ -311,20 +311,22 @@
     /// Stops all routers.
     pub fn stop(&mut self) {
         for listen in &self.listens {
-            lock_shared(&self.shared).see(self.world.now(), Seen::Ending { router: listen.to_string() });
+            lock_shared(&self.shared)
+                .see(self.world.now(), Seen::RouterEnding { router: listen.to_string() });
         }
         for &router in &self.routers.clone() {
             self.world.stop(router);
         }
     }
 
-    pub fn breaks(&self, terms: &Terms) -> Vec<Break> {
+    pub fn breaks(&self, terms: &Terms) -> Vec<Violation> {
         judge(&lock_shared(&self.shared).facts, terms, self.world.now())
     }
 
     /// Attempts that reached an engine from `since` on.
     pub fn attempts_at(&self, engine: &str, since: Duration) -> usize {
-        let is_attempt = |seen: &Seen| matches!(seen, Seen::Begun { engine: to, .. } if to == engine);
+        let is_attempt =
+            |seen: &Seen| matches!(seen, Seen::AttemptArrived { engine: to, .. } if to == engine);
         lock_shared(&self.shared)
             .facts
             .iter()
--- a/crates/scenario/src/report.rs
+++ b/crates/scenario/src/report.rs
@@ -2,7 +2,7 @@
 
 use crate::fleet::Day;
 use crate::stage::Played;
-use slipreel_invariants::{Effect, Ending, Figures, RULES};
+use slipreel_invariants::{Effect, Ending, Limits, RULES};
 use slipreel_test_servers::client::AttemptResult;
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -14,11 +14,11 @@
 const DRAIN_GRACE: Duration = Duration::from_millis(2_000);
 
 /// The figures of the rules for a day.
-pub fn figures_of(day: &Day) -> Figures {
-    Figures {
+pub fn figures_of(day: &Day) -> Limits {
+    Limits {
         answer_slack: WIRE,
         drain_grace: DRAIN_GRACE,
-        let_go: day.site.decisions.held_state_limit,
+        held_state_limit: day.site.decisions.held_state_limit,
         wire: WIRE,
     }
 }
@@ -153,7 +153,7 @@
         let sum = |f: fn(&slipreel_gateway::Counters) -> u64| played.tallies.iter().map(f).sum::<u64>();
         let rules = RULES.iter().map(|rule| {
             let broke: Vec<_> = played.breaks.iter().filter(|b| b.rule == *rule).collect();
-            (rule.to_string(), broke.len(), broke.first().map(|b| format!("{:?}: {}", b.at, b.what)))
+            (rule.to_string(), broke.len(), broke.first().map(|b| format!("{:?}: {}", b.at, b.description)))
         });
         Report {
             models: group_by(results, |result| result.model.clone()),
--- a/crates/test-servers/src/client.rs
+++ b/crates/test-servers/src/client.rs
@@ -5,7 +5,7 @@
 use crate::ledger::Ledger;
 use crate::mark::{self, Mark};
 use serde_json::{json, Value};
-use slipreel_invariants::{Effect, Ending, Seen, Try};
+use slipreel_invariants::{ClientAttempt, Effect, Ending, Seen};
 use slipreel_protocol::http::{self, Decoder, Framing, Item, Limits, Side, Start};
 use slipreel_protocol::sse;
 use slipreel_state_machine::{ConnId, ConnectionLoss, Input, Machine, Output};
@@ -77,7 +77,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct AttemptResult {
     /// Which attempt.
-    pub attempt: Try,
+    pub attempt: ClientAttempt,
     /// Name of the model.
     pub model: String,
     /// The API key.
@@ -114,7 +114,7 @@
 struct Exchange {
     /// Index of its request in the script.
     script_index: usize,
-    attempt: Try,
+    attempt: ClientAttempt,
     due: Duration,
     deadline: Duration,
     target: usize,
@@ -218,7 +218,7 @@
         &mut self, now: Duration, script_index: usize, number: u32, due: Duration, out: &mut Vec<Output>,
     ) {
         let scripted = &self.script[script_index];
-        let what = Try { request: scripted.request, number };
+        let what = ClientAttempt { request: scripted.request, number };
         let mark = Mark { attempt: what, length: scripted.length, effect: scripted.effect };
         let content = format!("{} {}", scripted.prompt, mark.text());
         let body = json!({
@@ -245,7 +245,7 @@
         let target = (scripted.request as usize + number as usize) % self.targets.len();
         let (effect, deadline) = (scripted.effect, now + scripted.patience);
         let is_plain = matches!(scripted.behaviour, ClientBehaviour::Plain);
-        self.ledger.note(now, Seen::Asked { what, effect, deadline });
+        self.ledger.note(now, Seen::Asked { attempt: what, effect, deadline });
         let limits = Limits { body: u64::MAX, ..Limits::default() };
         let exchange = Exchange {
             script_index,
@@ -324,9 +324,11 @@
                     }
                     exchange.status = status;
                     let epoch = head.get("x-slipreel-policy").and_then(|e| e.parse().ok());
-                    let (router, on) =
-                        (format!("r{}", exchange.target), slipreel_invariants::policy::On::Answer(status));
-                    self.ledger.note(now, Seen::Stamped { router, what: exchange.attempt, epoch, on });
+                    let (router, on) = (
+                        format!("r{}", exchange.target),
+                        slipreel_invariants::policy::StampedMessage::Answer(status),
+                    );
+                    self.ledger.note(now, Seen::Stamped { router, attempt: exchange.attempt, epoch, on });
                     exchange.stream = head.get("content-type") == Some("text/event-stream");
                     let number_field = |name: &str| head.get(name).and_then(|v| v.parse::<u64>().ok());
                     exchange.retry_after = number_field("retry-after-ms").map(Duration::from_millis);
--- a/crates/test-servers/src/platform/client.rs
+++ b/crates/test-servers/src/platform/client.rs
@@ -283,7 +283,7 @@
         for conn in leaving {
             out.push(Output::Abort(conn));
             if let Some(exchange) = self.exchanges.get(&conn) {
-                lock_shared(&self.shared).see(now, Seen::Gone { request: exchange.name.clone() });
+                lock_shared(&self.shared).see(now, Seen::ClientGone { request: exchange.name.clone() });
             }
             self.finish(conn, Ending::Left);
         }
--- a/crates/test-servers/src/platform/engine.rs
+++ b/crates/test-servers/src/platform/engine.rs
@@ -132,7 +132,10 @@
         };
         let mut shared = lock_shared(&self.shared);
         let work = shared.work.get(&request).copied().unwrap_or(1.0);
-        shared.see(self.now, Seen::Begun { engine: self.name.clone(), request: request.clone(), work });
+        shared.see(
+            self.now,
+            Seen::AttemptArrived { engine: self.name.clone(), request: request.clone(), work },
+        );
         if let Some(left) = received.head.get("x-deadline").and_then(super::parse_time) {
             let (engine, request) = (self.name.clone(), request.clone());
             shared.see(self.now, Seen::DeadlineTold { engine, request, left });
--- a/crates/test-servers/src/platform/hostile_engine.rs
+++ b/crates/test-servers/src/platform/hostile_engine.rs
@@ -236,7 +236,7 @@
         };
         let reads = self.layout.role == EngineRole::Prefill;
         let (engine, place) = (self.layout.name.clone(), self.layout.place.clone());
-        self.see(Seen::Arrived { attempt, request: request.clone(), engine, place, reads });
+        self.see(Seen::Arrived { attempt, request: request.clone(), engine, place, is_prefill: reads });
         let fault = self.draw_fault();
         match fault {
             Some(ExchangeFault::TurnedAway) => return self.turn_away(conn, attempt, 503, out),
@@ -259,7 +259,7 @@
     }
 
     fn end_connection(&mut self, conn: ConnId, attempt: AttemptId, is_reset: bool, out: &mut Vec<Output>) {
-        self.see(Seen::Over(attempt));
+        self.see(Seen::Finished(attempt));
         self.connections.remove(&conn);
         out.push(if is_reset { Output::Abort(conn) } else { Output::CloseWhenSent(conn) });
     }
@@ -275,7 +275,7 @@
         };
         match fault {
             Some(ExchangeFault::Error) => {
-                self.see(Seen::Over(attempt));
+                self.see(Seen::Finished(attempt));
                 return self.answer(conn, 500, false, out);
             }
             Some(ExchangeFault::ResetInHead) => {
@@ -286,12 +286,12 @@
         }
         if self.layout.role == EngineRole::Prefill {
             lock_ledger(&self.ledger).held_states.insert(request, self.layout.name.clone());
-            self.see(Seen::Over(attempt));
+            self.see(Seen::Finished(attempt));
             self.answer(conn, 202, false, out);
         } else {
             lock_ledger(&self.ledger).held_states.remove(&request);
             self.send_stream(conn, &request, fault, out);
-            self.see(Seen::Over(attempt));
+            self.see(Seen::Finished(attempt));
         }
         let stray = fault.filter(|fault| fault.follows_a_good_answer());
         if let Some(stray) = stray {
@@ -351,7 +351,7 @@
             self.active_attempts.iter().filter(|(_, a)| a.conn == conn).map(|(&n, _)| n).collect();
         for number in its_attempts {
             if let Some(active) = self.active_attempts.remove(&number) {
-                self.see(Seen::Over(active.attempt));
+                self.see(Seen::Finished(active.attempt));
             }
         }
     }
