--- a/crates/fault-injection/src/memory.rs
+++ b/crates/fault-injection/src/memory.rs
@@ -17,7 +17,7 @@
     PolicyHandle, ProposalStatus, Startup,
 };
 use slipreel_gateway::{Gateway, RouterCount};
-use slipreel_invariants::policy::Said;
+use slipreel_invariants::policy::ChangeStatus;
 use slipreel_membership::{Membership, MembershipSettings, Peers, SavedState, SharedView};
 use slipreel_state_machine::{Input, Machine, Output};
 use slipreel_test_servers::client::Clients;
@@ -208,7 +208,7 @@
             policy: made,
             partition_mode: PartitionMode::Refuse,
         });
-        self.world.news(self.routers[r].front, &board);
+        self.world.send_owner_message(self.routers[r].front, &board);
     }
 
     /// What broken routers do by themselves.
@@ -227,7 +227,7 @@
                 } else {
                     let board = Arc::new(PolicyHandle::default());
                     board.set_permit(Permit { until: now + Duration::from_secs(3_600), ..old });
-                    self.world.news(self.routers[r].front, &board);
+                    self.world.send_owner_message(self.routers[r].front, &board);
                 }
             }
             // Its first configuration's file stands; nothing that is written from now on does.
@@ -256,7 +256,7 @@
             if routers != router.routers {
                 router.routers = routers;
                 let front = router.front;
-                self.world.news(front, &RouterCount(routers));
+                self.world.send_owner_message(front, &RouterCount(routers));
             }
         }
     }
@@ -313,11 +313,11 @@
             self.world.kill(at);
             self.world.revive(at, node);
         }
-        self.world.news(front_at, &board);
-        self.world.news(front_at, &RouterCount(routers));
+        self.world.send_owner_message(front_at, &board);
+        self.world.send_owner_message(front_at, &RouterCount(routers));
         if self.script.founders > 0 {
             let policy = self.routers[r].policy.clone();
-            self.world.news(front_at, &policy);
+            self.world.send_owner_message(front_at, &policy);
         }
         if bend == Some(Bend::Eager) && self.routers[r].starts > 1 {
             self.misled(r, now);
@@ -359,7 +359,7 @@
             let member = Membership::new(settings, peers, &SavedState::default(), seed, now, board.clone());
             let member = Member::new(member, None);
             let node = self.world.add(Node::Fleet(Box::new(member), None), &[address]);
-            self.world.open_mailboxes(node, &[address]);
+            self.world.open_datagram_sockets(node, &[address]);
             self.routers[r].twin = Some((node, board));
         }
         Ok(())
@@ -377,15 +377,15 @@
     fn reload(&mut self, r: usize) {
         self.routers[r].odd_seeds ^= true;
         let peers = Arc::new(self.peers(r));
-        self.world.news(self.routers[r].fleet, &peers);
+        self.world.send_owner_message(self.routers[r].fleet, &peers);
     }
 
     fn links(&mut self, links: Vec<(usize, usize, Link)>) {
-        self.world.news(self.wire, &Arc::new(Links(links)));
+        self.world.send_owner_message(self.wire, &Arc::new(Links(links)));
     }
 
     fn noise(&mut self, r: usize, bytes: Vec<u8>) {
-        self.world.news(self.wire, &Noise(r, bytes));
+        self.world.send_owner_message(self.wire, &Noise(r, bytes));
     }
 
     fn sight(&mut self, r: usize) -> Option<Sight> {
@@ -432,13 +432,13 @@
         board.submit(word)
     }
 
-    fn heard(&mut self, r: usize, id: &str) -> Option<Said> {
+    fn heard(&mut self, r: usize, id: &str) -> Option<ChangeStatus> {
         let said = match self.routers[r].policy.status().proposal_status(id) {
-            ProposalStatus::InForce(epoch) => Said::InForce(epoch),
-            ProposalStatus::Dropped(_) if self.bend(r) == Some(Bend::Liar) => Said::InForce(99),
-            ProposalStatus::Dropped(o) => Said::Dropped(rejections_text(&o.rejections)),
-            ProposalStatus::Pending(_) => Said::Pending,
-            ProposalStatus::Unknown => Said::Unknown,
+            ProposalStatus::InForce(epoch) => ChangeStatus::InForce(epoch),
+            ProposalStatus::Dropped(_) if self.bend(r) == Some(Bend::Liar) => ChangeStatus::InForce(99),
+            ProposalStatus::Dropped(o) => ChangeStatus::Dropped(rejections_text(&o.rejections)),
+            ProposalStatus::Pending(_) => ChangeStatus::Pending,
+            ProposalStatus::Unknown => ChangeStatus::Unknown,
         };
         Some(said)
     }
@@ -497,7 +497,7 @@
     let mut routers = Vec::new();
     for r in 0..n {
         let fleet = world.add(Node::Idle, &[member_addr(r)]);
-        world.open_mailboxes(fleet, &[member_addr(r)]);
+        world.open_datagram_sockets(fleet, &[member_addr(r)]);
         let front = world.add(Node::Idle, &[addr(10_000 + r), addr(15_000 + r)]);
         world.kill(fleet);
         world.kill(front);
@@ -520,7 +520,7 @@
     let ways: Vec<SocketAddr> = Wire::ways(n).map(|(from, to)| wire_addr(from, to)).collect();
     let wire =
         world.add(Node::Wire(Box::new(Wire::new((0..n).map(member_addr).collect(), script.seed))), &ways);
-    world.open_mailboxes(wire, &ways);
+    world.open_datagram_sockets(wire, &ways);
     let clients = script.traffic.then(|| {
         let mut plans = script.day.plans.clone();
         plans.iter_mut().for_each(|p| p.at += START + LEAD);
--- a/crates/fault-injection/src/run.rs
+++ b/crates/fault-injection/src/run.rs
@@ -7,10 +7,10 @@
 use crate::wire::Link;
 use rand_xoshiro::rand_core::{RngCore, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
-use slipreel_invariants::policy::Said;
-use slipreel_invariants::{Break, Record, Seen};
+use slipreel_invariants::policy::ChangeStatus;
+use slipreel_invariants::{Record, Seen, Violation};
 use slipreel_scenario::figures_of;
-use slipreel_test_servers::client::Result as TryResult;
+use slipreel_test_servers::client::AttemptResult;
 use slipreel_test_servers::ledger::Ledger;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -27,9 +27,9 @@
     /// What the judge found of the view.
     pub verdict: Verdict,
     /// Rules that broke, by the traffic.
-    pub breaks: Vec<Break>,
+    pub breaks: Vec<Violation>,
     /// How every try of a client ended.
-    pub results: Vec<TryResult>,
+    pub results: Vec<AttemptResult>,
     /// Lines of the machines or processes.
     pub log: Vec<String>,
     /// In memory: a hash over every byte; the same for the same script.
@@ -79,7 +79,7 @@
     /// An operator says something to a router; whether it has taken it.
     fn propose(&mut self, propose: &Propose) -> bool;
     /// What a router says of a change.
-    fn heard(&mut self, router: usize, id: &str) -> Option<Said>;
+    fn heard(&mut self, router: usize, id: &str) -> Option<ChangeStatus>;
     /// A router's disk has no room any more, or has again.
     fn fill(&mut self, router: usize, full: bool);
     /// A router that was killed had begun a write.
@@ -221,7 +221,7 @@
             let now = stage.now();
             if self.history.policy_told(now - self.zero, r, sight.clone()) {
                 if let Some(PolicySight { epoch, digest, .. }) = sight {
-                    self.ledger.note(now, Seen::ActsBy { router: format!("r{r}"), epoch, digest });
+                    self.ledger.note(now, Seen::PolicyReported { router: format!("r{r}"), epoch, digest });
                 }
             }
         }
@@ -253,7 +253,7 @@
         }
         if let (Some(taken), Some(said)) = (self.tracks[n].taken, stage.heard(propose.to, &propose.id)) {
             self.hear(stage, propose.to, &propose.id, &said);
-            if matches!(said, Said::InForce(_) | Said::Dropped(_)) {
+            if matches!(said, ChangeStatus::InForce(_) | ChangeStatus::Dropped(_)) {
                 let took = (stage.now() - self.zero).saturating_sub(taken);
                 let first = self.tracks[n].ended(said, took);
                 if first {
@@ -263,10 +263,10 @@
         }
     }
 
-    fn hear(&mut self, stage: &impl Stage, r: usize, id: &str, said: &Said) {
+    fn hear(&mut self, stage: &impl Stage, r: usize, id: &str, said: &ChangeStatus) {
         let (router, id) = (format!("r{r}"), id.to_owned());
         self.note(stage, Event::Heard(id.clone(), r, format!("{said:?}")));
-        self.ledger.note(stage.now(), Seen::Heard { router, id, said: said.clone() });
+        self.ledger.note(stage.now(), Seen::ChangeReported { router, id, status: said.clone() });
     }
 
     /// At the end everybody is asked of every change.
@@ -277,7 +277,9 @@
             for (n, id) in ids.iter().enumerate() {
                 if let Some(said) = stage.heard(r, id) {
                     self.hear(stage, r, id, &said);
-                    if let (Some(t), Said::InForce(_) | Said::Dropped(_)) = (self.tracks.get_mut(n), &said) {
+                    if let (Some(t), ChangeStatus::InForce(_) | ChangeStatus::Dropped(_)) =
+                        (self.tracks.get_mut(n), &said)
+                    {
                         t.known = true;
                     }
                 }
@@ -450,19 +452,20 @@
     /// Judges what was seen. A try whose router was killed, stopped or leaving while it was under way gets its final answer from nobody: for
     /// those the first rule is not asked; the others are.
     pub(crate) fn outcome(
-        mut self, records: Vec<Record>, results: Vec<TryResult>, log: Vec<String>, digest: u64, now: Duration,
+        mut self, records: Vec<Record>, results: Vec<AttemptResult>, log: Vec<String>, digest: u64,
+        now: Duration,
     ) -> Outcome {
         for (r, since) in std::mem::take(&mut self.since) {
             self.away.push((r, since, now));
         }
         let margin = Duration::from_secs(1);
-        let mut asked: BTreeMap<slipreel_invariants::Try, (Duration, Duration)> = BTreeMap::new();
+        let mut asked: BTreeMap<slipreel_invariants::ClientAttempt, (Duration, Duration)> = BTreeMap::new();
         for r in &records {
-            if let Seen::Asked { what, deadline, .. } = &r.seen {
+            if let Seen::Asked { attempt: what, deadline, .. } = &r.seen {
                 asked.insert(*what, (r.at, *deadline));
             }
         }
-        let excused = |what: &slipreel_invariants::Try| {
+        let excused = |what: &slipreel_invariants::ClientAttempt| {
             let router = (what.request as usize + what.number as usize) % self.script.routers;
             let (from, to) = asked.get(what).copied().unwrap_or_default();
             self.away.iter().any(|(r, a, b)| *r == router && *a <= to + margin && from <= *b + margin)
@@ -480,7 +483,7 @@
         let figures = figures_of(&self.script.day);
         let breaks = slipreel_invariants::judge(&kept, &figures)
             .into_iter()
-            .filter(|b| b.of.is_none_or(|what| !excused(&what)))
+            .filter(|b| b.attempt.is_none_or(|what| !excused(&what)))
             .collect();
         let verdict = judge(self.script, &self.history);
         let up: Vec<usize> = (0..self.script.routers).filter(|r| self.phases[*r] == Phase::Up).collect();
--- a/crates/membership/benches/size.rs
+++ b/crates/membership/benches/size.rs
@@ -422,7 +422,7 @@
         let own_rng = Xoshiro256PlusPlus::seed_from_u64(rng.next_u64());
         let node =
             world.add(Member { detector, loss, rng: own_rng, sent_messages: 0, sent_bytes: 0 }, &[addr(n)]);
-        world.open_mailboxes(node, &[addr(n)]);
+        world.open_datagram_sockets(node, &[addr(n)]);
     }
     // The members with the highest numbers will be killed; the observers are spread over the others.
     let killed_count = members.div_ceil(50);
--- a/crates/platform/tests/common/day.rs
+++ b/crates/platform/tests/common/day.rs
@@ -2,12 +2,12 @@
 
 use super::actor::Actor;
 use super::ms;
-use slipreel_invariants::repeats::{judge, Break, Terms};
+use slipreel_invariants::repeats::{judge, Terms, Violation};
 use slipreel_platform::{Config, PlatformRouter};
 use slipreel_test_servers::memory::{Delays, World};
 use slipreel_test_servers::platform::{
-    list_entry, open_ledger, place_of, ClientLayout, DaySettings, Discovery, EngineDies, EngineLayout,
-    EngineRole, ExchangeFault, HostileEngine, Listing, Random, RepeatingClients, SharedLedger,
+    list_entry, lock_ledger, place_of, ClientLayout, DaySettings, Discovery, EndpointChanges, EngineKilled,
+    EngineLayout, EngineRole, ExchangeFault, HostileEngine, Random, RepeatingClients, SharedLedger,
     EXCHANGE_FAULTS,
 };
 use std::net::SocketAddr;
@@ -105,7 +105,7 @@
 /// How a day went.
 #[derive(Debug)]
 pub struct Played {
-    pub breaks: Vec<Break>,
+    pub breaks: Vec<Violation>,
     pub served: u32,
     pub refused: u32,
     pub failed: u32,
@@ -196,8 +196,8 @@
     fn add_engine(&mut self, number: usize) {
         let role = match number % 3 {
             _ if self.settings.has_mixed_engines && number >= 6 => EngineRole::Mixed,
-            0 => EngineRole::Reads,
-            _ => EngineRole::Writes,
+            0 => EngineRole::Prefill,
+            _ => EngineRole::Decode,
         };
         let layout = EngineLayout {
             name: format!("e{number}"),
@@ -217,7 +217,7 @@
 
     fn add_router(&mut self, number: usize) {
         let entries = self.engines.iter().map(|engine| (engine.layout.name.clone(), engine.entry("Ready")));
-        let discovery = Discovery::new(&Listing(entries.collect()));
+        let discovery = Discovery::new(&EndpointChanges(entries.collect()));
         let known = discovery.whole();
         let last = number as u8;
         let at = SocketAddr::from(([127, 9, 0, last], 8500));
@@ -314,7 +314,7 @@
         // The close of a connection into a cut is not seen by its engine until the cut is over.
         let second_copies = self.settings.second_copies || self.day.has_cuts;
         let terms = Terms { second_copies, wire: ms(1) };
-        let breaks = judge(&open_ledger(&self.ledger).facts, &terms);
+        let breaks = judge(&lock_ledger(&self.ledger).facts, &terms);
         let Actor::Clients(clients) = self.world.machine(self.clients) else { unreachable!("the clients") };
         let log = self.world.log().iter().map(|(at, _, line)| (*at, line.clone())).collect();
         Played { breaks, served: clients.served, refused: clients.refused, failed: clients.failed, log }
@@ -347,7 +347,7 @@
         let to = self.random.below(ENGINES);
         let now = self.world.now();
         let state = &mut self.engines[engine];
-        self.world.news(state.machine, &EngineDies);
+        self.world.send_owner_message(state.machine, &EngineKilled);
         self.world.kill(state.machine);
         if tells_start {
             state.since = now;
@@ -357,8 +357,8 @@
             Moves::Place => state.layout.place = place_of(to),
             Moves::Role => {
                 state.layout.role = match state.layout.role {
-                    EngineRole::Reads => EngineRole::Writes,
-                    EngineRole::Writes | EngineRole::Mixed => EngineRole::Reads,
+                    EngineRole::Prefill => EngineRole::Decode,
+                    EngineRole::Decode | EngineRole::Mixed => EngineRole::Prefill,
                 };
             }
             Moves::Address => state.is_moved = !state.is_moved,
@@ -368,9 +368,9 @@
 
     fn set_status(&mut self, engine: usize, status: &str) {
         let state = &self.engines[engine];
-        let change = Listing(vec![(state.layout.name.clone(), state.entry(status))]);
+        let change = EndpointChanges(vec![(state.layout.name.clone(), state.entry(status))]);
         for agent in self.routers.iter().map(|router| router.agent).collect::<Vec<_>>() {
-            self.world.news(agent, &change);
+            self.world.send_owner_message(agent, &change);
         }
     }
 
