--- a/crates/scenario/src/stage.rs
+++ b/crates/scenario/src/stage.rs
@@ -10,7 +10,7 @@
 use slipreel_event_loop::{Clock, Command, EventLoop, EventLoopHandle, MachineId};
 use slipreel_gateway::settings::EngineSettings;
 use slipreel_gateway::{engine_id, Counters, Gateway};
-use slipreel_invariants::{judge, Break, Record, Seen};
+use slipreel_invariants::{judge, Record, Seen, Violation};
 use slipreel_roles::{
     ChangeCosts, ControllerConfig, ControllerMode, EngineThroughput, FullLoadRequests, PlannerLimits,
     RoleController, Watched,
@@ -45,7 +45,7 @@
     /// What clients and engines saw.
     pub records: Vec<Record>,
     /// The rules that broke.
-    pub breaks: Vec<Break>,
+    pub breaks: Vec<Violation>,
     /// What the routers counted, those that were still up.
     pub tallies: Vec<Counters>,
     /// What the routers still held at the end: requests under way and timers of these. Anything is a leak.
@@ -358,7 +358,7 @@
                 let (was, is) = (takes(&before, e), takes(list, e));
                 if was != is {
                     let (router, engine) = (Day::router_name(r), e.name.clone());
-                    self.ledger.note(now, Seen::Told { router, engine, closed: !is });
+                    self.ledger.note(now, Seen::RouterNotified { router, engine, closed: !is });
                 }
             }
             stage.news(Who::Router(r), Arc::new(list.to_vec()));
@@ -379,7 +379,7 @@
             let cut = beyond(&self.day.router_zone(r));
             for (e, addr) in self.addrs.iter().enumerate() {
                 let (router, engine) = (Day::router_name(r), self.day.engines[e].spec.name.clone());
-                self.ledger.note(now, Seen::Apart { router, engine, apart: cut.0.contains(addr) });
+                self.ledger.note(now, Seen::LinkCut { router, engine, cut: cut.0.contains(addr) });
             }
             stage.news(Who::Router(r), Arc::new(cut));
         }
--- a/crates/test-servers/src/engine/mod.rs
+++ b/crates/test-servers/src/engine/mod.rs
@@ -20,7 +20,7 @@
 use fetch::{Fetched, Fetches};
 use scheduler::{ActiveRequest, RequestKind, Scheduler, State, Transfer};
 use serde_json::{json, Value};
-use slipreel_invariants::{Seen, Stage, Try};
+use slipreel_invariants::{ClientAttempt, Seen, Stage};
 use slipreel_protocol::engine::{write_metrics, write_orca, Load, FULL, NO_STATE};
 use slipreel_protocol::http::{self, Decoder, Framing, Head, Item, Limits, Side, Start};
 use slipreel_protocol::sse;
@@ -49,7 +49,7 @@
     /// Requests are not read before then.
     ready_at: Duration,
     /// An attempt that has arrived and that the engine has not read yet.
-    unread_attempt: Option<Try>,
+    unread_attempt: Option<ClientAttempt>,
 }
 
 /// A test engine. As owner messages it accepts a [`Fault`], or a [`Role`] to change to.
@@ -149,7 +149,7 @@
             let via = text.split_once("via: 1.1 ").and_then(|(_, rest)| rest.split("\r\n").next());
             if let (Some(what), Some(router)) = (conn.unread_attempt, via) {
                 let (engine, router) = (self.spec.name.clone(), router.to_owned());
-                self.note(now, Seen::Arrived { engine, router, what, stage: Stage::Write });
+                self.note(now, Seen::Arrived { engine, router, attempt: what, stage: Stage::Decode });
             }
         }
         self.read_requests(now, id, out);
@@ -158,7 +158,10 @@
     /// Ends an attempt that the engine had not read: it is being read now, or its connection has closed.
     fn end_unread(&mut self, now: Duration, id: ConnId) {
         if let Some(what) = self.conns.get_mut(&id).and_then(|c| c.unread_attempt.take()) {
-            self.note(now, Seen::Over { engine: self.spec.name.clone(), what, stage: Stage::Write });
+            self.note(
+                now,
+                Seen::Finished { engine: self.spec.name.clone(), attempt: what, stage: Stage::Decode },
+            );
         }
     }
 
@@ -237,7 +240,10 @@
     /// Records that an attempt is over at this engine.
     fn note_over(&self, now: Duration, request: &ActiveRequest) {
         if let Some(what) = request.attempt() {
-            self.note(now, Seen::Over { engine: self.spec.name.clone(), what, stage: request.stage() });
+            self.note(
+                now,
+                Seen::Finished { engine: self.spec.name.clone(), attempt: what, stage: request.stage() },
+            );
         }
     }
 
@@ -346,7 +352,7 @@
 
     fn release_state(&mut self, now: Duration, state: u64) {
         if self.scheduler.release(state) {
-            self.note(now, Seen::Released { engine: self.spec.name.clone(), state });
+            self.note(now, Seen::StateReleased { engine: self.spec.name.clone(), state });
         }
     }
 
@@ -383,13 +389,13 @@
         if let Some(what) = what {
             let (engine, router) = (self.spec.name.clone(), request.router.clone());
             let epoch = head.get(POLICY_HEADER).and_then(|e| e.parse().ok());
-            let (by, on) = (router.clone(), slipreel_invariants::policy::On::Call);
-            self.note(now, Seen::Stamped { router: by, what, epoch, on });
-            self.note(now, Seen::Arrived { engine, router, what, stage: request.stage() });
+            let (by, on) = (router.clone(), slipreel_invariants::policy::StampedMessage::Attempt);
+            self.note(now, Seen::Stamped { router: by, attempt: what, epoch, on });
+            self.note(now, Seen::Arrived { engine, router, attempt: what, stage: request.stage() });
         }
         if self.scheduler.overloads_cold_engine(now, &self.spec, &request) && !self.crashed {
             self.crashed = true;
-            self.note(now, Seen::Fell(self.spec.name.clone()));
+            self.note(now, Seen::EngineOverloaded(self.spec.name.clone()));
         }
         if self.crashed {
             self.note_over(now, &request);
@@ -524,7 +530,7 @@
             None => true,
         };
         if let Some(what) = request.attempt().filter(|_| new) {
-            self.note(now, Seen::Ran { engine: self.spec.name.clone(), what });
+            self.note(now, Seen::Ran { engine: self.spec.name.clone(), attempt: what });
         }
     }
 
@@ -571,7 +577,7 @@
         }
         let state = self.scheduler.hold_state(&request, now);
         if let Some(what) = request.attempt() {
-            self.note(now, Seen::Holds { engine: self.spec.name.clone(), what, state });
+            self.note(now, Seen::StateHeld { engine: self.spec.name.clone(), attempt: what, state });
         }
         if let Some(garbage) = self.faults.garbage.filter(|g| g.before_head()) {
             let conn = request.conn;
@@ -817,6 +823,6 @@
 }
 
 /// The attempt that the marker in a chat request names, for tests that inspect requests.
-pub fn attempt_in(body: &[u8]) -> Option<Try> {
+pub fn attempt_in(body: &[u8]) -> Option<ClientAttempt> {
     Mark::find(&String::from_utf8_lossy(body)).map(|m| m.attempt)
 }
--- a/crates/test-servers/src/engine/scheduler.rs
+++ b/crates/test-servers/src/engine/scheduler.rs
@@ -3,7 +3,7 @@
 use super::spec::{EngineSpec, Role};
 use crate::mark::Mark;
 use serde_json::{json, Value};
-use slipreel_invariants::{Stage, Try};
+use slipreel_invariants::{ClientAttempt, Stage};
 use slipreel_protocol::engine::Load;
 use slipreel_state_machine::ConnId;
 use std::collections::{BTreeMap, HashMap, VecDeque};
@@ -63,15 +63,15 @@
 
 impl ActiveRequest {
     /// The attempt that the marker in the prompt names.
-    pub fn attempt(&self) -> Option<Try> {
+    pub fn attempt(&self) -> Option<ClientAttempt> {
         self.mark.map(|m| m.attempt)
     }
 
     /// The phase of the request, as the invariant checker names it.
     pub fn stage(&self) -> Stage {
         match self.kind {
-            RequestKind::Prefill => Stage::Read,
-            RequestKind::Decode => Stage::Write,
+            RequestKind::Prefill => Stage::Prefill,
+            RequestKind::Decode => Stage::Decode,
         }
     }
 
--- a/crates/test-servers/src/mark.rs
+++ b/crates/test-servers/src/mark.rs
@@ -4,13 +4,13 @@
 //! Its form is `[[request.attempt.length.effect]]`. Engines read it from the prompt, so clients and engines
 //! can match their observations without help from the router.
 
-use slipreel_invariants::{Effect, Try};
+use slipreel_invariants::{ClientAttempt, Effect};
 
 /// A parsed marker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Mark {
     /// The attempt that carries the marker.
-    pub attempt: Try,
+    pub attempt: ClientAttempt,
     /// Length of the answer in tokens.
     pub length: u32,
     /// Whether it is safe to run the request more than once.
@@ -42,7 +42,7 @@
             "u" => Effect::Unsafe,
             _ => return None,
         };
-        Some(Mark { attempt: Try { request, number }, length, effect })
+        Some(Mark { attempt: ClientAttempt { request, number }, length, effect })
     }
 }
 
--- a/crates/test-servers/src/partition.rs
+++ b/crates/test-servers/src/partition.rs
@@ -3,7 +3,7 @@
 
 use crate::ledger::Ledger;
 use crate::mark::Mark;
-use slipreel_invariants::{Seen, Try};
+use slipreel_invariants::{ClientAttempt, Seen};
 use slipreel_state_machine::{ConnId, Input, Machine, Output};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -29,7 +29,7 @@
     held_back: Vec<HeldBack>,
     ledger: Option<Ledger>,
     /// Attempts whose bytes are held back, by connection.
-    in_transit: BTreeMap<ConnId, Try>,
+    in_transit: BTreeMap<ConnId, ClientAttempt>,
 }
 
 impl<M: Machine> PartitionedMachine<M> {
@@ -52,14 +52,14 @@
         self
     }
 
-    fn set_in_transit(&mut self, now: Duration, conn: ConnId, what: Option<Try>) {
+    fn set_in_transit(&mut self, now: Duration, conn: ConnId, what: Option<ClientAttempt>) {
         let way = conn.0;
         if let Some(what) = self.in_transit.remove(&conn) {
-            self.ledger.iter().for_each(|l| l.note(now, Seen::OffTheWay { what, way }));
+            self.ledger.iter().for_each(|l| l.note(now, Seen::TransitEnded { attempt: what, transfer: way }));
         }
         if let Some(what) = what {
             self.in_transit.insert(conn, what);
-            self.ledger.iter().for_each(|l| l.note(now, Seen::OnTheWay { what, way }));
+            self.ledger.iter().for_each(|l| l.note(now, Seen::InTransit { attempt: what, transfer: way }));
         }
     }
 
