--- a/crates/gateway/src/request.rs
+++ b/crates/gateway/src/request.rs
@@ -135,7 +135,7 @@
         let is_prefill = role == Role::Prefill;
         let body = if is_prefill {
             self.holders.push((engine, addr, attempt));
-            engine::read_body(&self.chat)
+            engine::prefill_body(&self.chat)
         } else {
             engine::write_body(&self.chat, self.max_tokens, self.transfer.as_ref().map(|(_, t)| t))
         };
--- a/crates/protocol/src/engine.rs
+++ b/crates/protocol/src/engine.rs
@@ -10,7 +10,7 @@
 pub const NO_STATE: &str = "no_state";
 
 /// The body of a read: one token, its state to be fetched by a writer.
-pub fn read_body(chat: &Map<String, Value>) -> String {
+pub fn prefill_body(chat: &Map<String, Value>) -> String {
     let mut body = chat.clone();
     body.insert("max_tokens".into(), 1.into());
     body.insert("stream".into(), false.into());
