--- a/crates/gateway/src/request.rs
+++ b/crates/gateway/src/request.rs
@@ -137,7 +137,7 @@
             self.holders.push((engine, addr, attempt));
             engine::prefill_body(&self.chat)
         } else {
-            engine::write_body(&self.chat, self.max_tokens, self.transfer.as_ref().map(|(_, t)| t))
+            engine::decode_body(&self.chat, self.max_tokens, self.transfer.as_ref().map(|(_, t)| t))
         };
         self.attempts.push(Attempt { engine, conn: None, sent: now, is_prefill, in_flight: true });
         let (name, host) = (self.attempt_name(attempt), addr.to_string());
--- a/crates/protocol/src/engine.rs
+++ b/crates/protocol/src/engine.rs
@@ -23,7 +23,7 @@
 }
 
 /// The body of a write, of the state that `transfer` names if there is one.
-pub fn write_body(chat: &Map<String, Value>, max_tokens: u32, transfer: Option<&Value>) -> String {
+pub fn decode_body(chat: &Map<String, Value>, max_tokens: u32, transfer: Option<&Value>) -> String {
     let mut body = chat.clone();
     body.insert("max_tokens".into(), max_tokens.into());
     body.insert("stream".into(), true.into());
