--- a/crates/protocol/src/engine.rs
+++ b/crates/protocol/src/engine.rs
@@ -67,7 +67,7 @@
 
 /// The answer to a read.
 #[derive(Debug, Deserialize)]
-pub struct ReadAnswer {
+pub struct PrefillResponse {
     /// Where the state waits.
     pub kv_transfer_params: Value,
     /// What was read.
@@ -79,8 +79,8 @@
 ///
 /// # Errors
 /// It is not JSON, or names no state.
-pub fn read_answer(body: &[u8]) -> Result<ReadAnswer, String> {
-    let answer: ReadAnswer = serde_json::from_slice(body).map_err(|e| e.to_string())?;
+pub fn read_answer(body: &[u8]) -> Result<PrefillResponse, String> {
+    let answer: PrefillResponse = serde_json::from_slice(body).map_err(|e| e.to_string())?;
     match answer.kv_transfer_params {
         Value::Object(_) => Ok(answer),
         _ => Err("kv_transfer_params: expected an object".into()),
