--- a/crates/gateway/src/engine_connection.rs
+++ b/crates/gateway/src/engine_connection.rs
@@ -223,13 +223,15 @@
     /// What a complete answer says.
     fn whole(&self, status: u16, body: &[u8]) -> EngineEvent {
         match (status, self.purpose) {
-            (200, ConnectionPurpose::Attempt { is_prefill: true, .. }) => match engine::read_answer(body) {
-                Ok(read) => EngineEvent::Prefilled {
-                    transfer: read.kv_transfer_params,
-                    usage: read.usage.unwrap_or_default(),
-                },
-                Err(why) => EngineEvent::Failed(why),
-            },
+            (200, ConnectionPurpose::Attempt { is_prefill: true, .. }) => {
+                match engine::parse_prefill_response(body) {
+                    Ok(read) => EngineEvent::Prefilled {
+                        transfer: read.kv_transfer_params,
+                        usage: read.usage.unwrap_or_default(),
+                    },
+                    Err(why) => EngineEvent::Failed(why),
+                }
+            }
             (200, ConnectionPurpose::Probe) => {
                 EngineEvent::Metrics(engine::metrics(&String::from_utf8_lossy(body)))
             }
--- a/crates/protocol/src/engine.rs
+++ b/crates/protocol/src/engine.rs
@@ -79,7 +79,7 @@
 ///
 /// # Errors
 /// It is not JSON, or names no state.
-pub fn read_answer(body: &[u8]) -> Result<PrefillResponse, String> {
+pub fn parse_prefill_response(body: &[u8]) -> Result<PrefillResponse, String> {
     let answer: PrefillResponse = serde_json::from_slice(body).map_err(|e| e.to_string())?;
     match answer.kv_transfer_params {
         Value::Object(_) => Ok(answer),
--- a/crates/protocol/tests/codecs.rs
+++ b/crates/protocol/tests/codecs.rs
@@ -165,7 +165,7 @@
     #[test]
     fn no_body_makes_it_panic(body in ".{0,120}", counting: bool) {
         let _ = MessagesRequest::parse(body.as_bytes(), counting);
-        let _ = engine::read_answer(body.as_bytes());
+        let _ = engine::parse_prefill_response(body.as_bytes());
         let _ = engine::metrics(&body);
         let _ = engine::orca(&body);
         let _ = endpoints::parse(&body);
