--- a/crates/protocol/src/engine.rs
+++ b/crates/protocol/src/engine.rs
@@ -88,7 +88,7 @@
 }
 
 /// The type of an error body, if it has one.
-pub fn error_type(body: &[u8]) -> Option<(String, String)> {
+pub fn parse_error(body: &[u8]) -> Option<(String, String)> {
     let value: Value = serde_json::from_slice(body).ok()?;
     let error = value.get("error").unwrap_or(&value);
     let text = |name: &str| error.get(name).and_then(Value::as_str).unwrap_or_default().to_owned();
