--- a/crates/gateway/src/engine_connection.rs
+++ b/crates/gateway/src/engine_connection.rs
@@ -173,7 +173,7 @@
                     return;
                 }
                 if let Some(report) = head.get("endpoint-load-metrics") {
-                    out.push(EngineEvent::LoadReport(engine::orca(report)));
+                    out.push(EngineEvent::LoadReport(engine::parse_orca(report)));
                 }
                 self.reusable = head.keep_alive;
                 let streams = head.get("content-type").is_some_and(|t| t.starts_with("text/event-stream"));
--- a/crates/protocol/src/engine.rs
+++ b/crates/protocol/src/engine.rs
@@ -200,7 +200,7 @@
 }
 
 /// Reads an ORCA `endpoint-load-metrics` header: `TEXT k=v, ...`, `JSON {...}`, or bare `k=v`.
-pub fn orca(header: &str) -> Load {
+pub fn parse_orca(header: &str) -> Load {
     let mut load = Load::default();
     if let Some(json) = header.strip_prefix("JSON ") {
         let value: Value = serde_json::from_str(json).unwrap_or_default();
--- a/crates/protocol/tests/codecs.rs
+++ b/crates/protocol/tests/codecs.rs
@@ -138,10 +138,13 @@
     );
     assert_eq!(engine::metrics(&engine::write_metrics(&load)), load);
     let told = engine::Load { started: None, ..load };
-    assert_eq!(engine::orca(&engine::write_orca(&load)), told);
+    assert_eq!(engine::parse_orca(&engine::write_orca(&load)), told);
     let json = r#"JSON {"named_metrics":{"num_requests_running":3,"num_requests_waiting":2,"kv_cache_usage_perc":0.5}}"#;
-    assert_eq!(engine::orca(json), told);
-    assert_eq!(engine::orca("TEXT ,,=,named_metrics.num_requests_waiting=inf"), engine::Load::default());
+    assert_eq!(engine::parse_orca(json), told);
+    assert_eq!(
+        engine::parse_orca("TEXT ,,=,named_metrics.num_requests_waiting=inf"),
+        engine::Load::default()
+    );
 }
 
 #[test]
@@ -167,7 +170,7 @@
         let _ = MessagesRequest::parse(body.as_bytes(), counting);
         let _ = engine::parse_prefill_response(body.as_bytes());
         let _ = engine::metrics(&body);
-        let _ = engine::orca(&body);
+        let _ = engine::parse_orca(&body);
         let _ = endpoints::parse(&body);
     }
 }
