--- a/crates/gateway/src/engine_connection.rs
+++ b/crates/gateway/src/engine_connection.rs
@@ -233,7 +233,7 @@
                 }
             }
             (200, ConnectionPurpose::Probe) => {
-                EngineEvent::Metrics(engine::metrics(&String::from_utf8_lossy(body)))
+                EngineEvent::Metrics(engine::parse_metrics(&String::from_utf8_lossy(body)))
             }
             (200, ConnectionPurpose::Release(_)) => EngineEvent::Done,
             (200, ConnectionPurpose::Attempt { .. }) => {
--- a/crates/protocol/src/engine.rs
+++ b/crates/protocol/src/engine.rs
@@ -219,7 +219,7 @@
 }
 
 /// Reads the gauges of a `GET /metrics` answer (Prometheus text format 0.0.4) that tell of load.
-pub fn metrics(text: &str) -> Load {
+pub fn parse_metrics(text: &str) -> Load {
     let mut load = Load::default();
     for line in text.lines().filter(|l| !l.starts_with('#')) {
         let name_end = line.find(['{', ' ']).unwrap_or(line.len());
--- a/crates/protocol/tests/codecs.rs
+++ b/crates/protocol/tests/codecs.rs
@@ -131,12 +131,12 @@
     let text = "# HELP x\nvllm:num_requests_running{model_name=\"a}b\",engine=\"0\"} 3.0\n\
                 vllm:num_requests_waiting{model_name=\"m\"} 2 1700000000000\nvllm:kv_cache_usage_perc 0.5\n\
                 process_start_time_seconds 1.7e9\nvllm:other NaN\nbroken\n";
-    let load = engine::metrics(text);
+    let load = engine::parse_metrics(text);
     assert_eq!(
         (load.running, load.waiting, load.memory, load.started),
         (Some(3.0), Some(2.0), Some(0.5), Some(1.7e9))
     );
-    assert_eq!(engine::metrics(&engine::write_metrics(&load)), load);
+    assert_eq!(engine::parse_metrics(&engine::write_metrics(&load)), load);
     let told = engine::Load { started: None, ..load };
     assert_eq!(engine::parse_orca(&engine::write_orca(&load)), told);
     let json = r#"JSON {"named_metrics":{"num_requests_running":3,"num_requests_waiting":2,"kv_cache_usage_perc":0.5}}"#;
@@ -169,7 +169,7 @@
     fn no_body_makes_it_panic(body in ".{0,120}", counting: bool) {
         let _ = MessagesRequest::parse(body.as_bytes(), counting);
         let _ = engine::parse_prefill_response(body.as_bytes());
-        let _ = engine::metrics(&body);
+        let _ = engine::parse_metrics(&body);
         let _ = engine::parse_orca(&body);
         let _ = endpoints::parse(&body);
     }
--- a/crates/roles/src/controller/requests.rs
+++ b/crates/roles/src/controller/requests.rs
@@ -154,7 +154,7 @@
             Answer::Router { router, metrics: String::from_utf8_lossy(body).into_owned() }
         }
         Request::EngineLoad { engine } => {
-            Answer::Load { engine, load: engine::metrics(&String::from_utf8_lossy(body)) }
+            Answer::Load { engine, load: engine::parse_metrics(&String::from_utf8_lossy(body)) }
         }
         Request::EngineRole { engine } => Answer::Role { engine, role: ReportedRole::decode(body) },
         Request::Order => Answer::Order { accepted: status == ACCEPTED },
