--- a/crates/gateway/src/engine_error.rs
+++ b/crates/gateway/src/engine_error.rs
@@ -18,7 +18,7 @@
 /// Judges an answer by its status and body.
 pub(crate) fn classify(status: u16, body: &[u8]) -> EngineError {
     match engine::parse_error(body) {
-        Some((kind, _)) if kind == engine::FULL => EngineError::Rejected { state_missing: false },
+        Some((kind, _)) if kind == engine::ENGINE_FULL => EngineError::Rejected { state_missing: false },
         Some((kind, _)) if kind == engine::NO_STATE => EngineError::Rejected { state_missing: true },
         Some((_, message)) if matches!(status, 400 | 413 | 422) => EngineError::InvalidRequest(message),
         _ => EngineError::Failed,
--- a/crates/gateway/src/engine_error/tests.rs
+++ b/crates/gateway/src/engine_error/tests.rs
@@ -3,7 +3,7 @@
 #[test]
 fn only_an_engine_that_says_so_has_run_nothing() {
     let body = |kind: &str| format!("{{\"error\":{{\"type\":\"{kind}\",\"message\":\"m\"}}}}").into_bytes();
-    assert_eq!(classify(503, &body(engine::FULL)), EngineError::Rejected { state_missing: false });
+    assert_eq!(classify(503, &body(engine::ENGINE_FULL)), EngineError::Rejected { state_missing: false });
     assert_eq!(classify(409, &body(engine::NO_STATE)), EngineError::Rejected { state_missing: true });
     assert_eq!(classify(400, &body("BadRequestError")), EngineError::InvalidRequest("m".into()));
     for (status, body) in
--- a/crates/gateway/tests/connections.rs
+++ b/crates/gateway/tests/connections.rs
@@ -442,7 +442,7 @@
 fn a_kept_connection_that_turns_an_attempt_away_is_closed() {
     let (mut host, writer, _) = up_to_a_second_write(slipreel::Idempotency::Idempotent);
     let full = r#"{"error":{"type":"overloaded_error","message":"full"}}"#;
-    let full = full.replace("overloaded_error", slipreel_protocol::engine::FULL);
+    let full = full.replace("overloaded_error", slipreel_protocol::engine::ENGINE_FULL);
     let answer = format!("HTTP/1.1 503 Busy\r\ncontent-length: {}\r\n\r\n{full}", full.len());
     let out = host.tell(Input::Data(writer, answer.as_bytes()));
     assert!(out.contains(&Output::Abort(writer)), "it may be at work there all the same: {out:?}");
--- a/crates/protocol/src/engine.rs
+++ b/crates/protocol/src/engine.rs
@@ -5,7 +5,7 @@
 use serde_json::{json, Map, Value};
 
 /// The type of an error body with which an engine turns a request away that never ran.
-pub const FULL: &str = "engine_full";
+pub const ENGINE_FULL: &str = "engine_full";
 /// The type of an error body with which a writer says that there is no state to fetch.
 pub const NO_STATE: &str = "no_state";
 
--- a/crates/test-servers/src/engine/mod.rs
+++ b/crates/test-servers/src/engine/mod.rs
@@ -19,7 +19,7 @@
 use fetch::{Fetched, Fetches};
 use serde_json::{json, Value};
 use slipreel_invariants::{Seen, Stage, Try};
-use slipreel_protocol::engine::{write_metrics, write_orca, Load, FULL, NO_STATE};
+use slipreel_protocol::engine::{write_metrics, write_orca, Load, ENGINE_FULL, NO_STATE};
 use slipreel_protocol::http::{self, Decoder, Framing, Head, Item, Limits, Side, Start};
 use slipreel_protocol::sse;
 use slipreel_roles::{Order, RoleRecord};
@@ -382,7 +382,7 @@
         let turned = turned || !self.role.takes_work();
         if turned || self.work.is_full(&self.spec) {
             self.over(now, &job);
-            return self.error(id, 503, FULL, "slots and queue are full", out);
+            return self.error(id, 503, ENGINE_FULL, "slots and queue are full", out);
         }
         let no_state = job.kind == Kind::Write && job.transfer.is_none() && self.spec.role == Role::Write;
         if no_state {
