--- a/crates/protocol/src/endpoints.rs
+++ b/crates/protocol/src/endpoints.rs
@@ -7,7 +7,7 @@
 
 /// One engine of a slice.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Listed {
+pub struct EngineEndpoint {
     /// Its address.
     pub addr: SocketAddr,
     /// Whether it takes new work.
@@ -67,14 +67,14 @@
 ///
 /// # Errors
 /// A text that names what is wrong and where.
-pub fn parse(text: &str) -> Result<Vec<Listed>, String> {
+pub fn parse(text: &str) -> Result<Vec<EngineEndpoint>, String> {
     let slice: Slice = serde_json::from_str(text).map_err(|e| e.to_string())?;
     let mut listed = Vec::new();
     collect(&slice, &mut listed)?;
     Ok(listed)
 }
 
-fn collect(slice: &Slice, out: &mut Vec<Listed>) -> Result<(), String> {
+fn collect(slice: &Slice, out: &mut Vec<EngineEndpoint>) -> Result<(), String> {
     match slice.kind.as_str() {
         "EndpointSlice" => {}
         "EndpointSliceList" | "List" => return slice.items.iter().try_for_each(|s| collect(s, out)),
@@ -89,7 +89,7 @@
             let Conditions { ready, serving, terminating } = endpoint.conditions;
             // The format's own rule: an unknown `ready` means ready, an unknown `serving` means what `ready` is.
             let ready = ready.unwrap_or(true);
-            out.push(Listed {
+            out.push(EngineEndpoint {
                 addr: SocketAddr::new(ip, port),
                 ready,
                 serving: serving.unwrap_or(ready),
