--- a/crates/gateway/src/engine_connection.rs
+++ b/crates/gateway/src/engine_connection.rs
@@ -193,7 +193,7 @@
                     let body = std::mem::take(&mut self.held);
                     out.push(self.whole(status, &body));
                 }
-                Body::Stream if self.events.inside() => {
+                Body::Stream if self.events.is_inside_event() => {
                     out.push(EngineEvent::Failed("a stream that ends in an event".into()));
                 }
                 Body::Stream => out.push(EngineEvent::Done),
--- a/crates/protocol/src/sse.rs
+++ b/crates/protocol/src/sse.rs
@@ -58,7 +58,7 @@
     }
 
     /// Whether an event has been begun and not ended: a stream that stops here was cut.
-    pub fn inside(&self) -> bool {
+    pub fn is_inside_event(&self) -> bool {
         self.held > 0
     }
 
