--- a/crates/connections/src/client.rs
+++ b/crates/connections/src/client.rs
@@ -23,7 +23,7 @@
 
 /// A complete request.
 #[derive(Debug)]
-pub struct Received {
+pub struct ReceivedRequest {
     /// Its head.
     pub head: Head,
     /// Its body, framing taken off.
@@ -32,7 +32,7 @@
     pub arrived: Duration,
 }
 
-impl Received {
+impl ReceivedRequest {
     /// Its method, as sent.
     pub fn method(&self) -> &str {
         match &self.head.start {
@@ -149,7 +149,9 @@
     ///
     /// # Errors
     /// What has come is no request of HTTP/1.1, or over a limit.
-    pub fn receive(&mut self, now: Duration, out: &mut Vec<Output>) -> Result<Option<Received>, Malformed> {
+    pub fn receive(
+        &mut self, now: Duration, out: &mut Vec<Output>,
+    ) -> Result<Option<ReceivedRequest>, Malformed> {
         if matches!(self.state, State::Serving(_)) {
             return Ok(None);
         }
@@ -168,7 +170,7 @@
                     let Some(head) = self.head.take() else { continue };
                     (self.state, self.since) = (State::Serving(None), now);
                     let arrived = self.last_taken_arrival().unwrap_or(now);
-                    return Ok(Some(Received { head, body: std::mem::take(&mut self.body), arrived }));
+                    return Ok(Some(ReceivedRequest { head, body: std::mem::take(&mut self.body), arrived }));
                 }
             }
         }
--- a/crates/gateway/src/operators.rs
+++ b/crates/gateway/src/operators.rs
@@ -3,7 +3,7 @@
 use crate::gateway::Gateway;
 use crate::metrics;
 use serde_json::json;
-use slipreel_connections::Received;
+use slipreel_connections::ReceivedRequest;
 use slipreel_protocol::messages::{ApiError, ErrorKind};
 use slipreel_state_machine::{ConnId, Output};
 
@@ -46,7 +46,7 @@
 
     /// What operators ask, on a port of their own.
     pub(crate) fn handle_operator_request(
-        &mut self, conn: ConnId, received: &Received, out: &mut Vec<Output>,
+        &mut self, conn: ConnId, received: &ReceivedRequest, out: &mut Vec<Output>,
     ) {
         let (method, path) = (received.method(), received.path());
         match (method, path) {
--- a/crates/gateway/src/policy.rs
+++ b/crates/gateway/src/policy.rs
@@ -6,7 +6,7 @@
 use crate::settings::GatewaySettings;
 use serde_json::{json, Value};
 use slipreel::{Action, SettingsMapping};
-use slipreel_connections::{Received, State};
+use slipreel_connections::{ReceivedRequest, State};
 use slipreel_consensus::policy_state::Proposal;
 use slipreel_consensus::wire::OperatorRequest;
 use slipreel_consensus::{timing, PolicyHandle};
@@ -135,7 +135,7 @@
 
     /// What operators ask of the policy.
     pub(crate) fn handle_policy_operation(
-        &mut self, conn: ConnId, received: &Received, out: &mut Vec<Output>,
+        &mut self, conn: ConnId, received: &ReceivedRequest, out: &mut Vec<Output>,
     ) {
         let Some(handle) = self.policy.clone() else { return };
         let (method, path) = (received.method(), received.path());
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -7,7 +7,7 @@
 use crate::request::{ActiveRequest, NewRequest, POLICY};
 use serde_json::json;
 use slipreel::{Event, Outcome, RequestId};
-use slipreel_connections::{Received, State};
+use slipreel_connections::{ReceivedRequest, State};
 use slipreel_protocol::http::Malformed;
 use slipreel_protocol::messages::{ApiError, ErrorKind, MessagesRequest};
 use slipreel_state_machine::{ConnId, ListenerId, Output};
@@ -95,7 +95,7 @@
         self.requests.next_id().1
     }
 
-    fn route(&mut self, conn: ConnId, received: &Received, out: &mut Vec<Output>) {
+    fn route(&mut self, conn: ConnId, received: &ReceivedRequest, out: &mut Vec<Output>) {
         let (method, path) = (received.method(), received.path());
         if self.clients.get(conn).is_some_and(|c| c.listener == OPERATORS) {
             return self.handle_operator_request(conn, received, out);
@@ -139,7 +139,7 @@
     }
 
     fn models(
-        &mut self, conn: ConnId, received: &Received, one: Option<&str>, out: &mut Vec<Output>,
+        &mut self, conn: ConnId, received: &ReceivedRequest, one: Option<&str>, out: &mut Vec<Output>,
     ) -> Result<(), ApiError> {
         classify::caller(&self.settings, &received.head)?;
         let model = |name: &str| json!({"type": "model", "id": name, "display_name": name, "created_at": "1970-01-01T00:00:00Z"});
@@ -156,7 +156,7 @@
     }
 
     fn count_tokens(
-        &mut self, conn: ConnId, received: &Received, out: &mut Vec<Output>,
+        &mut self, conn: ConnId, received: &ReceivedRequest, out: &mut Vec<Output>,
     ) -> Result<(), ApiError> {
         classify::caller(&self.settings, &received.head)?;
         let messages_request = MessagesRequest::parse(&received.body, true)?;
@@ -172,7 +172,7 @@
 
     /// A message request: the decision module is notified of it, unless it can't be taken at all.
     fn handle_messages_request(
-        &mut self, conn: ConnId, received: &Received, out: &mut Vec<Output>,
+        &mut self, conn: ConnId, received: &ReceivedRequest, out: &mut Vec<Output>,
     ) -> Result<(), ApiError> {
         let caller = classify::caller(&self.settings, &received.head)?;
         let mut messages_request = MessagesRequest::parse(&received.body, false)?;
--- a/crates/platform/src/clients.rs
+++ b/crates/platform/src/clients.rs
@@ -8,7 +8,7 @@
 use crate::resource_limits::MAX_HEAD_BYTES;
 use crate::router::PlatformRouter;
 use slipreel::{Event, Idempotency, Outcome, RequestId};
-use slipreel_connections::{Client, Received, State};
+use slipreel_connections::{Client, ReceivedRequest, State};
 use slipreel_protocol::http::{self, Limits};
 use slipreel_state_machine::{ConnId, Output};
 use std::time::Duration;
@@ -91,7 +91,7 @@
     }
 
     /// Answers requests to the router itself and admits all others.
-    fn route(&mut self, conn: ConnId, received: Received, out: &mut Vec<Output>) {
+    fn route(&mut self, conn: ConnId, received: ReceivedRequest, out: &mut Vec<Output>) {
         match (received.method(), received.path()) {
             ("GET", "/-/ready") => {
                 let status = if self.endpoints.has_list() { 200 } else { 503 };
@@ -103,7 +103,7 @@
     }
 
     /// Admits a request, or rejects it without involving the decision module.
-    fn admit(&mut self, conn: ConnId, received: Received, out: &mut Vec<Output>) {
+    fn admit(&mut self, conn: ConnId, received: ReceivedRequest, out: &mut Vec<Output>) {
         match self.check_admissible(&received) {
             Ok(parsed) => self.start_request(conn, parsed, received),
             Err(error) => {
@@ -115,7 +115,7 @@
     }
 
     /// Parses a request and checks whether this router may take it now.
-    fn check_admissible(&mut self, received: &Received) -> Result<ParsedRequest, RequestError> {
+    fn check_admissible(&mut self, received: &ReceivedRequest) -> Result<ParsedRequest, RequestError> {
         let parsed = parse_request::parse(&self.profile, received)?;
         if self.shutdown.is_past_deadline(self.now) {
             return Err(RequestError::ShuttingDown);
@@ -134,7 +134,7 @@
     }
 
     /// Records an admitted request and queues it for the decision module.
-    fn start_request(&mut self, conn: ConnId, parsed: ParsedRequest, received: Received) {
+    fn start_request(&mut self, conn: ConnId, parsed: ParsedRequest, received: ReceivedRequest) {
         let ParsedRequest { client_id, mut request } = parsed;
         let id = self.requests.next_id();
         request.id = id;
--- a/crates/platform/src/parse_request.rs
+++ b/crates/platform/src/parse_request.rs
@@ -2,7 +2,7 @@
 
 use crate::request_error::RequestError;
 use slipreel::{ClassId, Request, TenantId};
-use slipreel_connections::Received;
+use slipreel_connections::ReceivedRequest;
 use slipreel_platform_settings::{as_named, Profile};
 use slipreel_protocol::http::Head;
 use std::time::Duration;
@@ -122,7 +122,7 @@
 ///
 /// # Errors
 /// The first header field that is missing or invalid.
-pub(crate) fn parse(profile: &Profile, received: &Received) -> Result<ParsedRequest, RequestError> {
+pub(crate) fn parse(profile: &Profile, received: &ReceivedRequest) -> Result<ParsedRequest, RequestError> {
     let head = &received.head;
     let client_id = parse_client_id(head)?;
     let class = parse_class(profile, head)?;
--- a/crates/platform/src/parse_request/tests.rs
+++ b/crates/platform/src/parse_request/tests.rs
@@ -12,7 +12,7 @@
     .unwrap()
 }
 
-fn received(fields: &str) -> Received {
+fn received(fields: &str) -> ReceivedRequest {
     let mut client = Client::new(ConnId(1), ListenerId(0), Duration::ZERO, Limits::default(), 1000);
     let text =
         format!("POST /v1/chat/completions HTTP/1.1\r\nHost: a\r\n{fields}Content-Length: 8\r\n\r\n12345678");
--- a/crates/platform/src/request.rs
+++ b/crates/platform/src/request.rs
@@ -3,7 +3,7 @@
 
 use crate::proof::AttemptEnd;
 use slipreel::{EngineId, Outcome};
-use slipreel_connections::{Received, ReleaseId, UnconfirmedAttempt};
+use slipreel_connections::{ReceivedRequest, ReleaseId, UnconfirmedAttempt};
 use slipreel_protocol::http::{self, Framing};
 use slipreel_state_machine::ConnId;
 use std::net::SocketAddr;
@@ -12,7 +12,7 @@
 /// The header fields that are forwarded to engines: the type of the body, and the idempotency key.
 const FORWARDED_FIELDS: [&str; 2] = ["content-type", "idempotency-key"];
 
-fn forwarded_fields(received: &Received) -> Vec<(&'static str, String)> {
+fn forwarded_fields(received: &ReceivedRequest) -> Vec<(&'static str, String)> {
     let field = |name: &'static str| Some((name, received.head.get(name)?.to_owned()));
     FORWARDED_FIELDS.into_iter().filter_map(field).collect()
 }
@@ -117,7 +117,7 @@
 
 impl ActiveRequest {
     pub(crate) fn new(
-        client_id: String, client_conn: ConnId, params: RequestParams, received: Received,
+        client_id: String, client_conn: ConnId, params: RequestParams, received: ReceivedRequest,
     ) -> Self {
         ActiveRequest {
             client_id,
--- a/crates/test-servers/src/platform/engine.rs
+++ b/crates/test-servers/src/platform/engine.rs
@@ -3,7 +3,7 @@
 use super::{look, Shared};
 use rand_xoshiro::rand_core::{RngCore, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
-use slipreel_connections::{Client, Received, State, TimerWheel};
+use slipreel_connections::{Client, ReceivedRequest, State, TimerWheel};
 use slipreel_invariants::terms::Seen;
 use slipreel_protocol::http::{self, Limits, LAST_CHUNK};
 use slipreel_state_machine::{ConnId, Input, Machine, Output};
@@ -101,7 +101,7 @@
         }
     }
 
-    fn serve(&mut self, conn: ConnId, received: &Received, out: &mut Vec<Output>) {
+    fn serve(&mut self, conn: ConnId, received: &ReceivedRequest, out: &mut Vec<Output>) {
         let target = received.target().to_owned();
         match (received.method(), target.as_str()) {
             ("GET", "/-/load") => self.answer(conn, 200, &[], REPORT.as_bytes(), out),
@@ -119,7 +119,7 @@
         }
     }
 
-    fn attempt(&mut self, conn: ConnId, received: &Received, out: &mut Vec<Output>) {
+    fn attempt(&mut self, conn: ConnId, received: &ReceivedRequest, out: &mut Vec<Output>) {
         let Some(request) = received.head.get("x-request-id").map(str::to_owned) else {
             return self.answer(conn, 404, &[], b"", out);
         };
--- a/crates/test-servers/src/platform/hostile_engine.rs
+++ b/crates/test-servers/src/platform/hostile_engine.rs
@@ -1,7 +1,7 @@
 //! An engine that fails at each step of an exchange, and notes what it received for the judge of repeats.
 
 use super::Random;
-use slipreel_connections::{Client, Received, TimerWheel};
+use slipreel_connections::{Client, ReceivedRequest, TimerWheel};
 use slipreel_invariants::repeats::{AttemptId, Fact, Place, Seen};
 use slipreel_protocol::http::{self, Limits, LAST_CHUNK};
 use slipreel_state_machine::{ConnId, Input, Machine, Output};
@@ -204,7 +204,7 @@
         }
     }
 
-    fn serve(&mut self, conn: ConnId, received: &Received, out: &mut Vec<Output>) {
+    fn serve(&mut self, conn: ConnId, received: &ReceivedRequest, out: &mut Vec<Output>) {
         match (received.method(), received.target()) {
             ("GET", "/-/load" | "/-/healthy") => self.answer(conn, 200, false, out),
             ("DELETE", target) => {
@@ -218,7 +218,7 @@
         }
     }
 
-    fn attempt(&mut self, conn: ConnId, received: &Received, out: &mut Vec<Output>) {
+    fn attempt(&mut self, conn: ConnId, received: &ReceivedRequest, out: &mut Vec<Output>) {
         let Some(request) = received.head.get("x-request-id").map(str::to_owned) else {
             return self.answer(conn, 404, false, out);
         };
