--- a/crates/connections/src/client.rs
+++ b/crates/connections/src/client.rs
@@ -12,7 +12,7 @@
 
 /// Where a connection stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum State {
+pub enum ClientState {
     /// Between requests.
     Idle,
     /// Some of a request has come.
@@ -66,7 +66,7 @@
     /// The listener that accepted it.
     pub listener: ListenerId,
     /// Where it stands.
-    pub state: State,
+    pub state: ClientState,
     decoder: Decoder,
     head: Option<Head>,
     body: Vec<u8>,
@@ -97,7 +97,7 @@
         Client {
             conn,
             listener,
-            state: State::Idle,
+            state: ClientState::Idle,
             decoder: Decoder::new(Side::Server, limits),
             head: None,
             body: Vec::new(),
@@ -117,10 +117,10 @@
     pub fn feed(&mut self, now: Duration, bytes: &[u8], out: &mut Vec<Output>) {
         self.decoder.feed(bytes);
         self.record_arrival(now, bytes.len());
-        if self.state == State::Idle {
-            (self.state, self.since) = (State::Receiving, now);
+        if self.state == ClientState::Idle {
+            (self.state, self.since) = (ClientState::Receiving, now);
         }
-        let serving = matches!(self.state, State::Serving(_));
+        let serving = matches!(self.state, ClientState::Serving(_));
         if serving && !self.paused && self.decoder.buffered() > self.max_pipelined_bytes {
             self.paused = true;
             out.push(Output::Pause(self.conn));
@@ -152,13 +152,13 @@
     pub fn receive(
         &mut self, now: Duration, out: &mut Vec<Output>,
     ) -> Result<Option<ReceivedRequest>, Malformed> {
-        if matches!(self.state, State::Serving(_)) {
+        if matches!(self.state, ClientState::Serving(_)) {
             return Ok(None);
         }
         while let Some(item) = self.decoder.next_item()? {
             match item {
                 Item::Head(head) => {
-                    (self.state, self.since) = (State::Receiving, now);
+                    (self.state, self.since) = (ClientState::Receiving, now);
                     self.keeps_alive = head.keep_alive;
                     if head.expects_continue && head.http11 && self.decoder.buffered() == 0 {
                         self.write(http::CONTINUE.to_vec(), out);
@@ -168,7 +168,7 @@
                 Item::Body(piece) => self.body.extend_from_slice(&piece),
                 Item::End => {
                     let Some(head) = self.head.take() else { continue };
-                    (self.state, self.since) = (State::Serving(None), now);
+                    (self.state, self.since) = (ClientState::Serving(None), now);
                     let arrived = self.last_taken_arrival().unwrap_or(now);
                     return Ok(Some(ReceivedRequest { head, body: std::mem::take(&mut self.body), arrived }));
                 }
@@ -221,7 +221,7 @@
             out.push(Output::CloseWhenSent(self.conn));
             return false;
         }
-        self.state = if self.decoder.idle() { State::Idle } else { State::Receiving };
+        self.state = if self.decoder.idle() { ClientState::Idle } else { ClientState::Receiving };
         self.since = now;
         if std::mem::take(&mut self.paused) {
             out.push(Output::Resume(self.conn));
--- a/crates/connections/src/lib.rs
+++ b/crates/connections/src/lib.rs
@@ -18,7 +18,7 @@
 mod reuse_history;
 mod timer_wheel;
 
-pub use client::{Client, ReceivedRequest, State};
+pub use client::{Client, ClientState, ReceivedRequest};
 pub use connection_map::ConnectionMap;
 pub use pool::{Pool, Purpose, Slot};
 pub use releases::{Release, ReleaseId, ReleaseQueue, ReleaseStep, ReleaseTiming, UnconfirmedAttempt};
--- a/crates/gateway/src/client_connections.rs
+++ b/crates/gateway/src/client_connections.rs
@@ -2,7 +2,7 @@
 
 use crate::settings::Bounds;
 use crate::timer::{Timer, Timers};
-use slipreel_connections::{Client, ConnectionMap, State};
+use slipreel_connections::{Client, ClientState, ConnectionMap};
 use slipreel_state_machine::ConnId;
 use std::time::Duration;
 
@@ -47,9 +47,9 @@
         let client = self.get(conn)?;
         let stalled = (client.unsent > 0).then(|| client.last_sent_at + bounds.stalled_peer);
         let by_state = match client.state {
-            State::Idle => Some(client.since + bounds.client_idle),
-            State::Receiving => Some(client.since + bounds.receive),
-            State::Serving(_) => None,
+            ClientState::Idle => Some(client.since + bounds.client_idle),
+            ClientState::Receiving => Some(client.since + bounds.receive),
+            ClientState::Serving(_) => None,
         };
         by_state.into_iter().chain(stalled).min()
     }
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -14,7 +14,7 @@
 use crate::shutdown::Shutdown;
 use crate::timer::{Timer, Timers};
 use slipreel::{EngineId, EngineState, Event, Listing, RequestId};
-use slipreel_connections::{Client, ReleaseQueue, State as ClientState};
+use slipreel_connections::{Client, ClientState, ReleaseQueue};
 use slipreel_consensus::PolicyHandle;
 use slipreel_membership::{MemberStatus, SharedView};
 use slipreel_state_machine::{ConnId, ConnectionLoss, Input, Machine, Output};
--- a/crates/gateway/src/policy.rs
+++ b/crates/gateway/src/policy.rs
@@ -6,7 +6,7 @@
 use crate::settings::GatewaySettings;
 use serde_json::{json, Value};
 use slipreel::{Action, SettingsMapping};
-use slipreel_connections::{ReceivedRequest, State};
+use slipreel_connections::{ClientState, ReceivedRequest};
 use slipreel_consensus::policy_state::Proposal;
 use slipreel_consensus::wire::OperatorRequest;
 use slipreel_consensus::{timing, PolicyHandle};
@@ -24,7 +24,7 @@
     pub(crate) fn epoch_of(&self, conn: ConnId) -> Option<String> {
         let present = self.epoch()?;
         let request = self.clients.get(conn).and_then(|c| match c.state {
-            State::Serving(Some(id)) => self.requests.get(slipreel::RequestId(id)),
+            ClientState::Serving(Some(id)) => self.requests.get(slipreel::RequestId(id)),
             _ => None,
         });
         Some(request.and_then(|request| request.epoch).unwrap_or(present).to_string())
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -7,7 +7,7 @@
 use crate::request::{ActiveRequest, NewRequest, POLICY};
 use serde_json::json;
 use slipreel::{Event, Outcome, RequestId};
-use slipreel_connections::{ReceivedRequest, State};
+use slipreel_connections::{ClientState, ReceivedRequest};
 use slipreel_protocol::http::Malformed;
 use slipreel_protocol::messages::{ApiError, ErrorKind, MessagesRequest};
 use slipreel_state_machine::{ConnId, ListenerId, Output};
@@ -189,7 +189,7 @@
         let (id, request_id) = self.requests.next_id();
         let generation = self.decision_modules.generation();
         if let Some(client) = self.clients.get_mut(conn) {
-            client.state = State::Serving(Some(id.0));
+            client.state = ClientState::Serving(Some(id.0));
         }
         let new = NewRequest {
             id,
@@ -245,7 +245,7 @@
         let Some(client) = self.clients.get_mut(conn) else { return };
         client.is_closed_by_peer = true;
         match client.state {
-            State::Serving(_) if half_close => {}
+            ClientState::Serving(_) if half_close => {}
             // Between requests, or in the midst of one that can't be ended any more.
             _ => {
                 out.push(Output::CloseWhenSent(conn));
@@ -259,7 +259,7 @@
         let Some(client) = self.clients.get(conn) else { return };
         let state = client.state;
         self.clients.remove(conn, &mut self.timers);
-        let State::Serving(Some(id)) = state else { return };
+        let ClientState::Serving(Some(id)) = state else { return };
         let id = RequestId(id);
         let Some(request) = self.requests.get_open_mut(id) else { return };
         request.is_closed = true;
@@ -280,7 +280,7 @@
         let Some(client) = self.clients.get_mut(conn) else { return };
         client.unsent = client.unsent.saturating_sub(n);
         client.last_sent_at = now;
-        if let State::Serving(Some(id)) = client.state {
+        if let ClientState::Serving(Some(id)) = client.state {
             self.check_pace(RequestId(id), out);
         }
     }
@@ -289,11 +289,11 @@
     pub(crate) fn client_timed_out(&mut self, conn: ConnId, out: &mut Vec<Output>) {
         let Some(client) = self.clients.get(conn) else { return };
         match client.state {
-            State::Receiving if client.unsent == 0 => {
+            ClientState::Receiving if client.unsent == 0 => {
                 let why = Malformed { status: 408, why: "the request did not come in whole in time".into() };
                 self.reject_malformed(conn, &why, out);
             }
-            State::Idle if client.unsent == 0 => {
+            ClientState::Idle if client.unsent == 0 => {
                 out.push(Output::CloseWhenSent(conn));
                 self.clients.remove(conn, &mut self.timers);
             }
--- a/crates/platform/src/client_connections.rs
+++ b/crates/platform/src/client_connections.rs
@@ -2,7 +2,7 @@
 
 use crate::resource_limits::ResourceLimits;
 use crate::timer::{Timer, Timers};
-use slipreel_connections::{Client, ConnectionMap, State};
+use slipreel_connections::{Client, ClientState, ConnectionMap};
 use slipreel_state_machine::ConnId;
 use std::collections::HashMap;
 use std::time::Duration;
@@ -100,7 +100,7 @@
 
     /// The connections between requests, in the order of their ids.
     pub(crate) fn idle(&self) -> Vec<IdleClient> {
-        let idle = self.by_id.sorted_ids(|client| client.state == State::Idle);
+        let idle = self.by_id.sorted_ids(|client| client.state == ClientState::Idle);
         let with_grace = |conn: ConnId| {
             let accepted_at = self.awaiting_first_request.get(&conn);
             IdleClient { conn, grace_until: accepted_at.map(|&at| at + NEW_CONNECTION_GRACE) }
@@ -122,11 +122,11 @@
         let accepted_at = self.awaiting_first_request.get(&client.conn).copied();
         let is_past_grace = |accepted_at: Duration| now >= accepted_at + NEW_CONNECTION_GRACE;
         match (accepted_at, client.state) {
-            (_, State::Serving(_)) | (None, State::Receiving) => None,
-            (None, State::Idle) => Some(EvictionRank::Idle),
+            (_, ClientState::Serving(_)) | (None, ClientState::Receiving) => None,
+            (None, ClientState::Idle) => Some(EvictionRank::Idle),
             (Some(accepted_at), _) if is_past_grace(accepted_at) => Some(EvictionRank::SlowFirstRequest),
-            (Some(_), State::Idle) => Some(EvictionRank::NewAndSilent),
-            (Some(_), State::Receiving) => Some(EvictionRank::NewAndReceiving),
+            (Some(_), ClientState::Idle) => Some(EvictionRank::NewAndSilent),
+            (Some(_), ClientState::Receiving) => Some(EvictionRank::NewAndReceiving),
         }
     }
 
@@ -136,13 +136,13 @@
         let accepted_at = self.awaiting_first_request.get(&conn).copied();
         let stall_deadline = (client.unsent > 0).then(|| client.last_sent_at + STALL_TIMEOUT);
         let state_deadline = match client.state {
-            State::Idle if accepted_at.is_some() => Some(client.since + FIRST_REQUEST_TIMEOUT),
-            State::Idle => Some(client.since + limits.client_idle_timeout(self.by_id.len())),
-            State::Receiving => {
+            ClientState::Idle if accepted_at.is_some() => Some(client.since + FIRST_REQUEST_TIMEOUT),
+            ClientState::Idle => Some(client.since + limits.client_idle_timeout(self.by_id.len())),
+            ClientState::Receiving => {
                 let first_request = accepted_at.map_or(Duration::MAX, |at| at + FIRST_REQUEST_TIMEOUT);
                 Some((client.since + RECEIVE_TIMEOUT).min(first_request))
             }
-            State::Serving(_) => None,
+            ClientState::Serving(_) => None,
         };
         state_deadline.into_iter().chain(stall_deadline).min()
     }
--- a/crates/platform/src/clients.rs
+++ b/crates/platform/src/clients.rs
@@ -8,7 +8,7 @@
 use crate::resource_limits::MAX_HEAD_BYTES;
 use crate::router::PlatformRouter;
 use slipreel::{Event, Idempotency, Outcome, RequestId};
-use slipreel_connections::{Client, ReceivedRequest, State};
+use slipreel_connections::{Client, ClientState, ReceivedRequest};
 use slipreel_protocol::http::{self, Limits};
 use slipreel_state_machine::{ConnId, Output};
 use std::time::Duration;
@@ -43,7 +43,7 @@
     pub(crate) fn evict(&mut self, out: &mut Vec<Output>) -> bool {
         let Some(conn) = self.clients.eviction_candidate(self.now) else { return false };
         let Some(client) = self.clients.get_mut(conn) else { return false };
-        if client.state == State::Receiving {
+        if client.state == ClientState::Receiving {
             // The rest of its request may be in transit, so the request is answered before the connection is
             // closed.
             client.close_after_answer();
@@ -149,7 +149,7 @@
             class.latency_objective + per_token
         });
         if let Some(client) = self.clients.get_mut(conn) {
-            client.state = State::Serving(Some(id.0));
+            client.state = ClientState::Serving(Some(id.0));
         }
         let params = RequestParams {
             at_most_once: idempotency != Idempotency::Idempotent,
@@ -174,7 +174,7 @@
     /// Handles the disconnect of a client: its request needs no answer any more.
     pub(crate) fn client_disconnected(&mut self, conn: ConnId, out: &mut Vec<Output>) {
         let request = match self.clients.get(conn).map(|client| client.state) {
-            Some(State::Serving(Some(request))) => Some(RequestId(request)),
+            Some(ClientState::Serving(Some(request))) => Some(RequestId(request)),
             _ => None,
         };
         self.clients.remove(conn, &mut self.timers);
@@ -196,7 +196,7 @@
         let Some(client) = self.clients.get_mut(conn) else { return };
         client.unsent = client.unsent.saturating_sub(sent);
         client.last_sent_at = now;
-        if let State::Serving(Some(request)) = client.state {
+        if let ClientState::Serving(Some(request)) = client.state {
             self.apply_backpressure(RequestId(request), out);
         }
     }
@@ -205,16 +205,16 @@
     pub(crate) fn client_timed_out(&mut self, conn: ConnId, out: &mut Vec<Output>) {
         let Some(client) = self.clients.get_mut(conn) else { return };
         match client.state {
-            State::Receiving => {
+            ClientState::Receiving => {
                 client.close_after_answer();
                 self.reject(conn, &RequestError::ReceiveTimeout, out);
             }
-            State::Idle => {
+            ClientState::Idle => {
                 out.push(Output::CloseWhenSent(conn));
                 self.clients.remove(conn, &mut self.timers);
             }
             // The client reads nothing of what was written to it.
-            State::Serving(_) => {
+            ClientState::Serving(_) => {
                 out.push(Output::Abort(conn));
                 self.client_disconnected(conn, out);
             }
--- a/crates/platform/src/parse_request/tests.rs
+++ b/crates/platform/src/parse_request/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use slipreel_connections::{Client, State};
+use slipreel_connections::{Client, ClientState};
 use slipreel_protocol::http::Limits;
 use slipreel_state_machine::{ConnId, ListenerId};
 
@@ -18,7 +18,7 @@
         format!("POST /v1/chat/completions HTTP/1.1\r\nHost: a\r\n{fields}Content-Length: 8\r\n\r\n12345678");
     client.feed(Duration::ZERO, text.as_bytes(), &mut Vec::new());
     let received = client.receive(Duration::ZERO, &mut Vec::new()).unwrap().unwrap();
-    assert_eq!(client.state, State::Serving(None));
+    assert_eq!(client.state, ClientState::Serving(None));
     received
 }
 
--- a/crates/test-servers/src/platform/engine.rs
+++ b/crates/test-servers/src/platform/engine.rs
@@ -3,7 +3,7 @@
 use super::{look, Shared};
 use rand_xoshiro::rand_core::{RngCore, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
-use slipreel_connections::{Client, ReceivedRequest, State, TimerWheel};
+use slipreel_connections::{Client, ClientState, ReceivedRequest, TimerWheel};
 use slipreel_invariants::terms::Seen;
 use slipreel_protocol::http::{self, Limits, LAST_CHUNK};
 use slipreel_state_machine::{ConnId, Input, Machine, Output};
@@ -298,7 +298,7 @@
             Input::Lost(conn, _) => self.gone(conn, false),
             _ => {}
         }
-        debug_assert!(self.clients.values().all(|c| c.state != State::Serving(Some(0))));
+        debug_assert!(self.clients.values().all(|c| c.state != ClientState::Serving(Some(0))));
     }
 
     fn wake_at(&self) -> Option<Duration> {
--- a/crates/test-servers/src/platform/hostile_engine.rs
+++ b/crates/test-servers/src/platform/hostile_engine.rs
@@ -358,8 +358,10 @@
                 }
             }
         }
-        let in_part =
-            self.connections.get(&conn).is_some_and(|c| c.state == slipreel_connections::State::Receiving);
+        let in_part = self
+            .connections
+            .get(&conn)
+            .is_some_and(|c| c.state == slipreel_connections::ClientState::Receiving);
         let may_reset = self.layout.faults.contains(&ExchangeFault::ResetAtFirstByte);
         if in_part && may_reset && self.random.chance(self.layout.fault_share / 4.0) {
             out.push(Output::Abort(conn));
