--- a/crates/connections/src/client.rs
+++ b/crates/connections/src/client.rs
@@ -60,7 +60,7 @@
 
 /// One client connection.
 #[derive(Debug)]
-pub struct Client {
+pub struct ClientConnection {
     /// Its id.
     pub conn: ConnId,
     /// The listener that accepted it.
@@ -89,12 +89,12 @@
     arrivals: VecDeque<(u64, Duration)>,
 }
 
-impl Client {
+impl ClientConnection {
     /// A connection that has just been accepted. `max_pipelined_bytes`: bytes of pipelined requests that may wait.
     pub fn new(
         conn: ConnId, listener: ListenerId, now: Duration, limits: Limits, max_pipelined_bytes: usize,
     ) -> Self {
-        Client {
+        ClientConnection {
             conn,
             listener,
             state: ClientState::Idle,
@@ -185,7 +185,7 @@
         }
     }
 
-    /// Writes a complete answer. [`Client::finish_answer`] has to follow.
+    /// Writes a complete answer. [`ClientConnection::finish_answer`] has to follow.
     pub fn answer(&mut self, status: u16, fields: &[(&str, &str)], body: &[u8], out: &mut Vec<Output>) {
         let connection = if self.keeps_alive { "keep-alive" } else { "close" };
         let mut all = vec![("connection", connection)];
--- a/crates/connections/src/lib.rs
+++ b/crates/connections/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! - [`TimerWheel`], the timers of one router;
 //! - [`ConnectionMap`]: the open connections of one kind, each with one timer;
-//! - [`Client`]: the server side of a client's connection;
+//! - [`ClientConnection`]: the server side of a client's connection;
 //! - [`Pool`]: which connection carries the next exchange with an engine;
 //! - [`ReuseHistory`]: whether idle connections can be reused;
 //! - [`ReleaseQueue`]: state that engines still have to release.
@@ -18,7 +18,7 @@
 mod reuse_history;
 mod timer_wheel;
 
-pub use client::{Client, ClientState, ReceivedRequest};
+pub use client::{ClientConnection, ClientState, ReceivedRequest};
 pub use connection_map::ConnectionMap;
 pub use pool::{Pool, Purpose, Slot};
 pub use releases::{Release, ReleaseId, ReleaseQueue, ReleaseStep, ReleaseTiming, UnconfirmedAttempt};
--- a/crates/gateway/src/client_connections.rs
+++ b/crates/gateway/src/client_connections.rs
@@ -2,25 +2,25 @@
 
 use crate::settings::Bounds;
 use crate::timer::{Timer, Timers};
-use slipreel_connections::{Client, ClientState, ConnectionMap};
+use slipreel_connections::{ClientConnection, ClientState, ConnectionMap};
 use slipreel_state_machine::ConnId;
 use std::time::Duration;
 
 /// The client connections with their timers.
 #[derive(Default)]
-pub(crate) struct ClientConnections(ConnectionMap<Client>);
+pub(crate) struct ClientConnections(ConnectionMap<ClientConnection>);
 
 impl ClientConnections {
     /// Adds a connection that was just accepted.
-    pub(crate) fn insert(&mut self, client: Client) {
+    pub(crate) fn insert(&mut self, client: ClientConnection) {
         self.0.insert(client.conn, client);
     }
 
-    pub(crate) fn get(&self, conn: ConnId) -> Option<&Client> {
+    pub(crate) fn get(&self, conn: ConnId) -> Option<&ClientConnection> {
         self.0.get(conn)
     }
 
-    pub(crate) fn get_mut(&mut self, conn: ConnId) -> Option<&mut Client> {
+    pub(crate) fn get_mut(&mut self, conn: ConnId) -> Option<&mut ClientConnection> {
         self.0.get_mut(conn)
     }
 
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -14,7 +14,7 @@
 use crate::shutdown::Shutdown;
 use crate::timer::{Timer, Timers};
 use slipreel::{EngineId, EngineState, Event, Listing, RequestId};
-use slipreel_connections::{Client, ClientState, ReleaseQueue};
+use slipreel_connections::{ClientConnection, ClientState, ReleaseQueue};
 use slipreel_consensus::PolicyHandle;
 use slipreel_membership::{MemberStatus, SharedView};
 use slipreel_state_machine::{ConnId, ConnectionLoss, Input, Machine, Output};
@@ -409,7 +409,13 @@
                 if self.shutdown.has_begun() || self.clients.len() >= self.settings.bounds.connections {
                     out.push(Output::Abort(conn));
                 } else {
-                    self.clients.insert(Client::new(conn, door, self.now, limits, limits::MAX_PIPELINED));
+                    self.clients.insert(ClientConnection::new(
+                        conn,
+                        door,
+                        self.now,
+                        limits,
+                        limits::MAX_PIPELINED,
+                    ));
                     self.arm_client_timer(conn);
                 }
             }
--- a/crates/platform/src/client_connections.rs
+++ b/crates/platform/src/client_connections.rs
@@ -2,7 +2,7 @@
 
 use crate::resource_limits::ResourceLimits;
 use crate::timer::{Timer, Timers};
-use slipreel_connections::{Client, ClientState, ConnectionMap};
+use slipreel_connections::{ClientConnection, ClientState, ConnectionMap};
 use slipreel_state_machine::ConnId;
 use std::collections::HashMap;
 use std::time::Duration;
@@ -41,23 +41,23 @@
 /// The client connections with their timers.
 #[derive(Debug, Default)]
 pub(crate) struct ClientConnections {
-    by_id: ConnectionMap<Client>,
+    by_id: ConnectionMap<ClientConnection>,
     /// Connections whose first request is incomplete, with the time at which they were accepted.
     awaiting_first_request: HashMap<ConnId, Duration>,
 }
 
 impl ClientConnections {
     /// Adds a connection that was just accepted.
-    pub(crate) fn insert(&mut self, client: Client, now: Duration) {
+    pub(crate) fn insert(&mut self, client: ClientConnection, now: Duration) {
         self.awaiting_first_request.insert(client.conn, now);
         self.by_id.insert(client.conn, client);
     }
 
-    pub(crate) fn get(&self, conn: ConnId) -> Option<&Client> {
+    pub(crate) fn get(&self, conn: ConnId) -> Option<&ClientConnection> {
         self.by_id.get(conn)
     }
 
-    pub(crate) fn get_mut(&mut self, conn: ConnId) -> Option<&mut Client> {
+    pub(crate) fn get_mut(&mut self, conn: ConnId) -> Option<&mut ClientConnection> {
         self.by_id.get_mut(conn)
     }
 
@@ -95,7 +95,7 @@
 
     /// Has each connection close after its next answer.
     pub(crate) fn close_after_next_answer(&mut self) {
-        self.by_id.values_mut().for_each(Client::close_after_answer);
+        self.by_id.values_mut().for_each(ClientConnection::close_after_answer);
     }
 
     /// The connections between requests, in the order of their ids.
@@ -118,7 +118,7 @@
         ranked.min().map(|(_, _, conn)| conn)
     }
 
-    fn eviction_rank(&self, client: &Client, now: Duration) -> Option<EvictionRank> {
+    fn eviction_rank(&self, client: &ClientConnection, now: Duration) -> Option<EvictionRank> {
         let accepted_at = self.awaiting_first_request.get(&client.conn).copied();
         let is_past_grace = |accepted_at: Duration| now >= accepted_at + NEW_CONNECTION_GRACE;
         match (accepted_at, client.state) {
--- a/crates/platform/src/clients.rs
+++ b/crates/platform/src/clients.rs
@@ -8,7 +8,7 @@
 use crate::resource_limits::MAX_HEAD_BYTES;
 use crate::router::PlatformRouter;
 use slipreel::{Event, Idempotency, Outcome, RequestId};
-use slipreel_connections::{Client, ClientState, ReceivedRequest};
+use slipreel_connections::{ClientConnection, ClientState, ReceivedRequest};
 use slipreel_protocol::http::{self, Limits};
 use slipreel_state_machine::{ConnId, Output};
 use std::time::Duration;
@@ -29,8 +29,13 @@
             return out.push(Output::Abort(conn));
         }
         let limits = Limits { head: MAX_HEAD_BYTES, body: MAX_REQUEST_BODY_BYTES, ..Limits::default() };
-        let mut client =
-            Client::new(conn, slipreel_state_machine::ListenerId(0), self.now, limits, MAX_PIPELINED_BYTES);
+        let mut client = ClientConnection::new(
+            conn,
+            slipreel_state_machine::ListenerId(0),
+            self.now,
+            limits,
+            MAX_PIPELINED_BYTES,
+        );
         if self.shutdown.has_begun() {
             client.close_after_answer();
         }
--- a/crates/platform/src/parse_request/tests.rs
+++ b/crates/platform/src/parse_request/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use slipreel_connections::{Client, ClientState};
+use slipreel_connections::{ClientConnection, ClientState};
 use slipreel_protocol::http::Limits;
 use slipreel_state_machine::{ConnId, ListenerId};
 
@@ -13,7 +13,7 @@
 }
 
 fn received(fields: &str) -> ReceivedRequest {
-    let mut client = Client::new(ConnId(1), ListenerId(0), Duration::ZERO, Limits::default(), 1000);
+    let mut client = ClientConnection::new(ConnId(1), ListenerId(0), Duration::ZERO, Limits::default(), 1000);
     let text =
         format!("POST /v1/chat/completions HTTP/1.1\r\nHost: a\r\n{fields}Content-Length: 8\r\n\r\n12345678");
     client.feed(Duration::ZERO, text.as_bytes(), &mut Vec::new());
--- a/crates/test-servers/src/platform/discovery.rs
+++ b/crates/test-servers/src/platform/discovery.rs
@@ -2,7 +2,7 @@
 //! own by [`Mood`]s.
 
 use super::{look, Shared};
-use slipreel_connections::Client;
+use slipreel_connections::ClientConnection;
 use slipreel_invariants::terms::Seen;
 use slipreel_protocol::http::{self, Framing, Limits};
 use slipreel_state_machine::{ConnId, Input, Machine, Output};
@@ -36,7 +36,7 @@
 }
 
 struct Watch {
-    client: Client,
+    client: ClientConnection,
     /// It has asked, and is told what changes.
     told: bool,
     /// It gets the empty lines.
@@ -177,7 +177,7 @@
                 out.push(Output::Abort(conn));
             }
             Input::Accepted(conn, door) => {
-                let client = Client::new(conn, door, now, Limits::default(), 0);
+                let client = ClientConnection::new(conn, door, now, Limits::default(), 0);
                 self.watches.insert(conn, Watch { client, told: false, beats: false, drips: Vec::new() });
                 self.beat.get_or_insert(now + BEAT);
             }
--- a/crates/test-servers/src/platform/engine.rs
+++ b/crates/test-servers/src/platform/engine.rs
@@ -3,7 +3,7 @@
 use super::{look, Shared};
 use rand_xoshiro::rand_core::{RngCore, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
-use slipreel_connections::{Client, ClientState, ReceivedRequest, TimerWheel};
+use slipreel_connections::{ClientConnection, ClientState, ReceivedRequest, TimerWheel};
 use slipreel_invariants::terms::Seen;
 use slipreel_protocol::http::{self, Limits, LAST_CHUNK};
 use slipreel_state_machine::{ConnId, Input, Machine, Output};
@@ -57,7 +57,7 @@
     faults: Faults,
     now: Duration,
     rng: Xoshiro256PlusPlus,
-    clients: BTreeMap<ConnId, Client>,
+    clients: BTreeMap<ConnId, ClientConnection>,
     work: BTreeMap<u64, Work>,
     wheel: TimerWheel<u64>,
     next: u64,
@@ -269,7 +269,7 @@
         }
         match input {
             Input::Accepted(conn, door) => {
-                self.clients.insert(conn, Client::new(conn, door, now, Limits::default(), 1 << 20));
+                self.clients.insert(conn, ClientConnection::new(conn, door, now, Limits::default(), 1 << 20));
             }
             Input::Data(conn, bytes) => {
                 let Some(client) = self.clients.get_mut(&conn) else { return };
--- a/crates/test-servers/src/platform/hostile_engine.rs
+++ b/crates/test-servers/src/platform/hostile_engine.rs
@@ -1,7 +1,7 @@
 //! An engine that fails at each step of an exchange, and notes what it received for the judge of repeats.
 
 use super::Random;
-use slipreel_connections::{Client, ReceivedRequest, TimerWheel};
+use slipreel_connections::{ClientConnection, ReceivedRequest, TimerWheel};
 use slipreel_invariants::repeats::{AttemptId, Fact, Place, Seen};
 use slipreel_protocol::http::{self, Limits, LAST_CHUNK};
 use slipreel_state_machine::{ConnId, Input, Machine, Output};
@@ -154,7 +154,7 @@
     ledger: SharedLedger,
     now: Duration,
     random: Random,
-    connections: BTreeMap<ConnId, Client>,
+    connections: BTreeMap<ConnId, ClientConnection>,
     work: BTreeMap<u64, Work>,
     wheel: TimerWheel<u64>,
     due: BTreeMap<u64, Due>,
@@ -389,7 +389,7 @@
         }
         match input {
             Input::Accepted(conn, door) => {
-                let connection = Client::new(conn, door, now, Limits::default(), 1 << 20);
+                let connection = ClientConnection::new(conn, door, now, Limits::default(), 1 << 20);
                 self.connections.insert(conn, connection);
             }
             Input::Data(conn, bytes) => self.data(conn, bytes, out),
