--- a/crates/connections/src/client.rs
+++ b/crates/connections/src/client.rs
@@ -1,23 +1,26 @@
-//! A connection of a client: the server side of HTTP, one request at a time.
+//! The server side of a client's HTTP connection, which serves one request at a time.
 //!
-//! Its owner sets the timeouts by its state. Pipelined requests wait in the decoder until the one before is answered.
+//! The owner of a connection sets its timeouts by its state. Pipelined requests wait in the decoder until the
+//! response to the request before them is complete.
 
 use slipreel_protocol::http::{self, Decoder, Framing, Head, Item, Limits, Malformed, Side, Start};
 use slipreel_state_machine::{ConnId, ListenerId, Output};
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Times of arrival that are kept apart for bytes that wait; later bytes count as of the last of these.
+/// The most arrival times that are recorded for waiting bytes; later bytes count as having arrived at the
+/// last of these.
 const MAX_ARRIVALS: usize = 64;
 
-/// Where a connection stands.
+/// The state of a client connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClientState {
     /// Between requests.
     Idle,
-    /// Some of a request has come.
+    /// A part of a request has been received.
     Receiving,
-    /// A request is complete and not answered. The number is its owner's, if it was admitted.
+    /// A complete request has not been answered yet. The number is the id that the owner gave it, if it was
+    /// admitted.
     Serving(Option<u64>),
 }
 
@@ -26,9 +29,9 @@
 pub struct ReceivedRequest {
     /// Its head.
     pub head: Head,
-    /// Its body, framing taken off.
+    /// Its body, without framing.
     pub body: Vec<u8>,
-    /// When its last byte came, though it may have waited since behind the request before it.
+    /// When its last byte arrived. Since then it may have waited for the response to the request before it.
     pub arrived: Duration,
 }
 
@@ -61,36 +64,37 @@
 /// One client connection.
 #[derive(Debug)]
 pub struct ClientConnection {
-    /// Its id.
+    /// The id of the connection.
     pub conn: ConnId,
     /// The listener that accepted it.
     pub listener: ListenerId,
-    /// Where it stands.
+    /// Its state.
     pub state: ClientState,
     decoder: Decoder,
     head: Option<Head>,
     body: Vec<u8>,
-    /// Whether the connection stays open after the present answer.
+    /// Whether the connection stays open after the current response.
     keeps_alive: bool,
-    /// Bytes that were written and have not left the driver.
+    /// Bytes that were written, but not sent by the driver yet.
     pub unsent: usize,
-    /// When some of them last left.
+    /// When the driver last sent some of them.
     pub last_sent_at: Duration,
-    /// Since when the present state lasts: its time-out counts from here.
+    /// When the current state began, from which its timeout counts.
     pub since: Duration,
     /// The client has closed its sending side.
     pub is_closed_by_peer: bool,
     /// Reading is paused: pipelined requests fill the buffer.
     paused: bool,
     max_pipelined_bytes: usize,
-    /// Bytes that have come so far.
+    /// Bytes received so far.
     received_bytes: u64,
-    /// When bytes that may still wait came: how many had come in all by then, and the time.
+    /// The arrivals of bytes that may still wait: all bytes received by then, and the time.
     arrivals: VecDeque<(u64, Duration)>,
 }
 
 impl ClientConnection {
-    /// A connection that has just been accepted. `max_pipelined_bytes`: bytes of pipelined requests that may wait.
+    /// Creates the state of a connection that was accepted at `now`. `max_pipelined_bytes`: the most bytes of
+    /// pipelined requests that may wait.
     pub fn new(
         conn: ConnId, listener: ListenerId, now: Duration, limits: Limits, max_pipelined_bytes: usize,
     ) -> Self {
@@ -113,7 +117,7 @@
         }
     }
 
-    /// Takes bytes. While a request is served they wait, up to a bound; then the connection is paused.
+    /// Adds received bytes. They wait while a request is served; beyond a limit the connection is paused.
     pub fn feed(&mut self, now: Duration, bytes: &[u8], out: &mut Vec<Output>) {
         self.decoder.feed(bytes);
         self.record_arrival(now, bytes.len());
@@ -136,19 +140,19 @@
         }
     }
 
-    /// When the last byte came of what the decoder has taken so far.
-    fn last_taken_arrival(&mut self) -> Option<Duration> {
-        let taken = self.received_bytes - self.decoder.buffered() as u64;
-        while self.arrivals.front().is_some_and(|&(received_so_far, _)| received_so_far < taken) {
+    /// When the last byte arrived that the decoder has consumed so far.
+    fn last_consumed_arrival(&mut self) -> Option<Duration> {
+        let consumed = self.received_bytes - self.decoder.buffered() as u64;
+        while self.arrivals.front().is_some_and(|&(received_so_far, _)| received_so_far < consumed) {
             self.arrivals.pop_front();
         }
         self.arrivals.front().map(|&(_, at)| at)
     }
 
-    /// The next complete request, if the bytes so far hold one and none is being served.
+    /// The next complete request, if the bytes received so far contain one and no request is being served.
     ///
     /// # Errors
-    /// What has come is no request of HTTP/1.1, or over a limit.
+    /// The bytes are not a valid HTTP/1.1 request, or exceed a limit.
     pub fn receive(
         &mut self, now: Duration, out: &mut Vec<Output>,
     ) -> Result<Option<ReceivedRequest>, Malformed> {
@@ -169,7 +173,7 @@
                 Item::End => {
                     let Some(head) = self.head.take() else { continue };
                     (self.state, self.since) = (ClientState::Serving(None), now);
-                    let arrived = self.last_taken_arrival().unwrap_or(now);
+                    let arrived = self.last_consumed_arrival().unwrap_or(now);
                     return Ok(Some(ReceivedRequest { head, body: std::mem::take(&mut self.body), arrived }));
                 }
             }
@@ -177,7 +181,7 @@
         Ok(None)
     }
 
-    /// Writes bytes of an answer, and counts them until they have gone.
+    /// Writes bytes of a response, and counts them until they are sent.
     pub fn write(&mut self, bytes: Vec<u8>, out: &mut Vec<Output>) {
         if !bytes.is_empty() {
             self.unsent += bytes.len();
@@ -185,37 +189,38 @@
         }
     }
 
-    /// Writes a complete answer. [`ClientConnection::finish_answer`] has to follow.
+    /// Writes a complete response. [`ClientConnection::finish_answer`] has to follow.
     pub fn answer(&mut self, status: u16, fields: &[(&str, &str)], body: &[u8], out: &mut Vec<Output>) {
         let connection = if self.keeps_alive { "keep-alive" } else { "close" };
-        let mut all = vec![("connection", connection)];
+        let mut all_fields = vec![("connection", connection)];
         if !fields.iter().any(|(name, _)| *name == "content-type") {
-            all.push(("content-type", "application/json"));
+            all_fields.push(("content-type", "application/json"));
         }
-        all.extend_from_slice(fields);
-        let mut bytes = http::response_head(status, &all, Framing::Length(body.len()));
+        all_fields.extend_from_slice(fields);
+        let mut bytes = http::response_head(status, &all_fields, Framing::Length(body.len()));
         bytes.extend_from_slice(body);
         self.write(bytes, out);
     }
 
-    /// Writes the head of a streamed answer.
+    /// Writes the head of a streamed response.
     pub fn begin_stream(&mut self, fields: &[(&str, &str)], out: &mut Vec<Output>) {
         let connection = if self.keeps_alive { "keep-alive" } else { "close" };
-        let mut all = vec![
+        let mut all_fields = vec![
             ("content-type", "text/event-stream"),
             ("cache-control", "no-cache"),
             ("connection", connection),
         ];
-        all.extend_from_slice(fields);
-        self.write(http::response_head(200, &all, Framing::Chunked), out);
+        all_fields.extend_from_slice(fields);
+        self.write(http::response_head(200, &all_fields, Framing::Chunked), out);
     }
 
-    /// The present answer is the last on this connection.
+    /// Makes the current response the last one on this connection.
     pub fn close_after_answer(&mut self) {
         self.keeps_alive = false;
     }
 
-    /// The answer is written: the next request may be read, or the connection ends. Whether it goes on.
+    /// Completes the current response: the next request may be read, or the connection is closed. Returns
+    /// whether it stays open.
     pub fn finish_answer(&mut self, now: Duration, out: &mut Vec<Output>) -> bool {
         if !self.keeps_alive || (self.is_closed_by_peer && self.decoder.idle()) {
             out.push(Output::CloseWhenSent(self.conn));
--- a/crates/connections/src/connection_map.rs
+++ b/crates/connections/src/connection_map.rs
@@ -46,27 +46,27 @@
         self.by_id.remove(&conn)
     }
 
-    /// How many are open.
+    /// The number of open connections.
     pub fn len(&self) -> usize {
         self.by_id.len()
     }
 
-    /// Whether none is open.
+    /// Whether no connection is open.
     pub fn is_empty(&self) -> bool {
         self.by_id.is_empty()
     }
 
-    /// The connections, in no certain order.
+    /// The connections, in no particular order.
     pub fn values(&self) -> impl Iterator<Item = &C> {
         self.by_id.values()
     }
 
-    /// The connections, in no certain order.
+    /// The connections, in no particular order.
     pub fn values_mut(&mut self) -> impl Iterator<Item = &mut C> {
         self.by_id.values_mut()
     }
 
-    /// The ids of the connections that match, in ascending order: the same at every run.
+    /// The ids of the connections that match, in ascending order, which is the same in every run.
     pub fn sorted_ids(&self, matches: impl Fn(&C) -> bool) -> Vec<ConnId> {
         let matching = self.by_id.iter().filter(|(_, connection)| matches(connection));
         let mut ids: Vec<ConnId> = matching.map(|(&conn, _)| conn).collect();
@@ -74,12 +74,12 @@
         ids
     }
 
-    /// Sets a connection's timer in place of the one that it had; none if nothing is due.
+    /// Replaces a connection's timer by one that fires at `due`, or by none.
     pub fn arm_timer<T>(&mut self, conn: ConnId, due: Option<Duration>, wheel: &mut TimerWheel<T>, item: T) {
         self.timers.arm(wheel, conn, due, item);
     }
 
-    /// A connection's timer has fired.
+    /// Forgets a connection's timer, which has fired.
     pub fn timer_fired(&mut self, conn: ConnId) {
         self.timers.fired(conn);
     }
--- a/crates/connections/src/connection_timers.rs
+++ b/crates/connections/src/connection_timers.rs
@@ -1,4 +1,4 @@
-//! One timer for each connection: when it has to have moved on.
+//! At most one timer per connection, for the timeout of its current state.
 
 use crate::timer_wheel::{TimerKey, TimerWheel};
 use slipreel_state_machine::ConnId;
@@ -10,7 +10,7 @@
 pub struct ConnectionTimers(HashMap<ConnId, TimerKey>);
 
 impl ConnectionTimers {
-    /// Sets a connection's timer in place of the one that it had; none if nothing is due.
+    /// Replaces a connection's timer by one that fires at `due`, or by none.
     pub fn arm<T>(&mut self, wheel: &mut TimerWheel<T>, conn: ConnId, due: Option<Duration>, item: T) {
         self.cancel(wheel, conn);
         if let Some(at) = due {
@@ -18,14 +18,14 @@
         }
     }
 
-    /// Takes a connection's timer back.
+    /// Cancels a connection's timer, if it has one.
     pub fn cancel<T>(&mut self, wheel: &mut TimerWheel<T>, conn: ConnId) {
         if let Some(key) = self.0.remove(&conn) {
             wheel.cancel(key);
         }
     }
 
-    /// A connection's timer has fired.
+    /// Forgets a connection's timer, which has fired.
     pub fn fired(&mut self, conn: ConnId) {
         self.0.remove(&conn);
     }
--- a/crates/connections/src/lib.rs
+++ b/crates/connections/src/lib.rs
@@ -1,11 +1,12 @@
-//! What every router over HTTP needs, whatever its clients and engines speak. No I/O, no clock.
+//! State machines that all HTTP routers share, whatever protocol their clients and engines use. Without I/O
+//! and clock.
 //!
-//! - [`TimerWheel`], the timers of one router;
+//! - [`TimerWheel`]: the timers of one router;
 //! - [`ConnectionMap`]: the open connections of one kind, each with one timer;
-//! - [`ClientConnection`]: the server side of a client's connection;
-//! - [`Pool`]: which connection carries the next exchange with an engine;
-//! - [`ReuseHistory`]: whether idle connections can be reused;
-//! - [`ReleaseQueue`]: state that engines still have to release.
+//! - [`ClientConnection`]: the server side of a client connection;
+//! - [`Pool`]: selects the connection for the next exchange with an engine;
+//! - [`ReuseHistory`]: decides whether idle connections are reused;
+//! - [`ReleaseQueue`]: releases of prefilled state that engines have not acknowledged yet.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/crates/connections/src/pool.rs
+++ b/crates/connections/src/pool.rs
@@ -1,44 +1,46 @@
-//! Which connection carries the next exchange with an engine: the idle one used last, else a new one, within bounds.
+//! Selects the connection for the next exchange with an engine: the idle one that was used last, or else a
+//! new one, within limits.
 //!
-//! The one that was used last, but not just now, is the least likely to have been closed by the engine in the meantime. While an engine holds
-//! state, the last idle connection is kept back for its release (`releases`).
+//! The idle connection that was used last, but not just now, is the least likely to have been closed by the
+//! engine in the meantime. While an engine holds prefilled state, the last idle connection is reserved for
+//! its release ([`crate::ReleaseQueue`]).
 
 use slipreel::EngineId;
 use slipreel_state_machine::ConnId;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// What a connection is needed for.
+/// The purpose of an exchange.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Purpose {
-    /// To send a request.
+    /// A request.
     Attempt,
-    /// To ask for load or health.
+    /// Queries load or health.
     Probe,
-    /// To release state.
+    /// Releases prefilled state.
     Release,
 }
 
-/// Where an exchange may go.
+/// The connection for an exchange.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Slot {
     /// An idle connection.
     Idle(ConnId),
-    /// A new one may be opened.
+    /// A new connection may be opened.
     Open,
-    /// The engine has as many as it may have.
+    /// None: the engine has the maximum number of connections.
     Full,
 }
 
 /// The connections to one engine.
 #[derive(Debug, Default)]
 struct EngineEntry {
-    /// The idle ones, with the time at which each became idle.
+    /// The idle connections, with the time at which each became idle.
     idle: Vec<(ConnId, Duration)>,
-    /// Connections that stand or are being opened.
+    /// Connections that are open or being opened.
     open: usize,
-    /// States that the engine may hold.
-    held: usize,
+    /// How many prefilled states the engine may hold.
+    held_states: usize,
 }
 
 /// The connections to all engines, by engine.
@@ -48,19 +50,23 @@
 }
 
 impl Pool {
-    /// Reserves a place for an exchange. A probe or release may go one over the bound, so that an engine all of whose
-    /// connections hang can still be asked how it is. Of the idle ones that used last is taken which fell idle by
-    /// `idle_by`: an engine that closes after its answer is seen to do so a moment later.
+    /// Reserves a connection for an exchange. A probe or release may exceed `max_open` by one, so that an
+    /// engine can still be probed when all its connections hang. Of the idle connections, the last used one
+    /// that has been idle since `idle_by` is taken: if an engine closes connections after a response, that is
+    /// detected only a moment later.
     pub fn reserve(
         &mut self, engine: EngineId, max_open: usize, purpose: Purpose, idle_by: Duration,
     ) -> Slot {
         let entry = self.engines.entry(engine).or_default();
         let max_open = max_open + usize::from(purpose != Purpose::Attempt);
-        let kept_back =
-            purpose != Purpose::Release && entry.held > 0 && entry.idle.len() == 1 && entry.open < max_open;
-        let at = entry.idle.iter().rposition(|&(_, since)| since <= idle_by).filter(|_| !kept_back);
-        if let Some(at) = at {
-            return Slot::Idle(entry.idle.remove(at).0);
+        let is_reserved_for_release = purpose != Purpose::Release
+            && entry.held_states > 0
+            && entry.idle.len() == 1
+            && entry.open < max_open;
+        let index =
+            entry.idle.iter().rposition(|&(_, since)| since <= idle_by).filter(|_| !is_reserved_for_release);
+        if let Some(index) = index {
+            return Slot::Idle(entry.idle.remove(index).0);
         }
         if entry.open >= max_open {
             return Slot::Full;
@@ -69,68 +75,68 @@
         Slot::Open
     }
 
-    /// Counts a connection that is opened for an exchange of its own.
+    /// Counts a connection that is opened for an exchange without [`Pool::reserve`].
     pub fn reserve_new(&mut self, engine: EngineId) {
         self.engines.entry(engine).or_default().open += 1;
     }
 
-    /// Gives a connection back after its exchange. False if it is to be closed: enough are idle.
+    /// Returns a connection after its exchange. False: enough are idle, and the connection has to be closed.
     pub fn put_idle(&mut self, engine: EngineId, conn: ConnId, max_idle: usize, now: Duration) -> bool {
         let entry = self.engines.entry(engine).or_default();
-        let keeps = entry.idle.len() < max_idle;
-        if keeps {
+        let is_kept = entry.idle.len() < max_idle;
+        if is_kept {
             entry.idle.push((conn, now));
         }
-        keeps
+        is_kept
     }
 
-    /// A connection is gone, idle or not.
+    /// Removes a connection that has closed, idle or not.
     pub fn remove(&mut self, engine: EngineId, conn: ConnId) {
         let Some(entry) = self.engines.get_mut(&engine) else { return };
         entry.open = entry.open.saturating_sub(1);
         entry.idle.retain(|&(c, _)| c != conn);
-        if entry.open == 0 && entry.held == 0 {
+        if entry.open == 0 && entry.held_states == 0 {
             self.engines.remove(&engine);
         }
     }
 
-    /// An engine may hold one more state.
+    /// Records that an engine may hold one more prefilled state.
     pub fn state_held(&mut self, engine: EngineId) {
-        self.engines.entry(engine).or_default().held += 1;
+        self.engines.entry(engine).or_default().held_states += 1;
     }
 
-    /// It holds one state less, if it is named.
+    /// Records that an engine, if one is given, holds one prefilled state less.
     pub fn state_released(&mut self, engine: Option<EngineId>) {
         let Some(entry) = engine.and_then(|e| self.engines.get_mut(&e)) else { return };
-        entry.held = entry.held.saturating_sub(1);
-        if let Some(engine) = engine.filter(|_| entry.open == 0 && entry.held == 0) {
+        entry.held_states = entry.held_states.saturating_sub(1);
+        if let Some(engine) = engine.filter(|_| entry.open == 0 && entry.held_states == 0) {
             self.engines.remove(&engine);
         }
     }
 
-    /// Whether the last idle connection to an engine is to stay, whatever its age.
+    /// Whether the last idle connection to an engine has to stay open, whatever its age.
     pub fn keeps_last_idle(&self, engine: EngineId) -> bool {
-        self.engines.get(&engine).is_some_and(|entry| entry.held > 0 && entry.idle.len() == 1)
+        self.engines.get(&engine).is_some_and(|entry| entry.held_states > 0 && entry.idle.len() == 1)
     }
 
-    /// How many engines it has entries of.
+    /// The number of engines with an entry.
     pub fn len(&self) -> usize {
         self.engines.len()
     }
 
-    /// Whether it has no entries.
+    /// Whether there are no entries.
     pub fn is_empty(&self) -> bool {
         self.engines.is_empty()
     }
 
-    /// Connections to an engine that stand or are being opened.
+    /// The number of connections to an engine that are open or being opened.
     pub fn open_count(&self, engine: EngineId) -> usize {
         self.engines.get(&engine).map_or(0, |entry| entry.open)
     }
 
-    /// Whether a connection to an engine stands idle.
+    /// Whether there is an idle connection to an engine.
     pub fn has_idle(&self, engine: EngineId) -> bool {
-        self.engines.get(&engine).is_some_and(|l| !l.idle.is_empty())
+        self.engines.get(&engine).is_some_and(|entry| !entry.idle.is_empty())
     }
 
     /// The idle connections to an engine.
@@ -141,9 +147,9 @@
             .unwrap_or_default()
     }
 
-    /// Connections that stand or are being opened.
+    /// The number of connections to all engines that are open or being opened.
     #[cfg(test)]
-    fn open(&self) -> usize {
+    fn total_open_count(&self) -> usize {
         self.engines.values().map(|entry| entry.open).sum()
     }
 }
--- a/crates/connections/src/releases.rs
+++ b/crates/connections/src/releases.rs
@@ -1,32 +1,34 @@
-//! The queue of releases: prefilled state that engines hold and that has to be released, until an engine acknowledges it.
+//! The queue of releases. A release tells an engine to free prefilled state that it holds, and stays in the
+//! queue until an engine acknowledges it.
 //!
-//! The rule on held state leaves a release some hundred milliseconds, and a new connection may take longer than that to
-//! come up. So while an engine holds state one connection that stands is kept back from attempts ([`crate::Pool`]), and a
-//! release goes out on any connection that stands or falls idle before one is opened for it. Releasing twice is harmless,
-//! so a release is retried until it is acknowledged.
+//! The limit on how long state may be held leaves a release some hundred milliseconds, and opening a
+//! connection may take longer than that. So while an engine holds state, one open connection is reserved from
+//! attempts ([`crate::Pool`]), and a release is sent on any connection that is or becomes idle before one is
+//! opened for it. Releasing twice is harmless, so a release is retried until it is acknowledged.
 
 use slipreel::EngineId;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How many releases are kept; beyond it the oldest is dropped. Far more than a router has requests under way.
+/// The most releases in the queue; beyond it the oldest one is dropped. Far more than a router has active
+/// requests.
 const CAPACITY: usize = 16_384;
 
-/// A release by its number in the queue.
+/// Identifies a release in its queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ReleaseId(pub u64);
 
-/// An attempt that was cancelled or broke off: its engine may go on with it until it has seen that.
+/// An attempt that was cancelled or broke off, which its engine may continue until it detects that.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct UnconfirmedAttempt {
     /// The engine.
     pub engine: EngineId,
-    /// When the attempt ended here.
+    /// When the attempt ended for this router.
     pub ended: Duration,
 }
 
-/// Prefilled state that an engine is to release.
+/// Prefilled state that an engine has to release.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Release {
     /// The engine that holds it.
@@ -35,42 +37,44 @@
     pub addr: SocketAddr,
     /// The name by which engines know the state.
     pub name: String,
-    /// Engines that were asked and have not acknowledged it since all others were asked, too.
+    /// Engines that the release was sent to without an acknowledgement, until all others have been tried,
+    /// too.
     pub asked: Vec<EngineId>,
-    /// Since when it has been tried without being acknowledged.
+    /// Since when it has been sent without an acknowledgement.
     since: Duration,
     /// When it was last sent.
     sent: Option<Duration>,
-    /// It was acknowledged, and is sent again at this time.
+    /// When it is sent again after it was acknowledged.
     repeat_at: Option<Duration>,
-    /// Attempts that may leave state after the release, so that it has to be repeated.
+    /// Attempts that may still produce state after the release, so that it has to be repeated.
     pub unconfirmed: Vec<UnconfirmedAttempt>,
-    /// Until then it is repeated, unless it turns out before that nothing more can come to be held.
+    /// Until when it is repeated, unless it turns out earlier that no more state can be produced.
     repeat_until: Option<Duration>,
-    /// It has been acknowledged before.
+    /// Whether it is a repeat: it has been acknowledged before.
     pub repeats: bool,
 }
 
-/// What a release calls for now.
+/// What has to be done for a release now.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ReleaseStep {
-    /// It is to be sent.
+    /// It has to be sent.
     Send(Release),
-    /// Nothing before this time.
+    /// Nothing has to be done before this time.
     Wait(Duration),
-    /// It was acknowledged, withdrawn or given up.
+    /// Nothing more has to be done: it was acknowledged, withdrawn or given up.
     Over,
 }
 
-/// How a queue retries and repeats.
+/// When a queue retries, repeats and gives up releases.
 #[derive(Clone, Copy, Debug)]
 pub struct ReleaseTiming {
-    /// A release that was not acknowledged is sent again after this.
+    /// After this time a release that was not acknowledged is sent again.
     pub retry: Duration,
-    /// Time from one repeat to the next, while state may still come to be held. The first repeat comes after `retry`: most
-    /// prefills that were cancelled end at once or not at all.
+    /// The time from one repeat to the next, while state may still be produced. The first repeat comes after
+    /// `retry`, as most prefills that were cancelled end at once or not at all.
     pub repeat: Duration,
-    /// A release that nobody has acknowledged for so long is given up: engines free by then what nobody asks for.
+    /// A release that no engine has acknowledged for this long is given up: by then engines free state that
+    /// is not fetched.
     pub give_up: Duration,
 }
 
@@ -82,7 +86,7 @@
     opened: Option<Duration>,
 }
 
-/// Releases that are not over, by number and by holder.
+/// Releases that are not over, by id and by holder.
 #[derive(Debug)]
 pub struct ReleaseQueue {
     timing: ReleaseTiming,
@@ -92,12 +96,12 @@
 }
 
 impl ReleaseQueue {
-    /// An empty queue.
+    /// Creates an empty queue.
     pub fn new(timing: ReleaseTiming) -> Self {
         ReleaseQueue { timing, releases: BTreeMap::new(), holders: BTreeMap::new(), last_id: 0 }
     }
 
-    /// Adds state that `holder` is to release.
+    /// Adds prefilled state that `holder` has to release.
     pub fn add(&mut self, now: Duration, holder: EngineId, addr: SocketAddr, name: String) -> ReleaseId {
         if self.releases.len() >= CAPACITY {
             let oldest = self.releases.keys().next().copied();
@@ -122,22 +126,22 @@
         id
     }
 
-    /// State may still come to be held until then, as these attempts were given up and may yet end well: the release is
-    /// repeated once at least after it was acknowledged, and up to that time.
+    /// Records that state may still be produced until then, as these attempts were given up and may still
+    /// succeed: the release is repeated at least once after it was acknowledged, and up to that time.
     pub fn repeat_until(&mut self, id: ReleaseId, until: Duration, unconfirmed: Vec<UnconfirmedAttempt>) {
         if let Some(release) = self.releases.get_mut(&id) {
             (release.repeat_until, release.unconfirmed) = (Some(until), unconfirmed);
         }
     }
 
-    /// Nothing more can come to be held: the next acknowledgement is the last.
+    /// Records that no more state can be produced: the next acknowledgement ends the release.
     pub fn stop_repeating(&mut self, id: ReleaseId) {
         if let Some(release) = self.releases.get_mut(&id) {
             release.repeat_until = None;
         }
     }
 
-    /// What a release calls for now.
+    /// What has to be done for a release now.
     pub fn step(&mut self, id: ReleaseId, now: Duration) -> ReleaseStep {
         let Some(release) = self.releases.get_mut(&id) else { return ReleaseStep::Over };
         let retry_at = release.sent.map(|sent| sent + self.timing.retry);
@@ -159,7 +163,7 @@
         self.releases.get(&id)
     }
 
-    /// It was sent to this engine.
+    /// Records that a release was sent to an engine.
     pub fn record_sent(&mut self, id: ReleaseId, engine: EngineId, now: Duration) {
         if let Some(release) = self.releases.get_mut(&id) {
             release.sent = Some(now);
@@ -167,14 +171,14 @@
         }
     }
 
-    /// All engines were asked: any of them may be asked again.
+    /// Records that all engines were tried, so that the release may be sent to any of them again.
     pub fn clear_asked(&mut self, id: ReleaseId) {
         if let Some(release) = self.releases.get_mut(&id) {
             release.asked.clear();
         }
     }
 
-    /// An engine has acknowledged it. It is over, unless state may still come to be held.
+    /// Records that an engine has acknowledged a release. It is over, unless state may still be produced.
     pub fn record_acknowledged(&mut self, id: ReleaseId, now: Duration) {
         let timing = self.timing;
         let Some(release) = self.releases.get_mut(&id) else { return };
@@ -190,7 +194,7 @@
         release.asked.clear();
     }
 
-    /// Withdraws a release that is not over. Gives its holder.
+    /// Withdraws a release that is not over. Returns its holder.
     pub fn withdraw(&mut self, id: ReleaseId) -> Option<EngineId> {
         let holder = self.releases.get(&id)?.holder;
         self.remove(id);
@@ -207,7 +211,7 @@
         }
     }
 
-    /// How many releases are not over.
+    /// The number of releases that are not over.
     pub fn len(&self) -> usize {
         self.releases.len()
     }
@@ -217,33 +221,37 @@
         self.releases.is_empty()
     }
 
-    /// The oldest release for an engine that is not under way, to be sent on a connection to it that has just fallen idle.
+    /// The oldest release for an engine that is not in flight, to be sent on a connection to it that has just
+    /// become idle.
     pub fn oldest_waiting_for(&self, holder: EngineId) -> Option<ReleaseId> {
-        let waits = |id: &&ReleaseId| self.releases.get(id).is_some_and(|r| r.waits(None));
-        self.holders.get(&holder)?.releases.iter().find(waits).copied()
+        let is_waiting =
+            |id: &&ReleaseId| self.releases.get(id).is_some_and(|release| release.is_waiting(None));
+        self.holders.get(&holder)?.releases.iter().find(is_waiting).copied()
     }
 
-    /// The oldest release, whoever holds its state, that is not under way, or was sent at `stale` or before and not
-    /// acknowledged since: to be sent on a connection that has just answered.
-    pub fn oldest_waiting(&self, stale: Duration) -> Option<ReleaseId> {
-        self.releases.iter().find(|(_, release)| release.waits(Some(stale))).map(|(&id, _)| id)
+    /// The oldest release for any engine that is not in flight, or that was sent at `sent_by` or before and
+    /// not acknowledged since: to be sent on a connection on which a response has just arrived.
+    pub fn oldest_waiting(&self, sent_by: Duration) -> Option<ReleaseId> {
+        self.releases.iter().find(|(_, release)| release.is_waiting(Some(sent_by))).map(|(&id, _)| id)
     }
 
-    /// Whether one more connection may be opened for what a holder is to release: one at a time every `step`, so that a
-    /// fresh one is at hand when a link is back, and hundreds of releases open no hundreds of connections.
-    pub fn may_open(&mut self, holder: EngineId, now: Duration, step: Duration) -> bool {
+    /// Whether another connection may be opened for the releases of a holder: one every `interval`, so that a
+    /// new one is available when a link recovers, and hundreds of releases do not open hundreds of
+    /// connections.
+    pub fn may_open(&mut self, holder: EngineId, now: Duration, interval: Duration) -> bool {
         let Some(holder) = self.holders.get_mut(&holder) else { return false };
-        let may = holder.opened.is_none_or(|at| now >= at + step);
-        if may {
+        let is_allowed = holder.opened.is_none_or(|at| now >= at + interval);
+        if is_allowed {
             holder.opened = Some(now);
         }
-        may
+        is_allowed
     }
 }
 
 impl Release {
-    fn waits(&self, stale: Option<Duration>) -> bool {
-        let is_stale = |sent: Duration| stale.is_some_and(|stale| sent <= stale);
+    /// Whether it has to be sent: it is not in flight, or was last sent at `sent_by` or before.
+    fn is_waiting(&self, sent_by: Option<Duration>) -> bool {
+        let is_stale = |sent: Duration| sent_by.is_some_and(|sent_by| sent <= sent_by);
         self.repeat_at.is_none() && self.sent.is_none_or(is_stale)
     }
 }
--- a/crates/connections/src/reuse_history/tests.rs
+++ b/crates/connections/src/reuse_history/tests.rs
@@ -3,26 +3,26 @@
 const ENGINE: EngineId = EngineId(1);
 
 #[test]
-fn idle_connections_are_reused_until_many_broke() {
-    let mut trust = ReuseHistory::default();
-    assert!(trust.allows_reuse(ENGINE));
-    trust.record(ENGINE, true);
-    assert!(trust.allows_reuse(ENGINE), "one break among many uses");
-    (0..3).for_each(|_| trust.record(ENGINE, true));
+fn idle_connections_are_reused_until_many_break() {
+    let mut history = ReuseHistory::default();
+    assert!(history.allows_reuse(ENGINE));
+    history.record(ENGINE, true);
+    assert!(history.allows_reuse(ENGINE), "one break among many uses");
+    (0..3).for_each(|_| history.record(ENGINE, true));
     assert!(
-        !trust.allows_reuse(ENGINE) && !trust.allows_reuse(EngineId(2)),
-        "what one engine does others may do"
+        !history.allows_reuse(ENGINE) && !history.allows_reuse(EngineId(2)),
+        "the overall share counts for all engines"
     );
-    (0..40).for_each(|_| trust.record(ENGINE, false));
-    assert!(trust.allows_reuse(ENGINE), "mended");
+    (0..40).for_each(|_| history.record(ENGINE, false));
+    assert!(history.allows_reuse(ENGINE), "recovered");
 }
 
 #[test]
-fn where_most_reuses_break_a_few_are_still_tried_and_reuse_comes_back() {
-    let mut trust = ReuseHistory::default();
-    (0..30).for_each(|_| trust.record(ENGINE, true));
-    let tried = (0..80).filter(|_| trust.allows_reuse(ENGINE)).count();
+fn a_few_reuses_are_tried_while_most_break_and_reuse_resumes_after_recovery() {
+    let mut history = ReuseHistory::default();
+    (0..30).for_each(|_| history.record(ENGINE, true));
+    let tried = (0..80).filter(|_| history.allows_reuse(ENGINE)).count();
     assert_eq!(tried, 10);
-    (0..200).for_each(|_| trust.record(ENGINE, false));
-    assert!(trust.allows_reuse(ENGINE) && trust.is_empty(), "nothing is kept of it then");
+    (0..200).for_each(|_| history.record(ENGINE, false));
+    assert!(history.allows_reuse(ENGINE) && history.is_empty(), "no entry is kept after recovery");
 }
--- a/crates/connections/src/timer_wheel/tests.rs
+++ b/crates/connections/src/timer_wheel/tests.rs
@@ -1,46 +1,47 @@
 use super::*;
 use std::collections::BTreeSet;
 
-fn draw(state: &mut u64) -> u64 {
+/// A xorshift random generator.
+fn next_random(state: &mut u64) -> u64 {
     *state ^= *state << 13;
     *state ^= *state >> 7;
     *state ^= *state << 17;
     *state
 }
 
-/// Against an ordered map: the same timers fire in the same order, at most one tick late, never early.
+/// The same timers fire in the same order as from an ordered set, at most one tick late and never early.
 #[test]
-fn timers_fire_as_from_an_ordered_map() {
+fn timers_fire_as_from_an_ordered_set() {
     for seed in 1..40u64 {
-        let (mut wheel, mut plain) = (TimerWheel::default(), BTreeSet::new());
+        let (mut wheel, mut reference) = (TimerWheel::default(), BTreeSet::new());
         let (mut state, mut now, mut keys) = (seed * 0x9e37_79b9, 0u64, Vec::new());
         for n in 0..3000u64 {
-            match draw(&mut state) % 4 {
+            match next_random(&mut state) % 4 {
                 0 | 1 => {
-                    let span = 1u64 << (draw(&mut state) % 28);
-                    let at = now + draw(&mut state) % span;
+                    let span = 1u64 << (next_random(&mut state) % 28);
+                    let at = now + next_random(&mut state) % span;
                     keys.push((wheel.set(Duration::from_millis(at), n), at, n));
-                    plain.insert((at.max(now), n));
+                    reference.insert((at.max(now), n));
                 }
                 2 if !keys.is_empty() => {
-                    let (key, at, n) = keys.swap_remove(draw(&mut state) as usize % keys.len());
-                    let was = plain.iter().find(|k| k.1 == n).copied();
-                    assert_eq!(wheel.cancel(key), was.map(|_| n), "at {at}");
-                    was.map(|k| plain.remove(&k));
+                    let (key, at, n) = keys.swap_remove(next_random(&mut state) as usize % keys.len());
+                    let pending = reference.iter().find(|timer| timer.1 == n).copied();
+                    assert_eq!(wheel.cancel(key), pending.map(|_| n), "at {at}");
+                    pending.map(|timer| reference.remove(&timer));
                 }
                 _ => {
-                    now += draw(&mut state) % (1 << (draw(&mut state) % 20));
+                    now += next_random(&mut state) % (1 << (next_random(&mut state) % 20));
                     while let Some(n) = wheel.pop(Duration::from_millis(now)) {
-                        let &(at, first) = plain.first().expect("a timer that was set");
+                        let &(at, first) = reference.first().expect("a timer that was set");
                         assert!(at <= now && n == first, "{n} fired at {now}, not {first} of {at}");
-                        plain.remove(&(at, first));
+                        reference.remove(&(at, first));
                     }
-                    let next = plain.first().map(|&(at, _)| at);
+                    let next = reference.first().map(|&(at, _)| at);
                     assert!(next.is_none_or(|at| at > now), "late");
-                    assert_eq!(wheel.len(), plain.len());
-                    let told = wheel.next_at().map(|at| at.as_millis() as u64);
-                    assert!(match (told, next) {
-                        (Some(told), Some(next)) => told <= next,
+                    assert_eq!(wheel.len(), reference.len());
+                    let reported = wheel.next_at().map(|at| at.as_millis() as u64);
+                    assert!(match (reported, next) {
+                        (Some(reported), Some(next)) => reported <= next,
                         (None, None) => true,
                         _ => false,
                     });
--- a/crates/connections/tests/releases.rs
+++ b/crates/connections/tests/releases.rs
@@ -1,4 +1,4 @@
-//! The queue of releases, driven by hand.
+//! The queue of releases, step by step.
 
 use slipreel::EngineId;
 use slipreel_connections::{
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn a_release_is_sent_again_until_it_is_acknowledged() {
+fn a_release_is_retried_until_it_is_acknowledged() {
     let mut queue = queue();
     let id = add(&mut queue, "a");
     for n in 0..500 {
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn a_release_that_nobody_acknowledges_is_given_up_at_its_time() {
+fn a_release_that_is_not_acknowledged_is_given_up() {
     let mut queue = queue();
     let id = add(&mut queue, "a");
     assert!(to_send(queue.step(id, TIMING.give_up - ms(1))).is_some());
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn a_release_that_may_come_too_early_is_repeated_up_to_its_time_and_once_after() {
+fn a_release_that_may_be_too_early_is_repeated_until_its_time_and_once_after() {
     let mut queue = queue();
     let id = add(&mut queue, "a");
     queue.repeat_until(id, ms(1_200), Vec::new());
@@ -68,7 +68,7 @@
                 queue.record_sent(id, HOLDER, now);
                 sent.push(now);
                 queue.record_acknowledged(id, now);
-                // The same exchange can't count for the repeat.
+                // A second acknowledgement of the same exchange must not count for the repeat.
                 queue.record_acknowledged(id, now);
             }
             ReleaseStep::Wait(at) => now = at,
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn a_release_whose_time_for_repeats_is_over_is_still_repeated_once() {
+fn a_release_past_its_time_for_repeats_is_still_repeated_once() {
     let mut queue = queue();
     let id = add(&mut queue, "a");
     queue.repeat_until(id, ms(0), Vec::new());
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn a_release_is_repeated_no_more_once_nothing_can_come_to_be_held() {
+fn repeats_stop_once_no_more_state_can_be_produced() {
     let mut queue = queue();
     let id = add(&mut queue, "a");
     let unconfirmed = UnconfirmedAttempt { engine: OTHER, ended: ms(0) };
@@ -107,25 +107,25 @@
 }
 
 #[test]
-fn the_oldest_release_that_waits_or_has_gone_stale_is_the_next() {
+fn the_oldest_waiting_or_stale_release_is_next() {
     let mut queue = queue();
     let (first, second) = (add(&mut queue, "a"), add(&mut queue, "b"));
     assert_eq!(queue.oldest_waiting(ms(0)), Some(first));
     assert_eq!(queue.oldest_waiting_for(HOLDER), Some(first));
     assert_eq!(queue.oldest_waiting_for(OTHER), None);
     queue.record_sent(first, HOLDER, ms(30));
-    assert_eq!(queue.oldest_waiting(ms(29)), Some(second), "the first is under way");
-    assert_eq!(queue.oldest_waiting(ms(30)), Some(first), "it has gone stale");
+    assert_eq!(queue.oldest_waiting(ms(29)), Some(second), "the first is in flight");
+    assert_eq!(queue.oldest_waiting(ms(30)), Some(first), "the first is stale");
     assert_eq!(queue.oldest_waiting_for(HOLDER), Some(second));
     queue.repeat_until(first, ms(9_000), Vec::new());
     queue.record_acknowledged(first, ms(31));
-    assert_eq!(queue.oldest_waiting(ms(90)), Some(second), "one that waits for its repeat is not due");
+    assert_eq!(queue.oldest_waiting(ms(90)), Some(second), "the first waits for its repeat");
     queue.record_acknowledged(second, ms(32));
     assert_eq!(queue.oldest_waiting(ms(90)), None);
 }
 
 #[test]
-fn an_engine_that_was_asked_is_noted_until_all_may_be_asked_again() {
+fn engines_that_were_asked_are_recorded_until_they_are_cleared() {
     let mut queue = queue();
     let id = add(&mut queue, "a");
     queue.record_sent(id, HOLDER, ms(0));
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn a_release_that_is_withdrawn_is_over() {
+fn a_withdrawn_release_is_over() {
     let mut queue = queue();
     let id = add(&mut queue, "a");
     assert_eq!(queue.withdraw(id), Some(HOLDER));
@@ -153,11 +153,11 @@
     let opened =
         |queue: &mut ReleaseQueue, at| (0..100).filter(|_| queue.may_open(HOLDER, ms(at), ms(200))).count();
     assert_eq!([0, 100, 199, 200, 350, 400].map(|at| opened(&mut queue, at)), [1, 0, 0, 1, 0, 1]);
-    assert!(!queue.may_open(OTHER, ms(0), ms(200)), "nothing is to be released there");
+    assert!(!queue.may_open(OTHER, ms(0), ms(200)), "that engine has nothing to release");
 }
 
 #[test]
-fn the_queue_is_bounded_and_drops_the_oldest() {
+fn a_full_queue_drops_the_oldest_release() {
     let mut queue = queue();
     let first = add(&mut queue, "first");
     for n in 0..20_000 {
--- a/crates/protocol/src/endpoints.rs
+++ b/crates/protocol/src/endpoints.rs
@@ -1,26 +1,26 @@
-//! The `EndpointSlice` JSON format (`discovery.k8s.io/v1`), read from a file: one entry an address.
-//! Role, cell and kind are not part of the format; they come as labels of the slice.
+//! Parses the `EndpointSlice` JSON format of Kubernetes (`discovery.k8s.io/v1`), in which engines are listed,
+//! one per address. The format has no role and cell; they are read from labels of the slice.
 
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::net::{IpAddr, SocketAddr};
 
-/// One engine of a slice.
+/// One engine listed in a slice.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EngineEndpoint {
     /// Its address.
     pub addr: SocketAddr,
-    /// Whether it takes new work.
+    /// Whether it accepts new requests.
     pub ready: bool,
-    /// Whether it still serves what it has.
+    /// Whether it still serves the requests that it has.
     pub serving: bool,
-    /// Whether it is going.
+    /// Whether it is terminating.
     pub terminating: bool,
-    /// Its zone, if told.
+    /// Its zone, if the slice states it.
     pub zone: Option<String>,
-    /// `read`, `write` or `both`, from the label `slipreel.dev/role`.
+    /// Its role, `read`, `write` or `both`, from the label `slipreel.dev/role`.
     pub role: Option<String>,
-    /// From the label `slipreel.dev/cell`.
+    /// Its cell, from the label `slipreel.dev/cell`.
     pub cell: Option<String>,
 }
 
@@ -63,21 +63,23 @@
     port: Option<u16>,
 }
 
-/// Reads an `EndpointSlice` or a list of them (`EndpointSliceList` or `List`).
+/// Parses an `EndpointSlice` or a list of them (`EndpointSliceList` or `List`).
 ///
 /// # Errors
-/// A text that names what is wrong and where.
+/// The text states what is wrong and where.
 pub fn parse(text: &str) -> Result<Vec<EngineEndpoint>, String> {
     let slice: Slice = serde_json::from_str(text).map_err(|e| e.to_string())?;
-    let mut listed = Vec::new();
-    collect(&slice, &mut listed)?;
-    Ok(listed)
+    let mut engines = Vec::new();
+    collect_engines(&slice, &mut engines)?;
+    Ok(engines)
 }
 
-fn collect(slice: &Slice, out: &mut Vec<EngineEndpoint>) -> Result<(), String> {
+fn collect_engines(slice: &Slice, out: &mut Vec<EngineEndpoint>) -> Result<(), String> {
     match slice.kind.as_str() {
         "EndpointSlice" => {}
-        "EndpointSliceList" | "List" => return slice.items.iter().try_for_each(|s| collect(s, out)),
+        "EndpointSliceList" | "List" => {
+            return slice.items.iter().try_for_each(|item| collect_engines(item, out))
+        }
         other => return Err(format!("kind {other:?}: expected EndpointSlice or EndpointSliceList")),
     }
     let label = |name: &str| slice.metadata.labels.get(name).cloned();
@@ -87,7 +89,8 @@
             let ip: IpAddr =
                 address.parse().map_err(|_| format!("address {address:?}: expected an IP address"))?;
             let Conditions { ready, serving, terminating } = endpoint.conditions;
-            // The format's own rule: an unknown `ready` means ready, an unknown `serving` means what `ready` is.
+            // As the format defines it: without `ready` an engine is ready, without `serving` it has the
+            // value of `ready`.
             let ready = ready.unwrap_or(true);
             out.push(EngineEndpoint {
                 addr: SocketAddr::new(ip, port),
--- a/crates/protocol/src/engine.rs
+++ b/crates/protocol/src/engine.rs
@@ -1,15 +1,15 @@
-//! What an engine speaks: chat completions with a transfer of read state, as the open engine serves
-//! them with prefill and decode apart; ORCA load reports; Prometheus text.
+//! The protocol of engines: chat completions with a transfer of prefilled state, as vLLM serves them when
+//! prefill and decode run on separate engines; ORCA load reports; metrics in the Prometheus text format.
 
 use serde::Deserialize;
 use serde_json::{json, Map, Value};
 
-/// The type of an error body with which an engine turns a request away that never ran.
+/// The error type with which an engine rejects a request that it never ran.
 pub const ENGINE_FULL: &str = "engine_full";
-/// The type of an error body with which a writer says that there is no state to fetch.
+/// The error type with which a decode engine reports that there is no state to fetch.
 pub const NO_STATE: &str = "no_state";
 
-/// The body of a read: one token, its state to be fetched by a writer.
+/// The body of a prefill request: it generates one token, and a decode engine can fetch the prefilled state.
 pub fn prefill_body(chat: &Map<String, Value>) -> String {
     let mut body = chat.clone();
     body.insert("max_tokens".into(), 1.into());
@@ -22,7 +22,7 @@
     Value::Object(body).to_string()
 }
 
-/// The body of a write, of the state that `transfer` names if there is one.
+/// The body of a decode request. `transfer` names the prefilled state to fetch, if there is any.
 pub fn decode_body(chat: &Map<String, Value>, max_tokens: u32, transfer: Option<&Value>) -> String {
     let mut body = chat.clone();
     body.insert("max_tokens".into(), max_tokens.into());
@@ -34,18 +34,18 @@
     Value::Object(body).to_string()
 }
 
-/// The body of an abort call.
-pub fn abort_body(request: &str) -> String {
-    json!({"request_ids": [request]}).to_string()
+/// The body of a request to abort another one.
+pub fn abort_body(request_id: &str) -> String {
+    json!({"request_ids": [request_id]}).to_string()
 }
 
-/// Tokens that an engine counted.
+/// Token counts that an engine reports.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq)]
 pub struct Usage {
-    /// Of the prompt.
+    /// Tokens of the prompt.
     #[serde(default)]
     pub prompt_tokens: u64,
-    /// Of the answer.
+    /// Generated tokens.
     #[serde(default)]
     pub completion_tokens: u64,
     #[serde(default)]
@@ -59,35 +59,37 @@
 }
 
 impl Usage {
-    /// Prompt tokens that were found kept.
+    /// Prompt tokens that were found in the engine's cache.
     pub fn cached_tokens(&self) -> u64 {
         self.prompt_tokens_details.and_then(|d| d.cached_tokens).unwrap_or(0)
     }
 }
 
-/// The answer to a read.
+/// The response to a prefill request.
 #[derive(Debug, Deserialize)]
+// Parse errors, which are logged, keep the earlier name of this type.
+#[serde(expecting = "struct ReadAnswer")]
 pub struct PrefillResponse {
-    /// Where the state waits.
+    /// Names the prefilled state and the engine that holds it; passed on to the decode engine.
     pub kv_transfer_params: Value,
-    /// What was read.
+    /// Token counts.
     #[serde(default)]
     pub usage: Option<Usage>,
 }
 
-/// Reads the answer to a read.
+/// Parses the response to a prefill request.
 ///
 /// # Errors
-/// It is not JSON, or names no state.
+/// The body is not JSON, or names no prefilled state.
 pub fn parse_prefill_response(body: &[u8]) -> Result<PrefillResponse, String> {
-    let answer: PrefillResponse = serde_json::from_slice(body).map_err(|e| e.to_string())?;
-    match answer.kv_transfer_params {
-        Value::Object(_) => Ok(answer),
+    let response: PrefillResponse = serde_json::from_slice(body).map_err(|e| e.to_string())?;
+    match response.kv_transfer_params {
+        Value::Object(_) => Ok(response),
         _ => Err("kv_transfer_params: expected an object".into()),
     }
 }
 
-/// The type of an error body, if it has one.
+/// The type and the message of an error body, each empty if it is missing; `None`: the body is not JSON.
 pub fn parse_error(body: &[u8]) -> Option<(String, String)> {
     let value: Value = serde_json::from_slice(body).ok()?;
     let error = value.get("error").unwrap_or(&value);
@@ -95,16 +97,16 @@
     Some((text("type"), text("message")))
 }
 
-/// A chunk of a streamed answer.
+/// A chunk of a streamed response.
 #[derive(Debug, Deserialize)]
 pub struct Chunk {
-    /// The choices; the first counts.
+    /// The choices, of which only the first is used.
     #[serde(default)]
     pub choices: Vec<Choice>,
-    /// In the last chunk.
+    /// Token counts, in the last chunk.
     #[serde(default)]
     pub usage: Option<Usage>,
-    /// An error in the midst of a stream.
+    /// An error that occurred during the stream.
     #[serde(default)]
     pub error: Option<Value>,
 }
@@ -112,79 +114,80 @@
 /// One choice of a chunk.
 #[derive(Debug, Deserialize)]
 pub struct Choice {
-    /// What is new.
+    /// What the chunk adds.
     #[serde(default)]
     pub delta: Delta,
-    /// Why the answer ended.
+    /// Why the response ended.
     #[serde(default)]
     pub finish_reason: Option<String>,
-    /// The stop text that ended it, as the open engine tells it.
+    /// The stop sequence that ended the response, as vLLM reports it.
     #[serde(default)]
     pub stop_reason: Option<Value>,
 }
 
-/// What is new in a chunk.
+/// What a chunk adds to a choice.
 #[derive(Debug, Default, Deserialize)]
 pub struct Delta {
-    /// Text.
+    /// Generated text.
     #[serde(default)]
     pub content: Option<String>,
-    /// Calls of tools.
+    /// Pieces of tool calls.
     #[serde(default)]
     pub tool_calls: Option<Vec<ToolCall>>,
 }
 
-/// A piece of a call of a tool.
+/// A piece of a tool call.
 #[derive(Debug, Deserialize)]
 pub struct ToolCall {
-    /// Which call.
+    /// The index of the call in the response.
     #[serde(default)]
     pub index: usize,
-    /// In its first piece.
+    /// The id of the call, in its first piece.
     #[serde(default)]
     pub id: Option<String>,
-    /// Name and arguments.
+    /// The tool's name and the arguments.
     #[serde(default)]
     pub function: Function,
 }
 
-/// Name and arguments of a call, in pieces.
+/// A piece of the name and the arguments of a tool call.
 #[derive(Debug, Default, Deserialize)]
 pub struct Function {
-    /// In its first piece.
+    /// The tool's name, in the first piece.
     #[serde(default)]
     pub name: Option<String>,
-    /// A piece of JSON text.
+    /// A piece of the arguments, which are JSON text.
     #[serde(default)]
     pub arguments: Option<String>,
 }
 
-/// The Messages API's name of why an answer ended.
-pub fn stop_reason(finish: &str, stopped_by: bool) -> &'static str {
-    match finish {
+/// The `stop_reason` of the Messages API for the `finish_reason` of an engine.
+pub fn stop_reason(finish_reason: &str, hit_stop_sequence: bool) -> &'static str {
+    match finish_reason {
         "length" => "max_tokens",
         "tool_calls" => "tool_use",
         "content_filter" => "refusal",
-        _ if stopped_by => "stop_sequence",
+        _ if hit_stop_sequence => "stop_sequence",
         _ => "end_turn",
     }
 }
 
-/// What an engine tells of its load; `None` where it does not.
+/// The load that an engine reports; `None` for the values that it does not report.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Load {
-    /// Requests that run.
+    /// Requests that are running.
     pub running: Option<f64>,
-    /// Requests that wait.
+    /// Requests that are waiting.
     pub waiting: Option<f64>,
-    /// Share of its memory held, 0 to 1.
+    /// The share of its KV cache memory in use, 0 to 1.
     pub memory: Option<f64>,
-    /// When its process started, seconds since the epoch.
+    /// The start time of its process, in seconds since the Unix epoch.
     pub started: Option<f64>,
 }
 
 impl Load {
-    fn note(&mut self, name: &str, value: f64) {
+    /// Records a reported value. Ignores other metrics, and values that are not finite.
+    fn record(&mut self, name: &str, value: f64) {
         if !value.is_finite() {
             return;
         }
@@ -199,43 +202,44 @@
     }
 }
 
-/// Reads an ORCA `endpoint-load-metrics` header: `TEXT k=v, ...`, `JSON {...}`, or bare `k=v`.
+/// Parses an ORCA `endpoint-load-metrics` header: `TEXT k=v, ...`, `JSON {...}`, or bare `k=v`.
 pub fn parse_orca(header: &str) -> Load {
     let mut load = Load::default();
     if let Some(json) = header.strip_prefix("JSON ") {
         let value: Value = serde_json::from_str(json).unwrap_or_default();
-        let named = value.get("named_metrics").and_then(Value::as_object);
-        for (name, value) in named.into_iter().flatten() {
-            load.note(name, value.as_f64().unwrap_or(f64::NAN));
+        let named_metrics = value.get("named_metrics").and_then(Value::as_object);
+        for (name, value) in named_metrics.into_iter().flatten() {
+            load.record(name, value.as_f64().unwrap_or(f64::NAN));
         }
         return load;
     }
     for pair in header.strip_prefix("TEXT ").unwrap_or(header).split(',') {
         if let Some((name, value)) = pair.split_once('=') {
-            load.note(name.trim(), value.trim().parse().unwrap_or(f64::NAN));
+            load.record(name.trim(), value.trim().parse().unwrap_or(f64::NAN));
         }
     }
     load
 }
 
-/// Reads the gauges of a `GET /metrics` answer (Prometheus text format 0.0.4) that tell of load.
+/// Parses the load gauges in a response to `GET /metrics` (Prometheus text format 0.0.4).
 pub fn parse_metrics(text: &str) -> Load {
     let mut load = Load::default();
     for line in text.lines().filter(|l| !l.starts_with('#')) {
         let name_end = line.find(['{', ' ']).unwrap_or(line.len());
         let rest = match line[name_end..].strip_prefix('{') {
-            // Label values are quoted and may hold braces; the value follows the last one.
+            // Label values are quoted and may contain braces; the metric's value follows the last closing
+            // brace.
             Some(labels) => labels.rsplit_once('}').map_or("", |(_, rest)| rest),
             None => &line[name_end..],
         };
         if let Some(value) = rest.split_ascii_whitespace().next().and_then(|v| v.parse().ok()) {
-            load.note(&line[..name_end], value);
+            load.record(&line[..name_end], value);
         }
     }
     load
 }
 
-/// Writes the same gauges as Prometheus text.
+/// Writes the load as gauges in the Prometheus text format.
 pub fn write_metrics(load: &Load) -> String {
     let mut out = String::new();
     for (name, value) in [
@@ -251,7 +255,7 @@
     out
 }
 
-/// Writes the load as an ORCA header in text form.
+/// Writes the load as an ORCA header in text form, which has no start time.
 pub fn write_orca(load: &Load) -> String {
     let mut parts = Vec::new();
     for (name, value) in [
--- a/crates/protocol/src/http/chunk_extensions.rs
+++ b/crates/protocol/src/http/chunk_extensions.rs
@@ -1,10 +1,10 @@
-//! Extensions of chunk sizes, which are checked and skipped.
+//! Chunk extensions, which are validated and skipped.
 
 use super::head::is_token_byte;
 
-/// Whether this is a run of chunk extensions (RFC 9112, 7.1.1): `;name`, `;name=token` or `;name="quoted"`, with blanks
-/// around `;` and `=`. No blank may follow the last.
-pub(super) fn are_extensions(text: &str) -> bool {
+/// Whether a text is a list of chunk extensions (RFC 9112, 7.1.1): `;name`, `;name=token` or
+/// `;name="quoted"`, with optional spaces and tabs around `;` and `=`. None may follow the last extension.
+pub(super) fn is_extension_list(text: &str) -> bool {
     let mut rest = text;
     while !rest.is_empty() {
         skip_blanks(&mut rest);
@@ -33,14 +33,15 @@
     *text = text.trim_start_matches([' ', '\t']);
 }
 
-/// Skips a token; false if there is none.
+/// Skips a token. Returns false if there is none.
 fn skip_token(text: &mut &str) -> bool {
     let length = text.bytes().take_while(|&byte| is_token_byte(byte)).count();
     *text = &text[length..];
     length > 0
 }
 
-/// What follows a quoted string whose opening quote is taken.
+/// The text after a quoted string, from behind its opening quote; `None` if the string is invalid or has no
+/// end.
 fn after_quoted(text: &str) -> Option<&str> {
     let mut escaped = false;
     for (at, byte) in text.bytes().enumerate() {
--- a/crates/protocol/src/http/encode.rs
+++ b/crates/protocol/src/http/encode.rs
@@ -1,21 +1,21 @@
-//! Messages of HTTP/1.1, encoded.
+//! Encodes HTTP/1.1 messages.
 
 use super::CRLF;
 use std::fmt::Write as _;
 
-/// The framing of a body that is written.
+/// The framing of the body of an encoded message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
-    /// So many bytes.
+    /// A body of this many bytes.
     Length(usize),
-    /// In chunks, as they come.
+    /// A body of unknown length, in chunks.
     Chunked,
 }
 
-/// Adds fields, framing and the empty line to a first line.
+/// Appends header fields, framing and the empty line to a first line.
 fn finish_head(mut text: String, fields: &[(&str, &str)], framing: Framing) -> Vec<u8> {
     for (name, value) in fields {
-        // A value from outside must not end its line: what is no header text is left out.
+        // A value from outside must not end its line, so control characters are removed.
         let clean: String = value.chars().filter(|character| !character.is_control()).collect();
         let _ = write!(text, "{name}: {clean}\r\n");
     }
@@ -26,17 +26,17 @@
     text.into_bytes()
 }
 
-/// Writes the head of a request.
+/// Encodes the head of a request.
 pub fn request_head(method: &str, target: &str, fields: &[(&str, &str)], framing: Framing) -> Vec<u8> {
     finish_head(format!("{method} {target} HTTP/1.1\r\n"), fields, framing)
 }
 
-/// Writes the head of a response.
+/// Encodes the head of a response.
 pub fn response_head(status: u16, fields: &[(&str, &str)], framing: Framing) -> Vec<u8> {
-    finish_head(format!("HTTP/1.1 {status} {}\r\n", reason(status)), fields, framing)
+    finish_head(format!("HTTP/1.1 {status} {}\r\n", reason_phrase(status)), fields, framing)
 }
 
-/// Writes one chunk; an empty one would end the body and is left out.
+/// Encodes one chunk. An empty one would end the body, so it is omitted.
 pub fn chunk(bytes: &[u8]) -> Vec<u8> {
     if bytes.is_empty() {
         return Vec::new();
@@ -47,13 +47,13 @@
     out
 }
 
-/// The last chunk.
+/// The last chunk of a body, without trailers.
 pub const LAST_CHUNK: &[u8] = b"0\r\n\r\n";
-/// The interim response that lets a client send its body.
+/// The interim response that asks a client to send its body.
 pub const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
 
 /// The reason phrase of a status.
-fn reason(status: u16) -> &'static str {
+fn reason_phrase(status: u16) -> &'static str {
     match status {
         100 => "Continue",
         200 => "OK",
--- a/crates/protocol/src/http/head.rs
+++ b/crates/protocol/src/http/head.rs
@@ -1,69 +1,70 @@
-//! The head of a message: first line, fields, and what they say of the body and of the connection.
+//! Parses the head of a message: its first line, its header fields, and what they state about the body and
+//! the connection.
 
 use super::{malformed, Limits, Malformed, Side};
 
 /// The first line of a message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Start {
-    /// Of a request.
+    /// The first line of a request.
     Request {
         /// The method, as sent.
         method: String,
         /// The target, as sent.
         target: String,
     },
-    /// Of a response.
+    /// The first line of a response.
     Response {
         /// The status code.
         status: u16,
     },
 }
 
-/// A message's head.
+/// The head of a message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Head {
     /// Its first line.
     pub start: Start,
-    /// Whether the version is 1.1, not 1.0.
+    /// Whether the version is HTTP/1.1, as opposed to HTTP/1.0.
     pub http11: bool,
     fields: Vec<(String, String)>,
     /// Whether the connection stays open after the message.
     pub keep_alive: bool,
     /// Whether the client waits for `100 Continue` before it sends the body.
     pub expects_continue: bool,
-    /// The length that the head states, if it does.
+    /// The value of Content-Length, if there is one.
     pub length: Option<u64>,
 }
 
 impl Head {
-    /// The first field of this name, in lower case.
+    /// The value of the first field of this name, which has to be in lower case.
     pub fn get(&self, name: &str) -> Option<&str> {
         self.fields.iter().find(|(other, _)| other == name).map(|(_, value)| value.as_str())
     }
 
-    /// All fields, names in lower case, in order.
+    /// All fields in order, with names in lower case.
     pub fn fields(&self) -> impl Iterator<Item = (&str, &str)> {
         self.fields.iter().map(|(name, value)| (name.as_str(), value.as_str()))
     }
 
-    /// The values of all fields of this name, in lower case.
-    fn all<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a str> {
+    /// The values of all fields of this name, which has to be in lower case.
+    fn values<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a str> {
         self.fields.iter().filter(move |(other, _)| other == name).map(|(_, value)| value.as_str())
     }
 }
 
-/// How the end of a body is found.
+/// How the end of a body is determined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum BodyEnd {
-    /// After so many bytes.
+    /// After this many bytes.
     Length(u64),
     /// After the last chunk.
     Chunked,
-    /// With the connection.
+    /// At the end of the connection.
     Close,
 }
 
-/// A head that was read, and how its body ends.
+/// A parsed head, and how its body ends.
 pub(super) struct ParsedHead {
     pub(super) head: Head,
     pub(super) body_end: BodyEnd,
@@ -77,7 +78,7 @@
     let FirstLine { start, http11 } = first_line;
     let mut head = Head { start, http11, fields, keep_alive: true, expects_continue: false, length: None };
     head.keep_alive = keeps_alive(&head);
-    if side == Side::Server && http11 && head.all("host").count() != 1 {
+    if side == Side::Server && http11 && head.values("host").count() != 1 {
         return malformed(400, "expected exactly one Host field");
     }
     head.length = content_length(&head)?;
@@ -106,9 +107,9 @@
     Ok(fields)
 }
 
-/// Whether the connection stays open after the message, by its version and its Connection fields.
+/// Whether the connection stays open after the message, according to its version and its Connection fields.
 fn keeps_alive(head: &Head) -> bool {
-    let options = || head.all("connection").flat_map(|value| value.split(',')).map(str::trim);
+    let options = || head.values("connection").flat_map(|value| value.split(',')).map(str::trim);
     if head.http11 {
         !options().any(|option| option.eq_ignore_ascii_case("close"))
     } else {
@@ -117,20 +118,20 @@
 }
 
 fn content_length(head: &Head) -> Result<Option<u64>, Malformed> {
-    match head.all("content-length").collect::<Vec<_>>()[..] {
+    match head.values("content-length").collect::<Vec<_>>()[..] {
         [] => Ok(None),
         [value] if is_length(value) => Ok(value.parse().ok()),
         _ => malformed(400, "expected one Content-Length of digits alone"),
     }
 }
 
-/// Whether a value is a length that fits into 64 bits.
+/// Whether a value is a decimal length that fits into 64 bits.
 fn is_length(value: &str) -> bool {
     !value.is_empty() && value.len() < 19 && value.bytes().all(|byte| byte.is_ascii_digit())
 }
 
 fn is_chunked(head: &Head) -> Result<bool, Malformed> {
-    match head.all("transfer-encoding").collect::<Vec<_>>()[..] {
+    match head.values("transfer-encoding").collect::<Vec<_>>()[..] {
         [] => Ok(false),
         [value] if value.eq_ignore_ascii_case("chunked") && head.http11 => Ok(true),
         _ => malformed(501, "expected no Transfer-Encoding but chunked"),
@@ -138,7 +139,7 @@
 }
 
 fn expects_continue(head: &Head) -> Result<bool, Malformed> {
-    match head.all("expect").next() {
+    match head.values("expect").next() {
         None => Ok(false),
         Some(value) if value.eq_ignore_ascii_case("100-continue") => Ok(true),
         Some(_) => malformed(417, "an expectation other than 100-continue"),
@@ -166,7 +167,7 @@
     let words: Vec<&str> = line.splitn(3, ' ').collect();
     match (side, &words[..]) {
         (Side::Server, [method, target, version]) => {
-            if !is_token(method) || !is_target(method, target) {
+            if !is_token(method) || !is_valid_target(method, target) {
                 return malformed(400, "expected METHOD SP target SP HTTP/1.1");
             }
             let http11 = is_http11(version)?;
@@ -183,7 +184,7 @@
     }
 }
 
-/// Whether a version is 1.1, not 1.0.
+/// Whether a version is HTTP/1.1, as opposed to HTTP/1.0. Others are errors.
 fn is_http11(version: &str) -> Result<bool, Malformed> {
     match version {
         "HTTP/1.1" => Ok(true),
@@ -196,12 +197,12 @@
 }
 
 /// Whether a target has a form that its method allows (RFC 9112, 3.2).
-fn is_target(method: &str, target: &str) -> bool {
+fn is_valid_target(method: &str, target: &str) -> bool {
     let has_form = path_of(target).is_some() || (method == "OPTIONS" && target == "*") || method == "CONNECT";
     has_form && target.bytes().all(|byte| byte.is_ascii_graphic())
 }
 
-/// Parses a line of a name in lower case and its value.
+/// Parses a header line. Returns its name in lower case, and its value.
 pub(super) fn parse_field(line: &str) -> Result<(String, String), Malformed> {
     if line.starts_with([' ', '\t']) {
         return malformed(400, "a folded header line");
@@ -216,22 +217,22 @@
     Ok((name.to_ascii_lowercase(), value.to_owned()))
 }
 
-/// The path of a request target, without its query: of one in origin form, or in absolute form, which a server has to
-/// take (RFC 9112, 3.2.2). `None` for the other forms.
+/// The path of a request target without its query. The target is in origin form, or in absolute form, which a
+/// server has to accept (RFC 9112, 3.2.2); `None` for the other forms.
 pub fn path_of(target: &str) -> Option<&str> {
     let path = if target.starts_with('/') { target } else { after_authority(target)? };
     Some(path.split(['?', '#']).next().filter(|p| !p.is_empty()).unwrap_or("/"))
 }
 
-/// What follows scheme and authority of a target in absolute form.
+/// The part of a target in absolute form that follows its scheme and authority.
 fn after_authority(target: &str) -> Option<&str> {
     let (scheme, rest) = target.split_once("://")?;
-    let known = scheme.eq_ignore_ascii_case("http") || scheme.eq_ignore_ascii_case("https");
+    let is_http = scheme.eq_ignore_ascii_case("http") || scheme.eq_ignore_ascii_case("https");
     let end = rest.find(['/', '?', '#']).unwrap_or(rest.len());
-    (known && end > 0).then(|| &rest[end..])
+    (is_http && end > 0).then(|| &rest[end..])
 }
 
-/// Whether a byte may stand in a token (RFC 9110, 5.6.2).
+/// Whether a byte may be part of a token (RFC 9110, 5.6.2).
 pub(super) fn is_token_byte(byte: u8) -> bool {
     byte.is_ascii_alphanumeric() || b"!#$%&'*+-.^_`|~".contains(&byte)
 }
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -1,11 +1,12 @@
-//! Codecs without I/O. Each takes bytes in pieces of any size and never allocates on a claimed length.
+//! Codecs without I/O. Each accepts input that is split at any byte, and none allocates memory for a length
+//! that the input merely claims.
 //!
-//! - [`http`]: HTTP/1.1, both sides, as RFC 9112 has it, strict where leniency lets requests be smuggled.
-//! - [`sse`]: server-sent events, as the HTML standard has them.
-//! - [`messages`]: the Messages API that clients speak.
-//! - [`engine`]: chat completions and load reports, as the open engine serves them.
-//! - [`endpoints`]: the `EndpointSlice` JSON format, for the list of engines.
-//! - [`membership`]: the messages by which routers of one fleet track each other (gossip).
+//! - [`http`]: HTTP/1.1 for servers and clients (RFC 9112), strict where leniency allows request smuggling.
+//! - [`sse`]: server-sent events, as defined by the HTML standard.
+//! - [`messages`]: the Messages API, which clients use.
+//! - [`engine`]: chat completions and load reports, as vLLM serves them.
+//! - [`endpoints`]: the `EndpointSlice` JSON format of Kubernetes, in which engines are listed.
+//! - [`membership`]: the gossip messages by which the routers of a fleet track each other.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/crates/protocol/src/membership.rs
+++ b/crates/protocol/src/membership.rs
@@ -1,9 +1,10 @@
-//! The messages by which the routers of one fleet track each other (gossip), and their codec.
+//! The gossip messages by which the routers of one fleet track each other, and their codec.
 //!
-//! A [`Message`] goes in a datagram where it fits, and over TCP behind its length ([`frame`]) where it does not. Its bytes are
-//! `slFT`, a version, a checksum over the rest, then the header and three lists: member records, heartbeats, requested ids.
-//! Numbers are variable-length (seven bits a byte, least significant first) unless said otherwise. A claimed list length
-//! allocates nothing: a list ends where the bytes end. A message that can't be decoded completely is rejected.
+//! A [`Message`] is sent in a datagram if it fits, and otherwise over TCP after its length ([`frame`]). It is
+//! encoded as `slFT`, a version, a checksum over the rest, then the header and three lists: member records,
+//! heartbeats, requested ids. Numbers are variable-length (seven bits per byte, least significant first)
+//! unless stated otherwise. The claimed length of a list allocates nothing, and must not exceed the bytes
+//! that remain. A message that can't be decoded completely is rejected.
 
 use std::net::{IpAddr, Ipv4Addr, Ipv6Addr, SocketAddr};
 use xxhash_rust::xxh3::xxh3_64;
@@ -18,18 +19,20 @@
 /// Bytes before the checksummed content: magic, version and checksum.
 const PREFIX_LEN: usize = 9;
 
-/// What one incarnation of a member (a process, from its start to its end) says of itself.
+/// What one incarnation of a member (a process, from its start to its end) announces
+/// about itself.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemberRecord {
     /// The member's name.
     pub name: String,
-    /// Incarnation number: grows with each start of the member as long as its folder is kept.
+    /// Incarnation number: increases with each start of the member, as long as its folder is kept.
     pub incarnation: u64,
-    /// Drawn at random at the start; distinguishes two processes of one name and incarnation.
+    /// Drawn at random when the process starts; distinguishes two processes with the same name and
+    /// incarnation.
     pub nonce: u64,
-    /// The address at which the member says it can be reached.
+    /// The address at which the member can be reached, as it announces.
     pub address: SocketAddr,
-    /// The number of routers that its process runs.
+    /// The number of routers that the process runs.
     pub routers: u32,
     /// The member has left, which is final for this incarnation.
     pub has_left: bool,
@@ -46,21 +49,21 @@
     }
 }
 
-/// The latest round that is known of one incarnation of a member.
+/// The latest known round of one incarnation of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Heartbeat {
     /// [`MemberRecord::id`] of the incarnation.
     pub record_id: u64,
-    /// The number of rounds that it had completed; never decreases.
+    /// The number of rounds that the incarnation has completed; never decreases.
     pub round: u32,
-    /// How long ago the sender first heard of that round, in milliseconds.
+    /// The time since the sender first learned of that round, in milliseconds.
     pub age_ms: u32,
 }
 
-/// What the sender asks for, and how complete its message is.
+/// What the sender of a message requests, and how complete the message is.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Flags {
-    /// The receiver is asked for its full state (a push-pull of anti-entropy).
+    /// The sender requests the receiver's full state (push-pull anti-entropy).
     pub wants_full_state: bool,
     /// The full state does not fit in a datagram: the receiver should synchronise over TCP.
     pub exceeds_datagram: bool,
@@ -95,23 +98,23 @@
     pub round: u32,
     /// A hash of the sender's view; equal views have equal digests.
     pub digest: u64,
-    /// What the sender asks for.
+    /// What the sender requests, and how complete the message is.
     pub flags: Flags,
     /// Full records of members.
     pub records: Vec<MemberRecord>,
     /// Latest rounds of members.
     pub heartbeats: Vec<Heartbeat>,
-    /// Ids that the sender knows from heartbeats alone and whose records it asks for.
+    /// Ids that the sender knows only from heartbeats, and whose records it requests.
     pub requested_ids: Vec<u64>,
 }
 
 /// Why bytes could not be decoded as a [`Message`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DecodeError {
-    /// They do not begin with the magic bytes.
+    /// The bytes do not begin with the magic bytes.
     #[error("not a message of a fleet")]
     NotAMessage,
-    /// Another protocol version: the one found.
+    /// The bytes are of another protocol version: the one found.
     #[error("version {0}: expected {VERSION}")]
     Version(u8),
     /// The checksum does not match: changed or truncated in transit.
@@ -157,9 +160,9 @@
     out.push(u8::from(record.has_left));
 }
 
-/// The most bytes that an encoded member record takes beside its name.
+/// The longest encoding of a member record without its name, in bytes.
 pub const MAX_RECORD_LEN_WITHOUT_NAME: usize = 1 + 10 + 8 + 1 + 16 + 2 + 5 + 1;
-/// The most bytes that an encoded heartbeat takes.
+/// The longest encoding of a heartbeat, in bytes.
 pub const MAX_HEARTBEAT_LEN: usize = 8 + 5 + 5;
 
 impl Message {
@@ -185,8 +188,8 @@
         }
         put_number(&mut out, self.requested_ids.len() as u64);
         self.requested_ids.iter().for_each(|id| out.extend(id.to_be_bytes()));
-        let sum = xxh3_64(&out[PREFIX_LEN..]) as u32;
-        out[5..PREFIX_LEN].copy_from_slice(&sum.to_be_bytes());
+        let checksum = xxh3_64(&out[PREFIX_LEN..]) as u32;
+        out[5..PREFIX_LEN].copy_from_slice(&checksum.to_be_bytes());
         out
     }
 
@@ -204,20 +207,20 @@
         if bytes[4] != VERSION {
             return Err(DecodeError::Version(bytes[4]));
         }
-        let (front, rest) = bytes.split_at(PREFIX_LEN);
-        if front[5..] != (xxh3_64(rest) as u32).to_be_bytes() {
+        let (prefix, content) = bytes.split_at(PREFIX_LEN);
+        if prefix[5..] != (xxh3_64(content) as u32).to_be_bytes() {
             return Err(DecodeError::Checksum);
         }
-        let mut reader = Reader(rest);
-        let fleet = reader.text()?;
-        let sender = reader.record()?;
-        let round = reader.number_u32()?;
-        let digest = reader.fixed_u64()?;
-        let flags = Flags::from_bits(reader.byte()?);
-        let records = reader.list(Reader::record)?;
-        let heartbeats = reader.list(Reader::heartbeat)?;
-        let requested_ids = reader.list(Reader::fixed_u64)?;
-        if !reader.0.is_empty() {
+        let mut cursor = Cursor(content);
+        let fleet = cursor.name()?;
+        let sender = cursor.record()?;
+        let round = cursor.number_u32()?;
+        let digest = cursor.fixed_u64()?;
+        let flags = Flags::from_bits(cursor.byte()?);
+        let records = cursor.list(Cursor::record)?;
+        let heartbeats = cursor.list(Cursor::heartbeat)?;
+        let requested_ids = cursor.list(Cursor::fixed_u64)?;
+        if !cursor.0.is_empty() {
             return Err(DecodeError::Content("the end of the message"));
         }
         Ok(Message { fleet, sender, round, digest, flags, records, heartbeats, requested_ids })
@@ -225,16 +228,16 @@
 }
 
 /// A cursor over the bytes that are still to be decoded.
-struct Reader<'a>(&'a [u8]);
+struct Cursor<'a>(&'a [u8]);
 
-impl<'a> Reader<'a> {
+impl<'a> Cursor<'a> {
     fn take(&mut self, n: usize) -> Result<&'a [u8], DecodeError> {
         let (taken, rest) = self.0.split_at_checked(n).ok_or(DecodeError::Content("more bytes"))?;
         self.0 = rest;
         Ok(taken)
     }
 
-    fn fixed<const N: usize>(&mut self) -> Result<[u8; N], DecodeError> {
+    fn bytes<const N: usize>(&mut self) -> Result<[u8; N], DecodeError> {
         self.take(N)?.try_into().map_err(|_| DecodeError::Content("more bytes"))
     }
 
@@ -243,7 +246,7 @@
     }
 
     fn fixed_u64(&mut self) -> Result<u64, DecodeError> {
-        Ok(u64::from_be_bytes(self.fixed()?))
+        Ok(u64::from_be_bytes(self.bytes()?))
     }
 
     fn number(&mut self) -> Result<u64, DecodeError> {
@@ -266,28 +269,29 @@
         u32::try_from(self.number()?).map_err(|_| DecodeError::Content("a number of 32 bits"))
     }
 
-    fn text(&mut self) -> Result<String, DecodeError> {
+    /// Decodes the name of a fleet or a member.
+    fn name(&mut self) -> Result<String, DecodeError> {
         let expected = DecodeError::Content("a name of 1 to 64 letters, digits, '.', '-' and '_'");
         let n = self.number()?;
         if n == 0 || n > MAX_NAME_LEN as u64 {
             return Err(expected);
         }
         let bytes = self.take(n as usize)?;
-        let ok = |b: &u8| b.is_ascii_alphanumeric() || b"._-".contains(b);
-        let text = std::str::from_utf8(bytes).ok().filter(|_| bytes.iter().all(ok));
+        let is_allowed = |b: &u8| b.is_ascii_alphanumeric() || b"._-".contains(b);
+        let text = std::str::from_utf8(bytes).ok().filter(|_| bytes.iter().all(is_allowed));
         text.map(str::to_owned).ok_or(expected)
     }
 
     fn record(&mut self) -> Result<MemberRecord, DecodeError> {
-        let name = self.text()?;
+        let name = self.name()?;
         let incarnation = self.number()?;
         let nonce = self.fixed_u64()?;
         let ip = match self.byte()? {
-            4 => IpAddr::V4(Ipv4Addr::from(self.fixed::<4>()?)),
-            6 => IpAddr::V6(Ipv6Addr::from(self.fixed::<16>()?)),
+            4 => IpAddr::V4(Ipv4Addr::from(self.bytes::<4>()?)),
+            6 => IpAddr::V6(Ipv6Addr::from(self.bytes::<16>()?)),
             _ => return Err(DecodeError::Content("an address of version 4 or 6")),
         };
-        let port = u16::from_be_bytes(self.fixed()?);
+        let port = u16::from_be_bytes(self.bytes()?);
         let routers = self.number_u32()?;
         let has_left = self.byte()? != 0;
         Ok(MemberRecord { name, incarnation, nonce, address: SocketAddr::new(ip, port), routers, has_left })
@@ -301,16 +305,16 @@
     }
 
     fn list<T>(
-        &mut self, mut read: impl FnMut(&mut Self) -> Result<T, DecodeError>,
+        &mut self, mut decode_entry: impl FnMut(&mut Self) -> Result<T, DecodeError>,
     ) -> Result<Vec<T>, DecodeError> {
         let n = self.number()?;
-        // Every entry takes a byte at least: a claim beyond that is refused before anything is read.
+        // Every entry takes at least one byte: a longer list is rejected before any entry is decoded.
         if n > self.0.len() as u64 {
             return Err(DecodeError::Content("more bytes"));
         }
         let mut list = Vec::new();
         for _ in 0..n {
-            list.push(read(self)?);
+            list.push(decode_entry(self)?);
         }
         Ok(list)
     }
@@ -327,9 +331,9 @@
 /// Decodes one message from the beginning of the bytes received over TCP; `None`: it is not complete yet.
 ///
 /// # Errors
-/// The bytes are not a message of this version, or it claims to be too long.
-pub fn unframe(got: &[u8]) -> Result<Option<Message>, DecodeError> {
-    let Some((length, rest)) = got.split_first_chunk::<4>() else { return Ok(None) };
+/// The bytes are not a message of this version, or the claimed length is too long.
+pub fn unframe(received: &[u8]) -> Result<Option<Message>, DecodeError> {
+    let Some((length, rest)) = received.split_first_chunk::<4>() else { return Ok(None) };
     let length = u32::from_be_bytes(*length) as usize;
     if length > MAX_MESSAGE_LEN {
         return Err(DecodeError::TooLong(length));
--- a/crates/protocol/src/membership/tests.rs
+++ b/crates/protocol/src/membership/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use proptest::prelude::*;
 
-fn life() -> impl Strategy<Value = MemberRecord> {
+fn member_record() -> impl Strategy<Value = MemberRecord> {
     let address = prop_oneof![
         (any::<[u8; 4]>(), any::<u16>()).prop_map(|(ip, port)| SocketAddr::from((ip, port))),
         (any::<[u8; 16]>(), any::<u16>()).prop_map(|(ip, port)| SocketAddr::from((ip, port))),
@@ -31,11 +31,11 @@
             is_full_state,
         });
     let lists = (
-        proptest::collection::vec(life(), 0..20),
+        proptest::collection::vec(member_record(), 0..20),
         proptest::collection::vec(heartbeat, 0..40),
         proptest::collection::vec(any::<u64>(), 0..10),
     );
-    ("[a-z]{1,64}", life(), any::<u32>(), any::<u64>(), flags, lists).prop_map(
+    ("[a-z]{1,64}", member_record(), any::<u32>(), any::<u64>(), flags, lists).prop_map(
         |(fleet, sender, round, digest, flags, (records, heartbeats, requested_ids))| Message {
             fleet,
             sender,
@@ -51,14 +51,14 @@
 
 proptest! {
     #[test]
-    fn every_message_comes_back_as_it_was(message in message()) {
+    fn messages_round_trip(message in message()) {
         let bytes = message.encode();
         prop_assert_eq!(Message::decode(&bytes), Ok(message.clone()));
         prop_assert_eq!(unframe(&frame(&message)), Ok(Some(message)));
     }
 
     #[test]
-    fn noise_cuts_and_flips_are_refused(
+    fn noise_truncation_and_bit_flips_are_rejected(
         message in message(), noise in proptest::collection::vec(any::<u8>(), 0..200), at in any::<prop::sample::Index>(),
         bit in 0..8u8,
     ) {
@@ -70,9 +70,10 @@
         prop_assert!(Message::decode(&flipped).is_err());
     }
 
-    /// The checksum is right, so that what follows it is read: never a panic, and what is read is said again alike.
+    /// Noise with a valid checksum reaches the decoder of the content. It must not panic, and what it accepts
+    /// must round-trip.
     #[test]
-    fn content_that_is_noise_under_a_right_checksum(noise in proptest::collection::vec(any::<u8>(), 0..300)) {
+    fn noise_with_a_valid_checksum_does_not_panic(noise in proptest::collection::vec(any::<u8>(), 0..300)) {
         let mut bytes = MAGIC.to_vec();
         bytes.push(VERSION);
         bytes.extend((xxh3_64(&noise) as u32).to_be_bytes());
@@ -84,7 +85,7 @@
 }
 
 #[test]
-fn what_is_refused_is_named() {
+fn decode_errors_state_the_cause() {
     let sender = MemberRecord {
         name: "a".into(),
         incarnation: 1,
@@ -113,28 +114,29 @@
     assert_eq!(unframe(&frame(&message)[..20]), Ok(None));
 }
 
-/// A claim of many entries under a right checksum is refused before room is made for them.
+/// A message that claims a long list and has a valid checksum is rejected before memory is allocated for the
+/// list.
 #[test]
 fn a_claimed_length_allocates_nothing() {
-    let mut rest = Vec::new();
-    put_text(&mut rest, "f");
+    let mut content = Vec::new();
+    put_text(&mut content, "f");
     let address = SocketAddr::from(([127, 0, 0, 1], 1));
-    let life =
+    let record =
         MemberRecord { name: "a".into(), incarnation: 1, nonce: 1, address, routers: 1, has_left: false };
-    put_record(&mut rest, &life);
-    put_number(&mut rest, 1);
-    rest.extend([0; 9]);
-    put_number(&mut rest, u64::MAX);
+    put_record(&mut content, &record);
+    put_number(&mut content, 1);
+    content.extend([0; 9]);
+    put_number(&mut content, u64::MAX);
     let mut bytes = MAGIC.to_vec();
     bytes.push(VERSION);
-    bytes.extend((xxh3_64(&rest) as u32).to_be_bytes());
-    bytes.extend(rest);
+    bytes.extend((xxh3_64(&content) as u32).to_be_bytes());
+    bytes.extend(content);
     assert_eq!(Message::decode(&bytes), Err(DecodeError::Content("more bytes")));
 }
 
-/// The bytes were written by the build before the types of this module were renamed.
+/// The expected bytes were written by the build before the types of this module were renamed.
 #[test]
-fn a_message_keeps_its_bytes_of_earlier_builds() {
+fn encoding_matches_earlier_builds() {
     const BYTES: &str = "736c465401856f204b066d616e696c6108726f757465722d61ac020000000000000007047f0000011f0a0400f0a2040123456789abcdef050108726f757465722d6202ffffffffffffffff0620010db80000000000000000000000031f0a010101000000000000000b05dc0b02000000000000000c000000000000000d";
     let record = |name: &str, incarnation, nonce, address: &str, routers, has_left| MemberRecord {
         name: name.into(),
--- a/crates/protocol/src/messages.rs
+++ b/crates/protocol/src/messages.rs
@@ -1,4 +1,4 @@
-//! The public Messages API: requests in, answers out as events or in one body, errors by type.
+//! The public Messages API: requests, responses (streamed as events or sent as one body) and typed errors.
 
 mod answer;
 mod chat;
@@ -6,6 +6,6 @@
 mod request;
 
 pub use answer::{AnswerBuilder, Usage};
-pub use chat::text_of;
+pub use chat::plain_text;
 pub use error::{ApiError, ErrorKind};
 pub use request::MessagesRequest;
--- a/crates/protocol/src/messages/chat.rs
+++ b/crates/protocol/src/messages/chat.rs
@@ -1,21 +1,22 @@
-//! A request of the Messages API as chat completions of the open engine.
+//! Converts requests of the Messages API to chat completion requests of the engines.
 
 use super::error::{invalid, ApiError};
 use super::request::MessagesRequest;
 use serde_json::{json, Map, Value};
 
-/// Fields that go to the engine as they came.
+/// Fields that are passed to the engine unchanged.
 const FORWARDED: [&str; 3] = ["temperature", "top_p", "top_k"];
 
 impl MessagesRequest {
-    /// The request as chat completions of the open engine: the body without what a stage adds.
+    /// Converts the request to the body of a chat completion request, without the fields that prefill and
+    /// decode add.
     ///
     /// # Errors
-    /// A content block that has no counterpart there.
+    /// A content block has no counterpart in chat completions.
     pub fn to_chat(&self) -> Result<Map<String, Value>, ApiError> {
         let mut messages = Vec::new();
         if let Some(system) = &self.system {
-            messages.push(json!({"role": "system", "content": text_of(system)}));
+            messages.push(json!({"role": "system", "content": plain_text(system)}));
         }
         for (at, message) in self.messages.iter().enumerate() {
             add_chat_messages(at, message, &mut messages)?;
@@ -41,6 +42,7 @@
     }
 }
 
+/// The engine's form of a tool.
 fn chat_tool(tool: &Value) -> Value {
     let description = tool.get("description").cloned().unwrap_or_default();
     let parameters = tool.get("input_schema").cloned().unwrap_or(json!({"type": "object"}));
@@ -48,7 +50,7 @@
     json!({"type": "function", "function": function})
 }
 
-/// The engine's form of a tool choice; `None` where the engine chooses by itself.
+/// The engine's form of a tool choice; `None`: the engine chooses by itself.
 fn chat_tool_choice(choice: &Value) -> Option<Value> {
     match choice.get("type").and_then(Value::as_str) {
         Some("any") => Some("required".into()),
@@ -61,8 +63,8 @@
     }
 }
 
-/// The text of a text or a list of blocks, those that are no text left out.
-pub fn text_of(content: &Value) -> String {
+/// The text of a content, which is a string or a list of blocks. Blocks without text are left out.
+pub fn plain_text(content: &Value) -> String {
     match content {
         Value::String(text) => text.clone(),
         Value::Array(blocks) => {
@@ -72,7 +74,7 @@
     }
 }
 
-/// Adds the chat messages of one message: results of tools are messages of their own.
+/// Appends the chat messages for one message. Tool results become messages of their own.
 fn add_chat_messages(at: usize, message: &Value, chat: &mut Vec<Value>) -> Result<(), ApiError> {
     let role = &message["role"];
     let Some(Value::Array(blocks)) = message.get("content") else {
@@ -89,7 +91,7 @@
             "tool_use" => calls.push(json!({"id": block["id"], "type": "function",
                 "function": {"name": block["name"], "arguments": block["input"].to_string()}})),
             "tool_result" => chat.push(json!({"role": "tool", "tool_call_id": block["tool_use_id"],
-                "content": text_of(block.get("content").unwrap_or(&Value::Null))})),
+                "content": plain_text(block.get("content").unwrap_or(&Value::Null))})),
             "thinking" | "redacted_thinking" => {}
             other => {
                 return invalid(format!(
@@ -109,7 +111,7 @@
     Ok(())
 }
 
-/// The address of an image or document, or its data as an address.
+/// The URL of an image or document, or its data as a `data:` URL.
 fn source_url(source: &Value) -> String {
     match source["type"].as_str() {
         Some("url") => source["url"].as_str().unwrap_or_default().to_owned(),
--- a/crates/protocol/src/messages/error.rs
+++ b/crates/protocol/src/messages/error.rs
@@ -2,33 +2,33 @@
 
 use serde_json::json;
 
-/// The types of error that the API knows.
+/// The error types of the API.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ErrorKind {
-    /// 400: the request is wrong.
+    /// 400: the request is invalid.
     InvalidRequest,
-    /// 401: no key, or a wrong one.
+    /// 401: the API key is missing or invalid.
     Authentication,
-    /// 403: the key may not do this.
+    /// 403: the API key does not permit this.
     Permission,
     /// 404: no such path or model.
     NotFound,
     /// 413: the body is too large.
     TooLarge,
-    /// 429: the tenant is over its share.
+    /// 429: the tenant has exceeded its share.
     RateLimit,
-    /// 500: failed.
+    /// 500: the request failed.
     Api,
-    /// 504: not in time.
+    /// 504: a time limit was exceeded.
     Timeout,
-    /// 503: this router can't take requests at present; another may.
+    /// 503: this router can't accept requests at present; another one may.
     Unavailable,
     /// 529: the fleet is overloaded.
     Overloaded,
 }
 
 impl ErrorKind {
-    /// The status of an answer of this type.
+    /// The HTTP status of a response with this type.
     pub fn status(self) -> u16 {
         match self {
             ErrorKind::InvalidRequest => 400,
@@ -60,7 +60,7 @@
         }
     }
 
-    /// The type for a status that HTTP itself asks for.
+    /// The type for a status that HTTP prescribes.
     pub fn of_status(status: u16) -> Self {
         match status {
             401 => ErrorKind::Authentication,
@@ -76,29 +76,29 @@
     }
 }
 
-/// An error as the API words it.
+/// An error of the API.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ApiError {
     /// Its type.
     pub kind: ErrorKind,
-    /// Names the place, the value and what was expected.
+    /// Names the field, the value and what was expected.
     pub message: String,
 }
 
 impl ApiError {
-    /// An error of this kind.
+    /// Creates an error.
     pub fn new(kind: ErrorKind, message: impl Into<String>) -> Self {
         ApiError { kind, message: message.into() }
     }
 
-    /// The body of the answer, and the data of an `error` event.
+    /// The body of the response, and the data of an `error` event.
     pub fn body(&self, request_id: &str) -> String {
         json!({"type": "error", "error": {"type": self.kind.name(), "message": self.message}, "request_id": request_id})
             .to_string()
     }
 }
 
-/// The error of a request that can't be taken.
+/// Returns the error of an invalid request.
 pub(super) fn invalid<T>(message: impl Into<String>) -> Result<T, ApiError> {
     Err(ApiError::new(ErrorKind::InvalidRequest, message))
 }
--- a/crates/protocol/src/messages/request.rs
+++ b/crates/protocol/src/messages/request.rs
@@ -1,16 +1,16 @@
-//! Requests of the Messages API, parsed and checked.
+//! Parses and validates requests of the Messages API.
 
 use super::error::{invalid, ApiError};
 use serde_json::{Map, Value};
 
-/// A `POST /v1/messages`, checked.
+/// The validated body of a `POST /v1/messages` or a `POST /v1/messages/count_tokens`.
 #[derive(Clone, Debug)]
 pub struct MessagesRequest {
-    /// The model asked for.
+    /// The requested model.
     pub model: String,
-    /// The most tokens of the answer; 0 in a count.
+    /// The most tokens to generate; 0 for `count_tokens`.
     pub max_tokens: u32,
-    /// Whether the answer streams.
+    /// Whether the response is streamed.
     pub stream: bool,
     /// `metadata.user_id`.
     pub user: Option<String>,
@@ -18,28 +18,29 @@
     pub system: Option<Value>,
     /// `tools`, as sent.
     pub tools: Option<Value>,
-    /// `messages`, as sent, each with a role and content of known shape.
+    /// `messages`, as sent, each with a valid role and content.
     pub messages: Vec<Value>,
     /// `stop_sequences`.
     pub stop: Vec<String>,
-    /// What else was sent.
+    /// All other fields, as sent.
     pub(super) rest: Map<String, Value>,
 }
 
-/// Bytes of a model's name.
-const MAX_MODEL_NAME: usize = 256;
-/// Stop sequences of a request.
+/// The longest name of a model, in bytes.
+const MAX_MODEL_NAME_LEN: usize = 256;
+/// The most stop sequences of a request.
 const MAX_STOP_SEQUENCES: usize = 64;
-/// Messages of a request.
+/// The most messages of a request.
 const MAX_MESSAGES: usize = 100_000;
 
 type Fields = Map<String, Value>;
 
 impl MessagesRequest {
-    /// Parses and checks a body. `counting`: for `count_tokens`, where `max_tokens` is not needed.
+    /// Parses and validates a body. `counting`: the request is for `count_tokens`, where `max_tokens` may be
+    /// missing.
     ///
     /// # Errors
-    /// An error that names the field, as the API does.
+    /// The error names the invalid field, as those of the API do.
     pub fn parse(body: &[u8], counting: bool) -> Result<Self, ApiError> {
         let value: Value =
             serde_json::from_slice(body).or_else(|why| invalid(format!("body: not JSON: {why}")))?;
@@ -51,8 +52,8 @@
         let system = take_system(&mut rest)?;
         let tools = take_tools(&mut rest)?;
         let stop = take_stop_sequences(&mut rest)?;
-        for (name, most) in [("temperature", 1.0), ("top_p", 1.0)] {
-            check_number(&rest, name, most)?;
+        for (name, max) in [("temperature", 1.0), ("top_p", 1.0)] {
+            check_number(&rest, name, max)?;
         }
         let metadata = rest.get("metadata");
         let user = metadata.and_then(|metadata| metadata.get("user_id")).and_then(Value::as_str);
@@ -63,7 +64,7 @@
 
 fn take_model(fields: &mut Fields) -> Result<String, ApiError> {
     match fields.remove("model") {
-        Some(Value::String(model)) if !model.is_empty() && model.len() <= MAX_MODEL_NAME => Ok(model),
+        Some(Value::String(model)) if !model.is_empty() && model.len() <= MAX_MODEL_NAME_LEN => Ok(model),
         Some(_) => invalid("model: expected a name of 1 to 256 bytes"),
         None => invalid("model: Field required"),
     }
@@ -87,8 +88,8 @@
         Some(_) => return invalid("messages: expected a list of 1 to 100000 messages"),
         None => return invalid("messages: Field required"),
     };
-    for (at, message) in messages.iter().enumerate() {
-        check_message(at, message)?;
+    for (index, message) in messages.iter().enumerate() {
+        check_message(index, message)?;
     }
     Ok(messages)
 }
@@ -106,8 +107,8 @@
     match &system {
         None | Some(Value::String(_)) => {}
         Some(Value::Array(blocks)) => {
-            for (at, block) in blocks.iter().enumerate() {
-                check_block(&format!("system.{at}"), block)?;
+            for (index, block) in blocks.iter().enumerate() {
+                check_block(&format!("system.{index}"), block)?;
             }
         }
         Some(_) => return invalid("system: expected text or a list of text blocks"),
@@ -142,38 +143,38 @@
     }
 }
 
-/// Checks that a field, if there is one, is a number from 0 to `most`.
-fn check_number(fields: &Fields, name: &str, most: f64) -> Result<(), ApiError> {
+/// Checks that a field, if present, is a number from 0 to `max`.
+fn check_number(fields: &Fields, name: &str, max: f64) -> Result<(), ApiError> {
     let Some(value) = fields.get(name).filter(|value| !value.is_null()) else { return Ok(()) };
-    if value.as_f64().is_some_and(|number| (0.0..=most).contains(&number)) {
+    if value.as_f64().is_some_and(|number| (0.0..=max).contains(&number)) {
         Ok(())
     } else {
-        invalid(format!("{name}: {value}: expected a number from 0 to {most}"))
+        invalid(format!("{name}: {value}: expected a number from 0 to {max}"))
     }
 }
 
-fn check_message(at: usize, message: &Value) -> Result<(), ApiError> {
-    let place = format!("messages.{at}");
+fn check_message(index: usize, message: &Value) -> Result<(), ApiError> {
+    let path = format!("messages.{index}");
     match message.get("role").and_then(Value::as_str) {
         Some("user" | "assistant") => {}
-        _ => return invalid(format!("{place}.role: expected 'user' or 'assistant'")),
+        _ => return invalid(format!("{path}.role: expected 'user' or 'assistant'")),
     }
     match message.get("content") {
         Some(Value::String(_)) => Ok(()),
         Some(Value::Array(blocks)) => {
-            let check = |(at, block)| check_block(&format!("{place}.content.{at}"), block);
+            let check = |(index, block)| check_block(&format!("{path}.content.{index}"), block);
             blocks.iter().enumerate().try_for_each(check)
         }
-        _ => invalid(format!("{place}.content: expected text or a list of content blocks")),
+        _ => invalid(format!("{path}.content: expected text or a list of content blocks")),
     }
 }
 
-fn check_block(place: &str, block: &Value) -> Result<(), ApiError> {
+fn check_block(path: &str, block: &Value) -> Result<(), ApiError> {
     match block.get("type").and_then(Value::as_str) {
         Some("text") if !block.get("text").is_some_and(Value::is_string) => {
-            invalid(format!("{place}.text: Field required"))
+            invalid(format!("{path}.text: Field required"))
         }
         Some(_) => Ok(()),
-        None => invalid(format!("{place}.type: Field required")),
+        None => invalid(format!("{path}.type: Field required")),
     }
 }
--- a/crates/protocol/src/sse.rs
+++ b/crates/protocol/src/sse.rs
@@ -1,4 +1,4 @@
-//! Server-sent events, as the HTML standard has them (section 9.2), in and out.
+//! Decodes and encodes server-sent events, as defined by the HTML standard (section 9.2).
 
 /// One event.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -9,33 +9,46 @@
     pub data: String,
 }
 
-/// Reads events from bytes in pieces of any size.
+/// Decodes events from bytes that are split anywhere.
 #[derive(Debug)]
 pub struct Decoder {
+    /// The incomplete line.
     line: Vec<u8>,
+    /// The incomplete event.
     event: Event,
     has_data: bool,
+    /// The last byte was a CR, so that an LF which follows ends no further line.
     after_cr: bool,
-    first: bool,
-    held: usize,
-    most: usize,
+    /// No line has ended yet: the first one may begin with a byte order mark.
+    is_first_line: bool,
+    /// Bytes of the incomplete event, without line ends.
+    event_bytes: usize,
+    max_event_bytes: usize,
 }
 
-/// An event grew over the bound of its decoder.
+/// An event exceeded the limit of its decoder.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TooLong;
 
 impl Decoder {
-    /// A decoder that takes events of at most `most` bytes.
-    pub fn new(most: usize) -> Self {
+    /// Creates a decoder that accepts events of at most `max_event_bytes` bytes.
+    pub fn new(max_event_bytes: usize) -> Self {
         let event = Event::default();
-        Decoder { line: Vec::new(), event, has_data: false, after_cr: false, first: true, held: 0, most }
+        Decoder {
+            line: Vec::new(),
+            event,
+            has_data: false,
+            after_cr: false,
+            is_first_line: true,
+            event_bytes: 0,
+            max_event_bytes,
+        }
     }
 
-    /// Takes bytes and appends the events that they complete.
+    /// Decodes received bytes and appends the events that they complete to `out`.
     ///
     /// # Errors
-    /// An event is longer than the bound.
+    /// An event is longer than the limit.
     pub fn feed(&mut self, bytes: &[u8], out: &mut Vec<Event>) -> Result<(), TooLong> {
         for &b in bytes {
             let after_cr = std::mem::take(&mut self.after_cr);
@@ -46,8 +59,8 @@
                     self.end_line(out);
                 }
                 _ => {
-                    self.held += 1;
-                    if self.held > self.most {
+                    self.event_bytes += 1;
+                    if self.event_bytes > self.max_event_bytes {
                         return Err(TooLong);
                     }
                     self.line.push(b);
@@ -57,19 +70,20 @@
         Ok(())
     }
 
-    /// Whether an event has been begun and not ended: a stream that stops here was cut.
+    /// Whether an event is incomplete: a stream that ends here was truncated.
     pub fn is_inside_event(&self) -> bool {
-        self.held > 0
+        self.event_bytes > 0
     }
 
+    /// Handles a complete line. An empty one ends the event, which counts only if it has data.
     fn end_line(&mut self, out: &mut Vec<Event>) {
         let raw = std::mem::take(&mut self.line);
         let text = String::from_utf8_lossy(&raw);
-        let text = if self.first { text.trim_start_matches('\u{feff}') } else { &text };
-        self.first = false;
+        let text = if self.is_first_line { text.trim_start_matches('\u{feff}') } else { &text };
+        self.is_first_line = false;
         if text.is_empty() {
             let event = std::mem::take(&mut self.event);
-            self.held = 0;
+            self.event_bytes = 0;
             if std::mem::take(&mut self.has_data) {
                 out.push(event);
             }
@@ -90,7 +104,7 @@
     }
 }
 
-/// Writes one event; `name` may be empty. `data` must hold no line ends, as JSON text does not.
+/// Writes one event; `name` may be empty. `data` must not contain line ends; compact JSON text has none.
 pub fn write(name: &str, data: &str, out: &mut Vec<u8>) {
     if !name.is_empty() {
         out.extend_from_slice(b"event: ");
--- a/crates/protocol/tests/codecs.rs
+++ b/crates/protocol/tests/codecs.rs
@@ -1,10 +1,11 @@
-//! Events, messages, the engine's protocol and the list of engines.
+//! Server-sent events, the Messages API, the engine protocol and the list of engines.
 
 use proptest::prelude::*;
 use serde_json::{json, Value};
 use slipreel_protocol::messages::{AnswerBuilder, ApiError, ErrorKind, MessagesRequest, Usage};
 use slipreel_protocol::{endpoints, engine, sse};
 
+/// Decodes events from bytes that are split at `cut`.
 fn events(bytes: &[u8], cut: usize) -> Vec<sse::Event> {
     let mut decoder = sse::Decoder::new(1000);
     let mut out = Vec::new();
@@ -14,14 +15,15 @@
 }
 
 #[test]
-fn events_are_the_same_cut_at_every_byte() {
+fn events_do_not_depend_on_where_the_bytes_are_split() {
     let text = "\u{feff}event: a\r\ndata: été\r\n\r\n: comment\ndata:1\ndata: 2\n\nevent: none\n\ndata\r\rid: 3\ndata: end".as_bytes();
     let whole = events(text, 0);
-    let named: Vec<(&str, &str)> = whole.iter().map(|e| (e.name.as_str(), e.data.as_str())).collect();
+    let names_and_data: Vec<(&str, &str)> =
+        whole.iter().map(|e| (e.name.as_str(), e.data.as_str())).collect();
     assert_eq!(
-        named,
+        names_and_data,
         [("a", "été"), ("", "1\n2"), ("", "")],
-        "one without data is none, one without an end is none"
+        "events without data and events without an end are dropped"
     );
     for cut in 0..text.len() {
         assert_eq!(events(text, cut), whole, "cut at {cut}");
@@ -29,22 +31,22 @@
 }
 
 #[test]
-fn an_event_is_bounded() {
+fn the_length_of_an_event_is_limited() {
     let mut out = Vec::new();
     assert!(sse::Decoder::new(100).feed(&[b'x'; 101], &mut out).is_err());
 }
 
-fn fault(body: &str) -> String {
-    let fault = MessagesRequest::parse(body.as_bytes(), false).expect_err(body);
-    assert_eq!(fault.kind, ErrorKind::InvalidRequest);
-    fault.message
+fn error_message(body: &str) -> String {
+    let error = MessagesRequest::parse(body.as_bytes(), false).expect_err(body);
+    assert_eq!(error.kind, ErrorKind::InvalidRequest);
+    error.message
 }
 
 #[test]
-fn faults_name_the_place() {
+fn errors_name_the_field() {
     let ok = r#"{"model":"m","max_tokens":5,"messages":[{"role":"user","content":"x"}]}"#;
     assert!(MessagesRequest::parse(ok.as_bytes(), false).is_ok());
-    let bad = |from: &str, to: &str| fault(&ok.replace(from, to));
+    let bad = |from: &str, to: &str| error_message(&ok.replace(from, to));
     assert!(bad("\"m\"", "3").starts_with("model:"));
     assert!(bad("5", "0").starts_with("max_tokens: 0"));
     assert!(bad("5", "-1").starts_with("max_tokens: -1"));
@@ -53,12 +55,12 @@
     assert!(bad("\"x\"", "[{\"type\":\"text\"}]").starts_with("messages.0.content.0.text:"));
     assert!(bad("\"max_tokens\":5", "\"max_tokens\":5,\"temperature\":2").starts_with("temperature: 2"));
     assert!(bad("\"max_tokens\":5", "\"max_tokens\":5,\"stream\":1").starts_with("stream: 1"));
-    assert!(fault("[]").starts_with("body:"));
-    assert!(fault(&"[".repeat(100_000)).starts_with("body: not JSON"));
+    assert!(error_message("[]").starts_with("body:"));
+    assert!(error_message(&"[".repeat(100_000)).starts_with("body: not JSON"));
 }
 
 #[test]
-fn a_conversation_becomes_a_chat() {
+fn a_messages_request_becomes_a_chat_completion_request() {
     let body = json!({
     "model": "m", "max_tokens": 9, "stop_sequences": ["END"], "top_k": 4,
     "system": [{"type": "text", "text": "be short", "cache_control": {"type": "ephemeral"}}],
@@ -83,7 +85,7 @@
 }
 
 #[test]
-fn an_answer_keeps_the_order_of_events() {
+fn streamed_events_are_in_the_order_of_the_api() {
     let mut answer = AnswerBuilder::new("msg_1".into(), "m".into(), true);
     let mut out = Vec::new();
     answer.start(Usage::default(), &mut out);
@@ -106,7 +108,7 @@
 }
 
 #[test]
-fn a_whole_answer_holds_the_same() {
+fn a_response_that_is_not_streamed_has_the_same_content() {
     let mut answer = AnswerBuilder::new("msg_1".into(), "m".into(), false);
     let mut out = Vec::new();
     answer.text("a", &mut out);
@@ -127,7 +129,7 @@
 }
 
 #[test]
-fn loads_are_read_as_they_are_published() {
+fn load_reports_are_parsed_in_all_formats() {
     let text = "# HELP x\nvllm:num_requests_running{model_name=\"a}b\",engine=\"0\"} 3.0\n\
                 vllm:num_requests_waiting{model_name=\"m\"} 2 1700000000000\nvllm:kv_cache_usage_perc 0.5\n\
                 process_start_time_seconds 1.7e9\nvllm:other NaN\nbroken\n";
@@ -137,10 +139,10 @@
         (Some(3.0), Some(2.0), Some(0.5), Some(1.7e9))
     );
     assert_eq!(engine::parse_metrics(&engine::write_metrics(&load)), load);
-    let told = engine::Load { started: None, ..load };
-    assert_eq!(engine::parse_orca(&engine::write_orca(&load)), told);
+    let reported = engine::Load { started: None, ..load };
+    assert_eq!(engine::parse_orca(&engine::write_orca(&load)), reported);
     let json = r#"JSON {"named_metrics":{"num_requests_running":3,"num_requests_waiting":2,"kv_cache_usage_perc":0.5}}"#;
-    assert_eq!(engine::parse_orca(json), told);
+    assert_eq!(engine::parse_orca(json), reported);
     assert_eq!(
         engine::parse_orca("TEXT ,,=,named_metrics.num_requests_waiting=inf"),
         engine::Load::default()
@@ -148,7 +150,7 @@
 }
 
 #[test]
-fn a_list_of_engines_is_read_by_its_conditions() {
+fn endpoint_slices_are_parsed_with_their_conditions() {
     let slice = json!({"apiVersion": "discovery.k8s.io/v1", "kind": "EndpointSlice", "addressType": "IPv4",
         "metadata": {"name": "a", "labels": {"slipreel.dev/role": "read", "slipreel.dev/cell": "c1"}},
         "ports": [{"name": "http", "port": 8000}],
@@ -164,9 +166,19 @@
         .contains("box"));
 }
 
+#[test]
+fn errors_of_prefill_responses_keep_their_texts() {
+    for (body, text) in [
+        ("3", "invalid type: integer `3`, expected struct ReadAnswer at line 1 column 1"),
+        ("{\"kv_transfer_params\":3}", "kv_transfer_params: expected an object"),
+    ] {
+        assert_eq!(engine::parse_prefill_response(body.as_bytes()).expect_err(body), text);
+    }
+}
+
 proptest! {
     #[test]
-    fn no_body_makes_it_panic(body in ".{0,120}", counting: bool) {
+    fn arbitrary_bodies_do_not_panic(body in ".{0,120}", counting: bool) {
         let _ = MessagesRequest::parse(body.as_bytes(), counting);
         let _ = engine::parse_prefill_response(body.as_bytes());
         let _ = engine::parse_metrics(&body);
--- a/crates/protocol/tests/http.rs
+++ b/crates/protocol/tests/http.rs
@@ -1,12 +1,12 @@
-//! HTTP/1.1 in pieces of any size, and what has to be refused.
+//! Decoding of HTTP/1.1 that is split anywhere, and rejection of invalid messages.
 
 use proptest::prelude::*;
 use slipreel_protocol::http::*;
 
-type Read = Result<Vec<Item>, Malformed>;
+type DecodeResult = Result<Vec<Item>, Malformed>;
 
-/// All items of bytes that come in pieces cut at these places; body pieces are joined.
-fn read(side: Side, bytes: &[u8], cuts: &[usize]) -> Read {
+/// Decodes all items of bytes that are split at these positions. Pieces of one body are joined.
+fn decode(side: Side, bytes: &[u8], cuts: &[usize]) -> DecodeResult {
     let mut decoder = Decoder::new(side, Limits { head: 400, fields: 10, body: 1000 });
     let mut items: Vec<Item> = Vec::new();
     let mut from = 0;
@@ -35,21 +35,21 @@
 HTTP/1.1 204 None\r\n\r\nHTTP/1.1 503\r\ncontent-length: 2\r\n\r\n{}HTTP/1.0 200 OK\r\n\r\nuntil the end";
 
 #[test]
-fn messages_are_the_same_cut_at_every_byte() {
+fn messages_do_not_depend_on_where_the_bytes_are_split() {
     for (side, bytes) in [(Side::Server, REQUESTS), (Side::Client, RESPONSES)] {
-        let whole = read(side, bytes, &[]).expect("good messages");
+        let whole = decode(side, bytes, &[]).expect("valid messages");
         assert!(whole.iter().filter(|i| **i == Item::End).count() >= 4, "{whole:?}");
         for cut in 0..=bytes.len() {
-            assert_eq!(read(side, bytes, &[cut]).as_ref(), Ok(&whole), "cut at {cut}");
+            assert_eq!(decode(side, bytes, &[cut]).as_ref(), Ok(&whole), "cut at {cut}");
         }
-        let every: Vec<usize> = (0..bytes.len()).collect();
-        assert_eq!(read(side, bytes, &every), Ok(whole));
+        let every_byte: Vec<usize> = (0..bytes.len()).collect();
+        assert_eq!(decode(side, bytes, &every_byte), Ok(whole));
     }
 }
 
 #[test]
-fn smuggling_shapes_are_refused() {
-    let shapes: &[(&str, u16)] = &[
+fn request_smuggling_is_rejected() {
+    let requests: &[(&str, u16)] = &[
         ("GET / HTTP/1.1\r\nhost: a\r\ncontent-length: 1\r\ntransfer-encoding: chunked\r\n\r\n", 400),
         ("GET / HTTP/1.1\r\nhost: a\r\ncontent-length: 1\r\ncontent-length: 1\r\n\r\n", 400),
         ("GET / HTTP/1.1\r\nhost: a\r\ncontent-length: 1, 1\r\n\r\n", 400),
@@ -89,54 +89,54 @@
             400,
         ),
     ];
-    for (shape, status) in shapes {
-        let found = read(Side::Server, shape.as_bytes(), &[]);
-        assert_eq!(found.as_ref().map_err(|m| m.status), Err(*status), "{shape:?}: {found:?}");
+    for (request, status) in requests {
+        let found = decode(Side::Server, request.as_bytes(), &[]);
+        assert_eq!(found.as_ref().map_err(|m| m.status), Err(*status), "{request:?}: {found:?}");
     }
 }
 
 #[test]
-fn heads_are_bounded_before_they_end() {
+fn a_head_over_a_limit_is_rejected_before_it_ends() {
     let mut decoder = Decoder::new(Side::Server, Limits { head: 400, fields: 10, body: 10 });
     decoder.feed(b"GET / HTTP/1.1\r\n");
     decoder.feed(&[b'a'; 400]);
     assert_eq!(decoder.next_item().map_err(|m| m.status), Err(431));
     let many = format!("GET / HTTP/1.1\r\nhost: a\r\n{}\r\n", "a: b\r\n".repeat(10));
-    assert_eq!(read(Side::Server, many.as_bytes(), &[]).map_err(|m| m.status), Err(431));
+    assert_eq!(decode(Side::Server, many.as_bytes(), &[]).map_err(|m| m.status), Err(431));
 }
 
 #[test]
-fn a_body_cut_off_is_an_error_and_not_an_end() {
+fn a_truncated_message_is_an_error() {
     for cut in ["POST / HTTP/1.1\r\nhost: a\r\ncontent-length: 5\r\n\r\nabc", "POST / HTTP/1.1\r\nhost: a"] {
-        assert!(read(Side::Server, cut.as_bytes(), &[]).is_err());
+        assert!(decode(Side::Server, cut.as_bytes(), &[]).is_err());
     }
-    assert!(read(Side::Client, b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n3\r\nabc\r\n", &[])
+    assert!(decode(Side::Client, b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n3\r\nabc\r\n", &[])
         .is_err());
 }
 
 #[test]
-fn what_is_written_can_be_read() {
+fn encoded_messages_can_be_decoded() {
     let fields = [("x", "y\r\nevil: 1")];
     let mut bytes = response_head(529, &fields, Framing::Chunked);
     bytes.extend(chunk(b"one"));
     bytes.extend(chunk(b""));
     bytes.extend_from_slice(LAST_CHUNK);
-    let items = read(Side::Client, &bytes, &[]).expect("what we write");
+    let items = decode(Side::Client, &bytes, &[]).expect("a valid response");
     let [Item::Head(head), Item::Body(body), Item::End] = &items[..] else { panic!("{items:?}") };
     assert_eq!((head.get("x"), head.get("evil"), &body[..]), (Some("yevil: 1"), None, &b"one"[..]));
 }
 
 proptest! {
-    /// Whatever comes, in whatever pieces: no panic, no more items than bytes, and the same as in one piece.
+    /// Arbitrary bytes do not cause a panic, and give the same items however they are split.
     #[test]
-    fn any_bytes_in_any_pieces(bytes in prop::collection::vec(
+    fn arbitrary_bytes_can_be_split_anywhere(bytes in prop::collection::vec(
         prop::sample::select(b"GET / HTP1.\r\n:acontent-length023chunkedtransfer-encoding".to_vec()), 0..200),
         cuts in prop::collection::vec(0usize..200, 0..6))
     {
         let mut cuts: Vec<usize> = cuts.into_iter().filter(|c| *c <= bytes.len()).collect();
         cuts.sort_unstable();
         for side in [Side::Server, Side::Client] {
-            let (whole, pieces) = (read(side, &bytes, &[]), read(side, &bytes, &cuts));
+            let (whole, pieces) = (decode(side, &bytes, &[]), decode(side, &bytes, &cuts));
             prop_assert_eq!(whole.is_ok(), pieces.is_ok());
             if let (Ok(whole), Ok(pieces)) = (whole, pieces) {
                 prop_assert_eq!(whole, pieces);
@@ -144,57 +144,58 @@
         }
     }
 
-    /// Good requests with one byte changed are read or refused, never more than there are.
+    /// Valid requests with one changed byte are decoded or rejected. Four of them never become more than
+    /// five.
     #[test]
-    fn one_byte_changed(at in 0usize..REQUESTS.len(), byte in any::<u8>()) {
+    fn a_changed_byte_adds_at_most_one_request(at in 0usize..REQUESTS.len(), byte in any::<u8>()) {
         let mut bytes = REQUESTS.to_vec();
         bytes[at] = byte;
-        if let Ok(items) = read(Side::Server, &bytes, &[]) {
+        if let Ok(items) = decode(Side::Server, &bytes, &[]) {
             prop_assert!(items.iter().filter(|i| matches!(i, Item::Head(_))).count() <= 5);
         }
     }
 }
 
 #[test]
-fn chunk_extensions_are_skipped_and_bounded() {
+fn chunk_extensions_are_skipped_and_limited() {
     let head = "POST / HTTP/1.1\r\nhost: a\r\ntransfer-encoding: chunked\r\n\r\n";
     for line in ["3;a", "3;a=b", "3 ; a = \"x;\\\"y\";c", "003;a=\"\""] {
         let bytes = format!("{head}{line}\r\nabc\r\n0;last\r\n\r\n");
         for cut in 0..bytes.len() {
             let items =
-                read(Side::Server, bytes.as_bytes(), &[cut]).unwrap_or_else(|e| panic!("{line}: {e}"));
+                decode(Side::Server, bytes.as_bytes(), &[cut]).unwrap_or_else(|e| panic!("{line}: {e}"));
             assert_eq!(items[1..], [Item::Body(b"abc".to_vec()), Item::End], "{line}");
         }
     }
     let long = format!("{head}3;{}\r\nabc\r\n", "x".repeat(300));
-    assert_eq!(read(Side::Server, long.as_bytes(), &[]).map_err(|m| m.status), Err(400));
+    assert_eq!(decode(Side::Server, long.as_bytes(), &[]).map_err(|m| m.status), Err(400));
     let many = format!("{head}{}", format!("1;{}\r\na\r\n", "x".repeat(200)).repeat(3));
     assert_eq!(
-        read(Side::Server, many.as_bytes(), &[]).map_err(|m| m.status),
+        decode(Side::Server, many.as_bytes(), &[]).map_err(|m| m.status),
         Err(400),
-        "over all chunks too"
+        "the limit applies to the extensions of all chunks together"
     );
 }
 
 #[test]
-fn first_bytes_that_begin_no_message_are_refused_at_once() {
-    let feed = |side, bytes: &[u8]| {
+fn first_bytes_that_cannot_begin_a_message_are_rejected_at_once() {
+    let decode_first_bytes = |side, bytes: &[u8]| {
         let mut decoder = Decoder::new(side, Limits::default());
         decoder.feed(bytes);
         decoder.next_item().map_err(|m| m.status)
     };
     for bytes in [&b"\x16\x03\x01\x02"[..], b"\0", b" GET", b"GE\xffT", b"\n", &[b'A'; 40]] {
-        assert_eq!(feed(Side::Server, bytes), Err(400), "{bytes:?}");
+        assert_eq!(decode_first_bytes(Side::Server, bytes), Err(400), "{bytes:?}");
     }
     for bytes in [&b""[..], b"\r", b"\r\n", b"\r\nPO", b"GET", b"GET / HT"] {
-        assert_eq!(feed(Side::Server, bytes), Ok(None), "{bytes:?}");
+        assert_eq!(decode_first_bytes(Side::Server, bytes), Ok(None), "{bytes:?}");
     }
-    assert_eq!(feed(Side::Client, b"SSH-2.0-x"), Err(400));
-    assert_eq!(feed(Side::Client, b"HTT"), Ok(None));
+    assert_eq!(decode_first_bytes(Side::Client, b"SSH-2.0-x"), Err(400));
+    assert_eq!(decode_first_bytes(Side::Client, b"HTT"), Ok(None));
 }
 
 #[test]
-fn the_path_is_that_of_either_form() {
+fn paths_are_parsed_in_origin_and_absolute_form() {
     for (target, path) in [
         ("/v1/messages?beta=true", Some("/v1/messages")),
         ("http://a:8080/v1/messages?x", Some("/v1/messages")),
