--- a/crates/connections/src/pool.rs
+++ b/crates/connections/src/pool.rs
@@ -13,7 +13,7 @@
 /// The purpose of an exchange.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Purpose {
-    /// A request.
+    /// Sends a request.
     Attempt,
     /// Queries load or health.
     Probe,
@@ -51,9 +51,9 @@
 
 impl Pool {
     /// Reserves a connection for an exchange. A probe or release may exceed `max_open` by one, so that an
-    /// engine can still be probed when all its connections hang. Of the idle connections, the last used one
-    /// that has been idle since `idle_by` is taken: if an engine closes connections after a response, that is
-    /// detected only a moment later.
+    /// engine can still be probed when all its connections hang. Of the connections that became idle at
+    /// `idle_by` or before, the last used one is taken: if an engine closes connections after a response,
+    /// that is detected only a moment later.
     pub fn reserve(
         &mut self, engine: EngineId, max_open: usize, purpose: Purpose, idle_by: Duration,
     ) -> Slot {
--- a/crates/connections/src/releases.rs
+++ b/crates/connections/src/releases.rs
@@ -249,7 +249,8 @@
 }
 
 impl Release {
-    /// Whether it has to be sent: it is not in flight, or was last sent at `sent_by` or before.
+    /// Whether it has to be sent: it does not wait for its repeat, and is not in flight or was sent at
+    /// `sent_by` or before.
     fn is_waiting(&self, sent_by: Option<Duration>) -> bool {
         let is_stale = |sent: Duration| sent_by.is_some_and(|sent_by| sent <= sent_by);
         self.repeat_at.is_none() && self.sent.is_none_or(is_stale)
--- a/crates/connections/src/timer_wheel.rs
+++ b/crates/connections/src/timer_wheel.rs
@@ -1,8 +1,7 @@
 //! Timers: a hierarchical wheel (Varghese and Lauck, 1987) of 1 ms ticks, six levels of 64 slots.
 //!
-//! Setting, cancelling and firing a timer takes constant time, whatever the number of timers. Timers that are
-//! due in the same tick fire in the order in which they were set, so that the same inputs give the same
-//! outputs.
+//! Setting, cancelling and firing a timer costs the same whatever the number of timers. Timers that are due
+//! in the same tick fire in the order in which they were set, so that the same inputs give the same outputs.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -95,7 +94,7 @@
 
     /// Cancels a timer. Returns its item if it has not fired.
     pub fn cancel(&mut self, key: TimerKey) -> Option<T> {
-        // The index stays in its slot and is freed when the slot is opened.
+        // The index stays in its slot and is freed when the slot expires.
         let entry =
             self.entries.get_mut(key.index as usize).filter(|entry| entry.sequence == key.sequence)?;
         let item = entry.item.take()?;
@@ -112,7 +111,7 @@
         if !self.due.is_empty() {
             return Some(Duration::from_millis(self.now));
         }
-        self.next_slot().map(|(at, _)| Duration::from_millis(at))
+        self.next_slot().map(|(tick, _)| Duration::from_millis(tick))
     }
 
     /// Removes the next timer that is due at `now`, earliest first, and returns its item.
@@ -127,9 +126,9 @@
             }
             let target = now.as_millis() as u64;
             match self.next_slot() {
-                Some((at, slot)) if at <= target => {
-                    self.now = at;
-                    self.open(slot);
+                Some((tick, slot)) if tick <= target => {
+                    self.now = tick;
+                    self.expire_slot(slot);
                 }
                 _ => {
                     self.now = self.now.max(target);
@@ -154,7 +153,7 @@
         self.occupied[level as usize] |= 1 << slot;
     }
 
-    /// The tick at which the first slot that is not empty has to be opened, and the slot.
+    /// The tick at which the first slot that is not empty expires, and the slot.
     fn next_slot(&self) -> Option<(u64, usize)> {
         (0..LEVELS).find_map(|level| {
             let shift = BITS_PER_LEVEL * level as u32;
@@ -165,8 +164,8 @@
         })
     }
 
-    /// Moves the entries of a slot whose tick has come to lower levels or to the due ones.
-    fn open(&mut self, slot: usize) {
+    /// Moves the entries of an expired slot to lower levels or to the due ones.
+    fn expire_slot(&mut self, slot: usize) {
         self.occupied[slot / SLOTS_PER_LEVEL] &= !(1 << (slot % SLOTS_PER_LEVEL));
         let mut indices = std::mem::take(&mut self.slots[slot]);
         indices.sort_unstable_by_key(|&index| self.entries[index as usize].sequence);
--- a/crates/protocol/src/engine.rs
+++ b/crates/protocol/src/engine.rs
@@ -67,7 +67,7 @@
 
 /// The response to a prefill request.
 #[derive(Debug, Deserialize)]
-// Parse errors, which are logged, keep the earlier name of this type.
+// The texts of parse errors keep the earlier name of this type.
 #[serde(expecting = "struct ReadAnswer")]
 pub struct PrefillResponse {
     /// Names the prefilled state and the engine that holds it; passed on to the decode engine.
--- a/crates/protocol/src/membership.rs
+++ b/crates/protocol/src/membership.rs
@@ -19,8 +19,7 @@
 /// Bytes before the checksummed content: magic, version and checksum.
 const PREFIX_LEN: usize = 9;
 
-/// What one incarnation of a member (a process, from its start to its end) announces
-/// about itself.
+/// What one incarnation of a member (a process, from its start to its end) announces about itself.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemberRecord {
     /// The member's name.
--- a/crates/protocol/tests/codecs.rs
+++ b/crates/protocol/tests/codecs.rs
@@ -17,16 +17,16 @@
 #[test]
 fn events_do_not_depend_on_where_the_bytes_are_split() {
     let text = "\u{feff}event: a\r\ndata: été\r\n\r\n: comment\ndata:1\ndata: 2\n\nevent: none\n\ndata\r\rid: 3\ndata: end".as_bytes();
-    let whole = events(text, 0);
+    let unsplit = events(text, 0);
     let names_and_data: Vec<(&str, &str)> =
-        whole.iter().map(|e| (e.name.as_str(), e.data.as_str())).collect();
+        unsplit.iter().map(|e| (e.name.as_str(), e.data.as_str())).collect();
     assert_eq!(
         names_and_data,
         [("a", "été"), ("", "1\n2"), ("", "")],
         "events without data and events without an end are dropped"
     );
     for cut in 0..text.len() {
-        assert_eq!(events(text, cut), whole, "cut at {cut}");
+        assert_eq!(events(text, cut), unsplit, "cut at {cut}");
     }
 }
 
@@ -117,9 +117,12 @@
     answer.tool_json("{\"x\":1}", &mut out);
     assert!(out.is_empty(), "nothing is written before the end");
     answer.finish("tool_use", None, Usage::default(), &mut out);
-    let whole: Value = serde_json::from_slice(&out).expect("JSON");
-    assert_eq!(whole["content"][0], json!({"type": "text", "text": "ab"}));
-    assert_eq!(whole["content"][1], json!({"type": "tool_use", "id": "t", "name": "f", "input": {"x": 1}}));
+    let response: Value = serde_json::from_slice(&out).expect("JSON");
+    assert_eq!(response["content"][0], json!({"type": "text", "text": "ab"}));
+    assert_eq!(
+        response["content"][1],
+        json!({"type": "tool_use", "id": "t", "name": "f", "input": {"x": 1}})
+    );
     let error: Value =
         serde_json::from_str(&ApiError::new(ErrorKind::Overloaded, "no").body("req_1")).expect("JSON");
     assert_eq!(
--- a/crates/protocol/tests/http.rs
+++ b/crates/protocol/tests/http.rs
@@ -37,13 +37,13 @@
 #[test]
 fn messages_do_not_depend_on_where_the_bytes_are_split() {
     for (side, bytes) in [(Side::Server, REQUESTS), (Side::Client, RESPONSES)] {
-        let whole = decode(side, bytes, &[]).expect("valid messages");
-        assert!(whole.iter().filter(|i| **i == Item::End).count() >= 4, "{whole:?}");
+        let unsplit = decode(side, bytes, &[]).expect("valid messages");
+        assert!(unsplit.iter().filter(|i| **i == Item::End).count() >= 4, "{unsplit:?}");
         for cut in 0..=bytes.len() {
-            assert_eq!(decode(side, bytes, &[cut]).as_ref(), Ok(&whole), "cut at {cut}");
+            assert_eq!(decode(side, bytes, &[cut]).as_ref(), Ok(&unsplit), "cut at {cut}");
         }
         let every_byte: Vec<usize> = (0..bytes.len()).collect();
-        assert_eq!(decode(side, bytes, &every_byte), Ok(whole));
+        assert_eq!(decode(side, bytes, &every_byte), Ok(unsplit));
     }
 }
 
@@ -136,10 +136,10 @@
         let mut cuts: Vec<usize> = cuts.into_iter().filter(|c| *c <= bytes.len()).collect();
         cuts.sort_unstable();
         for side in [Side::Server, Side::Client] {
-            let (whole, pieces) = (decode(side, &bytes, &[]), decode(side, &bytes, &cuts));
-            prop_assert_eq!(whole.is_ok(), pieces.is_ok());
-            if let (Ok(whole), Ok(pieces)) = (whole, pieces) {
-                prop_assert_eq!(whole, pieces);
+            let (unsplit, split) = (decode(side, &bytes, &[]), decode(side, &bytes, &cuts));
+            prop_assert_eq!(unsplit.is_ok(), split.is_ok());
+            if let (Ok(unsplit), Ok(split)) = (unsplit, split) {
+                prop_assert_eq!(unsplit, split);
             }
         }
     }
