--- a/crates/platform/tests/common/cluster.rs
+++ b/crates/platform/tests/common/cluster.rs
@@ -2,12 +2,12 @@
 
 use super::actor::Actor;
 use super::{config, ms};
-use slipreel_invariants::terms::{judge, Break, Seen, Terms};
+use slipreel_invariants::terms::{judge, Seen, Terms, Violation};
 use slipreel_platform::{Config, PlatformRouter};
 use slipreel_state_machine::{ConnId, Input, Machine, Output};
 use slipreel_test_servers::memory::{Delays, World};
 use slipreel_test_servers::platform::{
-    look, Clients, Discovery, Ending, Engine, Faults, Listing, Mood, Shared,
+    lock_shared, Clients, Discovery, DiscoveryMode, Ending, EndpointChanges, Engine, Faults, Shared,
 };
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
@@ -261,7 +261,7 @@
         let [high, low] = number.to_be_bytes();
         let agent = SocketAddr::from(([127, 9, high, low], 8500));
         let listen = SocketAddr::from(([127, 2, high, low], 5000));
-        let discovery = Discovery::new(&Listing(entries.to_vec())).beside(&name, &self.shared);
+        let discovery = Discovery::new(&EndpointChanges(entries.to_vec())).for_router(&name, &self.shared);
         let text = config(&agent.to_string(), &discovery.whole(), 512)
             .replace("127.0.0.2:5000", &listen.to_string())
             .replace("\"balancers\":1", &format!("\"balancers\":{}", layout.routers))
@@ -274,7 +274,7 @@
         let seed = layout.seed * 77 + u64::from(number);
         let classes = ["chat", "once"];
         let clients = Clients::new(listen, &classes, layout.every, layout.requests, START + ms(50), seed);
-        let clients = clients.noting(&self.shared, layout.leaving);
+        let clients = clients.recording_in(&self.shared, layout.leaving);
         self.clients.push(self.world.add(Actor::Clients(Box::new(clients)), &[]));
     }
 
@@ -284,10 +284,10 @@
     }
 
     /// Sets the mood of all agents.
-    pub fn set_mood(&mut self, mood: Mood) {
-        look(&self.shared).see(self.world.now(), Seen::Reachable(mood == Mood::Fine));
+    pub fn set_mood(&mut self, mood: DiscoveryMode) {
+        lock_shared(&self.shared).see(self.world.now(), Seen::Reachable(mood == DiscoveryMode::Healthy));
         for &agent in &self.agents {
-            self.world.news(agent, &mood);
+            self.world.send_owner_message(agent, &mood);
         }
     }
 
@@ -295,10 +295,10 @@
     pub fn set_status(&mut self, engine: &str, status: &str) {
         let (is_prefill, port, _) = self.engines[engine];
         let (closed, name) = (status != "Ready", engine.to_owned());
-        look(&self.shared).see(self.world.now(), Seen::Has { engine: name.clone(), closed });
-        let change = Listing(vec![(name, entry(engine, is_prefill, port, status, Duration::ZERO))]);
+        lock_shared(&self.shared).see(self.world.now(), Seen::EngineListed { engine: name.clone(), closed });
+        let change = EndpointChanges(vec![(name, entry(engine, is_prefill, port, status, Duration::ZERO))]);
         for &agent in &self.agents {
-            self.world.news(agent, &change);
+            self.world.send_owner_message(agent, &change);
         }
     }
 
@@ -311,21 +311,27 @@
     /// Stops all routers.
     pub fn stop(&mut self) {
         for listen in &self.listens {
-            look(&self.shared).see(self.world.now(), Seen::Ending { router: listen.to_string() });
+            lock_shared(&self.shared)
+                .see(self.world.now(), Seen::RouterEnding { router: listen.to_string() });
         }
         for &router in &self.routers.clone() {
             self.world.stop(router);
         }
     }
 
-    pub fn breaks(&self, terms: &Terms) -> Vec<Break> {
-        judge(&look(&self.shared).facts, terms, self.world.now())
+    pub fn breaks(&self, terms: &Terms) -> Vec<Violation> {
+        judge(&lock_shared(&self.shared).facts, terms, self.world.now())
     }
 
     /// Attempts that reached an engine from `since` on.
     pub fn attempts_at(&self, engine: &str, since: Duration) -> usize {
-        let is_attempt = |seen: &Seen| matches!(seen, Seen::Begun { engine: to, .. } if to == engine);
-        look(&self.shared).facts.iter().filter(|fact| fact.at >= since && is_attempt(&fact.seen)).count()
+        let is_attempt =
+            |seen: &Seen| matches!(seen, Seen::AttemptArrived { engine: to, .. } if to == engine);
+        lock_shared(&self.shared)
+            .facts
+            .iter()
+            .filter(|fact| fact.at >= since && is_attempt(&fact.seen))
+            .count()
     }
 
     /// When any router opened a watch at discovery.
@@ -350,8 +356,8 @@
 
     /// Whether neither engines nor clients saw anything invalid.
     pub fn is_clean(&self) -> bool {
-        let fabric = look(&self.shared);
+        let fabric = lock_shared(&self.shared);
         let odd = |&at: &usize| matches!(self.world.machine(at), Actor::Clients(clients) if !clients.odd.is_empty());
-        fabric.broken.is_empty() && fabric.twice.is_empty() && !self.clients.iter().any(odd)
+        fabric.broken.is_empty() && fabric.overlapping.is_empty() && !self.clients.iter().any(odd)
     }
 }
--- a/crates/scenario/src/report.rs
+++ b/crates/scenario/src/report.rs
@@ -2,8 +2,8 @@
 
 use crate::fleet::Day;
 use crate::stage::Played;
-use slipreel_invariants::{Effect, Ending, Figures, RULES};
-use slipreel_test_servers::client::Result as TryResult;
+use slipreel_invariants::{Effect, Ending, Limits, RULES};
+use slipreel_test_servers::client::AttemptResult;
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 use std::time::Duration;
@@ -14,11 +14,11 @@
 const DRAIN_GRACE: Duration = Duration::from_millis(2_000);
 
 /// The figures of the rules for a day.
-pub fn figures_of(day: &Day) -> Figures {
-    Figures {
+pub fn figures_of(day: &Day) -> Limits {
+    Limits {
         answer_slack: WIRE,
         drain_grace: DRAIN_GRACE,
-        let_go: day.site.decisions.held_state_limit,
+        held_state_limit: day.site.decisions.held_state_limit,
         wire: WIRE,
     }
 }
@@ -45,7 +45,7 @@
 }
 
 impl Group {
-    fn count(&mut self, result: &TryResult) {
+    fn count(&mut self, result: &AttemptResult) {
         self.asked += 1;
         match result.ending {
             Some(Ending::Served) => self.served += 1,
@@ -110,7 +110,7 @@
 }
 
 impl Thirds {
-    fn of(results: &[TryResult]) -> Thirds {
+    fn of(results: &[AttemptResult]) -> Thirds {
         let first = results.iter().map(|result| result.due).min().unwrap_or_default();
         let last = results.iter().map(|result| result.due).max().unwrap_or_default();
         Thirds { first, length: last - first }
@@ -129,14 +129,14 @@
 }
 
 /// Groups requests by a name, each by its last try.
-fn group_by(results: &[TryResult], name: impl Fn(&TryResult) -> String) -> Groups {
+fn group_by(results: &[AttemptResult], name: impl Fn(&AttemptResult) -> String) -> Groups {
     let last_tries: BTreeMap<u64, u32> =
-        results.iter().map(|result| (result.what.request, result.what.number)).collect();
+        results.iter().map(|result| (result.attempt.request, result.attempt.number)).collect();
     let mut groups = Groups::new();
     for result in results {
         let group = groups.entry(name(result)).or_default();
         group.tries += 1;
-        if last_tries.get(&result.what.request) == Some(&result.what.number) {
+        if last_tries.get(&result.attempt.request) == Some(&result.attempt.number) {
             group.count(result);
         }
     }
@@ -149,11 +149,11 @@
         let results = &played.results;
         let thirds = Thirds::of(results);
         let faults =
-            played.results.iter().filter_map(|r| r.fault.as_ref().map(|f| format!("{:?}: {f}", r.what)));
+            played.results.iter().filter_map(|r| r.fault.as_ref().map(|f| format!("{:?}: {f}", r.attempt)));
         let sum = |f: fn(&slipreel_gateway::Counters) -> u64| played.tallies.iter().map(f).sum::<u64>();
         let rules = RULES.iter().map(|rule| {
             let broke: Vec<_> = played.breaks.iter().filter(|b| b.rule == *rule).collect();
-            (rule.to_string(), broke.len(), broke.first().map(|b| format!("{:?}: {}", b.at, b.what)))
+            (rule.to_string(), broke.len(), broke.first().map(|b| format!("{:?}: {}", b.at, b.description)))
         });
         Report {
             models: group_by(results, |result| result.model.clone()),
