--- a/crates/settings/src/site.rs
+++ b/crates/settings/src/site.rs
@@ -7,7 +7,8 @@
     Class, DeduplicationScope, EngineState, Idempotency, Limits, ReportSource, Role, Settings, Tenant, ZoneId,
 };
 use slipreel_gateway::settings::{
-    starting_class, starting_settings, Bounds, ClassSettings, EngineSettings, GatewaySettings, ModelSettings,
+    class_defaults, default_decision_settings, Bounds, ClassSettings, EngineSettings, GatewaySettings,
+    ModelSettings,
 };
 use slipreel_gateway::settings::{TenantSettings, KINDS};
 use std::net::SocketAddr;
@@ -136,7 +137,7 @@
         tenants: tenant_sites,
         engines,
         bounds,
-        taken_out,
+        drained_engines: taken_out,
         roles_frozen: read_roles_frozen(doc),
         zone: doc.or(router, "zone", Name("default".into())).0,
         name: doc.or(router, "name", Name("slipreel".into())).0,
@@ -165,7 +166,7 @@
     doc: &mut Doc, router: Option<usize>, routers: u32, classes: Vec<Class>, tenants: Vec<Tenant>,
 ) -> Settings {
     let at = doc.one("limits");
-    let start = starting_settings();
+    let start = default_decision_settings();
     let cold_share = doc.or(at, "cold_share", start.warmup_initial_share);
     if let Some(at) = at.filter(|_| cold_share > 1.0) {
         doc.say(at, "cold_share", format!("{cold_share}: expected a share from 0 to 1"));
@@ -221,12 +222,12 @@
 }
 
 fn read_classes(doc: &mut Doc) -> Vec<(Class, ClassSettings)> {
-    let start = starting_class();
+    let start = class_defaults();
     let mut classes = Vec::new();
     for at in doc.all("class") {
         let name = named(doc, at);
         let group = doc.or(Some(at), "group", DeduplicationScope::All);
-        let window = doc.or(Some(at), "window", start.window);
+        let window = doc.or(Some(at), "window", start.deduplication_window);
         let word = doc.text(at, "effect").unwrap_or_else(|| "safe".into());
         let effect = match word.as_str() {
             "safe" => Idempotency::Idempotent,
@@ -237,19 +238,23 @@
                 Idempotency::NotIdempotent
             }
         };
-        let aim = doc.or(Some(at), "aim", start.aim);
-        let patience = doc.or(Some(at), "patience", start.patience);
+        let aim = doc.or(Some(at), "aim", start.latency_objective);
+        let patience = doc.or(Some(at), "patience", start.client_timeout);
         if patience <= aim {
             doc.say(at, "patience", format!("{patience:?}: expected more than the aim, {aim:?}"));
         }
         let class = Class {
             latency_objective: aim,
-            latency_objective_per_1000_tokens: doc.or(Some(at), "aim_per_1000", start.aim_per_1000),
+            latency_objective_per_1000_tokens: doc.or(
+                Some(at),
+                "aim_per_1000",
+                start.latency_objective_per_1000_tokens,
+            ),
             priority_weight: doc.or(Some(at), "worth", 1.0),
             idempotency: effect,
             streams: true,
         };
-        classes.push((class, ClassSettings { name, patience }));
+        classes.push((class, ClassSettings { name, client_timeout: patience }));
     }
     if classes.is_empty() {
         doc.say_file("expected at least one section [class NAME]");
