--- a/crates/gateway/src/client_connections.rs
+++ b/crates/gateway/src/client_connections.rs
@@ -2,25 +2,25 @@
 
 use crate::settings::Bounds;
 use crate::timer::{Timer, Timers};
-use slipreel_connections::{Client, ConnectionMap, State};
+use slipreel_connections::{ClientConnection, ClientState, ConnectionMap};
 use slipreel_state_machine::ConnId;
 use std::time::Duration;
 
 /// The client connections with their timers.
 #[derive(Default)]
-pub(crate) struct ClientConnections(ConnectionMap<Client>);
+pub(crate) struct ClientConnections(ConnectionMap<ClientConnection>);
 
 impl ClientConnections {
     /// Adds a connection that was just accepted.
-    pub(crate) fn insert(&mut self, client: Client) {
+    pub(crate) fn insert(&mut self, client: ClientConnection) {
         self.0.insert(client.conn, client);
     }
 
-    pub(crate) fn get(&self, conn: ConnId) -> Option<&Client> {
+    pub(crate) fn get(&self, conn: ConnId) -> Option<&ClientConnection> {
         self.0.get(conn)
     }
 
-    pub(crate) fn get_mut(&mut self, conn: ConnId) -> Option<&mut Client> {
+    pub(crate) fn get_mut(&mut self, conn: ConnId) -> Option<&mut ClientConnection> {
         self.0.get_mut(conn)
     }
 
@@ -47,9 +47,9 @@
         let client = self.get(conn)?;
         let stalled = (client.unsent > 0).then(|| client.last_sent_at + bounds.stalled_peer);
         let by_state = match client.state {
-            State::Idle => Some(client.since + bounds.client_idle),
-            State::Receiving => Some(client.since + bounds.receive),
-            State::Serving(_) => None,
+            ClientState::Idle => Some(client.since + bounds.client_idle),
+            ClientState::Receiving => Some(client.since + bounds.receive),
+            ClientState::Serving(_) => None,
         };
         by_state.into_iter().chain(stalled).min()
     }
--- a/crates/gateway/src/engine_connection.rs
+++ b/crates/gateway/src/engine_connection.rs
@@ -190,7 +190,7 @@
                     return;
                 }
                 if let Some(report) = head.get("endpoint-load-metrics") {
-                    out.push(EngineEvent::LoadReport(engine::orca(report)));
+                    out.push(EngineEvent::LoadReport(engine::parse_orca(report)));
                 }
                 self.reusable = head.keep_alive;
                 let is_event_stream = head
@@ -215,7 +215,7 @@
                     let body = std::mem::take(&mut self.buffered);
                     out.push(self.parse_complete_body(status, &body));
                 }
-                ResponseBody::Stream if self.events.inside() => {
+                ResponseBody::Stream if self.events.is_inside_event() => {
                     out.push(EngineEvent::Failed("a stream that ends in an event".into()));
                 }
                 ResponseBody::Stream => out.push(EngineEvent::Completed),
@@ -246,15 +246,17 @@
     /// The event of an answer that has been received completely.
     fn parse_complete_body(&self, status: u16, body: &[u8]) -> EngineEvent {
         match (status, self.purpose) {
-            (200, ConnectionPurpose::Attempt { is_prefill: true, .. }) => match engine::read_answer(body) {
-                Ok(answer) => EngineEvent::Prefilled {
-                    transfer: answer.kv_transfer_params,
-                    usage: answer.usage.unwrap_or_default(),
-                },
-                Err(error) => EngineEvent::Failed(error),
-            },
+            (200, ConnectionPurpose::Attempt { is_prefill: true, .. }) => {
+                match engine::parse_prefill_response(body) {
+                    Ok(answer) => EngineEvent::Prefilled {
+                        transfer: answer.kv_transfer_params,
+                        usage: answer.usage.unwrap_or_default(),
+                    },
+                    Err(error) => EngineEvent::Failed(error),
+                }
+            }
             (200, ConnectionPurpose::Probe) => {
-                EngineEvent::Metrics(engine::metrics(&String::from_utf8_lossy(body)))
+                EngineEvent::Metrics(engine::parse_metrics(&String::from_utf8_lossy(body)))
             }
             (200, ConnectionPurpose::Release(_)) => EngineEvent::Completed,
             (200, ConnectionPurpose::Attempt { .. }) => {
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -8,7 +8,7 @@
 use crate::request::{ActiveRequest, NewRequest, POLICY_FIELD};
 use serde_json::json;
 use slipreel::{Event, Outcome, RequestId};
-use slipreel_connections::{Received, State};
+use slipreel_connections::{ClientState, ReceivedRequest};
 use slipreel_protocol::http::Malformed;
 use slipreel_protocol::messages::{ApiError, ErrorKind, MessagesRequest};
 use slipreel_state_machine::{ConnId, ListenerId, Output};
@@ -104,7 +104,7 @@
     }
 
     /// Routes a request by its listener, method and path.
-    fn route(&mut self, conn: ConnId, received: &Received, out: &mut Vec<Output>) {
+    fn route(&mut self, conn: ConnId, received: &ReceivedRequest, out: &mut Vec<Output>) {
         let (method, path) = (received.method(), received.path());
         if self.clients.get(conn).is_some_and(|client| client.listener == OPERATOR_LISTENER) {
             return self.handle_operator_request(conn, received, out);
@@ -149,7 +149,7 @@
 
     /// Answers with the list of models, or with one of them by name.
     fn answer_models(
-        &mut self, conn: ConnId, received: &Received, requested: Option<&str>, out: &mut Vec<Output>,
+        &mut self, conn: ConnId, received: &ReceivedRequest, requested: Option<&str>, out: &mut Vec<Output>,
     ) -> Result<(), ApiError> {
         classify::caller(&self.settings, &received.head)?;
         let model = |name: &str| json!({"type": "model", "id": name, "display_name": name, "created_at": "1970-01-01T00:00:00Z"});
@@ -169,7 +169,7 @@
 
     /// Answers with the estimated number of prompt tokens.
     fn count_tokens(
-        &mut self, conn: ConnId, received: &Received, out: &mut Vec<Output>,
+        &mut self, conn: ConnId, received: &ReceivedRequest, out: &mut Vec<Output>,
     ) -> Result<(), ApiError> {
         classify::caller(&self.settings, &received.head)?;
         let messages_request = MessagesRequest::parse(&received.body, true)?;
@@ -186,7 +186,7 @@
     /// Handles a message request: passes it to the decision module if it is valid and within the gateway's
     /// limits.
     fn handle_messages_request(
-        &mut self, conn: ConnId, received: &Received, out: &mut Vec<Output>,
+        &mut self, conn: ConnId, received: &ReceivedRequest, out: &mut Vec<Output>,
     ) -> Result<(), ApiError> {
         let caller = classify::caller(&self.settings, &received.head)?;
         let mut messages_request = MessagesRequest::parse(&received.body, false)?;
@@ -208,7 +208,7 @@
         let (id, request_id) = self.requests.next_id();
         let generation = self.decision_modules.generation();
         if let Some(client) = self.clients.get_mut(conn) {
-            client.state = State::Serving(Some(id.0));
+            client.state = ClientState::Serving(Some(id.0));
         }
         let new_request = NewRequest {
             id,
@@ -265,7 +265,7 @@
         let Some(client) = self.clients.get_mut(conn) else { return };
         client.is_closed_by_peer = true;
         match client.state {
-            State::Serving(_) if half_close => {}
+            ClientState::Serving(_) if half_close => {}
             // The client is between requests, or its request will never be complete, or half-closed clients get
             // no answer.
             _ => {
@@ -280,7 +280,7 @@
         let Some(client) = self.clients.get(conn) else { return };
         let state = client.state;
         self.clients.remove(conn, &mut self.timers);
-        let State::Serving(Some(id)) = state else { return };
+        let ClientState::Serving(Some(id)) = state else { return };
         let id = RequestId(id);
         let Some(request) = self.requests.get_open_mut(id) else { return };
         request.is_closed = true;
@@ -302,7 +302,7 @@
         let Some(client) = self.clients.get_mut(conn) else { return };
         client.unsent = client.unsent.saturating_sub(sent_bytes);
         client.last_sent_at = now;
-        if let State::Serving(Some(id)) = client.state {
+        if let ClientState::Serving(Some(id)) = client.state {
             self.apply_backpressure(RequestId(id), out);
         }
     }
@@ -311,12 +311,12 @@
     pub(crate) fn client_timed_out(&mut self, conn: ConnId, out: &mut Vec<Output>) {
         let Some(client) = self.clients.get(conn) else { return };
         match client.state {
-            State::Receiving if client.unsent == 0 => {
+            ClientState::Receiving if client.unsent == 0 => {
                 let malformed =
                     Malformed { status: 408, why: "the request did not come in whole in time".into() };
                 self.reject_malformed(conn, &malformed, out);
             }
-            State::Idle if client.unsent == 0 => {
+            ClientState::Idle if client.unsent == 0 => {
                 out.push(Output::CloseWhenSent(conn));
                 self.clients.remove(conn, &mut self.timers);
             }
