--- a/crates/gateway/src/operators.rs
+++ b/crates/gateway/src/operators.rs
@@ -4,7 +4,7 @@
 use crate::gateway::Gateway;
 use crate::metrics;
 use serde_json::json;
-use slipreel_connections::Received;
+use slipreel_connections::ReceivedRequest;
 use slipreel_protocol::messages::{ApiError, ErrorKind};
 use slipreel_state_machine::{ConnId, Output};
 
@@ -50,7 +50,7 @@
 
     /// Handles a request on the operators' port.
     pub(crate) fn handle_operator_request(
-        &mut self, conn: ConnId, received: &Received, out: &mut Vec<Output>,
+        &mut self, conn: ConnId, received: &ReceivedRequest, out: &mut Vec<Output>,
     ) {
         let (method, path) = (received.method(), received.path());
         match (method, path) {
--- a/crates/gateway/tests/connections.rs
+++ b/crates/gateway/tests/connections.rs
@@ -464,7 +464,7 @@
 fn a_reused_connection_on_which_an_attempt_is_rejected_is_closed() {
     let (mut driver, decode_conn, _) = run_until_second_decode(slipreel::Idempotency::Idempotent);
     let error_body = r#"{"error":{"type":"overloaded_error","message":"full"}}"#;
-    let error_body = error_body.replace("overloaded_error", slipreel_protocol::engine::FULL);
+    let error_body = error_body.replace("overloaded_error", slipreel_protocol::engine::ENGINE_FULL);
     let answer = format!("HTTP/1.1 503 Busy\r\ncontent-length: {}\r\n\r\n{error_body}", error_body.len());
     let out = driver.handle(Input::Data(decode_conn, answer.as_bytes()));
     assert!(out.contains(&Output::Abort(decode_conn)), "the attempt may still run there: {out:?}");
--- a/crates/platform/src/clients.rs
+++ b/crates/platform/src/clients.rs
@@ -8,7 +8,7 @@
 use crate::resource_limits::MAX_HEAD_BYTES;
 use crate::router::PlatformRouter;
 use slipreel::{Event, Idempotency, Outcome, RequestId};
-use slipreel_connections::{Client, Received, State};
+use slipreel_connections::{ClientConnection, ClientState, ReceivedRequest};
 use slipreel_protocol::http::{self, Limits};
 use slipreel_state_machine::{ConnId, Output};
 use std::time::Duration;
@@ -29,8 +29,13 @@
             return out.push(Output::Abort(conn));
         }
         let limits = Limits { head: MAX_HEAD_BYTES, body: MAX_REQUEST_BODY_BYTES, ..Limits::default() };
-        let mut client =
-            Client::new(conn, slipreel_state_machine::ListenerId(0), self.now, limits, MAX_PIPELINED_BYTES);
+        let mut client = ClientConnection::new(
+            conn,
+            slipreel_state_machine::ListenerId(0),
+            self.now,
+            limits,
+            MAX_PIPELINED_BYTES,
+        );
         if self.shutdown.has_begun() {
             client.close_after_answer();
         }
@@ -43,7 +48,7 @@
     pub(crate) fn evict(&mut self, out: &mut Vec<Output>) -> bool {
         let Some(conn) = self.clients.eviction_candidate(self.now) else { return false };
         let Some(client) = self.clients.get_mut(conn) else { return false };
-        if client.state == State::Receiving {
+        if client.state == ClientState::Receiving {
             // The rest of its request may be in transit, so the request is answered before the connection is
             // closed.
             client.close_after_answer();
@@ -91,7 +96,7 @@
     }
 
     /// Answers requests to the router itself and admits all others.
-    fn route(&mut self, conn: ConnId, received: Received, out: &mut Vec<Output>) {
+    fn route(&mut self, conn: ConnId, received: ReceivedRequest, out: &mut Vec<Output>) {
         match (received.method(), received.path()) {
             ("GET", "/-/ready") => {
                 let status = if self.endpoints.has_list() { 200 } else { 503 };
@@ -103,7 +108,7 @@
     }
 
     /// Admits a request, or rejects it without involving the decision module.
-    fn admit(&mut self, conn: ConnId, received: Received, out: &mut Vec<Output>) {
+    fn admit(&mut self, conn: ConnId, received: ReceivedRequest, out: &mut Vec<Output>) {
         match self.check_admissible(&received) {
             Ok(parsed) => self.start_request(conn, parsed, received),
             Err(error) => {
@@ -115,7 +120,7 @@
     }
 
     /// Parses a request and checks whether this router may take it now.
-    fn check_admissible(&mut self, received: &Received) -> Result<ParsedRequest, RequestError> {
+    fn check_admissible(&mut self, received: &ReceivedRequest) -> Result<ParsedRequest, RequestError> {
         let parsed = parse_request::parse(&self.profile, received)?;
         if self.shutdown.is_past_deadline(self.now) {
             return Err(RequestError::ShuttingDown);
@@ -134,7 +139,7 @@
     }
 
     /// Records an admitted request and queues it for the decision module.
-    fn start_request(&mut self, conn: ConnId, parsed: ParsedRequest, received: Received) {
+    fn start_request(&mut self, conn: ConnId, parsed: ParsedRequest, received: ReceivedRequest) {
         let ParsedRequest { client_id, mut request } = parsed;
         let id = self.requests.next_id();
         request.id = id;
@@ -149,7 +154,7 @@
             class.latency_objective + per_token
         });
         if let Some(client) = self.clients.get_mut(conn) {
-            client.state = State::Serving(Some(id.0));
+            client.state = ClientState::Serving(Some(id.0));
         }
         let params = RequestParams {
             at_most_once: idempotency != Idempotency::Idempotent,
@@ -174,7 +179,7 @@
     /// Handles the disconnect of a client: its request needs no answer any more.
     pub(crate) fn client_disconnected(&mut self, conn: ConnId, out: &mut Vec<Output>) {
         let request = match self.clients.get(conn).map(|client| client.state) {
-            Some(State::Serving(Some(request))) => Some(RequestId(request)),
+            Some(ClientState::Serving(Some(request))) => Some(RequestId(request)),
             _ => None,
         };
         self.clients.remove(conn, &mut self.timers);
@@ -196,7 +201,7 @@
         let Some(client) = self.clients.get_mut(conn) else { return };
         client.unsent = client.unsent.saturating_sub(sent);
         client.last_sent_at = now;
-        if let State::Serving(Some(request)) = client.state {
+        if let ClientState::Serving(Some(request)) = client.state {
             self.apply_backpressure(RequestId(request), out);
         }
     }
@@ -205,16 +210,16 @@
     pub(crate) fn client_timed_out(&mut self, conn: ConnId, out: &mut Vec<Output>) {
         let Some(client) = self.clients.get_mut(conn) else { return };
         match client.state {
-            State::Receiving => {
+            ClientState::Receiving => {
                 client.close_after_answer();
                 self.reject(conn, &RequestError::ReceiveTimeout, out);
             }
-            State::Idle => {
+            ClientState::Idle => {
                 out.push(Output::CloseWhenSent(conn));
                 self.clients.remove(conn, &mut self.timers);
             }
             // The client reads nothing of what was written to it.
-            State::Serving(_) => {
+            ClientState::Serving(_) => {
                 out.push(Output::Abort(conn));
                 self.client_disconnected(conn, out);
             }
--- a/crates/test-servers/src/engine/mod.rs
+++ b/crates/test-servers/src/engine/mod.rs
@@ -21,7 +21,7 @@
 use scheduler::{ActiveRequest, RequestKind, Scheduler, State, Transfer};
 use serde_json::{json, Value};
 use slipreel_invariants::{ClientAttempt, Seen, Stage};
-use slipreel_protocol::engine::{write_metrics, write_orca, Load, FULL, NO_STATE};
+use slipreel_protocol::engine::{write_metrics, write_orca, Load, ENGINE_FULL, NO_STATE};
 use slipreel_protocol::http::{self, Decoder, Framing, Head, Item, Limits, Side, Start};
 use slipreel_protocol::sse;
 use slipreel_roles::{Order, RoleRecord};
@@ -415,7 +415,7 @@
         let is_rejected = is_rejected || !self.role.takes_work();
         if is_rejected || self.scheduler.is_full(&self.spec) {
             self.note_over(now, &request);
-            return self.error(id, 503, FULL, "slots and queue are full", out);
+            return self.error(id, 503, ENGINE_FULL, "slots and queue are full", out);
         }
         let no_state = request.kind == RequestKind::Decode
             && request.transfer.is_none()
--- a/crates/test-servers/src/platform/discovery.rs
+++ b/crates/test-servers/src/platform/discovery.rs
@@ -2,7 +2,7 @@
 //! [`EndpointChanges`], and injects faults by sending a [`DiscoveryMode`].
 
 use super::{lock_shared, Shared};
-use slipreel_connections::Client;
+use slipreel_connections::ClientConnection;
 use slipreel_invariants::terms::Seen;
 use slipreel_protocol::http::{self, Framing, Limits};
 use slipreel_state_machine::{ConnId, Input, Machine, Output};
@@ -37,7 +37,7 @@
 }
 
 struct Watch {
-    client: Client,
+    client: ClientConnection,
     /// Changes of the list are sent to it.
     gets_changes: bool,
     /// Heartbeats, which are empty lines, are sent to it.
@@ -189,7 +189,7 @@
                 out.push(Output::Abort(conn));
             }
             Input::Accepted(conn, listener) => {
-                let client = Client::new(conn, listener, now, Limits::default(), 0);
+                let client = ClientConnection::new(conn, listener, now, Limits::default(), 0);
                 self.watches.insert(
                     conn,
                     Watch {
--- a/crates/test-servers/src/platform/hostile_engine.rs
+++ b/crates/test-servers/src/platform/hostile_engine.rs
@@ -2,7 +2,7 @@
 //! repeats.
 
 use super::Random;
-use slipreel_connections::{Client, Received, TimerWheel};
+use slipreel_connections::{ClientConnection, ReceivedRequest, TimerWheel};
 use slipreel_invariants::repeats::{AttemptId, Fact, Place, Seen};
 use slipreel_protocol::http::{self, Limits, LAST_CHUNK};
 use slipreel_state_machine::{ConnId, Input, Machine, Output};
@@ -158,7 +158,7 @@
     ledger: SharedLedger,
     now: Duration,
     random: Random,
-    connections: BTreeMap<ConnId, Client>,
+    connections: BTreeMap<ConnId, ClientConnection>,
     active_attempts: BTreeMap<u64, ActiveAttempt>,
     timers: TimerWheel<u64>,
     timer_actions: BTreeMap<u64, TimerAction>,
@@ -211,7 +211,7 @@
         }
     }
 
-    fn serve(&mut self, conn: ConnId, received: &Received, out: &mut Vec<Output>) {
+    fn serve(&mut self, conn: ConnId, received: &ReceivedRequest, out: &mut Vec<Output>) {
         match (received.method(), received.target()) {
             ("GET", "/-/load" | "/-/healthy") => self.answer(conn, 200, false, out),
             ("DELETE", target) => {
@@ -225,7 +225,7 @@
         }
     }
 
-    fn start_attempt(&mut self, conn: ConnId, received: &Received, out: &mut Vec<Output>) {
+    fn start_attempt(&mut self, conn: ConnId, received: &ReceivedRequest, out: &mut Vec<Output>) {
         let Some(request) = received.head.get("x-request-id").map(str::to_owned) else {
             return self.answer(conn, 404, false, out);
         };
@@ -371,8 +371,10 @@
                 }
             }
         }
-        let is_incomplete =
-            self.connections.get(&conn).is_some_and(|c| c.state == slipreel_connections::State::Receiving);
+        let is_incomplete = self
+            .connections
+            .get(&conn)
+            .is_some_and(|c| c.state == slipreel_connections::ClientState::Receiving);
         let may_reset = self.layout.faults.contains(&ExchangeFault::ResetAtFirstByte);
         if is_incomplete && may_reset && self.random.chance(self.layout.fault_share / 4.0) {
             out.push(Output::Abort(conn));
@@ -401,7 +403,7 @@
         }
         match input {
             Input::Accepted(conn, listener) => {
-                let connection = Client::new(conn, listener, now, Limits::default(), 1 << 20);
+                let connection = ClientConnection::new(conn, listener, now, Limits::default(), 1 << 20);
                 self.connections.insert(conn, connection);
             }
             Input::Data(conn, bytes) => self.receive(conn, bytes, out),
