--- a/crates/cli/tests/repeats.rs
+++ b/crates/cli/tests/repeats.rs
@@ -7,11 +7,11 @@
 use platform::process::{start, Process};
 use platform::{folder, is_ready, ms};
 use slipreel_event_loop::{Clock, Command as Tell, EventLoop, EventLoopHandle, MachineId};
-use slipreel_invariants::repeats::{judge, Break, Terms};
+use slipreel_invariants::repeats::{judge, Terms, Violation};
 use slipreel_state_machine::Machine;
 use slipreel_test_servers::platform::{
-    list_entry, open_ledger, place_of, ClientLayout, DaySettings, Discovery, EngineDies, EngineLayout,
-    EngineRole, HostileEngine, Listing, Random, RepeatingClients, SharedLedger, EXCHANGE_FAULTS,
+    list_entry, lock_ledger, place_of, ClientLayout, DaySettings, Discovery, EndpointChanges, EngineKilled,
+    EngineLayout, EngineRole, HostileEngine, Random, RepeatingClients, SharedLedger, EXCHANGE_FAULTS,
 };
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -85,7 +85,7 @@
             let text = list_entry(&engine.layout, engine.address, "Ready", Duration::ZERO);
             (engine.layout.name.clone(), text)
         };
-        let first = Listing(engines.iter().map(entry).collect());
+        let first = EndpointChanges(engines.iter().map(entry).collect());
         let known = Discovery::new(&first).whole();
         let count = 2 + random.below(7);
         let mut agents = Vec::new();
@@ -112,7 +112,7 @@
     }
 
     /// Clients ask while engines and routers are restarted; gives the breaks and how many requests were served.
-    fn play(mut self) -> (Vec<Break>, u32) {
+    fn play(mut self) -> (Vec<Violation>, u32) {
         let begin = self.clock.now() + READY_WITHIN;
         while !self.routers.iter().all(|router| is_ready(router.port.address())) {
             assert!(self.clock.now() < begin + ms(8_000), "not ready in time");
@@ -148,7 +148,7 @@
         self.around.1.join().expect("the engines' thread").expect("a run of engines");
         let _ = std::fs::remove_dir_all(&self.folder);
         let terms = Terms { second_copies: self.settings.second_copies, wire: WIRE };
-        let breaks = judge(&open_ledger(&self.ledger).facts, &terms);
+        let breaks = judge(&lock_ledger(&self.ledger).facts, &terms);
         (breaks, served)
     }
 
@@ -169,7 +169,7 @@
         let Engine { layout, address, .. } = &self.engines[engine];
         let text = list_entry(layout, *address, status, Duration::ZERO);
         for &agent in &self.agents {
-            let change = Listing(vec![(layout.name.clone(), text.clone())]);
+            let change = EndpointChanges(vec![(layout.name.clone(), text.clone())]);
             self.around.0.send(Tell::Message(agent, Arc::new(change)));
         }
     }
@@ -183,7 +183,7 @@
         }
         layout.seed += 1;
         let (node, again) = (*node, HostileEngine::new(layout.clone(), &self.ledger));
-        self.around.0.send(Tell::Message(node, Arc::new(EngineDies)));
+        self.around.0.send(Tell::Message(node, Arc::new(EngineKilled)));
         self.around.0.send(Tell::Kill(node));
         self.tell(engine, "Ready");
         // Who has not heard of the new place yet finds nobody.
@@ -202,7 +202,7 @@
     fn kill(&mut self, router: usize) {
         let now = self.clock.now();
         let router = &mut self.routers[router];
-        open_ledger(&self.ledger).kills(now, router.port.address());
+        lock_ledger(&self.ledger).router_killed(now, router.port.address());
         router.process.signal("-KILL");
         assert!(router.process.has_ended_within(ms(5_000)), "it goes on");
         router.restart();
@@ -236,8 +236,8 @@
 fn layout(n: usize, seed: u64, has_mixed: bool) -> EngineLayout {
     let role = match n % 3 {
         _ if has_mixed && n >= 6 => EngineRole::Mixed,
-        0 => EngineRole::Reads,
-        _ => EngineRole::Writes,
+        0 => EngineRole::Prefill,
+        _ => EngineRole::Decode,
     };
     EngineLayout {
         name: format!("e{n}"),
--- a/crates/emulator/src/play.rs
+++ b/crates/emulator/src/play.rs
@@ -10,7 +10,7 @@
 use slipreel_gateway::engine_id;
 use slipreel_invariants::Effect;
 use slipreel_scenario::Day;
-use slipreel_test_servers::client::Habit;
+use slipreel_test_servers::client::ClientBehaviour;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
 use std::time::Duration;
@@ -285,7 +285,7 @@
         }
         let call = Call { plan, tries, due: self.now, attempts: Vec::new(), began: false, over: false };
         self.hosts[router].calls.insert(id, call);
-        let time_left = p.patience.min(self.day.site.classes[class].patience);
+        let time_left = p.patience.min(self.day.site.classes[class].client_timeout);
         let tenant = self.day.site.tenants.iter().position(|t| t.keys.contains(&p.key)).unwrap_or(0);
         let request = slipreel::Request {
             id: RequestId(id),
@@ -301,7 +301,7 @@
             is_resumption: false,
         };
         self.plan_at(self.now + time_left, Event::Leave { router, request: id, always: false });
-        if let Habit::LeavesAfter(after) = p.habit {
+        if let ClientBehaviour::LeavesAfter(after) = p.behaviour {
             self.plan_at(self.now + after, Event::Leave { router, request: id, always: true });
         }
         self.tell(router, Told::Request(request));
@@ -336,8 +336,8 @@
         let (plan, tries) = (call.plan, call.tries);
         self.reap.push((router, request));
         let p = &self.day.plans[plan];
-        if let Some(wait) = wait.filter(|_| tries < p.tries) {
-            let wait = if p.heeds { wait.max(p.backoff) } else { p.backoff };
+        if let Some(wait) = wait.filter(|_| tries < p.max_attempts) {
+            let wait = if p.honours_retry_after { wait.max(p.backoff) } else { p.backoff };
             return self.plan_at(self.now + wait, Event::Come { plan, tries: tries + 1 });
         }
         *outcome(self.figures.models.entry(p.model.clone()).or_default()) += 1;
--- a/crates/emulator/src/roles.rs
+++ b/crates/emulator/src/roles.rs
@@ -37,7 +37,7 @@
     /// A planner with the limits and costs of the day's own conductor.
     pub(crate) fn new(day: &Day, policy: PlanningPolicy) -> Option<Roles> {
         let spec = |role| day.engines.iter().map(|e| &e.spec).find(|s| s.role == role);
-        let (reader, writer) = (spec(SpecRole::Read)?, spec(SpecRole::Write)?);
+        let (reader, writer) = (spec(SpecRole::Prefill)?, spec(SpecRole::Decode)?);
         let limits = PlannerLimits {
             // A fleet of hundreds changes more than two engines at a time.
             max_concurrent_changes: (day.engines.len() / 20).max(2),
@@ -51,12 +51,15 @@
             drain: Duration::from_secs(2),
             slow_start: reader.cold_time,
             slow_start_speed: reader.cold_share,
-            prefill_tokens_per_s: reader.read_per_s,
+            prefill_tokens_per_s: reader.prefill_tokens_per_s,
         };
         Some(Roles {
             planner: Planner::new(limits, costs, policy),
             demand: Demand::default(),
-            speeds: EngineThroughput { prefill: reader.read_per_s, decode: writer.write_per_s() },
+            speeds: EngineThroughput {
+                prefill: reader.prefill_tokens_per_s,
+                decode: writer.decode_tokens_per_s(),
+            },
             counts: BTreeMap::new(),
             orders: Vec::new(),
             cold: reader.cold_time,
--- a/crates/gateway/src/client_connections.rs
+++ b/crates/gateway/src/client_connections.rs
@@ -2,25 +2,25 @@
 
 use crate::settings::Bounds;
 use crate::timer::{Timer, Timers};
-use slipreel_connections::{Client, ConnectionMap, State};
+use slipreel_connections::{ClientConnection, ClientState, ConnectionMap};
 use slipreel_state_machine::ConnId;
 use std::time::Duration;
 
 /// The client connections with their timers.
 #[derive(Default)]
-pub(crate) struct ClientConnections(ConnectionMap<Client>);
+pub(crate) struct ClientConnections(ConnectionMap<ClientConnection>);
 
 impl ClientConnections {
     /// Adds a connection that was just accepted.
-    pub(crate) fn insert(&mut self, client: Client) {
+    pub(crate) fn insert(&mut self, client: ClientConnection) {
         self.0.insert(client.conn, client);
     }
 
-    pub(crate) fn get(&self, conn: ConnId) -> Option<&Client> {
+    pub(crate) fn get(&self, conn: ConnId) -> Option<&ClientConnection> {
         self.0.get(conn)
     }
 
-    pub(crate) fn get_mut(&mut self, conn: ConnId) -> Option<&mut Client> {
+    pub(crate) fn get_mut(&mut self, conn: ConnId) -> Option<&mut ClientConnection> {
         self.0.get_mut(conn)
     }
 
@@ -42,25 +42,25 @@
         self.0.sorted_ids(|_| true)
     }
 
-    /// When a connection times out; `None` if it does not in its present state.
+    /// When a connection times out; `None` if its state has no timeout.
     pub(crate) fn deadline(&self, conn: ConnId, bounds: &Bounds) -> Option<Duration> {
         let client = self.get(conn)?;
         let stalled = (client.unsent > 0).then(|| client.last_sent_at + bounds.stalled_peer);
         let by_state = match client.state {
-            State::Idle => Some(client.since + bounds.client_idle),
-            State::Receiving => Some(client.since + bounds.receive),
-            State::Serving(_) => None,
+            ClientState::Idle => Some(client.since + bounds.client_idle),
+            ClientState::Receiving => Some(client.since + bounds.receive),
+            ClientState::Serving(_) => None,
         };
         by_state.into_iter().chain(stalled).min()
     }
 
-    /// Sets a connection's timer in place of the one that it had.
+    /// Replaces a connection's timer according to its state.
     pub(crate) fn arm_timer(&mut self, conn: ConnId, bounds: &Bounds, timers: &mut Timers) {
         let deadline = self.deadline(conn, bounds);
         self.0.arm_timer(conn, deadline, timers, Timer::Client(conn));
     }
 
-    /// A connection's timer has fired.
+    /// Records that a connection's timer has fired.
     pub(crate) fn timer_fired(&mut self, conn: ConnId) {
         self.0.timer_fired(conn);
     }
--- a/crates/settings/src/daemon.rs
+++ b/crates/settings/src/daemon.rs
@@ -7,7 +7,8 @@
     Class, DeduplicationScope, EngineState, Idempotency, Limits, ReportSource, Role, Settings, Tenant, ZoneId,
 };
 use slipreel_gateway::settings::{
-    starting_class, starting_settings, Bounds, ClassSettings, EngineSettings, GatewaySettings, ModelSettings,
+    class_defaults, default_decision_settings, Bounds, ClassSettings, EngineSettings, GatewaySettings,
+    ModelSettings,
 };
 use slipreel_gateway::settings::{TenantSettings, KINDS};
 use std::net::SocketAddr;
@@ -128,8 +129,8 @@
     if engines.is_empty() && engines_file.is_none() && serves {
         doc.add_file_fault("expected [engine NAME] sections, or `engines` in [router]");
     }
-    let taken_out = read_taken_out(doc);
-    check_taken_out(doc, &engines, &taken_out);
+    let drained_engines = read_drained_engines(doc);
+    check_drained_engines(doc, &engines, &drained_engines);
     let models = read_models(doc, &class_settings);
     let bounds = read_bounds(doc);
     let decisions = read_decision_settings(doc, router, router_count, classes, tenants);
@@ -140,7 +141,7 @@
         tenants: tenant_settings,
         engines,
         bounds,
-        taken_out,
+        drained_engines,
         roles_frozen: read_roles_frozen(doc),
         zone: doc.or(router, "zone", Name("default".into())).0,
         name: doc.or(router, "name", Name("slipreel".into())).0,
@@ -180,7 +181,7 @@
     doc: &mut Doc, router: Option<usize>, router_count: u32, classes: Vec<Class>, tenants: Vec<Tenant>,
 ) -> Settings {
     let at = doc.one("limits");
-    let defaults = starting_settings();
+    let defaults = default_decision_settings();
     let cold_share = doc.or(at, "cold_share", defaults.warmup_initial_share);
     if let Some(at) = at.filter(|_| cold_share > 1.0) {
         doc.add_fault(at, "cold_share", format!("{cold_share}: expected a share from 0 to 1"));
@@ -237,12 +238,12 @@
 }
 
 fn read_classes(doc: &mut Doc) -> Vec<(Class, ClassSettings)> {
-    let defaults = starting_class();
+    let defaults = class_defaults();
     let mut classes = Vec::new();
     for at in doc.all("class") {
         let name = section_name(doc, at);
         let group = doc.or(Some(at), "group", DeduplicationScope::All);
-        let window = doc.or(Some(at), "window", defaults.window);
+        let window = doc.or(Some(at), "window", defaults.deduplication_window);
         let effect = doc.text(at, "effect").unwrap_or_else(|| "safe".into());
         let idempotency = match effect.as_str() {
             "safe" => Idempotency::Idempotent,
@@ -253,19 +254,23 @@
                 Idempotency::NotIdempotent
             }
         };
-        let aim = doc.or(Some(at), "aim", defaults.aim);
-        let patience = doc.or(Some(at), "patience", defaults.patience);
+        let aim = doc.or(Some(at), "aim", defaults.latency_objective);
+        let patience = doc.or(Some(at), "patience", defaults.client_timeout);
         if patience <= aim {
             doc.add_fault(at, "patience", format!("{patience:?}: expected more than the aim, {aim:?}"));
         }
         let class = Class {
             latency_objective: aim,
-            latency_objective_per_1000_tokens: doc.or(Some(at), "aim_per_1000", defaults.aim_per_1000),
+            latency_objective_per_1000_tokens: doc.or(
+                Some(at),
+                "aim_per_1000",
+                defaults.latency_objective_per_1000_tokens,
+            ),
             priority_weight: doc.or(Some(at), "worth", 1.0),
             idempotency,
             streams: true,
         };
-        classes.push((class, ClassSettings { name, patience }));
+        classes.push((class, ClassSettings { name, client_timeout: patience }));
     }
     if classes.is_empty() {
         doc.add_file_fault("expected at least one section [class NAME]");
@@ -320,7 +325,7 @@
 
 /// The names of engines that operators have taken out of service. Names that this router does not list are
 /// accepted, as other routers may list them.
-fn read_taken_out(doc: &mut Doc) -> Vec<String> {
+fn read_drained_engines(doc: &mut Doc) -> Vec<String> {
     let at = doc.one("operations");
     let text = doc.or(at, "taken_out", String::new());
     let names: Vec<String> =
@@ -336,14 +341,14 @@
 }
 
 /// Checks that an engine for prefill and one for decode remain among those that this router lists.
-fn check_taken_out(doc: &mut Doc, engines: &[EngineSettings], taken_out: &[String]) {
+fn check_drained_engines(doc: &mut Doc, engines: &[EngineSettings], drained_engines: &[String]) {
     let Some(at) = doc.one("operations").filter(|_| !engines.is_empty()) else { return };
     for (role, verb) in [(Role::Prefill, "reads"), (Role::Decode, "writes")] {
         let can_serve = |e: &&EngineSettings| e.role == role || e.role == Role::Mixed;
-        if !engines.iter().filter(can_serve).any(|e| !taken_out.contains(&e.name)) {
+        if !engines.iter().filter(can_serve).any(|e| !drained_engines.contains(&e.name)) {
             let what = format!(
                 "{}: expected an engine that {verb} to be left, of those listed here",
-                taken_out.join(", ")
+                drained_engines.join(", ")
             );
             doc.add_fault(at, "taken_out", what);
         }
