--- a/crates/roles/src/planner/selection.rs
+++ b/crates/roles/src/planner/selection.rs
@@ -29,7 +29,7 @@
         candidates
     }
 
-    /// The first candidates, in order, that may change together; at most `max_changes`.
+    /// Selects candidates, in order, that may change together; at most `max_changes`.
     pub(super) fn within_limits<'a>(
         &self, view: &PlannerView, candidates: Vec<&'a EngineView>, max_changes: usize,
     ) -> Vec<&'a EngineView> {
