--- a/crates/platform/tests/common/actor.rs
+++ b/crates/platform/tests/common/actor.rs
@@ -1,10 +1,10 @@
-//! The machines of one network in memory, which runs machines of one type.
+//! An enum of all machine types in a test, as the in-memory network runs machines of a single type.
 
 use slipreel_state_machine::{Input, Machine, Output};
 use slipreel_test_servers::platform::Discovery;
 use std::time::Duration;
 
-/// A router, an engine, discovery or the clients; which kinds of them is the test's.
+/// A router, an engine, discovery or the clients; the test chooses the types.
 pub enum Actor<Router, Engine, Clients> {
     Router(Box<Router>),
     Engine(Box<Engine>),
--- a/crates/platform/tests/common/cluster.rs
+++ b/crates/platform/tests/common/cluster.rs
@@ -1,4 +1,4 @@
-//! Several routers with their peers in virtual time, and routers that are broken on purpose.
+//! Several routers with their peers in virtual time, and routers with deliberate defects.
 
 use super::actor::Actor;
 use super::{config, ms};
@@ -13,15 +13,15 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// What is broken on purpose in a router, to show that a judge detects it.
+/// A deliberate defect of a router, to show that the checks detect it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Variant {
+pub enum Defect {
     None,
-    /// Opens one watch at discovery and no further.
+    /// Opens only one watch at discovery and never reopens it.
     WatchesOnce,
-    /// Learns a second late that a client has gone.
+    /// Learns of each disconnect of a client a second late.
     LateDisconnects,
-    /// Delays writes to clients for longer than events may take.
+    /// Delays writes to clients for longer than the forwarding of an event may take.
     DelaysEvents,
     /// Rejects every request.
     RejectsAll,
@@ -31,12 +31,12 @@
     RejectsLongPrompts,
     /// Rejects one session in four.
     RejectsSessions,
-    /// Forwards longer deadlines than its clients have left.
+    /// Forwards deadlines later than those of its clients.
     ForwardsLongDeadlines,
 }
 
-impl Variant {
-    /// Whether a router of this variant rejects a request by itself.
+impl Defect {
+    /// Whether a router with this defect rejects a request on its own.
     fn rejects(self, request: &str) -> bool {
         let number = |name: &str, radix| {
             let text = request.split(name).nth(1)?;
@@ -44,52 +44,53 @@
             u64::from_str_radix(digits, radix).ok()
         };
         match self {
-            Variant::RejectsAll => true,
-            Variant::RejectsLongPrompts => number("prompt_len=", 10).is_some_and(|tokens| tokens > 1_500),
-            Variant::RejectsSessions => number("X-Key: ", 16).is_some_and(|session| session % 4 == 0),
+            Defect::RejectsAll => true,
+            Defect::RejectsLongPrompts => number("prompt_len=", 10).is_some_and(|tokens| tokens > 1_500),
+            Defect::RejectsSessions => number("X-Key: ", 16).is_some_and(|session| session % 4 == 0),
             _ => false,
         }
     }
 }
 
-/// The answer of a router that rejects.
+/// The answer to a request that a defect rejects.
 const REJECTION: &[u8] = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
 
-/// How long a router that delays events holds them.
+/// How long [`Defect::DelaysEvents`] delays events.
 const EVENT_DELAY: Duration = Duration::from_millis(400);
 
-/// A router of any variant.
-pub struct BrokenRouter {
+/// A router with a defect, or with [`Defect::None`].
+pub struct DefectiveRouter {
     pub router: PlatformRouter,
-    variant: Variant,
+    defect: Defect,
     watch_count: u32,
-    /// Disconnects of clients that it learns of later.
+    /// Disconnects of clients that are not reported to the router yet, and when they will be.
     disconnects: BTreeSet<(Duration, ConnId)>,
-    /// Delayed outputs, and until when.
-    held: VecDeque<(Duration, Output)>,
+    /// Delayed outputs, and the time until which each is delayed.
+    delayed: VecDeque<(Duration, Output)>,
 }
 
-impl BrokenRouter {
-    pub fn new(router: PlatformRouter, variant: Variant) -> Box<BrokenRouter> {
-        Box::new(BrokenRouter {
+impl DefectiveRouter {
+    /// Wraps a router so that it has this defect.
+    pub fn new(router: PlatformRouter, defect: Defect) -> Box<DefectiveRouter> {
+        Box::new(DefectiveRouter {
             router,
-            variant,
+            defect,
             watch_count: 0,
             disconnects: BTreeSet::new(),
-            held: VecDeque::new(),
+            delayed: VecDeque::new(),
         })
     }
 }
 
-impl Machine for BrokenRouter {
+impl Machine for DefectiveRouter {
     fn handle(&mut self, now: Duration, input: Input<'_>, out: &mut Vec<Output>) {
         while let Some(&(at, conn)) = self.disconnects.first().filter(|disconnect| disconnect.0 <= now) {
             self.disconnects.remove(&(at, conn));
             self.router.handle(now, Input::Eof(conn), out);
         }
         if let Input::Data(conn, bytes) = input {
-            let rejects = self.variant.rejects(&String::from_utf8_lossy(bytes));
-            if !conn.is_opened() && (rejects || self.variant == Variant::AnswersNothing) {
+            let rejects = self.defect.rejects(&String::from_utf8_lossy(bytes));
+            if !conn.is_opened() && (rejects || self.defect == Defect::AnswersNothing) {
                 if rejects {
                     out.push(Output::Write(conn, REJECTION.to_vec()));
                 }
@@ -100,32 +101,32 @@
             Input::Eof(conn) | Input::Lost(conn, _) | Input::PeerClosedWhilePaused(conn) => Some(conn),
             _ => None,
         };
-        match disconnected.filter(|conn| self.variant == Variant::LateDisconnects && !conn.is_opened()) {
+        match disconnected.filter(|conn| self.defect == Defect::LateDisconnects && !conn.is_opened()) {
             Some(conn) => {
                 self.disconnects.insert((now + ms(1_000), conn));
             }
             None => self.router.handle(now, input, out),
         }
-        if self.variant == Variant::DelaysEvents {
+        if self.defect == Defect::DelaysEvents {
             self.delay_events(now, out);
         }
-        if self.variant == Variant::ForwardsLongDeadlines {
+        if self.defect == Defect::ForwardsLongDeadlines {
             out.iter_mut().for_each(lengthen_deadline);
         }
-        if self.variant == Variant::WatchesOnce {
+        if self.defect == Defect::WatchesOnce {
             self.drop_further_watches(out);
         }
     }
 
     fn wake_at(&self) -> Option<Duration> {
         let disconnect = self.disconnects.first().map(|key| key.0);
-        let held = self.held.front().map(|&(until, _)| until);
-        self.router.wake_at().into_iter().chain(disconnect).chain(held).min()
+        let delayed = self.delayed.front().map(|&(until, _)| until);
+        self.router.wake_at().into_iter().chain(disconnect).chain(delayed).min()
     }
 }
 
-impl BrokenRouter {
-    /// Drops connections to discovery after the first.
+impl DefectiveRouter {
+    /// Drops every connection to discovery after the first.
     fn drop_further_watches(&mut self, out: &mut Vec<Output>) {
         let count = &mut self.watch_count;
         out.retain(|output| match output {
@@ -137,22 +138,23 @@
         });
     }
 
-    /// Delays outputs to clients, in order, and releases those that were delayed long enough.
+    /// Delays outputs to clients, in order, and emits those that were delayed long enough.
     fn delay_events(&mut self, now: Duration, out: &mut Vec<Output>) {
-        let to_client = |output: &Output| match output {
+        let is_for_client = |output: &Output| match output {
             Output::Write(conn, _) | Output::CloseWhenSent(conn) => !conn.is_opened(),
             _ => false,
         };
-        let (held, at_once): (Vec<Output>, Vec<Output>) = out.drain(..).partition(to_client);
-        self.held.extend(held.into_iter().map(|output| (now + EVENT_DELAY, output)));
+        let (delayed, at_once): (Vec<Output>, Vec<Output>) = out.drain(..).partition(is_for_client);
+        self.delayed.extend(delayed.into_iter().map(|output| (now + EVENT_DELAY, output)));
         out.extend(at_once);
-        while self.held.front().is_some_and(|&(until, _)| until <= now) {
-            out.extend(self.held.pop_front().map(|(_, output)| output));
+        while self.delayed.front().is_some_and(|&(until, _)| until <= now) {
+            out.extend(self.delayed.pop_front().map(|(_, output)| output));
         }
     }
 }
 
-/// Replaces the deadline in a request to an engine by the largest of as many digits, so that its length stays.
+/// Replaces the deadline in a request to an engine by the largest number of as many digits, so that the
+/// length of the request stays the same.
 fn lengthen_deadline(output: &mut Output) {
     const FIELD: &[u8] = b"x-deadline: ";
     let Output::Write(conn, bytes) = output else { return };
@@ -166,9 +168,9 @@
 }
 
 /// Any participant of a cluster.
-pub type ClusterActor = Actor<BrokenRouter, Engine, Clients>;
+pub type ClusterActor = Actor<DefectiveRouter, Engine, Clients>;
 
-/// An entry of the list, in zone a and cell 1.
+/// An entry of the endpoint list, in zone a and cell 1.
 pub fn entry(name: &str, is_prefill: bool, port: u16, status: &str, since: Duration) -> String {
     let kind = if is_prefill { "reads" } else { "writes" };
     // The wall clock and the virtual time are the same here.
@@ -180,14 +182,15 @@
 
 const START: Duration = Duration::from_secs(1_000);
 
-/// Several routers, each with an agent of discovery and clients of its own, and engines that all share.
+/// Several routers, each with its own discovery agent and clients, and engines that all routers share.
 pub struct Cluster {
     pub world: World<ClusterActor>,
     pub shared: Shared,
-    agents: Vec<usize>,
+    discovery_agents: Vec<usize>,
     routers: Vec<usize>,
-    listens: Vec<SocketAddr>,
+    listen_addresses: Vec<SocketAddr>,
     clients: Vec<usize>,
+    /// By name: whether it is a prefill engine, its port, and the index of its actor in the world.
     engines: BTreeMap<String, (bool, u16, usize)>,
 }
 
@@ -197,11 +200,12 @@
     pub prefill_engines: u16,
     pub decode_engines: u16,
     pub faults: Faults,
-    pub variant: Variant,
-    /// Requests at each router, and how far apart.
+    pub defect: Defect,
+    /// Requests sent to each router.
     pub requests: u32,
-    pub every: Duration,
-    /// Share of clients that leave early.
+    /// The time between two requests to a router.
+    pub interval: Duration,
+    /// Share of clients that disconnect early.
     pub leaving: f64,
     pub seed: u64,
 }
@@ -213,9 +217,9 @@
             prefill_engines: 2,
             decode_engines: 3,
             faults: Faults::default(),
-            variant: Variant::None,
+            defect: Defect::None,
             requests: 400,
-            every: ms(50),
+            interval: ms(50),
             leaving: 0.05,
             seed: 1,
         }
@@ -223,13 +227,14 @@
 }
 
 impl Cluster {
+    /// A cluster of this layout.
     pub fn new(layout: &ClusterLayout) -> Cluster {
         let mut cluster = Cluster {
             world: World::new(START, Delays::default(), layout.seed),
             shared: Shared::default(),
-            agents: vec![],
+            discovery_agents: vec![],
             routers: vec![],
-            listens: vec![],
+            listen_addresses: vec![],
             clients: vec![],
             engines: BTreeMap::new(),
         };
@@ -249,13 +254,13 @@
         let seed = layout.seed + u64::from(number);
         let engine = Engine::new(&name, is_prefill, self.shared.clone(), layout.faults, seed);
         let addr = SocketAddr::from(([127, 0, 0, 1], number));
-        let at = self.world.add(Actor::Engine(Box::new(engine)), &[addr]);
-        self.engines.insert(name.clone(), (is_prefill, number, at));
+        let actor = self.world.add(Actor::Engine(Box::new(engine)), &[addr]);
+        self.engines.insert(name.clone(), (is_prefill, number, actor));
         let listed = entry(&name, is_prefill, number, "Ready", Duration::ZERO);
         (name, listed)
     }
 
-    /// Adds a router with its agent of discovery and its clients.
+    /// Adds a router with its discovery agent and its clients.
     fn add_router(&mut self, layout: &ClusterLayout, number: u16, entries: &[(String, String)]) {
         let name = format!("n{number}");
         let [high, low] = number.to_be_bytes();
@@ -266,43 +271,45 @@
             .replace("127.0.0.2:5000", &listen.to_string())
             .replace("\"balancers\":1", &format!("\"balancers\":{}", layout.routers))
             .replace("8c1f30d27a5be964", &format!("{:x}", layout.seed * 1_000 + u64::from(number) + 1));
-        self.agents.push(self.world.add(Actor::Discovery(Box::new(discovery)), &[agent]));
+        self.discovery_agents.push(self.world.add(Actor::Discovery(Box::new(discovery)), &[agent]));
         let router = PlatformRouter::new(Config::parse(&text).unwrap(), START, START);
-        self.listens.push(listen);
-        let router = Actor::Router(BrokenRouter::new(router, layout.variant));
+        self.listen_addresses.push(listen);
+        let router = Actor::Router(DefectiveRouter::new(router, layout.defect));
         self.routers.push(self.world.add(router, &[listen]));
         let seed = layout.seed * 77 + u64::from(number);
         let classes = ["chat", "once"];
-        let clients = Clients::new(listen, &classes, layout.every, layout.requests, START + ms(50), seed);
+        let clients = Clients::new(listen, &classes, layout.interval, layout.requests, START + ms(50), seed);
         let clients = clients.recording_in(&self.shared, layout.leaving);
         self.clients.push(self.world.add(Actor::Clients(Box::new(clients)), &[]));
     }
 
+    /// Runs the cluster for this long.
     pub fn run(&mut self, time: Duration) {
         let until = self.world.now() + time;
         self.world.run_until(until);
     }
 
-    /// Sets the mood of all agents.
-    pub fn set_mood(&mut self, mood: DiscoveryMode) {
-        lock_shared(&self.shared).see(self.world.now(), Seen::Reachable(mood == DiscoveryMode::Healthy));
-        for &agent in &self.agents {
-            self.world.send_owner_message(agent, &mood);
+    /// Sets the mode of all discovery agents.
+    pub fn set_discovery_mode(&mut self, mode: DiscoveryMode) {
+        lock_shared(&self.shared).see(self.world.now(), Seen::Reachable(mode == DiscoveryMode::Healthy));
+        for &agent in &self.discovery_agents {
+            self.world.send_owner_message(agent, &mode);
         }
     }
 
-    /// All agents list an engine with this status: `Ready`, or one in which it takes no new work.
+    /// Lists an engine at all discovery agents with this status: `Ready`, or one in which it takes no new
+    /// work.
     pub fn set_status(&mut self, engine: &str, status: &str) {
         let (is_prefill, port, _) = self.engines[engine];
         let (closed, name) = (status != "Ready", engine.to_owned());
         lock_shared(&self.shared).see(self.world.now(), Seen::EngineListed { engine: name.clone(), closed });
         let change = EndpointChanges(vec![(name, entry(engine, is_prefill, port, status, Duration::ZERO))]);
-        for &agent in &self.agents {
+        for &agent in &self.discovery_agents {
             self.world.send_owner_message(agent, &change);
         }
     }
 
-    /// An engine's process hangs or goes on; meanwhile its connections stay open and silent.
+    /// Freezes or thaws an engine's process; while it is frozen its connections stay open and silent.
     pub fn freeze(&mut self, engine: &str, frozen: bool) {
         let (_, _, machine) = self.engines[engine];
         self.world.freeze(machine, frozen);
@@ -310,7 +317,7 @@
 
     /// Stops all routers.
     pub fn stop(&mut self) {
-        for listen in &self.listens {
+        for listen in &self.listen_addresses {
             lock_shared(&self.shared)
                 .see(self.world.now(), Seen::RouterEnding { router: listen.to_string() });
         }
@@ -319,14 +326,15 @@
         }
     }
 
-    pub fn breaks(&self, terms: &Terms) -> Vec<Violation> {
+    /// The violations of these terms in the traffic so far.
+    pub fn violations(&self, terms: &Terms) -> Vec<Violation> {
         judge(&lock_shared(&self.shared).facts, terms, self.world.now())
     }
 
     /// Attempts that reached an engine from `since` on.
     pub fn attempts_at(&self, engine: &str, since: Duration) -> usize {
         let is_attempt =
-            |seen: &Seen| matches!(seen, Seen::AttemptArrived { engine: to, .. } if to == engine);
+            |seen: &Seen| matches!(seen, Seen::AttemptArrived { engine: target, .. } if target == engine);
         lock_shared(&self.shared)
             .facts
             .iter()
@@ -334,20 +342,20 @@
             .count()
     }
 
-    /// When any router opened a watch at discovery.
-    pub fn asked(&self) -> Vec<Duration> {
-        let asked = |&at: &usize| match self.world.machine(at) {
+    /// The times at which routers opened a watch at discovery.
+    pub fn watch_times(&self) -> Vec<Duration> {
+        let times = |&actor: &usize| match self.world.machine(actor) {
             Actor::Discovery(agent) => agent.asked.clone(),
             _ => Vec::new(),
         };
-        self.agents.iter().flat_map(asked).collect()
+        self.discovery_agents.iter().flat_map(times).collect()
     }
 
-    /// How the requests of all clients ended.
+    /// How many requests of all clients ended in each way.
     pub fn endings(&self) -> BTreeMap<Ending, u32> {
         let mut all = BTreeMap::new();
-        for &at in &self.clients {
-            if let Actor::Clients(clients) = self.world.machine(at) {
+        for &actor in &self.clients {
+            if let Actor::Clients(clients) = self.world.machine(actor) {
                 clients.endings.iter().for_each(|(&ending, count)| *all.entry(ending).or_default() += count);
             }
         }
@@ -356,8 +364,13 @@
 
     /// Whether neither engines nor clients saw anything invalid.
     pub fn is_clean(&self) -> bool {
-        let fabric = lock_shared(&self.shared);
-        let odd = |&at: &usize| matches!(self.world.machine(at), Actor::Clients(clients) if !clients.odd.is_empty());
-        fabric.broken.is_empty() && fabric.overlapping.is_empty() && !self.clients.iter().any(odd)
+        let shared = lock_shared(&self.shared);
+        let saw_invalid = |&actor: &usize| {
+            matches!(
+                self.world.machine(actor),
+                Actor::Clients(clients) if !clients.odd.is_empty()
+            )
+        };
+        shared.broken.is_empty() && shared.overlapping.is_empty() && !self.clients.iter().any(saw_invalid)
     }
 }
--- a/crates/platform/tests/common/day.rs
+++ b/crates/platform/tests/common/day.rs
@@ -1,4 +1,5 @@
-//! Days of a few routers among hostile engines in virtual time, all drawn from a seed, judged for repeats.
+//! Random scenarios (days) of a few routers among hostile engines in virtual time. A seed determines each;
+//! the recorded traffic is checked for forbidden repeats.
 
 use super::actor::Actor;
 use super::ms;
@@ -14,35 +15,37 @@
 use std::time::Duration;
 
 const START: Duration = Duration::from_secs(1_000);
-/// Requests begin once the routers have their lists.
+/// When requests begin: the routers have their endpoint lists by then.
 const FIRST_REQUEST: Duration = Duration::from_millis(100);
-/// The last requests have their answers by then.
-const AFTERMATH: Duration = Duration::from_secs(9);
-/// A restarted engine is listed this long before it listens: connections to it are refused meanwhile.
-const LISTED_AHEAD: Duration = Duration::from_millis(10);
-/// Added to the port of an engine that moves.
-const MOVED: u16 = 100;
+/// How long a day continues after its last request, so that all requests are answered.
+const SETTLE_TIME: Duration = Duration::from_secs(9);
+/// How long before it listens a restarted engine is listed: connections to it are refused meanwhile.
+const LISTED_BEFORE_START: Duration = Duration::from_millis(10);
+/// Added to the port of an engine that changes its address.
+const MOVED_PORT_OFFSET: u16 = 100;
 
-/// A day: its settings come from the seed alone, so that they stay as parts of it are left out.
+/// A random scenario. Its settings depend on the seed alone, so that they stay the same when parts of it are
+/// left out.
 #[derive(Clone, Debug)]
 pub struct Day {
     pub seed: u64,
     pub routers: usize,
     pub requests: u32,
     pub engine_faults: Vec<ExchangeFault>,
-    /// Routers and engines are cut off from each other for a while.
+    /// Whether routers and engines are cut off from each other for a while.
     pub has_cuts: bool,
-    /// Engines drain, leave, come back, start anew, and change zone, cell, role and address.
+    /// Whether engines drain, leave, come back, restart, and change zone, cell, role and address.
     pub has_list_changes: bool,
-    /// Routers are stopped or killed, and start again.
+    /// Whether routers are stopped or killed, and start again.
     pub has_restarts: bool,
+    /// Whether some connections are established late.
     pub has_late_connections: bool,
-    /// Routers learn late that their bytes have left.
+    /// Whether routers learn late that their bytes were sent.
     pub has_late_sent: bool,
 }
 
 impl Day {
-    /// The day of a seed with everything in it.
+    /// The day of a seed with all its parts.
     pub fn of(seed: u64) -> Day {
         let mut random = Random::new(seed ^ 0x5eed_0001);
         Day {
@@ -58,7 +61,7 @@
         }
     }
 
-    /// Days with one part less each, to find the shortest that breaks.
+    /// Days with one part less each, as candidates for a shorter failing day.
     pub fn shorter(&self) -> Vec<Day> {
         let mut days = Vec::new();
         if self.requests > 8 {
@@ -72,40 +75,41 @@
             let engine_faults = self.engine_faults.iter().copied().filter(|other| other != fault).collect();
             days.push(Day { engine_faults, ..self.clone() });
         }
-        let has = [
+        let optional_parts = [
             (self.has_cuts, Day { has_cuts: false, ..self.clone() }),
             (self.has_list_changes, Day { has_list_changes: false, ..self.clone() }),
             (self.has_restarts, Day { has_restarts: false, ..self.clone() }),
             (self.has_late_connections, Day { has_late_connections: false, ..self.clone() }),
             (self.has_late_sent, Day { has_late_sent: false, ..self.clone() }),
         ];
-        days.extend(has.into_iter().filter(|(has, _)| *has).map(|(_, day)| day));
+        days.extend(optional_parts.into_iter().filter(|(is_present, _)| *is_present).map(|(_, day)| day));
         days
     }
 
-    /// The shortest day to be found from this one that still breaks.
+    /// Leaves parts out of this day as long as it still has violations.
     pub fn shortest(self) -> Day {
         let mut day = self;
-        while let Some(shorter) = day.shorter().into_iter().find(|day| !day.play().breaks.is_empty()) {
+        while let Some(shorter) = day.shorter().into_iter().find(|day| !day.run().violations.is_empty()) {
             day = shorter;
         }
         day
     }
 
+    /// The settings of the day.
     pub fn settings(&self) -> DaySettings {
         DaySettings::draw(self.seed)
     }
 
-    /// Plays the day.
-    pub fn play(&self) -> Played {
-        Play::new(self).run()
+    /// Runs the day.
+    pub fn run(&self) -> DayResult {
+        DayRun::new(self).run()
     }
 }
 
-/// How a day went.
+/// The result of a day.
 #[derive(Debug)]
-pub struct Played {
-    pub breaks: Vec<Violation>,
+pub struct DayResult {
+    pub violations: Vec<Violation>,
     pub served: u32,
     pub refused: u32,
     pub failed: u32,
@@ -115,15 +119,19 @@
 
 type DayActor = Actor<PlatformRouter, HostileEngine, RepeatingClients>;
 
+/// An engine as the day has set it up.
 #[derive(Clone, Debug)]
 struct EngineState {
     machine: usize,
     layout: EngineLayout,
     port: u16,
+    /// Whether it listens at its second address.
     is_moved: bool,
+    /// The start time that its list entry reports.
     since: Duration,
 }
 
+/// A router with its discovery agent.
 struct Router {
     machine: usize,
     agent: usize,
@@ -132,28 +140,30 @@
     starts: u64,
 }
 
-/// What is to happen at a time of the day.
+/// A scheduled event of the day.
 #[derive(Clone, Copy, Debug)]
 enum Change {
     Cut { router: usize, engine: usize, is_cut: bool },
     Drain { engine: usize, drains: bool },
     Leave { engine: usize },
-    Restart { engine: usize, tells_start: bool, moves: Moves },
+    Restart { engine: usize, reports_start: bool, restart_change: RestartChange },
     Start { engine: usize },
     Stop { router: usize },
     Kill { router: usize },
     StartRouter { router: usize },
 }
 
+/// What changes about an engine when it restarts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Moves {
-    Nowhere,
+enum RestartChange {
+    None,
     Place,
     Role,
     Address,
 }
 
-struct Play {
+/// A running day.
+struct DayRun {
     day: Day,
     settings: DaySettings,
     random: Random,
@@ -164,10 +174,10 @@
     clients: usize,
 }
 
-const ENGINES: usize = 9;
+const ENGINE_COUNT: usize = 9;
 
-impl Play {
-    fn new(day: &Day) -> Play {
+impl DayRun {
+    fn new(day: &Day) -> DayRun {
         let settings = day.settings();
         let mut random = Random::new(day.seed ^ 0x5eed_0003);
         let delays = Delays {
@@ -177,7 +187,7 @@
             ..Delays::default()
         };
         let ledger = SharedLedger::default();
-        let mut play = Play {
+        let mut run = DayRun {
             world: World::new(START, delays, day.seed),
             day: day.clone(),
             settings,
@@ -187,10 +197,10 @@
             routers: Vec::new(),
             clients: 0,
         };
-        (0..ENGINES).for_each(|number| play.add_engine(number));
-        (0..day.routers).for_each(|number| play.add_router(number));
-        play.add_clients();
-        play
+        (0..ENGINE_COUNT).for_each(|number| run.add_engine(number));
+        (0..day.routers).for_each(|number| run.add_router(number));
+        run.add_clients();
+        run
     }
 
     fn add_engine(&mut self, number: usize) {
@@ -218,19 +228,21 @@
     fn add_router(&mut self, number: usize) {
         let entries = self.engines.iter().map(|engine| (engine.layout.name.clone(), engine.entry("Ready")));
         let discovery = Discovery::new(&EndpointChanges(entries.collect()));
-        let known = discovery.whole();
-        let last = number as u8;
-        let at = SocketAddr::from(([127, 9, 0, last], 8500));
-        let listen = SocketAddr::from(([127, 2, 0, last], 5000));
-        let agent = self.world.add(Actor::Discovery(Box::new(discovery)), &[at]);
-        let node = self.router(listen, at, number as u64, &known);
-        let machine = self.world.add(node, &[listen]);
-        self.routers.push(Router { machine, agent, listen, discovery: at, starts: 0 });
+        let initial_list = discovery.whole();
+        let host = number as u8;
+        let discovery_address = SocketAddr::from(([127, 9, 0, host], 8500));
+        let listen = SocketAddr::from(([127, 2, 0, host], 5000));
+        let agent = self.world.add(Actor::Discovery(Box::new(discovery)), &[discovery_address]);
+        let router_actor = self.router(listen, discovery_address, number as u64, &initial_list);
+        let machine = self.world.add(router_actor, &[listen]);
+        self.routers.push(Router { machine, agent, listen, discovery: discovery_address, starts: 0 });
     }
 
-    fn router(&self, listen: SocketAddr, discovery: SocketAddr, salt: u64, known: &str) -> DayActor {
-        let seed = self.day.seed * 1_000 + salt;
-        let text = self.settings.router_config(self.day.routers, listen, discovery, seed, known);
+    fn router(
+        &self, listen: SocketAddr, discovery: SocketAddr, seed_offset: u64, initial_list: &str,
+    ) -> DayActor {
+        let seed = self.day.seed * 1_000 + seed_offset;
+        let text = self.settings.router_config(self.day.routers, listen, discovery, seed, initial_list);
         let config = Config::parse(&text).expect("a configuration that can be read");
         let now = self.world.now();
         Actor::Router(Box::new(PlatformRouter::new(config, now, now)))
@@ -250,22 +262,22 @@
         self.clients = self.world.add(Actor::Clients(Box::new(clients)), &[]);
     }
 
-    /// What happens when, besides the engines' own faults.
-    fn changes(&mut self) -> Vec<(Duration, Change)> {
+    /// Draws the scheduled events of the day, in order of time. The engines' own faults are not among them.
+    fn draw_changes(&mut self) -> Vec<(Duration, Change)> {
         let length = ms(12) * self.day.requests;
         let mut changes = Vec::new();
         let steps = length.as_millis() as usize / 400;
         for step in 0..steps {
             let at = START + FIRST_REQUEST + ms(400) * step as u32 + self.random.millis(0, 400);
-            // All are drawn in any case, so that leaving out a part changes none of the others.
+            // All numbers are drawn in any case, so that leaving out a part does not change the others.
             let cut = (
                 self.random.below(self.day.routers),
-                self.random.below(ENGINES),
+                self.random.below(ENGINE_COUNT),
                 self.random.millis(50, 5_000),
             );
-            let engine = self.random.below(ENGINES);
-            let (kind, pause) = (self.random.below(6), self.random.millis(20, 600));
-            let tells_start = self.random.chance(0.5);
+            let engine = self.random.below(ENGINE_COUNT);
+            let (change_kind, pause) = (self.random.below(6), self.random.millis(20, 600));
+            let reports_start = self.random.chance(0.5);
             let restart =
                 (self.random.below(self.day.routers), self.random.chance(0.15), self.random.chance(0.5));
             if self.day.has_cuts {
@@ -274,8 +286,10 @@
                 changes.push((at + time, Change::Cut { router, engine, is_cut: false }));
             }
             if self.day.has_list_changes {
-                let moves = [Moves::Nowhere, Moves::Place, Moves::Role, Moves::Address][kind.min(3)];
-                match kind {
+                let restart_change =
+                    [RestartChange::None, RestartChange::Place, RestartChange::Role, RestartChange::Address]
+                        [change_kind.min(3)];
+                match change_kind {
                     4 => {
                         changes.push((at, Change::Drain { engine, drains: true }));
                         changes.push((at + pause, Change::Drain { engine, drains: false }));
@@ -285,39 +299,45 @@
                         changes.push((at + pause, Change::Drain { engine, drains: false }));
                     }
                     _ => {
-                        changes.push((at, Change::Restart { engine, tells_start, moves }));
-                        changes.push((at + LISTED_AHEAD, Change::Start { engine }));
+                        changes.push((at, Change::Restart { engine, reports_start, restart_change }));
+                        changes.push((at + LISTED_BEFORE_START, Change::Start { engine }));
                     }
                 }
             }
-            let (router, restarts, is_killed) = restart;
-            if self.day.has_restarts && restarts {
+            let (router, is_restarted, is_killed) = restart;
+            if self.day.has_restarts && is_restarted {
                 let change = if is_killed { Change::Kill { router } } else { Change::Stop { router } };
                 changes.push((at, change));
-                let until = if is_killed { ms(300) } else { ms(4_800) };
-                changes.push((at + until, Change::StartRouter { router }));
+                let downtime = if is_killed { ms(300) } else { ms(4_800) };
+                changes.push((at + downtime, Change::StartRouter { router }));
             }
         }
         changes.sort_by_key(|&(at, _)| at);
         changes
     }
 
-    fn run(mut self) -> Played {
-        let changes = self.changes();
+    fn run(mut self) -> DayResult {
+        let changes = self.draw_changes();
         for (at, change) in changes {
             self.world.run_until(at);
             self.apply(change);
         }
-        let end = START + FIRST_REQUEST + ms(12) * self.day.requests + AFTERMATH;
-        let end = end.max(self.world.now() + AFTERMATH);
+        let end = START + FIRST_REQUEST + ms(12) * self.day.requests + SETTLE_TIME;
+        let end = end.max(self.world.now() + SETTLE_TIME);
         self.world.run_until(end);
-        // The close of a connection into a cut is not seen by its engine until the cut is over.
+        // While a connection is cut, its engine does not see that it is closed until the cut is over.
         let second_copies = self.settings.second_copies || self.day.has_cuts;
         let terms = Terms { second_copies, wire: ms(1) };
-        let breaks = judge(&lock_ledger(&self.ledger).facts, &terms);
+        let violations = judge(&lock_ledger(&self.ledger).facts, &terms);
         let Actor::Clients(clients) = self.world.machine(self.clients) else { unreachable!("the clients") };
         let log = self.world.log().iter().map(|(at, _, line)| (*at, line.clone())).collect();
-        Played { breaks, served: clients.served, refused: clients.refused, failed: clients.failed, log }
+        DayResult {
+            violations,
+            served: clients.served,
+            refused: clients.refused,
+            failed: clients.failed,
+            log,
+        }
     }
 
     fn apply(&mut self, change: Change) {
@@ -330,12 +350,14 @@
                 self.set_status(engine, if drains { "Terminating" } else { "Ready" });
             }
             Change::Leave { engine } => self.set_status(engine, "Gone"),
-            Change::Restart { engine, tells_start, moves } => self.restart_engine(engine, tells_start, moves),
+            Change::Restart { engine, reports_start, restart_change } => {
+                self.restart_engine(engine, reports_start, restart_change);
+            }
             Change::Start { engine } => {
                 let state = &mut self.engines[engine];
                 state.layout.seed += 1;
-                let again = HostileEngine::new(state.layout.clone(), &self.ledger);
-                self.world.revive(state.machine, Actor::Engine(Box::new(again)));
+                let restarted = HostileEngine::new(state.layout.clone(), &self.ledger);
+                self.world.revive(state.machine, Actor::Engine(Box::new(restarted)));
             }
             Change::Stop { router } => self.world.stop(self.routers[router].machine),
             Change::Kill { router } => self.world.kill(self.routers[router].machine),
@@ -343,25 +365,25 @@
         }
     }
 
-    fn restart_engine(&mut self, engine: usize, tells_start: bool, moves: Moves) {
-        let to = self.random.below(ENGINES);
+    fn restart_engine(&mut self, engine: usize, reports_start: bool, restart_change: RestartChange) {
+        let new_place = self.random.below(ENGINE_COUNT);
         let now = self.world.now();
         let state = &mut self.engines[engine];
         self.world.send_owner_message(state.machine, &EngineKilled);
         self.world.kill(state.machine);
-        if tells_start {
+        if reports_start {
             state.since = now;
         }
-        match moves {
-            Moves::Nowhere => {}
-            Moves::Place => state.layout.place = place_of(to),
-            Moves::Role => {
+        match restart_change {
+            RestartChange::None => {}
+            RestartChange::Place => state.layout.place = place_of(new_place),
+            RestartChange::Role => {
                 state.layout.role = match state.layout.role {
                     EngineRole::Prefill => EngineRole::Decode,
                     EngineRole::Decode | EngineRole::Mixed => EngineRole::Prefill,
                 };
             }
-            Moves::Address => state.is_moved = !state.is_moved,
+            RestartChange::Address => state.is_moved = !state.is_moved,
         }
         self.set_status(engine, "Ready");
     }
@@ -377,18 +399,18 @@
     fn start_router(&mut self, number: usize) {
         let router = &mut self.routers[number];
         router.starts += 1;
-        let (machine, salt) = (router.machine, number as u64 + 100 * router.starts);
+        let (machine, seed_offset) = (router.machine, number as u64 + 100 * router.starts);
         let (listen, discovery, agent) = (router.listen, router.discovery, router.agent);
         let Actor::Discovery(agent) = self.world.machine(agent) else { unreachable!("an agent") };
-        let known = agent.whole();
-        let node = self.router(listen, discovery, salt, &known);
+        let initial_list = agent.whole();
+        let router_actor = self.router(listen, discovery, seed_offset, &initial_list);
         self.world.kill(machine);
-        self.world.revive(machine, node);
+        self.world.revive(machine, router_actor);
     }
 }
 
 fn engine_address(port: u16, is_moved: bool) -> SocketAddr {
-    SocketAddr::from(([127, 0, 0, 1], port + if is_moved { MOVED } else { 0 }))
+    SocketAddr::from(([127, 0, 0, 1], port + if is_moved { MOVED_PORT_OFFSET } else { 0 }))
 }
 
 impl EngineState {
--- a/crates/platform/tests/common/mod.rs
+++ b/crates/platform/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! A router whose inputs come from the test, with one prefill engine, two decode engines, clients and discovery; and the
-//! messages that these exchange.
+//! A router that receives its inputs from the test, with one prefill engine, two decode engines, clients and
+//! discovery; and the messages that they exchange.
 #![allow(dead_code)]
 
 pub mod actor;
@@ -10,23 +10,27 @@
 use slipreel_state_machine::{ConnId, ConnectionLoss, Input, ListenerId, Machine, Output};
 use std::time::Duration;
 
+/// A duration in milliseconds.
 pub fn ms(millis: u64) -> Duration {
     Duration::from_millis(millis)
 }
 
+/// The address of discovery in [`config`].
 pub const DISCOVERY: &str = "127.0.0.9:8500";
 
+/// An entry of the endpoint list, in zone a and cell 1.
 pub fn engine(name: &str, kind: &str, port: u16, status: &str) -> String {
     format!(
         r#"{{"name":"{name}","address":"127.0.0.1:{port}","zone":"a","type":"{kind}","group":1,"status":"{status}","weight":1.0,"since_ms":0}}"#
     )
 }
 
+/// An endpoint list of these entries.
 pub fn list(index: u64, snapshot: bool, engines: &[String]) -> String {
     format!(r#"{{"index":{index},"snapshot":{snapshot},"endpoints":[{}]}}"#, engines.join(","))
 }
 
-/// A prefill engine at port 1 and decode engines at 2 and 3.
+/// The entries of a prefill engine at port 1 and of decode engines at ports 2 and 3.
 pub fn engines() -> Vec<String> {
     vec![
         engine("r", "reads", 1, "Ready"),
@@ -35,10 +39,11 @@
     ]
 }
 
-pub fn config(discovery: &str, known: &str, sockets: usize) -> String {
+/// The configuration of the router under test.
+pub fn config(discovery: &str, initial_list: &str, sockets: usize) -> String {
     format!(
         r#"{{"name":"n0","listen":"127.0.0.2:5000","discovery":"{discovery}","seed":"8c1f30d27a5be964",
-        "limits":{{"cores":1.0,"memory_mb":64,"sockets":{sockets}}},"known":{known},
+        "limits":{{"cores":1.0,"memory_mb":64,"sockets":{sockets}}},"known":{initial_list},
         "settings":{{"balancers":1,"azs":["a"],"zone":0,"tick":4.0,"host_types":["reads","writes"],
           "classes":[{{"name":"chat","target":1000.0,"worth":1.0,"idempotency":"safe","streaming":true}},
                      {{"name":"once","target":1000.0,"worth":3.0,"idempotency":"unsafe","streaming":true}}],
@@ -52,7 +57,7 @@
     )
 }
 
-/// A router, the time, and what the test feeds it.
+/// A router under test with its virtual time.
 pub struct Harness {
     pub router: PlatformRouter,
     pub now: Duration,
@@ -60,10 +65,12 @@
 }
 
 impl Harness {
+    /// A router with [`engines`] in its list.
     pub fn new() -> Self {
         Self::with(&config(DISCOVERY, &list(41, true, &engines()), 256))
     }
 
+    /// A router with this configuration.
     pub fn with(config: &str) -> Self {
         let now = Duration::from_secs(1000);
         let config = Config::parse(config).expect("a configuration that can be read");
@@ -97,12 +104,13 @@
         conn
     }
 
-    /// Bytes come in on a connection.
+    /// Delivers bytes received on a connection.
     pub fn receive(&mut self, conn: ConnId, bytes: impl AsRef<[u8]>) -> Vec<Output> {
         self.handle(Input::Data(conn, bytes.as_ref()))
     }
 
-    /// A connection that the router opened is established. Returns the outputs.
+    /// Establishes a connection that the router opened and reports what it writes there as sent. Returns the
+    /// outputs.
     pub fn connected(&mut self, conn: ConnId) -> Vec<Output> {
         let mut out = self.handle(Input::Connected(conn));
         let written = bytes(&out, conn).len();
@@ -110,8 +118,8 @@
         out
     }
 
-    /// A request with an id of its own is prefilled and forwarded to a decode engine. Returns the connections of the client
-    /// and of the decode engine.
+    /// Sends a request with this id, prefills it and forwards it to a decode engine. Returns the connections
+    /// of the client and of the decode engine.
     pub fn prefilled_and_forwarded(&mut self, class: &str, id: &str) -> (ConnId, ConnId) {
         let client = self.connect_client();
         let out = self.receive(client, request(class, id));
@@ -123,7 +131,7 @@
         (client, decode)
     }
 
-    /// The connection on which an attempt is sent: a new one, which is established then, or a kept one.
+    /// The connection on which an attempt is sent: a kept one, or a new one, which is then established.
     fn attempt_connection(&mut self, out: &[Output]) -> ConnId {
         if let Some(&(conn, _)) = opened(out).first() {
             self.connected(conn);
@@ -138,9 +146,9 @@
         conn
     }
 
-    /// A request is prefilled and sent to a decode engine. Returns the connections of the client and of the decode engine,
-    /// and the outputs.
-    pub fn at_decode_engine(&mut self, class: &str) -> (ConnId, ConnId, Vec<Output>) {
+    /// Sends a request, prefills it and forwards it to a decode engine. Returns the connections of the client
+    /// and of the decode engine, and the outputs.
+    pub fn forwarded_to_decode_engine(&mut self, class: &str) -> (ConnId, ConnId, Vec<Output>) {
         let client = self.connect_client();
         let out = self.receive(client, request(class, "9b1f"));
         let (prefill, port) = opened(&out)[0];
@@ -155,15 +163,17 @@
         (client, decode, out)
     }
 
-    /// As [`Harness::at_decode_engine`], with the stream begun.
+    /// As [`Harness::forwarded_to_decode_engine`], with the first event of the stream forwarded to the
+    /// client.
     pub fn streaming(&mut self, class: &str) -> (ConnId, ConnId) {
-        let (client, decode, _) = self.at_decode_engine(class);
+        let (client, decode, _) = self.forwarded_to_decode_engine(class);
         let out = self.receive(decode, [STREAM_HEAD, &chunk(&event("one"))].concat());
         assert!(text(&out, client).contains("one"));
         (client, decode)
     }
 }
 
+/// The body of a request.
 pub const BODY: &str = r#"{"model":"chat","stream":true}"#;
 /// The answer to a prefill, with a load report.
 pub const PREFILLED: &str =
@@ -171,6 +181,7 @@
 /// The answer to a prefill, without a load report.
 pub const PREFILLED_WITHOUT_REPORT: &str =
     "HTTP/1.1 202 Accepted\r\nContent-Length: 20\r\n\r\n{\"cached_tokens\":12}";
+/// The head of a streamed answer.
 pub const STREAM_HEAD: &str =
     "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n";
 
@@ -181,6 +192,7 @@
 /// The head of discovery's answer to a watch.
 pub const WATCH_HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
+/// A request of a client.
 pub fn request(class: &str, id: &str) -> String {
     format!(
         "POST /v1/chat/completions?a=b HTTP/1.1\r\nHost: api.internal\r\nX-Request-Id: {id}\r\nX-Class: {class}\r\n\
@@ -190,10 +202,12 @@
     )
 }
 
+/// An event of a stream with this content.
 pub fn event(text: &str) -> String {
     format!("data: {{\"choices\":[{{\"delta\":{{\"content\":\"{text}\"}}}}]}}\n\n")
 }
 
+/// Encodes a text as a chunk of a chunked body.
 pub fn chunk(text: &str) -> String {
     format!("{:x}\r\n{text}\r\n", text.len())
 }
@@ -214,7 +228,7 @@
     text.expect("a deadline").parse().expect("microseconds")
 }
 
-/// How many requests of clients were written to engines, completely or to their last byte.
+/// How many requests of clients were written to engines, completely or up to the last byte.
 pub fn forwarded_count(out: &[Output]) -> usize {
     let is_forwarded =
         |output: &&Output| matches!(output, Output::Write(_, bytes) if bytes.starts_with(b"POST "));
@@ -247,6 +261,7 @@
     out.iter().filter_map(release).collect()
 }
 
+/// The bytes written to a connection.
 pub fn bytes(out: &[Output], conn: ConnId) -> Vec<u8> {
     let written = out.iter().filter_map(|output| match output {
         Output::Write(to, bytes) if *to == conn => Some(bytes.as_slice()),
@@ -255,20 +270,21 @@
     written.collect::<Vec<_>>().concat()
 }
 
+/// The text written to a connection.
 pub fn text(out: &[Output], conn: ConnId) -> String {
     String::from_utf8(bytes(out, conn)).expect("text")
 }
 
-/// The status of an answer that was written.
+/// The status of the first answer written to a connection.
 pub fn status(out: &[Output], conn: ConnId) -> Option<u16> {
     text(out, conn).strip_prefix("HTTP/1.1 ")?.get(..3)?.parse().ok()
 }
 
-/// Ports from here on are discovery's, those below are engines'.
+/// Ports from this one on belong to discovery, those below to engines.
 const FIRST_DISCOVERY_PORT: u16 = 8_000;
 
 /// The connections opened, in order, and their ports.
-fn connects(out: &[Output]) -> impl Iterator<Item = (ConnId, u16)> + '_ {
+fn opened_connections(out: &[Output]) -> impl Iterator<Item = (ConnId, u16)> + '_ {
     out.iter().filter_map(|output| match output {
         Output::Connect(conn, addr) => Some((*conn, addr.port())),
         _ => None,
@@ -277,26 +293,30 @@
 
 /// The connections opened to engines, in order, and their ports.
 pub fn opened(out: &[Output]) -> Vec<(ConnId, u16)> {
-    connects(out).filter(|&(_, port)| port < FIRST_DISCOVERY_PORT).collect()
+    opened_connections(out).filter(|&(_, port)| port < FIRST_DISCOVERY_PORT).collect()
 }
 
 /// The connection to discovery that was opened last, if any.
-pub fn watch(out: &[Output]) -> Option<(ConnId, u16)> {
-    connects(out).filter(|&(_, port)| port >= FIRST_DISCOVERY_PORT).last()
+pub fn opened_watch(out: &[Output]) -> Option<(ConnId, u16)> {
+    opened_connections(out).filter(|&(_, port)| port >= FIRST_DISCOVERY_PORT).last()
 }
 
-pub fn finished(out: &[Output], conn: ConnId) -> bool {
+/// Whether a connection is closed once what was written to it is sent.
+pub fn is_closed_when_sent(out: &[Output], conn: ConnId) -> bool {
     out.contains(&Output::CloseWhenSent(conn))
 }
 
+/// Whether a connection is closed at once, without sending the rest.
 pub fn aborted(out: &[Output], conn: ConnId) -> bool {
     out.contains(&Output::Abort(conn))
 }
 
-pub fn ends(out: &[Output], conn: ConnId) -> bool {
-    finished(out, conn) || aborted(out, conn)
+/// Whether a connection is closed, in either way.
+pub fn is_closed(out: &[Output], conn: ConnId) -> bool {
+    is_closed_when_sent(out, conn) || aborted(out, conn)
 }
 
+/// The input that reports the loss of a connection.
 pub fn lost(conn: ConnId, why: ConnectionLoss) -> Input<'static> {
     Input::Lost(conn, why)
 }
--- a/crates/platform/tests/fleet.rs
+++ b/crates/platform/tests/fleet.rs
@@ -1,5 +1,6 @@
-//! A seeded fleet in virtual time: engines fail, are replaced under new names and leave; clients send one request, stay, or
-//! disconnect. Every request ends once, nothing is sent twice, and the router is left without state.
+//! A fleet with random faults from a seed, in virtual time: engines fail, are replaced under new names and
+//! leave; clients send one request, keep their connection, or disconnect. Each request ends exactly once,
+//! nothing is sent twice, and no state is left in the router.
 
 use slipreel_platform::{Config, HeldState, PlatformRouter};
 use slipreel_test_servers::memory::{Delays, World};
@@ -11,7 +12,7 @@
 
 mod common;
 use common::actor::Actor;
-use common::cluster::{entry, BrokenRouter, ClusterActor, Variant};
+use common::cluster::{entry, ClusterActor, Defect, DefectiveRouter};
 use common::{config, ms, DISCOVERY};
 
 const START: Duration = Duration::from_secs(1_000);
@@ -23,35 +24,35 @@
     router: usize,
     discovery: usize,
     clients: usize,
-    /// The running engines: name, whether it prefills, number in the world.
+    /// The running engines: name, whether it is a prefill engine, and the index of its actor in the world.
     running: Vec<(String, bool, usize)>,
     last_number: u16,
     seed: u64,
 }
 
 impl Fleet {
-    fn new(faults: Faults, requests: u32, every: Duration, seed: u64) -> Fleet {
+    fn new(faults: Faults, requests: u32, interval: Duration, seed: u64) -> Fleet {
         let shared = Shared::default();
         let mut world = World::new(START, Delays::default(), seed);
-        let (mut running, mut first) = (Vec::new(), Vec::new());
-        for born in 1..=5u16 {
-            let (name, reads) = (format!("e{born}"), born <= 2);
-            let engine = Engine::new(&name, reads, shared.clone(), faults, seed + u64::from(born));
-            let addr = SocketAddr::from(([127, 0, 0, 1], born));
-            let at = world.add(Actor::Engine(Box::new(engine)), &[addr]);
-            first.push((name.clone(), entry(&name, reads, born, "Ready", Duration::ZERO)));
-            running.push((name, reads, at));
+        let (mut running, mut entries) = (Vec::new(), Vec::new());
+        for number in 1..=5u16 {
+            let (name, is_prefill) = (format!("e{number}"), number <= 2);
+            let engine = Engine::new(&name, is_prefill, shared.clone(), faults, seed + u64::from(number));
+            let addr = SocketAddr::from(([127, 0, 0, 1], number));
+            let actor = world.add(Actor::Engine(Box::new(engine)), &[addr]);
+            entries.push((name.clone(), entry(&name, is_prefill, number, "Ready", Duration::ZERO)));
+            running.push((name, is_prefill, actor));
         }
-        let discovery = Discovery::new(&EndpointChanges(first));
-        let known = discovery.whole();
+        let discovery = Discovery::new(&EndpointChanges(entries));
+        let initial_list = discovery.whole();
         let discovery = world.add(Actor::Discovery(Box::new(discovery)), &[DISCOVERY.parse().unwrap()]);
-        let config = Config::parse(&config(DISCOVERY, &known, 512)).unwrap();
+        let config = Config::parse(&config(DISCOVERY, &initial_list, 512)).unwrap();
         let target = config.listen;
         let router = world.add(
-            Actor::Router(BrokenRouter::new(PlatformRouter::new(config, START, START), Variant::None)),
+            Actor::Router(DefectiveRouter::new(PlatformRouter::new(config, START, START), Defect::None)),
             &[target],
         );
-        let clients = Clients::new(target, &["chat", "once"], every, requests, START + ms(50), seed);
+        let clients = Clients::new(target, &["chat", "once"], interval, requests, START + ms(50), seed);
         let clients = world.add(Actor::Clients(Box::new(clients)), &[]);
         Fleet { world, shared, faults, router, discovery, clients, running, last_number: 5, seed }
     }
@@ -59,51 +60,52 @@
     fn router(&self) -> &PlatformRouter {
         match self.world.machine(self.router) {
             Actor::Router(broken) => &broken.router,
-            _ => unreachable!("the router's place"),
+            _ => unreachable!("the actor is the router"),
         }
     }
 
     fn clients(&self) -> &Clients {
         match self.world.machine(self.clients) {
             Actor::Clients(clients) => clients,
-            _ => unreachable!("the clients' place"),
+            _ => unreachable!("the actor is the clients"),
         }
     }
 
-    /// An engine drains and leaves, and another takes its place under a new name.
-    fn replace(&mut self) {
-        let at = usize::from(self.last_number) % self.running.len();
+    /// Drains and removes an engine, and adds another under a new name.
+    fn replace_engine(&mut self) {
+        let index = usize::from(self.last_number) % self.running.len();
         self.last_number += 1;
-        let (old, reads, gone) = self.running[at].clone();
+        let (old, is_prefill, old_actor) = self.running[index].clone();
         let name = format!("e{}", self.last_number);
         let engine = Engine::new(
             &name,
-            reads,
+            is_prefill,
             self.shared.clone(),
             self.faults,
             self.seed + u64::from(self.last_number),
         );
         let addr = SocketAddr::from(([127, 0, 0, 1], self.last_number));
-        let number = self.world.add(Actor::Engine(Box::new(engine)), &[addr]);
-        self.running[at] = (name.clone(), reads, number);
-        let drains = (old.clone(), entry(&old, reads, 1, "Terminating", Duration::ZERO));
-        let joins = (name.clone(), entry(&name, reads, self.last_number, "Ready", Duration::ZERO));
-        self.world.send_owner_message(self.discovery, &EndpointChanges(vec![drains, joins]));
+        let actor = self.world.add(Actor::Engine(Box::new(engine)), &[addr]);
+        self.running[index] = (name.clone(), is_prefill, actor);
+        let drained = (old.clone(), entry(&old, is_prefill, 1, "Terminating", Duration::ZERO));
+        let added = (name.clone(), entry(&name, is_prefill, self.last_number, "Ready", Duration::ZERO));
+        self.world.send_owner_message(self.discovery, &EndpointChanges(vec![drained, added]));
         self.run(ms(300));
-        let left = old.clone();
-        let leaves = format!(r#"{{"name":"{old}","status":"Gone"}}"#);
-        self.world.send_owner_message(self.discovery, &EndpointChanges(vec![(old, leaves)]));
+        let old_name = old.clone();
+        let removed = format!(r#"{{"name":"{old}","status":"Gone"}}"#);
+        self.world.send_owner_message(self.discovery, &EndpointChanges(vec![(old, removed)]));
         self.run(ms(50));
-        self.world.kill(gone);
-        lock_shared(&self.shared).engine_died(&left);
+        self.world.kill(old_actor);
+        lock_shared(&self.shared).engine_died(&old_name);
     }
 
-    /// Runs, and checks in steps that the decision module counts as many attempts in flight as the sockets carry.
+    /// Runs for a time and checks after each step that the decision module counts as many attempts in flight
+    /// as there are on connections.
     fn run(&mut self, time: Duration) {
         let end = self.world.now() + time;
         while self.world.now() < end {
-            let until = self.world.now() + ms(10);
-            self.world.run_until(until);
+            let step_end = self.world.now() + ms(10);
+            self.world.run_until(step_end);
             let router = self.router();
             let sockets = router.attempts_on_connections();
             for (engine, counted) in router.attempts_by_decision_module() {
@@ -128,7 +130,7 @@
     for seed in 1..=4 {
         let mut fleet = Fleet::new(faults, 1_000, ms(20), seed);
         for _ in 0..40 {
-            fleet.replace();
+            fleet.replace_engine();
             fleet.run(ms(150));
         }
         fleet.run(ms(16_000));
@@ -137,14 +139,14 @@
         assert_eq!(total, 1_000, "{:?}", clients.endings);
         assert_eq!(clients.odd, [""; 0], "seed {seed}: {:?}", clients.endings);
         assert!(clients.endings[&Ending::Served] > 700, "{:?}", clients.endings);
-        let fabric = lock_shared(&fleet.shared);
-        assert_eq!(fabric.broken, [""; 0], "seed {seed}");
-        assert!(fabric.overlapping.is_empty(), "seed {seed}: second copies {:?}", fabric.overlapping);
+        let shared = lock_shared(&fleet.shared);
+        assert_eq!(shared.broken, [""; 0], "seed {seed}");
+        assert!(shared.overlapping.is_empty(), "seed {seed}: second copies {:?}", shared.overlapping);
         let held = router.held_state();
         assert_eq!(
             (held.requests, held.releases, router.decision_state_sizes().requests),
             (0, 0, 0),
-            "seed {seed}: nothing is left"
+            "seed {seed}: no state is left"
         );
     }
 }
@@ -159,7 +161,7 @@
             let pinned = lock_shared(&fleet.shared).pinned(fleet.world.now(), ms(500));
             assert_eq!(pinned, [""; 0], "seed {seed} at {:?}", fleet.world.now() - START);
         }
-        assert!(fleet.router().counters().releases > 20, "the case came up");
+        assert!(fleet.router().counters().releases > 20, "too few releases to cover the case");
     }
 }
 
@@ -168,7 +170,7 @@
     let mut fleet = Fleet::new(Faults::default(), 6_000, ms(125), 5);
     let mut sizes = Vec::new();
     for replaced in 0..2_000 {
-        fleet.replace();
+        fleet.replace_engine();
         if replaced % 500 == 499 {
             fleet.run(ms(1_500));
             let router = fleet.router();
@@ -177,7 +179,7 @@
     }
     fleet.run(ms(60_000));
     assert_eq!(fleet.clients().odd, [""; 0], "{:?}", fleet.clients().endings);
-    assert_eq!(fleet.router().held_state().releases, 0, "every release is over in the end");
+    assert_eq!(fleet.router().held_state().releases, 0, "every release is done in the end");
     for (held, decisions, table_entries) in &sizes {
         let HeldState { client_connections, engine_connections, requests, timers, releases } = *held;
         assert!(
--- a/crates/platform/tests/gone.rs
+++ b/crates/platform/tests/gone.rs
@@ -1,5 +1,5 @@
-//! A client that has disconnected: nothing more is forwarded for it, whatever the state of its request, and held state is
-//! released.
+//! After a client disconnects nothing more is forwarded for it, whatever the state of its request, and held
+//! state is released.
 
 mod common;
 use common::*;
@@ -9,17 +9,18 @@
 const DISCONNECTS: [fn(ConnId) -> Input<'static>; 3] =
     [Input::Eof, |conn| Input::Lost(conn, ConnectionLoss::Reset), Input::PeerClosedWhilePaused];
 
-/// The client disconnects; then nothing is forwarded for it, whatever connections are established and engines answer.
+/// Disconnects the client and asserts that nothing is forwarded for it afterwards, although connections are
+/// established and engines answer.
 fn assert_nothing_forwarded_after(
     harness: &mut Harness, client: ConnId, disconnect: fn(ConnId) -> Input<'static>,
-    answer: &[(ConnId, &str)],
+    answers: &[(ConnId, &str)],
 ) {
     let mut all = harness.handle(disconnect(client));
-    for &(conn, bytes) in answer {
+    for &(conn, bytes) in answers {
         all.extend(harness.receive(conn, bytes));
     }
     assert_eq!(forwarded_count(&all), 0, "{all:?}");
-    // Longer than releases are repeated.
+    // Longer than releases are retried.
     for _ in 0..100 {
         for (conn, _) in opened(&all) {
             let out = harness.connected(conn);
@@ -38,7 +39,7 @@
             harness.router.decision_state_sizes().requests
         ),
         (0, 0, 0, 0),
-        "nothing is kept of it"
+        "no state of the request is kept"
     );
     assert!(
         harness.router.attempts_on_connections().is_empty(),
@@ -67,9 +68,9 @@
         harness.connected(prefill);
         let out = harness.receive(prefill, PREFILLED);
         let probes = opened(&out);
-        let asked: Vec<ConnId> = probes.iter().map(|&(conn, _)| conn).collect();
-        assert_eq!(asked.len(), 2, "{out:?}");
-        for &conn in &asked {
+        let probed: Vec<ConnId> = probes.iter().map(|&(conn, _)| conn).collect();
+        assert_eq!(probed.len(), 2, "{out:?}");
+        for &conn in &probed {
             assert!(text(&harness.connected(conn), conn).starts_with("GET /-/load "));
         }
         let load = "HTTP/1.1 200 OK\r\nContent-Length: 14\r\n\r\npending=1,x0=0";
@@ -77,7 +78,7 @@
             &mut harness,
             client,
             disconnect,
-            &[(asked[0], load), (asked[1], load)],
+            &[(probed[0], load), (probed[1], load)],
         );
     }
 }
@@ -102,7 +103,7 @@
         let client = harness.connect_client();
         let (prefill, _) = opened(&harness.receive(client, request("chat", "1")))[0];
         harness.connected(prefill);
-        // The answer was in transit as the connection was closed.
+        // The engine's answer was in transit when the connection was closed.
         assert_nothing_forwarded_after(&mut harness, client, disconnect, &[(prefill, PREFILLED)]);
         assert!(
             harness.router.counters().releases > 0,
@@ -114,22 +115,22 @@
 #[test]
 fn client_gone_between_a_failure_and_the_next_attempt() {
     for disconnect in DISCONNECTS {
-        // Both decode engines reject it, and there is no other.
+        // Both decode engines reject the attempt, and there is no other.
         let mut harness = Harness::new();
-        let (client, decode, _) = harness.at_decode_engine("chat");
-        let full = "HTTP/1.1 503 x\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n";
-        let out = harness.receive(decode, full);
+        let (client, decode, _) = harness.forwarded_to_decode_engine("chat");
+        let rejection = "HTTP/1.1 503 x\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n";
+        let out = harness.receive(decode, rejection);
         let next: Vec<ConnId> = opened(&out).iter().map(|&(conn, _)| conn).collect();
         for conn in next {
             harness.connected(conn);
-            harness.receive(conn, full);
+            harness.receive(conn, rejection);
         }
         assert_nothing_forwarded_after(&mut harness, client, disconnect, &[]);
     }
 }
 
-/// The last byte of a decode that must not be repeated is held back for a moment: one whose client disconnects by then never
-/// runs.
+/// The last byte of a decode that must not be repeated is held back for a moment: if the client disconnects
+/// before it is written, the decode never runs.
 #[test]
 fn client_gone_while_the_last_byte_is_held_back() {
     for disconnect in DISCONNECTS {
@@ -139,7 +140,7 @@
         harness.connected(prefill);
         let (decode, _) = opened(&harness.receive(prefill, PREFILLED))[0];
         let out = harness.connected(decode);
-        assert!(text(&out, decode).ends_with("\"stream\":true"), "all but the last byte");
+        assert!(text(&out, decode).ends_with("\"stream\":true"), "all but the last byte is written");
         let out = harness.handle(disconnect(client));
         assert!(aborted(&out, decode));
         let out = harness.advance(ms(10));
@@ -153,26 +154,26 @@
     for disconnect in DISCONNECTS {
         let mut harness = Harness::new();
         let client = harness.connect_client();
-        let ahead: String = (1..=4).map(|id| request("chat", &id.to_string())).collect();
-        let out = harness.receive(client, ahead);
+        let pipelined: String = (1..=4).map(|id| request("chat", &id.to_string())).collect();
+        let out = harness.receive(client, pipelined);
         let (prefill, _) = opened(&out)[0];
-        assert_eq!(opened(&out).len(), 1, "one at a time");
+        assert_eq!(opened(&out).len(), 1, "requests of a connection are handled one at a time");
         harness.connected(prefill);
         assert_nothing_forwarded_after(&mut harness, client, disconnect, &[(prefill, PREFILLED)]);
         assert_eq!(harness.router.counters().admitted, 1);
     }
 }
 
-/// Guards against a client that pipelined much and disconnected: its connection was paused, and its close was not seen
-/// behind the unread bytes.
+/// Guards against a missed disconnect: a client pipelines so much that its connection is paused, and its
+/// close is then hidden behind the unread bytes.
 #[test]
 fn client_gone_while_its_connection_is_paused() {
     let mut harness = Harness::new();
     let client = harness.connect_client();
     let out = harness.receive(client, request("chat", "1"));
     let (prefill, _) = opened(&out)[0];
-    let ahead: String = (2..200).map(|id| request("chat", &id.to_string())).collect();
-    let out = harness.receive(client, ahead);
+    let pipelined: String = (2..200).map(|id| request("chat", &id.to_string())).collect();
+    let out = harness.receive(client, pipelined);
     assert!(out.contains(&Output::Pause(client)));
     harness.connected(prefill);
     assert_nothing_forwarded_after(
@@ -197,8 +198,8 @@
     }
 }
 
-/// Guards against a late second answer of the exchange before, which came while the last byte of the next request was held
-/// back: it was mistaken for the answer to that one.
+/// Guards against a late second answer to the previous exchange: it arrives while the last byte of the next
+/// request is held back, and must not be taken for the answer to that request.
 #[test]
 fn before_the_last_byte_is_written_only_a_rejection_counts_as_an_answer() {
     let stream = [STREAM_HEAD, &chunk(&event("another's")), "0\r\n\r\n"].concat();
--- a/crates/platform/tests/peers.rs
+++ b/crates/platform/tests/peers.rs
@@ -5,10 +5,10 @@
 use slipreel_platform::Config;
 use slipreel_state_machine::{ConnId, ConnectionLoss, Input, Machine, Output};
 
-/// A harness whose watch is open.
+/// A harness whose watch at discovery is open, and the watch's connection.
 fn watching() -> (Harness, ConnId) {
     let mut harness = Harness::new();
-    let (conn, port) = watch(&harness.advance(ms(1))).unwrap();
+    let (conn, port) = opened_watch(&harness.advance(ms(1))).unwrap();
     assert_eq!(port, 8500);
     let out = harness.handle(Input::Connected(conn));
     assert!(text(&out, conn).starts_with("GET /api/targets?watch=1&after=41 HTTP/1.1\r\n"));
@@ -21,10 +21,10 @@
     let (mut harness, conn) = watching();
     let client = harness.connect_client();
     let prefill = opened(&harness.receive(client, request("chat", "1")))[0].0;
-    // Before its connection is established the prefill engine drains and another joins.
+    // Before the connection to the prefill engine is established, that engine drains and another joins.
     let change = list(42, false, &[engine("r", "reads", 1, "Terminating"), engine("s", "reads", 7, "Ready")]);
     let out = harness.receive(conn, chunk(&(change + "\n")));
-    assert!(aborted(&out, prefill), "what was not written is sent elsewhere");
+    assert!(aborted(&out, prefill), "an attempt that was not written yet moves to another engine");
     assert_eq!(opened(&out).iter().map(|&(_, port)| port).collect::<Vec<_>>(), [7]);
     let gone = list(43, false, &[r#"{"name":"s","status":"Gone"}"#.to_owned()]);
     let out = harness.receive(conn, chunk(&(gone + "\n")));
@@ -40,7 +40,7 @@
         .map(|(name, kind, port)| engine(name, kind, port, "Ready"))
         .into();
     let out = harness.receive(conn, chunk(&(list(42, true, &moved) + "\n")));
-    assert!(ends(&out, decode), "idle connections to the old address end");
+    assert!(is_closed(&out, decode), "idle connections to the old address are closed");
     let out = harness.receive(client, request("chat", "2"));
     assert_eq!(opened(&out)[0].1, 11);
 }
@@ -52,7 +52,7 @@
         let (mut harness, conn) = watching();
         let out = harness.receive(conn, chunk(&format!("{line}\n")));
         assert!(aborted(&out, conn), "case {case}");
-        let (again, _) = watch(&harness.advance(ms(810))).expect("opened anew");
+        let (again, _) = opened_watch(&harness.advance(ms(810))).expect("the watch is reopened");
         let out = harness.handle(Input::Connected(again));
         assert!(text(&out, again).contains("after=0 "), "case {case}: the complete list is requested");
         let client = harness.connect_client();
@@ -68,16 +68,16 @@
 
 #[test]
 fn a_watch_that_breaks_is_reopened_and_requests_the_complete_list() {
-    let ends: [fn(ConnId) -> Input<'static>; 2] = [Input::Eof, |conn| lost(conn, ConnectionLoss::Reset)];
-    for end in ends {
+    let failures: [fn(ConnId) -> Input<'static>; 2] = [Input::Eof, |conn| lost(conn, ConnectionLoss::Reset)];
+    for failure in failures {
         let (mut harness, conn) = watching();
         harness.receive(conn, chunk("{\"index\":42,\"snap"));
-        harness.handle(end(conn));
-        let (again, _) = watch(&harness.advance(ms(810))).expect("opened anew");
+        harness.handle(failure(conn));
+        let (again, _) = opened_watch(&harness.advance(ms(810))).expect("the watch is reopened");
         let out = harness.handle(Input::Connected(again));
         assert!(
             text(&out, again).contains("after=0 "),
-            "the changes that the broken one missed may not come again"
+            "changes missed by the broken watch may not be sent again"
         );
         harness.receive(again, WATCH_HEAD);
         let whole = list(42, true, &[engine("w", "writes", 2, "Terminating")]);
@@ -89,53 +89,54 @@
             let client = harness.connect_client();
             harness.receive(client, request("chat", "1"))
         };
-        assert!(opened(&out).is_empty(), "the complete list is the one that counts: {out:?}");
+        assert!(opened(&out).is_empty(), "the complete list replaces the old one: {out:?}");
     }
 }
 
 #[test]
 fn a_watch_with_an_incomplete_object_is_reopened() {
-    // An incomplete object with an end of line is no list, and what follows is not parsed as its rest.
+    // An incomplete object that ends with a line break is not a list, and the next line is not parsed as its
+    // rest.
     let (mut harness, conn) = watching();
     harness.receive(conn, chunk("{\"index\":\n"));
     let out = harness.advance(ms(2_310));
-    assert!(aborted(&out, conn) && watch(&out).is_some());
+    assert!(aborted(&out, conn) && opened_watch(&out).is_some());
 }
 
 #[test]
 fn a_silent_watch_is_reopened_at_once_and_one_with_empty_lines_is_kept() {
     let (mut harness, conn) = watching();
     for _ in 0..5 {
-        assert!(!aborted(&harness.advance(ms(2_000)), conn), "empty lines keep it open");
+        assert!(!aborted(&harness.advance(ms(2_000)), conn), "empty lines keep the watch open");
         harness.receive(conn, chunk("\n"));
     }
     let out = harness.advance(ms(3_800));
     assert!(
-        aborted(&out, conn) && watch(&out).is_some(),
-        "one without lines hangs, and a new one is opened at once"
+        aborted(&out, conn) && opened_watch(&out).is_some(),
+        "a watch without lines is taken as hung, and a new one is opened at once"
     );
 }
 
-/// By the rule on drains, changes that a silent watch missed have to be known 6 s after it fell silent, also if the first
-/// connection of the new watch is not established.
+/// The rule on drains requires that changes which a silent watch missed are applied within 6 s after it fell
+/// silent, also if the first connection of the new watch is not established.
 #[test]
 fn changes_missed_by_a_silent_watch_arrive_within_six_seconds() {
-    for lost in [0, 1] {
+    for failed_connects in [0, 1] {
         let (mut harness, silent) = watching();
         let start = harness.now;
         harness.receive(silent, chunk("\n"));
         let mut conn = silent;
-        for _ in 0..=lost {
+        for _ in 0..=failed_connects {
             let mut out = Vec::new();
-            while watch(&out).is_none_or(|(new, _)| new == conn) && harness.now < start + ms(6_000) {
+            while opened_watch(&out).is_none_or(|(new, _)| new == conn) && harness.now < start + ms(6_000) {
                 out = harness.advance(ms(10));
             }
-            conn = watch(&out).expect("opened anew").0;
+            conn = opened_watch(&out).expect("the watch is reopened").0;
         }
         harness.handle(Input::Connected(conn));
         let drains = [engine("w", "writes", 2, "Terminating")];
         harness.receive(conn, format!("{WATCH_HEAD}{}", chunk(&(list(42, false, &drains) + "\n"))));
-        assert!(harness.now < start + ms(5_900), "{lost}: {:?}", harness.now - start);
+        assert!(harness.now < start + ms(5_900), "{failed_connects}: {:?}", harness.now - start);
         let client = harness.connect_client();
         let out = harness.receive(client, request("chat", "1"));
         let (prefill, _) = opened(&out)[0];
@@ -144,57 +145,61 @@
     }
 }
 
-/// Guards against a request that was received just as its connection reached the idle timeout, or as a shutdown closes idle
-/// connections: it was dropped with the connection.
+/// Guards against dropping a request that arrives just as its connection reaches the idle timeout, or as a
+/// shutdown closes idle connections.
 #[test]
 fn a_request_received_at_the_idle_timeout_is_served() {
-    for stops in [false, true] {
+    for shuts_down in [false, true] {
         let mut harness = Harness::new();
         let client = harness.connect_client();
-        // An answered request, then silence until the idle timeout, but for the bytes in the socket.
+        // An answered request, then silence until the idle timeout; the next request is in the socket by
+        // then.
         let out = harness.receive(client, "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n");
         harness.handle(Input::Sent(client, bytes(&out, client).len()));
-        if stops {
+        if shuts_down {
             harness.handle(Input::Stop);
         }
-        harness.now += if stops { ms(700) } else { ms(15_000) };
+        harness.now += if shuts_down { ms(700) } else { ms(15_000) };
         let out = harness.receive(client, request("chat", "1"));
-        assert!(!ends(&out, client) && opened(&out).len() == 1, "{stops}: {out:?}");
+        assert!(!is_closed(&out, client) && opened(&out).len() == 1, "{shuts_down}: {out:?}");
     }
 }
 
 #[test]
 fn a_router_without_a_list_is_not_ready() {
-    let ask = "GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n";
+    let readiness_request = "GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n";
     let mut harness = Harness::with(&config(DISCOVERY, "null", 256));
-    let (conn, _) = watch(&harness.advance(ms(1))).unwrap();
+    let (conn, _) = opened_watch(&harness.advance(ms(1))).unwrap();
     let client = harness.connect_client();
-    assert_eq!(status(&harness.receive(client, ask), client), Some(503));
+    assert_eq!(status(&harness.receive(client, readiness_request), client), Some(503));
     harness.handle(Input::Connected(conn));
     harness.receive(conn, WATCH_HEAD);
     harness.receive(conn, chunk(&(list(1, true, &engines()) + "\n")));
-    assert_eq!(status(&harness.receive(client, ask), client), Some(200));
+    assert_eq!(status(&harness.receive(client, readiness_request), client), Some(200));
 }
 
 #[test]
 fn a_reload_moves_the_watch_and_keeps_streams() {
-    for hangs in [false, true] {
+    for is_silent in [false, true] {
         let (mut harness, old) = watching();
         let (client, decode) = harness.streaming("chat");
-        if hangs {
+        if is_silent {
             let out = harness.advance(ms(2_900));
-            assert!(!ends(&out, client) && watch(&out).is_none(), "it may be silent for so long");
+            assert!(
+                !is_closed(&out, client) && opened_watch(&out).is_none(),
+                "a watch may be silent for that long"
+            );
         }
         let config = Config::parse(&config("127.0.0.9:8600", &list(41, true, &engines()), 256)).unwrap();
         let out = harness.handle(Input::OwnerMessage(&config));
-        let (new, port) = watch(&out).expect("opened at once");
+        let (new, port) = opened_watch(&out).expect("opened at once");
         assert!(aborted(&out, old) && port == 8600);
         let out = harness.handle(Input::Connected(new));
         assert!(text(&out, new).contains("after=41 "));
         let out = harness.receive(decode, stream_end());
         assert!(text(&out, client).ends_with("0\r\n\r\n"), "the stream goes on");
         assert!(
-            watch(&harness.handle(Input::OwnerMessage(&config))).is_none(),
+            opened_watch(&harness.handle(Input::OwnerMessage(&config))).is_none(),
             "the same address again changes nothing"
         );
     }
@@ -205,28 +210,34 @@
 #[test]
 fn held_state_is_released_until_acknowledged_and_again_while_the_prefill_may_still_end() {
     let mut harness = Harness::new();
-    let (client, decode, _) = harness.at_decode_engine("chat");
+    let (client, decode, _) = harness.forwarded_to_decode_engine("chat");
     let out = harness.handle(Input::Eof(client));
     let sent = sent_releases(&out);
-    assert_eq!(sent.len(), 1, "on the idle connection: the prefill engine's");
+    assert_eq!(sent.len(), 1, "on the idle connection to the prefill engine");
     assert_eq!(sent[0].request_line, "DELETE /v1/holds/9b1f HTTP/1.1");
     assert!(aborted(&out, decode));
-    // Nothing answers: it is retried on this or another connection until it is acknowledged. As the decode was cancelled a
-    // moment before and its engine is silent, it is repeated: once soon, then at the interval of the setting for as long as
-    // engines may hang.
-    let left = harness.now;
-    let over = left + ms(8_000);
+    // No answer arrives: the release is retried on this or another connection until it is acknowledged. As
+    // the decode was cancelled just before and its engine is silent, the release is repeated even then: once
+    // soon, then at the configured interval for as long as engines may hang.
+    let disconnected_at = harness.now;
+    let last_repeat = disconnected_at + ms(8_000);
     let (mut acknowledged, mut out) = (Vec::new(), harness.advance(ms(400)));
-    while harness.now < over + ms(1_000) {
+    while harness.now < last_repeat + ms(1_000) {
         acknowledged.extend(acknowledge_all_but(&mut harness, out, DECODE_PORT));
         out = harness.advance(ms(10));
     }
-    let early = acknowledged.iter().filter(|&&at| at < left + ms(600)).count();
+    let early = acknowledged.iter().filter(|&&at| at < disconnected_at + ms(600)).count();
     assert!((2..=4).contains(&early), "{acknowledged:?}");
     assert!((16..=19).contains(&acknowledged.len()), "{acknowledged:?}");
-    assert!(acknowledged.last().is_some_and(|&at| at >= over && at < over + ms(700)), "{acknowledged:?}");
+    assert!(
+        acknowledged.last().is_some_and(|&at| at >= last_repeat && at < last_repeat + ms(700)),
+        "{acknowledged:?}"
+    );
     let out = harness.advance(ms(3_000));
-    assert!(sent_releases(&out).is_empty() && opened(&out).is_empty(), "that is enough");
+    assert!(
+        sent_releases(&out).is_empty() && opened(&out).is_empty(),
+        "no release is sent after the last repeat"
+    );
     assert_eq!(harness.router.held_state().releases, 0);
 }
 
@@ -238,7 +249,7 @@
     let out = harness.handle(Input::Eof(client));
     let mut acknowledged = acknowledge_all_but(&mut harness, out, NO_PORT);
     harness.advance(ms(50));
-    // The decode engine answers another request, after it has seen the end of the cancelled decode.
+    // The decode engine answers another request; by then it has seen that the first decode was cancelled.
     let (_, decode) = harness.prefilled_and_forwarded("chat", "other");
     harness.receive(decode, [STREAM_HEAD, &chunk(&event("one"))].concat());
     for _ in 0..300 {
@@ -252,7 +263,8 @@
 const DECODE_PORT: u16 = 2;
 const NO_PORT: u16 = 0;
 
-/// Establishes connections, except those to one engine, and acknowledges releases. Returns when.
+/// Establishes connections, except those to the port `silent`, and acknowledges releases. Returns the time of
+/// each acknowledgement.
 fn acknowledge_all_but(harness: &mut Harness, mut out: Vec<Output>, silent: u16) -> Vec<std::time::Duration> {
     for (conn, port) in opened(&out) {
         if port != silent {
@@ -273,9 +285,10 @@
     let prefill = opened(&harness.receive(client, request("chat", "1")))[0].0;
     harness.connected(prefill);
     let out = harness.handle(lost(prefill, ConnectionLoss::Reset));
-    // The prefill is retried there; the release is sent first or with it, and is not retried during the new prefill.
-    let again = opened(&out);
-    assert!(!again.is_empty(), "{out:?}");
+    // The prefill is retried at the same engine. The release is sent before or with it, and is not retried
+    // during the new prefill.
+    let retries = opened(&out);
+    assert!(!retries.is_empty(), "{out:?}");
     let out = harness.handle(Input::Eof(client));
     let all: Vec<_> = out.iter().chain(&harness.advance(ms(300))).cloned().collect();
     let mut sent = sent_releases(&all);
@@ -306,7 +319,7 @@
 
 // ---- Shutdown ---------------------------------------------------------------------------------------
 
-/// A harness whose clients resume broken streams, or do not.
+/// A harness whose clients resume broken streams if `resumes`.
 fn harness_with_resumption(resumes: bool) -> Harness {
     let config = config(DISCOVERY, &list(41, true, &engines()), 256);
     Harness::with(
@@ -322,58 +335,59 @@
         harness.receive(idle, "GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n");
         let (client, decode) = harness.streaming("chat");
         let out = harness.handle(Input::Stop);
-        assert!(!ends(&out, idle) && !ends(&out, client) && !out.contains(&Output::Stopped));
+        assert!(!is_closed(&out, idle) && !is_closed(&out, client) && !out.contains(&Output::Stopped));
         harness.advance(ms(600));
         let late = harness.connect_client();
         let out = harness.receive(late, request("chat", "late"));
         let (prefill, _) = opened(&out)[0];
         harness.connected(prefill);
         let out = harness.advance(ms(150));
-        assert!(ends(&out, idle), "idle connections are closed once no new clients come");
+        assert!(is_closed(&out, idle), "idle connections are closed once no new clients come");
         harness.receive(prefill, PREFILLED);
         let out = harness.receive(decode, stream_end());
-        assert!(text(&out, client).ends_with("0\r\n\r\n") && finished(&out, client));
+        assert!(text(&out, client).ends_with("0\r\n\r\n") && is_closed_when_sent(&out, client));
         let out = harness.advance(ms(4_800));
         assert!(text(&out, late).contains("connection: close"), "{}", text(&out, late));
         assert!(out.contains(&Output::Stopped));
     }
 }
 
-/// Guards against a close while the first request of a new connection is in transit, at each step of a shutdown.
+/// Guards against closing a new connection while its first request is in transit, at each step of a shutdown.
 #[test]
 fn a_shutdown_keeps_new_connections_open_for_their_first_request() {
     for step in [ms(700), ms(2_400), ms(3_250)] {
         let mut harness = harness_with_resumption(true);
-        // Keeps the router running until the last step.
+        // A request in progress keeps the router running until the last step.
         harness.streaming("chat");
         harness.handle(Input::Stop);
         harness.advance(step - ms(1));
         let (sending, silent) = (harness.connect_client(), harness.connect_client());
         let out = harness.advance(ms(2));
-        assert!(!ends(&out, sending) && !ends(&out, silent), "{step:?}");
+        assert!(!is_closed(&out, sending) && !is_closed(&out, silent), "{step:?}");
         let out = harness.receive(sending, request("chat", "late"));
         assert!(!opened(&out).is_empty() || status(&out, sending) == Some(503), "{step:?}: {out:?}");
         let out = harness.advance(ms(400));
-        assert!(ends(&out, silent), "{step:?}: it had its moment");
+        assert!(is_closed(&out, silent), "{step:?}: it had time to send a request");
     }
 }
 
-/// Runs the steps of a shutdown until the router stops listening, without `Output::Stopped` before.
+/// Runs the steps of a shutdown until the router stops listening, and asserts that no `Output::Stopped`
+/// precedes.
 fn run_until_listener_closes(harness: &mut Harness) {
     for _ in 0..50 {
-        let at = harness.router.wake_at().expect("a step of the stop");
+        let at = harness.router.wake_at().expect("the shutdown has a further step");
         harness.now = harness.now.max(at);
         let out = harness.handle(Input::Wake);
-        assert!(!out.contains(&Output::Stopped), "it ends without having closed its listener in order");
+        assert!(!out.contains(&Output::Stopped), "it ends before its listener is closed");
         if out.contains(&Output::StopListening) {
             return;
         }
     }
-    panic!("it never stops listening");
+    panic!("the router never stops listening");
 }
 
-/// Guards against a request that had reached the listener as the router ended. The driver hands its connection over between
-/// `Output::StopListening` and `Output::Stopped`.
+/// Guards against dropping a request that has reached the listener as the router ends. The driver reports its
+/// connection between `Output::StopListening` and `Output::Stopped`.
 #[test]
 fn a_connection_accepted_as_the_listener_closes_is_served_before_the_router_ends() {
     let mut harness = harness_with_resumption(false);
@@ -383,7 +397,7 @@
     let out = harness.receive(late, request("chat", "late"));
     assert!(!opened(&out).is_empty() && !out.contains(&Output::Stopped), "it is served: {out:?}");
     let out = harness.advance(ms(4_800));
-    assert!(status(&out, late).is_some() && ends(&out, late), "{out:?}");
+    assert!(status(&out, late).is_some() && is_closed(&out, late), "{out:?}");
     let answered = out.iter().position(|output| matches!(output, Output::Write(conn, _) if *conn == late));
     let stopped = out.iter().position(|output| *output == Output::Stopped);
     assert!(answered.is_some() && answered < stopped, "{out:?}");
@@ -408,7 +422,7 @@
             out.extend(harness.advance(ms(100)));
             harness.receive(decode, chunk(&event("on")));
         }
-        assert_eq!(finished(&out, client), resumes);
+        assert_eq!(is_closed_when_sent(&out, client), resumes);
         assert_eq!(aborted(&out, decode), resumes);
         assert!(!text(&out, client).contains("0\r\n\r\n"));
     }
@@ -419,12 +433,12 @@
     let mut harness = harness_with_resumption(true);
     harness.handle(Input::Stop);
     harness.advance(ms(1_500));
-    let (client, _, _) = harness.at_decode_engine("once");
+    let (client, _, _) = harness.forwarded_to_decode_engine("once");
     let out = harness.advance(ms(1_800));
     assert_eq!(status(&out, client), Some(502));
 }
 
-/// An engine drains and leaves in one wake-up, while an attempt to it is decided and not written.
+/// An engine drains and leaves in one read, while an attempt at it is decided and not written yet.
 #[test]
 fn an_engine_that_drains_and_leaves_at_once_receives_no_decided_attempt() {
     let (mut harness, conn) = watching();
@@ -435,7 +449,7 @@
         list(43, false, &[r#"{"name":"r","status":"Gone"}"#.to_owned(), engine("s", "reads", 7, "Ready")]);
     let out =
         harness.receive(conn, format!("{}{}", chunk(&format!("{drains}\n")), chunk(&format!("{leaves}\n"))));
-    assert!(aborted(&out, prefill), "what was not written is sent elsewhere");
+    assert!(aborted(&out, prefill), "an attempt that was not written yet moves to another engine");
     let mut all = out;
     for _ in 0..20 {
         all.extend(harness.advance(ms(20)));
--- a/crates/platform/tests/releases.rs
+++ b/crates/platform/tests/releases.rs
@@ -1,11 +1,11 @@
-//! Held state is released in time, whatever fails: engines that fall silent together, prefills that end after they were
-//! cancelled, outages longer than any retry interval, and late answers to other exchanges.
+//! Held state is released in time, whatever fails: engines that fall silent together, prefills that end after
+//! they were cancelled, outages longer than any retry interval, and late answers to other exchanges.
 
 mod common;
 use common::cluster::{Cluster, ClusterLayout};
 use common::{
-    aborted, bytes, chunk, config, ends, engines, event, list, lost, ms, opened, request, sent_releases,
-    status, watch, Harness, DISCOVERY, PREFILLED, PREFILLED_WITHOUT_REPORT, RELEASED, STREAM_HEAD,
+    aborted, bytes, chunk, config, engines, event, is_closed, list, lost, ms, opened, opened_watch, request,
+    sent_releases, status, Harness, DISCOVERY, PREFILLED, PREFILLED_WITHOUT_REPORT, RELEASED, STREAM_HEAD,
 };
 use slipreel_invariants::terms::{Fact, Seen};
 use slipreel_platform::Config;
@@ -14,26 +14,27 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// How long state may be held while no attempt is in flight: the setting of the tests' configuration and the rule's slack.
-const HELD_AT_MOST: Duration = Duration::from_millis(800);
+/// How long state may be held while no attempt is in flight: `let_go_by` of the test configuration plus the
+/// tolerance of the rule.
+const MAX_HELD: Duration = Duration::from_millis(800);
 
 /// The connections on which a release was written, in order.
 fn releases(out: &[Output]) -> Vec<ConnId> {
     sent_releases(out).into_iter().map(|release| release.conn).collect()
 }
 
-/// Whose held state a run checks.
+/// The requests whose held state is checked.
 #[derive(Clone, Copy, PartialEq)]
 enum CheckedRequests {
-    /// Of every request.
+    /// Every request.
     All,
-    /// Of those whose client has gone, long enough ago for all to be released.
+    /// Those whose client disconnected so long ago that all their state should be released.
     Gone,
 }
 
-/// The requests whose client left so long ago that no state of them may be held any more.
+/// The requests whose client disconnected so long ago that none of their state may still be held.
 fn long_gone(facts: &[Fact], now: Duration) -> BTreeSet<&str> {
-    let long_ago = facts.iter().filter(|fact| fact.at + HELD_AT_MOST < now);
+    let long_ago = facts.iter().filter(|fact| fact.at + MAX_HELD < now);
     let gone = long_ago.filter_map(|fact| match &fact.seen {
         Seen::ClientGone { request } => Some(request.as_str()),
         _ => None,
@@ -41,21 +42,21 @@
     gone.collect()
 }
 
-/// Runs a cluster in steps and asserts that in none of them state is held for too long.
-fn run_and_check_held_state(cluster: &mut Cluster, time: Duration, checked: CheckedRequests, what: &str) {
+/// Runs a cluster in steps and asserts after each that no state has been held for too long.
+fn run_and_check_held_state(cluster: &mut Cluster, time: Duration, checked: CheckedRequests, phase: &str) {
     let step = ms(10);
     let mut passed = ms(0);
     while passed < time {
         cluster.run(step);
         passed += step;
         let now = cluster.world.now();
-        let fabric = lock_shared(&cluster.shared);
-        let mut pinned = fabric.pinned(now, HELD_AT_MOST);
+        let shared = lock_shared(&cluster.shared);
+        let mut pinned = shared.pinned(now, MAX_HELD);
         if checked == CheckedRequests::Gone && !pinned.is_empty() {
-            let gone = long_gone(&fabric.facts, now);
+            let gone = long_gone(&shared.facts, now);
             pinned.retain(|name| gone.contains(name.as_str()));
         }
-        assert!(pinned.is_empty(), "{what}, {passed:?} into it: {pinned:?}");
+        assert!(pinned.is_empty(), "{phase}, {passed:?} into it: {pinned:?}");
     }
 }
 
@@ -67,7 +68,7 @@
             prefill_engines: 6,
             decode_engines: 6,
             requests: 3_000,
-            every: ms(4),
+            interval: ms(4),
             leaving: 0.2,
             seed,
             ..ClusterLayout::default()
@@ -87,7 +88,7 @@
             &mut cluster,
             ms(4_000),
             CheckedRequests::Gone,
-            &format!("seed {seed}, they are back"),
+            &format!("seed {seed}, they answer again"),
         );
     }
 }
@@ -99,7 +100,7 @@
             routers: 1,
             prefill_engines: 3,
             requests: 1_500,
-            every: ms(10),
+            interval: ms(10),
             seed,
             ..ClusterLayout::default()
         };
@@ -117,7 +118,7 @@
             &mut cluster,
             ms(4_000),
             CheckedRequests::All,
-            &format!("seed {seed}, it goes on after {outage} ms"),
+            &format!("seed {seed}, it continues after {outage} ms"),
         );
     }
 }
@@ -125,13 +126,13 @@
 #[test]
 fn a_release_outlives_an_outage_of_every_engine() {
     let mut harness = Harness::new();
-    let (client, _, _) = harness.at_decode_engine("chat");
+    let (client, _, _) = harness.forwarded_to_decode_engine("chat");
     harness.handle(Input::Eof(client));
-    // Nothing answers and no connection is established for far longer than any outage on record.
+    // No answer arrives and no connection is established for far longer than any outage on record.
     let out = harness.advance(ms(20_000));
-    assert!(!opened(&out).is_empty(), "it goes on trying");
+    assert!(!opened(&out).is_empty(), "the release is still retried");
     let out = harness.advance(ms(1_200));
-    let (conn, _) = *opened(&out).last().expect("one more connection is tried after the outage");
+    let (conn, _) = *opened(&out).last().expect("one more connection is attempted after the outage");
     let out = harness.connected(conn);
     assert_eq!(releases(&out), [conn], "the release is sent on the first connection that is established");
 }
@@ -139,20 +140,20 @@
 #[test]
 fn a_late_second_answer_acknowledges_no_release() {
     let mut harness = Harness::new();
-    let (client, _, _) = harness.at_decode_engine("chat");
+    let (client, _, _) = harness.forwarded_to_decode_engine("chat");
     let mut out = harness.handle(Input::Eof(client));
     let (mut stale, mut acknowledged) = (0, 0);
-    // As the decode was cancelled a moment before, two acknowledgements are due.
+    // As the decode was cancelled just before, the release has to be acknowledged twice.
     while harness.router.held_state().releases > 0 && stale + acknowledged < 50 {
         for (conn, _) in opened(&out) {
             out.extend(harness.connected(conn));
         }
         for conn in releases(&out) {
             harness.handle(Input::Sent(conn, bytes(&out, conn).len()));
-            // A late second answer to the prefill comes on the connection that now carries the release.
+            // A late second answer to the prefill arrives on the connection that now carries the release.
             if stale == 0 {
                 let out = harness.receive(conn, PREFILLED);
-                assert!(aborted(&out, conn), "later bytes on it could not be attributed");
+                assert!(aborted(&out, conn), "later bytes could not be attributed to an exchange");
                 stale += 1;
             } else {
                 harness.receive(conn, RELEASED);
@@ -170,7 +171,7 @@
     let client = harness.connect_client();
     let (prefill, _) = opened(&harness.receive(client, request("chat", "1")))[0];
     harness.connected(prefill);
-    // Malformed bytes come in place of the answer, while the engine continues the prefill.
+    // A malformed answer arrives, while the engine continues the prefill.
     let spoilt = harness.receive(prefill, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
     assert!(aborted(&spoilt, prefill));
     let mut out = harness.handle(Input::Eof(client));
@@ -199,7 +200,7 @@
         clients.push(client);
         decode_engines.push(decode);
     }
-    // All clients leave at once. Only one engine answers, on one connection.
+    // All clients disconnect at once. Only one engine answers, on one connection.
     let mut out = Vec::new();
     clients.iter().for_each(|&client| out.extend(harness.handle(Input::Eof(client))));
     let answering = releases(&out)[0];
@@ -211,12 +212,13 @@
         let out = harness.receive(conn, RELEASED);
         acknowledged += 1;
         next.extend(releases(&out).into_iter().filter(|&conn| conn == answering).take(1));
-        assert!(acknowledged <= 200, "no release goes round for ever");
+        assert!(acknowledged <= 200, "releases are not retried without end");
     }
-    assert!(acknowledged >= 40, "all 40 went out one after another: {acknowledged}");
+    assert!(acknowledged >= 40, "all 40 are sent one after another: {acknowledged}");
 }
 
-/// Establishes new connections at once until `time` has passed. Returns the connections on which a release was written.
+/// Establishes new connections at once until `time` has passed. Returns the connections on which a release
+/// was written.
 fn releases_within(harness: &mut Harness, first: Vec<Output>, time: Duration) -> Vec<ConnId> {
     let end = harness.now + time;
     let mut out = first;
@@ -236,14 +238,14 @@
 #[test]
 fn state_of_an_engine_that_left_the_list_is_released_through_another() {
     let mut harness = Harness::new();
-    let (discovery, _) = watch(&harness.advance(ms(0))).expect("the list is watched");
+    let (discovery, _) = opened_watch(&harness.advance(ms(0))).expect("the list is watched");
     harness.handle(Input::Connected(discovery));
     harness.receive(discovery, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-    let (client, _, _) = harness.at_decode_engine("chat");
+    let (client, _, _) = harness.forwarded_to_decode_engine("chat");
     harness.receive(discovery, chunk(&list(42, false, &[r#"{"name":"r","status":"Gone"}"#.to_owned()])));
     let out = harness.handle(Input::Eof(client));
     let sent = releases_within(&mut harness, out, ms(300));
-    assert!(!sent.is_empty(), "it goes to an engine that is still there");
+    assert!(!sent.is_empty(), "the release is sent to an engine that is still listed");
 }
 
 #[test]
@@ -252,22 +254,25 @@
     let client = harness.connect_client();
     let (prefill, _) = opened(&harness.receive(client, request("chat", "1")))[0];
     harness.connected(prefill);
-    // The prefill broke and may have left state. It is retried, and then no decode engine can be reached.
+    // The prefill broke and may have left state. It is retried, and then no decode engine is reachable.
     let out = harness.handle(lost(prefill, ConnectionLoss::Reset));
     let (prefill, _) = opened(&out)[0];
     harness.connected(prefill);
     let mut out = harness.receive(prefill, PREFILLED_WITHOUT_REPORT);
-    let began = harness.now;
+    let started_at = harness.now;
     while status(&out, client).is_none() {
-        assert!(harness.now < began + ms(1_000), "the module gives up");
-        let tried = opened(&out);
-        out = if tried.is_empty() { harness.advance(ms(5)) } else { Vec::new() };
-        for (conn, _) in tried {
+        assert!(
+            harness.now < started_at + ms(1_000),
+            "the request is answered once no decode engine is reachable"
+        );
+        let attempted = opened(&out);
+        out = if attempted.is_empty() { harness.advance(ms(5)) } else { Vec::new() };
+        for (conn, _) in attempted {
             out.extend(harness.handle(lost(conn, ConnectionLoss::NotConnected)));
         }
     }
     let sent = releases_within(&mut harness, out, ms(200));
-    assert!(!sent.is_empty(), "released once nothing is out");
+    assert!(!sent.is_empty(), "released once no attempt is in flight");
 }
 
 #[test]
@@ -277,7 +282,8 @@
     let client = harness.connect_client();
     let (broken, _) = opened(&harness.receive(client, request("chat", "first")))[0];
     harness.connected(broken);
-    // Its prefill broke and is retried; the stream is to begin while three others keep their connections busy.
+    // Its prefill broke and is retried; its stream begins while three other requests keep their connections
+    // busy.
     let mut prefill = broken;
     for (conn, _) in opened(&harness.handle(lost(broken, ConnectionLoss::Reset))) {
         let out = harness.connected(conn);
@@ -300,14 +306,14 @@
     assert_eq!(harness.router.held_state().engine_connections, 4, "all are in use");
     let out = harness.receive(decode, [STREAM_HEAD, &chunk(&event("one"))].concat());
     let sent = releases_within(&mut harness, out, ms(300));
-    assert!(!sent.is_empty(), "some are left for releases");
+    assert!(!sent.is_empty(), "some connections are left for releases");
 }
 
 #[test]
 fn a_stopping_router_waits_for_its_releases_until_the_deadline() {
     for acknowledges in [true, false] {
         let mut harness = Harness::new();
-        let (client, _, _) = harness.at_decode_engine("chat");
+        let (client, _, _) = harness.forwarded_to_decode_engine("chat");
         harness.handle(Input::Stop);
         let stopped = harness.now;
         let mut out = harness.handle(Input::Eof(client));
@@ -327,7 +333,8 @@
     }
 }
 
-/// State is held at the prefill engine, all connections are silent from then on, and the client has left.
+/// A harness with an open release: state is held at the prefill engine, all connections are silent and the
+/// client has disconnected. Returns also the outputs of the disconnect.
 fn with_an_open_release() -> (Harness, Vec<Output>) {
     let mut harness = Harness::new();
     let client = harness.connect_client();
@@ -348,7 +355,7 @@
     out.extend(harness.advance(ms(5)));
     let (late, _) = *opened(&out).first().expect("a connection for the release");
     let meanwhile = harness.advance(ms(900));
-    assert!(!ends(&meanwhile, late), "it is awaited");
+    assert!(!is_closed(&meanwhile, late), "the router waits for the connection");
     let sent = releases(&harness.connected(late));
     assert_eq!(sent, [late]);
 }
@@ -360,17 +367,21 @@
     let new = Config::parse(&text).expect("a configuration");
     let mut all = out;
     all.extend(harness.handle(Input::OwnerMessage(&new)));
-    assert_eq!(watch(&all).map(|(_, port)| port), Some(8500), "the watch is opened at the new address");
+    assert_eq!(
+        opened_watch(&all).map(|(_, port)| port),
+        Some(8500),
+        "the watch is opened at the new address"
+    );
     let before = harness.router.held_state().releases;
     assert_eq!(before, 1, "the release is open");
     let sent = releases_within(&mut harness, all, ms(400));
-    assert!(!sent.is_empty(), "it goes out");
+    assert!(!sent.is_empty(), "the release is sent");
     harness.receive(sent[0], "HTTP/1.1 204 No Content\r\n\r\n");
     let open_after = releases_within(&mut harness, Vec::new(), ms(9_500)).len();
-    assert!(open_after < 200, "and ends: {open_after}");
+    assert!(open_after < 200, "the release ends after its acknowledgement: {open_after}");
 }
 
-/// The connection that was idle before may be dead without a sign.
+/// A connection that has been idle may be dead without a sign; one that has just answered is not.
 #[test]
 fn the_engine_connection_that_answered_last_is_kept() {
     let mut harness = Harness::new();
--- a/crates/platform/tests/repeats.rs
+++ b/crates/platform/tests/repeats.rs
@@ -1,34 +1,36 @@
-//! No request is repeated that must not be: a search over seeds that prints the shortest failing day.
+//! No request is repeated that must not be: a search over random days, one for each seed, that prints the
+//! shortest failing day.
 
 mod common;
 use common::day::Day;
 
-/// Days that are searched in every run.
-const SEARCHED: u64 = 60;
-/// The variable that asks for more of them: `REPEAT_DAYS=1000 cargo test --release -p slipreel-platform --test repeats`.
-const SEARCHED_VARIABLE: &str = "REPEAT_DAYS";
+/// How many days are run by default.
+const DEFAULT_DAY_COUNT: u64 = 60;
+/// The environment variable that sets another number of days, as in
+/// `REPEAT_DAYS=1000 cargo test --release -p slipreel-platform --test repeats`.
+const DAY_COUNT_VARIABLE: &str = "REPEAT_DAYS";
 
 #[test]
 fn no_searched_day_repeats_a_request_that_must_not_be_repeated() {
-    let days = std::env::var(SEARCHED_VARIABLE).ok().map(|text| text.parse().expect("a number of days"));
-    let (mut broken, mut served, mut asked) = (Vec::new(), 0, 0);
-    for seed in 1..=days.unwrap_or(SEARCHED) {
+    let days = std::env::var(DAY_COUNT_VARIABLE).ok().map(|text| text.parse().expect("a number of days"));
+    let (mut failing_days, mut served, mut total) = (Vec::new(), 0, 0);
+    for seed in 1..=days.unwrap_or(DEFAULT_DAY_COUNT) {
         let day = Day::of(seed);
-        let played = day.play();
-        served += played.served;
-        asked += played.served + played.refused + played.failed;
-        if let Some(first) = played.breaks.first() {
-            println!("seed {seed}: {} breaks, first {first:?}", played.breaks.len());
-            broken.push(day);
+        let result = day.run();
+        served += result.served;
+        total += result.served + result.refused + result.failed;
+        if let Some(first) = result.violations.first() {
+            println!("seed {seed}: {} violations, first {first:?}", result.violations.len());
+            failing_days.push(day);
         }
     }
-    println!("{served} of {asked} requests were served");
-    if let Some(day) = broken.first().cloned() {
+    println!("{served} of {total} requests were served");
+    if let Some(day) = failing_days.first().cloned() {
         let shortest = day.shortest();
-        let played = shortest.play();
-        println!("shortest: {shortest:?}\n{:?}\n{:#?}", shortest.settings(), played.breaks);
-        println!("{:#?}", played.log);
+        let result = shortest.run();
+        println!("shortest: {shortest:?}\n{:?}\n{:#?}", shortest.settings(), result.violations);
+        println!("{:#?}", result.log);
     }
-    assert!(f64::from(served) > 0.3 * f64::from(asked), "too few were served to show anything");
-    assert!(broken.is_empty(), "{} days break", broken.len());
+    assert!(f64::from(served) > 0.3 * f64::from(total), "too few requests were served for a conclusive test");
+    assert!(failing_days.is_empty(), "{} days have violations", failing_days.len());
 }
--- a/crates/platform/tests/requests.rs
+++ b/crates/platform/tests/requests.rs
@@ -1,4 +1,4 @@
-//! How requests are forwarded and answered, and each row of the protocol's table of outcomes.
+//! How requests are forwarded and answered, and each row of the protocol's table of attempt outcomes.
 
 mod common;
 use common::*;
@@ -7,7 +7,7 @@
 #[test]
 fn a_request_and_its_stream_are_forwarded_unchanged() {
     let mut harness = Harness::new();
-    let (client, decode, out) = harness.at_decode_engine("chat");
+    let (client, decode, out) = harness.forwarded_to_decode_engine("chat");
     let sent = text(&out, decode);
     assert!(sent.starts_with("POST /v1/chat/completions?a=b HTTP/1.1\r\n"), "{sent}");
     assert!(sent.contains("x-request-id: 9b1f\r\n") && sent.ends_with(&format!("\r\n\r\n{BODY}")), "{sent}");
@@ -28,11 +28,11 @@
     assert_eq!(body, expected);
     assert_eq!((harness.router.counters().completed, harness.router.counters().failed), (1, 0));
 
-    // The client's connection is kept. An attempt reuses no connection to an engine: a late second answer could be mistaken
-    // for its own.
+    // The client's connection is kept. An attempt never reuses a connection to an engine: a late second
+    // answer to the previous exchange could be mistaken for its own.
     harness.advance(ms(20));
     let out = harness.receive(client, request("chat", "9b20"));
-    assert!(!ends(&out, client));
+    assert!(!is_closed(&out, client));
     assert_eq!(opened(&out).len(), 1);
     assert!(!out.iter().any(|output| matches!(output, Output::Write(conn, _) if conn.is_opened())));
 }
@@ -46,7 +46,7 @@
     harness.advance(ms(200));
     let sent = text(&harness.connected(prefill), prefill);
     let left = forwarded_deadline(&sent);
-    assert!((4_500_000..=4_600_000).contains(&left), "{left} of 4.8 s, 0.2 s ago");
+    assert!((4_500_000..=4_600_000).contains(&left), "{left} left of 4.8 s after 0.2 s");
 }
 
 #[test]
@@ -67,12 +67,12 @@
     }
 }
 
-/// The status with which a request that must not be repeated is answered after `action` at its decode engine; `None` if it
-/// is retried, so is known not to have run.
+/// The status with which a request that must not be repeated is answered after `action` at its decode engine;
+/// `None` if it is retried, which means that it provably never ran.
 fn status_after(
     harness: &mut Harness, action: impl FnOnce(&mut Harness, ConnId) -> Vec<Output>,
 ) -> Option<u16> {
-    let (client, decode, _) = harness.at_decode_engine("once");
+    let (client, decode, _) = harness.forwarded_to_decode_engine("once");
     let mut out = action(harness, decode);
     out.extend(harness.advance(ms(60)));
     status(&out, client)
@@ -121,7 +121,7 @@
         harness.connected(prefill);
         let decode = opened(&harness.receive(prefill, PREFILLED))[0].0;
         let out = harness.handle(lost(decode, why));
-        assert_eq!(status(&out, client), None, "{why:?}: goes to the other decode");
+        assert_eq!(status(&out, client), None, "{why:?}: it is retried at the other decode engine");
         assert_eq!(opened(&out).len(), 1);
     }
 }
@@ -138,7 +138,7 @@
     assert_eq!((status(&out, client), opened(&out).len()), (None, 1));
 }
 
-/// The connection on which something was written first.
+/// The connection of the first write.
 fn first_written(out: &[Output]) -> ConnId {
     let written = out.iter().find_map(|output| match output {
         Output::Write(conn, _) => Some(*conn),
@@ -153,7 +153,7 @@
     for kept in [false, true] {
         let mut harness = Harness::new();
         if kept {
-            let (_, decode, _) = harness.at_decode_engine("chat");
+            let (_, decode, _) = harness.forwarded_to_decode_engine("chat");
             harness.receive(decode, format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&event("one"))));
             harness.advance(ms(20));
         }
@@ -184,7 +184,8 @@
 
 #[test]
 fn an_unsafe_request_lost_after_its_last_byte_may_have_run() {
-    // The write of the last byte fails, or the peer closes the connection then: it may have arrived.
+    // The write of the last byte fails, or the peer closes the connection after it: the byte may have
+    // arrived.
     for end in [lost as fn(ConnId, ConnectionLoss) -> Input<'static>, |conn, _| Input::Eof(conn)] {
         let mut harness = Harness::new();
         let client = harness.connect_client();
@@ -194,12 +195,12 @@
         let out = harness.receive(prefill, PREFILLED);
         let decode = opened(&out)[0].0;
         harness.connected(decode);
-        assert!(text(&harness.advance(ms(4)), decode).ends_with('}'), "the last byte goes out");
+        assert!(text(&harness.advance(ms(4)), decode).ends_with('}'), "the last byte is written");
         let out = harness.handle(end(decode, ConnectionLoss::Reset));
         assert_eq!(
             status(&out, client),
             Some(502),
-            "it is not retried, and the answer does not call a retry harmless"
+            "it is not retried, and the answer does not mark a retry as harmless"
         );
     }
 }
@@ -209,8 +210,8 @@
     let mut harness = Harness::new();
     let client = harness.connect_client();
     let prefill = opened(&harness.receive(client, request("chat", "1")))[0].0;
-    assert!(!ends(&harness.advance(ms(249)), prefill));
-    assert!(ends(&harness.advance(ms(2)), prefill));
+    assert!(!is_closed(&harness.advance(ms(249)), prefill));
+    assert!(is_closed(&harness.advance(ms(2)), prefill));
 }
 
 #[test]
@@ -228,7 +229,7 @@
 fn every_request_is_answered_before_its_deadline() {
     for class in ["chat", "once"] {
         let mut harness = Harness::new();
-        let (client, _, _) = harness.at_decode_engine(class);
+        let (client, _, _) = harness.forwarded_to_decode_engine(class);
         let out = harness.advance(ms(4_795));
         assert_eq!(write_count(&out, client), 1, "{class}");
         assert_ne!(status(&out, client), Some(200));
@@ -250,7 +251,10 @@
         let mut harness = Harness::new();
         let (client, decode) = harness.streaming("chat");
         let out = break_stream(&mut harness, decode);
-        assert!(finished(&out, client) && !text(&out, client).contains("0\r\n\r\n"), "case {case}");
+        assert!(
+            is_closed_when_sent(&out, client) && !text(&out, client).contains("0\r\n\r\n"),
+            "case {case}"
+        );
         assert_eq!(
             (harness.router.counters().failed, harness.router.held_state().requests),
             (1, 0),
@@ -260,13 +264,13 @@
     // A silent stream is cancelled before its client has waited for 5 s.
     let mut harness = Harness::new();
     let (client, _) = harness.streaming("chat");
-    assert!(finished(&harness.advance(ms(4_900)), client));
+    assert!(is_closed_when_sent(&harness.advance(ms(4_900)), client));
 }
 
 #[test]
 fn a_client_that_closes_has_its_attempt_cancelled() {
     let mut harness = Harness::new();
-    let (client, decode, _) = harness.at_decode_engine("chat");
+    let (client, decode, _) = harness.forwarded_to_decode_engine("chat");
     let out = harness.handle(Input::Eof(client));
     assert!(aborted(&out, decode));
     assert_eq!(harness.router.counters().disconnected, 1);
@@ -289,22 +293,22 @@
     let (client, decode) = harness.streaming("chat");
     let whole = stream_end();
     let out = harness.receive(decode, whole.clone() + "HTTP/1.1 200 OK\r\n");
-    assert!(text(&out, client).ends_with("0\r\n\r\n"), "the answer is served completely");
-    assert!(ends(&out, decode), "the connection is not used again");
+    assert!(text(&out, client).ends_with("0\r\n\r\n"), "the answer is forwarded completely");
+    assert!(is_closed(&out, decode), "the connection is not used again");
     let mut harness = Harness::new();
     let (client, decode) = harness.streaming("chat");
     let out = harness.receive(decode, whole);
-    assert!(text(&out, client).ends_with("0\r\n\r\n") && !ends(&out, decode));
+    assert!(text(&out, client).ends_with("0\r\n\r\n") && !is_closed(&out, decode));
     assert!(
-        ends(&harness.receive(decode, "HTTP/1.1 200 OK\r\n"), decode),
-        "nor where it comes a moment later"
+        is_closed(&harness.receive(decode, "HTTP/1.1 200 OK\r\n"), decode),
+        "nor if the bytes arrive a moment later"
     );
 }
 
 #[test]
 fn interim_answers_and_malformed_reports_are_ignored() {
     let mut harness = Harness::new();
-    let (client, decode, _) = harness.at_decode_engine("once");
+    let (client, decode, _) = harness.forwarded_to_decode_engine("once");
     let interim = "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n";
     let head =
         STREAM_HEAD.replace("\r\n\r\n", "\r\nX-Load: pending=,\u{7f}\u{e9}\r\n\r\n").replace('\u{7f}', "");
@@ -329,5 +333,5 @@
         harness.receive(decode, chunk(&event(&"x".repeat(2_000))));
     }
     let out = harness.advance(ms(10_100));
-    assert!(ends(&out, client) && aborted(&out, decode));
+    assert!(is_closed(&out, client) && aborted(&out, decode));
 }
