--- a/crates/event-loop/src/clock.rs
+++ b/crates/event-loop/src/clock.rs
@@ -2,7 +2,8 @@
 
 use std::time::{Duration, Instant};
 
-/// What the clock shows at its start. It is not zero, so that an engine's start can lie before that of the process.
+/// The clock's time at its start. It is not zero, so that the start time of an engine may precede that of
+/// this process.
 const START: Duration = Duration::from_secs(1 << 20);
 
 /// A monotonic clock that several event loops may share.
@@ -15,7 +16,7 @@
         Clock(Instant::now())
     }
 
-    /// The present time.
+    /// The current time.
     pub fn now(&self) -> Duration {
         START + self.0.elapsed()
     }
--- a/crates/event-loop/src/command.rs
+++ b/crates/event-loop/src/command.rs
@@ -1,28 +1,29 @@
-//! What an event loop is told from other threads.
+//! Commands that other threads send to an event loop.
 
 use rustix::fd::OwnedFd;
 use std::any::Any;
 use std::sync::{mpsc, Arc};
 
-/// A machine in an event loop.
+/// Identifies a machine of an event loop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct MachineId(pub usize);
 
-/// What an event loop is told from another thread.
+/// A command to an event loop from another thread.
 pub enum Command<M> {
-    /// A message for a machine, handed over as [`OwnerMessage`](slipreel_state_machine::Input::OwnerMessage).
+    /// Delivers a message to a machine as [`OwnerMessage`](slipreel_state_machine::Input::OwnerMessage).
     Message(MachineId, Arc<dyn Any + Send + Sync>),
-    /// A machine is to shut down gracefully.
+    /// Tells a machine to shut down gracefully.
     Stop(MachineId),
-    /// A machine dies at once, as if its process were killed: its connections are reset and its state is lost.
+    /// Ends a machine at once, as if its process were killed: its connections are reset and its state is
+    /// lost.
     Kill(MachineId),
-    /// A machine takes the place of one that was killed, on the same addresses.
+    /// Replaces a killed machine by another on the same addresses.
     Revive(MachineId, M),
-    /// A machine is not run until [`Thaw`](Command::Thaw); its connections stay open.
+    /// Suspends a machine until [`Thaw`](Command::Thaw); its connections stay open.
     Freeze(MachineId),
     /// Runs a frozen machine again.
     Thaw(MachineId),
-    /// The event loop ends now.
+    /// Ends the event loop at once.
     End,
 }
 
@@ -50,7 +51,7 @@
         sent
     }
 
-    /// Takes back the wake-up that commands have left.
+    /// Clears the wake-up that sent commands have caused.
     pub(crate) fn clear_wake(&self) {
         let mut count = [0; size_of::<u64>()];
         let _ = rustix::io::read(&*self.wake, &mut count);
--- a/crates/event-loop/src/connection.rs
+++ b/crates/event-loop/src/connection.rs
@@ -1,4 +1,4 @@
-//! One socket of a connection: what waits to be sent, and which readiness it asks epoll for.
+//! A connection's socket, its unsent bytes, and the readiness that epoll is to report for it.
 
 use rustix::event::epoll::EventFlags;
 use rustix::fd::OwnedFd;
@@ -8,47 +8,49 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Small writes of one moment are joined up to this size, bytes.
-const JOINED_WRITE: usize = 16 << 10;
+/// Small writes that wait to be sent are joined up to this size, bytes.
+const MAX_JOINED_WRITE: usize = 16 << 10;
 
 /// The phase of a connection's life.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Phase {
     /// The system is establishing it.
     Connecting,
+    /// It is established.
     Open,
-    /// The machine has ended it. What was written is still sent; what comes in is dropped.
+    /// The machine has ended it. Written bytes are still sent; incoming bytes are dropped.
     Closing,
 }
 
 /// A connection of one machine.
 pub(crate) struct Connection {
     pub(crate) fd: OwnedFd,
-    /// The place of its machine in the event loop.
+    /// The index of its machine in the event loop.
     pub(crate) machine: usize,
     pub(crate) id: ConnId,
     pub(crate) phase: Phase,
-    /// The machine takes no more data for now.
+    /// Whether the machine has paused the delivery of data.
     pub(crate) paused: bool,
-    /// The peer has sent its end of file.
+    /// Whether the peer has sent its end of file.
     pub(crate) peer_finished: bool,
-    /// The machine was told that the peer has closed it although it is paused.
+    /// Whether the peer's close was reported to the machine while the connection is paused.
     pub(crate) peer_close_reported: bool,
-    /// It is queued for sending.
+    /// Whether it is in the queue of pending flushes.
     pub(crate) queued_to_flush: bool,
-    /// The readiness that epoll was last asked for.
+    /// The readiness that epoll was last asked to report.
     pub(crate) interest: EventFlags,
-    /// The write side is to be shut down once all is sent.
+    /// Whether the write side is to be shut down once everything is sent.
     shutdown_requested: bool,
     shutdown_done: bool,
+    /// The writes that are not fully sent, in order.
     unsent: VecDeque<Vec<u8>>,
-    /// Bytes of the first unsent piece that are sent.
+    /// How many bytes of the first entry of `unsent` are sent.
     sent_of_first: usize,
 }
 
-/// How a flush went.
+/// The result of a flush.
 pub(crate) enum Flushed {
-    /// So many bytes were sent; there may be more.
+    /// This many bytes were sent; more may remain.
     Sent(usize),
     /// The connection is broken.
     Broken,
@@ -78,7 +80,7 @@
             return;
         }
         match self.unsent.back_mut() {
-            Some(last) if last.len() + bytes.len() <= JOINED_WRITE => last.extend_from_slice(&bytes),
+            Some(last) if last.len() + bytes.len() <= MAX_JOINED_WRITE => last.extend_from_slice(&bytes),
             _ => self.unsent.push_back(bytes),
         }
     }
@@ -87,12 +89,13 @@
         !self.unsent.is_empty()
     }
 
-    /// Shuts the write side down once all that was written is sent.
+    /// Shuts the write side down once everything written is sent.
     pub(crate) fn request_shutdown(&mut self) {
         self.shutdown_requested = true;
     }
 
-    /// Sends what the socket takes, then shuts the write side down if that was asked for and nothing is left.
+    /// Sends as much as the socket accepts, then shuts the write side down if that was requested and nothing
+    /// is left.
     pub(crate) fn flush(&mut self) -> Flushed {
         let mut sent = 0;
         while let Some(first) = self.unsent.front() {
@@ -116,26 +119,26 @@
         Flushed::Sent(sent)
     }
 
-    /// Shuts the write side down, once, if nothing waits to be sent.
+    /// Shuts the write side down if nothing waits to be sent; at most once.
     pub(crate) fn shut_down_when_sent(&mut self) {
         if !self.has_unsent() && !std::mem::replace(&mut self.shutdown_done, true) {
             let _ = net::shutdown(&self.fd, Shutdown::Write);
         }
     }
 
-    /// Makes the coming close reset the connection, so that the peer sees that its exchange did not end in order.
+    /// Makes the next close reset the connection, so that the peer sees that its exchange was cut off.
     pub(crate) fn reset_on_close(&self) {
         let _ = sockopt::set_socket_linger(&self.fd, Some(Duration::ZERO));
     }
 
-    /// The readiness that is wanted now.
+    /// The readiness that epoll should report in the present state.
     pub(crate) fn wanted_readiness(&self) -> EventFlags {
         let mut flags = match self.phase {
             Phase::Connecting => EventFlags::OUT,
             Phase::Closing => EventFlags::IN,
             Phase::Open if self.peer_finished => EventFlags::empty(),
             Phase::Open if !self.paused => EventFlags::IN,
-            // Paused: only the peer's close is of interest, until it was reported.
+            // While paused only the peer's close is of interest, until it was reported.
             Phase::Open if !self.peer_close_reported => EventFlags::RDHUP,
             Phase::Open => EventFlags::empty(),
         };
--- a/crates/event-loop/src/descriptor_reserve.rs
+++ b/crates/event-loop/src/descriptor_reserve.rs
@@ -2,17 +2,18 @@
 
 use std::fs::File;
 
-/// Descriptors kept: connections that come in may take all others.
+/// How many descriptors are reserved; accepted connections may use up all others.
 const RESERVED_DESCRIPTORS: usize = 4;
 /// A file that can be opened any number of times.
 const PLACEHOLDER: &str = "/dev/null";
 
-/// Open descriptors of a placeholder, given up one by one where the process has no other left to connect with.
+/// Open placeholder files. They are closed one by one when the process has no other descriptor left for an
+/// outgoing connection.
 #[derive(Default)]
 pub(crate) struct DescriptorReserve(Vec<File>);
 
 impl DescriptorReserve {
-    /// Opens what is missing, as far as the process may.
+    /// Refills the reserve, as far as the descriptor limit of the process allows.
     pub(crate) fn refill(&mut self) {
         while self.0.len() < RESERVED_DESCRIPTORS {
             let Ok(file) = File::open(PLACEHOLDER) else { return };
@@ -20,7 +21,7 @@
         }
     }
 
-    /// Closes one, so that another descriptor can be opened. False if none is left.
+    /// Closes a placeholder, so that another descriptor can be opened. False if none is left.
     pub(crate) fn give_up_one(&mut self) -> bool {
         self.0.pop().is_some()
     }
--- a/crates/event-loop/src/event_loop.rs
+++ b/crates/event-loop/src/event_loop.rs
@@ -1,4 +1,4 @@
-//! The event loop: waits for readiness, commands and timers, and hands them to its machines.
+//! The event loop: waits for readiness, commands and timers, and delivers them to its machines.
 
 mod lifecycle;
 mod listeners;
@@ -20,7 +20,7 @@
 use std::sync::{mpsc, Arc};
 use std::time::Duration;
 
-/// Readiness events that are taken from the system at once.
+/// The maximum number of readiness events that one wait returns.
 const EVENTS_PER_TURN: usize = 1024;
 
 /// A datagram socket of a machine: its address and its slot.
@@ -29,13 +29,13 @@
     slot: usize,
 }
 
-/// Whether a machine is run.
+/// Whether the loop runs a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum RunState {
     Running,
-    /// Not run until it is thawed; its connections stay open.
+    /// Suspended until it is thawed; its connections stay open.
     Frozen,
-    /// Killed: it is given nothing any more.
+    /// Killed: it receives no further input.
     Dead,
 }
 
@@ -46,10 +46,10 @@
     datagram_sockets: Vec<BoundDatagramSocket>,
     /// The slots of its connections.
     connections: HashMap<ConnId, usize>,
-    /// How many connections it has accepted: the last one's number.
+    /// How many connections it has accepted, which is also the number of the last one.
     accepted: u64,
     run_state: RunState,
-    /// It has said [`Output::Stopped`].
+    /// Whether it has emitted [`Output::Stopped`].
     stopped: bool,
 }
 
@@ -58,7 +58,7 @@
         self.run_state == RunState::Running
     }
 
-    /// When it wants to be woken, if it is run.
+    /// When it wants to be woken, if it is running.
     fn wake_at(&self) -> Option<Duration> {
         if self.is_running() {
             self.machine.wake_at()
@@ -68,7 +68,7 @@
     }
 }
 
-/// An output of a machine that is still to be carried out.
+/// An output of a machine that is not carried out yet.
 struct PendingOutput {
     machine: usize,
     output: Output,
@@ -85,13 +85,13 @@
     /// The slots of connections that have something to send.
     pending_flushes: VecDeque<usize>,
     lingering: LingeringConnections,
-    /// Outputs are being carried out: what they cause is queued, not nested.
+    /// Whether outputs are being carried out; further outputs are then queued, so that calls don't nest.
     is_delivering: bool,
     commands: mpsc::Receiver<Command<M>>,
     handle: EventLoopHandle<M>,
     log: LogSink,
     ended: bool,
-    /// Whether other addresses than those of loopback may be used.
+    /// Whether addresses other than loopback ones may be used.
     any_address_allowed: bool,
     max_connections: usize,
     reserve: DescriptorReserve,
@@ -101,7 +101,8 @@
     /// An event loop without machines.
     ///
     /// # Errors
-    /// No descriptor is left for epoll; `Unsupported` on a kernel before 5.11, which has no waits under a millisecond.
+    /// No descriptor is left for epoll; `Unsupported` on a kernel before 5.11, which has no waits shorter
+    /// than a millisecond.
     pub fn new(clock: Clock) -> std::io::Result<Self> {
         let wake = Arc::new(eventfd(0, EventfdFlags::CLOEXEC | EventfdFlags::NONBLOCK)?);
         let sockets = SlotTable::new(&wake)?;
@@ -124,14 +125,14 @@
         })
     }
 
-    /// Lifts the restriction of this event loop to loopback addresses: its caller vouches for every address that its
-    /// machines name and that it listens on.
+    /// Lifts the restriction of this event loop to loopback addresses: the caller is responsible for every
+    /// address that it listens on and that its machines connect to.
     pub fn allow_any_address(&mut self) {
         self.any_address_allowed = true;
     }
 
-    /// Bounds the descriptors of connections. At the bound an ended connection that only waits for its peer to close
-    /// is closed to make room; the machines bound the others.
+    /// Limits the number of connections. At the limit, connections that only wait for their peers to close
+    /// are closed to make room; the machines limit the others.
     pub fn bound_connections(&mut self, most: usize) {
         self.max_connections = most;
     }
@@ -144,12 +145,12 @@
         }
     }
 
-    /// Where log lines of machines and of the event loop go.
+    /// Sets the receiver of log lines of the machines and of the event loop.
     pub fn on_log(&mut self, log: impl FnMut(MachineId, &str) + Send + 'static) {
         self.log = Box::new(log);
     }
 
-    /// Sends commands to this event loop from another thread.
+    /// A handle that sends commands to this event loop from another thread.
     pub fn handle(&self) -> EventLoopHandle<M> {
         self.handle.clone()
     }
@@ -168,17 +169,17 @@
         MachineId(self.machines.len() - 1)
     }
 
-    /// The machine of this number.
+    /// The machine with this id.
     pub fn machine(&self, machine_id: MachineId) -> &M {
         &self.machines[machine_id.0].machine
     }
 
-    /// The machine of this number, to be changed before the event loop runs.
+    /// The machine with this id, for changes before the event loop runs.
     pub fn machine_mut(&mut self, machine_id: MachineId) -> &mut M {
         &mut self.machines[machine_id.0].machine
     }
 
-    /// The machines, after the event loop has ended.
+    /// Consumes the event loop after it has ended and returns its machines.
     pub fn into_machines(self) -> Vec<M> {
         self.machines.into_iter().map(|hosted| hosted.machine).collect()
     }
@@ -200,13 +201,13 @@
         self.machines.iter().all(|hosted| hosted.stopped) && self.lingering.is_empty()
     }
 
-    /// Waits for what comes next and handles it.
+    /// Waits for readiness, a command or a timer, and handles what is due.
     fn turn(&mut self, events: &mut Vec<epoll::Event>) -> std::io::Result<()> {
         let timeout = self.next_wake().map(|at| at.saturating_sub(self.clock.now()));
         self.sockets.wait(events, timeout)?;
         let readiness: Vec<Readiness> = events.iter().map(Readiness::from).collect();
-        // Accepted connections come before those that the machines have opened: that a client has gone is known before an
-        // engine's answer makes its router begin the next attempt for it.
+        // Accepted connections come before those that the machines have opened: a router learns that a client
+        // has gone before an engine's answer makes it begin the next attempt for that client.
         self.handle_ready_sockets(&readiness, true);
         self.handle_ready_sockets(&readiness, false);
         if readiness.iter().any(|ready| matches!(ready, Readiness::Wake)) {
@@ -236,7 +237,7 @@
         machines.chain(listeners).chain(self.lingering.next_deadline()).min()
     }
 
-    /// Does what is due by time alone.
+    /// Handles expired timers: wake-ups of machines, lingering connections and pauses of listeners.
     fn run_due(&mut self) {
         let now = self.clock.now();
         for machine in 0..self.machines.len() {
@@ -266,7 +267,8 @@
         }
     }
 
-    /// Gives an input to a machine and carries out what it asks for, until nothing is left.
+    /// Delivers an input to a machine and carries out its outputs, and those that follow from them, until
+    /// none is left.
     fn deliver(&mut self, machine: usize, input: Input<'_>) {
         let now = self.clock.now();
         let hosted = &mut self.machines[machine];
@@ -284,9 +286,9 @@
                 self.carry_out(machine, output);
                 continue;
             }
-            // One connection at a time: what the machine asks for when it learns that bytes were sent comes before the
-            // next one sends. Otherwise a connection that is aborted then, with its request reported as never sent,
-            // would still send it.
+            // One connection is flushed at a time: the outputs of a machine that learns that bytes were sent
+            // are carried out before the next connection sends. Otherwise a connection that is aborted by
+            // them, with its request reported as never sent, would still send it.
             let Some(slot) = self.pending_flushes.pop_front() else { break };
             self.flush_pending(slot);
         }
@@ -305,7 +307,7 @@
                 connections.remove(&connection.id);
             }
         }
-        // The descriptor has to be closed before the reserve may take it.
+        // The descriptor has to be closed before the reserve can take it.
         drop(removed);
         self.reserve.refill();
     }
@@ -321,7 +323,7 @@
         false
     }
 
-    /// Asks epoll for the readiness that a connection wants now.
+    /// Updates the readiness that epoll reports for a connection.
     fn update_interest(&mut self, slot: usize) {
         let Some(connection) = self.sockets.connection(slot) else { return };
         let is_frozen = self.machines[connection.machine].run_state == RunState::Frozen;
--- a/crates/event-loop/src/event_loop/lifecycle.rs
+++ b/crates/event-loop/src/event_loop/lifecycle.rs
@@ -1,11 +1,11 @@
-//! Machines that are killed, replaced, frozen and thawed, as tests and emulated faults ask for it.
+//! Kills, replaces, freezes and thaws machines, for tests and injected faults.
 
 use super::{EventLoop, RunState};
 use crate::command::MachineId;
 use slipreel_state_machine::Machine;
 
 impl<M: Machine> EventLoop<M> {
-    /// Ends a machine as a kill of its process would: its connections are reset and its sockets closed.
+    /// Ends a machine as if its process were killed: its connections are reset and its sockets closed.
     pub(super) fn kill(&mut self, machine: usize) {
         self.machines[machine].run_state = RunState::Dead;
         for slot in self.sockets.slots_where(|slot| slot.machine() == Some(machine)) {
@@ -17,7 +17,7 @@
         self.machines[machine].connections.clear();
     }
 
-    /// Puts another machine in the place of one that was killed, on the same addresses.
+    /// Replaces a killed machine by another on the same addresses.
     pub(super) fn revive(&mut self, machine_id: MachineId, machine: M) {
         let hosted = &mut self.machines[machine_id.0];
         hosted.machine = machine;
@@ -26,18 +26,19 @@
         let listeners = std::mem::take(&mut hosted.listeners);
         let datagram_sockets = std::mem::take(&mut hosted.datagram_sockets);
         for address in listeners {
-            if let Err(why) = self.listen(machine_id, address) {
-                (self.log)(machine_id, &format!("can't listen again: {why}"));
+            if let Err(error) = self.listen(machine_id, address) {
+                (self.log)(machine_id, &format!("can't listen again: {error}"));
             }
         }
         for socket in datagram_sockets {
-            if let Err(why) = self.listen_datagrams(machine_id, socket.address) {
-                (self.log)(machine_id, &format!("can't take datagrams again: {why}"));
+            if let Err(error) = self.listen_datagrams(machine_id, socket.address) {
+                (self.log)(machine_id, &format!("can't bind the datagram socket again: {error}"));
             }
         }
     }
 
-    /// Freezes or thaws a machine. What comes for a frozen one waits in its sockets, as far as these hold it.
+    /// Freezes or thaws a machine. Input for a frozen one waits in its sockets, as far as their buffers hold
+    /// it.
     pub(super) fn set_run_state(&mut self, machine: usize, run_state: RunState) {
         if self.machines[machine].run_state != RunState::Dead {
             self.machines[machine].run_state = run_state;
--- a/crates/event-loop/src/event_loop/listeners.rs
+++ b/crates/event-loop/src/event_loop/listeners.rs
@@ -1,4 +1,5 @@
-//! Listeners and datagram sockets: opening them, accepting connections, taking datagrams, and closing them in order.
+//! Listeners and datagram sockets: opens them, accepts connections, receives datagrams, and closes listeners
+//! without losing connections.
 
 use super::outputs::family;
 use super::{BoundDatagramSocket, EventLoop};
@@ -13,23 +14,23 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Connections that the system holds for a listener until they are accepted.
+/// The maximum number of connections that the system holds for a listener until they are accepted.
 const BACKLOG: i32 = 4096;
-/// Connections accepted from a listener before other sockets have their turn.
+/// The maximum number of connections accepted from a listener before other sockets have their turn.
 const ACCEPTS_PER_TURN: i32 = 64;
-/// Pause of a listener after descriptors ran out.
+/// How long a listener is paused after descriptors ran out.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
-/// Datagrams taken from a socket before other sockets have their turn.
+/// The maximum number of datagrams received from a socket before other sockets have their turn.
 const DATAGRAMS_PER_TURN: usize = 64;
-/// The longest datagram that there can be, bytes.
+/// The maximum length of a datagram, bytes.
 const MAX_DATAGRAM: usize = 64 << 10;
 
 /// Whether more connections may wait at a listener.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Backlog {
-    /// None that can be accepted now.
+    /// No connection can be accepted now.
     Empty,
-    /// As many were accepted as one turn allows.
+    /// As many connections were accepted as one turn allows.
     MayHoldMore,
 }
 
@@ -41,12 +42,12 @@
     Exclusive,
 }
 
-/// What became of one attempt to accept a connection.
+/// The result of accepting a connection.
 enum Accepted {
     Connection(OwnedFd),
     /// No connection waits.
     Nothing,
-    /// It failed in a way that says nothing of the next one.
+    /// It failed in a way that does not affect the next connection.
     TryAgain,
     NoDescriptor,
 }
@@ -87,7 +88,7 @@
 }
 
 impl<M: Machine> EventLoop<M> {
-    /// Listens for a machine; gives the address, with the port that the system chose if 0 was asked for.
+    /// Listens for a machine. Returns the address, with the port that the system chose if 0 was given.
     ///
     /// # Errors
     /// The address is not a loopback one, or in use.
@@ -95,8 +96,8 @@
         self.listen_with(machine_id, addr, AddressUse::Shared)
     }
 
-    /// Listens for a machine at an address that no other listener has: two processes that are given the same one by mistake
-    /// are not to share what comes in.
+    /// Listens for a machine at an address that no other listener uses: two processes that are given the same
+    /// address by mistake must not share its connections.
     ///
     /// # Errors
     /// The address is not a loopback one, or in use.
@@ -110,7 +111,7 @@
         &mut self, machine_id: MachineId, address: SocketAddr, address_use: AddressUse,
     ) -> Result<SocketAddr, AddressError> {
         self.check_address(address)?;
-        let failed = |why: Errno| AddressError::System(address, why.into());
+        let failed = |error: Errno| AddressError::System(address, error.into());
         let fd = open_listener(address, address_use).map_err(failed)?;
         let bound = bound_address(&fd).map_err(failed)?;
         let id = ListenerId(self.machines[machine_id.0].listeners.len());
@@ -120,7 +121,8 @@
         Ok(bound)
     }
 
-    /// Opens a datagram socket for a machine; gives its address, with the port that the system chose if 0 was asked for.
+    /// Opens a datagram socket for a machine. Returns its address, with the port that the system chose if 0
+    /// was given.
     ///
     /// # Errors
     /// The address is not a loopback one, or in use.
@@ -128,7 +130,7 @@
         &mut self, machine_id: MachineId, addr: SocketAddr,
     ) -> Result<SocketAddr, AddressError> {
         self.check_address(addr)?;
-        let failed = |why: Errno| AddressError::System(addr, why.into());
+        let failed = |error: Errno| AddressError::System(addr, error.into());
         let fd = open_datagram_socket(addr).map_err(failed)?;
         let address = bound_address(&fd).map_err(failed)?;
         let id = ListenerId(self.machines[machine_id.0].datagram_sockets.len());
@@ -143,12 +145,12 @@
         self.accept(slot);
     }
 
-    /// Closes the listeners of a machine once it has all connections that the system holds for them. A close over
-    /// connections that were not accepted would reset them, with whatever their clients had sent.
+    /// Closes the listeners of a machine after accepting all connections that the system holds for them.
+    /// Closing a listener resets connections that are not accepted, and what their clients have sent is lost.
     pub(super) fn stop_listening(&mut self, machine: usize) {
-        let is_its_listener =
+        let is_own_listener =
             |slot: &Slot| matches!(slot, Slot::Listener(listener) if listener.machine == machine);
-        for slot in self.sockets.slots_where(is_its_listener) {
+        for slot in self.sockets.slots_where(is_own_listener) {
             for _ in 0..BACKLOG / ACCEPTS_PER_TURN {
                 if self.accept(slot) == Backlog::Empty {
                     break;
@@ -164,7 +166,8 @@
             let Some(listener) = self.sockets.listener(slot) else { return Backlog::Empty };
             let machine = listener.machine;
             if self.is_frozen(machine) {
-                // The system takes connections for a process that does not run; nothing accepts them.
+                // As with a process that does not run: the system completes connections and nothing accepts
+                // them.
                 self.pause_listener(slot);
                 return Backlog::Empty;
             }
@@ -200,7 +203,8 @@
         self.deliver(machine, Input::Accepted(id, listener));
     }
 
-    /// Frees a descriptor: an ended connection that waits for its peer goes first, then what the machine closes.
+    /// Frees a descriptor: closes a connection that only waits for its peer, or else lets the machine close
+    /// some. False if none was freed.
     fn make_room_for_accepted(&mut self, machine: usize, listener: ListenerId) -> bool {
         if self.close_oldest_lingering() {
             return true;
@@ -210,7 +214,7 @@
         self.close_oldest_lingering() || self.sockets.free_count() > free_before
     }
 
-    /// Accepts nothing from a listener for a while.
+    /// Stops accepting from a listener for [`ACCEPT_PAUSE`].
     fn pause_listener(&mut self, slot: usize) {
         let until = self.clock.now() + ACCEPT_PAUSE;
         if let Some(listener) = self.sockets.listener_mut(slot) {
@@ -230,7 +234,7 @@
         }
     }
 
-    /// Takes the datagrams of a socket that is ready.
+    /// Receives the datagrams of a socket that is ready.
     pub(super) fn handle_ready_datagram_socket(&mut self, slot: usize) {
         let mut buffer = [0; MAX_DATAGRAM];
         for _ in 0..DATAGRAMS_PER_TURN {
@@ -246,7 +250,8 @@
                     }
                 }
                 Err(Errno::AGAIN) => return,
-                // An earlier datagram met no socket at its destination: the next call takes what is there.
+                // An earlier datagram reached no socket at its destination; the next call receives what is
+                // there.
                 Ok(_) | Err(_) => {}
             }
         }
--- a/crates/event-loop/src/event_loop/outputs.rs
+++ b/crates/event-loop/src/event_loop/outputs.rs
@@ -1,4 +1,4 @@
-//! Carries out what machines ask for.
+//! Carries out the outputs of machines.
 
 use super::{EventLoop, RunState};
 use crate::command::MachineId;
@@ -8,7 +8,7 @@
 use slipreel_state_machine::{ConnId, ConnectionLoss, Input, ListenerId, Machine, Output};
 use std::net::SocketAddr;
 
-/// The address family of a socket for this address.
+/// The address family of an address.
 pub(super) fn family(address: SocketAddr) -> AddressFamily {
     if address.is_ipv4() {
         AddressFamily::INET
@@ -70,7 +70,8 @@
         self.close(slot);
     }
 
-    /// Sends a datagram. A full buffer or a peer that is not there loses it, as a network may.
+    /// Sends a datagram. It is lost if the buffer is full or the peer does not exist, as it may be in a
+    /// network.
     fn send_datagram(&mut self, machine: usize, socket: ListenerId, to: SocketAddr, bytes: &[u8]) {
         let Some(bound) = self.machines[machine].datagram_sockets.get(socket.0) else { return };
         let Some(socket) = self.sockets.datagram_socket(bound.slot) else { return };
@@ -89,9 +90,9 @@
 
     fn mark_stopped(&mut self, machine: usize) {
         self.machines[machine].stopped = true;
-        let is_its_own =
+        let is_own_bound_socket =
             |slot: &crate::slot_table::Slot| slot.is_bound_socket() && slot.machine() == Some(machine);
-        let slots = self.sockets.slots_where(is_its_own);
+        let slots = self.sockets.slots_where(is_own_bound_socket);
         slots.into_iter().for_each(|slot| self.close(slot));
     }
 
@@ -122,7 +123,7 @@
         }
     }
 
-    /// Adds a connection. At the bound, ended connections that wait for their peers are closed first.
+    /// Adds a connection. At the limit, connections that only wait for their peers to close are closed first.
     pub(super) fn add_connection(&mut self, connection: Connection) {
         while self.sockets.connection_count() >= self.max_connections {
             let Some(slot_use) = self.lingering.pop_oldest() else { break };
--- a/crates/event-loop/src/event_loop/readiness.rs
+++ b/crates/event-loop/src/event_loop/readiness.rs
@@ -1,4 +1,4 @@
-//! What a ready connection calls for: connecting, reading, sending and closing.
+//! Handles connections that are ready: finishes connecting, reads, sends and closes.
 
 use super::EventLoop;
 use crate::connection::{Flushed, Phase};
@@ -8,12 +8,13 @@
 use rustix::net::sockopt;
 use slipreel_state_machine::{ConnectionLoss, Input, Machine};
 
-/// Bytes read from a connection before the others have their turn. Guards against floods: thousands of requests sent
-/// ahead on a few connections must not hold up timers, requests of other clients, or the news that a client has gone.
+/// Bytes read from a connection before the others have their turn. Guards against floods: thousands of
+/// requests pipelined on a few connections must not delay timers, requests of other clients, or the report
+/// that a client has gone.
 const READ_PER_TURN: usize = 16 << 10;
-/// Bytes of one read that drops what still comes on an ended connection.
+/// Bytes read at once to discard what still arrives on a closing connection.
 const DISCARD_SIZE: usize = 4 << 10;
-/// Such reads before other connections have their turn.
+/// The maximum number of such reads before other connections have their turn.
 const DISCARDS_PER_TURN: usize = 4;
 
 impl<M: Machine> EventLoop<M> {
@@ -48,8 +49,8 @@
         }
     }
 
-    /// A peer has closed or reset a connection that may be paused. A reset one is read to its end all the same, which its
-    /// socket bounds: the system reports it again and again until then.
+    /// Reports that the peer has closed or reset a connection, if it is paused. A reset one is then read to
+    /// its end, as epoll reports it again and again until then; the socket buffer limits how much that is.
     fn report_close_of_paused(&mut self, slot: usize, flags: EventFlags) {
         let Some(connection) = self.sockets.connection(slot) else { return };
         let (machine, id) = (connection.machine, connection.id);
@@ -97,7 +98,7 @@
                 self.deliver(machine, Input::Eof(id));
             }
             Ok(count) => self.deliver(machine, Input::Data(id, &buffer[..count])),
-            // The system reports it again as long as there is something to read.
+            // Epoll reports the connection again as long as there is something to read.
             Err(Errno::AGAIN | Errno::INTR) => {}
             Err(_) => {
                 self.close(slot);
@@ -106,7 +107,8 @@
         }
     }
 
-    /// An ended connection: what is unsent is sent, then the peer's close is awaited for a while.
+    /// Sends the unsent bytes of a connection that the machine has closed, then discards what arrives until
+    /// the peer closes too.
     fn finish_closing(&mut self, slot: usize) {
         self.flush(slot);
         let Some(connection) = self.sockets.connection_mut(slot) else { return };
@@ -124,7 +126,7 @@
         }
     }
 
-    /// Sends what a connection that was queued for it has to send.
+    /// Flushes a connection from the queue of pending flushes.
     pub(super) fn flush_pending(&mut self, slot: usize) {
         let Some(connection) = self.sockets.connection_mut(slot) else { return };
         connection.queued_to_flush = false;
--- a/crates/event-loop/src/lib.rs
+++ b/crates/event-loop/src/lib.rs
@@ -1,8 +1,9 @@
 //! Drives state machines over sockets: one thread, epoll, non-blocking, no async runtime.
 //!
-//! An [`EventLoop`] hosts any number of machines of one type. It carries bytes and time and decides nothing; what waits
-//! for a peer is bounded by the machine, which is told what has been sent. It listens on and connects to loopback
-//! addresses alone, unless its caller lifts that for one event loop ([`EventLoop::allow_any_address`]).
+//! An [`EventLoop`] hosts any number of machines of one type. It delivers bytes and time and makes no
+//! decisions. The machine bounds the bytes that wait to be sent, as the loop reports to it how many were
+//! sent. The loop listens on and connects to loopback addresses only, unless its caller lifts this
+//! restriction ([`EventLoop::allow_any_address`]).
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -27,15 +28,15 @@
     /// It is not a loopback address.
     #[error("{0}: expected a loopback address (127.0.0.0/8 or ::1)")]
     NotLoopback(SocketAddr),
-    /// The system has refused it.
+    /// The operating system rejected it.
     #[error("{0}: {1}")]
     System(SocketAddr, #[source] std::io::Error),
 }
 
-/// Checks that an address is one of loopback.
+/// Checks that an address is a loopback address.
 ///
 /// # Errors
-/// It is not.
+/// It is not a loopback address.
 pub fn check_loopback(address: SocketAddr) -> Result<(), AddressError> {
     if address.ip().is_loopback() {
         Ok(())
--- a/crates/event-loop/src/lingering.rs
+++ b/crates/event-loop/src/lingering.rs
@@ -1,42 +1,43 @@
-//! Connections that have ended and wait for their peers to close too.
+//! Connections that the machine has closed and that wait for their peers to close too.
 
 use crate::slot_table::SlotUse;
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// How long an ended connection waits for its peer to close too: a close over bytes that were not read would reset the
-/// connection and could take the last answer with it.
+/// How long a connection waits for its peer to close too. Closing it while incoming bytes are unread would
+/// reset it, and the peer could lose the last answer.
 const LINGER: Duration = Duration::from_millis(1_000);
 
-struct Ended {
+struct LingeringConnection {
     slot_use: SlotUse,
-    until: Duration,
+    deadline: Duration,
 }
 
-/// The ended connections that wait, the one that has waited longest first.
+/// The lingering connections, the one that has waited longest first.
 #[derive(Default)]
-pub(crate) struct LingeringConnections(VecDeque<Ended>);
+pub(crate) struct LingeringConnections(VecDeque<LingeringConnection>);
 
 impl LingeringConnections {
     pub(crate) fn add(&mut self, now: Duration, slot_use: SlotUse) {
-        self.0.push_back(Ended { slot_use, until: now + LINGER });
+        self.0.push_back(LingeringConnection { slot_use, deadline: now + LINGER });
     }
 
-    /// The next time at which one has waited long enough.
+    /// The deadline of the connection that has waited longest.
     pub(crate) fn next_deadline(&self) -> Option<Duration> {
-        self.0.front().map(|ended| ended.until)
+        self.0.front().map(|lingering| lingering.deadline)
     }
 
-    /// Takes the one that has waited longest, however long that is.
+    /// Removes the connection that has waited longest, also before its deadline.
     pub(crate) fn pop_oldest(&mut self) -> Option<SlotUse> {
-        self.0.pop_front().map(|ended| ended.slot_use)
+        self.0.pop_front().map(|lingering| lingering.slot_use)
     }
 
-    /// Takes the first that is due: it has waited long enough, or its slot was freed in the meantime.
+    /// Removes the first connection if it is due: its deadline has passed, or its slot was freed in the
+    /// meantime.
     pub(crate) fn pop_due(&mut self, now: Duration, is_current: impl Fn(SlotUse) -> bool) -> Option<SlotUse> {
         let first = self.0.front()?;
-        let waits = is_current(first.slot_use) && first.until > now;
-        if waits {
+        let is_waiting = is_current(first.slot_use) && first.deadline > now;
+        if is_waiting {
             None
         } else {
             self.pop_oldest()
--- a/crates/event-loop/src/slot_table.rs
+++ b/crates/event-loop/src/slot_table.rs
@@ -1,4 +1,5 @@
-//! The table of sockets that epoll watches: a slot for each, and how often each slot was used.
+//! The table of sockets that epoll watches: each has a slot, and generations tell successive uses of a slot
+//! apart.
 
 use crate::connection::Connection;
 use rustix::event::epoll::{self, CreateFlags, EventData, EventFlags};
@@ -8,13 +9,13 @@
 use slipreel_state_machine::ListenerId;
 use std::time::Duration;
 
-/// The token of the wake-up descriptor, which is none of a slot.
+/// The token of the wake-up descriptor, which belongs to no slot.
 const WAKE_TOKEN: u64 = u64::MAX;
 
 /// A socket that listens for connections of one machine.
 pub(crate) struct Listener {
     pub(crate) fd: OwnedFd,
-    /// The place of its machine in the event loop.
+    /// The index of its machine in the event loop.
     pub(crate) machine: usize,
     pub(crate) id: ListenerId,
     /// No connection is accepted before this time: descriptors ran out, or the machine is frozen.
@@ -24,7 +25,7 @@
 /// A datagram socket of one machine.
 pub(crate) struct DatagramSocket {
     pub(crate) fd: OwnedFd,
-    /// The place of its machine in the event loop.
+    /// The index of its machine in the event loop.
     pub(crate) machine: usize,
     pub(crate) id: ListenerId,
 }
@@ -38,7 +39,7 @@
 }
 
 impl Slot {
-    /// The place of the machine that the socket belongs to.
+    /// The index of the machine that the socket belongs to.
     pub(crate) fn machine(&self) -> Option<usize> {
         match self {
             Slot::Free => None,
@@ -54,7 +55,7 @@
     }
 }
 
-/// One use of a slot. It is outdated once the slot was freed, whoever uses it since.
+/// One use of a slot. It is outdated once the slot is freed, also if the slot is used again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct SlotUse {
     pub(crate) slot: usize,
@@ -95,7 +96,7 @@
 pub(crate) struct SlotTable {
     epoll: OwnedFd,
     slots: Vec<Slot>,
-    /// How often each slot was freed. Readiness that was reported for an earlier use is ignored.
+    /// How often each slot was freed. Readiness reported for an earlier use is ignored.
     generations: Vec<u32>,
     free: Vec<usize>,
     /// The slots of listeners and datagram sockets, in the order in which they were opened.
@@ -106,14 +107,15 @@
     /// An empty table, woken by `wake`.
     ///
     /// # Errors
-    /// No descriptor is left for epoll; `Unsupported` on a kernel before 5.11, which has no waits under a millisecond.
+    /// No descriptor is left for epoll; `Unsupported` on a kernel before 5.11, which has no waits shorter
+    /// than a millisecond.
     pub(crate) fn new(wake: &OwnedFd) -> std::io::Result<SlotTable> {
         let epoll = epoll::create(CreateFlags::CLOEXEC)?;
-        let mut none: [std::mem::MaybeUninit<epoll::Event>; 1] = [std::mem::MaybeUninit::uninit()];
+        let mut events: [std::mem::MaybeUninit<epoll::Event>; 1] = [std::mem::MaybeUninit::uninit()];
         let no_wait = Timespec { tv_sec: 0, tv_nsec: 0 };
-        if matches!(epoll::wait(&epoll, &mut none, Some(&no_wait)), Err(Errno::NOSYS)) {
-            let why = "the event loop needs epoll_pwait2, which Linux has since 5.11";
-            return Err(std::io::Error::new(std::io::ErrorKind::Unsupported, why));
+        if matches!(epoll::wait(&epoll, &mut events, Some(&no_wait)), Err(Errno::NOSYS)) {
+            let message = "the event loop needs epoll_pwait2, which Linux has since 5.11";
+            return Err(std::io::Error::new(std::io::ErrorKind::Unsupported, message));
         }
         epoll::add(&epoll, wake, EventData::new_u64(WAKE_TOKEN), EventFlags::IN)?;
         Ok(SlotTable {
@@ -139,7 +141,7 @@
         events.clear();
         match epoll::wait(&self.epoll, rustix::buffer::spare_capacity(events), timeout.as_ref()) {
             Ok(_) | Err(Errno::INTR) => Ok(()),
-            Err(why) => Err(why.into()),
+            Err(error) => Err(error.into()),
         }
     }
 
@@ -176,7 +178,7 @@
         Ok(slot)
     }
 
-    /// Adds a connection and watches it for what it wants.
+    /// Adds a connection and watches it for the readiness that it wants.
     pub(crate) fn add_connection(&mut self, mut connection: Connection) -> usize {
         let slot = self.take_slot();
         connection.interest = connection.wanted_readiness();
@@ -187,7 +189,7 @@
         slot
     }
 
-    /// Asks epoll for another readiness of a connection.
+    /// Changes the readiness that epoll reports for a connection.
     pub(crate) fn watch_connection(&mut self, slot: usize, wanted: EventFlags) {
         let token = self.current_use(slot).token();
         let Slot::Connection(connection) = &mut self.slots[slot] else { return };
@@ -197,7 +199,7 @@
         }
     }
 
-    /// Asks epoll for readiness of a listener or a datagram socket, or for none.
+    /// Starts or stops watching a listener or a datagram socket.
     pub(crate) fn watch_bound_socket(&self, slot: usize, watched: bool) {
         let fd = match &self.slots[slot] {
             Slot::Listener(listener) => &listener.fd,
@@ -208,7 +210,7 @@
         let _ = epoll::modify(&self.epoll, fd, self.current_use(slot).token(), wanted);
     }
 
-    /// Empties a slot for its next use and gives what it held.
+    /// Frees a slot for its next use and returns what it held.
     pub(crate) fn remove(&mut self, slot: usize) -> Slot {
         let removed = std::mem::replace(&mut self.slots[slot], Slot::Free);
         match removed {
@@ -262,7 +264,7 @@
         }
     }
 
-    /// The present use of a slot.
+    /// The current use of a slot.
     pub(crate) fn current_use(&self, slot: usize) -> SlotUse {
         SlotUse { slot, generation: self.generations[slot] }
     }
@@ -277,7 +279,7 @@
         &self.bound_sockets
     }
 
-    /// The slots whose sockets are so, in their order.
+    /// The slots that satisfy a condition, in ascending order.
     pub(crate) fn slots_where(&self, is_wanted: impl Fn(&Slot) -> bool) -> Vec<usize> {
         (0..self.slots.len()).filter(|&slot| is_wanted(&self.slots[slot])).collect()
     }
--- a/crates/event-loop/tests/closes.rs
+++ b/crates/event-loop/tests/closes.rs
@@ -1,5 +1,5 @@
-//! What peers' closes look like to a machine over real sockets: known though the connection is paused, before what engines
-//! say in the same moment, and without a loop that turns round and round.
+//! How a machine learns over real sockets that a peer has closed: also while the connection is paused, before
+//! data from engines in the same wake-up, and without a busy loop.
 
 use rustix::time::{clock_gettime, ClockId};
 use slipreel_event_loop::{Clock, Command, EventLoop};
@@ -9,66 +9,66 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-fn ms(n: u64) -> Duration {
-    Duration::from_millis(n)
+fn ms(millis: u64) -> Duration {
+    Duration::from_millis(millis)
 }
 
-type Seen = Arc<Mutex<Vec<String>>>;
+type SharedRecords = Arc<Mutex<Vec<String>>>;
 
-fn seen(of: &Seen) -> Vec<String> {
-    of.lock().expect("whole").clone()
+fn recorded(records: &SharedRecords) -> Vec<String> {
+    records.lock().expect("not poisoned").clone()
 }
 
-fn wait_for(of: &Seen, what: &str) {
+fn wait_for(records: &SharedRecords, expected: &str) {
     for _ in 0..400 {
-        if seen(of).iter().any(|s| s == what) {
+        if recorded(records).iter().any(|record| record == expected) {
             return;
         }
         std::thread::sleep(ms(5));
     }
-    panic!("{what} did not come: {:?}", seen(of));
+    panic!("{expected} was not recorded: {:?}", recorded(records));
 }
 
-/// Notes what it is told; pauses each client's connection at its first bytes, and opens a connection to a peer of its own.
-struct Notes {
-    seen: Seen,
-    pauses: bool,
-    peer: Option<SocketAddr>,
-    resumes: Option<Duration>,
+/// Records its inputs. It may pause the connections of clients at their first bytes, and connect to an engine.
+struct Recorder {
+    records: SharedRecords,
+    pauses_clients: bool,
+    engine: Option<SocketAddr>,
+    resumes_at: Option<Duration>,
     client: Option<ConnId>,
 }
 
-impl Machine for Notes {
+impl Machine for Recorder {
     fn handle(&mut self, now: Duration, input: Input<'_>, out: &mut Vec<Output>) {
-        let note = |what: &str| self.seen.lock().expect("whole").push(what.to_owned());
+        let record = |what: &str| self.records.lock().expect("not poisoned").push(what.to_owned());
         match input {
             Input::Accepted(conn, ListenerId(_)) => {
-                note("accepted");
+                record("accepted");
                 self.client = Some(conn);
-                if let Some(peer) = self.peer {
-                    out.push(Output::Connect(ConnId::opened(1), peer));
+                if let Some(engine) = self.engine {
+                    out.push(Output::Connect(ConnId::opened(1), engine));
                 }
             }
-            Input::Connected(_) => note("connected"),
-            Input::Data(conn, _) if conn.is_opened() => note("answer"),
+            Input::Connected(_) => record("connected"),
+            Input::Data(conn, _) if conn.is_opened() => record("answer"),
             Input::Data(conn, _) => {
-                note("data");
-                if self.pauses {
+                record("data");
+                if self.pauses_clients {
                     out.push(Output::Pause(conn));
                 }
             }
             Input::PeerClosedWhilePaused(_) => {
-                note("hung up");
-                self.resumes = Some(now + ms(100));
+                record("closed while paused");
+                self.resumes_at = Some(now + ms(100));
             }
             Input::Eof(conn) => {
-                note(if conn.is_opened() { "engine's end" } else { "end" });
+                record(if conn.is_opened() { "engine EOF" } else { "EOF" });
                 out.push(Output::CloseWhenSent(conn));
             }
-            Input::Lost(_, ConnectionLoss::Reset) => note("reset"),
-            Input::Wake if self.resumes.is_some_and(|at| at <= now) => {
-                self.resumes = None;
-                self.pauses = false;
+            Input::Lost(_, ConnectionLoss::Reset) => record("reset"),
+            Input::Wake if self.resumes_at.is_some_and(|at| at <= now) => {
+                self.resumes_at = None;
+                self.pauses_clients = false;
                 out.extend(self.client.map(Output::Resume));
             }
             _ => {}
@@ -76,87 +76,101 @@
     }
 
     fn wake_at(&self) -> Option<Duration> {
-        self.resumes
+        self.resumes_at
     }
 }
 
-/// CPU that this thread has used.
-fn used() -> Duration {
-    let t = clock_gettime(ClockId::ThreadCPUTime);
-    Duration::new(t.tv_sec as u64, t.tv_nsec as u32)
+/// The CPU time that this thread has used.
+fn thread_cpu_time() -> Duration {
+    let time = clock_gettime(ClockId::ThreadCPUTime);
+    Duration::new(time.tv_sec as u64, time.tv_nsec as u32)
 }
 
-/// Guards against a client that sent much and went unseen, and against a loop that turned without end on its reset: the
-/// system reports that of a paused connection, too, again and again.
+/// Guards against a missed disconnect of a client that has sent more than is read, and against a busy loop on
+/// its reset, which epoll reports again and again for a paused connection too.
 #[test]
-fn a_paused_connection_that_is_closed_or_reset_is_known_at_once_and_its_rest_follows() {
+fn a_close_or_reset_of_a_paused_connection_is_reported_at_once_and_its_data_later() {
     for resets in [false, true] {
-        let noted = Seen::default();
-        let notes = Notes { seen: noted.clone(), pauses: true, peer: None, resumes: None, client: None };
-        let mut turn = EventLoop::new(Clock::start()).expect("an event loop");
-        let node = turn.add(notes);
-        let addr = turn.listen(node, "127.0.0.1:0".parse().expect("an address")).expect("a port");
-        let handle = turn.handle();
+        let records = SharedRecords::default();
+        let recorder = Recorder {
+            records: records.clone(),
+            pauses_clients: true,
+            engine: None,
+            resumes_at: None,
+            client: None,
+        };
+        let mut event_loop = EventLoop::new(Clock::start()).expect("an event loop");
+        let machine = event_loop.add(recorder);
+        let addr = event_loop.listen(machine, "127.0.0.1:0".parse().expect("an address")).expect("a port");
+        let handle = event_loop.handle();
         let running = std::thread::spawn(move || {
-            turn.run().expect("a run");
-            used()
+            event_loop.run().expect("a run");
+            thread_cpu_time()
         });
         let mut client = TcpStream::connect(addr).expect("a connection");
         client.write_all(b"first").expect("sent");
-        wait_for(&noted, "data");
+        wait_for(&records, "data");
         client.write_all(&[b'x'; 20_000]).expect("sent");
         if resets {
-            // A close over unread bytes is a reset; linger nought makes sure of it.
+            // Closing with unread bytes resets the connection; a linger of zero makes sure of it.
             rustix::net::sockopt::set_socket_linger(&client, Some(Duration::ZERO)).expect("set");
         }
         drop(client);
-        wait_for(&noted, "hung up");
-        wait_for(&noted, if resets { "reset" } else { "end" });
+        wait_for(&records, "closed while paused");
+        wait_for(&records, if resets { "reset" } else { "EOF" });
         std::thread::sleep(ms(300));
         handle.send(Command::End);
         let cpu = running.join().expect("the loop's thread");
-        let all = seen(&noted);
-        assert_eq!(all.iter().filter(|s| *s == "hung up").count(), 1, "{all:?}");
+        let all = recorded(&records);
+        assert_eq!(all.iter().filter(|record| *record == "closed while paused").count(), 1, "{all:?}");
         if !resets {
-            let place = |what| all.iter().position(|s| s == what);
+            let position = |what| all.iter().position(|record| record == what);
             assert!(
-                place("hung up") < place("end") && all.iter().filter(|s| *s == "data").count() >= 2,
+                position("closed while paused") < position("EOF")
+                    && all.iter().filter(|record| *record == "data").count() >= 2,
                 "{all:?}"
             );
         }
-        assert!(cpu < ms(150), "{cpu:?} for nothing");
+        assert!(cpu < ms(150), "{cpu:?} of CPU time while nothing happens");
     }
 }
 
-/// Guards against an attempt written for a client whose close stood in the same wake-up as the engine's answer before it.
+/// Guards against an attempt for a client that has gone: its close and the engine's answer that leads to the
+/// attempt are reported in the same wake-up.
 #[test]
-fn that_a_client_has_gone_is_known_before_what_an_engine_said_in_the_same_moment() {
+fn a_client_close_is_delivered_before_an_engine_answer_of_the_same_wake_up() {
     for _ in 0..16 {
-        let engine = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let noted = Seen::default();
-        let peer = engine.local_addr().ok();
-        let notes = Notes { seen: noted.clone(), pauses: false, peer, resumes: None, client: None };
-        let mut turn = EventLoop::new(Clock::start()).expect("an event loop");
-        let node = turn.add(notes);
-        let addr = turn.listen(node, "127.0.0.1:0".parse().expect("an address")).expect("a port");
-        let handle = turn.handle();
-        let running = std::thread::spawn(move || turn.run());
+        let engine_listener = TcpListener::bind("127.0.0.1:0").expect("a port");
+        let records = SharedRecords::default();
+        let engine = engine_listener.local_addr().ok();
+        let recorder = Recorder {
+            records: records.clone(),
+            pauses_clients: false,
+            engine,
+            resumes_at: None,
+            client: None,
+        };
+        let mut event_loop = EventLoop::new(Clock::start()).expect("an event loop");
+        let machine = event_loop.add(recorder);
+        let addr = event_loop.listen(machine, "127.0.0.1:0".parse().expect("an address")).expect("a port");
+        let handle = event_loop.handle();
+        let running = std::thread::spawn(move || event_loop.run());
         let client = TcpStream::connect(addr).expect("a connection");
-        wait_for(&noted, "connected");
-        let (mut answering, _) = engine.accept().expect("the machine's connection");
-        handle.send(Command::Freeze(node));
+        wait_for(&records, "connected");
+        let (mut answering, _) = engine_listener.accept().expect("the machine's connection");
+        handle.send(Command::Freeze(machine));
         std::thread::sleep(ms(10));
         answering.write_all(b"an answer").expect("sent");
         drop(client);
         std::thread::sleep(ms(10));
-        handle.send(Command::Thaw(node));
-        wait_for(&noted, "answer");
-        wait_for(&noted, "end");
+        handle.send(Command::Thaw(machine));
+        wait_for(&records, "answer");
+        wait_for(&records, "EOF");
         handle.send(Command::End);
         running.join().expect("the loop's thread").expect("a run");
-        let all = seen(&noted);
-        let place = |what| all.iter().position(|s| s == what);
-        assert!(place("end") < place("answer"), "{all:?}");
+        let all = recorded(&records);
+        let position = |what| all.iter().position(|record| record == what);
+        assert!(position("EOF") < position("answer"), "{all:?}");
         let _ = answering.read(&mut [0; 8]);
     }
 }
--- a/crates/event-loop/tests/stop_listening.rs
+++ b/crates/event-loop/tests/stop_listening.rs
@@ -1,4 +1,4 @@
-//! A machine that stops listening is handed those who have connected before.
+//! A machine that stops listening still receives the connections that were made before.
 
 use slipreel_event_loop::{Clock, EventLoop};
 use slipreel_state_machine::{Input, Machine, Output};
@@ -6,17 +6,17 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// Stops listening as the first of many connections is handed over, and ends once it has answered all of them.
-struct LastMoment {
-    /// How many it answers.
+/// Stops listening at the first of many connections, and ends once it has answered all of them.
+struct StopsAtFirstConnection {
+    /// How many connections it expects.
     expected: usize,
     has_stopped_listening: bool,
     answered: usize,
     /// When it gives up, so that a missing connection fails the test.
-    until: Duration,
+    gives_up_at: Duration,
 }
 
-impl Machine for LastMoment {
+impl Machine for StopsAtFirstConnection {
     fn handle(&mut self, _now: Duration, input: Input<'_>, out: &mut Vec<Output>) {
         match input {
             Input::Accepted(..) if !self.has_stopped_listening => {
@@ -37,21 +37,26 @@
     }
 
     fn wake_at(&self) -> Option<Duration> {
-        Some(self.until)
+        Some(self.gives_up_at)
     }
 }
 
-/// Guards against a request on a connection that nobody had taken up as the router ended: closing the listener over it
-/// would reset it without an answer.
+/// Guards against a reset of connections that were not accepted when the router stopped: closing the listener
+/// resets them without an answer.
 #[test]
-fn who_has_connected_before_is_still_answered() {
+fn connections_made_before_the_listener_closes_are_answered() {
     let expected = 100;
     let clock = Clock::start();
-    let until = clock.now() + Duration::from_secs(2);
+    let gives_up_at = clock.now() + Duration::from_secs(2);
     let mut event_loop = EventLoop::new(clock).expect("an event loop");
-    let node = event_loop.add(LastMoment { expected, has_stopped_listening: false, answered: 0, until });
+    let machine = event_loop.add(StopsAtFirstConnection {
+        expected,
+        has_stopped_listening: false,
+        answered: 0,
+        gives_up_at,
+    });
     let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
-    let address = event_loop.listen(node, any_port).expect("a listener");
+    let address = event_loop.listen(machine, any_port).expect("a listener");
     let mut clients: Vec<TcpStream> = (0..expected)
         .map(|_| {
             let mut client = TcpStream::connect(address).expect("a connection");
@@ -65,5 +70,5 @@
         client.read_to_string(&mut answer).expect("an answer, not a reset");
         assert_eq!(answer, "answer");
     }
-    assert!(TcpStream::connect(address).is_err(), "nobody listens any more");
+    assert!(TcpStream::connect(address).is_err(), "the listener is closed");
 }
