--- a/crates/platform/tests/common/cluster.rs
+++ b/crates/platform/tests/common/cluster.rs
@@ -194,7 +194,7 @@
     engines: BTreeMap<String, (bool, u16, usize)>,
 }
 
-/// The size of a cluster and what happens in it.
+/// The size, faults and load of a cluster.
 pub struct ClusterLayout {
     pub routers: u16,
     pub prefill_engines: u16,
