--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -89,7 +89,7 @@
 pub(crate) type Outcome = Result<(), Failure>;
 
 /// Reads settings; all faults at once.
-pub(crate) fn read_settings(file: &Path) -> Result<slipreel_settings::Daemon, Failure> {
+pub(crate) fn read_settings(file: &Path) -> Result<slipreel_settings::DaemonSettings, Failure> {
     let name = file.display().to_string();
     let text = std::fs::read_to_string(file).map_err(|e| Failure::Input(format!("{name}: {e}")))?;
     slipreel_settings::parse(&text, &name).map_err(|faults| Failure::Input(lines(&faults)))
@@ -104,7 +104,7 @@
     if let Some(fleet) = &daemon.fleet {
         fleet.peers().map_err(|faults| Failure::Input(lines(&faults)))?;
     }
-    let site = &daemon.site;
+    let site = &daemon.gateway;
     println!(
         "{}: {} classes, {} models, {} tenants, {} engines, {} threads",
         file.display(),
@@ -124,8 +124,8 @@
     let policy =
         slipreel_settings::policy_of(&text, &name).map_err(|faults| Failure::Input(lines(&faults)))?;
     println!("{name}: a policy of digest {:016x}", slipreel_consensus::policy_state::digest(&policy.text));
-    if !policy.left_aside.is_empty() {
-        println!("a router's own, left aside: {}", policy.left_aside.join(", "));
+    if !policy.non_policy_keys.is_empty() {
+        println!("a router's own, left aside: {}", policy.non_policy_keys.join(", "));
     }
     Ok(())
 }
--- a/crates/cli/src/member.rs
+++ b/crates/cli/src/member.rs
@@ -10,7 +10,7 @@
 use slipreel_event_loop::{Clock, Command, EventLoop, EventLoopHandle, MachineId};
 use slipreel_gateway::{Gateway, RouterCount};
 use slipreel_membership::{Membership, MembershipSettings, Peers, SavedState, SharedView};
-use slipreel_settings::{changes, join, policy_of, Daemon, FleetSite};
+use slipreel_settings::{changes, policy_of, settings_with_policy, DaemonSettings, FleetSettings};
 use std::io::Write;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -87,8 +87,8 @@
 fn compiler(own_settings: Arc<Mutex<String>>, file: String) -> Box<dyn PolicyCompiler> {
     Box::new(move |policy: &str| {
         let own = own_settings.lock().unwrap_or_else(PoisonError::into_inner).clone();
-        match join(&own, &file, policy) {
-            Ok(daemon) => Ok(Arc::new(daemon.site) as CompiledPolicy),
+        match settings_with_policy(&own, &file, policy) {
+            Ok(daemon) => Ok(Arc::new(daemon.gateway) as CompiledPolicy),
             Err(faults) => Err(InvalidPolicy::new(lines(&faults))),
         }
     })
@@ -118,7 +118,7 @@
 
 /// Consensus on the policy, if the settings name founders.
 fn consensus(
-    site: &FleetSite, name: &str, config: &Path, clock: Clock, view: &Arc<SharedView>,
+    site: &FleetSettings, name: &str, config: &Path, clock: Clock, view: &Arc<SharedView>,
 ) -> Result<Option<(Consensus, FleetPolicy)>, Failure> {
     if site.founders.is_empty() {
         return Ok(None);
@@ -133,8 +133,8 @@
         name: name.to_owned(),
         founders: site.founders.clone(),
         policy: policy.text,
-        partition_mode: site.cut,
-        max_datagram_len: site.datagram,
+        partition_mode: site.partition_mode,
+        max_datagram_len: site.max_datagram,
     };
     let DurableState { stored, disk, lock } = DurableState::open(site.folder.as_deref())?;
     let unix_time = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
@@ -157,7 +157,7 @@
     handle: EventLoopHandle<Machine>,
     policy: Option<FleetPolicy>,
     thread: JoinHandle<()>,
-    site: FleetSite,
+    site: FleetSettings,
     peers: Peers,
     /// The address table as it was last read, to notice changes.
     address_table_text: Option<String>,
@@ -202,29 +202,29 @@
 }
 
 /// Whether settings differ that take effect at a start only.
-fn fixed_settings_differ(one: &FleetSite, other: &FleetSite) -> bool {
+fn fixed_settings_differ(one: &FleetSettings, other: &FleetSettings) -> bool {
     one.fleet != other.fleet
         || one.listen != other.listen
         || one.folder != other.folder
-        || one.datagram != other.datagram
+        || one.max_datagram != other.max_datagram
 }
 
-fn peers(site: &FleetSite) -> Result<Peers, Failure> {
+fn peers(site: &FleetSettings) -> Result<Peers, Failure> {
     site.peers().map_err(|faults| Failure::Input(lines(&faults)))
 }
 
-fn address_table_text(site: &FleetSite) -> Option<String> {
-    site.book.as_ref().and_then(|file| std::fs::read_to_string(file).ok())
+fn address_table_text(site: &FleetSettings) -> Option<String> {
+    site.address_table_file.as_ref().and_then(|file| std::fs::read_to_string(file).ok())
 }
 
-fn membership_settings(daemon: &Daemon, site: &FleetSite) -> MembershipSettings {
+fn membership_settings(daemon: &DaemonSettings, site: &FleetSettings) -> MembershipSettings {
     MembershipSettings {
         fleet: site.fleet.clone(),
-        name: daemon.site.name.clone(),
+        name: daemon.gateway.name.clone(),
         address: site.listen,
         routers: daemon.threads as u32,
-        min_routers: daemon.site.decisions.router_count,
-        max_datagram: site.datagram,
+        min_routers: daemon.gateway.decisions.router_count,
+        max_datagram: site.max_datagram,
     }
 }
 
@@ -249,7 +249,9 @@
 
 impl Member {
     /// Starts the member, if the settings have a section `[fleet]`. State that must survive the process is written before it is sent.
-    pub(crate) fn start(daemon: &Daemon, config: &Path, clock: Clock) -> Result<Option<Member>, Failure> {
+    pub(crate) fn start(
+        daemon: &DaemonSettings, config: &Path, clock: Clock,
+    ) -> Result<Option<Member>, Failure> {
         let Some(site) = daemon.fleet.clone() else { return Ok(None) };
         let peers = peers(&site)?;
         let view = Arc::new(SharedView::default());
@@ -257,7 +259,7 @@
         let saved = read_saved_state(site.folder.as_deref());
         let membership =
             Membership::new(settings, peers.clone(), &saved, rand::random(), clock.now(), view.clone());
-        let (consensus, policy) = consensus(&site, &daemon.site.name, config, clock, &view)?.unzip();
+        let (consensus, policy) = consensus(&site, &daemon.gateway.name, config, clock, &view)?.unzip();
         let event_loop = event_loop(Machine::new(membership, consensus), clock, site.listen)?;
         let mut member = Member {
             saved_state: view.saved_state(),
@@ -266,7 +268,7 @@
             peers,
             last_write: Instant::now(),
             write_failed: false,
-            router_count: daemon.site.decisions.router_count,
+            router_count: daemon.gateway.decisions.router_count,
             view,
             handle: event_loop.handle(),
             policy,
@@ -293,7 +295,7 @@
 
     /// The settings of a file that is reloaded, with the policy in force in place of its own; `None`: no policy is in force here, and the
     /// file's own one is used.
-    pub(crate) fn with_policy_in_force(&self, config: &Path) -> Option<Result<Daemon, String>> {
+    pub(crate) fn with_policy_in_force(&self, config: &Path) -> Option<Result<DaemonSettings, String>> {
         let policy = self.policy.as_ref()?;
         let status = policy.handle.status();
         let text = match std::fs::read_to_string(config) {
@@ -305,7 +307,7 @@
             *policy.own_settings.lock().unwrap_or_else(PoisonError::into_inner) = text;
             return None;
         }
-        Some(match join(&text, &policy.file, &status.text) {
+        Some(match settings_with_policy(&text, &policy.file, &status.text) {
             Ok(daemon) => {
                 *policy.own_settings.lock().unwrap_or_else(PoisonError::into_inner) = text;
                 Ok(daemon)
@@ -353,14 +355,14 @@
     }
 
     /// Reloads seeds and address table; `None`: the address table alone. What can't be read changes nothing.
-    pub(crate) fn reload(&mut self, site: Option<&FleetSite>) {
+    pub(crate) fn reload(&mut self, site: Option<&FleetSettings>) {
         let mut new_site = self.site.clone();
         if let Some(site) = site {
             if fixed_settings_differ(site, &self.site) {
                 tracing::warn!("fleet, listen, folder and datagram of [fleet] change with a restart only");
             }
             new_site.seeds.clone_from(&site.seeds);
-            new_site.book.clone_from(&site.book);
+            new_site.address_table_file.clone_from(&site.address_table_file);
         }
         match new_site.peers() {
             Ok(peers) => {
--- a/crates/cli/src/roles.rs
+++ b/crates/cli/src/roles.rs
@@ -9,9 +9,9 @@
 use slipreel_gateway::engine_id;
 use slipreel_gateway::settings::EngineSettings;
 use slipreel_roles::{
-    ControllerConfig, ControllerMode, EngineView, Freeze, OrderCounts, Phase, RoleController, Watched,
+    ControllerConfig, ControllerMode, EngineView, Freeze, OrderCounts, Phase, RoleController, WatchedEngine,
 };
-use slipreel_settings::{engines_from_slices, engines_to_slices, parse_roles, Daemon, RolesSite};
+use slipreel_settings::{engines_from_slices, engines_to_slices, parse_roles, DaemonSettings, RoleSettings};
 use slipreel_state_machine::{Input, Machine, Output};
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
@@ -66,13 +66,13 @@
 impl Machine for Shown {
     fn handle(&mut self, now: Duration, input: Input<'_>, out: &mut Vec<Output>) {
         self.conductor.handle(now, input, out);
-        let because = &self.conductor.last_plan().because;
+        let because = &self.conductor.last_plan().reason;
         if let Some(told) = self.because.as_mut().filter(|told| *told != because) {
             told.clone_from(because);
             out.push(Output::Log(format!("nothing more: {because}")));
         }
         if let Ok(mut seen) = self.seen.lock() {
-            seen.clone_from(&self.conductor.seen().to_vec());
+            seen.clone_from(&self.conductor.last_view().to_vec());
         }
     }
 
@@ -88,7 +88,7 @@
     if let What::Freeze { off } = args.what {
         return freeze(&roles, off);
     }
-    let mut engines = daemon.site.engines.clone();
+    let mut engines = daemon.gateway.engines.clone();
     if let Some(file) = &daemon.engines_file {
         let text = std::fs::read_to_string(file);
         let text = text.map_err(|e| Failure::Input(format!("{}: {e}", file.display())))?;
@@ -103,7 +103,7 @@
     }
 }
 
-fn freeze(roles: &RolesSite, off: bool) -> Outcome {
+fn freeze(roles: &RoleSettings, off: bool) -> Outcome {
     let Some(file) = &roles.freeze else {
         return Err(Failure::Input(
             "[roles] freeze: expected a file, whose presence stops all changes".into(),
@@ -122,18 +122,18 @@
     Ok(())
 }
 
-fn is_frozen(roles: &RolesSite) -> bool {
+fn is_frozen(roles: &RoleSettings) -> bool {
     roles.freeze.as_ref().is_some_and(|f| f.exists())
 }
 
 /// The engines as a conductor takes them, cells and zones by number.
-fn watched(engines: &[EngineSettings]) -> Vec<Watched> {
+fn watched(engines: &[EngineSettings]) -> Vec<WatchedEngine> {
     let (mut cells, mut zones) = (BTreeMap::new(), BTreeMap::new());
     let number = |names: &mut BTreeMap<String, u32>, name: &str| {
         let next = names.len() as u32;
         *names.entry(name.to_owned()).or_insert(next)
     };
-    let mut one = |e: &EngineSettings| Watched {
+    let mut one = |e: &EngineSettings| WatchedEngine {
         id: engine_id(e.addr),
         addr: e.addr,
         cell: CellId(number(&mut cells, &e.cell)),
@@ -151,7 +151,7 @@
 
 impl AtWork {
     fn start(
-        roles: &RolesSite, engines: &[EngineSettings], dry: bool,
+        roles: &RoleSettings, engines: &[EngineSettings], dry: bool,
         log: impl FnMut(MachineId, &str) + Send + 'static,
     ) -> Result<AtWork, Failure> {
         let run = |e: std::io::Error| Failure::Run(e.to_string());
@@ -163,11 +163,11 @@
             limits,
             costs: roles.costs,
             policy: roles.policy,
-            full_load_requests: roles.places,
+            full_load_requests: roles.full_load_requests,
             mode: if dry { ControllerMode::DryRun } else { ControllerMode::Apply },
         };
         let conductor = RoleController::new(watched, config, clock.now())
-            .with_routers(roles.routers.clone(), roles.speeds);
+            .with_routers(roles.routers.clone(), roles.throughput);
         let seen = Seen::default();
         let mut looped = EventLoop::new(clock).map_err(run)?;
         looped.on_log(log);
@@ -192,7 +192,7 @@
     }
 }
 
-fn status(roles: &RolesSite, engines: &[EngineSettings]) -> Outcome {
+fn status(roles: &RoleSettings, engines: &[EngineSettings]) -> Outcome {
     let work = AtWork::start(roles, engines, true, |_, _| {})?;
     std::thread::sleep(ROUND);
     let seen = work.seen();
@@ -229,7 +229,7 @@
     }
 }
 
-fn plan(roles: &RolesSite, engines: &[EngineSettings], time: Duration) -> Outcome {
+fn plan(roles: &RoleSettings, engines: &[EngineSettings], time: Duration) -> Outcome {
     let signals = Signals::watch()?;
     println!("watching {} engines and {} routers; nothing is ordered", engines.len(), roles.routers.len());
     let began = std::time::Instant::now();
@@ -243,7 +243,7 @@
     work.stop().map(|_| ())
 }
 
-fn follow_freeze(roles: &RolesSite, work: &AtWork, frozen: &mut bool) {
+fn follow_freeze(roles: &RoleSettings, work: &AtWork, frozen: &mut bool) {
     let now = is_frozen(roles);
     if std::mem::replace(frozen, now) != now {
         work.handle.send(Command::Message(MachineId(0), Arc::new(Freeze(now))));
@@ -251,7 +251,7 @@
     }
 }
 
-fn apply(daemon: &Daemon, roles: &RolesSite, mut engines: Vec<EngineSettings>) -> Outcome {
+fn apply(daemon: &DaemonSettings, roles: &RoleSettings, mut engines: Vec<EngineSettings>) -> Outcome {
     logs::start(daemon.log_format, &daemon.log_level);
     let signals = Signals::watch()?;
     let work = AtWork::start(roles, &engines, false, |_, line| tracing::info!("{line}"))?;
--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -7,7 +7,7 @@
 use slipreel_event_loop::{Clock, Command, EventLoop, EventLoopHandle, MachineId};
 use slipreel_gateway::settings::EngineSettings;
 use slipreel_gateway::Gateway;
-use slipreel_settings::{engines_from_slices, Daemon};
+use slipreel_settings::{engines_from_slices, DaemonSettings};
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 use std::thread::JoinHandle;
@@ -61,7 +61,7 @@
         let text = std::fs::read_to_string(&watched.file);
         let text = text.map_err(|e| Failure::Input(format!("{}: {e}", watched.file.display())))?;
         let engines = engines_from_slices(&text);
-        daemon.site.engines =
+        daemon.gateway.engines =
             engines.map_err(|e| Failure::Input(format!("{}: {e}", watched.file.display())))?;
         watched.last = text;
     }
@@ -71,12 +71,12 @@
     if let Some(member) = &member {
         member.share_with(&handles);
     }
-    tracing::info!(listen = %daemon.listen, threads = daemon.threads, engines = daemon.site.engines.len(), "serving");
+    tracing::info!(listen = %daemon.listen, threads = daemon.threads, engines = daemon.gateway.engines.len(), "serving");
     while !signals.stopped() && threads.iter().any(|t| !t.is_finished()) {
         std::thread::sleep(LOOK);
         if let Some(list) = watched.as_mut().and_then(Watched::look) {
             tracing::info!(engines = list.len(), "the list of engines has changed");
-            daemon.site.engines.clone_from(&list);
+            daemon.gateway.engines.clone_from(&list);
             let list = Arc::new(list);
             handles.iter().for_each(|h| {
                 h.send(Command::Message(MachineId(0), list.clone()));
@@ -114,12 +114,12 @@
 
 type Threads = (Vec<EventLoopHandle<Gateway>>, Vec<JoinHandle<slipreel_gateway::Counters>>);
 
-fn start(daemon: &Daemon, clock: Clock) -> Result<Threads, Failure> {
+fn start(daemon: &DaemonSettings, clock: Clock) -> Result<Threads, Failure> {
     let run = |e: std::io::Error| Failure::Run(e.to_string());
     let wall = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
     let (mut handles, mut threads) = (Vec::new(), Vec::new());
     for n in 0..daemon.threads {
-        let mut site = daemon.site.clone();
+        let mut site = daemon.gateway.clone();
         if daemon.threads > 1 {
             site.name = format!("{}-{n}", site.name);
         }
@@ -145,7 +145,8 @@
 
 /// Reads the settings again. A bad file changes nothing; what needs a restart is named.
 fn reload(
-    config: &Path, daemon: &mut Daemon, handles: &[EventLoopHandle<Gateway>], member: Option<&mut Member>,
+    config: &Path, daemon: &mut DaemonSettings, handles: &[EventLoopHandle<Gateway>],
+    member: Option<&mut Member>,
 ) {
     let mut new = match read_settings(config) {
         Ok(new) => new,
@@ -165,21 +166,21 @@
             }
         }
     }
-    let fixed = |d: &Daemon| (d.listen, d.operators, d.threads);
+    let fixed = |d: &DaemonSettings| (d.listen, d.operators, d.threads);
     if fixed(&new) != fixed(daemon) || new.engines_file != daemon.engines_file {
         tracing::warn!("listen, operators, threads and engines of [router] change with a restart only");
     }
     if new.engines_file.is_some() {
-        new.site.engines.clone_from(&daemon.site.engines);
+        new.gateway.engines.clone_from(&daemon.gateway.engines);
     }
     match (member, &new.fleet) {
         (Some(member), Some(site)) => member.reload(Some(site)),
         (None, None) => {}
         _ => tracing::warn!("a section [fleet] comes and goes with a restart only"),
     }
-    daemon.site = new.site;
+    daemon.gateway = new.gateway;
     for (n, handle) in handles.iter().enumerate() {
-        let mut site = daemon.site.clone();
+        let mut site = daemon.gateway.clone();
         if daemon.threads > 1 {
             site.name = format!("{}-{n}", site.name);
         }
--- a/crates/scenario/src/script.rs
+++ b/crates/scenario/src/script.rs
@@ -5,7 +5,7 @@
 use crate::trouble::{Kind, Trouble, KINDS};
 use slipreel::Role;
 use slipreel_roles::PlanningPolicy;
-use slipreel_settings::{read_site, Daemon, Doc, Fault, Name, Value};
+use slipreel_settings::{read_daemon_settings, DaemonSettings, Doc, Fault, Name, Value};
 use slipreel_test_servers::engine::{EngineSpec, Role as SpecRole};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -58,7 +58,7 @@
 /// document says what.
 pub fn read_day_parts(doc: &mut Doc) -> Option<Day> {
     let engines = read_engines(doc);
-    let site = read_site(doc, false);
+    let site = read_daemon_settings(doc, false);
     let at = doc.one("day");
     let seed = doc.or(at, "seed", 1u64);
     let length = doc.or(at, "length", Duration::from_secs(20));
@@ -68,7 +68,7 @@
     let roles = policy.and_then(|p| p.0);
     let mut streams = read_traffic(doc, length);
     let troubles = read_troubles(doc);
-    let Daemon { site, .. } = site?;
+    let DaemonSettings { gateway: site, .. } = site?;
     shape_traffic(&mut streams, &troubles);
     let plans = spread_traffic(&site, &streams, seed, 1);
     Some(Day { seed, length, routers, site, engines, plans, troubles, notice, roles, sabotage: None })
@@ -103,7 +103,7 @@
         }
     }
     if plans.is_empty() {
-        doc.say_file("expected at least one section [engines NAME]");
+        doc.add_file_fault("expected at least one section [engines NAME]");
     }
     plans
 }
--- a/crates/test-servers/src/engine/mod.rs
+++ b/crates/test-servers/src/engine/mod.rs
@@ -335,7 +335,8 @@
     /// Takes on the new role once no request or state of the old one is left. The engine is then like a newly
     /// started one: empty, with no cached prefixes and not at full speed.
     fn change_role(&mut self, now: Duration) {
-        let Some(state) = self.role.left(now, self.scheduler.requests.len(), self.scheduler.states.len())
+        let Some(state) =
+            self.role.report_remaining_work(now, self.scheduler.requests.len(), self.scheduler.states.len())
         else {
             return;
         };
