--- a/crates/cli/src/demo.rs
+++ b/crates/cli/src/demo.rs
@@ -3,7 +3,7 @@
 use crate::signals::Signals;
 use crate::{lines, Failure, Outcome};
 use slipreel_event_loop::check_loopback;
-use slipreel_scenario::{play_in_memory, play_live, read_day, Day, LiveFleet, Played};
+use slipreel_scenario::{play_in_memory, play_live, read_day, LiveFleet, Played, Scenario};
 use std::io::{IsTerminal, Write};
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -36,7 +36,7 @@
     verbose: bool,
 }
 
-fn day_of(args: &Args) -> Result<Day, Failure> {
+fn day_of(args: &Args) -> Result<Scenario, Failure> {
     let (text, name) = match &args.day {
         None => (BAD_DAY.to_owned(), "the bad day".to_owned()),
         Some(file) => {
@@ -136,7 +136,7 @@
     Progress { stop, thread }
 }
 
-fn stay(args: &Args, day: &Day) -> Outcome {
+fn stay(args: &Args, day: &Scenario) -> Outcome {
     let signals = Signals::watch()?;
     let fleet = LiveFleet::start(day, args.listen).map_err(Failure::Run)?;
     let models: Vec<&str> = day.site.models.iter().map(|m| m.name.as_str()).collect();
--- a/crates/cli/src/model.rs
+++ b/crates/cli/src/model.rs
@@ -3,7 +3,7 @@
 use crate::{lines, Failure, Outcome};
 use clap::Args as ClapArgs;
 use slipreel_emulator::{play, Figures};
-use slipreel_scenario::{read_day, Day};
+use slipreel_scenario::{read_day, Scenario};
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
 
@@ -39,7 +39,7 @@
     Ok(())
 }
 
-fn print_scale(day: &Day) {
+fn print_scale(day: &Scenario) {
     println!(
         "{} engines, {} routers, {} requests in {:.0} s, in the model (no front, no connections)",
         day.engines.len(),
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -1,6 +1,6 @@
 //! An emulator of the fleet, for designs that have to be tried at sizes that sockets and bytes don't reach.
 //!
-//! A [`Day`](slipreel_scenario::Day) is played in virtual time like in `slipreel-scenario`, with the real decision module in every
+//! A [`Scenario`](slipreel_scenario::Scenario) is played in virtual time like in `slipreel-scenario`, with the real decision module in every
 //! router and the inside of the stand-in engine (queue, slots, memory, kept beginnings, steps, cold start) in every engine.
 //! Left out is what lies between them: HTTP, connections, JSON and text. A message takes a fixed time one way, a
 //! connection none. So it says nothing of connections, slow peers, garbage or of the front; troubles of a day other than
--- a/crates/emulator/src/play.rs
+++ b/crates/emulator/src/play.rs
@@ -9,7 +9,7 @@
 };
 use slipreel_gateway::engine_id;
 use slipreel_invariants::Effect;
-use slipreel_scenario::Day;
+use slipreel_scenario::Scenario;
 use slipreel_test_servers::client::ClientBehaviour;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
@@ -90,7 +90,7 @@
 }
 
 struct World<'a> {
-    day: &'a Day,
+    day: &'a Scenario,
     now: Duration,
     seq: u64,
     heap: BinaryHeap<Reverse<(Duration, u64)>>,
@@ -112,12 +112,12 @@
 }
 
 /// Plays a day in the model. The same day gives the same figures.
-pub fn play(day: &Day) -> Figures {
+pub fn play(day: &Scenario) -> Figures {
     play_change(day, None)
 }
 
 /// Plays a day in which all routers take new settings at one moment of it.
-pub fn play_change(day: &Day, change: Option<(Duration, Change)>) -> Figures {
+pub fn play_change(day: &Scenario, change: Option<(Duration, Change)>) -> Figures {
     let mut world = World::new(day);
     if let Some((at, how)) = change {
         world.plan_at(START + at, Event::Change(how));
@@ -141,7 +141,7 @@
 }
 
 impl<'a> World<'a> {
-    fn new(day: &'a Day) -> Self {
+    fn new(day: &'a Scenario) -> Self {
         let (mut zones, mut cells) = (Vec::new(), Vec::new());
         let mut engines = Vec::new();
         let mut places = Vec::new();
--- a/crates/emulator/src/roles.rs
+++ b/crates/emulator/src/roles.rs
@@ -7,7 +7,7 @@
     ChangeCosts, Demand, EngineThroughput, EngineView, Order, Phase, Planner, PlannerLimits, PlannerView,
     PlanningPolicy, CACHED_TOKENS_AT_FULL_MEMORY,
 };
-use slipreel_scenario::Day;
+use slipreel_scenario::Scenario;
 use slipreel_test_servers::engine::Role as SpecRole;
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
@@ -35,7 +35,7 @@
 
 impl Roles {
     /// A planner with the limits and costs of the day's own conductor.
-    pub(crate) fn new(day: &Day, policy: PlanningPolicy) -> Option<Roles> {
+    pub(crate) fn new(day: &Scenario, policy: PlanningPolicy) -> Option<Roles> {
         let spec = |role| day.engines.iter().map(|e| &e.spec).find(|s| s.role == role);
         let (reader, writer) = (spec(SpecRole::Prefill)?, spec(SpecRole::Decode)?);
         let limits = PlannerLimits {
--- a/crates/emulator/tests/change.rs
+++ b/crates/emulator/tests/change.rs
@@ -1,13 +1,13 @@
 //! 300 routers take new settings at one moment of a busy day: with heirs nothing is lost; routers that learn anew are the baseline.
 
 use slipreel_emulator::{play, play_change, Change, Figures};
-use slipreel_scenario::{read_day, Day};
+use slipreel_scenario::{read_day, Scenario};
 use std::time::Duration;
 
 const AT: u64 = 20;
 
 /// 300 routers before engines that are nearly full.
-fn busy(routers: usize) -> Day {
+fn busy(routers: usize) -> Scenario {
     let text = format!(
         "[day]\nlength = 40s\nrouters = {routers}\nseed = 5\n\
          [class chat]\naim = 1s\npatience = 6s\nworth = 3\n[class batch]\naim = 3s\npatience = 8s\nworth = 1\n\
--- a/crates/emulator/tests/fidelity.rs
+++ b/crates/emulator/tests/fidelity.rs
@@ -3,9 +3,9 @@
 use slipreel_emulator::play;
 use slipreel_invariants::Ending;
 use slipreel_roles::PlanningPolicy;
-use slipreel_scenario::{play_in_memory, read_day, Day};
+use slipreel_scenario::{play_in_memory, read_day, Scenario};
 
-fn shift(roles: Option<PlanningPolicy>) -> Day {
+fn shift(roles: Option<PlanningPolicy>) -> Scenario {
     let text = include_str!("../../../deploy/days/shift.ini");
     let mut day = read_day(text, "shift.ini").unwrap_or_else(|faults| panic!("{faults:?}"));
     day.roles = roles;
@@ -13,7 +13,7 @@
 }
 
 /// Whole answers in bytes and in the model, by model of requests.
-fn both(day: &Day) -> Vec<(String, usize, usize, usize)> {
+fn both(day: &Scenario) -> Vec<(String, usize, usize, usize)> {
     let (bytes, model) = (play_in_memory(day), play(day));
     assert_eq!(model.held, 0, "nothing is left");
     let served = |name: &str| {
--- a/crates/fault-injection/src/script.rs
+++ b/crates/fault-injection/src/script.rs
@@ -6,7 +6,7 @@
 use rand_xoshiro::rand_core::{RngCore, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
 use slipreel_consensus::PartitionMode;
-use slipreel_scenario::{read_day_parts, Day, DAY_SECTIONS};
+use slipreel_scenario::{read_day_parts, Scenario, DAY_SECTIONS};
 use slipreel_settings::{Doc, Fault as Wrong, Value};
 use std::time::Duration;
 
@@ -196,7 +196,7 @@
     /// Faults in order of their beginning.
     pub faults: Vec<Fault>,
     /// Site, engines and traffic.
-    pub day: Day,
+    pub day: Scenario,
     /// The text of the site's sections, for the files of the processes.
     pub site_text: String,
     /// Whether clients ask.
--- a/crates/scenario/src/fleet.rs
+++ b/crates/scenario/src/fleet.rs
@@ -79,7 +79,7 @@
 
 /// A day.
 #[derive(Clone, Debug)]
-pub struct Day {
+pub struct Scenario {
     /// Settles all chances.
     pub seed: u64,
     /// When traffic ends, since the start.
@@ -102,7 +102,7 @@
     pub sabotage: Option<Sabotage>,
 }
 
-impl Day {
+impl Scenario {
     /// What a model's requests do when they run.
     pub fn effect_of(site: &GatewaySettings, model: &str) -> Effect {
         let class = site.models.iter().find(|m| m.name == model).map(|m| &site.decisions.classes[m.class]);
@@ -199,7 +199,7 @@
                 at: Duration::from_secs_f64(at),
                 request: 0,
                 model: t.model.clone(),
-                effect: Day::effect_of(site, &t.model),
+                effect: Scenario::effect_of(site, &t.model),
                 key: t.key.clone(),
                 session: format!("s{session:x}"),
                 system,
--- a/crates/scenario/src/lib.rs
+++ b/crates/scenario/src/lib.rs
@@ -1,4 +1,4 @@
-//! Scripted days. A [`Day`] is a fleet of stand-in engines, routers, traffic and troubles. It is played in memory in
+//! Scripted days. A [`Scenario`] is a fleet of stand-in engines, routers, traffic and troubles. It is played in memory in
 //! virtual time ([`play_in_memory`]) or over loopback sockets ([`play_live`]), by the same director, and the rules are
 //! judged from what clients and engines saw.
 //!
@@ -16,7 +16,7 @@
 mod trouble;
 
 pub use actor::{Actor, Sabotage};
-pub use fleet::{spread_traffic, Day, EnginePlan, Traffic};
+pub use fleet::{spread_traffic, EnginePlan, Scenario, Traffic};
 pub use report::{figures_of, Group, Groups, Report};
 pub use script::{read_day, read_day_parts, DAY_SECTIONS};
 pub use stage::{play_in_memory, play_live, LiveFleet, Played};
--- a/crates/scenario/src/report.rs
+++ b/crates/scenario/src/report.rs
@@ -1,6 +1,6 @@
 //! Counts what a day's clients got.
 
-use crate::fleet::Day;
+use crate::fleet::Scenario;
 use crate::stage::Played;
 use slipreel_invariants::{Effect, Ending, Limits, RULES};
 use slipreel_test_servers::client::AttemptResult;
@@ -14,7 +14,7 @@
 const DRAIN_GRACE: Duration = Duration::from_millis(2_000);
 
 /// The figures of the rules for a day.
-pub fn figures_of(day: &Day) -> Limits {
+pub fn figures_of(day: &Scenario) -> Limits {
     Limits {
         answer_slack: WIRE,
         drain_grace: DRAIN_GRACE,
@@ -160,7 +160,7 @@
             tenants: group_by(results, |result| result.key.clone()),
             effects: group_by(results, |result| effect_name(result.effect).to_owned()),
             thirds: group_by(results, |result| thirds.name(result.due).to_owned()),
-            routers: group_by(results, |result| Day::router_name(result.router)),
+            routers: group_by(results, |result| Scenario::router_name(result.router)),
             faults: faults.collect::<BTreeSet<_>>().into_iter().collect(),
             attempts: (sum(|t| t.attempts), sum(|t| t.probes), sum(|t| t.admitted)),
             rules: rules.collect(),
--- a/crates/scenario/src/script.rs
+++ b/crates/scenario/src/script.rs
@@ -1,7 +1,7 @@
 //! Days as INI: the sections of a site, and `[day]`, `[engines NAME]`, `[traffic NAME]` and `[trouble NAME]`.
 //! `docs/days.md` describes them.
 
-use crate::fleet::{spread_traffic, Day, EnginePlan, Traffic};
+use crate::fleet::{spread_traffic, EnginePlan, Scenario, Traffic};
 use crate::trouble::{Kind, Trouble, KINDS};
 use slipreel::Role;
 use slipreel_roles::PlanningPolicy;
@@ -47,7 +47,7 @@
 ///
 /// # Errors
 /// Every fault of the text, by line.
-pub fn read_day(text: &str, file: &str) -> Result<Day, Vec<Fault>> {
+pub fn read_day(text: &str, file: &str) -> Result<Scenario, Vec<Fault>> {
     let mut doc = Doc::parse(text, file)?;
     let day = read_day_parts(&mut doc);
     doc.finish(DAY_SECTIONS)?;
@@ -56,7 +56,7 @@
 
 /// Reads the sections of a day from a document that may hold others. `None` if something that has to be there is missing; the
 /// document says what.
-pub fn read_day_parts(doc: &mut Doc) -> Option<Day> {
+pub fn read_day_parts(doc: &mut Doc) -> Option<Scenario> {
     let engines = read_engines(doc);
     let site = read_site(doc, false);
     let at = doc.one("day");
@@ -71,7 +71,7 @@
     let Daemon { site, .. } = site?;
     shape_traffic(&mut streams, &troubles);
     let plans = spread_traffic(&site, &streams, seed, 1);
-    Some(Day { seed, length, routers, site, engines, plans, troubles, notice, roles, sabotage: None })
+    Some(Scenario { seed, length, routers, site, engines, plans, troubles, notice, roles, sabotage: None })
 }
 
 fn read_engines(doc: &mut Doc) -> Vec<EnginePlan> {
--- a/crates/scenario/src/stage.rs
+++ b/crates/scenario/src/stage.rs
@@ -1,7 +1,7 @@
 //! The director: carries out a day's acts at their times on either driver, keeps the list of engines, ends the day.
 
 use crate::actor::{Actor, Sabotaged};
-use crate::fleet::Day;
+use crate::fleet::Scenario;
 use crate::report::{figures_of, Report};
 use crate::trouble::Act;
 use rand_xoshiro::rand_core::SeedableRng;
@@ -93,7 +93,7 @@
 }
 
 struct Director<'a> {
-    day: &'a Day,
+    day: &'a Scenario,
     addrs: Vec<SocketAddr>,
     ledger: Ledger,
     steps: BTreeMap<(Duration, u64), Step>,
@@ -110,7 +110,7 @@
 }
 
 impl<'a> Director<'a> {
-    fn new(day: &'a Day, addrs: Vec<SocketAddr>, ledger: Ledger, start: Duration) -> Self {
+    fn new(day: &'a Scenario, addrs: Vec<SocketAddr>, ledger: Ledger, start: Duration) -> Self {
         let mut rng = Xoshiro256PlusPlus::seed_from_u64(day.seed ^ 0x7_0b1e);
         let n = day.engines.len();
         let mut director = Director {
@@ -309,7 +309,7 @@
             Act::KillRouter(r) => {
                 stage.kill(Who::Router(r));
                 self.routers_up[r] = false;
-                self.ledger.note(now, Seen::RouterDied(Day::router_name(r)));
+                self.ledger.note(now, Seen::RouterDied(Scenario::router_name(r)));
             }
             Act::ReviveRouter(r) => {
                 let actor = self.router(r, now);
@@ -357,7 +357,7 @@
             for e in before.iter().chain(list) {
                 let (was, is) = (takes(&before, e), takes(list, e));
                 if was != is {
-                    let (router, engine) = (Day::router_name(r), e.name.clone());
+                    let (router, engine) = (Scenario::router_name(r), e.name.clone());
                     self.ledger.note(now, Seen::RouterNotified { router, engine, closed: !is });
                 }
             }
@@ -378,7 +378,7 @@
         for r in (0..self.day.routers).filter(|&r| self.routers_up[r]) {
             let cut = beyond(&self.day.router_zone(r));
             for (e, addr) in self.addrs.iter().enumerate() {
-                let (router, engine) = (Day::router_name(r), self.day.engines[e].spec.name.clone());
+                let (router, engine) = (Scenario::router_name(r), self.day.engines[e].spec.name.clone());
                 self.ledger.note(now, Seen::LinkCut { router, engine, cut: cut.0.contains(addr) });
             }
             stage.news(Who::Router(r), Arc::new(cut));
@@ -389,7 +389,7 @@
     }
 }
 
-fn clients(day: &Day, targets: Vec<SocketAddr>, ledger: Ledger, start: Duration) -> Clients {
+fn clients(day: &Scenario, targets: Vec<SocketAddr>, ledger: Ledger, start: Duration) -> Clients {
     let mut plans = day.plans.clone();
     plans.iter_mut().for_each(|p| p.at += start);
     Clients::new(plans, targets, ledger, true)
@@ -455,7 +455,7 @@
 }
 
 /// Plays a day in memory, in virtual time. The same day gives the same bytes.
-pub fn play_in_memory(day: &Day) -> Played {
+pub fn play_in_memory(day: &Scenario) -> Played {
     let ledger = Ledger::default();
     let addr = |port: usize| SocketAddr::from(([127, 0, 0, 1], port as u16));
     let addrs: Vec<SocketAddr> = (0..day.engines.len()).map(|e| addr(20_000 + e)).collect();
@@ -535,7 +535,7 @@
     ///
     /// # Errors
     /// An address can't be listened on, or the system has no descriptors or threads left.
-    pub fn start(day: &Day, listen: Option<SocketAddr>) -> Result<LiveFleet, String> {
+    pub fn start(day: &Scenario, listen: Option<SocketAddr>) -> Result<LiveFleet, String> {
         let clock = Clock::start();
         let now = clock.now();
         let ledger = Ledger::default();
@@ -649,7 +649,7 @@
 ///
 /// # Errors
 /// The system has no addresses, descriptors or threads left.
-pub fn play_live(day: &Day, listen: Option<SocketAddr>) -> Result<Played, String> {
+pub fn play_live(day: &Scenario, listen: Option<SocketAddr>) -> Result<Played, String> {
     let mut fleet = LiveFleet::start(day, listen)?;
     let ledger = fleet.ledger.clone();
     let began = fleet.clock.now();
--- a/crates/scenario/src/trouble.rs
+++ b/crates/scenario/src/trouble.rs
@@ -1,6 +1,6 @@
 //! Troubles of the kinds that the bench plays, as acts at times.
 
-use crate::fleet::{chance, Day};
+use crate::fleet::{chance, Scenario};
 use rand_xoshiro::Xoshiro256PlusPlus;
 use slipreel_test_servers::engine::{Fault, Garbage};
 use std::time::Duration;
@@ -137,7 +137,7 @@
 
 impl Trouble {
     /// The engines that it befalls, at least one.
-    fn engines(&self, day: &Day, rng: &mut Xoshiro256PlusPlus) -> Vec<usize> {
+    fn engines(&self, day: &Scenario, rng: &mut Xoshiro256PlusPlus) -> Vec<usize> {
         let named = |n: &usize| {
             let e = &day.engines[*n];
             self.whom.split(',').any(|w| w.trim() == e.spec.name || w.trim() == e.zone || w.trim() == e.cell)
@@ -149,12 +149,12 @@
         draw(all, self.part, rng)
     }
 
-    fn named_in_order(&self, day: &Day) -> Vec<usize> {
+    fn named_in_order(&self, day: &Scenario) -> Vec<usize> {
         let find = |name: &str| day.engines.iter().position(|e| e.spec.name == name.trim());
         self.whom.split(',').filter_map(find).collect()
     }
 
-    fn zone(&self, day: &Day, rng: &mut Xoshiro256PlusPlus) -> String {
+    fn zone(&self, day: &Scenario, rng: &mut Xoshiro256PlusPlus) -> String {
         if !self.whom.is_empty() {
             return self.whom.clone();
         }
@@ -165,7 +165,7 @@
     }
 
     /// What is done when, since the start of the day.
-    pub(crate) fn acts(&self, day: &Day, rng: &mut Xoshiro256PlusPlus) -> Vec<(Duration, Act)> {
+    pub(crate) fn acts(&self, day: &Scenario, rng: &mut Xoshiro256PlusPlus) -> Vec<(Duration, Act)> {
         let (from, until) = (self.at, self.at + self.lasts);
         let ms = |n: f64| Duration::from_secs_f64(n.max(0.0) / 1000.0);
         let mut acts = Vec::new();
@@ -269,7 +269,7 @@
     }
 
     /// Engines that stand still or are slow again and again.
-    fn comes_and_goes(&self, day: &Day, rng: &mut Xoshiro256PlusPlus) -> Vec<(Duration, Act)> {
+    fn comes_and_goes(&self, day: &Scenario, rng: &mut Xoshiro256PlusPlus) -> Vec<(Duration, Act)> {
         let (from, until) = (self.at, self.at + self.lasts);
         let stands_still = self.kind == Kind::Pauses;
         let pause = Duration::from_secs_f64(self.size.max(0.0) / 1000.0);
@@ -293,7 +293,7 @@
     }
 
     /// Engines that become slower step by step, and are started anew in the end.
-    fn ageing(&self, day: &Day, rng: &mut Xoshiro256PlusPlus) -> Vec<(Duration, Act)> {
+    fn ageing(&self, day: &Scenario, rng: &mut Xoshiro256PlusPlus) -> Vec<(Duration, Act)> {
         const STEPS: u32 = 8;
         let (from, until) = (self.at, self.at + self.lasts);
         let mut acts = Vec::new();
@@ -309,7 +309,7 @@
     }
 
     /// Engines that are listed as draining, end, and come back a moment later.
-    fn drain(&self, day: &Day, rng: &mut Xoshiro256PlusPlus) -> Vec<(Duration, Act)> {
+    fn drain(&self, day: &Scenario, rng: &mut Xoshiro256PlusPlus) -> Vec<(Duration, Act)> {
         let (from, until) = (self.at, self.at + self.lasts);
         let back = until + Duration::from_millis(500);
         let mut acts = Vec::new();
--- a/crates/scenario/tests/bad_day.rs
+++ b/crates/scenario/tests/bad_day.rs
@@ -5,10 +5,10 @@
 
 use common::*;
 use slipreel_invariants::{Ending, Rule};
-use slipreel_scenario::{play_in_memory, read_day, Day, Sabotage};
+use slipreel_scenario::{play_in_memory, read_day, Sabotage, Scenario};
 use std::time::Duration;
 
-fn bad_day(seed: u64) -> Day {
+fn bad_day(seed: u64) -> Scenario {
     let text = include_str!("../../../deploy/days/bad.ini").replace("seed = 11", &format!("seed = {seed}"));
     read_day(&text, "bad.ini").unwrap_or_else(|faults| panic!("{faults:?}"))
 }
@@ -30,7 +30,7 @@
     assert_ne!(a.digest, c.digest);
 }
 
-fn broken_rules(day: &Day) -> Vec<Rule> {
+fn broken_rules(day: &Scenario) -> Vec<Rule> {
     let mut rules: Vec<Rule> = play_in_memory(day).breaks.iter().map(|b| b.rule).collect();
     rules.dedup();
     rules
--- a/crates/scenario/tests/common/mod.rs
+++ b/crates/scenario/tests/common/mod.rs
@@ -2,7 +2,7 @@
 #![allow(dead_code)]
 
 use slipreel_invariants::{Effect, Ending};
-use slipreel_scenario::{read_day, Day, Played};
+use slipreel_scenario::{read_day, Played, Scenario};
 use slipreel_test_servers::client::{ClientBehaviour, ScriptedRequest};
 use std::time::Duration;
 
@@ -34,7 +34,7 @@
 ";
 
 /// A day of so many readers and writers in one cell, with these troubles and requests.
-pub fn day(readers: usize, writers: usize, extra: &str, plans: Vec<ScriptedRequest>) -> Day {
+pub fn day(readers: usize, writers: usize, extra: &str, plans: Vec<ScriptedRequest>) -> Scenario {
     let fleet = format!(
         "[engines r]\nrole = read\ncount = {readers}\ncold_time = 3s\n[engines w]\nrole = write\ncount = {writers}\ncold_time = 3s\n"
     );
@@ -42,7 +42,7 @@
     let mut day = read_day(&text, "test").unwrap_or_else(|faults| panic!("{faults:?}"));
     day.plans = plans;
     for plan in &mut day.plans {
-        plan.effect = Day::effect_of(&day.site, &plan.model);
+        plan.effect = Scenario::effect_of(&day.site, &plan.model);
     }
     day
 }
--- a/crates/scenario/tests/hard_cases.rs
+++ b/crates/scenario/tests/hard_cases.rs
@@ -5,17 +5,17 @@
 
 use common::*;
 use slipreel_invariants::Ending::{self, Failed, Refused, Served};
-use slipreel_scenario::{play_in_memory, play_live, Day, Played};
+use slipreel_scenario::{play_in_memory, play_live, Played, Scenario};
 use slipreel_test_servers::client::ClientBehaviour;
 
 struct Case {
     name: &'static str,
-    day: Day,
+    day: Scenario,
     /// How each request has to end; `None`: its client leaves or is cut off.
     ends: Vec<(u64, Option<Ending>)>,
 }
 
-fn case(name: &'static str, day: Day, ends: &[(u64, Option<Ending>)]) -> Case {
+fn case(name: &'static str, day: Scenario, ends: &[(u64, Option<Ending>)]) -> Case {
     Case { name, day, ends: ends.to_vec() }
 }
 
--- a/crates/scenario/tests/role_changes.rs
+++ b/crates/scenario/tests/role_changes.rs
@@ -5,11 +5,11 @@
 
 use common::*;
 use slipreel_invariants::Ending::Served;
-use slipreel_scenario::{play_in_memory, play_live, Day};
+use slipreel_scenario::{play_in_memory, play_live, Scenario};
 use slipreel_test_servers::client::ScriptedRequest;
 use std::time::Duration;
 
-fn under_load(extra: &str, rate: u64, seconds: u64) -> Day {
+fn under_load(extra: &str, rate: u64, seconds: u64) -> Scenario {
     let models = ["plain", "order", "filing"];
     let plans = (1..rate * seconds)
         .map(|n| ScriptedRequest { max_attempts: 3, ..plan(n, models[n as usize % 3], n * 1000 / rate) });
@@ -23,7 +23,7 @@
 }
 
 /// All but a few are served, and every rule holds.
-fn assert_served(name: &str, day: &Day, least: f64) {
+fn assert_served(name: &str, day: &Scenario, least: f64) {
     let played = play_in_memory(day);
     assert_clean(name, &played);
     let served = day.plans.iter().filter(|p| ending(&played, p.request) == Some(Served)).count();
--- a/crates/scenario/tests/zones.rs
+++ b/crates/scenario/tests/zones.rs
@@ -4,9 +4,9 @@
 
 use common::*;
 use slipreel_invariants::Ending;
-use slipreel_scenario::{play_in_memory, read_day, Day};
+use slipreel_scenario::{play_in_memory, read_day, Scenario};
 
-fn zones(seed: u64) -> Day {
+fn zones(seed: u64) -> Scenario {
     let text = include_str!("../../../deploy/days/zones.ini").replace("seed = 3", &format!("seed = {seed}"));
     read_day(&text, "zones.ini").unwrap_or_else(|faults| panic!("{faults:?}"))
 }
