--- a/crates/cli/src/demo.rs
+++ b/crates/cli/src/demo.rs
@@ -3,7 +3,7 @@
 use crate::signals::Signals;
 use crate::{lines, Failure, Outcome};
 use slipreel_event_loop::check_loopback;
-use slipreel_scenario::{play_in_memory, play_live, read_day, LiveFleet, Played, Scenario};
+use slipreel_scenario::{play_in_memory, play_live, read_scenario, LiveFleet, Played, Scenario};
 use std::io::{IsTerminal, Write};
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -44,12 +44,12 @@
             (std::fs::read_to_string(file).map_err(|e| Failure::Input(format!("{name}: {e}")))?, name)
         }
     };
-    let mut day = read_day(&text, &name).map_err(|faults| Failure::Input(lines(&faults)))?;
+    let mut day = read_scenario(&text, &name).map_err(|faults| Failure::Input(lines(&faults)))?;
     if let Some(seed) = args.seed {
         let text =
             text.lines().map(|l| if l.starts_with("seed") { format!("seed = {seed}") } else { l.into() });
         let text = text.collect::<Vec<String>>().join("\n");
-        day = read_day(&text, &name).map_err(|faults| Failure::Input(lines(&faults)))?;
+        day = read_scenario(&text, &name).map_err(|faults| Failure::Input(lines(&faults)))?;
         day.seed = seed;
     }
     Ok(day)
--- a/crates/cli/src/model.rs
+++ b/crates/cli/src/model.rs
@@ -3,7 +3,7 @@
 use crate::{lines, Failure, Outcome};
 use clap::Args as ClapArgs;
 use slipreel_emulator::{play, Figures};
-use slipreel_scenario::{read_day, Scenario};
+use slipreel_scenario::{read_scenario, Scenario};
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
 
@@ -23,7 +23,7 @@
 pub(crate) fn run(args: &Args) -> Outcome {
     let name = args.day.display().to_string();
     let text = std::fs::read_to_string(&args.day).map_err(|e| Failure::Input(format!("{name}: {e}")))?;
-    let mut day = read_day(&text, &name).map_err(|faults| Failure::Input(lines(&faults)))?;
+    let mut day = read_scenario(&text, &name).map_err(|faults| Failure::Input(lines(&faults)))?;
     day.seed = args.seed.unwrap_or(day.seed);
     let began = Instant::now();
     let figures = play(&day);
--- a/crates/emulator/tests/change.rs
+++ b/crates/emulator/tests/change.rs
@@ -1,7 +1,7 @@
 //! 300 routers take new settings at one moment of a busy day: with heirs nothing is lost; routers that learn anew are the baseline.
 
 use slipreel_emulator::{play, play_change, Change, Figures};
-use slipreel_scenario::{read_day, Scenario};
+use slipreel_scenario::{read_scenario, Scenario};
 use std::time::Duration;
 
 const AT: u64 = 20;
@@ -17,7 +17,7 @@
          [traffic chats]\nmodel = chat-1\nkey = k\nrate = 260\nprompt = 600\nprefix = 300\nprefixes = 20\n\
          [traffic batches]\nmodel = batch-1\nkey = k\nrate = 200\nprompt = 600\nprefix = 300\nprefixes = 20\n"
     );
-    read_day(&text, "busy").unwrap_or_else(|faults| panic!("{faults:?}"))
+    read_scenario(&text, "busy").unwrap_or_else(|faults| panic!("{faults:?}"))
 }
 
 /// The share of requests served of those asked in the ten seconds from this one on.
--- a/crates/emulator/tests/fidelity.rs
+++ b/crates/emulator/tests/fidelity.rs
@@ -3,11 +3,11 @@
 use slipreel_emulator::play;
 use slipreel_invariants::Ending;
 use slipreel_roles::PlanningPolicy;
-use slipreel_scenario::{play_in_memory, read_day, Scenario};
+use slipreel_scenario::{play_in_memory, read_scenario, Scenario};
 
 fn shift(roles: Option<PlanningPolicy>) -> Scenario {
     let text = include_str!("../../../deploy/days/shift.ini");
-    let mut day = read_day(text, "shift.ini").unwrap_or_else(|faults| panic!("{faults:?}"));
+    let mut day = read_scenario(text, "shift.ini").unwrap_or_else(|faults| panic!("{faults:?}"));
     day.roles = roles;
     day
 }
--- a/crates/scenario/benches/sockets.rs
+++ b/crates/scenario/benches/sockets.rs
@@ -6,7 +6,7 @@
 use slipreel_gateway::Gateway;
 use slipreel_invariants::{Effect, Ending};
 use slipreel_protocol::http::{chunk, Decoder, Item, Limits, Side, Start};
-use slipreel_scenario::read_day;
+use slipreel_scenario::read_scenario;
 use slipreel_state_machine::{ConnId, Input, Machine, Output};
 use slipreel_test_servers::client::{ClientBehaviour, Clients, ScriptedRequest};
 use slipreel_test_servers::ledger::Ledger;
@@ -177,7 +177,7 @@
             engines.listen(node, ANY).expect("a port")
         })
         .collect();
-    let day = read_day(SITE, "bench").expect("a site");
+    let day = read_scenario(SITE, "bench").expect("a site");
     let mut router = EventLoop::new(clock).expect("descriptors");
     let node = router.add(Gateway::new(Arc::new(day.router_site(0, &addrs)), 5, clock.now(), clock.now()));
     let front = router.listen(node, ANY).expect("a port");
--- a/crates/scenario/src/script.rs
+++ b/crates/scenario/src/script.rs
@@ -47,7 +47,7 @@
 ///
 /// # Errors
 /// Every fault of the text, by line.
-pub fn read_day(text: &str, file: &str) -> Result<Scenario, Vec<Fault>> {
+pub fn read_scenario(text: &str, file: &str) -> Result<Scenario, Vec<Fault>> {
     let mut doc = Doc::parse(text, file)?;
     let day = read_day_parts(&mut doc);
     doc.finish(DAY_SECTIONS)?;
--- a/crates/scenario/tests/bad_day.rs
+++ b/crates/scenario/tests/bad_day.rs
@@ -5,12 +5,12 @@
 
 use common::*;
 use slipreel_invariants::{Ending, Rule};
-use slipreel_scenario::{play_in_memory, read_day, Sabotage, Scenario};
+use slipreel_scenario::{play_in_memory, read_scenario, Sabotage, Scenario};
 use std::time::Duration;
 
 fn bad_day(seed: u64) -> Scenario {
     let text = include_str!("../../../deploy/days/bad.ini").replace("seed = 11", &format!("seed = {seed}"));
-    read_day(&text, "bad.ini").unwrap_or_else(|faults| panic!("{faults:?}"))
+    read_scenario(&text, "bad.ini").unwrap_or_else(|faults| panic!("{faults:?}"))
 }
 
 #[test]
--- a/crates/scenario/tests/common/mod.rs
+++ b/crates/scenario/tests/common/mod.rs
@@ -2,7 +2,7 @@
 #![allow(dead_code)]
 
 use slipreel_invariants::{Effect, Ending};
-use slipreel_scenario::{read_day, Played, Scenario};
+use slipreel_scenario::{read_scenario, Played, Scenario};
 use slipreel_test_servers::client::{ClientBehaviour, ScriptedRequest};
 use std::time::Duration;
 
@@ -39,7 +39,7 @@
         "[engines r]\nrole = read\ncount = {readers}\ncold_time = 3s\n[engines w]\nrole = write\ncount = {writers}\ncold_time = 3s\n"
     );
     let text = format!("{SITE}{fleet}[day]\nlength = 1s\nrouters = 1\nnotice = 200ms\nseed = 5\n{extra}");
-    let mut day = read_day(&text, "test").unwrap_or_else(|faults| panic!("{faults:?}"));
+    let mut day = read_scenario(&text, "test").unwrap_or_else(|faults| panic!("{faults:?}"));
     day.plans = plans;
     for plan in &mut day.plans {
         plan.effect = Scenario::effect_of(&day.site, &plan.model);
--- a/crates/scenario/tests/role_changes.rs
+++ b/crates/scenario/tests/role_changes.rs
@@ -82,7 +82,8 @@
     let text = include_str!("../../../deploy/days/shift.ini")
         .replace("length = 120s", "length = 80s")
         .replace("60s", "40s");
-    let day = slipreel_scenario::read_day(&text, "shift.ini").unwrap_or_else(|faults| panic!("{faults:?}"));
+    let day =
+        slipreel_scenario::read_scenario(&text, "shift.ini").unwrap_or_else(|faults| panic!("{faults:?}"));
     let played = play_in_memory(&day);
     assert_clean("shift", &played);
     let (taken, turned) = played.orders;
--- a/crates/scenario/tests/zones.rs
+++ b/crates/scenario/tests/zones.rs
@@ -4,11 +4,11 @@
 
 use common::*;
 use slipreel_invariants::Ending;
-use slipreel_scenario::{play_in_memory, read_day, Scenario};
+use slipreel_scenario::{play_in_memory, read_scenario, Scenario};
 
 fn zones(seed: u64) -> Scenario {
     let text = include_str!("../../../deploy/days/zones.ini").replace("seed = 3", &format!("seed = {seed}"));
-    read_day(&text, "zones.ini").unwrap_or_else(|faults| panic!("{faults:?}"))
+    read_scenario(&text, "zones.ini").unwrap_or_else(|faults| panic!("{faults:?}"))
 }
 
 /// New connections take longer than state may lie, at half of the engines, while others die, drain, are cut off or
