--- a/crates/fault-injection/src/script.rs
+++ b/crates/fault-injection/src/script.rs
@@ -6,7 +6,7 @@
 use rand_xoshiro::rand_core::{RngCore, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
 use slipreel_consensus::PartitionMode;
-use slipreel_scenario::{read_day_parts, Scenario, DAY_SECTIONS};
+use slipreel_scenario::{read_scenario_sections, Scenario, DAY_SECTIONS};
 use slipreel_settings::{Doc, Fault as Wrong, Value};
 use std::time::Duration;
 
@@ -310,7 +310,7 @@
         poor: doc.or(at, "poor", Whom(Vec::new())).0.first().copied(),
         proposals: read_proposals(&mut doc, routers),
         site_text: site_of(&whole),
-        day: match read_day_parts(&mut doc) {
+        day: match read_scenario_sections(&mut doc) {
             Some(day) => day,
             None => return Err(doc.finish(&known()).err().unwrap_or_default()),
         },
--- a/crates/scenario/src/script.rs
+++ b/crates/scenario/src/script.rs
@@ -49,14 +49,14 @@
 /// Every fault of the text, by line.
 pub fn read_scenario(text: &str, file: &str) -> Result<Scenario, Vec<Fault>> {
     let mut doc = Doc::parse(text, file)?;
-    let day = read_day_parts(&mut doc);
+    let day = read_scenario_sections(&mut doc);
     doc.finish(DAY_SECTIONS)?;
     day.ok_or_else(Vec::new)
 }
 
 /// Reads the sections of a day from a document that may hold others. `None` if something that has to be there is missing; the
 /// document says what.
-pub fn read_day_parts(doc: &mut Doc) -> Option<Scenario> {
+pub fn read_scenario_sections(doc: &mut Doc) -> Option<Scenario> {
     let engines = read_engines(doc);
     let site = read_site(doc, false);
     let at = doc.one("day");
