--- a/crates/fault-injection/src/script.rs
+++ b/crates/fault-injection/src/script.rs
@@ -6,7 +6,7 @@
 use rand_xoshiro::rand_core::{RngCore, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
 use slipreel_consensus::PartitionMode;
-use slipreel_scenario::{read_scenario_sections, Scenario, DAY_SECTIONS};
+use slipreel_scenario::{read_scenario_sections, Scenario, SCENARIO_SECTIONS};
 use slipreel_settings::{Doc, Fault as Wrong, Value};
 use std::time::Duration;
 
@@ -344,7 +344,7 @@
 }
 
 fn known() -> Vec<&'static str> {
-    DAY_SECTIONS.iter().chain(&OWN_SECTIONS).copied().collect()
+    SCENARIO_SECTIONS.iter().chain(&OWN_SECTIONS).copied().collect()
 }
 
 /// The sections that each router's file takes over as they are.
--- a/crates/scenario/src/lib.rs
+++ b/crates/scenario/src/lib.rs
@@ -18,6 +18,6 @@
 pub use actor::{Actor, Sabotage};
 pub use fleet::{spread_traffic, EnginePlan, Scenario, Traffic};
 pub use report::{figures_of, Group, Groups, Report};
-pub use script::{read_scenario, read_scenario_sections, DAY_SECTIONS};
+pub use script::{read_scenario, read_scenario_sections, SCENARIO_SECTIONS};
 pub use stage::{play_in_memory, play_live, LiveFleet, Played};
 pub use trouble::{Kind, Trouble};
--- a/crates/scenario/src/script.rs
+++ b/crates/scenario/src/script.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 /// The sections of a day.
-pub const DAY_SECTIONS: &[&str] = &[
+pub const SCENARIO_SECTIONS: &[&str] = &[
     "router", "limits", "bounds", "class", "model", "tenant", "engine", "log", "day", "engines", "traffic",
     "trouble",
 ];
@@ -50,7 +50,7 @@
 pub fn read_scenario(text: &str, file: &str) -> Result<Scenario, Vec<Fault>> {
     let mut doc = Doc::parse(text, file)?;
     let day = read_scenario_sections(&mut doc);
-    doc.finish(DAY_SECTIONS)?;
+    doc.finish(SCENARIO_SECTIONS)?;
     day.ok_or_else(Vec::new)
 }
 
