--- a/crates/cli/src/demo.rs
+++ b/crates/cli/src/demo.rs
@@ -3,7 +3,7 @@
 use crate::signals::Signals;
 use crate::{lines, Failure, Outcome};
 use slipreel_event_loop::check_loopback;
-use slipreel_scenario::{play_in_memory, play_live, read_scenario, LiveFleet, Played, Scenario};
+use slipreel_scenario::{play_in_memory, play_live, read_scenario, LiveFleet, RunResult, Scenario};
 use std::io::{IsTerminal, Write};
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -89,7 +89,7 @@
     }
 }
 
-fn show(played: &Played, verbose: bool, took: Duration) {
+fn show(played: &RunResult, verbose: bool, took: Duration) {
     print!("{}", played.report());
     println!(
         "played {:.1} s in {:.1} s; requests still held by routers: {}",
--- a/crates/scenario/src/lib.rs
+++ b/crates/scenario/src/lib.rs
@@ -19,5 +19,5 @@
 pub use fleet::{spread_traffic, EnginePlan, Scenario, Traffic};
 pub use report::{figures_of, Group, Groups, Report};
 pub use script::{read_scenario, read_scenario_sections, SCENARIO_SECTIONS};
-pub use stage::{play_in_memory, play_live, LiveFleet, Played};
+pub use stage::{play_in_memory, play_live, LiveFleet, RunResult};
 pub use trouble::{Kind, Trouble};
--- a/crates/scenario/src/report.rs
+++ b/crates/scenario/src/report.rs
@@ -1,7 +1,7 @@
 //! Counts what a day's clients got.
 
 use crate::fleet::Scenario;
-use crate::stage::Played;
+use crate::stage::RunResult;
 use slipreel_invariants::{Effect, Ending, Limits, RULES};
 use slipreel_test_servers::client::AttemptResult;
 use std::collections::{BTreeMap, BTreeSet};
@@ -145,7 +145,7 @@
 }
 
 impl Report {
-    pub(crate) fn of(played: &Played) -> Report {
+    pub(crate) fn of(played: &RunResult) -> Report {
         let results = &played.results;
         let thirds = Thirds::of(results);
         let faults =
--- a/crates/scenario/src/stage.rs
+++ b/crates/scenario/src/stage.rs
@@ -39,7 +39,7 @@
 const STEP: Duration = Duration::from_millis(50);
 
 /// What a day left behind.
-pub struct Played {
+pub struct RunResult {
     /// How every try ended, by request and try.
     pub results: Vec<AttemptResult>,
     /// What clients and engines saw.
@@ -62,7 +62,7 @@
     pub took: Duration,
 }
 
-impl Played {
+impl RunResult {
     /// Counts by class and tenant.
     pub fn report(&self) -> Report {
         Report::of(self)
@@ -455,7 +455,7 @@
 }
 
 /// Plays a day in memory, in virtual time. The same day gives the same bytes.
-pub fn play_in_memory(day: &Scenario) -> Played {
+pub fn play_in_memory(day: &Scenario) -> RunResult {
     let ledger = Ledger::default();
     let addr = |port: usize| SocketAddr::from(([127, 0, 0, 1], port as u16));
     let addrs: Vec<SocketAddr> = (0..day.engines.len()).map(|e| addr(20_000 + e)).collect();
@@ -488,7 +488,7 @@
         Some(Actor::Conductor(c)) => (c.orders().accepted, c.orders().rejected),
         _ => (0, 0),
     };
-    Played {
+    RunResult {
         orders,
         breaks: judge(&records, &figures_of(day)),
         results,
@@ -649,7 +649,7 @@
 ///
 /// # Errors
 /// The system has no addresses, descriptors or threads left.
-pub fn play_live(day: &Scenario, listen: Option<SocketAddr>) -> Result<Played, String> {
+pub fn play_live(day: &Scenario, listen: Option<SocketAddr>) -> Result<RunResult, String> {
     let mut fleet = LiveFleet::start(day, listen)?;
     let ledger = fleet.ledger.clone();
     let began = fleet.clock.now();
@@ -686,7 +686,7 @@
     let (tallies, leaks) = fleet.stop();
     let records = ledger.records();
     let log = log.lock().map(|l| l.clone()).unwrap_or_default();
-    Ok(Played {
+    Ok(RunResult {
         orders,
         breaks: judge(&records, &figures_of(day)),
         results,
--- a/crates/scenario/tests/common/mod.rs
+++ b/crates/scenario/tests/common/mod.rs
@@ -2,7 +2,7 @@
 #![allow(dead_code)]
 
 use slipreel_invariants::{Effect, Ending};
-use slipreel_scenario::{read_scenario, Played, Scenario};
+use slipreel_scenario::{read_scenario, RunResult, Scenario};
 use slipreel_test_servers::client::{ClientBehaviour, ScriptedRequest};
 use std::time::Duration;
 
@@ -79,7 +79,7 @@
 }
 
 /// How the last try of a request ended.
-pub fn ending(played: &Played, request: u64) -> Option<Ending> {
+pub fn ending(played: &RunResult, request: u64) -> Option<Ending> {
     played
         .results
         .iter()
@@ -89,7 +89,7 @@
 }
 
 /// No rule broke, no answer was wrong, nothing is held.
-pub fn assert_clean(name: &str, played: &Played) {
+pub fn assert_clean(name: &str, played: &RunResult) {
     assert!(played.breaks.is_empty(), "{name}: {:?}", played.breaks);
     let faults: Vec<_> = played.results.iter().filter(|r| r.fault.is_some()).collect();
     assert!(faults.is_empty(), "{name}: {faults:?}");
--- a/crates/scenario/tests/hard_cases.rs
+++ b/crates/scenario/tests/hard_cases.rs
@@ -5,7 +5,7 @@
 
 use common::*;
 use slipreel_invariants::Ending::{self, Failed, Refused, Served};
-use slipreel_scenario::{play_in_memory, play_live, Played, Scenario};
+use slipreel_scenario::{play_in_memory, play_live, RunResult, Scenario};
 use slipreel_test_servers::client::ClientBehaviour;
 
 struct Case {
@@ -244,7 +244,7 @@
         .collect()
 }
 
-fn assert_ends(case: &Case, played: &Played, how: &str) {
+fn assert_ends(case: &Case, played: &RunResult, how: &str) {
     let name = format!("{} ({how})", case.name);
     for (request, end) in &case.ends {
         let last = played.results.iter().rfind(|r| r.attempt.request == *request);
--- a/crates/scenario/tests/report.rs
+++ b/crates/scenario/tests/report.rs
@@ -1,7 +1,7 @@
 //! The report of a day: who was served, by group.
 
 use slipreel_invariants::{ClientAttempt, Effect, Ending};
-use slipreel_scenario::Played;
+use slipreel_scenario::RunResult;
 use slipreel_test_servers::client::AttemptResult;
 use std::time::Duration;
 
@@ -26,8 +26,8 @@
     }
 }
 
-fn played(results: Vec<AttemptResult>) -> Played {
-    Played {
+fn played(results: Vec<AttemptResult>) -> RunResult {
+    RunResult {
         results,
         records: Vec::new(),
         breaks: Vec::new(),
