--- a/crates/cli/src/demo.rs
+++ b/crates/cli/src/demo.rs
@@ -3,7 +3,7 @@
 use crate::signals::Signals;
 use crate::{lines, Failure, Outcome};
 use slipreel_event_loop::check_loopback;
-use slipreel_scenario::{play_in_memory, play_live, read_scenario, LiveFleet, RunResult, Scenario};
+use slipreel_scenario::{play_live, read_scenario, run_in_memory, LiveFleet, RunResult, Scenario};
 use std::io::{IsTerminal, Write};
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -74,7 +74,7 @@
     );
     let began = Instant::now();
     let played = if args.memory {
-        play_in_memory(&day)
+        run_in_memory(&day)
     } else {
         let progress = progress(day.length);
         let played = play_live(&day, None).map_err(Failure::Run);
--- a/crates/emulator/tests/fidelity.rs
+++ b/crates/emulator/tests/fidelity.rs
@@ -3,7 +3,7 @@
 use slipreel_emulator::play;
 use slipreel_invariants::Ending;
 use slipreel_roles::PlanningPolicy;
-use slipreel_scenario::{play_in_memory, read_scenario, Scenario};
+use slipreel_scenario::{read_scenario, run_in_memory, Scenario};
 
 fn shift(roles: Option<PlanningPolicy>) -> Scenario {
     let text = include_str!("../../../deploy/days/shift.ini");
@@ -14,7 +14,7 @@
 
 /// Whole answers in bytes and in the model, by model of requests.
 fn both(day: &Scenario) -> Vec<(String, usize, usize, usize)> {
-    let (bytes, model) = (play_in_memory(day), play(day));
+    let (bytes, model) = (run_in_memory(day), play(day));
     assert_eq!(model.held, 0, "nothing is left");
     let served = |name: &str| {
         let its = bytes.results.iter().filter(|r| r.model == name && r.ending == Some(Ending::Served));
--- a/crates/scenario/src/stage.rs
+++ b/crates/scenario/src/stage.rs
@@ -455,7 +455,7 @@
 }
 
 /// Plays a day in memory, in virtual time. The same day gives the same bytes.
-pub fn play_in_memory(day: &Scenario) -> RunResult {
+pub fn run_in_memory(day: &Scenario) -> RunResult {
     let ledger = Ledger::default();
     let addr = |port: usize| SocketAddr::from(([127, 0, 0, 1], port as u16));
     let addrs: Vec<SocketAddr> = (0..day.engines.len()).map(|e| addr(20_000 + e)).collect();
--- a/crates/scenario/tests/bad_day.rs
+++ b/crates/scenario/tests/bad_day.rs
@@ -5,7 +5,7 @@
 
 use common::*;
 use slipreel_invariants::{Ending, Rule};
-use slipreel_scenario::{play_in_memory, read_scenario, Sabotage, Scenario};
+use slipreel_scenario::{read_scenario, run_in_memory, Sabotage, Scenario};
 use std::time::Duration;
 
 fn bad_day(seed: u64) -> Scenario {
@@ -16,7 +16,7 @@
 #[test]
 fn every_rule_holds_through_the_bad_day() {
     for seed in 1..5 {
-        let played = play_in_memory(&bad_day(seed));
+        let played = run_in_memory(&bad_day(seed));
         assert_clean(&format!("seed {seed}"), &played);
         let served = played.results.iter().filter(|r| r.ending == Some(Ending::Served)).count();
         assert!(served * 10 > played.results.len() * 8, "seed {seed}: {served} of {}", played.results.len());
@@ -25,13 +25,13 @@
 
 #[test]
 fn the_same_seed_gives_the_same_bytes() {
-    let (a, b, c) = (play_in_memory(&bad_day(3)), play_in_memory(&bad_day(3)), play_in_memory(&bad_day(4)));
+    let (a, b, c) = (run_in_memory(&bad_day(3)), run_in_memory(&bad_day(3)), run_in_memory(&bad_day(4)));
     assert_eq!((a.digest, a.results), (b.digest, b.results));
     assert_ne!(a.digest, c.digest);
 }
 
 fn broken_rules(day: &Scenario) -> Vec<Rule> {
-    let mut rules: Vec<Rule> = play_in_memory(day).breaks.iter().map(|b| b.rule).collect();
+    let mut rules: Vec<Rule> = run_in_memory(day).breaks.iter().map(|b| b.rule).collect();
     rules.dedup();
     rules
 }
--- a/crates/scenario/tests/hard_cases.rs
+++ b/crates/scenario/tests/hard_cases.rs
@@ -5,7 +5,7 @@
 
 use common::*;
 use slipreel_invariants::Ending::{self, Failed, Refused, Served};
-use slipreel_scenario::{play_in_memory, play_live, RunResult, Scenario};
+use slipreel_scenario::{play_live, run_in_memory, RunResult, Scenario};
 use slipreel_test_servers::client::ClientBehaviour;
 
 struct Case {
@@ -256,7 +256,7 @@
 #[test]
 fn each_ends_as_it_has_to_in_memory() {
     for case in cases() {
-        assert_ends(&case, &play_in_memory(&case.day), "memory");
+        assert_ends(&case, &run_in_memory(&case.day), "memory");
     }
 }
 
--- a/crates/scenario/tests/role_changes.rs
+++ b/crates/scenario/tests/role_changes.rs
@@ -5,7 +5,7 @@
 
 use common::*;
 use slipreel_invariants::Ending::Served;
-use slipreel_scenario::{play_in_memory, play_live, Scenario};
+use slipreel_scenario::{play_live, run_in_memory, Scenario};
 use slipreel_test_servers::client::ScriptedRequest;
 use std::time::Duration;
 
@@ -24,7 +24,7 @@
 
 /// All but a few are served, and every rule holds.
 fn assert_served(name: &str, day: &Scenario, least: f64) {
-    let played = play_in_memory(day);
+    let played = run_in_memory(day);
     assert_clean(name, &played);
     let served = day.plans.iter().filter(|p| ending(&played, p.request) == Some(Served)).count();
     assert!(served as f64 >= least * day.plans.len() as f64, "{name}: {served} of {}", day.plans.len());
@@ -84,7 +84,7 @@
         .replace("60s", "40s");
     let day =
         slipreel_scenario::read_scenario(&text, "shift.ini").unwrap_or_else(|faults| panic!("{faults:?}"));
-    let played = play_in_memory(&day);
+    let played = run_in_memory(&day);
     assert_clean("shift", &played);
     let (taken, turned) = played.orders;
     assert!(taken >= 2 && turned == 0, "{:?} {:?}", played.orders, played.log);
--- a/crates/scenario/tests/zones.rs
+++ b/crates/scenario/tests/zones.rs
@@ -4,7 +4,7 @@
 
 use common::*;
 use slipreel_invariants::Ending;
-use slipreel_scenario::{play_in_memory, read_scenario, Scenario};
+use slipreel_scenario::{read_scenario, run_in_memory, Scenario};
 
 fn zones(seed: u64) -> Scenario {
     let text = include_str!("../../../deploy/days/zones.ini").replace("seed = 3", &format!("seed = {seed}"));
@@ -16,7 +16,7 @@
 #[test]
 fn every_rule_holds_when_connections_are_slow_to_open_in_four_zones() {
     for seed in [3, 4] {
-        let played = play_in_memory(&zones(seed));
+        let played = run_in_memory(&zones(seed));
         assert_clean(&format!("seed {seed}"), &played);
         let served = played.results.iter().filter(|r| r.ending == Some(Ending::Served)).count();
         assert!(served * 10 > played.results.len() * 7, "seed {seed}: {served} of {}", played.results.len());
