--- a/crates/cli/src/demo.rs
+++ b/crates/cli/src/demo.rs
@@ -3,7 +3,7 @@
 use crate::signals::Signals;
 use crate::{lines, Failure, Outcome};
 use slipreel_event_loop::check_loopback;
-use slipreel_scenario::{play_live, read_scenario, run_in_memory, LiveFleet, RunResult, Scenario};
+use slipreel_scenario::{read_scenario, run_in_memory, run_over_sockets, LiveFleet, RunResult, Scenario};
 use std::io::{IsTerminal, Write};
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -77,7 +77,7 @@
         run_in_memory(&day)
     } else {
         let progress = progress(day.length);
-        let played = play_live(&day, None).map_err(Failure::Run);
+        let played = run_over_sockets(&day, None).map_err(Failure::Run);
         progress.end();
         played?
     };
--- a/crates/scenario/src/stage.rs
+++ b/crates/scenario/src/stage.rs
@@ -649,7 +649,7 @@
 ///
 /// # Errors
 /// The system has no addresses, descriptors or threads left.
-pub fn play_live(day: &Scenario, listen: Option<SocketAddr>) -> Result<RunResult, String> {
+pub fn run_over_sockets(day: &Scenario, listen: Option<SocketAddr>) -> Result<RunResult, String> {
     let mut fleet = LiveFleet::start(day, listen)?;
     let ledger = fleet.ledger.clone();
     let began = fleet.clock.now();
--- a/crates/scenario/tests/hard_cases.rs
+++ b/crates/scenario/tests/hard_cases.rs
@@ -5,7 +5,7 @@
 
 use common::*;
 use slipreel_invariants::Ending::{self, Failed, Refused, Served};
-use slipreel_scenario::{play_live, run_in_memory, RunResult, Scenario};
+use slipreel_scenario::{run_in_memory, run_over_sockets, RunResult, Scenario};
 use slipreel_test_servers::client::ClientBehaviour;
 
 struct Case {
@@ -266,7 +266,7 @@
     let cases = cases();
     std::thread::scope(|scope| {
         let plays: Vec<_> =
-            cases.iter().map(|case| (case, scope.spawn(|| play_live(&case.day, None)))).collect();
+            cases.iter().map(|case| (case, scope.spawn(|| run_over_sockets(&case.day, None)))).collect();
         for (case, play) in plays {
             let played = play.join().expect("a play that does not panic").expect("a fleet that starts");
             assert_ends(case, &played, "sockets");
--- a/crates/scenario/tests/role_changes.rs
+++ b/crates/scenario/tests/role_changes.rs
@@ -5,7 +5,7 @@
 
 use common::*;
 use slipreel_invariants::Ending::Served;
-use slipreel_scenario::{play_live, run_in_memory, Scenario};
+use slipreel_scenario::{run_in_memory, run_over_sockets, Scenario};
 use slipreel_test_servers::client::ScriptedRequest;
 use std::time::Duration;
 
@@ -70,7 +70,7 @@
 #[test]
 fn it_goes_the_same_way_over_sockets() {
     let day = under_load(&change("r-0,w-0", 800, 800), 40, 4);
-    let played = play_live(&day, None).expect("a fleet that starts");
+    let played = run_over_sockets(&day, None).expect("a fleet that starts");
     assert_clean("sockets", &played);
     let served = day.plans.iter().filter(|p| ending(&played, p.request) == Some(Served)).count();
     assert!(served * 100 >= day.plans.len() * 98, "{served} of {}", day.plans.len());
