--- a/crates/fault-injection/src/run.rs
+++ b/crates/fault-injection/src/run.rs
@@ -9,7 +9,7 @@
 use rand_xoshiro::Xoshiro256PlusPlus;
 use slipreel_invariants::policy::ChangeStatus;
 use slipreel_invariants::{Record, Seen, Violation};
-use slipreel_scenario::figures_of;
+use slipreel_scenario::checker_limits;
 use slipreel_test_servers::client::AttemptResult;
 use slipreel_test_servers::ledger::Ledger;
 use std::collections::{BTreeMap, BTreeSet};
@@ -480,7 +480,7 @@
             })
             .cloned()
             .collect();
-        let figures = figures_of(&self.script.day);
+        let figures = checker_limits(&self.script.day);
         let breaks = slipreel_invariants::judge(&kept, &figures)
             .into_iter()
             .filter(|b| b.attempt.is_none_or(|what| !excused(&what)))
--- a/crates/scenario/src/lib.rs
+++ b/crates/scenario/src/lib.rs
@@ -17,7 +17,7 @@
 
 pub use actor::{Actor, Sabotage};
 pub use fleet::{spread_traffic, EnginePlan, Scenario, Traffic};
-pub use report::{figures_of, Group, Groups, Report};
+pub use report::{checker_limits, Group, Groups, Report};
 pub use script::{read_scenario, read_scenario_sections, SCENARIO_SECTIONS};
 pub use stage::{run_in_memory, run_over_sockets, LiveFleet, RunResult};
 pub use trouble::{Kind, Trouble};
--- a/crates/scenario/src/report.rs
+++ b/crates/scenario/src/report.rs
@@ -14,7 +14,7 @@
 const DRAIN_GRACE: Duration = Duration::from_millis(2_000);
 
 /// The figures of the rules for a day.
-pub fn figures_of(day: &Scenario) -> Limits {
+pub fn checker_limits(day: &Scenario) -> Limits {
     Limits {
         answer_slack: WIRE,
         drain_grace: DRAIN_GRACE,
--- a/crates/scenario/src/stage.rs
+++ b/crates/scenario/src/stage.rs
@@ -2,7 +2,7 @@
 
 use crate::actor::{Actor, Sabotaged};
 use crate::fleet::Scenario;
-use crate::report::{figures_of, Report};
+use crate::report::{checker_limits, Report};
 use crate::trouble::Act;
 use rand_xoshiro::rand_core::SeedableRng;
 use rand_xoshiro::Xoshiro256PlusPlus;
@@ -490,7 +490,7 @@
     };
     RunResult {
         orders,
-        breaks: judge(&records, &figures_of(day)),
+        breaks: judge(&records, &checker_limits(day)),
         results,
         records,
         tallies: held.iter().map(|h| h.0).collect(),
@@ -688,7 +688,7 @@
     let log = log.lock().map(|l| l.clone()).unwrap_or_default();
     Ok(RunResult {
         orders,
-        breaks: judge(&records, &figures_of(day)),
+        breaks: judge(&records, &checker_limits(day)),
         results,
         records,
         tallies,
