--- a/crates/emulator/src/play.rs
+++ b/crates/emulator/src/play.rs
@@ -154,7 +154,7 @@
             places.push((number(&mut zones, &plan.zone), number(&mut cells, &plan.cell)));
         }
         let host = |r: usize| {
-            let site = day.router_site(r, &[]);
+            let site = day.router_settings(r, &[]);
             let mut settings = site.decisions;
             settings.zone = ZoneId(zones.iter().position(|z| *z == site.zone).unwrap_or(0) as u32);
             let seed = day.seed.wrapping_mul(0x9e37_79b9).wrapping_add(r as u64 + 1000);
@@ -349,7 +349,7 @@
     /// All routers take new settings at one moment; the settings are the same, so that only what was learnt can differ.
     fn change(&mut self, how: Change) {
         for router in 0..self.hosts.len() {
-            let site = self.day.router_site(router, &[]);
+            let site = self.day.router_settings(router, &[]);
             let mut settings = site.decisions;
             settings.zone = self.zone_of(&site.zone);
             let seed = self.day.seed.wrapping_mul(0x51ed_270b).wrapping_add(router as u64);
--- a/crates/fault-injection/src/memory.rs
+++ b/crates/fault-injection/src/memory.rs
@@ -292,7 +292,7 @@
             Membership::new(self.settings(r, member_addr(r)), peers, &kept, seed, now, board.clone());
         let member = Member::new(member, self.consensus(r, &board, now));
         let bend = self.bend(r);
-        let mut site = self.script.day.router_site(r, &self.engines);
+        let mut site = self.script.day.router_settings(r, &self.engines);
         if let (true, Ok(daemon)) =
             (self.script.founders > 0, slipreel_settings::parse(&self.own_text(r), "own"))
         {
--- a/crates/scenario/benches/sockets.rs
+++ b/crates/scenario/benches/sockets.rs
@@ -179,7 +179,8 @@
         .collect();
     let day = read_scenario(SITE, "bench").expect("a site");
     let mut router = EventLoop::new(clock).expect("descriptors");
-    let node = router.add(Gateway::new(Arc::new(day.router_site(0, &addrs)), 5, clock.now(), clock.now()));
+    let node =
+        router.add(Gateway::new(Arc::new(day.router_settings(0, &addrs)), 5, clock.now(), clock.now()));
     let front = router.listen(node, ANY).expect("a port");
     let (engines_handle, router_handle) = (engines.handle(), router.handle());
     let engines = std::thread::spawn(move || engines.run());
--- a/crates/scenario/src/fleet.rs
+++ b/crates/scenario/src/fleet.rs
@@ -127,7 +127,7 @@
     }
 
     /// The site that a router is handed.
-    pub fn router_site(&self, router: usize, addrs: &[SocketAddr]) -> GatewaySettings {
+    pub fn router_settings(&self, router: usize, addrs: &[SocketAddr]) -> GatewaySettings {
         let mut site = self.site.clone();
         site.decisions.router_count = self.routers as u32;
         site.zone = self.router_zone(router);
--- a/crates/scenario/src/stage.rs
+++ b/crates/scenario/src/stage.rs
@@ -227,7 +227,7 @@
     }
 
     fn router(&mut self, r: usize, now: Duration) -> Actor {
-        let mut site = self.day.router_site(r, &self.addrs);
+        let mut site = self.day.router_settings(r, &self.addrs);
         site.engines = self.told[r].clone();
         self.lives += 1;
         let seed = self.day.seed.wrapping_mul(0x9e37_79b9).wrapping_add(r as u64 + 1000 * self.lives);
