--- a/crates/cli/src/demo.rs
+++ b/crates/cli/src/demo.rs
@@ -139,8 +139,8 @@
 fn stay(args: &Args, day: &Scenario) -> Outcome {
     let signals = Signals::watch()?;
     let fleet = LiveFleet::start(day, args.listen).map_err(Failure::Run)?;
-    let models: Vec<&str> = day.site.models.iter().map(|m| m.name.as_str()).collect();
-    let key = day.site.tenants.first().and_then(|t| t.keys.first()).cloned().unwrap_or_default();
+    let models: Vec<&str> = day.settings.models.iter().map(|m| m.name.as_str()).collect();
+    let key = day.settings.tenants.first().and_then(|t| t.keys.first()).cloned().unwrap_or_default();
     if args.engines {
         for (plan, addr) in day.engines.iter().zip(&fleet.engine_addrs) {
             println!("engine {} {:?} {} {} {addr}", plan.spec.name, plan.spec.role, plan.zone, plan.cell);
--- a/crates/emulator/src/play.rs
+++ b/crates/emulator/src/play.rs
@@ -270,7 +270,7 @@
 
     fn come(&mut self, plan: usize, tries: u32) {
         let p = &self.day.plans[plan];
-        let Some(model) = self.day.site.models.iter().find(|m| m.name == p.model) else { return };
+        let Some(model) = self.day.settings.models.iter().find(|m| m.name == p.model) else { return };
         let class = model.class;
         let router = p.request as usize % self.hosts.len().max(1);
         self.next += 1;
@@ -281,12 +281,12 @@
             self.figures.seconds.entry((self.now - START).as_secs()).or_default().0 += 1;
         }
         if let Some(roles) = &mut self.roles {
-            roles.counts.entry(self.day.site.classes[class].name.clone()).or_default().asked += 1;
+            roles.counts.entry(self.day.settings.classes[class].name.clone()).or_default().asked += 1;
         }
         let call = Call { plan, tries, due: self.now, attempts: Vec::new(), began: false, over: false };
         self.hosts[router].calls.insert(id, call);
-        let time_left = p.patience.min(self.day.site.classes[class].client_timeout);
-        let tenant = self.day.site.tenants.iter().position(|t| t.keys.contains(&p.key)).unwrap_or(0);
+        let time_left = p.patience.min(self.day.settings.classes[class].client_timeout);
+        let tenant = self.day.settings.tenants.iter().position(|t| t.keys.contains(&p.key)).unwrap_or(0);
         let request = slipreel::Request {
             id: RequestId(id),
             class: ClassId(class),
@@ -458,9 +458,14 @@
         let now = self.now;
         let Some(call) = self.hosts[router].calls.get_mut(&request) else { return };
         let Some(a) = call.attempts.get_mut(attempt).filter(|a| a.out) else { return };
-        let class =
-            self.day.site.models.iter().find(|m| m.name == self.day.plans[call.plan].model).map(|m| m.class);
-        let name = class.map(|c| self.day.site.classes[c].name.clone()).unwrap_or_default();
+        let class = self
+            .day
+            .settings
+            .models
+            .iter()
+            .find(|m| m.name == self.day.plans[call.plan].model)
+            .map(|m| m.class);
+        let name = class.map(|c| self.day.settings.classes[c].name.clone()).unwrap_or_default();
         match say {
             Say::Read(state, kept) => {
                 a.state = Some(state);
@@ -602,7 +607,8 @@
                     None => (!first).then_some(now),
                 };
                 self.hosts[router].starts.insert(n, (role, started));
-                let kind = self.day.site.decisions.kind_roles.iter().position(|k| *k == role).unwrap_or(0);
+                let kind =
+                    self.day.settings.decisions.kind_roles.iter().position(|k| *k == role).unwrap_or(0);
                 let state = if e.role.takes_work() { EngineState::Ready } else { EngineState::Draining };
                 let (zone, cell) = self.places[n];
                 entries.push(slipreel::Engine {
--- a/crates/fault-injection/src/run.rs
+++ b/crates/fault-injection/src/run.rs
@@ -177,7 +177,7 @@
         }
         self.ask_all(stage);
         // State that nobody took has to be let go of: what the rules allow, and a little.
-        let last = stage.now() + self.script.day.site.decisions.held_state_limit * 4;
+        let last = stage.now() + self.script.day.settings.decisions.held_state_limit * 4;
         if !stage.until(last) {
             return Ok(false);
         }
--- a/crates/scenario/src/fleet.rs
+++ b/crates/scenario/src/fleet.rs
@@ -87,7 +87,7 @@
     /// Routers.
     pub routers: usize,
     /// The site; its engines are filled in when the day is played.
-    pub site: GatewaySettings,
+    pub settings: GatewaySettings,
     /// The engines.
     pub engines: Vec<EnginePlan>,
     /// The requests, times since the start of the day.
@@ -128,7 +128,7 @@
 
     /// The site that a router is handed.
     pub fn router_settings(&self, router: usize, addrs: &[SocketAddr]) -> GatewaySettings {
-        let mut site = self.site.clone();
+        let mut site = self.settings.clone();
         site.decisions.router_count = self.routers as u32;
         site.zone = self.router_zone(router);
         site.name = Self::router_name(router);
--- a/crates/scenario/src/report.rs
+++ b/crates/scenario/src/report.rs
@@ -18,7 +18,7 @@
     Limits {
         answer_slack: WIRE,
         drain_grace: DRAIN_GRACE,
-        held_state_limit: day.site.decisions.held_state_limit,
+        held_state_limit: day.settings.decisions.held_state_limit,
         wire: WIRE,
     }
 }
--- a/crates/scenario/src/script.rs
+++ b/crates/scenario/src/script.rs
@@ -71,7 +71,18 @@
     let Daemon { site, .. } = site?;
     shape_traffic(&mut streams, &troubles);
     let plans = spread_traffic(&site, &streams, seed, 1);
-    Some(Scenario { seed, length, routers, site, engines, plans, troubles, notice, roles, sabotage: None })
+    Some(Scenario {
+        seed,
+        length,
+        routers,
+        settings: site,
+        engines,
+        plans,
+        troubles,
+        notice,
+        roles,
+        sabotage: None,
+    })
 }
 
 fn read_engines(doc: &mut Doc) -> Vec<EnginePlan> {
--- a/crates/scenario/src/stage.rs
+++ b/crates/scenario/src/stage.rs
@@ -263,7 +263,7 @@
             self.follow(stage, next);
         }
         // State that nobody took has to be let go of: what the rules allow, and a little.
-        let last = stage.now() + self.day.site.decisions.held_state_limit * 4;
+        let last = stage.now() + self.day.settings.decisions.held_state_limit * 4;
         stage.until(last);
         self.ledger.note(stage.now(), Seen::RunOver);
     }
--- a/crates/scenario/tests/bad_day.rs
+++ b/crates/scenario/tests/bad_day.rs
@@ -54,7 +54,7 @@
     let mut day = day(2, 2, &lost, some("filing"));
     assert_eq!(broken_rules(&day), []);
     // The router takes the class for a safe one; its clients and engines know better.
-    day.site.decisions.classes[2].idempotency = slipreel::Idempotency::Idempotent;
+    day.settings.decisions.classes[2].idempotency = slipreel::Idempotency::Idempotent;
     assert!(broken_rules(&day).contains(&Rule::NoEffectTwice));
 }
 
@@ -96,10 +96,10 @@
         engine.spec.cold_share = 0.1;
         (engine.spec.slots, engine.spec.queue) = (engine.spec.slots.min(16), 2_000);
     }
-    day.site.decisions.warmup_time = Duration::from_secs(8);
-    day.site.decisions.warmup_initial_share = 0.1;
+    day.settings.decisions.warmup_time = Duration::from_secs(8);
+    day.settings.decisions.warmup_initial_share = 0.1;
     assert_eq!(broken_rules(&day), []);
     // The router knows nothing of cold engines.
-    day.site.decisions.warmup_time = Duration::ZERO;
+    day.settings.decisions.warmup_time = Duration::ZERO;
     assert!(broken_rules(&day).contains(&Rule::Cold));
 }
--- a/crates/scenario/tests/common/mod.rs
+++ b/crates/scenario/tests/common/mod.rs
@@ -42,7 +42,7 @@
     let mut day = read_scenario(&text, "test").unwrap_or_else(|faults| panic!("{faults:?}"));
     day.plans = plans;
     for plan in &mut day.plans {
-        plan.effect = Scenario::effect_of(&day.site, &plan.model);
+        plan.effect = Scenario::effect_of(&day.settings, &plan.model);
     }
     day
 }
