--- a/crates/cli/src/demo.rs
+++ b/crates/cli/src/demo.rs
@@ -67,7 +67,7 @@
         "{} engines, {} routers, {} requests in {} s, {} troubles, {}",
         day.engines.len(),
         day.routers,
-        day.plans.len(),
+        day.requests.len(),
         day.length.as_secs(),
         day.troubles.len(),
         if args.memory { "in memory" } else { "over loopback" }
--- a/crates/cli/src/model.rs
+++ b/crates/cli/src/model.rs
@@ -44,7 +44,7 @@
         "{} engines, {} routers, {} requests in {:.0} s, in the model (no front, no connections)",
         day.engines.len(),
         day.routers,
-        day.plans.len(),
+        day.requests.len(),
         day.length.as_secs_f64()
     );
 }
--- a/crates/emulator/src/play.rs
+++ b/crates/emulator/src/play.rs
@@ -182,14 +182,14 @@
             hosts,
             roles,
             figures: Figures { not_played, ..Figures::default() },
-            open: day.plans.len(),
+            open: day.requests.len(),
             next: 0,
             closed: None,
             reap: Vec::new(),
             depth: 0,
         };
         world.list();
-        for (plan, p) in day.plans.iter().enumerate() {
+        for (plan, p) in day.requests.iter().enumerate() {
             world.plan_at(START + Duration::from_millis(500) + p.at, Event::Come { plan, tries: 1 });
         }
         if world.roles.is_some() {
@@ -269,7 +269,7 @@
     // ---- Clients ------------------------------------------------------------------------------
 
     fn come(&mut self, plan: usize, tries: u32) {
-        let p = &self.day.plans[plan];
+        let p = &self.day.requests[plan];
         let Some(model) = self.day.settings.models.iter().find(|m| m.name == p.model) else { return };
         let class = model.class;
         let router = p.request as usize % self.hosts.len().max(1);
@@ -313,7 +313,7 @@
             return;
         }
         call.over = true;
-        let (model, out) = (self.day.plans[call.plan].model.clone(), call.attempts.clone());
+        let (model, out) = (self.day.requests[call.plan].model.clone(), call.attempts.clone());
         self.figures.models.entry(model).or_default().left += 1;
         self.open -= 1;
         for (attempt, a) in out.iter().enumerate().filter(|(_, a)| a.out) {
@@ -335,7 +335,7 @@
         call.over = true;
         let (plan, tries) = (call.plan, call.tries);
         self.reap.push((router, request));
-        let p = &self.day.plans[plan];
+        let p = &self.day.requests[plan];
         if let Some(wait) = wait.filter(|_| tries < p.max_attempts) {
             let wait = if p.honours_retry_after { wait.max(p.backoff) } else { p.backoff };
             return self.plan_at(self.now + wait, Event::Come { plan, tries: tries + 1 });
@@ -420,7 +420,7 @@
             }
             Wish::Fail(request) => {
                 let plan = self.hosts[router].calls.get(&request).map(|c| c.plan);
-                let again = plan.is_some_and(|p| self.day.plans[p].effect != Effect::Unsafe);
+                let again = plan.is_some_and(|p| self.day.requests[p].effect != Effect::Unsafe);
                 self.over(router, request, |s| &mut s.failed, again.then_some(Duration::ZERO));
             }
             Wish::Probe(id) => {
@@ -440,7 +440,7 @@
         let attempt = call.attempts.len();
         call.attempts.push(Attempt { engine, sent: self.now, out: true, state: None });
         self.figures.attempts += 1;
-        let p = &self.day.plans[call.plan];
+        let p = &self.day.requests[call.plan];
         let tokens = |text: &str| (text.len() as u64).div_ceil(4) + 4;
         let beginning = xxh3_64(p.system.as_bytes());
         let mut parts = vec![(xxh3_64_with_seed(p.prompt.as_bytes(), beginning), tokens(&p.prompt))];
@@ -463,14 +463,14 @@
             .settings
             .models
             .iter()
-            .find(|m| m.name == self.day.plans[call.plan].model)
+            .find(|m| m.name == self.day.requests[call.plan].model)
             .map(|m| m.class);
         let name = class.map(|c| self.day.settings.classes[c].name.clone()).unwrap_or_default();
         match say {
             Say::Read(state, kept) => {
                 a.state = Some(state);
                 let prompt: u64 = {
-                    let p = &self.day.plans[call.plan];
+                    let p = &self.day.requests[call.plan];
                     (p.system.len() + p.prompt.len()) as u64 / 4
                 };
                 if let Some(roles) = &mut self.roles {
@@ -485,13 +485,13 @@
                 call.attempts.iter_mut().for_each(|a| a.state = None);
                 let (first, due, plan) = (!std::mem::replace(&mut call.began, true), call.due, call.plan);
                 if first {
-                    let model = self.day.plans[plan].model.clone();
+                    let model = self.day.requests[plan].model.clone();
                     self.figures.models.entry(model).or_default().waits.push(now.saturating_sub(due));
                 }
                 self.tell(router, Told::FirstToken { request: RequestId(request), attempt, latency });
             }
             Say::Done => {
-                let p = &self.day.plans[call.plan];
+                let p = &self.day.requests[call.plan];
                 let tokens = u64::from(p.length.min(p.max_tokens));
                 if let Some(roles) = &mut self.roles {
                     let c = roles.counts.entry(name).or_default();
@@ -501,7 +501,7 @@
                     .calls
                     .get(&request)
                     .filter(|c| !c.over)
-                    .map(|c| self.day.plans[c.plan].at);
+                    .map(|c| self.day.requests[c.plan].at);
                 if let Some(due) = due {
                     let second = (Duration::from_millis(500) + due).as_secs();
                     self.figures.seconds.entry(second).or_default().1 += 1;
--- a/crates/fault-injection/src/memory.rs
+++ b/crates/fault-injection/src/memory.rs
@@ -522,7 +522,7 @@
         world.add(Node::Wire(Box::new(Wire::new((0..n).map(member_addr).collect(), script.seed))), &ways);
     world.open_datagram_sockets(wire, &ways);
     let clients = script.traffic.then(|| {
-        let mut plans = script.day.plans.clone();
+        let mut plans = script.day.requests.clone();
         plans.iter_mut().for_each(|p| p.at += START + LEAD);
         let targets = (0..n).map(|r| addr(10_000 + r)).collect();
         world.add(Node::Clients(Box::new(Clients::new(plans, targets, ledger.clone(), true))), &[])
--- a/crates/fault-injection/src/processes.rs
+++ b/crates/fault-injection/src/processes.rs
@@ -405,7 +405,7 @@
     let zero = clock.now();
     let mut clients_handle = None;
     let clients = if script.traffic {
-        let mut plans = script.day.plans.clone();
+        let mut plans = script.day.requests.clone();
         plans.iter_mut().for_each(|p| p.at += zero + LEAD);
         let targets = (0..script.routers).map(|r| addr(block, r, 8080)).collect();
         let mut looped = EventLoop::new(clock).map_err(text)?;
--- a/crates/scenario/src/fleet.rs
+++ b/crates/scenario/src/fleet.rs
@@ -91,7 +91,7 @@
     /// The engines.
     pub engines: Vec<EnginePlan>,
     /// The requests, times since the start of the day.
-    pub plans: Vec<ScriptedRequest>,
+    pub requests: Vec<ScriptedRequest>,
     /// What goes wrong.
     pub troubles: Vec<Trouble>,
     /// How late the list tells of what happened.
--- a/crates/scenario/src/script.rs
+++ b/crates/scenario/src/script.rs
@@ -77,7 +77,7 @@
         routers,
         settings: site,
         engines,
-        plans,
+        requests: plans,
         troubles,
         notice,
         roles,
--- a/crates/scenario/src/stage.rs
+++ b/crates/scenario/src/stage.rs
@@ -390,7 +390,7 @@
 }
 
 fn clients(day: &Scenario, targets: Vec<SocketAddr>, ledger: Ledger, start: Duration) -> Clients {
-    let mut plans = day.plans.clone();
+    let mut plans = day.requests.clone();
     plans.iter_mut().for_each(|p| p.at += start);
     Clients::new(plans, targets, ledger, true)
 }
--- a/crates/scenario/tests/common/mod.rs
+++ b/crates/scenario/tests/common/mod.rs
@@ -40,8 +40,8 @@
     );
     let text = format!("{SITE}{fleet}[day]\nlength = 1s\nrouters = 1\nnotice = 200ms\nseed = 5\n{extra}");
     let mut day = read_scenario(&text, "test").unwrap_or_else(|faults| panic!("{faults:?}"));
-    day.plans = plans;
-    for plan in &mut day.plans {
+    day.requests = plans;
+    for plan in &mut day.requests {
         plan.effect = Scenario::effect_of(&day.settings, &plan.model);
     }
     day
--- a/crates/scenario/tests/role_changes.rs
+++ b/crates/scenario/tests/role_changes.rs
@@ -26,8 +26,8 @@
 fn assert_served(name: &str, day: &Scenario, least: f64) {
     let played = run_in_memory(day);
     assert_clean(name, &played);
-    let served = day.plans.iter().filter(|p| ending(&played, p.request) == Some(Served)).count();
-    assert!(served as f64 >= least * day.plans.len() as f64, "{name}: {served} of {}", day.plans.len());
+    let served = day.requests.iter().filter(|p| ending(&played, p.request) == Some(Served)).count();
+    assert!(served as f64 >= least * day.requests.len() as f64, "{name}: {served} of {}", day.requests.len());
 }
 
 #[test]
@@ -72,8 +72,8 @@
     let day = under_load(&change("r-0,w-0", 800, 800), 40, 4);
     let played = run_over_sockets(&day, None).expect("a fleet that starts");
     assert_clean("sockets", &played);
-    let served = day.plans.iter().filter(|p| ending(&played, p.request) == Some(Served)).count();
-    assert!(served * 100 >= day.plans.len() * 98, "{served} of {}", day.plans.len());
+    let served = day.requests.iter().filter(|p| ending(&played, p.request) == Some(Served)).count();
+    assert!(served * 100 >= day.requests.len() * 98, "{served} of {}", day.requests.len());
 }
 
 /// A conductor answers a mix that shifts: it changes engines, in both directions, and every rule holds.
