--- a/crates/cli/src/demo.rs
+++ b/crates/cli/src/demo.rs
@@ -98,7 +98,7 @@
         played.leaks
     );
     if verbose {
-        played.breaks.iter().for_each(|b| println!("{:?} {}: {}", b.at, b.rule, b.description));
+        played.violations.iter().for_each(|b| println!("{:?} {}: {}", b.at, b.rule, b.description));
         played.log.iter().for_each(|line| println!("{line}"));
     }
 }
--- a/crates/scenario/src/report.rs
+++ b/crates/scenario/src/report.rs
@@ -152,7 +152,7 @@
             played.results.iter().filter_map(|r| r.fault.as_ref().map(|f| format!("{:?}: {f}", r.attempt)));
         let sum = |f: fn(&slipreel_gateway::Counters) -> u64| played.tallies.iter().map(f).sum::<u64>();
         let rules = RULES.iter().map(|rule| {
-            let broke: Vec<_> = played.breaks.iter().filter(|b| b.rule == *rule).collect();
+            let broke: Vec<_> = played.violations.iter().filter(|b| b.rule == *rule).collect();
             (rule.to_string(), broke.len(), broke.first().map(|b| format!("{:?}: {}", b.at, b.description)))
         });
         Report {
--- a/crates/scenario/src/stage.rs
+++ b/crates/scenario/src/stage.rs
@@ -45,7 +45,7 @@
     /// What clients and engines saw.
     pub records: Vec<Record>,
     /// The rules that broke.
-    pub breaks: Vec<Violation>,
+    pub violations: Vec<Violation>,
     /// What the routers counted, those that were still up.
     pub tallies: Vec<Counters>,
     /// What the routers still held at the end: requests under way and timers of these. Anything is a leak.
@@ -490,7 +490,7 @@
     };
     RunResult {
         orders,
-        breaks: judge(&records, &checker_limits(day)),
+        violations: judge(&records, &checker_limits(day)),
         results,
         records,
         tallies: held.iter().map(|h| h.0).collect(),
@@ -688,7 +688,7 @@
     let log = log.lock().map(|l| l.clone()).unwrap_or_default();
     Ok(RunResult {
         orders,
-        breaks: judge(&records, &checker_limits(day)),
+        violations: judge(&records, &checker_limits(day)),
         results,
         records,
         tallies,
--- a/crates/scenario/tests/bad_day.rs
+++ b/crates/scenario/tests/bad_day.rs
@@ -31,7 +31,7 @@
 }
 
 fn broken_rules(day: &Scenario) -> Vec<Rule> {
-    let mut rules: Vec<Rule> = run_in_memory(day).breaks.iter().map(|b| b.rule).collect();
+    let mut rules: Vec<Rule> = run_in_memory(day).violations.iter().map(|b| b.rule).collect();
     rules.dedup();
     rules
 }
--- a/crates/scenario/tests/common/mod.rs
+++ b/crates/scenario/tests/common/mod.rs
@@ -90,7 +90,7 @@
 
 /// No rule broke, no answer was wrong, nothing is held.
 pub fn assert_clean(name: &str, played: &RunResult) {
-    assert!(played.breaks.is_empty(), "{name}: {:?}", played.breaks);
+    assert!(played.violations.is_empty(), "{name}: {:?}", played.violations);
     let faults: Vec<_> = played.results.iter().filter(|r| r.fault.is_some()).collect();
     assert!(faults.is_empty(), "{name}: {faults:?}");
     assert_eq!(played.leaks, 0, "{name}: requests are still held");
--- a/crates/scenario/tests/report.rs
+++ b/crates/scenario/tests/report.rs
@@ -30,7 +30,7 @@
     RunResult {
         results,
         records: Vec::new(),
-        breaks: Vec::new(),
+        violations: Vec::new(),
         tallies: Vec::new(),
         leaks: 0,
         orders: (0, 0),
