--- a/crates/cli/src/demo.rs
+++ b/crates/cli/src/demo.rs
@@ -82,7 +82,7 @@
         played?
     };
     show(&played, args.verbose, began.elapsed());
-    if played.report().is_clean() && played.leaks == 0 {
+    if played.report().is_clean() && played.held_requests == 0 {
         Ok(())
     } else {
         Err(Failure::Run("a rule broke or an answer was wrong".into()))
@@ -95,7 +95,7 @@
         "played {:.1} s in {:.1} s; requests still held by routers: {}",
         played.took.as_secs_f64(),
         took.as_secs_f64(),
-        played.leaks
+        played.held_requests
     );
     if verbose {
         played.violations.iter().for_each(|b| println!("{:?} {}: {}", b.at, b.rule, b.description));
--- a/crates/scenario/src/stage.rs
+++ b/crates/scenario/src/stage.rs
@@ -49,7 +49,7 @@
     /// What the routers counted, those that were still up.
     pub tallies: Vec<Counters>,
     /// What the routers still held at the end: requests under way and timers of these. Anything is a leak.
-    pub leaks: usize,
+    pub held_requests: usize,
     /// Changes of role that engines took and turned away.
     pub orders: (usize, usize),
     /// Lines that the machines wrote.
@@ -494,7 +494,7 @@
         results,
         records,
         tallies: held.iter().map(|h| h.0).collect(),
-        leaks: held.iter().map(|h| h.1).sum(),
+        held_requests: held.iter().map(|h| h.1).sum(),
         log: world.log().iter().map(|(at, node, line)| format!("{at:?} {node}: {line}")).collect(),
         digest: world.digest(),
         inputs: world.inputs_handled(),
@@ -692,7 +692,7 @@
         results,
         records,
         tallies,
-        leaks,
+        held_requests: leaks,
         log,
         digest: 0,
         inputs: 0,
--- a/crates/scenario/tests/common/mod.rs
+++ b/crates/scenario/tests/common/mod.rs
@@ -93,5 +93,5 @@
     assert!(played.violations.is_empty(), "{name}: {:?}", played.violations);
     let faults: Vec<_> = played.results.iter().filter(|r| r.fault.is_some()).collect();
     assert!(faults.is_empty(), "{name}: {faults:?}");
-    assert_eq!(played.leaks, 0, "{name}: requests are still held");
+    assert_eq!(played.held_requests, 0, "{name}: requests are still held");
 }
--- a/crates/scenario/tests/report.rs
+++ b/crates/scenario/tests/report.rs
@@ -32,7 +32,7 @@
         records: Vec::new(),
         violations: Vec::new(),
         tallies: Vec::new(),
-        leaks: 0,
+        held_requests: 0,
         orders: (0, 0),
         log: Vec::new(),
         digest: 0,
