--- a/crates/cli/src/model.rs
+++ b/crates/cli/src/model.rs
@@ -2,7 +2,7 @@
 
 use crate::{lines, Failure, Outcome};
 use clap::Args as ClapArgs;
-use slipreel_emulator::{play, Figures};
+use slipreel_emulator::{emulate, Figures};
 use slipreel_scenario::{read_scenario, Scenario};
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
@@ -26,7 +26,7 @@
     let mut day = read_scenario(&text, &name).map_err(|faults| Failure::Input(lines(&faults)))?;
     day.seed = args.seed.unwrap_or(day.seed);
     let began = Instant::now();
-    let figures = play(&day);
+    let figures = emulate(&day);
     print_scale(&day);
     print_models(&figures);
     print_totals(&figures, began.elapsed());
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -18,4 +18,4 @@
 mod roles;
 
 pub use host::Change;
-pub use play::{play, play_change, Figures, Served};
+pub use play::{emulate, emulate_with_settings_change, Figures, Served};
--- a/crates/emulator/src/play.rs
+++ b/crates/emulator/src/play.rs
@@ -112,12 +112,12 @@
 }
 
 /// Plays a day in the model. The same day gives the same figures.
-pub fn play(day: &Scenario) -> Figures {
-    play_change(day, None)
+pub fn emulate(day: &Scenario) -> Figures {
+    emulate_with_settings_change(day, None)
 }
 
 /// Plays a day in which all routers take new settings at one moment of it.
-pub fn play_change(day: &Scenario, change: Option<(Duration, Change)>) -> Figures {
+pub fn emulate_with_settings_change(day: &Scenario, change: Option<(Duration, Change)>) -> Figures {
     let mut world = World::new(day);
     if let Some((at, how)) = change {
         world.plan_at(START + at, Event::Change(how));
--- a/crates/emulator/tests/change.rs
+++ b/crates/emulator/tests/change.rs
@@ -1,6 +1,6 @@
 //! 300 routers take new settings at one moment of a busy day: with heirs nothing is lost; routers that learn anew are the baseline.
 
-use slipreel_emulator::{play, play_change, Change, Figures};
+use slipreel_emulator::{emulate, emulate_with_settings_change, Change, Figures};
 use slipreel_scenario::{read_scenario, Scenario};
 use std::time::Duration;
 
@@ -31,9 +31,9 @@
     let day = busy(300);
     let at = Duration::from_secs(AT);
     let (as_is, heirs, anew) = (
-        play(&day),
-        play_change(&day, Some((at, Change::Heir))),
-        play_change(&day, Some((at, Change::Anew))),
+        emulate(&day),
+        emulate_with_settings_change(&day, Some((at, Change::Heir))),
+        emulate_with_settings_change(&day, Some((at, Change::Anew))),
     );
     let before = share(&as_is, AT - 10);
     let (without, with, learning) = (share(&as_is, AT), share(&heirs, AT), share(&anew, AT));
--- a/crates/emulator/tests/fidelity.rs
+++ b/crates/emulator/tests/fidelity.rs
@@ -1,6 +1,6 @@
 //! The model against the same days in bytes, and that it is the same each time.
 
-use slipreel_emulator::play;
+use slipreel_emulator::emulate;
 use slipreel_invariants::Ending;
 use slipreel_roles::PlanningPolicy;
 use slipreel_scenario::{read_scenario, run_in_memory, Scenario};
@@ -14,7 +14,7 @@
 
 /// Whole answers in bytes and in the model, by model of requests.
 fn both(day: &Scenario) -> Vec<(String, usize, usize, usize)> {
-    let (bytes, model) = (run_in_memory(day), play(day));
+    let (bytes, model) = (run_in_memory(day), emulate(day));
     assert_eq!(model.held, 0, "nothing is left");
     let served = |name: &str| {
         let its = bytes.results.iter().filter(|r| r.model == name && r.ending == Some(Ending::Served));
@@ -44,5 +44,5 @@
 #[test]
 fn the_same_day_gives_the_same_figures() {
     let day = shift(Some(PlanningPolicy::Greedy));
-    assert_eq!(play(&day), play(&day));
+    assert_eq!(emulate(&day), emulate(&day));
 }
