--- a/crates/cli/src/model.rs
+++ b/crates/cli/src/model.rs
@@ -2,7 +2,7 @@
 
 use crate::{lines, Failure, Outcome};
 use clap::Args as ClapArgs;
-use slipreel_emulator::{emulate, Figures};
+use slipreel_emulator::{emulate, EmulationReport};
 use slipreel_scenario::{read_scenario, Scenario};
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
@@ -50,7 +50,7 @@
 }
 
 /// Prints a row for each model that was asked for.
-fn print_models(figures: &Figures) {
+fn print_models(figures: &EmulationReport) {
     println!(
         "{:<16}{:>10}{:>10}{:>10}{:>10}{:>8}{:>10}{:>10}",
         "model", "asked", "served", "refused", "failed", "left", "p50 ms", "p99 ms"
@@ -69,7 +69,7 @@
     }
 }
 
-fn print_totals(figures: &Figures, elapsed: Duration) {
+fn print_totals(figures: &EmulationReport, elapsed: Duration) {
     println!(
         "attempts {}, probes {}, changes of role {}, engines fallen over {}, still held {}, events {}, played in {:.1} s",
         figures.attempts,
--- a/crates/emulator/src/play.rs
+++ b/crates/emulator/src/play.rs
@@ -44,7 +44,7 @@
 
 /// A day in figures. Simulated, and without the front.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Figures {
+pub struct EmulationReport {
     /// By model.
     pub models: BTreeMap<String, Served>,
     /// Attempts sent.
@@ -65,7 +65,7 @@
     pub not_played: Vec<String>,
 }
 
-impl Figures {
+impl EmulationReport {
     /// Requests and whole answers over all models.
     pub fn sum(&self) -> (usize, usize) {
         self.models.values().fold((0, 0), |(asked, served), m| (asked + m.asked, served + m.served))
@@ -101,7 +101,7 @@
     places: Vec<(u32, u32)>,
     hosts: Vec<Host>,
     roles: Option<Roles>,
-    figures: Figures,
+    figures: EmulationReport,
     open: usize,
     next: u64,
     /// When the day ends, once all requests have.
@@ -112,12 +112,12 @@
 }
 
 /// Plays a day in the model. The same day gives the same figures.
-pub fn emulate(day: &Scenario) -> Figures {
+pub fn emulate(day: &Scenario) -> EmulationReport {
     emulate_with_settings_change(day, None)
 }
 
 /// Plays a day in which all routers take new settings at one moment of it.
-pub fn emulate_with_settings_change(day: &Scenario, change: Option<(Duration, Change)>) -> Figures {
+pub fn emulate_with_settings_change(day: &Scenario, change: Option<(Duration, Change)>) -> EmulationReport {
     let mut world = World::new(day);
     if let Some((at, how)) = change {
         world.plan_at(START + at, Event::Change(how));
@@ -181,7 +181,7 @@
             places,
             hosts,
             roles,
-            figures: Figures { not_played, ..Figures::default() },
+            figures: EmulationReport { not_played, ..EmulationReport::default() },
             open: day.requests.len(),
             next: 0,
             closed: None,
--- a/crates/emulator/tests/change.rs
+++ b/crates/emulator/tests/change.rs
@@ -1,6 +1,6 @@
 //! 300 routers take new settings at one moment of a busy day: with heirs nothing is lost; routers that learn anew are the baseline.
 
-use slipreel_emulator::{emulate, emulate_with_settings_change, Change, Figures};
+use slipreel_emulator::{emulate, emulate_with_settings_change, Change, EmulationReport};
 use slipreel_scenario::{read_scenario, Scenario};
 use std::time::Duration;
 
@@ -21,7 +21,7 @@
 }
 
 /// The share of requests served of those asked in the ten seconds from this one on.
-fn share(figures: &Figures, from: u64) -> f64 {
+fn share(figures: &EmulationReport, from: u64) -> f64 {
     let ten = figures.seconds.range(from..from + 10).fold((0, 0), |s, (_, (a, d))| (s.0 + a, s.1 + d));
     ten.1 as f64 / ten.0.max(1) as f64
 }
