--- a/crates/cli/src/model.rs
+++ b/crates/cli/src/model.rs
@@ -30,7 +30,7 @@
     print_scale(&day);
     print_models(&figures);
     print_totals(&figures, began.elapsed());
-    for (at, why) in figures.orders.iter().filter(|_| args.verbose) {
+    for (at, why) in figures.role_changes.iter().filter(|_| args.verbose) {
         println!("{:>8.1} s  {why}", at.as_secs_f64());
     }
     if !figures.not_played.is_empty() {
@@ -74,9 +74,9 @@
         "attempts {}, probes {}, changes of role {}, engines fallen over {}, still held {}, events {}, played in {:.1} s",
         figures.attempts,
         figures.probes,
-        figures.orders.len(),
-        figures.fallen,
-        figures.held,
+        figures.role_changes.len(),
+        figures.overloaded_engines,
+        figures.held_items,
         figures.events,
         elapsed.as_secs_f64()
     );
--- a/crates/emulator/src/play.rs
+++ b/crates/emulator/src/play.rs
@@ -54,13 +54,13 @@
     /// Events handled.
     pub events: u64,
     /// Requests that routers and states that engines still held at the end: anything is a leak.
-    pub held: usize,
+    pub held_items: usize,
     /// Changes of role that engines took: when in the day, and why.
-    pub orders: Vec<(Duration, String)>,
+    pub role_changes: Vec<(Duration, String)>,
     /// Engines that fell over, as they were sent too much while cold.
-    pub fallen: usize,
+    pub overloaded_engines: usize,
     /// Requests by the second in which they were first asked, and how many of these were served.
-    pub seconds: BTreeMap<u64, (usize, usize)>,
+    pub by_second: BTreeMap<u64, (usize, usize)>,
     /// Kinds of trouble in the day that are not played here.
     pub not_played: Vec<String>,
 }
@@ -124,10 +124,10 @@
     }
     world.run();
     let orders = world.roles.take().map_or_else(Vec::new, |r| r.orders);
-    world.figures.orders = orders.into_iter().map(|(at, why)| (at - START, why)).collect();
-    world.figures.fallen = world.engines.iter().filter(|e| e.fallen).count();
+    world.figures.role_changes = orders.into_iter().map(|(at, why)| (at - START, why)).collect();
+    world.figures.overloaded_engines = world.engines.iter().filter(|e| e.fallen).count();
     let states: usize = world.engines.iter().map(|e| e.work.states.len()).sum();
-    world.figures.held = world.hosts.iter().map(|h| h.calls.len()).sum::<usize>() + states;
+    world.figures.held_items = world.hosts.iter().map(|h| h.calls.len()).sum::<usize>() + states;
     world.figures.models.values_mut().for_each(|m| m.waits.sort());
     world.figures
 }
@@ -278,7 +278,7 @@
         let served = self.figures.models.entry(p.model.clone()).or_default();
         served.asked += usize::from(tries == 1);
         if tries == 1 {
-            self.figures.seconds.entry((self.now - START).as_secs()).or_default().0 += 1;
+            self.figures.by_second.entry((self.now - START).as_secs()).or_default().0 += 1;
         }
         if let Some(roles) = &mut self.roles {
             roles.counts.entry(self.day.settings.classes[class].name.clone()).or_default().asked += 1;
@@ -504,7 +504,7 @@
                     .map(|c| self.day.requests[c.plan].at);
                 if let Some(due) = due {
                     let second = (Duration::from_millis(500) + due).as_secs();
-                    self.figures.seconds.entry(second).or_default().1 += 1;
+                    self.figures.by_second.entry(second).or_default().1 += 1;
                 }
                 self.over(router, request, |s| &mut s.served, None);
                 self.ended(who, Outcome::Completed, 0.0, report);
--- a/crates/emulator/tests/change.rs
+++ b/crates/emulator/tests/change.rs
@@ -22,7 +22,7 @@
 
 /// The share of requests served of those asked in the ten seconds from this one on.
 fn share(figures: &EmulationReport, from: u64) -> f64 {
-    let ten = figures.seconds.range(from..from + 10).fold((0, 0), |s, (_, (a, d))| (s.0 + a, s.1 + d));
+    let ten = figures.by_second.range(from..from + 10).fold((0, 0), |s, (_, (a, d))| (s.0 + a, s.1 + d));
     ten.1 as f64 / ten.0.max(1) as f64
 }
 
@@ -39,7 +39,7 @@
     let (without, with, learning) = (share(&as_is, AT), share(&heirs, AT), share(&anew, AT));
     println!("served: {before:.4} before; after: {without:.4} without a change, {with:.4} with heirs, {learning:.4} learning anew");
     assert!(before < 0.999, "the day is to be busy enough for something to be lost: {before}");
-    assert_eq!((heirs.held, anew.held), (0, 0), "nothing is left");
+    assert_eq!((heirs.held_items, anew.held_items), (0, 0), "nothing is left");
     assert!(with > without - 0.01, "{with} with heirs, {without} without a change");
     assert!(with > before - 0.01, "{with} after the change, {before} before");
 }
--- a/crates/emulator/tests/fidelity.rs
+++ b/crates/emulator/tests/fidelity.rs
@@ -15,7 +15,7 @@
 /// Whole answers in bytes and in the model, by model of requests.
 fn both(day: &Scenario) -> Vec<(String, usize, usize, usize)> {
     let (bytes, model) = (run_in_memory(day), emulate(day));
-    assert_eq!(model.held, 0, "nothing is left");
+    assert_eq!(model.held_items, 0, "nothing is left");
     let served = |name: &str| {
         let its = bytes.results.iter().filter(|r| r.model == name && r.ending == Some(Ending::Served));
         its.count()
