--- a/crates/emulator/src/engine.rs
+++ b/crates/emulator/src/engine.rs
@@ -1,4 +1,4 @@
-//! An engine without bytes: the inside of the stand-in engine, and its record of the role that it has.
+//! An engine without I/O: the scheduler of the simulated engine, and the record of the engine's role.
 
 use slipreel::{EngineId, LoadReport, Role};
 use slipreel_roles::RoleRecord;
@@ -9,73 +9,78 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Which attempt of which request of which router.
+/// Identifies an attempt: its router, request and number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) struct Try {
+pub(crate) struct AttemptId {
     pub(crate) router: usize,
     pub(crate) request: u64,
     pub(crate) attempt: usize,
 }
 
-/// What an engine is asked to do.
+/// An attempt as an engine receives it.
 #[derive(Clone, Debug)]
-pub(crate) struct Ask {
-    pub(crate) who: Try,
-    pub(crate) reads: bool,
-    /// Where its state waits: the engine and the state's number.
-    pub(crate) state: Option<(usize, u64)>,
-    /// The parts of its prompt: what names each with all before it, and its tokens.
-    pub(crate) parts: Vec<(u64, u64)>,
-    pub(crate) length: u32,
+pub(crate) struct EngineRequest {
+    pub(crate) attempt_id: AttemptId,
+    pub(crate) is_prefill: bool,
+    /// The prefill state to fetch, if any: the engine that holds it and its number there.
+    pub(crate) held_state: Option<(usize, u64)>,
+    /// The parts of its prompt: for each the hash of the prompt up to its end, and its number of tokens.
+    pub(crate) prompt_parts: Vec<(u64, u64)>,
+    pub(crate) answer_tokens: u32,
 }
 
-/// What an engine says.
+/// What an engine reports about an attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) enum Say {
-    /// The prompt is read; the state has this number, and so many tokens were kept.
-    Read(u64, u64),
-    /// The first token.
-    First,
-    /// All is written.
-    Done,
-    Full,
-    NoState,
+pub(crate) enum EngineReply {
+    /// Prefill is complete. The engine holds the state under `state`; `cached_tokens` of the prompt came from
+    /// its cache.
+    Prefilled { state: u64, cached_tokens: u64 },
+    /// The first token was generated.
+    FirstToken,
+    /// The answer is complete.
+    Completed,
+    /// The engine rejects the attempt, as it is full or has the wrong role.
+    Rejected,
+    /// The prefill state is missing.
+    StateMissing,
 }
 
-/// A state to fetch: for which job, from which engine, and its number.
-pub(crate) type Fetch = (u64, (usize, u64));
+/// A prefill state to fetch: the id of the active request, the engine that holds the state, and its number
+/// there.
+pub(crate) type StateFetch = (u64, (usize, u64));
 
+/// An engine without I/O.
 pub(crate) struct Engine {
     pub(crate) spec: EngineSpec,
     pub(crate) id: EngineId,
     pub(crate) role: RoleRecord,
-    pub(crate) work: Scheduler,
+    pub(crate) scheduler: Scheduler,
     pub(crate) alive: bool,
-    pub(crate) slow: f64,
-    /// It has fallen over: sent more than it could bear while cold.
-    pub(crate) fallen: bool,
-    asks: BTreeMap<u64, Ask>,
-    /// The step for which a wake is planned.
-    pub(crate) planned: Option<Duration>,
+    pub(crate) slowdown: f64,
+    /// It received more work than it can handle while cold, and has rejected everything since.
+    pub(crate) overloaded: bool,
+    requests: BTreeMap<u64, EngineRequest>,
+    /// The time of the next scheduled wake-up.
+    pub(crate) next_wake: Option<Duration>,
 }
 
 impl Engine {
     pub(crate) fn new(spec: EngineSpec, id: EngineId, started: Duration, epoch: u64) -> Self {
         Engine {
             role: RoleRecord::started(spec.role.into(), epoch, started),
-            work: Scheduler::new(&spec, started, started),
+            scheduler: Scheduler::new(&spec, started, started),
             spec,
             id,
             alive: true,
-            slow: 1.0,
-            fallen: false,
-            asks: BTreeMap::new(),
-            planned: None,
+            slowdown: 1.0,
+            overloaded: false,
+            requests: BTreeMap::new(),
+            next_wake: None,
         }
     }
 
     pub(crate) fn report(&self) -> LoadReport {
-        let load = self.work.load();
+        let load = self.scheduler.load();
         LoadReport {
             in_flight: load.running.zip(load.waiting).map(|(r, w)| r + w),
             queued: load.waiting,
@@ -84,136 +89,145 @@
         }
     }
 
-    /// Takes an attempt; says so at once if it is turned away.
-    pub(crate) fn take(&mut self, now: Duration, ask: Ask) -> Option<Say> {
+    /// Enqueues an attempt, or returns why the engine rejects it.
+    pub(crate) fn accept(&mut self, now: Duration, engine_request: EngineRequest) -> Option<EngineReply> {
         let role = self.role.state().role;
-        let misfit = if ask.reads { role == Role::Decode } else { role == Role::Prefill };
-        let mut job = self.job(&ask);
-        self.fallen |= self.work.overloads_cold_engine(now, &self.spec, &job);
-        if misfit || self.fallen || !self.role.takes_work() || self.work.is_full(&self.spec) {
-            return Some(Say::Full);
+        let wrong_role = if engine_request.is_prefill { role == Role::Decode } else { role == Role::Prefill };
+        let mut active_request = self.active_request(&engine_request);
+        self.overloaded |= self.scheduler.overloads_cold_engine(now, &self.spec, &active_request);
+        if wrong_role || self.overloaded || !self.role.takes_work() || self.scheduler.is_full(&self.spec) {
+            return Some(EngineReply::Rejected);
         }
-        if !ask.reads && ask.state.is_none() && role == Role::Decode {
-            return Some(Say::NoState);
+        if !engine_request.is_prefill && engine_request.held_state.is_none() && role == Role::Decode {
+            return Some(EngineReply::StateMissing);
         }
-        job.id = self.work.next_id();
-        self.asks.insert(job.id, ask);
-        self.work.enqueue(job);
+        active_request.id = self.scheduler.next_id();
+        self.requests.insert(active_request.id, engine_request);
+        self.scheduler.enqueue(active_request);
         None
     }
 
-    fn job(&self, ask: &Ask) -> ActiveRequest {
-        let nowhere = SocketAddr::from(([127, 0, 0, 1], 0));
-        let mut job = ActiveRequest {
+    fn active_request(&self, engine_request: &EngineRequest) -> ActiveRequest {
+        let unused_addr = SocketAddr::from(([127, 0, 0, 1], 0));
+        let mut active_request = ActiveRequest {
             id: 0,
             conn: ConnId(0),
             request_id: String::new(),
             router: String::new(),
             idempotency_key: None,
             mark: None,
-            kind: if ask.reads { RequestKind::Prefill } else { RequestKind::Decode },
+            kind: if engine_request.is_prefill { RequestKind::Prefill } else { RequestKind::Decode },
             prompt_tokens: 0,
             cached: 0,
             prefill_left: 0,
-            max_tokens: ask.length,
-            length: ask.length.max(1),
+            max_tokens: engine_request.answer_tokens,
+            length: engine_request.answer_tokens.max(1),
             emitted: 0,
             stream: true,
             has_begun: false,
             has_run: false,
             is_answer_lost: false,
-            transfer: ask.state.map(|(_, state)| Transfer { addr: nowhere, state }),
+            transfer: engine_request.held_state.map(|(_, state)| Transfer { addr: unused_addr, state }),
             prefixes: Vec::new(),
         };
-        self.work.measure_parts(&mut job, &ask.parts);
-        job
+        self.scheduler.measure_parts(&mut active_request, &engine_request.prompt_parts);
+        active_request
     }
 
-    /// Gives slots and ends steps that are due. What it says, and the states that it has to fetch: the job, and where.
-    pub(crate) fn turn(&mut self, now: Duration) -> (Vec<(Try, Say)>, Vec<Fetch>) {
-        let (mut said, mut fetches) = (Vec::new(), Vec::new());
+    /// Assigns free slots and completes the steps that are due. Returns the replies and the states to fetch.
+    pub(crate) fn advance(&mut self, now: Duration) -> (Vec<(AttemptId, EngineReply)>, Vec<StateFetch>) {
+        let (mut replies, mut fetches) = (Vec::new(), Vec::new());
         loop {
-            while let Some(id) = self.work.admit(&self.spec) {
-                if let Some(state) = self.asks.get(&id).and_then(|a| a.state) {
-                    if self.work.requests.get(&id).is_some_and(|j| j.transfer.is_some()) {
+            while let Some(id) = self.scheduler.admit(&self.spec) {
+                if let Some(state) = self.requests.get(&id).and_then(|r| r.held_state) {
+                    if self.scheduler.requests.get(&id).is_some_and(|r| r.transfer.is_some()) {
                         fetches.push((id, state));
                     }
                 }
             }
-            if !self.work.step_due(now) {
+            if !self.scheduler.step_due(now) {
                 break;
             }
-            let done = self.work.end_step();
-            for id in done.prefilled {
-                let Some(job) = self.work.remove(id) else { continue };
-                let state = self.work.hold_state(&job, now);
-                if let Some(ask) = self.asks.remove(&id) {
-                    said.push((ask.who, Say::Read(state, job.cached)));
+            let completed = self.scheduler.end_step();
+            for id in completed.prefilled {
+                let Some(active_request) = self.scheduler.remove(id) else { continue };
+                let state = self.scheduler.hold_state(&active_request, now);
+                if let Some(engine_request) = self.requests.remove(&id) {
+                    replies.push((
+                        engine_request.attempt_id,
+                        EngineReply::Prefilled { state, cached_tokens: active_request.cached },
+                    ));
                 }
             }
-            for id in done.decoded {
-                self.token(id, &mut said);
+            for id in completed.decoded {
+                self.emit_token(id, &mut replies);
             }
-            for id in self.work.over_memory() {
-                self.work.requeue(id);
+            for id in self.scheduler.over_memory() {
+                self.scheduler.requeue(id);
             }
         }
-        let factor = self.work.speed_factor(now, &self.spec) / self.slow;
-        self.work.start_step(now, &self.spec, factor, &[]);
-        (said, fetches)
+        let factor = self.scheduler.speed_factor(now, &self.spec) / self.slowdown;
+        self.scheduler.start_step(now, &self.spec, factor, &[]);
+        (replies, fetches)
     }
 
-    fn token(&mut self, id: u64, said: &mut Vec<(Try, Say)>) {
-        let (Some(job), Some(ask)) = (self.work.requests.get_mut(&id), self.asks.get(&id)) else { return };
-        job.emitted += 1;
-        if !std::mem::replace(&mut job.has_begun, true) {
-            said.push((ask.who, Say::First));
+    fn emit_token(&mut self, id: u64, replies: &mut Vec<(AttemptId, EngineReply)>) {
+        let (Some(active_request), Some(engine_request)) =
+            (self.scheduler.requests.get_mut(&id), self.requests.get(&id))
+        else {
+            return;
+        };
+        active_request.emitted += 1;
+        if !std::mem::replace(&mut active_request.has_begun, true) {
+            replies.push((engine_request.attempt_id, EngineReply::FirstToken));
         }
-        if job.emitted >= job.length {
-            said.push((ask.who, Say::Done));
-            self.work.remove(id);
-            self.asks.remove(&id);
+        if active_request.emitted >= active_request.length {
+            replies.push((engine_request.attempt_id, EngineReply::Completed));
+            self.scheduler.remove(id);
+            self.requests.remove(&id);
         }
     }
 
-    /// A state has come, or could not be had.
-    pub(crate) fn fetched(&mut self, id: u64, whole: bool) -> Option<(Try, Say)> {
-        if whole {
-            self.work.fetched(id);
+    /// Handles the end of a state fetch, successful or not.
+    pub(crate) fn finish_fetch(&mut self, id: u64, succeeded: bool) -> Option<(AttemptId, EngineReply)> {
+        if succeeded {
+            self.scheduler.fetched(id);
             return None;
         }
-        self.work.remove(id)?;
-        self.asks.remove(&id).map(|ask| (ask.who, Say::NoState))
+        self.scheduler.remove(id)?;
+        self.requests.remove(&id).map(|engine_request| (engine_request.attempt_id, EngineReply::StateMissing))
     }
 
-    /// Gives a held state away; whether it was there.
-    pub(crate) fn give(&mut self, state: u64) -> bool {
-        self.work.release(state)
+    /// Releases a held state. Returns whether it was there.
+    pub(crate) fn release_state(&mut self, state: u64) -> bool {
+        self.scheduler.release(state)
     }
 
-    /// Drops an attempt, and whatever it left.
-    pub(crate) fn cancel(&mut self, who: Try) {
-        let its: Vec<u64> = self.asks.iter().filter(|(_, a)| a.who == who).map(|(&id, _)| id).collect();
-        for id in its {
-            self.work.remove(id);
-            self.asks.remove(&id);
+    /// Cancels an attempt and removes its requests.
+    pub(crate) fn cancel(&mut self, attempt_id: AttemptId) {
+        let ids: Vec<u64> =
+            self.requests.iter().filter(|(_, r)| r.attempt_id == attempt_id).map(|(&id, _)| id).collect();
+        for id in ids {
+            self.scheduler.remove(id);
+            self.requests.remove(&id);
         }
     }
 
-    /// Takes its new role once nothing of the old one is left. Whether it did.
+    /// Starts in its new role once no work and no state of the old role is left. Returns whether it did.
     pub(crate) fn change_role(&mut self, now: Duration) -> bool {
-        let Some(state) = self.role.left(now, self.work.requests.len(), self.work.states.len()) else {
+        let Some(state) = self.role.left(now, self.scheduler.requests.len(), self.scheduler.states.len())
+        else {
             return false;
         };
         self.spec.role = state.role.into();
-        self.work = Scheduler::new(&self.spec, state.started, state.started);
+        self.scheduler = Scheduler::new(&self.spec, state.started, state.started);
         true
     }
 
-    /// States that nobody came for in time.
-    pub(crate) fn forget(&mut self, now: Duration) {
-        for state in self.work.expired_states(now, self.spec.hold_time) {
-            self.work.release(state);
+    /// Releases held states that were not fetched in time.
+    pub(crate) fn release_expired_states(&mut self, now: Duration) {
+        for state in self.scheduler.expired_states(now, self.spec.hold_time) {
+            self.scheduler.release(state);
         }
     }
 }
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -1,21 +1,24 @@
-//! An emulator of the fleet, for designs that have to be tried at sizes that sockets and bytes don't reach.
+//! An emulator of the fleet, for trying designs at sizes that are out of reach with sockets and real
+//! messages.
 //!
-//! A [`Scenario`](slipreel_scenario::Scenario) is played in virtual time like in `slipreel-scenario`, with the real decision module in every
-//! router and the inside of the stand-in engine (queue, slots, memory, kept beginnings, steps, cold start) in every engine.
-//! Left out is what lies between them: HTTP, connections, JSON and text. A message takes a fixed time one way, a
-//! connection none. So it says nothing of connections, slow peers, garbage or of the front; troubles of a day other than
-//! deaths and slowness of engines are not played, and [`EmulationReport::not_played`] names them.
+//! A [`Scenario`](slipreel_scenario::Scenario) runs in virtual time as in `slipreel-scenario`, with the real
+//! decision module in every router and the scheduler of the simulated engine (queue, slots, memory, prefix
+//! cache, steps, cold start) in every engine. What connects them is left out: HTTP, connections, JSON and
+//! text. A message takes a fixed time one way, opening a connection takes none. So the emulator can't show
+//! effects of connections, slow peers, malformed answers or the gateway. The troubles of a scenario are not
+//! emulated; [`EmulationReport::not_played`] names their kinds.
 //!
-//! `engine` is an engine without bytes, `host` a router with its module, `play` the events in order, `roles` a planner
-//! over the whole fleet. `tests/fidelity.rs` compares it with the same days in bytes.
+//! `engine` is an engine without I/O, `router` a router around its decision module, `emulation` handles all
+//! events in order, `roles` runs a planner for the whole fleet. `tests/fidelity.rs` compares the emulator
+//! with the same scenarios run in memory with all bytes.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
+mod emulation;
 mod engine;
-mod host;
-mod play;
 mod roles;
+mod router;
 
-pub use host::Change;
-pub use play::{emulate, emulate_with_settings_change, EmulationReport, Served};
+pub use emulation::{emulate, emulate_with_settings_change, EmulationReport, ModelResults};
+pub use router::SettingsChange;
--- a/crates/emulator/tests/change.rs
+++ b/crates/emulator/tests/change.rs
@@ -1,13 +1,14 @@
-//! 300 routers take new settings at one moment of a busy day: with heirs nothing is lost; routers that learn anew are the baseline.
+//! The settings of 300 routers change at the same moment under high load. With successors of the decision
+//! modules no requests may be lost by it; modules that learn from scratch are the baseline.
 
-use slipreel_emulator::{emulate, emulate_with_settings_change, Change, EmulationReport};
+use slipreel_emulator::{emulate, emulate_with_settings_change, EmulationReport, SettingsChange};
 use slipreel_scenario::{read_scenario, Scenario};
 use std::time::Duration;
 
-const AT: u64 = 20;
+const CHANGE_SECOND: u64 = 20;
 
-/// 300 routers before engines that are nearly full.
-fn busy(routers: usize) -> Scenario {
+/// A scenario in which these routers share engines that are nearly full.
+fn busy_scenario(routers: usize) -> Scenario {
     let text = format!(
         "[day]\nlength = 40s\nrouters = {routers}\nseed = 5\n\
          [class chat]\naim = 1s\npatience = 6s\nworth = 3\n[class batch]\naim = 3s\npatience = 8s\nworth = 1\n\
@@ -17,29 +18,42 @@
          [traffic chats]\nmodel = chat-1\nkey = k\nrate = 260\nprompt = 600\nprefix = 300\nprefixes = 20\n\
          [traffic batches]\nmodel = batch-1\nkey = k\nrate = 200\nprompt = 600\nprefix = 300\nprefixes = 20\n"
     );
-    read_scenario(&text, "busy").unwrap_or_else(|faults| panic!("{faults:?}"))
+    read_scenario(&text, "busy").unwrap_or_else(|errors| panic!("{errors:?}"))
 }
 
-/// The share of requests served of those asked in the ten seconds from this one on.
-fn share(figures: &EmulationReport, from: u64) -> f64 {
-    let ten = figures.by_second.range(from..from + 10).fold((0, 0), |s, (_, (a, d))| (s.0 + a, s.1 + d));
-    ten.1 as f64 / ten.0.max(1) as f64
+/// The share of served requests among those that were due in the ten seconds from this one on.
+fn served_share(report: &EmulationReport, from: u64) -> f64 {
+    let (sent, served) = report
+        .by_second
+        .range(from..from + 10)
+        .fold((0, 0), |s, (_, (sent, served))| (s.0 + sent, s.1 + served));
+    served as f64 / sent.max(1) as f64
 }
 
 #[test]
-fn three_hundred_routers_change_together_without_a_dip() {
-    let day = busy(300);
-    let at = Duration::from_secs(AT);
-    let (as_is, heirs, anew) = (
-        emulate(&day),
-        emulate_with_settings_change(&day, Some((at, Change::Heir))),
-        emulate_with_settings_change(&day, Some((at, Change::Anew))),
+fn settings_change_of_300_routers_causes_no_dip_with_successors() {
+    let scenario = busy_scenario(300);
+    let at = Duration::from_secs(CHANGE_SECOND);
+    let (unchanged, successors, fresh) = (
+        emulate(&scenario),
+        emulate_with_settings_change(&scenario, Some((at, SettingsChange::Successor))),
+        emulate_with_settings_change(&scenario, Some((at, SettingsChange::Fresh))),
     );
-    let before = share(&as_is, AT - 10);
-    let (without, with, learning) = (share(&as_is, AT), share(&heirs, AT), share(&anew, AT));
-    println!("served: {before:.4} before; after: {without:.4} without a change, {with:.4} with heirs, {learning:.4} learning anew");
-    assert!(before < 0.999, "the day is to be busy enough for something to be lost: {before}");
-    assert_eq!((heirs.held_items, anew.held_items), (0, 0), "nothing is left");
-    assert!(with > without - 0.01, "{with} with heirs, {without} without a change");
-    assert!(with > before - 0.01, "{with} after the change, {before} before");
+    let before = served_share(&unchanged, CHANGE_SECOND - 10);
+    let (without_change, with_successors, with_fresh) = (
+        served_share(&unchanged, CHANGE_SECOND),
+        served_share(&successors, CHANGE_SECOND),
+        served_share(&fresh, CHANGE_SECOND),
+    );
+    println!(
+        "served: {before:.4} before; after: {without_change:.4} without a change, \
+         {with_successors:.4} with successors, {with_fresh:.4} with fresh modules"
+    );
+    assert!(before < 0.999, "the load has to be high enough for some requests to be lost: {before}");
+    assert_eq!((successors.held_items, fresh.held_items), (0, 0), "nothing is held at the end");
+    assert!(
+        with_successors > without_change - 0.01,
+        "{with_successors} with successors, {without_change} without a change"
+    );
+    assert!(with_successors > before - 0.01, "{with_successors} after the change, {before} before");
 }
--- a/crates/emulator/tests/fidelity.rs
+++ b/crates/emulator/tests/fidelity.rs
@@ -1,48 +1,51 @@
-//! The model against the same days in bytes, and that it is the same each time.
+//! Compares the emulator with the same scenarios run in memory with all bytes, and checks that it is
+//! deterministic.
 
 use slipreel_emulator::emulate;
 use slipreel_invariants::Ending;
 use slipreel_roles::PlanningPolicy;
 use slipreel_scenario::{read_scenario, run_in_memory, Scenario};
 
-fn shift(roles: Option<PlanningPolicy>) -> Scenario {
+fn shift_scenario(policy: Option<PlanningPolicy>) -> Scenario {
     let text = include_str!("../../../deploy/days/shift.ini");
-    let mut day = read_scenario(text, "shift.ini").unwrap_or_else(|faults| panic!("{faults:?}"));
-    day.roles = roles;
-    day
+    let mut scenario = read_scenario(text, "shift.ini").unwrap_or_else(|errors| panic!("{errors:?}"));
+    scenario.role_policy = policy;
+    scenario
 }
 
-/// Whole answers in bytes and in the model, by model of requests.
-fn both(day: &Scenario) -> Vec<(String, usize, usize, usize)> {
-    let (bytes, model) = (run_in_memory(day), emulate(day));
-    assert_eq!(model.held_items, 0, "nothing is left");
-    let served = |name: &str| {
-        let its = bytes.results.iter().filter(|r| r.model == name && r.ending == Some(Ending::Served));
-        its.count()
+/// For each model: its name, its requests, and how many were served in the run in bytes and in the emulation.
+fn served_by_model(scenario: &Scenario) -> Vec<(String, usize, usize, usize)> {
+    let (run, report) = (run_in_memory(scenario), emulate(scenario));
+    assert_eq!(report.held_items, 0, "nothing is held at the end");
+    let served_in_bytes = |name: &str| {
+        let served = run.results.iter().filter(|r| r.model == name && r.ending == Some(Ending::Served));
+        served.count()
     };
-    model.models.iter().map(|(name, m)| (name.clone(), m.asked, served(name), m.served)).collect()
+    report.models.iter().map(|(name, m)| (name.clone(), m.asked, served_in_bytes(name), m.served)).collect()
 }
 
 #[test]
-fn a_day_of_overload_is_served_as_in_bytes() {
-    for (name, asked, bytes, model) in both(&shift(None)) {
-        let apart = bytes.abs_diff(model) as f64 / asked as f64;
-        assert!(apart < 0.03, "{name}: {bytes} in bytes and {model} in the model, of {asked}");
+fn as_many_requests_are_served_under_overload_as_in_bytes() {
+    for (name, asked, in_bytes, emulated) in served_by_model(&shift_scenario(None)) {
+        let difference = in_bytes.abs_diff(emulated) as f64 / asked as f64;
+        assert!(difference < 0.03, "{name}: {in_bytes} in bytes and {emulated} emulated, of {asked}");
     }
 }
 
 #[test]
-fn roles_bring_in_the_model_what_they_bring_in_bytes() {
+fn role_changes_have_the_same_effect_as_in_bytes() {
     let sum = |all: &[(String, usize, usize, usize)]| {
-        all.iter().fold((0, 0, 0), |s, (_, asked, bytes, model)| (s.0 + asked, s.1 + bytes, s.2 + model))
+        all.iter().fold((0, 0, 0), |s, (_, asked, in_bytes, emulated)| {
+            (s.0 + asked, s.1 + in_bytes, s.2 + emulated)
+        })
     };
-    let (asked, bytes, model) = sum(&both(&shift(Some(PlanningPolicy::Greedy))));
-    let apart = bytes.abs_diff(model) as f64 / asked as f64;
-    assert!(apart < 0.05, "{bytes} in bytes and {model} in the model, of {asked}");
+    let (asked, in_bytes, emulated) = sum(&served_by_model(&shift_scenario(Some(PlanningPolicy::Greedy))));
+    let difference = in_bytes.abs_diff(emulated) as f64 / asked as f64;
+    assert!(difference < 0.05, "{in_bytes} in bytes and {emulated} emulated, of {asked}");
 }
 
 #[test]
-fn the_same_day_gives_the_same_figures() {
-    let day = shift(Some(PlanningPolicy::Greedy));
-    assert_eq!(emulate(&day), emulate(&day));
+fn equal_scenarios_give_equal_reports() {
+    let scenario = shift_scenario(Some(PlanningPolicy::Greedy));
+    assert_eq!(emulate(&scenario), emulate(&scenario));
 }
--- a/crates/scenario/benches/sockets.rs
+++ b/crates/scenario/benches/sockets.rs
@@ -1,5 +1,6 @@
-//! A router between clients and engines that answer at once, over loopback, beside the same clients sent straight to
-//! such an engine. Router, engines and clients each have a thread; machines are shared, so compare within one run.
+//! Measures a router between clients and engines that answer immediately, over loopback sockets, and for
+//! comparison the same clients connected directly to such an engine. Router, engines and clients each have a
+//! thread. The machine may be shared, so compare only figures of the same run.
 
 use hdrhistogram::Histogram;
 use slipreel_event_loop::{Clock, Command, EventLoop};
@@ -18,14 +19,15 @@
 
 const TOKENS: u32 = 4;
 
-/// Answers everything at once: reads, writes, metrics, and whole Messages streams when asked directly.
+/// An engine that answers immediately: prefill, decode, metrics, and whole Messages streams for direct
+/// clients.
 #[derive(Default)]
-struct Instantly {
-    conns: HashMap<ConnId, (Decoder, String, Vec<u8>)>,
+struct InstantEngine {
+    connections: HashMap<ConnId, (Decoder, String, Vec<u8>)>,
 }
 
-fn whole(kind: &str, body: &str) -> Vec<u8> {
-    format!("HTTP/1.1 200 OK\r\ncontent-type: {kind}\r\ncontent-length: {}\r\n\r\n{body}", body.len())
+fn http_response(content_type: &str, body: &str) -> Vec<u8> {
+    format!("HTTP/1.1 200 OK\r\ncontent-type: {content_type}\r\ncontent-length: {}\r\n\r\n{body}", body.len())
         .into_bytes()
 }
 
@@ -36,13 +38,13 @@
     let mut events = String::new();
     match target {
         "/metrics" => {
-            return whole(
+            return http_response(
                 "text/plain",
                 "vllm:num_requests_running 1\nvllm:num_requests_waiting 0\nprocess_start_time_seconds 1\n",
             )
         }
         "/v1/chat/completions" if text.contains("\"do_remote_decode\":true") => {
-            return whole(
+            return http_response(
                 "application/json",
                 r#"{"kv_transfer_params":{"remote_block_ids":[1]},"usage":{"prompt_tokens":9}}"#,
             )
@@ -72,7 +74,7 @@
             events += &event("message_delta", ",\"delta\":{\"stop_reason\":\"max_tokens\"}");
             events += &event("message_stop", "");
         }
-        _ => return whole("application/json", "{}"),
+        _ => return http_response("application/json", "{}"),
     }
     let mut bytes = head.to_vec();
     bytes.extend(chunk(events.as_bytes()));
@@ -80,15 +82,15 @@
     bytes
 }
 
-impl Machine for Instantly {
+impl Machine for InstantEngine {
     fn handle(&mut self, _now: Duration, input: Input<'_>, out: &mut Vec<Output>) {
         match input {
             Input::Accepted(conn, _) => {
-                self.conns
+                self.connections
                     .insert(conn, (Decoder::new(Side::Server, Limits::default()), String::new(), Vec::new()));
             }
             Input::Data(conn, bytes) => {
-                let Some((decoder, path, body)) = self.conns.get_mut(&conn) else { return };
+                let Some((decoder, path, body)) = self.connections.get_mut(&conn) else { return };
                 decoder.feed(bytes);
                 while let Ok(Some(item)) = decoder.next_item() {
                     match item {
@@ -103,11 +105,11 @@
                 }
             }
             Input::Eof(conn) => {
-                self.conns.remove(&conn);
+                self.connections.remove(&conn);
                 out.push(Output::CloseWhenSent(conn));
             }
             Input::Lost(conn, _) => {
-                self.conns.remove(&conn);
+                self.connections.remove(&conn);
             }
             _ => {}
         }
@@ -117,17 +119,17 @@
     }
 }
 
-const SITE: &str = "[class c]\n[model m]\nclass = c\n[day]\nrouters = 1\n[engines r]\nrole = read\n[engines w]\nrole = write\n";
-const ANY: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 0);
+const SCENARIO: &str = "[class c]\n[model m]\nclass = c\n[day]\nrouters = 1\n[engines r]\nrole = read\n[engines w]\nrole = write\n";
+const ANY_PORT: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 0);
 
 struct Run {
-    first: Histogram<u64>,
+    latency: Histogram<u64>,
     served: usize,
     asked: usize,
     took: Duration,
 }
 
-/// Sends at a rate for a time; a rate beyond what can be served shows what can.
+/// Sends requests at this rate for this many seconds. A rate above the capacity shows the capacity.
 fn load(clock: Clock, target: SocketAddr, rate: f64, seconds: f64) -> Run {
     let start = clock.now() + Duration::from_millis(100);
     let n = (rate * seconds) as u64;
@@ -149,20 +151,21 @@
         honours_retry_after: true,
         behaviour: ClientBehaviour::Plain,
     };
-    let mut looped = EventLoop::new(clock).expect("descriptors");
-    let node = looped.add(Clients::new((0..n).map(plan).collect(), vec![target], Ledger::default(), true));
-    looped.run().expect("a loop");
+    let mut event_loop = EventLoop::new(clock).expect("descriptors");
+    let node =
+        event_loop.add(Clients::new((0..n).map(plan).collect(), vec![target], Ledger::default(), true));
+    event_loop.run().expect("a loop");
     let mut run = Run {
-        first: Histogram::new_with_bounds(1, 60_000_000, 3).expect("a histogram"),
+        latency: Histogram::new_with_bounds(1, 60_000_000, 3).expect("a histogram"),
         served: 0,
         asked: n as usize,
         took: Duration::ZERO,
     };
-    for r in looped.machine(node).results() {
+    for r in event_loop.machine(node).results() {
         run.took = run.took.max(r.ended.saturating_sub(start));
         if r.ending == Some(Ending::Served) && r.fault.is_none() {
             run.served += 1;
-            run.first.saturating_record(r.ended.saturating_sub(r.due).as_micros() as u64);
+            run.latency.saturating_record(r.ended.saturating_sub(r.due).as_micros() as u64);
         }
     }
     run
@@ -173,24 +176,24 @@
     let mut engines = EventLoop::new(clock).expect("descriptors");
     let addrs: Vec<SocketAddr> = (0..2)
         .map(|_| {
-            let node = engines.add(Instantly::default());
-            engines.listen(node, ANY).expect("a port")
+            let node = engines.add(InstantEngine::default());
+            engines.listen(node, ANY_PORT).expect("a port")
         })
         .collect();
-    let day = read_scenario(SITE, "bench").expect("a site");
+    let scenario = read_scenario(SCENARIO, "bench").expect("a site");
     let mut router = EventLoop::new(clock).expect("descriptors");
     let node =
-        router.add(Gateway::new(Arc::new(day.router_settings(0, &addrs)), 5, clock.now(), clock.now()));
-    let front = router.listen(node, ANY).expect("a port");
+        router.add(Gateway::new(Arc::new(scenario.router_settings(0, &addrs)), 5, clock.now(), clock.now()));
+    let router_addr = router.listen(node, ANY_PORT).expect("a port");
     let (engines_handle, router_handle) = (engines.handle(), router.handle());
     let engines = std::thread::spawn(move || engines.run());
     let router = std::thread::spawn(move || router.run());
     println!("whole answer of {TOKENS} tokens, ms from when it was due");
     println!("{:<22}{:>8}{:>9}{:>9}{:>9}{:>9}", "", "asked", "served", "p50", "p99", "a second");
     for rate in [500.0, 2_000.0, 5_000.0, 8_000.0] {
-        for (name, target) in [("straight to a stand-in", addrs[0]), ("through the router", front)] {
+        for (name, target) in [("straight to a stand-in", addrs[0]), ("through the router", router_addr)] {
             let run = load(clock, target, rate, 4.0);
-            let ms = |q| run.first.value_at_quantile(q) as f64 / 1000.0;
+            let ms = |q| run.latency.value_at_quantile(q) as f64 / 1000.0;
             let served = run.served as f64 / run.took.as_secs_f64();
             println!(
                 "{name:<22}{:>8}{:>9}{:>9.2}{:>9.2}{served:>9.0}",
--- a/crates/scenario/src/lib.rs
+++ b/crates/scenario/src/lib.rs
@@ -1,23 +1,25 @@
-//! Scripted days. A [`Scenario`] is a fleet of stand-in engines, routers, traffic and troubles. It is played in memory in
-//! virtual time ([`run_in_memory`]) or over loopback sockets ([`run_over_sockets`]), by the same director, and the rules are
-//! judged from what clients and engines saw.
+//! Scripted scenarios. A [`Scenario`] describes simulated engines, routers, traffic and troubles (faults and
+//! changes of the load). The same runner executes it in memory in virtual time ([`run_in_memory`]) or over
+//! loopback sockets ([`run_over_sockets`]), and the invariant checker judges what clients and engines
+//! observed.
 //!
-//! `script` reads a day from INI, `fleet` builds its machines, `trouble` turns troubles into acts at times, `stage`
-//! carries acts out on either driver, `report` counts.
+//! `parse` reads a scenario from INI, `scenario` defines it and generates its requests, `trouble` turns
+//! troubles into timed actions, `runner` executes the actions on either driver, `machine` is the common type
+//! of all state machines of a run, and `report` counts results.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-mod actor;
-mod fleet;
+mod machine;
+mod parse;
 mod report;
-mod script;
-mod stage;
+mod runner;
+mod scenario;
 mod trouble;
 
-pub use actor::{Actor, Sabotage};
-pub use fleet::{spread_traffic, EnginePlan, Scenario, Traffic};
+pub use machine::{AnyMachine, RouterDefect};
+pub use parse::{read_scenario, read_scenario_sections, SCENARIO_SECTIONS};
 pub use report::{checker_limits, Group, Groups, Report};
-pub use script::{read_scenario, read_scenario_sections, SCENARIO_SECTIONS};
-pub use stage::{run_in_memory, run_over_sockets, LiveFleet, RunResult};
-pub use trouble::{Kind, Trouble};
+pub use runner::{run_in_memory, run_over_sockets, LiveFleet, RunResult};
+pub use scenario::{generate_requests, Scenario, ScenarioEngine, Traffic};
+pub use trouble::{Trouble, TroubleKind};
--- a/crates/scenario/src/script.rs
+++ b/crates/scenario/src/parse.rs
@@ -1,8 +1,8 @@
-//! Days as INI: the sections of a site, and `[day]`, `[engines NAME]`, `[traffic NAME]` and `[trouble NAME]`.
-//! `docs/days.md` describes them.
+//! Scenarios as INI: the sections of router settings, and `[day]`, `[engines NAME]`, `[traffic NAME]` and
+//! `[trouble NAME]`. `docs/days.md` describes them.
 
-use crate::fleet::{spread_traffic, EnginePlan, Scenario, Traffic};
-use crate::trouble::{Kind, Trouble, KINDS};
+use crate::scenario::{generate_requests, Scenario, ScenarioEngine, Traffic};
+use crate::trouble::{Trouble, TroubleKind, KIND_NAMES};
 use slipreel::Role;
 use slipreel_roles::PlanningPolicy;
 use slipreel_settings::{read_site, Daemon, Doc, Fault, Name, Value};
@@ -10,24 +10,24 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The sections of a day.
+/// Names of the sections of a scenario file.
 pub const SCENARIO_SECTIONS: &[&str] = &[
     "router", "limits", "bounds", "class", "model", "tenant", "engine", "log", "day", "engines", "traffic",
     "trouble",
 ];
 
-impl Value for Kind {
+impl Value for TroubleKind {
     const EXPECTED: &'static str = "a kind of trouble";
     fn read(text: &str) -> Result<Self, String> {
-        let found = KINDS.iter().find(|(name, _)| *name == text).map(|(_, kind)| *kind);
+        let found = KIND_NAMES.iter().find(|(name, _)| *name == text).map(|(_, kind)| *kind);
         found.ok_or_else(|| {
-            let names: Vec<&str> = KINDS.iter().map(|(name, _)| *name).collect();
+            let names: Vec<&str> = KIND_NAMES.iter().map(|(name, _)| *name).collect();
             format!("one of {}", names.join(", "))
         })
     }
 }
 
-/// Who changes roles: nobody, or a conductor by a policy.
+/// The value of `roles`: `fixed` for no role changes, or the policy of the role controller.
 struct PolicyName(Option<PlanningPolicy>);
 
 impl Value for PolicyName {
@@ -43,50 +43,50 @@
     }
 }
 
-/// Reads a day.
+/// Reads a scenario from INI. `file` names the text in errors.
 ///
 /// # Errors
-/// Every fault of the text, by line.
+/// Every error in the text, with its line.
 pub fn read_scenario(text: &str, file: &str) -> Result<Scenario, Vec<Fault>> {
     let mut doc = Doc::parse(text, file)?;
-    let day = read_scenario_sections(&mut doc);
+    let scenario = read_scenario_sections(&mut doc);
     doc.finish(SCENARIO_SECTIONS)?;
-    day.ok_or_else(Vec::new)
+    scenario.ok_or_else(Vec::new)
 }
 
-/// Reads the sections of a day from a document that may hold others. `None` if something that has to be there is missing; the
-/// document says what.
+/// Reads the sections of a scenario from a document that may have others. `None` if something required is
+/// missing; the document records what.
 pub fn read_scenario_sections(doc: &mut Doc) -> Option<Scenario> {
     let engines = read_engines(doc);
-    let site = read_site(doc, false);
+    let daemon = read_site(doc, false);
     let at = doc.one("day");
     let seed = doc.or(at, "seed", 1u64);
     let length = doc.or(at, "length", Duration::from_secs(20));
     let routers = doc.or(at, "routers", 2usize).max(1);
-    let notice = doc.or(at, "notice", Duration::from_millis(1_000));
-    let policy = at.and_then(|at| doc.get::<PolicyName>(at, "roles"));
-    let roles = policy.and_then(|p| p.0);
+    let list_delay = doc.or(at, "notice", Duration::from_millis(1_000));
+    let policy_name = at.and_then(|at| doc.get::<PolicyName>(at, "roles"));
+    let role_policy = policy_name.and_then(|p| p.0);
     let mut streams = read_traffic(doc, length);
     let troubles = read_troubles(doc);
-    let Daemon { site, .. } = site?;
-    shape_traffic(&mut streams, &troubles);
-    let plans = spread_traffic(&site, &streams, seed, 1);
+    let Daemon { site: settings, .. } = daemon?;
+    apply_traffic_troubles(&mut streams, &troubles);
+    let requests = generate_requests(&settings, &streams, seed, 1);
     Some(Scenario {
         seed,
         length,
         routers,
-        settings: site,
+        settings,
         engines,
-        requests: plans,
+        requests,
         troubles,
-        notice,
-        roles,
-        sabotage: None,
+        list_delay,
+        role_policy,
+        router_defect: None,
     })
 }
 
-fn read_engines(doc: &mut Doc) -> Vec<EnginePlan> {
-    let mut plans = Vec::new();
+fn read_engines(doc: &mut Doc) -> Vec<ScenarioEngine> {
+    let mut engines = Vec::new();
     for at in doc.all("engines") {
         let name = doc.section(at).name.clone();
         let role = match doc.need::<Role>(at, "role") {
@@ -110,13 +110,13 @@
         spec.group = doc.or(Some(at), "group", spec.group.clone());
         for n in 0..doc.or(Some(at), "count", 1usize) {
             let spec = EngineSpec { name: format!("{name}-{n}"), ..spec.clone() };
-            plans.push(EnginePlan { spec, zone: zone.clone(), cell: cell.clone() });
+            engines.push(ScenarioEngine { spec, zone: zone.clone(), cell: cell.clone() });
         }
     }
-    if plans.is_empty() {
+    if engines.is_empty() {
         doc.say_file("expected at least one section [engines NAME]");
     }
-    plans
+    engines
 }
 
 fn read_traffic(doc: &mut Doc, length: Duration) -> Vec<Traffic> {
@@ -130,17 +130,17 @@
             rate: doc.or(at, "rate", 10.0),
             from: doc.or(at, "from", Duration::ZERO),
             until: doc.or(at, "until", length),
-            prompt: doc.or(at, "prompt", 300.0),
-            answer: doc.or(at, "answer", 30.0),
-            prefixes: doc.or(at, "prefixes", 8),
-            prefix: doc.or(at, "prefix", 500),
+            mean_prompt_tokens: doc.or(at, "prompt", 300.0),
+            mean_answer_tokens: doc.or(at, "answer", 30.0),
+            prefix_count: doc.or(at, "prefixes", 8),
+            prefix_tokens: doc.or(at, "prefix", 500),
             max_tokens: doc.or(at, "max_tokens", 200),
-            streamed: doc.or(at, "streamed", 1.0),
+            streamed_share: doc.or(at, "streamed", 1.0),
             patience: doc.or(at, "patience", Duration::from_secs(6)),
-            tries: doc.or(at, "tries", 1),
+            max_attempts: doc.or(at, "tries", 1),
             backoff: doc.or(at, "backoff", Duration::from_millis(100)),
-            heeds: doc.or(at, "heeds", true),
-            leave: doc.or(at, "leave", 0.0),
+            honours_retry_after: doc.or(at, "heeds", true),
+            disconnect_share: doc.or(at, "leave", 0.0),
         });
     }
     streams
@@ -149,49 +149,53 @@
 fn read_troubles(doc: &mut Doc) -> Vec<Trouble> {
     let mut troubles = Vec::new();
     for at in doc.all("trouble") {
-        let Some(kind) = doc.need::<Kind>(at, "kind") else { continue };
+        let Some(kind) = doc.need::<TroubleKind>(at, "kind") else { continue };
         let at = Some(at);
         troubles.push(Trouble {
             kind,
             at: doc.or(at, "at", Duration::from_secs(5)),
-            lasts: doc.or(at, "lasts", Duration::from_secs(5)),
-            part: doc.or(at, "part", 0.25),
+            duration: doc.or(at, "lasts", Duration::from_secs(5)),
+            share: doc.or(at, "part", 0.25),
             size: doc.or(at, "size", 3.0),
-            whom: doc.or(at, "whom", String::new()),
+            targets: doc.or(at, "whom", String::new()),
         });
     }
     troubles
 }
 
-/// Troubles that are traffic: they add streams for their time, or change those there are.
-fn shape_traffic(streams: &mut Vec<Traffic>, troubles: &[Trouble]) {
-    let usual = streams.clone();
-    for t in troubles {
-        let until = t.at + t.lasts;
-        let named = |s: &&Traffic| t.whom.is_empty() || t.whom == s.key || t.whom == s.model;
-        match t.kind {
-            Kind::Burst | Kind::TenantBurst => {
-                let more = |s: &Traffic| Traffic {
-                    rate: s.rate * (t.size - 1.0).max(0.0),
-                    from: t.at,
+/// Applies the troubles that affect traffic: bursts and long prompts add streams for as long as they last,
+/// excessive retries change the existing streams.
+fn apply_traffic_troubles(streams: &mut Vec<Traffic>, troubles: &[Trouble]) {
+    let base_streams = streams.clone();
+    for trouble in troubles {
+        let until = trouble.at + trouble.duration;
+        let is_affected = |s: &&Traffic| {
+            trouble.targets.is_empty() || trouble.targets == s.key || trouble.targets == s.model
+        };
+        match trouble.kind {
+            TroubleKind::Burst | TroubleKind::TenantBurst => {
+                let added_load = |s: &Traffic| Traffic {
+                    rate: s.rate * (trouble.size - 1.0).max(0.0),
+                    from: trouble.at,
                     until,
                     ..s.clone()
                 };
-                streams.extend(usual.iter().filter(named).map(more));
+                streams.extend(base_streams.iter().filter(is_affected).map(added_load));
             }
-            Kind::HeavyTail => {
-                let long = |s: &Traffic| Traffic {
+            TroubleKind::HeavyTail => {
+                let long_prompts = |s: &Traffic| Traffic {
                     rate: s.rate / 50.0,
-                    prompt: s.prompt * t.size,
-                    from: t.at,
+                    mean_prompt_tokens: s.mean_prompt_tokens * trouble.size,
+                    from: trouble.at,
                     until,
                     ..s.clone()
                 };
-                streams.extend(usual.iter().filter(named).map(long));
+                streams.extend(base_streams.iter().filter(is_affected).map(long_prompts));
             }
-            Kind::RetryAbuse => {
-                for s in streams.iter_mut().filter(|s| named(&&**s)) {
-                    (s.tries, s.backoff, s.heeds) = (t.size.max(1.0) as u32, Duration::from_millis(1), false);
+            TroubleKind::RetryAbuse => {
+                for s in streams.iter_mut().filter(|s| is_affected(&&**s)) {
+                    (s.max_attempts, s.backoff, s.honours_retry_after) =
+                        (trouble.size.max(1.0) as u32, Duration::from_millis(1), false);
                     s.patience /= 2;
                 }
             }
--- a/crates/scenario/src/report.rs
+++ b/crates/scenario/src/report.rs
@@ -1,46 +1,46 @@
-//! Counts what a day's clients got.
+//! The report of a run: results of its requests by group, and which invariants held.
 
-use crate::fleet::Scenario;
-use crate::stage::RunResult;
+use crate::runner::RunResult;
+use crate::scenario::Scenario;
 use slipreel_invariants::{Effect, Ending, Limits, RULES};
 use slipreel_test_servers::client::AttemptResult;
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 use std::time::Duration;
 
-/// What the wire, timers and threads may add to a time that the rules bound, where the machine is shared.
-const WIRE: Duration = Duration::from_millis(100);
-/// The rules' grace after a drain was told, as in the brief.
+/// Tolerance of the invariants' time limits for network, timers and threads on a shared machine.
+const TIMING_TOLERANCE: Duration = Duration::from_millis(100);
+/// How long after the notice of a drain a router may still send requests to the engine.
 const DRAIN_GRACE: Duration = Duration::from_millis(2_000);
 
-/// The figures of the rules for a day.
-pub fn checker_limits(day: &Scenario) -> Limits {
+/// The limits by which the invariant checker judges a scenario.
+pub fn checker_limits(scenario: &Scenario) -> Limits {
     Limits {
-        answer_slack: WIRE,
+        answer_slack: TIMING_TOLERANCE,
         drain_grace: DRAIN_GRACE,
-        held_state_limit: day.settings.decisions.held_state_limit,
-        wire: WIRE,
+        held_state_limit: scenario.settings.decisions.held_state_limit,
+        wire: TIMING_TOLERANCE,
     }
 }
 
-/// What one group of requests got. A request counts once, by its last try.
+/// Results of a group of requests. A request counts once, by its last attempt.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Group {
-    /// Requests.
+    /// Number of requests.
     pub asked: usize,
-    /// Whole answers.
+    /// Requests with a complete answer.
     pub served: usize,
-    /// Turned away in the end.
+    /// Requests whose last attempt was rejected.
     pub refused: usize,
-    /// Failed in the end.
+    /// Requests whose last attempt failed.
     pub failed: usize,
-    /// Left by their own will.
+    /// Requests whose client disconnected.
     pub left: usize,
-    /// Cut off before their answers were whole.
+    /// Requests whose connection ended before the answer was complete, though the client still waited.
     pub unanswered: usize,
-    /// Tries over all requests.
-    pub tries: usize,
-    /// Times from when a request was due until its answer began, of those that were served, sorted.
+    /// Attempts over all requests.
+    pub attempts: usize,
+    /// Times from when a request was due until its answer began, of the served requests, sorted.
     pub waits: Vec<Duration>,
 }
 
@@ -59,39 +59,39 @@
         }
     }
 
-    /// The share served of the requests whose clients did not leave; `None` if there was none.
-    pub fn share_served(&self) -> Option<f64> {
-        let waited = self.asked - self.left;
-        (waited > 0).then(|| self.served as f64 / waited as f64)
+    /// The share of served requests among those whose clients did not disconnect; `None` if there are none.
+    pub fn served_share(&self) -> Option<f64> {
+        let not_disconnected = self.asked - self.left;
+        (not_disconnected > 0).then(|| self.served as f64 / not_disconnected as f64)
     }
 
-    /// The wait at a share of the served requests; `None` if none was served.
-    pub fn wait_at(&self, share: f64) -> Option<Duration> {
-        let at = (self.waits.len() as f64 * share).ceil() as usize;
-        self.waits.get(at.saturating_sub(1).min(self.waits.len().saturating_sub(1))).copied()
+    /// This quantile of `waits`; `None` if no request was served.
+    pub fn wait_quantile(&self, share: f64) -> Option<Duration> {
+        let rank = (self.waits.len() as f64 * share).ceil() as usize;
+        self.waits.get(rank.saturating_sub(1).min(self.waits.len().saturating_sub(1))).copied()
     }
 }
 
 /// Groups of requests by name.
 pub type Groups = BTreeMap<String, Group>;
 
-/// A day in figures.
+/// The results of a run.
 pub struct Report {
-    /// By model.
+    /// Requests by model.
     pub models: Groups,
-    /// By key.
+    /// Requests by API key.
     pub tenants: Groups,
-    /// By what requests do when they run.
+    /// Requests by whether they are safe to run more than once.
     pub effects: Groups,
-    /// By third of the day in which they were due.
+    /// Requests by the third of the run in which they were due.
     pub thirds: Groups,
-    /// By the router that was asked last.
+    /// Requests by the router of the last attempt.
     pub routers: Groups,
-    /// Answers in which something was wrong, with what.
+    /// What was wrong with answers, with their attempts.
     pub faults: Vec<String>,
-    /// Attempts and probes of all routers, and requests told to the module.
-    pub attempts: (u64, u64, u64),
-    /// Whether each rule held, with the first break.
+    /// Totals over all routers: attempts sent to engines, probes sent, and requests admitted.
+    pub totals: (u64, u64, u64),
+    /// Each invariant with the number of violations and the first of them.
     pub rules: Vec<(String, usize, Option<String>)>,
 }
 
@@ -103,7 +103,7 @@
     }
 }
 
-/// Names the third of the day, counted from the first request to the last, in which a request was due.
+/// Gives the third of the run, from the first request to the last, in which a request was due.
 struct Thirds {
     first: Duration,
     length: Duration,
@@ -128,15 +128,16 @@
     }
 }
 
-/// Groups requests by a name, each by its last try.
+/// Groups requests by a name. A request counts in the group of its last attempt, each attempt in its own
+/// group.
 fn group_by(results: &[AttemptResult], name: impl Fn(&AttemptResult) -> String) -> Groups {
-    let last_tries: BTreeMap<u64, u32> =
+    let last_attempts: BTreeMap<u64, u32> =
         results.iter().map(|result| (result.attempt.request, result.attempt.number)).collect();
     let mut groups = Groups::new();
     for result in results {
         let group = groups.entry(name(result)).or_default();
-        group.tries += 1;
-        if last_tries.get(&result.attempt.request) == Some(&result.attempt.number) {
+        group.attempts += 1;
+        if last_attempts.get(&result.attempt.request) == Some(&result.attempt.number) {
             group.count(result);
         }
     }
@@ -145,15 +146,19 @@
 }
 
 impl Report {
-    pub(crate) fn of(played: &RunResult) -> Report {
-        let results = &played.results;
+    pub(crate) fn of(run: &RunResult) -> Report {
+        let results = &run.results;
         let thirds = Thirds::of(results);
         let faults =
-            played.results.iter().filter_map(|r| r.fault.as_ref().map(|f| format!("{:?}: {f}", r.attempt)));
-        let sum = |f: fn(&slipreel_gateway::Counters) -> u64| played.tallies.iter().map(f).sum::<u64>();
+            run.results.iter().filter_map(|r| r.fault.as_ref().map(|f| format!("{:?}: {f}", r.attempt)));
+        let sum = |f: fn(&slipreel_gateway::Counters) -> u64| run.counters.iter().map(f).sum::<u64>();
         let rules = RULES.iter().map(|rule| {
-            let broke: Vec<_> = played.violations.iter().filter(|b| b.rule == *rule).collect();
-            (rule.to_string(), broke.len(), broke.first().map(|b| format!("{:?}: {}", b.at, b.description)))
+            let violations: Vec<_> = run.violations.iter().filter(|b| b.rule == *rule).collect();
+            (
+                rule.to_string(),
+                violations.len(),
+                violations.first().map(|b| format!("{:?}: {}", b.at, b.description)),
+            )
         });
         Report {
             models: group_by(results, |result| result.model.clone()),
@@ -162,20 +167,20 @@
             thirds: group_by(results, |result| thirds.name(result.due).to_owned()),
             routers: group_by(results, |result| Scenario::router_name(result.router)),
             faults: faults.collect::<BTreeSet<_>>().into_iter().collect(),
-            attempts: (sum(|t| t.attempts), sum(|t| t.probes), sum(|t| t.admitted)),
+            totals: (sum(|t| t.attempts), sum(|t| t.probes), sum(|t| t.admitted)),
             rules: rules.collect(),
         }
     }
 
-    /// Routers that were asked and served nobody.
+    /// Routers that received requests and served none of them.
     pub fn routers_that_served_nobody(&self) -> Vec<&str> {
         let idle = self.routers.iter().filter(|(_, group)| group.asked > 0 && group.served == 0);
         idle.map(|(name, _)| name.as_str()).collect()
     }
 
-    /// Whether every rule held and nothing was wrong with an answer.
+    /// Whether every invariant held and all answers were correct.
     pub fn is_clean(&self) -> bool {
-        self.faults.is_empty() && self.rules.iter().all(|(_, broke, _)| *broke == 0)
+        self.faults.is_empty() && self.rules.iter().all(|(_, violations, _)| *violations == 0)
     }
 }
 
@@ -187,19 +192,21 @@
     )?;
     for (name, group) in groups {
         let wait = |share| {
-            group.wait_at(share).map_or("-".into(), |wait| format!("{:.1}", wait.as_secs_f64() * 1000.0))
+            group
+                .wait_quantile(share)
+                .map_or("-".into(), |wait| format!("{:.1}", wait.as_secs_f64() * 1000.0))
         };
         writeln!(
             f,
             "{name:<18}{:>8}{:>8}{:>8}{:>8}{:>8}{:>8}{:>8}{:>8}{:>9}{:>9}",
             group.asked,
             group.served,
-            group.share_served().map_or("-".into(), |share| format!("{share:.3}")),
+            group.served_share().map_or("-".into(), |share| format!("{share:.3}")),
             group.refused,
             group.failed,
             group.left,
             group.unanswered,
-            group.tries,
+            group.attempts,
             wait(0.5),
             wait(0.99)
         )?;
@@ -217,12 +224,12 @@
         for router in self.routers_that_served_nobody() {
             writeln!(f, "{router} served nobody")?;
         }
-        let (attempts, probes, taken) = self.attempts;
+        let (attempts, probes, taken) = self.totals;
         writeln!(f, "requests taken {taken}, attempts {attempts}, probes {probes}")?;
-        for (rule, broke, first) in &self.rules {
+        for (rule, violations, first) in &self.rules {
             match first {
                 None => writeln!(f, "rule kept:   {rule}")?,
-                Some(first) => writeln!(f, "rule BROKEN: {rule}, {broke} times; first: {first}")?,
+                Some(first) => writeln!(f, "rule BROKEN: {rule}, {violations} times; first: {first}")?,
             }
         }
         for fault in self.faults.iter().take(5) {
--- a/crates/scenario/src/trouble.rs
+++ b/crates/scenario/src/trouble.rs
@@ -1,90 +1,91 @@
-//! Troubles of the kinds that the bench plays, as acts at times.
+//! Kinds of trouble, and the timed actions that bring each of them about.
 
-use crate::fleet::{chance, Scenario};
+use crate::scenario::{uniform, Scenario};
 use rand_xoshiro::Xoshiro256PlusPlus;
 use slipreel_test_servers::engine::{Fault, Garbage};
 use std::time::Duration;
 
-/// A kind of trouble. Bursts, long prompts and impatient clients are traffic; the rest is done to machines.
+/// A kind of trouble. Bursts, long prompts and excessive retries change the traffic; all others are done to
+/// machines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
-    /// Engines die and come back cold when it ends.
+pub enum TroubleKind {
+    /// Engines crash, and restart cold when it ends.
     Crash,
-    /// Engines work `size` times slower.
+    /// Engines work more slowly by the factor `size`.
     Slow,
-    /// Engines stop for `size` ms every second.
+    /// Engines freeze for `size` ms in every second.
     Pauses,
-    /// Engines are slower by a share `size`, on and off.
+    /// A noisy neighbour takes the share `size` of the engines' speed, for one second out of every two.
     Neighbour,
     /// Load reports are `size` seconds old.
     ReportLate,
-    /// Traffic is `size` times the usual.
+    /// Traffic rises to `size` times its normal rate.
     Burst,
-    /// One tenant's traffic is `size` times the usual.
+    /// The traffic of one tenant rises to `size` times its normal rate.
     TenantBurst,
-    /// One request in fifty has a prompt `size` times as long.
+    /// Requests with prompts `size` times as long are added at a fiftieth of the normal rate.
     HeavyTail,
-    /// All engines of a zone die, and come back cold.
+    /// All engines of a zone crash, and restart cold when it ends.
     ZoneLoss,
-    /// Routers and engines of other zones can't reach those of one zone.
+    /// One zone is partitioned from all others.
     ZoneCut,
-    /// Routers die, and come back with the list that they were given.
+    /// Routers crash, and restart with the last engine list that they received.
     BalancerCrash,
-    /// Engines that read serve their state late: links of their cells are slow.
+    /// Prefill engines serve their state late, as if the links of their cells were slow.
     OriginSlow,
-    /// Engines grow slower up to `size` times, then die.
+    /// Engines become slower step by step, up to the factor `size`, then crash and restart.
     Ageing,
-    /// Engines do their work and their answers never arrive; probes are answered.
+    /// Engines run requests but their answers never arrive; probes are answered.
     AnswerLost,
-    /// New connections to engines are served after `size` ms.
+    /// Engines serve a new connection only after `size` ms.
     HandshakeSlow,
-    /// Engines turn one model away as if they were full.
+    /// Engines reject requests for one model as if they were full.
     Throttle,
-    /// One tenant's clients try up to `size` times, at once.
+    /// The clients of one tenant make up to `size` attempts, almost without a pause between them.
     RetryAbuse,
-    /// Engines drain, leave, and come back started anew.
+    /// Engines drain, terminate, and restart.
     Drain,
-    /// Engines change between reading and writing; the list follows when it ends.
+    /// Engines change between prefill and decode; the engine list has the new role when it ends.
     RoleChange,
-    /// The first engine named can't reach the second, to fetch state.
+    /// The first engine named can't connect to the second to fetch state.
     LinkCut,
-    /// Engines take connections and say nothing at all.
+    /// Engines accept connections and never answer.
     Deaf,
-    /// Engines answer garbage of a kind, by its number in the order of its list.
+    /// Engines send malformed or broken answers; `size` is an index into `GARBAGE_KINDS`.
     Garbage,
-    /// Engines close a connection in the moment that a request arrives on it.
+    /// Engines close a connection as soon as a request arrives on it.
     ClosesOnUse,
 }
 
-/// All kinds with their names in scripts.
-pub(crate) const KINDS: [(&str, Kind); 23] = [
-    ("crash", Kind::Crash),
-    ("slow", Kind::Slow),
-    ("pauses", Kind::Pauses),
-    ("neighbour", Kind::Neighbour),
-    ("report_late", Kind::ReportLate),
-    ("burst", Kind::Burst),
-    ("tenant_burst", Kind::TenantBurst),
-    ("heavy_tail", Kind::HeavyTail),
-    ("zone_loss", Kind::ZoneLoss),
-    ("zone_cut", Kind::ZoneCut),
-    ("balancer_crash", Kind::BalancerCrash),
-    ("origin_slow", Kind::OriginSlow),
-    ("ageing", Kind::Ageing),
-    ("answer_lost", Kind::AnswerLost),
-    ("handshake_slow", Kind::HandshakeSlow),
-    ("throttle", Kind::Throttle),
-    ("retry_abuse", Kind::RetryAbuse),
-    ("drain", Kind::Drain),
-    ("role_change", Kind::RoleChange),
-    ("link_cut", Kind::LinkCut),
-    ("deaf", Kind::Deaf),
-    ("garbage", Kind::Garbage),
-    ("closes_on_use", Kind::ClosesOnUse),
+/// All kinds, with their names in scenario files.
+pub(crate) const KIND_NAMES: [(&str, TroubleKind); 23] = [
+    ("crash", TroubleKind::Crash),
+    ("slow", TroubleKind::Slow),
+    ("pauses", TroubleKind::Pauses),
+    ("neighbour", TroubleKind::Neighbour),
+    ("report_late", TroubleKind::ReportLate),
+    ("burst", TroubleKind::Burst),
+    ("tenant_burst", TroubleKind::TenantBurst),
+    ("heavy_tail", TroubleKind::HeavyTail),
+    ("zone_loss", TroubleKind::ZoneLoss),
+    ("zone_cut", TroubleKind::ZoneCut),
+    ("balancer_crash", TroubleKind::BalancerCrash),
+    ("origin_slow", TroubleKind::OriginSlow),
+    ("ageing", TroubleKind::Ageing),
+    ("answer_lost", TroubleKind::AnswerLost),
+    ("handshake_slow", TroubleKind::HandshakeSlow),
+    ("throttle", TroubleKind::Throttle),
+    ("retry_abuse", TroubleKind::RetryAbuse),
+    ("drain", TroubleKind::Drain),
+    ("role_change", TroubleKind::RoleChange),
+    ("link_cut", TroubleKind::LinkCut),
+    ("deaf", TroubleKind::Deaf),
+    ("garbage", TroubleKind::Garbage),
+    ("closes_on_use", TroubleKind::ClosesOnUse),
 ];
 
-/// The kinds of garbage by number.
-const GARBAGE: [Garbage; 10] = [
+/// The kinds of broken answers, indexed by the `size` of a `garbage` trouble.
+const GARBAGE_KINDS: [Garbage; 10] = [
     Garbage::NotHttp,
     Garbage::EndlessHead,
     Garbage::WrongLength,
@@ -97,238 +98,245 @@
     Garbage::BadEvent,
 ];
 
-/// One trouble.
+/// A trouble that occurs once in a scenario.
 #[derive(Clone, Debug)]
 pub struct Trouble {
     /// What goes wrong.
-    pub kind: Kind,
-    /// When, since the start of the day.
+    pub kind: TroubleKind,
+    /// When it starts, since the start of the scenario.
     pub at: Duration,
-    /// For how long.
-    pub lasts: Duration,
-    /// Share of the machines that it may befall.
-    pub part: f64,
-    /// How bad; its unit is named with each kind.
+    /// How long it lasts.
+    pub duration: Duration,
+    /// Share of the machines that are affected where none are named, `part` in scenario files.
+    pub share: f64,
+    /// Its severity. The doc comment of each kind gives the unit.
     pub size: f64,
-    /// Whom it befalls by name: engines, a zone, a tenant's key or a model, as the kind has it. Empty: drawn.
-    pub whom: String,
+    /// Names of what is affected: engines, a zone, an API key or a model, depending on the kind. Drawn at
+    /// random if empty. `whom` in scenario files.
+    pub targets: String,
 }
 
-/// Something done at a moment.
+/// A change that the runner makes at one moment. Engines and routers are given by their index.
 #[derive(Clone, Debug, PartialEq)]
-pub(crate) enum Act {
+pub(crate) enum Action {
     Fault(usize, Fault),
     KillEngine(usize),
     ReviveEngine(usize),
     FreezeEngine(usize, bool),
     KillRouter(usize),
     ReviveRouter(usize),
-    /// These engines are in a zone that is cut off; none: the link is back.
-    Cut(Option<String>),
-    /// An engine is ordered to change its role.
+    /// Partitions this zone from all others, or ends the partition.
+    IsolateZone(Option<String>),
+    /// Orders an engine to change its role.
     ChangeRole(usize),
-    /// The list takes an engine as in its other role.
+    /// Changes the role of an engine in the engine list.
     ListRole(usize),
-    /// An engine can't reach another, or can again.
+    /// Makes another engine unreachable for an engine, or all reachable again.
     CutLink(usize, Option<usize>),
-    /// The list takes an engine as draining.
+    /// Lists an engine as draining, or as ready again.
     ListDraining(usize, bool),
 }
 
 impl Trouble {
-    /// The engines that it befalls, at least one.
-    fn engines(&self, day: &Scenario, rng: &mut Xoshiro256PlusPlus) -> Vec<usize> {
-        let named = |n: &usize| {
-            let e = &day.engines[*n];
-            self.whom.split(',').any(|w| w.trim() == e.spec.name || w.trim() == e.zone || w.trim() == e.cell)
+    /// The engines that are affected, at least one.
+    fn engines(&self, scenario: &Scenario, rng: &mut Xoshiro256PlusPlus) -> Vec<usize> {
+        let is_named = |n: &usize| {
+            let e = &scenario.engines[*n];
+            self.targets
+                .split(',')
+                .any(|w| w.trim() == e.spec.name || w.trim() == e.zone || w.trim() == e.cell)
         };
-        let all: Vec<usize> = (0..day.engines.len()).collect();
-        if !self.whom.is_empty() && all.iter().any(named) {
-            return all.into_iter().filter(named).collect();
+        let candidates: Vec<usize> = (0..scenario.engines.len()).collect();
+        if !self.targets.is_empty() && candidates.iter().any(is_named) {
+            return candidates.into_iter().filter(is_named).collect();
         }
-        draw(all, self.part, rng)
+        pick_random(candidates, self.share, rng)
     }
 
-    fn named_in_order(&self, day: &Scenario) -> Vec<usize> {
-        let find = |name: &str| day.engines.iter().position(|e| e.spec.name == name.trim());
-        self.whom.split(',').filter_map(find).collect()
+    /// The engines that are named, in the order of the names.
+    fn named_in_order(&self, scenario: &Scenario) -> Vec<usize> {
+        let find = |name: &str| scenario.engines.iter().position(|e| e.spec.name == name.trim());
+        self.targets.split(',').filter_map(find).collect()
     }
 
-    fn zone(&self, day: &Scenario, rng: &mut Xoshiro256PlusPlus) -> String {
-        if !self.whom.is_empty() {
-            return self.whom.clone();
+    /// The affected zone: the one that is named, or one drawn at random.
+    fn zone(&self, scenario: &Scenario, rng: &mut Xoshiro256PlusPlus) -> String {
+        if !self.targets.is_empty() {
+            return self.targets.clone();
         }
-        let mut zones: Vec<&String> = day.engines.iter().map(|e| &e.zone).collect();
+        let mut zones: Vec<&String> = scenario.engines.iter().map(|e| &e.zone).collect();
         zones.sort_unstable();
         zones.dedup();
-        zones[(chance(rng) * zones.len() as f64) as usize % zones.len()].clone()
+        zones[(uniform(rng) * zones.len() as f64) as usize % zones.len()].clone()
     }
 
-    /// What is done when, since the start of the day.
-    pub(crate) fn acts(&self, day: &Scenario, rng: &mut Xoshiro256PlusPlus) -> Vec<(Duration, Act)> {
-        let (from, until) = (self.at, self.at + self.lasts);
-        let ms = |n: f64| Duration::from_secs_f64(n.max(0.0) / 1000.0);
-        let mut acts = Vec::new();
-        let spell = |acts: &mut Vec<(Duration, Act)>, engines: &[usize], on: Fault, off: Fault| {
+    /// The actions that bring it about, with their times since the start of the scenario.
+    pub(crate) fn actions(
+        &self, scenario: &Scenario, rng: &mut Xoshiro256PlusPlus,
+    ) -> Vec<(Duration, Action)> {
+        let (from, until) = (self.at, self.at + self.duration);
+        let millis = |n: f64| Duration::from_secs_f64(n.max(0.0) / 1000.0);
+        let mut out = Vec::new();
+        // Adds a fault of these engines that lasts as long as the trouble.
+        let inject = |out: &mut Vec<(Duration, Action)>, engines: &[usize], on: Fault, off: Fault| {
             for &e in engines {
-                acts.push((from, Act::Fault(e, on.clone())));
-                acts.push((until, Act::Fault(e, off.clone())));
+                out.push((from, Action::Fault(e, on.clone())));
+                out.push((until, Action::Fault(e, off.clone())));
             }
         };
         match self.kind {
-            Kind::Crash => {
-                for e in self.engines(day, rng) {
-                    acts.extend([(from, Act::KillEngine(e)), (until, Act::ReviveEngine(e))]);
+            TroubleKind::Crash => {
+                for e in self.engines(scenario, rng) {
+                    out.extend([(from, Action::KillEngine(e)), (until, Action::ReviveEngine(e))]);
                 }
             }
-            Kind::ZoneLoss => {
-                let zone = self.zone(day, rng);
-                for e in (0..day.engines.len()).filter(|&e| day.engines[e].zone == zone) {
-                    acts.extend([(from, Act::KillEngine(e)), (until, Act::ReviveEngine(e))]);
+            TroubleKind::ZoneLoss => {
+                let zone = self.zone(scenario, rng);
+                for e in (0..scenario.engines.len()).filter(|&e| scenario.engines[e].zone == zone) {
+                    out.extend([(from, Action::KillEngine(e)), (until, Action::ReviveEngine(e))]);
                 }
             }
-            Kind::Slow => spell(&mut acts, &self.engines(day, rng), Fault::Slow(self.size), Fault::Slow(1.0)),
-            Kind::Neighbour | Kind::Pauses => acts.extend(self.comes_and_goes(day, rng)),
-            Kind::Ageing => acts.extend(self.ageing(day, rng)),
-            Kind::ReportLate => {
-                let all: Vec<usize> = (0..day.engines.len()).collect();
-                let late = Fault::ReportDelay(ms(self.size * 1000.0));
-                spell(&mut acts, &all, late, Fault::ReportDelay(Duration::ZERO));
+            TroubleKind::Slow => {
+                inject(&mut out, &self.engines(scenario, rng), Fault::Slow(self.size), Fault::Slow(1.0));
             }
-            Kind::AnswerLost => {
-                spell(
-                    &mut acts,
-                    &self.engines(day, rng),
-                    Fault::AnswersLost(true),
-                    Fault::AnswersLost(false),
-                );
+            TroubleKind::Neighbour | TroubleKind::Pauses => out.extend(self.intermittent(scenario, rng)),
+            TroubleKind::Ageing => out.extend(self.ageing(scenario, rng)),
+            TroubleKind::ReportLate => {
+                let candidates: Vec<usize> = (0..scenario.engines.len()).collect();
+                let late = Fault::ReportDelay(millis(self.size * 1000.0));
+                inject(&mut out, &candidates, late, Fault::ReportDelay(Duration::ZERO));
             }
-            Kind::HandshakeSlow => {
-                let slow = Fault::HandshakeDelay(ms(self.size));
-                spell(&mut acts, &self.engines(day, rng), slow, Fault::HandshakeDelay(Duration::ZERO));
+            TroubleKind::AnswerLost => {
+                let (on, off) = (Fault::AnswersLost(true), Fault::AnswersLost(false));
+                inject(&mut out, &self.engines(scenario, rng), on, off);
             }
-            // A state is served as slowly as its reader works; the stand-ins have no links of their own.
-            Kind::OriginSlow => {
-                let readers: Vec<usize> = (0..day.engines.len())
-                    .filter(|&e| day.engines[e].spec.role == slipreel_test_servers::engine::Role::Prefill)
+            TroubleKind::HandshakeSlow => {
+                let slow = Fault::HandshakeDelay(millis(self.size));
+                inject(&mut out, &self.engines(scenario, rng), slow, Fault::HandshakeDelay(Duration::ZERO));
+            }
+            // Simulated engines have no links of their own: a slow prefill engine serves its state slowly.
+            TroubleKind::OriginSlow => {
+                let prefill_engines: Vec<usize> = (0..scenario.engines.len())
+                    .filter(|&e| {
+                        scenario.engines[e].spec.role == slipreel_test_servers::engine::Role::Prefill
+                    })
                     .collect();
-                let some = draw(readers, self.part, rng);
-                spell(&mut acts, &some, Fault::Slow(self.size), Fault::Slow(1.0));
+                let picked = pick_random(prefill_engines, self.share, rng);
+                inject(&mut out, &picked, Fault::Slow(self.size), Fault::Slow(1.0));
             }
-            Kind::Throttle => {
-                let engines = draw((0..day.engines.len()).collect(), self.part, rng);
-                let text = format!("\"model\":\"{}\"", self.whom);
-                spell(&mut acts, &engines, Fault::Throttle(Some(text)), Fault::Throttle(None));
+            TroubleKind::Throttle => {
+                let engines = pick_random((0..scenario.engines.len()).collect(), self.share, rng);
+                let body_text = format!("\"model\":\"{}\"", self.targets);
+                inject(&mut out, &engines, Fault::Throttle(Some(body_text)), Fault::Throttle(None));
             }
-            Kind::ZoneCut => {
-                let zone = self.zone(day, rng);
-                acts.extend([(from, Act::Cut(Some(zone))), (until, Act::Cut(None))]);
+            TroubleKind::ZoneCut => {
+                let zone = self.zone(scenario, rng);
+                out.extend([(from, Action::IsolateZone(Some(zone))), (until, Action::IsolateZone(None))]);
             }
-            Kind::BalancerCrash => {
-                for r in draw((0..day.routers).collect(), self.part, rng) {
-                    acts.extend([(from, Act::KillRouter(r)), (until, Act::ReviveRouter(r))]);
+            TroubleKind::BalancerCrash => {
+                for r in pick_random((0..scenario.routers).collect(), self.share, rng) {
+                    out.extend([(from, Action::KillRouter(r)), (until, Action::ReviveRouter(r))]);
                 }
             }
-            Kind::Drain => acts.extend(self.drain(day, rng)),
-            Kind::RoleChange => {
-                for e in self.engines(day, rng) {
-                    acts.extend([(from, Act::ChangeRole(e)), (from, Act::ListDraining(e, true))]);
-                    acts.extend([(until, Act::ListRole(e)), (until, Act::ListDraining(e, false))]);
+            TroubleKind::Drain => out.extend(self.drain(scenario, rng)),
+            TroubleKind::RoleChange => {
+                for e in self.engines(scenario, rng) {
+                    out.extend([(from, Action::ChangeRole(e)), (from, Action::ListDraining(e, true))]);
+                    out.extend([(until, Action::ListRole(e)), (until, Action::ListDraining(e, false))]);
                 }
             }
-            Kind::LinkCut => {
-                if let [from_engine, to, ..] = self.named_in_order(day)[..] {
-                    acts.extend([
-                        (from, Act::CutLink(from_engine, Some(to))),
-                        (until, Act::CutLink(from_engine, None)),
+            TroubleKind::LinkCut => {
+                if let [from_engine, to, ..] = self.named_in_order(scenario)[..] {
+                    out.extend([
+                        (from, Action::CutLink(from_engine, Some(to))),
+                        (until, Action::CutLink(from_engine, None)),
                     ]);
                 }
             }
-            Kind::Deaf => spell(
-                &mut acts,
-                &self.engines(day, rng),
-                Fault::Unresponsive(true),
-                Fault::Unresponsive(false),
-            ),
-            Kind::ClosesOnUse => {
-                spell(
-                    &mut acts,
-                    &self.engines(day, rng),
-                    Fault::ClosesOnUse(true),
-                    Fault::ClosesOnUse(false),
-                );
+            TroubleKind::Deaf => {
+                let (on, off) = (Fault::Unresponsive(true), Fault::Unresponsive(false));
+                inject(&mut out, &self.engines(scenario, rng), on, off);
+            }
+            TroubleKind::ClosesOnUse => {
+                let (on, off) = (Fault::ClosesOnUse(true), Fault::ClosesOnUse(false));
+                inject(&mut out, &self.engines(scenario, rng), on, off);
             }
-            Kind::Garbage => {
-                let kind = GARBAGE[(self.size as usize).min(GARBAGE.len() - 1)];
-                spell(&mut acts, &self.engines(day, rng), Fault::Garbage(Some(kind)), Fault::Garbage(None));
+            TroubleKind::Garbage => {
+                let kind = GARBAGE_KINDS[(self.size as usize).min(GARBAGE_KINDS.len() - 1)];
+                let (on, off) = (Fault::Garbage(Some(kind)), Fault::Garbage(None));
+                inject(&mut out, &self.engines(scenario, rng), on, off);
             }
-            // These are in the traffic.
-            Kind::Burst | Kind::TenantBurst | Kind::HeavyTail | Kind::RetryAbuse => {}
+            // `parse` applies these to the traffic.
+            TroubleKind::Burst
+            | TroubleKind::TenantBurst
+            | TroubleKind::HeavyTail
+            | TroubleKind::RetryAbuse => {}
         }
-        acts
+        out
     }
 
-    /// Engines that stand still or are slow again and again.
-    fn comes_and_goes(&self, day: &Scenario, rng: &mut Xoshiro256PlusPlus) -> Vec<(Duration, Act)> {
-        let (from, until) = (self.at, self.at + self.lasts);
-        let stands_still = self.kind == Kind::Pauses;
+    /// Engines that freeze or slow down periodically, each with a random phase.
+    fn intermittent(&self, scenario: &Scenario, rng: &mut Xoshiro256PlusPlus) -> Vec<(Duration, Action)> {
+        let (from, until) = (self.at, self.at + self.duration);
+        let freezes = self.kind == TroubleKind::Pauses;
         let pause = Duration::from_secs_f64(self.size.max(0.0) / 1000.0);
-        let period = Duration::from_secs(if stands_still { 1 } else { 2 });
-        let mut acts = Vec::new();
-        for e in self.engines(day, rng) {
-            let mut at = from + period.mul_f64(chance(rng));
+        let period = Duration::from_secs(if freezes { 1 } else { 2 });
+        let mut actions = Vec::new();
+        for e in self.engines(scenario, rng) {
+            let mut at = from + period.mul_f64(uniform(rng));
             while at < until {
-                if stands_still {
-                    acts.push((at, Act::FreezeEngine(e, true)));
-                    acts.push((at + pause, Act::FreezeEngine(e, false)));
+                if freezes {
+                    actions.push((at, Action::FreezeEngine(e, true)));
+                    actions.push((at + pause, Action::FreezeEngine(e, false)));
                 } else {
                     let slow = 1.0 / (1.0 - self.size.clamp(0.0, 0.95));
-                    acts.push((at, Act::Fault(e, Fault::Slow(slow))));
-                    acts.push((at + period / 2, Act::Fault(e, Fault::Slow(1.0))));
+                    actions.push((at, Action::Fault(e, Fault::Slow(slow))));
+                    actions.push((at + period / 2, Action::Fault(e, Fault::Slow(1.0))));
                 }
                 at += period;
             }
         }
-        acts
+        actions
     }
 
-    /// Engines that become slower step by step, and are started anew in the end.
-    fn ageing(&self, day: &Scenario, rng: &mut Xoshiro256PlusPlus) -> Vec<(Duration, Act)> {
+    /// Engines that become slower step by step, then crash and restart.
+    fn ageing(&self, scenario: &Scenario, rng: &mut Xoshiro256PlusPlus) -> Vec<(Duration, Action)> {
         const STEPS: u32 = 8;
-        let (from, until) = (self.at, self.at + self.lasts);
-        let mut acts = Vec::new();
-        for e in self.engines(day, rng) {
+        let (from, until) = (self.at, self.at + self.duration);
+        let mut actions = Vec::new();
+        for e in self.engines(scenario, rng) {
             for n in 0..STEPS {
                 let slow = 1.0 + (self.size - 1.0).max(0.0) * f64::from(n + 1) / f64::from(STEPS);
-                acts.push((from + self.lasts / STEPS * n, Act::Fault(e, Fault::Slow(slow))));
+                actions.push((from + self.duration / STEPS * n, Action::Fault(e, Fault::Slow(slow))));
             }
-            acts.push((until, Act::KillEngine(e)));
-            acts.push((until + self.lasts / 2, Act::ReviveEngine(e)));
+            actions.push((until, Action::KillEngine(e)));
+            actions.push((until + self.duration / 2, Action::ReviveEngine(e)));
         }
-        acts
+        actions
     }
 
-    /// Engines that are listed as draining, end, and come back a moment later.
-    fn drain(&self, day: &Scenario, rng: &mut Xoshiro256PlusPlus) -> Vec<(Duration, Act)> {
-        let (from, until) = (self.at, self.at + self.lasts);
+    /// Engines that are listed as draining, terminate, and restart a moment later.
+    fn drain(&self, scenario: &Scenario, rng: &mut Xoshiro256PlusPlus) -> Vec<(Duration, Action)> {
+        let (from, until) = (self.at, self.at + self.duration);
         let back = until + Duration::from_millis(500);
-        let mut acts = Vec::new();
-        for e in self.engines(day, rng) {
-            acts.push((from, Act::ListDraining(e, true)));
-            acts.push((until, Act::KillEngine(e)));
-            acts.push((back, Act::ReviveEngine(e)));
-            acts.push((back, Act::ListDraining(e, false)));
+        let mut actions = Vec::new();
+        for e in self.engines(scenario, rng) {
+            actions.push((from, Action::ListDraining(e, true)));
+            actions.push((until, Action::KillEngine(e)));
+            actions.push((back, Action::ReviveEngine(e)));
+            actions.push((back, Action::ListDraining(e, false)));
         }
-        acts
+        actions
     }
 }
 
-fn draw(mut all: Vec<usize>, part: f64, rng: &mut Xoshiro256PlusPlus) -> Vec<usize> {
-    let n = ((all.len() as f64 * part).round() as usize).clamp(1, all.len().max(1));
-    let mut some = Vec::new();
-    while some.len() < n && !all.is_empty() {
-        some.push(all.swap_remove((chance(rng) * all.len() as f64) as usize));
+/// Picks this share of the items at random, at least one if there are any, and returns them sorted.
+fn pick_random(mut candidates: Vec<usize>, share: f64, rng: &mut Xoshiro256PlusPlus) -> Vec<usize> {
+    let n = ((candidates.len() as f64 * share).round() as usize).clamp(1, candidates.len().max(1));
+    let mut picked = Vec::new();
+    while picked.len() < n && !candidates.is_empty() {
+        picked.push(candidates.swap_remove((uniform(rng) * candidates.len() as f64) as usize));
     }
-    some.sort_unstable();
-    some
+    picked.sort_unstable();
+    picked
 }
--- a/crates/scenario/tests/common/mod.rs
+++ b/crates/scenario/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Small days for tests: a site in INI, requests by hand.
+//! Small scenarios for tests: settings in INI, requests written by hand.
 #![allow(dead_code)]
 
 use slipreel_invariants::{Effect, Ending};
@@ -10,7 +10,7 @@
     Duration::from_millis(n)
 }
 
-const SITE: &str = "
+const SETTINGS: &str = "
 [class plain]
 aim = 1s
 patience = 4s
@@ -33,34 +33,37 @@
 cold_time = 3s
 ";
 
-/// A day of so many readers and writers in one cell, with these troubles and requests.
-pub fn day(readers: usize, writers: usize, extra: &str, plans: Vec<ScriptedRequest>) -> Scenario {
+/// A scenario with this many prefill and decode engines in one cell, with additional INI sections and these
+/// requests.
+pub fn small_scenario(
+    prefill_engines: usize, decode_engines: usize, extra: &str, requests: Vec<ScriptedRequest>,
+) -> Scenario {
     let fleet = format!(
-        "[engines r]\nrole = read\ncount = {readers}\ncold_time = 3s\n[engines w]\nrole = write\ncount = {writers}\ncold_time = 3s\n"
+        "[engines r]\nrole = read\ncount = {prefill_engines}\ncold_time = 3s\n[engines w]\nrole = write\ncount = {decode_engines}\ncold_time = 3s\n"
     );
-    let text = format!("{SITE}{fleet}[day]\nlength = 1s\nrouters = 1\nnotice = 200ms\nseed = 5\n{extra}");
-    let mut day = read_scenario(&text, "test").unwrap_or_else(|faults| panic!("{faults:?}"));
-    day.requests = plans;
-    for plan in &mut day.requests {
-        plan.effect = Scenario::effect_of(&day.settings, &plan.model);
+    let text = format!("{SETTINGS}{fleet}[day]\nlength = 1s\nrouters = 1\nnotice = 200ms\nseed = 5\n{extra}");
+    let mut scenario = read_scenario(&text, "test").unwrap_or_else(|errors| panic!("{errors:?}"));
+    scenario.requests = requests;
+    for request in &mut scenario.requests {
+        request.effect = Scenario::effect_of(&scenario.settings, &request.model);
     }
-    day
+    scenario
 }
 
-/// A trouble in INI.
-pub fn trouble(kind: &str, whom: &str, at: u64, lasts: u64, size: f64) -> String {
-    format!("[trouble {kind}-{at}]\nkind = {kind}\nwhom = {whom}\nat = {at}ms\nlasts = {lasts}ms\nsize = {size}\n")
+/// The INI section of a trouble; times are in milliseconds.
+pub fn trouble(kind: &str, targets: &str, at: u64, duration: u64, magnitude: f64) -> String {
+    format!("[trouble {kind}-{at}]\nkind = {kind}\nwhom = {targets}\nat = {at}ms\nlasts = {duration}ms\nsize = {magnitude}\n")
 }
 
-/// A request of a model at a time of the day.
-pub fn plan(request: u64, model: &str, at: u64) -> ScriptedRequest {
+/// A request for a model at a time in milliseconds since the start of the scenario.
+pub fn request(number: u64, model: &str, at: u64) -> ScriptedRequest {
     ScriptedRequest {
         at: ms(at),
-        request,
+        request: number,
         model: model.into(),
         effect: Effect::Safe,
         key: "k".into(),
-        session: format!("s{request}"),
+        session: format!("s{number}"),
         system: "system ".repeat(40),
         prompt: "prompt ".repeat(100),
         length: 20,
@@ -74,24 +77,23 @@
     }
 }
 
-pub fn with(plan: ScriptedRequest, habit: ClientBehaviour) -> ScriptedRequest {
-    ScriptedRequest { behaviour: habit, ..plan }
+pub fn with_behaviour(request: ScriptedRequest, behaviour: ClientBehaviour) -> ScriptedRequest {
+    ScriptedRequest { behaviour, ..request }
 }
 
-/// How the last try of a request ended.
-pub fn ending(played: &RunResult, request: u64) -> Option<Ending> {
-    played
-        .results
+/// How the last attempt of a request ended.
+pub fn ending(run: &RunResult, request: u64) -> Option<Ending> {
+    run.results
         .iter()
         .rfind(|r| r.attempt.request == request)
         .unwrap_or_else(|| panic!("{request} never ended"))
         .ending
 }
 
-/// No rule broke, no answer was wrong, nothing is held.
-pub fn assert_clean(name: &str, played: &RunResult) {
-    assert!(played.violations.is_empty(), "{name}: {:?}", played.violations);
-    let faults: Vec<_> = played.results.iter().filter(|r| r.fault.is_some()).collect();
-    assert!(faults.is_empty(), "{name}: {faults:?}");
-    assert_eq!(played.held_requests, 0, "{name}: requests are still held");
+/// Asserts that no invariant was violated, no answer was wrong and no request is still held.
+pub fn assert_clean(name: &str, run: &RunResult) {
+    assert!(run.violations.is_empty(), "{name}: {:?}", run.violations);
+    let wrong_answers: Vec<_> = run.results.iter().filter(|r| r.fault.is_some()).collect();
+    assert!(wrong_answers.is_empty(), "{name}: {wrong_answers:?}");
+    assert_eq!(run.held_requests, 0, "{name}: requests are still held");
 }
--- a/crates/scenario/tests/report.rs
+++ b/crates/scenario/tests/report.rs
@@ -1,4 +1,4 @@
-//! The report of a day: who was served, by group.
+//! The report of a run: which requests were served, by group.
 
 use slipreel_invariants::{ClientAttempt, Effect, Ending};
 use slipreel_scenario::RunResult;
@@ -26,12 +26,12 @@
     }
 }
 
-fn played(results: Vec<AttemptResult>) -> RunResult {
+fn run_result(results: Vec<AttemptResult>) -> RunResult {
     RunResult {
         results,
         records: Vec::new(),
         violations: Vec::new(),
-        tallies: Vec::new(),
+        counters: Vec::new(),
         held_requests: 0,
         orders: (0, 0),
         log: Vec::new(),
@@ -43,14 +43,14 @@
 
 #[test]
 fn shares_are_counted_by_effect_third_and_router() {
-    let cut = AttemptResult { is_unanswered: true, ..result(4, 900, 1, Effect::Unsafe, None) };
-    let day = played(vec![
+    let unanswered = AttemptResult { is_unanswered: true, ..result(4, 900, 1, Effect::Unsafe, None) };
+    let run = run_result(vec![
         result(1, 0, 0, Effect::Safe, Some(Ending::Served)),
         result(2, 299, 0, Effect::Keyed, Some(Ending::Refused)),
         result(3, 300, 1, Effect::Safe, None),
-        cut,
+        unanswered,
     ]);
-    let report = day.report();
+    let report = run.report();
     let effects: Vec<(&str, usize, usize)> =
         report.effects.iter().map(|(name, group)| (name.as_str(), group.asked, group.served)).collect();
     assert_eq!(effects, [("keyed", 1, 0), ("safe", 2, 1), ("unsafe", 1, 0)]);
@@ -59,25 +59,25 @@
     assert_eq!(thirds, [("first", 2), ("second", 1), ("third", 1)]);
     assert_eq!(report.routers_that_served_nobody(), ["router-1"]);
     let router = &report.routers["router-1"];
-    assert_eq!((router.left, router.unanswered, router.share_served()), (1, 1, Some(0.0)));
+    assert_eq!((router.left, router.unanswered, router.served_share()), (1, 1, Some(0.0)));
     let text = report.to_string();
     assert!(text.contains("router-1 served nobody") && !text.contains("router-0 served nobody"), "{text}");
 }
 
 #[test]
-fn a_request_counts_in_the_group_of_its_last_try() {
+fn a_request_counts_in_the_group_of_its_last_attempt() {
     let mut second = result(1, 10, 1, Effect::Safe, Some(Ending::Served));
     second.attempt.number = 1;
-    let day = played(vec![result(1, 10, 0, Effect::Safe, Some(Ending::Refused)), second]);
-    let report = day.report();
-    assert_eq!((report.routers["router-0"].asked, report.routers["router-0"].tries), (0, 1));
+    let run = run_result(vec![result(1, 10, 0, Effect::Safe, Some(Ending::Refused)), second]);
+    let report = run.report();
+    assert_eq!((report.routers["router-0"].asked, report.routers["router-0"].attempts), (0, 1));
     assert_eq!((report.routers["router-1"].asked, report.routers["router-1"].served), (1, 1));
     assert_eq!(report.routers_that_served_nobody(), [""; 0]);
 }
 
-/// Nobody asked: no share, and no panic.
+/// Without requests there are no shares, and no division by zero.
 #[test]
-fn a_day_without_requests_has_no_groups() {
-    let report = played(Vec::new()).report();
+fn a_run_without_requests_has_no_groups() {
+    let report = run_result(Vec::new()).report();
     assert!(report.thirds.is_empty() && report.routers.is_empty());
 }
