--- a/crates/emulator/src/engine.rs
+++ b/crates/emulator/src/engine.rs
@@ -93,7 +93,7 @@
     pub(crate) fn accept(&mut self, now: Duration, engine_request: EngineRequest) -> Option<EngineReply> {
         let role = self.role.state().role;
         let wrong_role = if engine_request.is_prefill { role == Role::Decode } else { role == Role::Prefill };
-        let mut active_request = self.active_request(&engine_request);
+        let mut active_request = self.new_active_request(&engine_request);
         self.overloaded |= self.scheduler.overloads_cold_engine(now, &self.spec, &active_request);
         if wrong_role || self.overloaded || !self.role.takes_work() || self.scheduler.is_full(&self.spec) {
             return Some(EngineReply::Rejected);
@@ -107,7 +107,7 @@
         None
     }
 
-    fn active_request(&self, engine_request: &EngineRequest) -> ActiveRequest {
+    fn new_active_request(&self, engine_request: &EngineRequest) -> ActiveRequest {
         let unused_addr = SocketAddr::from(([127, 0, 0, 1], 0));
         let mut active_request = ActiveRequest {
             id: 0,
--- a/crates/emulator/tests/change.rs
+++ b/crates/emulator/tests/change.rs
@@ -7,7 +7,7 @@
 
 const CHANGE_SECOND: u64 = 20;
 
-/// A scenario in which these routers share engines that are nearly full.
+/// A scenario in which the routers, 300 in the test, share engines that are nearly full.
 fn busy_scenario(routers: usize) -> Scenario {
     let text = format!(
         "[day]\nlength = 40s\nrouters = {routers}\nseed = 5\n\
--- a/crates/scenario/benches/sockets.rs
+++ b/crates/scenario/benches/sockets.rs
@@ -119,6 +119,7 @@
     }
 }
 
+/// One router, one prefill and one decode engine.
 const SCENARIO: &str = "[class c]\n[model m]\nclass = c\n[day]\nrouters = 1\n[engines r]\nrole = read\n[engines w]\nrole = write\n";
 const ANY_PORT: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 0);
 
@@ -132,8 +133,8 @@
 /// Sends requests at this rate for this many seconds. A rate above the capacity shows the capacity.
 fn load(clock: Clock, target: SocketAddr, rate: f64, seconds: f64) -> Run {
     let start = clock.now() + Duration::from_millis(100);
-    let n = (rate * seconds) as u64;
-    let plan = |i: u64| ScriptedRequest {
+    let count = (rate * seconds) as u64;
+    let request = |i: u64| ScriptedRequest {
         at: start + Duration::from_secs_f64(i as f64 / rate),
         request: i + 1,
         model: "m".into(),
@@ -152,16 +153,20 @@
         behaviour: ClientBehaviour::Plain,
     };
     let mut event_loop = EventLoop::new(clock).expect("descriptors");
-    let node =
-        event_loop.add(Clients::new((0..n).map(plan).collect(), vec![target], Ledger::default(), true));
+    let machine = event_loop.add(Clients::new(
+        (0..count).map(request).collect(),
+        vec![target],
+        Ledger::default(),
+        true,
+    ));
     event_loop.run().expect("a loop");
     let mut run = Run {
         latency: Histogram::new_with_bounds(1, 60_000_000, 3).expect("a histogram"),
         served: 0,
-        asked: n as usize,
+        asked: count as usize,
         took: Duration::ZERO,
     };
-    for r in event_loop.machine(node).results() {
+    for r in event_loop.machine(machine).results() {
         run.took = run.took.max(r.ended.saturating_sub(start));
         if r.ending == Some(Ending::Served) && r.fault.is_none() {
             run.served += 1;
@@ -176,15 +181,15 @@
     let mut engines = EventLoop::new(clock).expect("descriptors");
     let addrs: Vec<SocketAddr> = (0..2)
         .map(|_| {
-            let node = engines.add(InstantEngine::default());
-            engines.listen(node, ANY_PORT).expect("a port")
+            let machine = engines.add(InstantEngine::default());
+            engines.listen(machine, ANY_PORT).expect("a port")
         })
         .collect();
-    let scenario = read_scenario(SCENARIO, "bench").expect("a site");
+    let scenario = read_scenario(SCENARIO, "bench").expect("a scenario");
     let mut router = EventLoop::new(clock).expect("descriptors");
-    let node =
+    let machine =
         router.add(Gateway::new(Arc::new(scenario.router_settings(0, &addrs)), 5, clock.now(), clock.now()));
-    let router_addr = router.listen(node, ANY_PORT).expect("a port");
+    let router_addr = router.listen(machine, ANY_PORT).expect("a port");
     let (engines_handle, router_handle) = (engines.handle(), router.handle());
     let engines = std::thread::spawn(move || engines.run());
     let router = std::thread::spawn(move || router.run());
--- a/crates/scenario/src/report.rs
+++ b/crates/scenario/src/report.rs
@@ -10,7 +10,8 @@
 
 /// Tolerance of the invariants' time limits for network, timers and threads on a shared machine.
 const TIMING_TOLERANCE: Duration = Duration::from_millis(100);
-/// How long after the notice of a drain a router may still send requests to the engine.
+/// How long after a router was notified of a drain its work may still reach the engine, as the requirements
+/// state.
 const DRAIN_GRACE: Duration = Duration::from_millis(2_000);
 
 /// The limits by which the invariant checker judges a scenario.
@@ -103,7 +104,7 @@
     }
 }
 
-/// Gives the third of the run, from the first request to the last, in which a request was due.
+/// The time from the first request to the last. Gives the third of it in which a request was due.
 struct Thirds {
     first: Duration,
     length: Duration,
@@ -128,8 +129,8 @@
     }
 }
 
-/// Groups requests by a name. A request counts in the group of its last attempt, each attempt in its own
-/// group.
+/// Groups requests by a name. A request counts in the group of its last attempt; each attempt counts in its
+/// own group.
 fn group_by(results: &[AttemptResult], name: impl Fn(&AttemptResult) -> String) -> Groups {
     let last_attempts: BTreeMap<u64, u32> =
         results.iter().map(|result| (result.attempt.request, result.attempt.number)).collect();
--- a/crates/scenario/src/runner.rs
+++ b/crates/scenario/src/runner.rs
@@ -506,9 +506,9 @@
         violations: judge(&records, &checker_limits(scenario)),
         results,
         records,
-        counters: router_states.iter().map(|h| h.0).collect(),
-        held_requests: router_states.iter().map(|h| h.1).sum(),
-        log: world.log().iter().map(|(at, node, line)| format!("{at:?} {node}: {line}")).collect(),
+        counters: router_states.iter().map(|state| state.0).collect(),
+        held_requests: router_states.iter().map(|state| state.1).sum(),
+        log: world.log().iter().map(|(at, machine, line)| format!("{at:?} {machine}: {line}")).collect(),
         digest: world.digest(),
         inputs: world.inputs_handled(),
         took: world.now() - CLOCK_START,
@@ -554,14 +554,14 @@
         let now = clock.now();
         let ledger = Ledger::default();
         let log = Arc::new(std::sync::Mutex::new(Vec::new()));
-        let any = SocketAddr::from(([127, 0, 0, 1], 0));
+        let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
         let error_text = |e: std::io::Error| e.to_string();
         let new_event_loop = || -> Result<EventLoop<AnyMachine>, String> {
             let mut event_loop = EventLoop::new(clock).map_err(error_text)?;
             let log = log.clone();
-            event_loop.on_log(move |node, line| {
+            event_loop.on_log(move |machine, line| {
                 if let Ok(mut log) = log.lock() {
-                    log.push(format!("{node:?}: {line}"));
+                    log.push(format!("{machine:?}: {line}"));
                 }
             });
             Ok(event_loop)
@@ -569,13 +569,13 @@
         let mut engines = new_event_loop()?;
         let (mut engine_machines, mut addrs) = (Vec::new(), Vec::new());
         for _ in &scenario.engines {
-            let node = engines.add(AnyMachine::Idle);
-            addrs.push(engines.listen(node, any).map_err(|e| e.to_string())?);
-            engine_machines.push(node);
+            let machine = engines.add(AnyMachine::Idle);
+            addrs.push(engines.listen(machine, any_port).map_err(|e| e.to_string())?);
+            engine_machines.push(machine);
         }
         let mut runner = Runner::new(scenario, addrs.clone(), ledger.clone(), now);
-        for (e, node) in engine_machines.iter().enumerate() {
-            *engines.machine_mut(*node) = runner.engine(e, now, true);
+        for (e, machine) in engine_machines.iter().enumerate() {
+            *engines.machine_mut(*machine) = runner.engine(e, now, true);
         }
         let (mut routers, mut threads) = (Vec::new(), Vec::new());
         let (mut targets, mut operators) = (Vec::new(), Vec::new());
@@ -583,10 +583,10 @@
         threads.push(spawn(engines, "engines").map_err(error_text)?);
         for r in 0..scenario.routers {
             let mut event_loop = new_event_loop()?;
-            let node = event_loop.add(runner.router(r, now));
-            let addr = listen.filter(|_| r == 0).unwrap_or(any);
-            targets.push(event_loop.listen(node, addr).map_err(|e| e.to_string())?);
-            operators.push(event_loop.listen(node, any).map_err(|e| e.to_string())?);
+            let machine = event_loop.add(runner.router(r, now));
+            let addr = listen.filter(|_| r == 0).unwrap_or(any_port);
+            targets.push(event_loop.listen(machine, addr).map_err(|e| e.to_string())?);
+            operators.push(event_loop.listen(machine, any_port).map_err(|e| e.to_string())?);
             routers.push(event_loop.handle());
             threads.push(spawn(event_loop, "router").map_err(error_text)?);
         }
@@ -620,7 +620,7 @@
         }
         let router_states: Vec<(Counters, usize)> =
             machines.iter().filter_map(counters_and_held_requests).collect();
-        (router_states.iter().map(|h| h.0).collect(), router_states.iter().map(|h| h.1).sum())
+        (router_states.iter().map(|state| state.0).collect(), router_states.iter().map(|state| state.1).sum())
     }
 }
 
@@ -644,7 +644,7 @@
         };
     }
     fn freeze(&mut self, target: Target, frozen: bool) {
-        let command = |node| if frozen { Command::Freeze(node) } else { Command::Thaw(node) };
+        let command = |machine| if frozen { Command::Freeze(machine) } else { Command::Thaw(machine) };
         match target {
             Target::Engine(e) => self.engines.send(command(self.engine_machines[e])),
             Target::Router(r) => self.routers[r].send(command(MachineId(0))),
