--- a/crates/gateway/src/request.rs
+++ b/crates/gateway/src/request.rs
@@ -141,9 +141,9 @@
         let is_prefill = role == Role::Prefill;
         let body = if is_prefill {
             self.state_holders.push((engine, addr, attempt));
-            engine::read_body(&self.chat_body)
+            engine::prefill_body(&self.chat_body)
         } else {
-            engine::write_body(
+            engine::decode_body(
                 &self.chat_body,
                 self.max_tokens,
                 self.transfer.as_ref().map(|(_, parameters)| parameters),
--- a/crates/test-servers/src/platform/engine.rs
+++ b/crates/test-servers/src/platform/engine.rs
@@ -3,7 +3,7 @@
 use super::{lock_shared, Shared};
 use rand_xoshiro::rand_core::{RngCore, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
-use slipreel_connections::{Client, Received, State, TimerWheel};
+use slipreel_connections::{ClientConnection, ClientState, ReceivedRequest, TimerWheel};
 use slipreel_invariants::terms::Seen;
 use slipreel_protocol::http::{self, Limits, LAST_CHUNK};
 use slipreel_state_machine::{ConnId, Input, Machine, Output};
@@ -61,7 +61,7 @@
     faults: Faults,
     now: Duration,
     rng: Xoshiro256PlusPlus,
-    clients: BTreeMap<ConnId, Client>,
+    clients: BTreeMap<ConnId, ClientConnection>,
     attempts: BTreeMap<u64, ActiveAttempt>,
     timers: TimerWheel<u64>,
     last_number: u64,
@@ -108,7 +108,7 @@
         }
     }
 
-    fn serve(&mut self, conn: ConnId, received: &Received, out: &mut Vec<Output>) {
+    fn serve(&mut self, conn: ConnId, received: &ReceivedRequest, out: &mut Vec<Output>) {
         let target = received.target().to_owned();
         match (received.method(), target.as_str()) {
             ("GET", "/-/load") => self.answer(conn, 200, &[], LOAD_REPORT.as_bytes(), out),
@@ -126,7 +126,7 @@
         }
     }
 
-    fn start_attempt(&mut self, conn: ConnId, received: &Received, out: &mut Vec<Output>) {
+    fn start_attempt(&mut self, conn: ConnId, received: &ReceivedRequest, out: &mut Vec<Output>) {
         let Some(request) = received.head.get("x-request-id").map(str::to_owned) else {
             return self.answer(conn, 404, &[], b"", out);
         };
@@ -284,7 +284,8 @@
         }
         match input {
             Input::Accepted(conn, listener) => {
-                self.clients.insert(conn, Client::new(conn, listener, now, Limits::default(), 1 << 20));
+                self.clients
+                    .insert(conn, ClientConnection::new(conn, listener, now, Limits::default(), 1 << 20));
             }
             Input::Data(conn, bytes) => {
                 let Some(client) = self.clients.get_mut(&conn) else { return };
@@ -315,7 +316,7 @@
             Input::Lost(conn, _) => self.connection_closed(conn, false),
             _ => {}
         }
-        debug_assert!(self.clients.values().all(|c| c.state != State::Serving(Some(0))));
+        debug_assert!(self.clients.values().all(|c| c.state != ClientState::Serving(Some(0))));
     }
 
     fn wake_at(&self) -> Option<Duration> {
