--- a/crates/cli/src/demo.rs
+++ b/crates/cli/src/demo.rs
@@ -3,7 +3,7 @@
 use crate::signals::Signals;
 use crate::{lines, Failure, Outcome};
 use slipreel_event_loop::check_loopback;
-use slipreel_scenario::{play_in_memory, play_live, read_day, Day, LiveFleet, Played};
+use slipreel_scenario::{read_scenario, run_in_memory, run_over_sockets, LiveFleet, RunResult, Scenario};
 use std::io::{IsTerminal, Write};
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -36,7 +36,7 @@
     verbose: bool,
 }
 
-fn day_of(args: &Args) -> Result<Day, Failure> {
+fn day_of(args: &Args) -> Result<Scenario, Failure> {
     let (text, name) = match &args.day {
         None => (BAD_DAY.to_owned(), "the bad day".to_owned()),
         Some(file) => {
@@ -44,12 +44,12 @@
             (std::fs::read_to_string(file).map_err(|e| Failure::Input(format!("{name}: {e}")))?, name)
         }
     };
-    let mut day = read_day(&text, &name).map_err(|faults| Failure::Input(lines(&faults)))?;
+    let mut day = read_scenario(&text, &name).map_err(|faults| Failure::Input(lines(&faults)))?;
     if let Some(seed) = args.seed {
         let text =
             text.lines().map(|l| if l.starts_with("seed") { format!("seed = {seed}") } else { l.into() });
         let text = text.collect::<Vec<String>>().join("\n");
-        day = read_day(&text, &name).map_err(|faults| Failure::Input(lines(&faults)))?;
+        day = read_scenario(&text, &name).map_err(|faults| Failure::Input(lines(&faults)))?;
         day.seed = seed;
     }
     Ok(day)
@@ -67,38 +67,38 @@
         "{} engines, {} routers, {} requests in {} s, {} troubles, {}",
         day.engines.len(),
         day.routers,
-        day.plans.len(),
+        day.requests.len(),
         day.length.as_secs(),
         day.troubles.len(),
         if args.memory { "in memory" } else { "over loopback" }
     );
     let began = Instant::now();
     let played = if args.memory {
-        play_in_memory(&day)
+        run_in_memory(&day)
     } else {
         let progress = progress(day.length);
-        let played = play_live(&day, None).map_err(Failure::Run);
+        let played = run_over_sockets(&day, None).map_err(Failure::Run);
         progress.end();
         played?
     };
     show(&played, args.verbose, began.elapsed());
-    if played.report().is_clean() && played.leaks == 0 {
+    if played.report().is_clean() && played.held_requests == 0 {
         Ok(())
     } else {
         Err(Failure::Run("a rule broke or an answer was wrong".into()))
     }
 }
 
-fn show(played: &Played, verbose: bool, took: Duration) {
+fn show(played: &RunResult, verbose: bool, took: Duration) {
     print!("{}", played.report());
     println!(
         "played {:.1} s in {:.1} s; requests still held by routers: {}",
         played.took.as_secs_f64(),
         took.as_secs_f64(),
-        played.leaks
+        played.held_requests
     );
     if verbose {
-        played.breaks.iter().for_each(|b| println!("{:?} {}: {}", b.at, b.rule, b.description));
+        played.violations.iter().for_each(|b| println!("{:?} {}: {}", b.at, b.rule, b.description));
         played.log.iter().for_each(|line| println!("{line}"));
     }
 }
@@ -136,11 +136,11 @@
     Progress { stop, thread }
 }
 
-fn stay(args: &Args, day: &Day) -> Outcome {
+fn stay(args: &Args, day: &Scenario) -> Outcome {
     let signals = Signals::watch()?;
     let fleet = LiveFleet::start(day, args.listen).map_err(Failure::Run)?;
-    let models: Vec<&str> = day.site.models.iter().map(|m| m.name.as_str()).collect();
-    let key = day.site.tenants.first().and_then(|t| t.keys.first()).cloned().unwrap_or_default();
+    let models: Vec<&str> = day.settings.models.iter().map(|m| m.name.as_str()).collect();
+    let key = day.settings.tenants.first().and_then(|t| t.keys.first()).cloned().unwrap_or_default();
     if args.engines {
         for (plan, addr) in day.engines.iter().zip(&fleet.engine_addrs) {
             println!("engine {} {:?} {} {} {addr}", plan.spec.name, plan.spec.role, plan.zone, plan.cell);
--- a/crates/cli/src/model.rs
+++ b/crates/cli/src/model.rs
@@ -2,8 +2,8 @@
 
 use crate::{lines, Failure, Outcome};
 use clap::Args as ClapArgs;
-use slipreel_emulator::{play, Figures};
-use slipreel_scenario::{read_day, Day};
+use slipreel_emulator::{emulate, EmulationReport};
+use slipreel_scenario::{read_scenario, Scenario};
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
 
@@ -23,14 +23,14 @@
 pub(crate) fn run(args: &Args) -> Outcome {
     let name = args.day.display().to_string();
     let text = std::fs::read_to_string(&args.day).map_err(|e| Failure::Input(format!("{name}: {e}")))?;
-    let mut day = read_day(&text, &name).map_err(|faults| Failure::Input(lines(&faults)))?;
+    let mut day = read_scenario(&text, &name).map_err(|faults| Failure::Input(lines(&faults)))?;
     day.seed = args.seed.unwrap_or(day.seed);
     let began = Instant::now();
-    let figures = play(&day);
+    let figures = emulate(&day);
     print_scale(&day);
     print_models(&figures);
     print_totals(&figures, began.elapsed());
-    for (at, why) in figures.orders.iter().filter(|_| args.verbose) {
+    for (at, why) in figures.role_changes.iter().filter(|_| args.verbose) {
         println!("{:>8.1} s  {why}", at.as_secs_f64());
     }
     if !figures.not_played.is_empty() {
@@ -39,18 +39,18 @@
     Ok(())
 }
 
-fn print_scale(day: &Day) {
+fn print_scale(day: &Scenario) {
     println!(
         "{} engines, {} routers, {} requests in {:.0} s, in the model (no front, no connections)",
         day.engines.len(),
         day.routers,
-        day.plans.len(),
+        day.requests.len(),
         day.length.as_secs_f64()
     );
 }
 
 /// Prints a row for each model that was asked for.
-fn print_models(figures: &Figures) {
+fn print_models(figures: &EmulationReport) {
     println!(
         "{:<16}{:>10}{:>10}{:>10}{:>10}{:>8}{:>10}{:>10}",
         "model", "asked", "served", "refused", "failed", "left", "p50 ms", "p99 ms"
@@ -69,14 +69,14 @@
     }
 }
 
-fn print_totals(figures: &Figures, elapsed: Duration) {
+fn print_totals(figures: &EmulationReport, elapsed: Duration) {
     println!(
         "attempts {}, probes {}, changes of role {}, engines fallen over {}, still held {}, events {}, played in {:.1} s",
         figures.attempts,
         figures.probes,
-        figures.orders.len(),
-        figures.fallen,
-        figures.held,
+        figures.role_changes.len(),
+        figures.overloaded_engines,
+        figures.held_items,
         figures.events,
         elapsed.as_secs_f64()
     );
--- a/crates/fault-injection/src/memory.rs
+++ b/crates/fault-injection/src/memory.rs
@@ -293,7 +293,7 @@
             Membership::new(self.settings(r, member_addr(r)), peers, &kept, seed, now, board.clone());
         let member = Member::new(member, self.consensus(r, &board, now));
         let bend = self.bend(r);
-        let mut site = self.script.day.router_site(r, &self.engines);
+        let mut site = self.script.day.router_settings(r, &self.engines);
         if let (true, Ok(daemon)) =
             (self.script.founders > 0, slipreel_settings::parse(&self.own_text(r), "own"))
         {
@@ -523,7 +523,7 @@
         world.add(Node::Wire(Box::new(Wire::new((0..n).map(member_addr).collect(), script.seed))), &ways);
     world.open_datagram_sockets(wire, &ways);
     let clients = script.traffic.then(|| {
-        let mut plans = script.day.plans.clone();
+        let mut plans = script.day.requests.clone();
         plans.iter_mut().for_each(|p| p.at += START + LEAD);
         let targets = (0..n).map(|r| addr(10_000 + r)).collect();
         world.add(Node::Clients(Box::new(Clients::new(plans, targets, ledger.clone(), true))), &[])
--- a/crates/fault-injection/src/script.rs
+++ b/crates/fault-injection/src/script.rs
@@ -6,7 +6,7 @@
 use rand_xoshiro::rand_core::{RngCore, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
 use slipreel_consensus::PartitionMode;
-use slipreel_scenario::{read_day_parts, Day, DAY_SECTIONS};
+use slipreel_scenario::{read_scenario_sections, Scenario, SCENARIO_SECTIONS};
 use slipreel_settings::{Doc, Fault as Wrong, Value};
 use std::time::Duration;
 
@@ -196,7 +196,7 @@
     /// Faults in order of their beginning.
     pub faults: Vec<Fault>,
     /// Site, engines and traffic.
-    pub day: Day,
+    pub day: Scenario,
     /// The text of the site's sections, for the files of the processes.
     pub site_text: String,
     /// Whether clients ask.
@@ -310,7 +310,7 @@
         poor: doc.or(at, "poor", Whom(Vec::new())).0.first().copied(),
         proposals: read_proposals(&mut doc, routers),
         site_text: site_of(&whole),
-        day: match read_day_parts(&mut doc) {
+        day: match read_scenario_sections(&mut doc) {
             Some(day) => day,
             None => return Err(doc.finish(&known()).err().unwrap_or_default()),
         },
@@ -344,7 +344,7 @@
 }
 
 fn known() -> Vec<&'static str> {
-    DAY_SECTIONS.iter().chain(&OWN_SECTIONS).copied().collect()
+    SCENARIO_SECTIONS.iter().chain(&OWN_SECTIONS).copied().collect()
 }
 
 /// The sections that each router's file takes over as they are.
