--- a/crates/cli/src/ground.rs
+++ b/crates/cli/src/ground.rs
@@ -126,7 +126,7 @@
             self.changed_in.extend(policy.changed_in.iter().copied());
             self.longest_overlap = self.longest_overlap.max(policy.verdict.overlap);
         }
-        self.wrong_runs += usize::from(!played.is_well());
+        self.wrong_runs += usize::from(!played.passed());
     }
 
     fn print(&mut self, runs: u64) {
--- a/crates/cli/tests/common/mod.rs
+++ b/crates/cli/tests/common/mod.rs
@@ -25,7 +25,7 @@
         let (name, seed, played) = run.join().expect("a run");
         match played {
             Err(why) => wrong.push(format!("{name}, seed {seed}: {why}")),
-            Ok(played) if !played.is_well() => {
+            Ok(played) if !played.passed() => {
                 let tail: Vec<&String> = played.log.iter().rev().take(12).collect();
                 wrong.push(format!(
                     "{name}, seed {seed}: {:?} {:?} {:?}\n{tail:#?}",
--- a/crates/fault-injection/src/policy.rs
+++ b/crates/fault-injection/src/policy.rs
@@ -64,7 +64,7 @@
 
 impl PolicyOutcome {
     /// Whether nothing is wrong.
-    pub fn is_well(&self) -> bool {
+    pub fn passed(&self) -> bool {
         self.wrong.is_empty() && self.verdict.broken.is_empty()
     }
 }
--- a/crates/fault-injection/src/run.rs
+++ b/crates/fault-injection/src/run.rs
@@ -40,8 +40,8 @@
 
 impl Outcome {
     /// Whether nothing is wrong.
-    pub fn is_well(&self) -> bool {
-        let policy = self.policy.as_ref().is_none_or(PolicyOutcome::is_well);
+    pub fn passed(&self) -> bool {
+        let policy = self.policy.as_ref().is_none_or(PolicyOutcome::passed);
         self.verdict.wrong.is_empty() && self.breaks.is_empty() && policy
     }
 }
--- a/crates/fault-injection/tests/policy.rs
+++ b/crates/fault-injection/tests/policy.rs
@@ -21,7 +21,7 @@
     for seed in seeds {
         let played = play(name, seed);
         assert!(
-            played.is_well(),
+            played.passed(),
             "{name}, seed {seed}: {:?} {:?} {:?}",
             played.verdict.wrong,
             played.breaks,
@@ -64,7 +64,7 @@
 #[test]
 fn two_epochs_overlap_by_less_than_a_short_lease() {
     let played = play("policy-dense", 1);
-    assert!(played.is_well(), "{:?} {:?}", played.verdict.wrong, played.policy);
+    assert!(played.passed(), "{:?} {:?}", played.verdict.wrong, played.policy);
     let policy = played.policy.expect("a policy");
     assert_eq!((policy.ended, policy.verdict.uncertain), ((6, 0), 0), "no request is refused for a change");
     assert!(policy.verdict.taken.values().all(|n| *n > 100), "{:?}", policy.verdict.taken);
@@ -74,5 +74,5 @@
 fn without_founders_there_is_no_epoch_and_no_stamp() {
     let played = play("two", 1);
     assert!(played.policy.is_none());
-    assert!(played.is_well());
+    assert!(played.passed());
 }
