--- a/crates/cli/src/ground.rs
+++ b/crates/cli/src/ground.rs
@@ -72,7 +72,7 @@
         verdict.suspicions,
         verdict.handed_out,
         verdict.handed_out_last,
-        played.breaks.len(),
+        played.violations.len(),
         count_endings(played)
     );
     print_policy(played);
@@ -80,7 +80,7 @@
         println!("  the schedule ran up to {} ms late: times are not judged", verdict.late.as_millis());
     }
     verdict.wrong.iter().for_each(|wrong| println!("  wrong: {wrong}"));
-    for rule_break in played.breaks.iter().take(MAX_PRINTED_BREAKS) {
+    for rule_break in played.violations.iter().take(MAX_PRINTED_BREAKS) {
         println!("  rule broken: {}, at {:?}: {}", rule_break.rule, rule_break.at, rule_break.description);
     }
 }
--- a/crates/fault-injection/src/run.rs
+++ b/crates/fault-injection/src/run.rs
@@ -27,7 +27,7 @@
     /// What the judge found of the view.
     pub verdict: Verdict,
     /// Rules that broke, by the traffic.
-    pub breaks: Vec<Violation>,
+    pub violations: Vec<Violation>,
     /// How every try of a client ended.
     pub results: Vec<AttemptResult>,
     /// Lines of the machines or processes.
@@ -42,7 +42,7 @@
     /// Whether nothing is wrong.
     pub fn passed(&self) -> bool {
         let policy = self.policy.as_ref().is_none_or(PolicyOutcome::passed);
-        self.verdict.wrong.is_empty() && self.breaks.is_empty() && policy
+        self.verdict.wrong.is_empty() && self.violations.is_empty() && policy
     }
 }
 
@@ -481,7 +481,7 @@
             .cloned()
             .collect();
         let figures = figures_of(&self.script.day);
-        let breaks = slipreel_invariants::judge(&kept, &figures)
+        let violations = slipreel_invariants::judge(&kept, &figures)
             .into_iter()
             .filter(|b| b.attempt.is_none_or(|what| !excused(&what)))
             .collect();
@@ -489,6 +489,6 @@
         let up: Vec<usize> = (0..self.script.routers).filter(|r| self.phases[*r] == Phase::Up).collect();
         let policy = (self.script.founders > 0)
             .then(|| policy::judge(self.script, &self.history, &records, &self.tracks, &up));
-        Outcome { history: self.history, verdict, breaks, results, log, digest, policy }
+        Outcome { history: self.history, verdict, violations, results, log, digest, policy }
     }
 }
--- a/crates/fault-injection/tests/hard_cases.rs
+++ b/crates/fault-injection/tests/hard_cases.rs
@@ -17,7 +17,7 @@
 fn holds(name: &str, seeds: std::ops::Range<u64>) {
     for seed in seeds {
         let played = play(name, seed);
-        assert!(played.passed(), "{name}, seed {seed}: {:?} {:?}", played.verdict.wrong, played.breaks);
+        assert!(played.passed(), "{name}, seed {seed}: {:?} {:?}", played.verdict.wrong, played.violations);
     }
 }
 
--- a/crates/fault-injection/tests/policy.rs
+++ b/crates/fault-injection/tests/policy.rs
@@ -24,7 +24,7 @@
             played.passed(),
             "{name}, seed {seed}: {:?} {:?} {:?}",
             played.verdict.wrong,
-            played.breaks,
+            played.violations,
             played.policy
         );
     }
