--- a/crates/cli/src/ground.rs
+++ b/crates/cli/src/ground.rs
@@ -79,7 +79,7 @@
     if verdict.late > Duration::ZERO {
         println!("  the schedule ran up to {} ms late: times are not judged", verdict.late.as_millis());
     }
-    verdict.wrong.iter().for_each(|wrong| println!("  wrong: {wrong}"));
+    verdict.failures.iter().for_each(|wrong| println!("  wrong: {wrong}"));
     for rule_break in played.violations.iter().take(MAX_PRINTED_BREAKS) {
         println!("  rule broken: {}, at {:?}: {}", rule_break.rule, rule_break.at, rule_break.description);
     }
@@ -102,7 +102,7 @@
         policy.verdict.taken.values().sum::<usize>(),
         policy.verdict.uncertain
     );
-    policy.wrong.iter().for_each(|wrong| println!("  wrong: {wrong}"));
+    policy.failures.iter().for_each(|wrong| println!("  wrong: {wrong}"));
     for broken in policy.verdict.broken.iter().take(MAX_PRINTED_BREAKS) {
         println!("  promise broken: {:?}, at {:?}: {}", broken.promise, broken.at, broken.description);
     }
--- a/crates/cli/tests/common/mod.rs
+++ b/crates/cli/tests/common/mod.rs
@@ -29,7 +29,7 @@
                 let tail: Vec<&String> = played.log.iter().rev().take(12).collect();
                 wrong.push(format!(
                     "{name}, seed {seed}: {:?} {:?} {:?}\n{tail:#?}",
-                    played.verdict.wrong, played.violations, played.policy
+                    played.verdict.failures, played.violations, played.policy
                 ));
             }
             Ok(_) => {}
--- a/crates/fault-injection/src/judge.rs
+++ b/crates/fault-injection/src/judge.rs
@@ -18,7 +18,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Verdict {
     /// What is wrong; empty if nothing is.
-    pub wrong: Vec<String>,
+    pub failures: Vec<String>,
     /// From the last fault's end to one settled view on all, for good.
     pub settled_in: Option<Duration>,
     /// From a kill to `gone`, by each that saw it.
@@ -211,7 +211,7 @@
             Some("gone") if !excused => {
                 self.verdict.false_alarms += 1;
                 let wrong = format!("{} ms: r{r} calls r{other} gone, and both are well", at.as_millis());
-                self.verdict.wrong.push(wrong);
+                self.verdict.failures.push(wrong);
             }
             Some("gone") if !self.truth.up[other] => {
                 if let Some(killed) = self.truth.killed.get(&other) {
@@ -237,7 +237,7 @@
     /// Where each starts with the true count: the promise of `slipreel_membership::router_count`, whatever is cut from whom.
     fn check_quota(&mut self) {
         if self.script.floor as usize >= self.script.routers && self.verdict.handed_out >= MOST_HANDED_OUT {
-            self.verdict.wrong.push(format!(
+            self.verdict.failures.push(format!(
                 "{:.2} of a quota was handed out at one time: expected under {MOST_HANDED_OUT}",
                 self.verdict.handed_out
             ));
@@ -246,7 +246,7 @@
 
     /// Who was called gone by whom, and who should have been.
     fn check_calls(&mut self, history: &History) {
-        let (script, wrong) = (self.script, &mut self.verdict.wrong);
+        let (script, wrong) = (self.script, &mut self.verdict.failures);
         let calls: BTreeSet<(usize, usize)> = history.gone_calls().map(|(_, by, of)| (by, of)).collect();
         if script.nobody_gone {
             for (at, by, of) in history.gone_calls() {
@@ -270,10 +270,10 @@
             None => {
                 let told: Vec<String> = (0..self.script.routers).map(|r| self.last_told(r)).collect();
                 let (end, told) = (end.as_millis(), told.join("; "));
-                self.verdict.wrong.push(format!("no one view at the end, {end} ms: {told}"));
+                self.verdict.failures.push(format!("no one view at the end, {end} ms: {told}"));
             }
             Some(took) if took > self.script.settle && verdict.late < LATE => {
-                verdict.wrong.push(format!(
+                verdict.failures.push(format!(
                     "one view after {} ms: expected within {} ms",
                     took.as_millis(),
                     self.script.settle.as_millis()
@@ -303,7 +303,7 @@
             let alone =
                 script.faults.iter().filter(|o| o.whom.iter().any(|w| f.whom.contains(w))).count() == 1;
             for w in f.whom.iter().filter(|w| alone && !self.yielded.contains(w)) {
-                self.verdict.wrong.push(format!(
+                self.verdict.failures.push(format!(
                     "a second process of the name r{w} ran for {:?} and neither of the two yielded",
                     f.lasts
                 ));
--- a/crates/fault-injection/src/policy.rs
+++ b/crates/fault-injection/src/policy.rs
@@ -53,7 +53,7 @@
     /// By the stamps and by what operators were told.
     pub verdict: Verdict,
     /// What else is wrong.
-    pub wrong: Vec<String>,
+    pub failures: Vec<String>,
     /// How long changes took that came into force, from when a router had taken them.
     pub changed_in: Vec<Duration>,
     /// Changes that came into force and that were dropped.
@@ -65,7 +65,7 @@
 impl PolicyOutcome {
     /// Whether nothing is wrong.
     pub fn passed(&self) -> bool {
-        self.wrong.is_empty() && self.verdict.broken.is_empty()
+        self.failures.is_empty() && self.verdict.broken.is_empty()
     }
 }
 
@@ -87,11 +87,11 @@
     outcome.epoch = epochs.iter().next_back().copied().unwrap_or(0);
     for (r, sight) in &sights {
         match sight {
-            None => outcome.wrong.push(format!("r{r} tells nothing of the policy at the end")),
+            None => outcome.failures.push(format!("r{r} tells nothing of the policy at the end")),
             // It was down while the others agreed on what it can't take: it says so and takes no requests.
             Some(s) if s.stuck && !s.serving && script.poor == Some(*r) => {}
             Some(s) if !s.serving || s.epoch != outcome.epoch || s.pending.is_some() => {
-                outcome.wrong.push(format!(
+                outcome.failures.push(format!(
                     "r{r} at the end: epoch {}, serving {}, pending {:?}: expected epoch {}, serving, nothing pending",
                     s.epoch, s.serving, s.pending, outcome.epoch
                 ));
@@ -105,7 +105,7 @@
             let old = format!("r{old}");
             for (r, sight) in &sights {
                 if sight.is_some_and(|s| s.voters.contains(&old)) {
-                    outcome.wrong.push(format!("{id}: r{r} still counts {old} among the voters"));
+                    outcome.failures.push(format!("{id}: r{r} still counts {old} among the voters"));
                 }
             }
             continue;
@@ -118,7 +118,7 @@
             Some(_) => outcome.ended.1 += 1,
             // Its router may have died with it before anybody else had it.
             None if track.known || *expect == Expect::Either => {}
-            None => outcome.wrong.push(format!("{id}: nobody knows what came of it")),
+            None => outcome.failures.push(format!("{id}: nobody knows what came of it")),
         }
         let against = matches!(
             (&track.end, expect),
@@ -126,7 +126,7 @@
                 | (Some((ChangeStatus::Dropped(_), _)), Expect::InForce)
         );
         if against {
-            outcome.wrong.push(format!("{id}: {:?}: expected {expect:?}", track.end));
+            outcome.failures.push(format!("{id}: {:?}: expected {expect:?}", track.end));
         }
     }
     outcome
--- a/crates/fault-injection/src/run.rs
+++ b/crates/fault-injection/src/run.rs
@@ -42,7 +42,7 @@
     /// Whether nothing is wrong.
     pub fn passed(&self) -> bool {
         let policy = self.policy.as_ref().is_none_or(PolicyOutcome::passed);
-        self.verdict.wrong.is_empty() && self.violations.is_empty() && policy
+        self.verdict.failures.is_empty() && self.violations.is_empty() && policy
     }
 }
 
--- a/crates/fault-injection/tests/bent.rs
+++ b/crates/fault-injection/tests/bent.rs
@@ -23,7 +23,7 @@
 #[test]
 fn the_same_script_breaks_nothing_where_nobody_is_broken() {
     let played = play_in_memory(&script()).expect("it plays");
-    assert!(played.passed(), "{:?} {:?}", played.policy, played.verdict.wrong);
+    assert!(played.passed(), "{:?} {:?}", played.policy, played.verdict.failures);
 }
 
 #[test]
--- a/crates/fault-injection/tests/broken.rs
+++ b/crates/fault-injection/tests/broken.rs
@@ -32,7 +32,7 @@
     let calm = script("loss");
     let calm = Script { length: Duration::from_secs(12), faults: Vec::new(), traffic: false, ..calm };
     let played = play_in_memory(&calm).expect("a run");
-    assert_eq!(judge(&calm, &played.history).wrong, Vec::<String>::new(), "as it went");
+    assert_eq!(judge(&calm, &played.history).failures, Vec::<String>::new(), "as it went");
     let from = Duration::from_secs(6);
     type Lie = fn(&mut Sight);
     let broken: [(&str, Lie); 7] = [
@@ -54,30 +54,30 @@
         history.note(from, Event::Told(1, last));
         history.events.sort_by_key(|(at, _)| *at);
         lies(&mut history, 1, from, lie);
-        assert_ne!(judge(&calm, &history).wrong, Vec::<String>::new(), "{what}");
+        assert_ne!(judge(&calm, &history).failures, Vec::<String>::new(), "{what}");
     }
     let mut mute = played.history.clone();
     mute.note(Duration::from_secs(11), Event::Told(1, None));
-    assert_ne!(judge(&calm, &mute).wrong, Vec::<String>::new(), "does not answer");
+    assert_ne!(judge(&calm, &mute).failures, Vec::<String>::new(), "does not answer");
 }
 
 #[test]
 fn one_that_never_sees_a_death_and_a_twin_that_goes_on_are_caught() {
     let dies = script("stop-long");
     let played = play_in_memory(&dies).expect("a run");
-    assert_eq!(judge(&dies, &played.history).wrong, Vec::<String>::new());
+    assert_eq!(judge(&dies, &played.history).failures, Vec::<String>::new());
     let mut blind = played.history.clone();
     lies(&mut blind, 1, Duration::ZERO, |s| call(s, "r2", "alive"));
-    assert_ne!(judge(&dies, &blind).wrong, Vec::<String>::new(), "never calls it gone");
+    assert_ne!(judge(&dies, &blind).failures, Vec::<String>::new(), "never calls it gone");
 
     let twin = script("twin");
     let played = play_in_memory(&twin).expect("a run");
-    assert_eq!(judge(&twin, &played.history).wrong, Vec::<String>::new());
+    assert_eq!(judge(&twin, &played.history).failures, Vec::<String>::new());
     let mut both = played.history.clone();
     for (_, event) in &mut both.events {
         if let Event::Twin(_, Some(sight)) = event {
             sight.standing = "ready".into();
         }
     }
-    assert_ne!(judge(&twin, &both).wrong, Vec::<String>::new(), "neither yields");
+    assert_ne!(judge(&twin, &both).failures, Vec::<String>::new(), "neither yields");
 }
--- a/crates/fault-injection/tests/hard_cases.rs
+++ b/crates/fault-injection/tests/hard_cases.rs
@@ -17,7 +17,12 @@
 fn holds(name: &str, seeds: std::ops::Range<u64>) {
     for seed in seeds {
         let played = play(name, seed);
-        assert!(played.passed(), "{name}, seed {seed}: {:?} {:?}", played.verdict.wrong, played.violations);
+        assert!(
+            played.passed(),
+            "{name}, seed {seed}: {:?} {:?}",
+            played.verdict.failures,
+            played.violations
+        );
     }
 }
 
--- a/crates/fault-injection/tests/policy.rs
+++ b/crates/fault-injection/tests/policy.rs
@@ -23,7 +23,7 @@
         assert!(
             played.passed(),
             "{name}, seed {seed}: {:?} {:?} {:?}",
-            played.verdict.wrong,
+            played.verdict.failures,
             played.violations,
             played.policy
         );
@@ -64,7 +64,7 @@
 #[test]
 fn two_epochs_overlap_by_less_than_a_short_lease() {
     let played = play("policy-dense", 1);
-    assert!(played.passed(), "{:?} {:?}", played.verdict.wrong, played.policy);
+    assert!(played.passed(), "{:?} {:?}", played.verdict.failures, played.policy);
     let policy = played.policy.expect("a policy");
     assert_eq!((policy.ended, policy.verdict.uncertain), ((6, 0), 0), "no request is refused for a change");
     assert!(policy.verdict.taken.values().all(|n| *n > 100), "{:?}", policy.verdict.taken);
