--- a/crates/cli/src/ground.rs
+++ b/crates/cli/src/ground.rs
@@ -76,8 +76,11 @@
         count_endings(played)
     );
     print_policy(played);
-    if verdict.late > Duration::ZERO {
-        println!("  the schedule ran up to {} ms late: times are not judged", verdict.late.as_millis());
+    if verdict.max_lateness > Duration::ZERO {
+        println!(
+            "  the schedule ran up to {} ms late: times are not judged",
+            verdict.max_lateness.as_millis()
+        );
     }
     verdict.failures.iter().for_each(|wrong| println!("  wrong: {wrong}"));
     for rule_break in played.violations.iter().take(MAX_PRINTED_BREAKS) {
--- a/crates/fault-injection/src/judge.rs
+++ b/crates/fault-injection/src/judge.rs
@@ -33,7 +33,7 @@
     /// The same at the end.
     pub handed_out_last: f64,
     /// The schedule ran so late.
-    pub late: Duration,
+    pub max_lateness: Duration,
 }
 
 fn name(router: usize) -> String {
@@ -149,7 +149,7 @@
             }
             Event::Fault(kind, whom, begins) => self.fault(at, *kind, whom, *begins),
             Event::Policy(..) | Event::Said(..) | Event::Heard(..) => {}
-            Event::Late(late) => self.verdict.late = self.verdict.late.max(*late),
+            Event::Late(late) => self.verdict.max_lateness = self.verdict.max_lateness.max(*late),
             Event::Twin(r, sight) => {
                 if sight.as_ref().is_some_and(|s| s.standing == "yielded") {
                     self.yielded.insert(*r);
@@ -272,7 +272,7 @@
                 let (end, told) = (end.as_millis(), told.join("; "));
                 self.verdict.failures.push(format!("no one view at the end, {end} ms: {told}"));
             }
-            Some(took) if took > self.script.settle && verdict.late < LATE => {
+            Some(took) if took > self.script.settle && verdict.max_lateness < LATE => {
                 verdict.failures.push(format!(
                     "one view after {} ms: expected within {} ms",
                     took.as_millis(),
