--- a/crates/cli/src/ground.rs
+++ b/crates/cli/src/ground.rs
@@ -70,8 +70,8 @@
         script.faults.len(),
         verdict.false_alarms,
         verdict.suspicions,
-        verdict.handed_out,
-        verdict.handed_out_last,
+        verdict.peak_quota_share,
+        verdict.final_quota_share,
         played.violations.len(),
         count_endings(played)
     );
--- a/crates/fault-injection/src/judge.rs
+++ b/crates/fault-injection/src/judge.rs
@@ -29,9 +29,9 @@
     pub suspicions: usize,
     /// The most that all ready routers together handed out of a quota or a cold budget at any time, as a share of it: the sum over
     /// them of one part in as many as each reckons with.
-    pub handed_out: f64,
+    pub peak_quota_share: f64,
     /// The same at the end.
-    pub handed_out_last: f64,
+    pub final_quota_share: f64,
     /// The schedule ran so late.
     pub max_lateness: Duration,
 }
@@ -230,16 +230,18 @@
             |(r, s): &(&usize, &Sight)| truth.up[**r] && !truth.still[**r] && s.standing == "ready";
         let parts = self.told.iter().filter(hands_out);
         let verdict = &mut self.verdict;
-        verdict.handed_out_last = parts.map(|(_, s)| 1.0 / s.routers.max(1) as f64).sum();
-        verdict.handed_out = verdict.handed_out.max(verdict.handed_out_last);
+        verdict.final_quota_share = parts.map(|(_, s)| 1.0 / s.routers.max(1) as f64).sum();
+        verdict.peak_quota_share = verdict.peak_quota_share.max(verdict.final_quota_share);
     }
 
     /// Where each starts with the true count: the promise of `slipreel_membership::router_count`, whatever is cut from whom.
     fn check_quota(&mut self) {
-        if self.script.floor as usize >= self.script.routers && self.verdict.handed_out >= MOST_HANDED_OUT {
+        if self.script.floor as usize >= self.script.routers
+            && self.verdict.peak_quota_share >= MOST_HANDED_OUT
+        {
             self.verdict.failures.push(format!(
                 "{:.2} of a quota was handed out at one time: expected under {MOST_HANDED_OUT}",
-                self.verdict.handed_out
+                self.verdict.peak_quota_share
             ));
         }
     }
