--- a/crates/cli/src/ground.rs
+++ b/crates/cli/src/ground.rs
@@ -196,7 +196,7 @@
         if run == 0 {
             first_seed = script.seed;
         }
-        script.draw(args.random);
+        script.add_random_faults(args.random);
         let played = play(args, &script, &interrupt)?;
         print_run(&script, &played);
         if args.log {
--- a/crates/fault-injection/src/lib.rs
+++ b/crates/fault-injection/src/lib.rs
@@ -1,6 +1,6 @@
 //! The proving ground: many processes of the program, faults between them, a history by one clock, and a judge.
 //!
-//! A [`Script`] says how many routers there are and what goes wrong when; [`read_script`] reads one and [`Script::draw`] adds faults by seed. It
+//! A [`Script`] says how many routers there are and what goes wrong when; [`read_script`] reads one and [`Script::add_random_faults`] adds faults by seed. It
 //! is played with processes of the built program ([`play_processes`]) or with the same machines in virtual time ([`play_in_memory`]). Either
 //! way the routers talk over a [`Wire`] whose links are cut, lose, delay, double, reorder and trickle, clients ask meanwhile, and what every
 //! router tells of its view is noted ten times a second. [`Outcome`] holds the history and what the judge found.
--- a/crates/fault-injection/src/script.rs
+++ b/crates/fault-injection/src/script.rs
@@ -317,7 +317,7 @@
     };
     doc.finish(&known())?;
     let mut script = Script { faults, ..script }.with_seed(seed);
-    script.draw(random);
+    script.add_random_faults(random);
     script.draw_changes(changes);
     script.change_steadily(steady);
     Ok(script)
@@ -379,7 +379,7 @@
 
     /// Adds faults drawn from the seed: each kind is as likely, some hit one router and some a third; they overlap freely,
     /// but no router is hit twice at once by what ends or stops its process.
-    pub fn draw(&mut self, faults: usize) {
+    pub fn add_random_faults(&mut self, faults: usize) {
         let mut rng = Xoshiro256PlusPlus::seed_from_u64(self.seed ^ 0xfa17);
         let mut below = |n: u64| rng.next_u64() % n.max(1);
         let ms = Duration::from_millis;
