--- a/crates/fault-injection/src/lib.rs
+++ b/crates/fault-injection/src/lib.rs
@@ -1,33 +1,38 @@
-//! The proving ground: many processes of the program, faults between them, a history by one clock, and a judge.
+//! Fault injection: runs many routers under scripted faults, records what happens and checks the result.
 //!
-//! A [`Script`] says how many routers there are and what goes wrong when; [`read_script`] reads one and [`Script::add_random_faults`] adds faults by seed. It
-//! is played with processes of the built program ([`play_processes`]) or with the same machines in virtual time ([`play_in_memory`]). Either
-//! way the routers talk over a [`Wire`] whose links are cut, lose, delay, double, reorder and trickle, clients ask meanwhile, and what every
-//! router tells of its view is noted ten times a second. [`Outcome`] holds the history and what the judge found.
+//! A [`Script`] states how many routers there are and which faults occur when; [`read_script`] reads one and
+//! [`Script::add_random_faults`] adds faults drawn from the seed. It is played with processes of the built
+//! program ([`play_processes`]) or with the same state machines in virtual time ([`play_in_memory`]). Either
+//! way the routers talk over a [`RelayNetwork`] whose links can be cut, can lose, delay, duplicate and
+//! reorder datagrams and can slow connections down. Clients send requests meanwhile, and the view that each
+//! router reports is recorded ten times a second on one clock. [`Outcome`] holds the history and what the
+//! judges found.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-mod bend;
+mod defect;
 mod history;
-mod judge;
-mod memory;
-mod own;
-mod platter;
-mod policy;
+mod membership_judge;
+mod policy_judge;
 mod processes;
-mod run;
+mod relay_network;
+mod router_config;
 mod script;
-mod wire;
+mod script_runner;
+mod simulated_disk;
+mod virtual_time;
 
-pub use bend::{Bend, BENDS};
-pub use history::{Event, History, Sight};
-pub use judge::{judge, Verdict};
-pub use memory::play_broken;
-pub use memory::play_in_memory;
-pub use platter::Platter;
-pub use policy::PolicyOutcome;
+pub use defect::{Defect, DEFECTS};
+pub use history::{Event, History, ReportedView};
+pub use membership_judge::{judge, Verdict};
+pub use policy_judge::PolicyOutcome;
 pub use processes::{play_processes, Interrupt};
-pub use run::{Outcome, Phase};
-pub use script::{read_script, Expect, Fault, Kind, Propose, Script, Wish, KINDS, MOST, SITE};
-pub use wire::{Link, Links, Noise, Wire};
+pub use relay_network::{InjectedDatagram, Link, LinkUpdates, RelayNetwork};
+pub use script::{
+    read_script, ExpectedOutcome, Fault, FaultKind, ProposalAction, Script, ScriptedProposal, DEFAULT_SITE,
+    FAULT_KINDS, MAX_ROUTERS,
+};
+pub use script_runner::{Outcome, RouterState};
+pub use simulated_disk::SimulatedDisk;
+pub use virtual_time::{play_in_memory, play_with_defect};
--- a/crates/fault-injection/src/processes.rs
+++ b/crates/fault-injection/src/processes.rs
@@ -1,14 +1,15 @@
-//! A run with processes of the built program over loopback: the routers are started, signalled and ended by their ids; wire, engines and
-//! clients are threads of this process. Whatever happens, no process is left.
-
-use crate::history::said_of_json;
-use crate::history::{PolicySight, Sight};
-use crate::own;
-use crate::run::{Director, Outcome, Stage, LEAD};
-use crate::script::{Propose, Script, Wish};
-use crate::wire::{Link, Links, Noise, Wire};
+//! Runs with processes of the built program over loopback. Routers are started, signalled and ended by their
+//! process ids. The relay network, the engines and the clients are threads of this process. No router process
+//! outlives the run, whatever happens.
+
+use crate::history::change_status_from_json;
+use crate::history::{ReportedPolicy, ReportedView};
+use crate::relay_network::{InjectedDatagram, Link, LinkUpdates, RelayNetwork};
+use crate::router_config::{self, RouterConfig};
+use crate::script::{ProposalAction, Script, ScriptedProposal};
+use crate::script_runner::{Driver, Outcome, ScriptRunner, TRAFFIC_START_DELAY};
 use rustix::process::{kill_process, Pid, Signal};
-use slipreel_event_loop::{Clock, Command as Tell, EventLoop, EventLoopHandle, MachineId};
+use slipreel_event_loop::{Clock, Command as LoopCommand, EventLoop, EventLoopHandle, MachineId};
 use slipreel_invariants::policy::ChangeStatus;
 use slipreel_state_machine::Machine;
 use slipreel_test_servers::client::Clients;
@@ -23,25 +24,25 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, SystemTime};
 
-/// Set by whoever interrupts a run: it ends soon, and its processes with it.
+/// A flag that interrupts a run: once it is set, the run and its processes end soon.
 pub type Interrupt = Arc<AtomicBool>;
 
-/// A router that does not tell its view by then counts as not answering.
-const ANSWER: Duration = Duration::from_millis(400);
-/// A process has to answer its operators' port by then after its start.
-const START: Duration = Duration::from_secs(10);
-/// One that was told to end is killed after so long.
-const END: Duration = Duration::from_secs(10);
-/// Blocks of addresses that are tried for one that nobody uses.
-const BLOCKS: u64 = 55;
+/// Time limit for connecting to a router's operators' port and for each read of its answer.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(400);
+/// Time after its start within which a process must accept connections at its operators' port.
+const START_TIMEOUT: Duration = Duration::from_secs(10);
+/// Time after which a process that was told to end is killed.
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(10);
+/// Number of blocks of loopback addresses that are tried to find a free one.
+const MAX_BLOCKS_TRIED: u64 = 55;
 
-/// A process that is ended whatever happens.
+/// A process that is killed when this is dropped.
 struct Process(Child);
 
 impl Process {
     fn signal(&self, signal: Signal) {
         if let Some(pid) = i32::try_from(self.0.id()).ok().and_then(Pid::from_raw) {
-            // One that has ended already needs no signal.
+            // An error means that the process has ended already.
             let _ = kill_process(pid, signal);
         }
     }
@@ -54,30 +55,35 @@
     }
 }
 
-/// A folder that is removed at the end.
-struct Scratch(PathBuf);
+/// A folder that is removed when this is dropped.
+struct TemporaryFolder(PathBuf);
 
-impl Drop for Scratch {
+impl Drop for TemporaryFolder {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
 }
 
-static RUNS: AtomicU64 = AtomicU64::new(0);
+/// Counter that gives the runs of this process different address blocks and folders.
+static RUN_COUNTER: AtomicU64 = AtomicU64::new(0);
 
+/// The driver with processes.
 struct Processes<'a> {
     script: &'a Script,
     program: &'a Path,
     clock: Clock,
+    /// The second byte of the routers' loopback addresses; the relays use the next one.
     block: u8,
-    scratch: Scratch,
+    temporary_folder: TemporaryFolder,
     routers: Vec<Option<Process>>,
-    /// Those that were told to end and may still run.
+    /// Routers that were told to end and may still run.
     leaving: Vec<(usize, Process)>,
-    twins: Vec<Option<Process>>,
-    odd_seeds: Vec<bool>,
+    /// The second processes with a router's name.
+    duplicates: Vec<Option<Process>>,
+    /// Whether a router's settings list a further seed, at which nobody listens. Toggled by reloads.
+    extra_seed: Vec<bool>,
     engines: Vec<SocketAddr>,
-    wire: EventLoopHandle<Wire>,
+    network: EventLoopHandle<RelayNetwork>,
     clients: Option<JoinHandle<Vec<Clients>>>,
     interrupt: &'a Interrupt,
 }
@@ -88,34 +94,45 @@
     }
 
     fn folder_of(&self, r: usize) -> PathBuf {
-        self.scratch.0.join(format!("r{r}"))
+        self.temporary_folder.0.join(format!("r{r}"))
     }
 
-    /// Writes a router's settings and book.
-    fn write(&self, r: usize, home: &Path, listen: [SocketAddr; 3], by_wire: bool) -> std::io::Result<()> {
+    /// Writes a router's settings file and address table.
+    fn write(
+        &self, r: usize, home: &Path, listen: [SocketAddr; 3], through_relays: bool,
+    ) -> std::io::Result<()> {
         let n = self.script.routers;
-        let way = |to: usize| if by_wire { wire_addr(self.block, r, to) } else { self.addr(to, 7000) };
-        let seeds = (0..n).filter(|to| *to != r && (!by_wire || *to < self.script.seeds));
-        let mut seeds: Vec<SocketAddr> = seeds.map(way).collect();
-        if self.odd_seeds[r] {
+        let peer_address =
+            |to: usize| if through_relays { relay_address(self.block, r, to) } else { self.addr(to, 7000) };
+        let seeds = (0..n).filter(|to| *to != r && (!through_relays || *to < self.script.seeds));
+        let mut seeds: Vec<SocketAddr> = seeds.map(peer_address).collect();
+        if self.extra_seed[r] {
             seeds.push(SocketAddr::from(([127, 0, 0, 1], 1)));
         }
         let [clients, operators, fleet] = listen;
-        let (folder, book) = (home.join("kept"), home.join("book"));
-        if by_wire {
-            let lines = (0..n).filter(|to| *to != r).map(|to| format!("r{to} = {}\n", way(to)));
-            std::fs::write(&book, lines.collect::<String>())?;
+        let (folder, address_table) = (home.join("kept"), home.join("book"));
+        if through_relays {
+            let lines = (0..n).filter(|to| *to != r).map(|to| format!("r{to} = {}\n", peer_address(to)));
+            std::fs::write(&address_table, lines.collect::<String>())?;
         }
-        let book = by_wire.then_some(book.as_path());
-        let own =
-            own::Own { clients, operators, fleet, seeds, folder: &folder, book, engines: &self.engines };
-        let text = own::settings(self.script, r, &own);
+        let address_table = through_relays.then_some(address_table.as_path());
+        let config = RouterConfig {
+            clients,
+            operators,
+            fleet,
+            seeds,
+            folder: &folder,
+            address_table,
+            engines: &self.engines,
+        };
+        let text = router_config::settings_text(self.script, r, &config);
         std::fs::write(home.join("settings.ini"), text)
     }
 
-    /// Waits for a router that was told to end: it may hold its addresses for as long as its requests last.
+    /// Waits until a router that was told to end has ended: while it serves its last requests it occupies its
+    /// addresses.
     fn await_end(&mut self, r: usize) {
-        let until = self.clock.now() + END;
+        let until = self.clock.now() + SHUTDOWN_TIMEOUT;
         while let Some(at) = self.leaving.iter().position(|(of, _)| *of == r) {
             let ended = !matches!(self.leaving[at].1 .0.try_wait(), Ok(None));
             if ended || self.clock.now() > until || self.interrupt.load(Ordering::Relaxed) {
@@ -131,7 +148,7 @@
         let child = Command::new(self.program)
             .args(["serve", "--until-input-ends", "--config"])
             .arg(home.join("settings.ini"))
-            // Held by this process: the routers end with it even if it is killed.
+            // The routers end when their input does, so that they end with this process even if it is killed.
             .stdin(Stdio::piped())
             .stdout(Stdio::null())
             .stderr(log)
@@ -139,6 +156,7 @@
         Ok(Process(child))
     }
 
+    /// The log lines of all routers, each with the router's name.
     fn log(&self) -> Vec<String> {
         let mut lines = Vec::new();
         for r in 0..self.script.routers {
@@ -155,17 +173,17 @@
     SocketAddr::from(([127, block, 0, r as u8 + 1], port))
 }
 
-fn wire_addr(block: u8, from: usize, to: usize) -> SocketAddr {
+fn relay_address(block: u8, from: usize, to: usize) -> SocketAddr {
     SocketAddr::from(([127, block + 1, from as u8 + 1, to as u8 + 1], 7000))
 }
 
-/// Asks a router's operators' port; gives status and body.
-fn call(at: SocketAddr, method: &str, path: &str, said: &str) -> Option<(u16, String)> {
-    let mut stream = TcpStream::connect_timeout(&at, ANSWER).ok()?;
-    stream.set_read_timeout(Some(ANSWER)).ok()?;
+/// Sends a request to a router's operators' port. Returns status and body.
+fn call(address: SocketAddr, method: &str, path: &str, body: &str) -> Option<(u16, String)> {
+    let mut stream = TcpStream::connect_timeout(&address, ANSWER_TIMEOUT).ok()?;
+    stream.set_read_timeout(Some(ANSWER_TIMEOUT)).ok()?;
     let head = format!(
-        "{method} {path} HTTP/1.1\r\nhost: a\r\ncontent-length: {}\r\nconnection: close\r\n\r\n{said}",
-        said.len()
+        "{method} {path} HTTP/1.1\r\nhost: a\r\ncontent-length: {}\r\nconnection: close\r\n\r\n{body}",
+        body.len()
     );
     stream.write_all(head.as_bytes()).ok()?;
     let mut text = String::new();
@@ -174,17 +192,17 @@
     Some((status, text.split_once("\r\n\r\n")?.1.to_owned()))
 }
 
-/// Asks a router's operators' port for its view.
-fn ask(at: SocketAddr) -> Option<Sight> {
-    Sight::of_json(&call(at, "GET", "/fleet/status", "")?.1)
+/// Requests a router's view from its operators' port.
+fn fetch_view(address: SocketAddr) -> Option<ReportedView> {
+    ReportedView::from_json(&call(address, "GET", "/fleet/status", "")?.1)
 }
 
-impl Stage for Processes<'_> {
+impl Driver for Processes<'_> {
     fn now(&self) -> Duration {
         self.clock.now()
     }
 
-    fn until(&mut self, at: Duration) -> bool {
+    fn run_until(&mut self, at: Duration) -> bool {
         while !self.interrupt.load(Ordering::Relaxed) {
             let left = at.saturating_sub(self.clock.now());
             if left.is_zero() {
@@ -195,20 +213,20 @@
         false
     }
 
-    fn start(&mut self, r: usize, fresh: bool) -> Result<(), String> {
+    fn start(&mut self, r: usize, empty_folder: bool) -> Result<(), String> {
         let home = self.folder_of(r);
         let text = |e: std::io::Error| format!("r{r}: {e}");
         std::fs::create_dir_all(&home).map_err(text)?;
-        if fresh {
+        if empty_folder {
             let _ = std::fs::remove_dir_all(home.join("kept"));
         }
         let listen = [self.addr(r, 8080), self.addr(r, 9180), self.addr(r, 7000)];
         self.write(r, &home, listen, true).map_err(text)?;
         self.await_end(r);
         self.routers[r] = Some(self.spawn(&home).map_err(text)?);
-        let until = self.clock.now() + START;
+        let until = self.clock.now() + START_TIMEOUT;
         loop {
-            if TcpStream::connect_timeout(&listen[1], ANSWER).is_ok() {
+            if TcpStream::connect_timeout(&listen[1], ANSWER_TIMEOUT).is_ok() {
                 return Ok(());
             }
             let ended = self.routers[r].as_mut().is_some_and(|p| !matches!(p.0.try_wait(), Ok(None)));
@@ -231,30 +249,30 @@
         }
     }
 
-    fn freeze(&mut self, r: usize, still: bool) {
+    fn set_paused(&mut self, r: usize, paused: bool) {
         if let Some(process) = &self.routers[r] {
-            process.signal(if still { Signal::STOP } else { Signal::CONT });
+            process.signal(if paused { Signal::STOP } else { Signal::CONT });
         }
     }
 
-    fn twin(&mut self, r: usize, runs: bool) -> Result<(), String> {
-        self.twins[r] = None;
-        if runs {
+    fn set_duplicate(&mut self, r: usize, running: bool) -> Result<(), String> {
+        self.duplicates[r] = None;
+        if running {
             let home = self.folder_of(r).join("twin");
             let text = |e: std::io::Error| format!("second r{r}: {e}");
             let _ = std::fs::remove_dir_all(home.join("kept"));
             std::fs::create_dir_all(&home).map_err(text)?;
             let listen = [8081, 9181, 7001].map(|port| self.addr(r, port));
             self.write(r, &home, listen, false).map_err(text)?;
-            self.twins[r] = Some(self.spawn(&home).map_err(text)?);
+            self.duplicates[r] = Some(self.spawn(&home).map_err(text)?);
         }
         Ok(())
     }
 
-    fn folder(&mut self, r: usize, gone: bool) {
+    fn set_folder_unwritable(&mut self, r: usize, unwritable: bool) {
         let kept = self.folder_of(r).join("kept");
-        // A file where the folder should be: nothing can be written there, whoever asks.
-        let _ = if gone {
+        // A file in place of the folder: no user can write there, not even root.
+        let _ = if unwritable {
             std::fs::remove_dir_all(&kept).and_then(|()| std::fs::write(&kept, "in the way"))
         } else {
             std::fs::remove_file(&kept)
@@ -262,7 +280,7 @@
     }
 
     fn reload(&mut self, r: usize) {
-        self.odd_seeds[r] ^= true;
+        self.extra_seed[r] ^= true;
         let listen = [8080, 9180, 7000].map(|port| self.addr(r, port));
         if self.write(r, &self.folder_of(r), listen, true).is_ok() {
             if let Some(process) = &self.routers[r] {
@@ -271,42 +289,46 @@
         }
     }
 
-    fn links(&mut self, links: Vec<(usize, usize, Link)>) {
-        self.wire.send(Tell::Message(MachineId(0), Arc::new(Arc::new(Links(links)))));
+    fn update_links(&mut self, links: Vec<(usize, usize, Link)>) {
+        self.network.send(LoopCommand::Message(MachineId(0), Arc::new(Arc::new(LinkUpdates(links)))));
     }
 
-    fn noise(&mut self, r: usize, bytes: Vec<u8>) {
-        self.wire.send(Tell::Message(MachineId(0), Arc::new(Noise(r, bytes))));
+    fn inject_datagram(&mut self, r: usize, bytes: Vec<u8>) {
+        self.network.send(LoopCommand::Message(MachineId(0), Arc::new(InjectedDatagram(r, bytes))));
     }
 
-    fn sight(&mut self, r: usize) -> Option<Sight> {
-        ask(self.addr(r, 9180))
+    fn reported_view(&mut self, r: usize) -> Option<ReportedView> {
+        fetch_view(self.addr(r, 9180))
     }
 
-    fn policy_sight(&mut self, r: usize) -> Option<PolicySight> {
-        PolicySight::of_json(&call(self.addr(r, 9180), "GET", "/policy/status", "")?.1)
+    fn reported_policy(&mut self, r: usize) -> Option<ReportedPolicy> {
+        ReportedPolicy::from_json(&call(self.addr(r, 9180), "GET", "/policy/status", "")?.1)
     }
 
-    fn propose(&mut self, propose: &Propose) -> bool {
-        let (path, said) = match &propose.wish {
-            Wish::Change | Wish::Bad => {
-                let Some(text) = own::policy(self.script, propose) else { return false };
-                (format!("/policy/propose/{}", propose.id), text)
+    fn submit(&mut self, proposal: &ScriptedProposal) -> bool {
+        let (path, body) = match &proposal.action {
+            ProposalAction::Change | ProposalAction::Incompatible => {
+                let Some(text) = router_config::proposed_policy_text(self.script, proposal) else {
+                    return false;
+                };
+                (format!("/policy/propose/{}", proposal.id), text)
+            }
+            ProposalAction::Rollback(epoch) => {
+                (format!("/policy/rollback/{}/{epoch}", proposal.id), String::new())
             }
-            Wish::Back(epoch) => (format!("/policy/rollback/{}/{epoch}", propose.id), String::new()),
-            Wish::Replace(r) => (format!("/policy/replace/r{r}"), String::new()),
+            ProposalAction::ReplaceVoter(r) => (format!("/policy/replace/r{r}"), String::new()),
         };
-        call(self.addr(propose.to, 9180), "POST", &path, &said).is_some_and(|(status, _)| status == 202)
+        call(self.addr(proposal.router, 9180), "POST", &path, &body).is_some_and(|(status, _)| status == 202)
     }
 
-    fn heard(&mut self, r: usize, id: &str) -> Option<ChangeStatus> {
-        said_of_json(&call(self.addr(r, 9180), "GET", &format!("/policy/status/{id}"), "")?.1)
+    fn change_status(&mut self, r: usize, id: &str) -> Option<ChangeStatus> {
+        change_status_from_json(&call(self.addr(r, 9180), "GET", &format!("/policy/status/{id}"), "")?.1)
     }
 
-    fn fill(&mut self, r: usize, full: bool) {
+    fn set_disk_full(&mut self, r: usize, full: bool) {
         let kept = self.folder_of(r).join("kept");
         let (file, new, aside) = (kept.join("accord"), kept.join("accord.new"), kept.join("accord.aside"));
-        // Writes go to a device that has no room; what was kept waits aside.
+        // Writes go to a device that is always full, and the file is renamed until there is room again.
         let _ = if full {
             std::fs::rename(&file, &aside)
                 .and_then(|()| std::os::unix::fs::symlink("/dev/full", &file))
@@ -318,17 +340,17 @@
         };
     }
 
-    fn tear(&mut self, r: usize) {
+    fn append_torn_frame(&mut self, r: usize) {
         let file = self.folder_of(r).join("kept").join("accord");
-        // A frame that says more than follows it: the process ended in the midst of its write.
+        // The frame is shorter than its header states, as if the process had ended during the write.
         let half = &slipreel_consensus::log::encode_frame(&[7; 40])[..29];
         if let Ok(mut file) = std::fs::File::options().append(true).open(file) {
             let _ = file.write_all(half);
         }
     }
 
-    fn twin_sight(&mut self, r: usize) -> Option<Sight> {
-        self.twins[r].as_ref().and_then(|_| ask(self.addr(r, 9181)))
+    fn duplicate_view(&mut self, r: usize) -> Option<ReportedView> {
+        self.duplicates[r].as_ref().and_then(|_| fetch_view(self.addr(r, 9181)))
     }
 
     fn clients_done(&self) -> bool {
@@ -337,118 +359,121 @@
 }
 
 fn spawn<M: Machine + Send + 'static>(
-    mut looped: EventLoop<M>, name: &str,
+    mut event_loop: EventLoop<M>, name: &str,
 ) -> Result<JoinHandle<Vec<M>>, String> {
     let thread = std::thread::Builder::new().name(name.into()).spawn(move || {
-        // An error of epoll itself ends the thread, and its machines count as stopped.
-        let _ = looped.run();
-        looped.into_machines()
+        // An error of epoll itself ends the thread. Its state machines then count as stopped.
+        let _ = event_loop.run();
+        event_loop.into_machines()
     });
     thread.map_err(|e| e.to_string())
 }
 
-/// A wire between members in a block of addresses that nobody uses.
-fn wire(clock: Clock, script: &Script) -> Result<(u8, EventLoop<Wire>), String> {
+/// Builds the network between members in a free block of loopback addresses. Returns the block and the event
+/// loop.
+fn relay_network(clock: Clock, script: &Script) -> Result<(u8, EventLoop<RelayNetwork>), String> {
     let n = script.routers;
-    let first = u64::from(std::process::id()) + RUNS.fetch_add(1, Ordering::Relaxed) * 7;
+    let first = u64::from(std::process::id()) + RUN_COUNTER.fetch_add(1, Ordering::Relaxed) * 7;
     let mut why = String::new();
-    for block in (0..BLOCKS).map(|k| (10 + 2 * ((first + k) % BLOCKS)) as u8) {
+    for block in (0..MAX_BLOCKS_TRIED).map(|k| (10 + 2 * ((first + k) % MAX_BLOCKS_TRIED)) as u8) {
         let free =
             (0..n).all(|r| [7000, 8080, 9180].iter().all(|p| TcpListener::bind(addr(block, r, *p)).is_ok()));
         if !free {
             continue;
         }
-        let mut looped = EventLoop::new(clock).map_err(|e| e.to_string())?;
-        let node = looped.add(Wire::new((0..n).map(|r| addr(block, r, 7000)).collect(), script.seed));
-        let all = Wire::ways(n).try_for_each(|(from, to)| {
-            let at = wire_addr(block, from, to);
-            looped.listen_alone(node, at).and_then(|_| looped.listen_datagrams(node, at)).map(drop)
+        let mut event_loop = EventLoop::new(clock).map_err(|e| e.to_string())?;
+        let node =
+            event_loop.add(RelayNetwork::new((0..n).map(|r| addr(block, r, 7000)).collect(), script.seed));
+        let listening = RelayNetwork::directed_links(n).try_for_each(|(from, to)| {
+            let at = relay_address(block, from, to);
+            event_loop.listen_alone(node, at).and_then(|_| event_loop.listen_datagrams(node, at)).map(drop)
         });
-        match all {
-            Ok(()) => return Ok((block, looped)),
+        match listening {
+            Ok(()) => return Ok((block, event_loop)),
             Err(e) => why = e.to_string(),
         }
     }
     Err(format!("no block of loopback addresses is free for {n} routers: {why}"))
 }
 
-/// Plays a script with processes of a built `slipreel`.
+/// Plays a script with processes of the built `slipreel` at `program`. Returns `Ok(None)` if the run was
+/// interrupted. No process is left when this returns.
 ///
 /// # Errors
-/// A router does not start, or the system has no addresses or descriptors left. `Ok(None)`: it was interrupted. No process is left
-/// either way.
+/// A router does not start, or the system has no free addresses or descriptors.
 pub fn play_processes(
     script: &Script, program: &Path, interrupt: &Interrupt,
 ) -> Result<Option<Outcome>, String> {
     let clock = Clock::start();
     let ledger = Ledger::default();
     let text = |e: std::io::Error| e.to_string();
-    let wall = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
+    let unix_time = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
     let mut engines = EventLoop::new(clock).map_err(text)?;
     let mut addrs = Vec::new();
     for plan in &script.day.engines {
-        let node = engines.add(Engine::warm(plan.spec.clone(), ledger.clone(), clock.now(), wall));
+        let node = engines.add(Engine::warm(plan.spec.clone(), ledger.clone(), clock.now(), unix_time));
         let at = engines.listen(node, SocketAddr::from(([127, 0, 0, 1], 0))).map_err(|e| e.to_string())?;
         addrs.push(at);
         let spec = slipreel_test_servers::engine::EngineSpec { addr: at, ..plan.spec.clone() };
-        *engines.machine_mut(node) = Engine::warm(spec, ledger.clone(), clock.now(), wall);
+        *engines.machine_mut(node) = Engine::warm(spec, ledger.clone(), clock.now(), unix_time);
     }
     let engines_handle = engines.handle();
     let engines_thread = spawn(engines, "engines")?;
-    let (block, wire) = wire(clock, script)?;
-    let wire_handle = wire.handle();
-    let wire_thread = spawn(wire, "wire")?;
-    let run = RUNS.fetch_add(1, Ordering::Relaxed);
-    let scratch =
-        Scratch(std::env::temp_dir().join(format!("slipreel-fault-injection-{}-{run}", std::process::id())));
-    std::fs::create_dir_all(&scratch.0).map_err(text)?;
-    let zero = clock.now();
+    let (block, network) = relay_network(clock, script)?;
+    let network_handle = network.handle();
+    let network_thread = spawn(network, "wire")?;
+    let run = RUN_COUNTER.fetch_add(1, Ordering::Relaxed);
+    let temporary_folder = TemporaryFolder(
+        std::env::temp_dir().join(format!("slipreel-fault-injection-{}-{run}", std::process::id())),
+    );
+    std::fs::create_dir_all(&temporary_folder.0).map_err(text)?;
+    let start_time = clock.now();
     let mut clients_handle = None;
     let clients = if script.traffic {
         let mut plans = script.day.plans.clone();
-        plans.iter_mut().for_each(|p| p.at += zero + LEAD);
+        plans.iter_mut().for_each(|p| p.at += start_time + TRAFFIC_START_DELAY);
         let targets = (0..script.routers).map(|r| addr(block, r, 8080)).collect();
-        let mut looped = EventLoop::new(clock).map_err(text)?;
-        looped.add(Clients::new(plans, targets, ledger.clone(), true));
-        clients_handle = Some(looped.handle());
-        Some(spawn(looped, "clients")?)
+        let mut event_loop = EventLoop::new(clock).map_err(text)?;
+        event_loop.add(Clients::new(plans, targets, ledger.clone(), true));
+        clients_handle = Some(event_loop.handle());
+        Some(spawn(event_loop, "clients")?)
     } else {
         None
     };
-    let none = || (0..script.routers).map(|_| None).collect();
-    let mut stage = Processes {
+    let no_processes = || (0..script.routers).map(|_| None).collect();
+    let mut driver = Processes {
         script,
         program,
         clock,
         block,
-        scratch,
-        routers: none(),
+        temporary_folder,
+        routers: no_processes(),
         leaving: Vec::new(),
-        twins: none(),
-        odd_seeds: vec![false; script.routers],
+        duplicates: no_processes(),
+        extra_seed: vec![false; script.routers],
         engines: addrs,
-        wire: wire_handle.clone(),
+        network: network_handle.clone(),
         clients,
         interrupt,
     };
-    let mut director = Director::new(script, ledger.clone(), zero);
-    let played = director.run(&mut stage);
-    let log = stage.log();
+    let mut runner = ScriptRunner::new(script, ledger.clone(), start_time);
+    let completed = runner.run(&mut driver);
+    let log = driver.log();
     let now = clock.now();
-    let clients = stage.clients.take();
-    drop(stage);
+    let clients = driver.clients.take();
+    drop(driver);
     if let Some(handle) = clients_handle {
-        handle.send(Tell::End);
+        handle.send(LoopCommand::End);
     }
     let results = match clients.and_then(|t| t.join().ok()).as_deref() {
         Some([clients]) => clients.results().to_vec(),
         _ => Vec::new(),
     };
-    wire_handle.send(Tell::End);
-    engines_handle.send(Tell::End);
-    let _ = (wire_thread.join(), engines_thread.join());
-    if !played? {
+    network_handle.send(LoopCommand::End);
+    engines_handle.send(LoopCommand::End);
+    let _ = (network_thread.join(), engines_thread.join());
+    if !completed? {
         return Ok(None);
     }
-    Ok(Some(director.outcome(ledger.records(), results, log, 0, now)))
+    Ok(Some(runner.outcome(ledger.records(), results, log, 0, now)))
 }
--- a/crates/fault-injection/src/script.rs
+++ b/crates/fault-injection/src/script.rs
@@ -1,214 +1,232 @@
-//! What a run plays: how many routers, what traffic, and which faults when, written down or drawn from the seed.
+//! Scripts: the number of routers, the traffic and the faults of a run, written down or drawn from the seed.
 //!
-//! A script is INI: the sections of a day ([`slipreel_scenario`]) for site, engines and traffic, `[ground]`, and a `[fault NAME]` for each
-//! fault. `docs/operators/fleet.md` describes it.
+//! A script is INI: the sections of a day ([`slipreel_scenario`]) for site, engines and traffic, `[ground]`,
+//! a `[fault NAME]` for each fault and a `[propose NAME]` for each proposal. `docs/operators/fleet.md`
+//! describes the format.
 
 use rand_xoshiro::rand_core::{RngCore, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
 use slipreel_consensus::PartitionMode;
 use slipreel_scenario::{read_day_parts, Day, DAY_SECTIONS};
-use slipreel_settings::{Doc, Fault as Wrong, Value};
+use slipreel_settings::{Doc, Fault as SettingsFault, Value};
 use std::time::Duration;
 
-/// What goes wrong.
+/// The kinds of faults.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, serde::Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Kind {
-    /// SIGKILL; started again at the end.
+pub enum FaultKind {
+    /// SIGKILL; the router is started again at the end.
     Kill,
-    /// SIGKILL, and its folder is lost; started again at the end.
-    KillLost,
-    /// SIGKILL, and never again.
-    Die,
-    /// It is not started with the others, but when this fault begins.
-    Late,
-    /// SIGTERM; started again at the end.
+    /// SIGKILL and loss of the folder; the router is started again at the end.
+    #[serde(rename = "kill_lost")]
+    KillAndLoseFolder,
+    /// SIGKILL without a new start.
+    #[serde(rename = "die")]
+    KillForGood,
+    /// The router is not started with the others, but when this fault begins.
+    #[serde(rename = "late")]
+    LateStart,
+    /// SIGTERM; the router is started again at the end.
     Leave,
     /// SIGSTOP, and SIGCONT at the end.
-    Stop,
-    /// Cut off from all others, who are not cut off from each other and neither are these.
-    Cut,
-    /// The same in one direction: what they send does not arrive.
-    CutOneWay,
-    /// Only the links between the first two of them are cut.
-    CutPair,
-    /// All links lose, delay, double and reorder.
-    Weather,
-    /// Connections from and to them pass a byte at a time.
-    Trickle,
-    /// Connections to them are taken and never answered.
-    Mute,
-    /// Datagrams that are none come in.
-    Noise,
-    /// A second process of its name is started, with a folder of its own, and ended at the end.
-    Twin,
-    /// Its folder can't be written.
-    FolderGone,
-    /// Its book and seeds change, and it is told by SIGHUP.
+    #[serde(rename = "stop")]
+    Pause,
+    /// The routers are cut off from all others. Links among them and links among the others work.
+    #[serde(rename = "cut")]
+    Partition,
+    /// As `Partition` in one direction: what the routers send to the others does not arrive.
+    #[serde(rename = "cut_one_way")]
+    PartitionOneWay,
+    /// Only the links between the routers of the list are cut.
+    #[serde(rename = "cut_pair")]
+    PartitionPair,
+    /// All links lose, delay, duplicate and reorder datagrams.
+    #[serde(rename = "weather")]
+    DegradedLinks,
+    /// Connections from and to the routers pass one byte at a time.
+    #[serde(rename = "trickle")]
+    SlowConnections,
+    /// Connections to the routers are accepted and never answered.
+    #[serde(rename = "mute")]
+    StalledConnections,
+    /// The routers receive invalid datagrams.
+    #[serde(rename = "noise")]
+    InvalidDatagrams,
+    /// A second process with the router's name and its own folder runs until the end.
+    #[serde(rename = "twin")]
+    DuplicateProcess,
+    /// The router's folder can't be written.
+    #[serde(rename = "folder_gone")]
+    FolderUnwritable,
+    /// The router's address table and seeds change, and SIGHUP makes it read them.
     Reload,
-    /// What a voter keeps can't be written any more: the disk is full.
+    /// The state of a voter can't be written any more: the disk is full.
     DiskFull,
-    /// SIGKILL while a write was half done; started again at the end.
-    KillTorn,
+    /// SIGKILL during a write; the router is started again at the end.
+    #[serde(rename = "kill_torn")]
+    KillMidWrite,
 }
 
-/// All kinds by name.
-pub const KINDS: &[(&str, Kind)] = &[
-    ("kill", Kind::Kill),
-    ("kill_lost", Kind::KillLost),
-    ("die", Kind::Die),
-    ("late", Kind::Late),
-    ("leave", Kind::Leave),
-    ("stop", Kind::Stop),
-    ("cut", Kind::Cut),
-    ("cut_one_way", Kind::CutOneWay),
-    ("cut_pair", Kind::CutPair),
-    ("weather", Kind::Weather),
-    ("trickle", Kind::Trickle),
-    ("mute", Kind::Mute),
-    ("noise", Kind::Noise),
-    ("twin", Kind::Twin),
-    ("folder_gone", Kind::FolderGone),
-    ("reload", Kind::Reload),
-    ("disk_full", Kind::DiskFull),
-    ("kill_torn", Kind::KillTorn),
+/// All kinds of faults with their names in scripts. Faults are drawn by their index in this list.
+pub const FAULT_KINDS: &[(&str, FaultKind)] = &[
+    ("kill", FaultKind::Kill),
+    ("kill_lost", FaultKind::KillAndLoseFolder),
+    ("die", FaultKind::KillForGood),
+    ("late", FaultKind::LateStart),
+    ("leave", FaultKind::Leave),
+    ("stop", FaultKind::Pause),
+    ("cut", FaultKind::Partition),
+    ("cut_one_way", FaultKind::PartitionOneWay),
+    ("cut_pair", FaultKind::PartitionPair),
+    ("weather", FaultKind::DegradedLinks),
+    ("trickle", FaultKind::SlowConnections),
+    ("mute", FaultKind::StalledConnections),
+    ("noise", FaultKind::InvalidDatagrams),
+    ("twin", FaultKind::DuplicateProcess),
+    ("folder_gone", FaultKind::FolderUnwritable),
+    ("reload", FaultKind::Reload),
+    ("disk_full", FaultKind::DiskFull),
+    ("kill_torn", FaultKind::KillMidWrite),
 ];
 
-impl Value for Kind {
+impl Value for FaultKind {
     const EXPECTED: &'static str = "a kind of fault";
     fn read(text: &str) -> Result<Self, String> {
-        let found = KINDS.iter().find(|(name, _)| *name == text).map(|(_, kind)| *kind);
+        let found = FAULT_KINDS.iter().find(|(name, _)| *name == text).map(|(_, kind)| *kind);
         found.ok_or_else(|| {
-            let names: Vec<&str> = KINDS.iter().map(|(name, _)| *name).collect();
+            let names: Vec<&str> = FAULT_KINDS.iter().map(|(name, _)| *name).collect();
             format!("one of {}", names.join(", "))
         })
     }
 }
 
-/// One fault.
+/// A fault of a script.
 #[derive(Clone, Debug, PartialEq, serde::Serialize)]
 pub struct Fault {
-    /// What.
-    pub kind: Kind,
-    /// When it begins, since the start.
+    /// The kind.
+    pub kind: FaultKind,
+    /// The beginning, as time since the start of the run.
     pub at: Duration,
-    /// How long it lasts.
+    /// The duration.
     pub lasts: Duration,
-    /// Whom it hits, by number.
-    pub whom: Vec<usize>,
-    /// Share of datagrams lost, in `weather`.
+    /// The numbers of the affected routers.
+    #[serde(rename = "whom")]
+    pub routers: Vec<usize>,
+    /// Share of lost datagrams, for `DegradedLinks`.
     pub loss: f64,
-    /// Delay one way, in `weather`.
+    /// Delay in one direction, for `DegradedLinks`.
     pub delay: Duration,
 }
 
-/// What an operator does about the policy.
+/// What an operator asks for in a proposal.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Wish {
-    /// A policy that every router can take.
+pub enum ProposalAction {
+    /// A policy that every router can apply.
     Change,
-    /// One that the poor router can't take: it takes out an engine without which that one has no reader.
-    Bad,
-    /// The policy of an earlier epoch again.
-    Back(u64),
-    /// A voter, by number, is gone for good.
-    Replace(usize),
+    /// A policy that the limited router can't apply, because it takes out the only prefill engine that this
+    /// router lists.
+    Incompatible,
+    /// The policy of an earlier epoch.
+    Rollback(u64),
+    /// Replacement of a voter, given by its number, that is gone for good.
+    ReplaceVoter(usize),
 }
 
-/// What has to come of it.
+/// The outcome that a proposal must have.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Expect {
-    /// It holds, or never did.
+pub enum ExpectedOutcome {
+    /// Any outcome, also none.
     Either,
-    /// It holds.
+    /// The change comes into force.
     InForce,
-    /// It is dropped.
+    /// The change is dropped.
     Dropped,
 }
 
-/// An operator's word to one router. It is said until the router has taken it, and once more under its id when that is known.
+/// A proposal that an operator submits to a router. It is submitted until the router accepts it, and once
+/// more under the same id when its outcome is known.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Propose {
-    /// Its id: the name of its section.
+pub struct ScriptedProposal {
+    /// The id: the name of the section.
     pub id: String,
-    /// When it is first said.
+    /// The time of the first submission.
     pub at: Duration,
-    /// To which router.
-    pub to: usize,
-    /// What.
-    pub wish: Wish,
-    /// What has to come of it.
-    pub expect: Expect,
+    /// The number of the router that gets it.
+    pub router: usize,
+    /// What is asked for.
+    pub action: ProposalAction,
+    /// The outcome that it must have.
+    pub expected: ExpectedOutcome,
 }
 
-impl Value for Expect {
+impl Value for ExpectedOutcome {
     const EXPECTED: &'static str = "either, in_force or dropped";
     fn read(text: &str) -> Result<Self, String> {
         match text {
-            "either" => Ok(Expect::Either),
-            "in_force" => Ok(Expect::InForce),
-            "dropped" => Ok(Expect::Dropped),
+            "either" => Ok(ExpectedOutcome::Either),
+            "in_force" => Ok(ExpectedOutcome::InForce),
+            "dropped" => Ok(ExpectedOutcome::Dropped),
             _ => Err(Self::EXPECTED.into()),
         }
     }
 }
 
-impl Value for Wish {
+impl Value for ProposalAction {
     const EXPECTED: &'static str = "change, bad, back EPOCH or replace ROUTER";
     fn read(text: &str) -> Result<Self, String> {
         let (word, number) = text.split_once(' ').unwrap_or((text, ""));
         let number = number.trim().parse::<u64>();
         match (word, number) {
-            ("change", Err(_)) => Ok(Wish::Change),
-            ("bad", Err(_)) => Ok(Wish::Bad),
-            ("back", Ok(epoch)) => Ok(Wish::Back(epoch)),
-            ("replace", Ok(router)) => Ok(Wish::Replace(router as usize)),
+            ("change", Err(_)) => Ok(ProposalAction::Change),
+            ("bad", Err(_)) => Ok(ProposalAction::Incompatible),
+            ("back", Ok(epoch)) => Ok(ProposalAction::Rollback(epoch)),
+            ("replace", Ok(router)) => Ok(ProposalAction::ReplaceVoter(router as usize)),
             _ => Err(Self::EXPECTED.into()),
         }
     }
 }
 
-/// A run.
+/// The script of a run.
 #[derive(Clone, Debug)]
 pub struct Script {
-    /// Settles all chances.
+    /// The seed of all random draws.
     pub seed: u64,
-    /// Routers, each a process.
+    /// The number of routers, each of which is a process.
     pub routers: usize,
-    /// When the first starts to when the last is asked, at least.
+    /// The least time from the start of the first router to the last query.
     pub length: Duration,
-    /// After the last fault one view has to stand by then.
-    pub settle: Duration,
-    /// All routers are started in this time, the seed first unless it is zero.
-    pub start: Duration,
+    /// The time after the last fault within which all routers must hold one view.
+    pub settle_within: Duration,
+    /// The time in which all routers are started. Unless it is zero, the seed routers start first.
+    pub start_window: Duration,
     /// How many of the first routers are seeds.
     pub seeds: usize,
-    /// Whether the seeds are started at all.
+    /// Whether the seeds are never started.
     pub seeds_dead: bool,
-    /// The count of routers that is typed into each file.
-    pub floor: u32,
-    /// Nobody may call anybody gone, whatever the faults.
-    pub nobody_gone: bool,
-    /// Who has to be called gone by all others that are up.
-    pub gone: Vec<usize>,
-    /// Longest datagram: small ones send all else by TCP.
-    pub datagram: usize,
-    /// Faults in order of their beginning.
+    /// The number of routers that each settings file states; a router never counts fewer.
+    pub min_routers: u32,
+    /// Whether no router may be reported as gone, whatever the faults.
+    pub forbid_gone: bool,
+    /// The routers that all others that are up must report as gone.
+    pub expected_gone: Vec<usize>,
+    /// The longest datagram; what is larger goes over TCP.
+    pub max_datagram: usize,
+    /// The faults, ordered by their beginning.
     pub faults: Vec<Fault>,
     /// Site, engines and traffic.
     pub day: Day,
-    /// The text of the site's sections, for the files of the processes.
+    /// The text of the site's sections, for the routers' settings files.
     pub site_text: String,
-    /// Whether clients ask.
+    /// Whether clients send requests.
     pub traffic: bool,
-    /// How many of the first routers found a policy; 0: none is agreed on.
+    /// How many of the first routers are founding voters of a policy; 0 if no policy is agreed on.
     pub founders: usize,
-    /// What a router does that can't know whether its policy holds.
-    pub cut: PartitionMode,
-    /// A router that lists one reader and one writer alone.
-    pub poor: Option<usize>,
-    /// What operators do about the policy, in order.
-    pub proposals: Vec<Propose>,
+    /// What a router does while it can't know whether its policy is in force.
+    pub partition_mode: PartitionMode,
+    /// A router that lists only one engine of each role.
+    pub limited_router: Option<usize>,
+    /// The proposals, ordered by their time.
+    pub proposals: Vec<ScriptedProposal>,
 }
 
 /// A share from 0 to 1.
@@ -222,46 +240,47 @@
     }
 }
 
-/// Numbers of routers: `0, 3, 4-7`.
-struct Whom(Vec<usize>);
+/// Numbers of routers such as `0, 3, 4-7`.
+struct RouterNumbers(Vec<usize>);
 
-impl Value for Whom {
+impl Value for RouterNumbers {
     const EXPECTED: &'static str = "numbers of routers such as 0, 3 or 4-7, with commas between them";
     fn read(text: &str) -> Result<Self, String> {
         let mut all = Vec::new();
         for word in text.split(',').map(str::trim).filter(|w| !w.is_empty()) {
             let (first, last) = word.split_once('-').unwrap_or((word, word));
             let ends = first.trim().parse().ok().zip(last.trim().parse::<usize>().ok());
-            let (first, last) = ends.filter(|(f, l)| f <= l && *l < MOST).ok_or(Self::EXPECTED)?;
+            let (first, last) = ends.filter(|(f, l)| f <= l && *l < MAX_ROUTERS).ok_or(Self::EXPECTED)?;
             all.extend(first..=last);
         }
-        Ok(Whom(all))
+        Ok(RouterNumbers(all))
     }
 }
 
-/// The most routers of a run; over sockets each pair of them costs four descriptors.
-pub const MOST: usize = 64;
+/// The largest number of routers; over sockets each pair of routers takes four descriptors.
+pub const MAX_ROUTERS: usize = 64;
 
-/// The sections that only a script has.
-const OWN_SECTIONS: [&str; 3] = ["ground", "fault", "propose"];
+/// The sections of a script that a day does not have.
+const SCRIPT_SECTIONS: [&str; 3] = ["ground", "fault", "propose"];
 
-/// A site with some readers and writers and little traffic, for scripts that bring none.
-pub const SITE: &str = include_str!("site.ini");
+/// A site with some prefill and decode engines and little traffic, for scripts that have no `[engines NAME]`.
+pub const DEFAULT_SITE: &str = include_str!("site.ini");
 
-/// Reads a script; `seed` stands for its own. One that has no `[engines NAME]` gets the site, engines and traffic of [`SITE`].
+/// Reads a script. `seed` replaces the seed of the script. A script without `[engines NAME]` gets the site,
+/// engines and traffic of [`DEFAULT_SITE`].
 ///
 /// # Errors
-/// Every fault of the text, by line.
-pub fn read_script(text: &str, file: &str, seed: Option<u64>) -> Result<Script, Vec<Wrong>> {
+/// All faults of the text, with their lines.
+pub fn read_script(text: &str, file: &str, seed: Option<u64>) -> Result<Script, Vec<SettingsFault>> {
     let has_site = text.lines().any(|l| l.trim_start().starts_with("[engines "));
-    let whole = if has_site { text.to_owned() } else { format!("{text}\n{SITE}") };
+    let whole = if has_site { text.to_owned() } else { format!("{text}\n{DEFAULT_SITE}") };
     let mut doc = Doc::parse(&whole, file)?;
     let at = doc.one("ground");
-    let own = doc.or(at, "seed", 1u64);
-    let seed = seed.unwrap_or(own);
+    let script_seed = doc.or(at, "seed", 1u64);
+    let seed = seed.unwrap_or(script_seed);
     let routers = doc.or(at, "routers", 3usize);
-    if !(2..=MOST).contains(&routers) {
-        let why = format!("{routers}: expected 2 to {MOST}");
+    if !(2..=MAX_ROUTERS).contains(&routers) {
+        let why = format!("{routers}: expected 2 to {MAX_ROUTERS}");
         match at {
             Some(at) => doc.say(at, "routers", why),
             None => doc.say_file(why),
@@ -272,92 +291,92 @@
     let random = doc.or(at, "random", 0usize);
     let mut faults = Vec::new();
     for at in doc.all("fault") {
-        let Some(kind) = doc.need::<Kind>(at, "kind") else { continue };
-        let whom = doc.or(Some(at), "whom", Whom(Vec::new())).0;
-        if let Some(odd) = whom.iter().find(|w| **w >= routers) {
-            doc.say(at, "whom", format!("{odd}: expected 0 to {}", routers.saturating_sub(1)));
+        let Some(kind) = doc.need::<FaultKind>(at, "kind") else { continue };
+        let affected = doc.or(Some(at), "whom", RouterNumbers(Vec::new())).0;
+        if let Some(unknown) = affected.iter().find(|r| **r >= routers) {
+            doc.say(at, "whom", format!("{unknown}: expected 0 to {}", routers.saturating_sub(1)));
         }
-        if whom.is_empty() && kind != Kind::Weather {
+        if affected.is_empty() && kind != FaultKind::DegradedLinks {
             doc.say(at, "whom", "expected whom it hits");
         }
         faults.push(Fault {
             kind,
             at: doc.or(Some(at), "at", Duration::from_secs(5)),
             lasts: doc.or(Some(at), "lasts", Duration::from_secs(3)),
-            whom,
+            routers: affected,
             loss: doc.or(Some(at), "loss", Share(0.1)).0,
             delay: doc.or(Some(at), "delay", Duration::from_millis(100)),
         });
     }
-    let changes = doc.or(at, "changes", 0usize);
-    let steady = doc.or(at, "steady", 0usize);
+    let random_changes = doc.or(at, "changes", 0usize);
+    let steady_changes = doc.or(at, "steady", 0usize);
     let script = Script {
         seed,
         routers,
         length,
-        settle: doc.or(at, "settle", Duration::from_secs(8)),
-        start: doc.or(at, "start", Duration::from_millis(500)),
+        settle_within: doc.or(at, "settle", Duration::from_secs(8)),
+        start_window: doc.or(at, "start", Duration::from_millis(500)),
         seeds,
         seeds_dead: doc.or(at, "seeds_dead", false),
-        floor: doc.or(at, "floor", 1u32),
-        nobody_gone: doc.or(at, "nobody_gone", false),
-        gone: doc.or(at, "gone", Whom(Vec::new())).0,
-        datagram: doc.or(at, "datagram", 1_200usize),
+        min_routers: doc.or(at, "floor", 1u32),
+        forbid_gone: doc.or(at, "nobody_gone", false),
+        expected_gone: doc.or(at, "gone", RouterNumbers(Vec::new())).0,
+        max_datagram: doc.or(at, "datagram", 1_200usize),
         faults: Vec::new(),
         traffic: doc.or(at, "traffic", true),
         founders: doc.or(at, "founders", 0usize).min(routers).min(slipreel_consensus::timing::MAX_VOTERS),
-        cut: doc.or(at, "cut", PartitionMode::Refuse),
-        poor: doc.or(at, "poor", Whom(Vec::new())).0.first().copied(),
+        partition_mode: doc.or(at, "cut", PartitionMode::Refuse),
+        limited_router: doc.or(at, "poor", RouterNumbers(Vec::new())).0.first().copied(),
         proposals: read_proposals(&mut doc, routers),
-        site_text: site_of(&whole),
+        site_text: site_sections(&whole),
         day: match read_day_parts(&mut doc) {
             Some(day) => day,
-            None => return Err(doc.finish(&known()).err().unwrap_or_default()),
+            None => return Err(doc.finish(&known_sections()).err().unwrap_or_default()),
         },
     };
-    doc.finish(&known())?;
+    doc.finish(&known_sections())?;
     let mut script = Script { faults, ..script }.with_seed(seed);
     script.add_random_faults(random);
-    script.draw_changes(changes);
-    script.change_steadily(steady);
+    script.add_random_changes(random_changes);
+    script.add_steady_changes(steady_changes);
     Ok(script)
 }
 
-fn read_proposals(doc: &mut Doc, routers: usize) -> Vec<Propose> {
+fn read_proposals(doc: &mut Doc, routers: usize) -> Vec<ScriptedProposal> {
     let mut all = Vec::new();
     for at in doc.all("propose") {
         let id = doc.section(at).name.clone();
-        let to = doc.or(Some(at), "to", 0usize);
-        if to >= routers {
-            doc.say(at, "to", format!("{to}: expected 0 to {}", routers.saturating_sub(1)));
+        let router = doc.or(Some(at), "to", 0usize);
+        if router >= routers {
+            doc.say(at, "to", format!("{router}: expected 0 to {}", routers.saturating_sub(1)));
         }
-        all.push(Propose {
+        all.push(ScriptedProposal {
             id,
-            to,
+            router,
             at: doc.or(Some(at), "at", Duration::from_secs(10)),
-            wish: doc.or(Some(at), "wish", Wish::Change),
-            expect: doc.or(Some(at), "expect", Expect::Either),
+            action: doc.or(Some(at), "wish", ProposalAction::Change),
+            expected: doc.or(Some(at), "expect", ExpectedOutcome::Either),
         });
     }
     all.sort_by_key(|p| p.at);
     all
 }
 
-fn known() -> Vec<&'static str> {
-    DAY_SECTIONS.iter().chain(&OWN_SECTIONS).copied().collect()
+fn known_sections() -> Vec<&'static str> {
+    DAY_SECTIONS.iter().chain(&SCRIPT_SECTIONS).copied().collect()
 }
 
-/// The sections that each router's file takes over as they are.
-fn site_of(text: &str) -> String {
+/// The sections that each router's settings file copies unchanged.
+fn site_sections(text: &str) -> String {
     let mut out = String::new();
-    let mut takes = false;
+    let mut is_copied = false;
     for line in text.lines() {
         let line = line.trim();
         if let Some(head) = line.strip_prefix('[') {
             let kind = head.split([' ', ']']).next().unwrap_or("");
-            takes = ["class", "model", "tenant", "limits", "bounds"].contains(&kind);
+            is_copied = ["class", "model", "tenant", "limits", "bounds"].contains(&kind);
         }
-        if takes {
+        if is_copied {
             out += line;
             out.push('\n');
         }
@@ -371,94 +390,106 @@
         self
     }
 
-    /// When the last fault is over.
-    pub fn calm(&self) -> Duration {
+    /// When the last fault has ended and all routers have been started.
+    pub fn last_fault_end(&self) -> Duration {
         let ends = self.faults.iter().map(|f| f.at + f.lasts);
-        ends.max().unwrap_or_default().max(self.start)
+        ends.max().unwrap_or_default().max(self.start_window)
     }
 
-    /// Adds faults drawn from the seed: each kind is as likely, some hit one router and some a third; they overlap freely,
-    /// but no router is hit twice at once by what ends or stops its process.
+    /// Adds faults drawn from the seed. All kinds are equally likely. A third of the faults affect up to a
+    /// third of the routers, the others affect one. Faults may overlap, but no router is affected at the same
+    /// time by two that end, stop or duplicate its process or fill its disk.
     pub fn add_random_faults(&mut self, faults: usize) {
         let mut rng = Xoshiro256PlusPlus::seed_from_u64(self.seed ^ 0xfa17);
-        let mut below = |n: u64| rng.next_u64() % n.max(1);
+        let mut random_below = |n: u64| rng.next_u64() % n.max(1);
         let ms = Duration::from_millis;
-        let ends = |k: Kind| {
+        let is_exclusive = |k: FaultKind| {
             matches!(
                 k,
-                Kind::Kill
-                    | Kind::KillLost
-                    | Kind::KillTorn
-                    | Kind::DiskFull
-                    | Kind::Leave
-                    | Kind::Stop
-                    | Kind::Twin
-                    | Kind::Die
+                FaultKind::Kill
+                    | FaultKind::KillAndLoseFolder
+                    | FaultKind::KillMidWrite
+                    | FaultKind::DiskFull
+                    | FaultKind::Leave
+                    | FaultKind::Pause
+                    | FaultKind::DuplicateProcess
+                    | FaultKind::KillForGood
             )
         };
         for _ in 0..faults {
-            let kind = KINDS[below(KINDS.len() as u64) as usize].1;
-            // These are for scripts that say so: the fleet is to be whole at the start and at the end.
-            let kind = if matches!(kind, Kind::Die | Kind::Late) { Kind::Kill } else { kind };
-            // Where voters are, a folder that is lost while its process runs is a disk that forgets what it was told to keep.
+            let kind = FAULT_KINDS[random_below(FAULT_KINDS.len() as u64) as usize].1;
+            // These two kinds only occur where a script lists them: with drawn faults all routers must be up
+            // at the start and at the end.
+            let kind = if matches!(kind, FaultKind::KillForGood | FaultKind::LateStart) {
+                FaultKind::Kill
+            } else {
+                kind
+            };
+            // For a voter, losing the folder while the process runs means a disk that forgets data it has
+            // confirmed as synced.
             let kind = match kind {
-                Kind::FolderGone | Kind::Twin if self.founders > 0 => Kind::KillTorn,
-                Kind::DiskFull if self.founders == 0 => Kind::Kill,
+                FaultKind::FolderUnwritable | FaultKind::DuplicateProcess if self.founders > 0 => {
+                    FaultKind::KillMidWrite
+                }
+                FaultKind::DiskFull if self.founders == 0 => FaultKind::Kill,
                 kind => kind,
             };
             let span = self.length.saturating_sub(ms(5_000)).as_millis() as u64;
-            let (at, lasts) = (ms(3_000 + below(span)), ms(200 + below(5_000)));
-            let many = if below(3) == 0 { 1 + below(self.routers as u64 / 3) } else { 1 };
-            let mut whom: Vec<usize> = (0..many).map(|_| below(self.routers as u64) as usize).collect();
-            if kind == Kind::CutPair {
-                whom = vec![whom[0], (whom[0] + 1) % self.routers];
+            let (at, lasts) = (ms(3_000 + random_below(span)), ms(200 + random_below(5_000)));
+            let count = if random_below(3) == 0 { 1 + random_below(self.routers as u64 / 3) } else { 1 };
+            let mut routers: Vec<usize> =
+                (0..count).map(|_| random_below(self.routers as u64) as usize).collect();
+            if kind == FaultKind::PartitionPair {
+                routers = vec![routers[0], (routers[0] + 1) % self.routers];
             }
-            whom.sort_unstable();
-            whom.dedup();
-            let clashes = |f: &Fault| {
+            routers.sort_unstable();
+            routers.dedup();
+            let conflicts = |f: &Fault| {
                 let apart = at > f.at + f.lasts + ms(500) || f.at > at + lasts + ms(500);
-                ends(f.kind) && !apart && f.whom.iter().any(|w| whom.contains(w))
+                is_exclusive(f.kind) && !apart && f.routers.iter().any(|r| routers.contains(r))
             };
-            if ends(kind) && self.faults.iter().any(clashes) {
+            if is_exclusive(kind) && self.faults.iter().any(conflicts) {
                 continue;
             }
-            let loss = below(20) as f64 / 100.0;
-            self.faults.push(Fault { kind, at, lasts, whom, loss, delay: ms(below(100)) });
+            let loss = random_below(20) as f64 / 100.0;
+            self.faults.push(Fault { kind, at, lasts, routers, loss, delay: ms(random_below(100)) });
         }
         self.faults.sort_by_key(|f| f.at);
     }
 }
 
 impl Script {
-    /// Adds changes one after the other, four a second from the seventh second on, all of which have to come into force.
-    pub fn change_steadily(&mut self, changes: usize) {
-        self.proposals.extend((0..changes).map(|n| Propose {
+    /// Adds changes of the policy, four a second from the seventh second on, all of which must come into
+    /// force.
+    pub fn add_steady_changes(&mut self, changes: usize) {
+        self.proposals.extend((0..changes).map(|n| ScriptedProposal {
             id: format!("steady-{n}"),
             at: Duration::from_millis(7_000 + 250 * n as u64),
-            to: 0,
-            wish: Wish::Change,
-            expect: Expect::InForce,
+            router: 0,
+            action: ProposalAction::Change,
+            expected: ExpectedOutcome::InForce,
         }));
         self.proposals.sort_by_key(|p| p.at);
     }
 
-    /// Adds changes of policy drawn from the seed: at any time, to any router, now and then a bad one or a way back.
-    pub fn draw_changes(&mut self, changes: usize) {
+    /// Adds changes of the policy drawn from the seed, at any time and to any router. Some are rollbacks, and
+    /// some are incompatible if there is a limited router.
+    pub fn add_random_changes(&mut self, changes: usize) {
         let mut rng = Xoshiro256PlusPlus::seed_from_u64(self.seed ^ 0xc4a6);
-        let mut below = |n: u64| rng.next_u64() % n.max(1);
+        let mut random_below = |n: u64| rng.next_u64() % n.max(1);
         for n in 0..changes {
             let span = self.length.saturating_sub(Duration::from_secs(4)).as_millis() as u64;
-            let wish = match below(6) {
-                0 if self.poor.is_some() => Wish::Bad,
-                1 => Wish::Back(1),
-                _ => Wish::Change,
+            let action = match random_below(6) {
+                0 if self.limited_router.is_some() => ProposalAction::Incompatible,
+                1 => ProposalAction::Rollback(1),
+                _ => ProposalAction::Change,
             };
-            self.proposals.push(Propose {
+            self.proposals.push(ScriptedProposal {
                 id: format!("drawn-{n}"),
-                at: Duration::from_millis(3_000 + below(span)),
-                to: below(self.routers as u64) as usize,
-                wish,
-                expect: Expect::Either,
+                at: Duration::from_millis(3_000 + random_below(span)),
+                router: random_below(self.routers as u64) as usize,
+                action,
+                expected: ExpectedOutcome::Either,
             });
         }
         self.proposals.sort_by_key(|p| p.at);
