--- a/crates/cli/src/ground.rs
+++ b/crates/cli/src/ground.rs
@@ -70,17 +70,20 @@
         script.faults.len(),
         verdict.false_alarms,
         verdict.suspicions,
-        verdict.handed_out,
-        verdict.handed_out_last,
-        played.breaks.len(),
+        verdict.peak_quota_share,
+        verdict.final_quota_share,
+        played.violations.len(),
         count_endings(played)
     );
     print_policy(played);
-    if verdict.late > Duration::ZERO {
-        println!("  the schedule ran up to {} ms late: times are not judged", verdict.late.as_millis());
+    if verdict.max_lateness > Duration::ZERO {
+        println!(
+            "  the schedule ran up to {} ms late: times are not judged",
+            verdict.max_lateness.as_millis()
+        );
     }
-    verdict.wrong.iter().for_each(|wrong| println!("  wrong: {wrong}"));
-    for rule_break in played.breaks.iter().take(MAX_PRINTED_BREAKS) {
+    verdict.failures.iter().for_each(|wrong| println!("  wrong: {wrong}"));
+    for rule_break in played.violations.iter().take(MAX_PRINTED_BREAKS) {
         println!("  rule broken: {}, at {:?}: {}", rule_break.rule, rule_break.at, rule_break.description);
     }
 }
@@ -102,7 +105,7 @@
         policy.verdict.taken.values().sum::<usize>(),
         policy.verdict.uncertain
     );
-    policy.wrong.iter().for_each(|wrong| println!("  wrong: {wrong}"));
+    policy.failures.iter().for_each(|wrong| println!("  wrong: {wrong}"));
     for broken in policy.verdict.broken.iter().take(MAX_PRINTED_BREAKS) {
         println!("  promise broken: {:?}, at {:?}: {}", broken.promise, broken.at, broken.description);
     }
@@ -126,7 +129,7 @@
             self.changed_in.extend(policy.changed_in.iter().copied());
             self.longest_overlap = self.longest_overlap.max(policy.verdict.overlap);
         }
-        self.wrong_runs += usize::from(!played.is_well());
+        self.wrong_runs += usize::from(!played.passed());
     }
 
     fn print(&mut self, runs: u64) {
@@ -193,7 +196,7 @@
         if run == 0 {
             first_seed = script.seed;
         }
-        script.draw(args.random);
+        script.add_random_faults(args.random);
         let played = play(args, &script, &interrupt)?;
         print_run(&script, &played);
         if args.log {
