--- a/crates/cli/src/demo.rs
+++ b/crates/cli/src/demo.rs
@@ -150,7 +150,7 @@
                            "operators": format!("http://{}", fleet.operators[0])});
     println!("ready {ready}");
     let _ = std::io::stdout().flush();
-    while !signals.stopped() {
+    while !signals.stop_requested() {
         std::thread::sleep(Duration::from_millis(20));
     }
     let (tallies, leaks) = fleet.stop();
--- a/crates/cli/src/disk.rs
+++ b/crates/cli/src/disk.rs
@@ -1,4 +1,4 @@
-//! The file of a voter on disk: it is appended to and synced, or replaced atomically.
+//! The consensus log of a voter on disk: a file that is appended to and synced, or replaced atomically.
 
 use rustix::fs::FlockOperation;
 use slipreel_consensus::Disk;
@@ -6,12 +6,12 @@
 use std::io::{Read, Write};
 use std::path::{Path, PathBuf};
 
-/// The file's name in the folder of `[fleet]`.
+/// The name of the log file in the folder that `[fleet]` sets.
 const FILE_NAME: &str = "accord";
-/// Bytes from which on a file is refused: a log of this program is never that long.
+/// A file of this many bytes or more is rejected: logs that this program writes are always shorter.
 const MAX_FILE_LEN: u64 = 1 << 30;
 
-/// The folder with a voter's file.
+/// The folder that holds a voter's log file.
 pub(crate) struct Folder {
     folder: PathBuf,
     file: Option<File>,
@@ -23,11 +23,11 @@
         Folder { folder: folder.to_owned(), file: None }
     }
 
-    /// Locks the folder for this process until the returned file is closed. A second process on one folder would vote with the first one's
-    /// promises.
+    /// Locks the folder for this process until the returned file is closed. A second process on the same folder would
+    /// vote with the promises of the first one.
     ///
     /// # Errors
-    /// Another process has locked it, or it can't be created.
+    /// Another process has locked the folder, or it can't be created.
     pub(crate) fn lock(folder: &Path) -> std::io::Result<File> {
         std::fs::create_dir_all(folder)?;
         let lock = File::options().create(true).truncate(false).write(true).open(folder.join("lock"))?;
@@ -35,7 +35,7 @@
         Ok(lock)
     }
 
-    /// Reads the file; empty if there is none.
+    /// Reads the log file; empty if there is none.
     pub(crate) fn read(folder: &Path) -> std::io::Result<Vec<u8>> {
         let file = match File::open(folder.join(FILE_NAME)) {
             Err(e) if e.kind() == std::io::ErrorKind::NotFound => return Ok(Vec::new()),
@@ -52,7 +52,7 @@
     }
 
     fn try_append(&mut self, bytes: &[u8], sync: bool) -> std::io::Result<()> {
-        // Writes to a file that was removed while the router runs would be lost.
+        // Data written to a file that was removed while the router runs would be lost.
         if !self.folder.join(FILE_NAME).exists() {
             return Err(std::io::Error::other(format!(
                 "{}/{FILE_NAME} is not there any more",
--- a/crates/cli/src/engine.rs
+++ b/crates/cli/src/engine.rs
@@ -1,4 +1,4 @@
-//! `standin`: one stand-in engine on a loopback address.
+//! `standin`: one simulated engine on a loopback address.
 
 use crate::signals::Signals;
 use crate::{Failure, Outcome};
@@ -9,7 +9,7 @@
 use std::net::SocketAddr;
 use std::time::{Duration, SystemTime};
 
-/// What a stand-in does.
+/// The role of a simulated engine; `read` is prefill and `write` is decode.
 #[derive(Clone, Copy, ValueEnum)]
 enum RoleArg {
     Read,
@@ -19,22 +19,22 @@
 
 #[derive(clap::Args)]
 pub(crate) struct Args {
-    /// What it does.
+    /// Its role: prefill (read), decode (write) or both.
     #[arg(long, value_enum)]
     role: RoleArg,
-    /// Where it listens; a loopback address.
+    /// The address to listen on; a loopback address.
     #[arg(long)]
     listen: SocketAddr,
-    /// Requests that run at once.
+    /// Most requests that run at a time.
     #[arg(long)]
     slots: Option<usize>,
-    /// Prompt tokens read a second.
+    /// Prompt tokens prefilled per second.
     #[arg(long)]
     read_per_s: Option<f64>,
     /// Shortest time between two tokens of an answer, milliseconds.
     #[arg(long)]
     step_ms: Option<f64>,
-    /// Start warm, not cold.
+    /// Start warm instead of cold.
     #[arg(long)]
     warm: bool,
 }
@@ -53,15 +53,15 @@
     spec.step = step.unwrap_or(spec.step);
     let signals = Signals::watch()?;
     let clock = Clock::start();
-    let wall = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
-    let make = if args.warm { Engine::warm } else { Engine::new };
-    let mut looped = EventLoop::new(clock).map_err(|e| Failure::Run(e.to_string()))?;
-    let node = looped.add(make(spec, Ledger::default(), clock.now(), wall));
-    let addr = looped.listen(node, args.listen).map_err(|e| Failure::Run(e.to_string()))?;
+    let unix_time = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
+    let new_engine = if args.warm { Engine::warm } else { Engine::new };
+    let mut event_loop = EventLoop::new(clock).map_err(|e| Failure::Run(e.to_string()))?;
+    let node = event_loop.add(new_engine(spec, Ledger::default(), clock.now(), unix_time));
+    let addr = event_loop.listen(node, args.listen).map_err(|e| Failure::Run(e.to_string()))?;
     println!("standin ready on {addr}");
-    let handle = looped.handle();
-    let thread = std::thread::spawn(move || looped.run().map_err(|e| e.to_string()));
-    while !signals.stopped() && !thread.is_finished() {
+    let handle = event_loop.handle();
+    let thread = std::thread::spawn(move || event_loop.run().map_err(|e| e.to_string()));
+    while !signals.stop_requested() && !thread.is_finished() {
         std::thread::sleep(Duration::from_millis(50));
     }
     handle.send(Command::Stop(MachineId(0)));
--- a/crates/cli/src/ground.rs
+++ b/crates/cli/src/ground.rs
@@ -159,7 +159,7 @@
 fn watch_for_interrupt(interrupt: Interrupt) -> Result<(), Failure> {
     let signals = Signals::watch()?;
     std::thread::spawn(move || loop {
-        if signals.stopped() {
+        if signals.stop_requested() {
             interrupt.store(true, Ordering::Relaxed);
         }
         std::thread::sleep(SIGNAL_POLL_INTERVAL);
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,4 +1,4 @@
-//! The `slipreel` command: a thin shell over the library crates.
+//! The `slipreel` command: a thin command-line interface to the library crates.
 
 #![forbid(unsafe_code)]
 
@@ -22,7 +22,7 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-/// A router for language-model serving that sends reading and writing to separate engines.
+/// A router for language-model serving that sends prefill and decode to separate engines.
 #[derive(Parser)]
 #[command(name = "slipreel", version, about)]
 struct Cli {
@@ -32,42 +32,42 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Run a router by its settings.
+    /// Run a router with the given settings.
     Serve {
-        /// The settings, INI.
+        /// The settings file, INI.
         #[arg(long)]
         config: PathBuf,
-        /// End at once when standard input ends: for programs that start many and may be killed.
+        /// Exit at once when standard input ends, so that no router outlives a program that started it and was killed.
         #[arg(long)]
         until_input_ends: bool,
     },
-    /// Run a router on the platform: started by its variables and its configuration file (`LB_CONFIG`).
+    /// Run a router on the platform, with the configuration file that the environment variable `LB_CONFIG` names.
     Node,
-    /// Read logs of routers on the platform and say where requests and work were lost.
+    /// Summarise logs of routers on the platform: where requests and engine work were lost.
     Losses(losses::Args),
-    /// Check settings and name every fault.
+    /// Check settings and report every fault.
     Check {
-        /// The settings, INI.
+        /// The settings file, INI.
         file: PathBuf,
-        /// Check its policy alone: its sections may stand in a file of their own. Names what is a router's own.
+        /// Check the policy only; the file may hold only policy sections. Lists the settings that belong to the router.
         #[arg(long)]
         policy: bool,
     },
-    /// Run one stand-in engine.
+    /// Run one simulated engine.
     Standin(engine::Args),
-    /// Send requests at a steady rate and measure from when each was due.
+    /// Send requests at a given rate and measure latency from the time at which each was due.
     Load(load::Args),
-    /// Run a small fleet, routers and clients over loopback, and play a day.
+    /// Run a scenario (a "day") with a small fleet of engines, routers and clients over loopback.
     Demo(demo::Args),
-    /// Play a day in the emulator: the decision module and engines without bytes between them.
+    /// Run a scenario (a "day") in the emulator: the decision module and modelled engines, without any I/O.
     Model(model::Args),
-    /// See, plan, order and freeze changes of engines between reading and writing.
+    /// Show, plan, apply and freeze role changes of engines between prefill and decode.
     Roles(roles::Args),
-    /// Start many routers as processes, put faults between them, and judge what they did.
+    /// Start many router processes, inject faults, and check how the routers behave.
     Ground(ground::Args),
-    /// See who is in the fleet of a running router, follow changes, say goodbye.
+    /// Show the members of a running router's fleet, watch changes, and leave, replace or remove members.
     Fleet(fleet::Args),
-    /// See and change the policy that a fleet has agreed on.
+    /// Show and change the policy that a fleet has agreed on.
     Policy(policy::Args),
     /// Print a completion script for a shell.
     Completions {
@@ -76,30 +76,33 @@
     },
 }
 
-/// Why a command ended without success.
+/// Why a command failed.
 pub(crate) enum Failure {
-    /// The input is wrong; exit code 2.
+    /// Invalid arguments or input files; exit code 2.
     Input(String),
-    /// It did not work, or a rule broke; exit code 1.
+    /// An error at run time, or a violated invariant; exit code 1.
     Run(String),
-    /// It was said what came of it; this exit code says it, too.
+    /// The result was printed already; the process exits with this code.
     Code(u8),
 }
 
+/// The result of a command.
 pub(crate) type Outcome = Result<(), Failure>;
 
-/// Reads settings; all faults at once.
+/// Reads settings; a failure reports all faults of the file.
 pub(crate) fn read_settings(file: &Path) -> Result<slipreel_settings::Daemon, Failure> {
     let name = file.display().to_string();
     let text = std::fs::read_to_string(file).map_err(|e| Failure::Input(format!("{name}: {e}")))?;
     slipreel_settings::parse(&text, &name).map_err(|faults| Failure::Input(lines(&faults)))
 }
 
+/// The faults, one a line.
 pub(crate) fn lines(faults: &[slipreel_settings::Fault]) -> String {
     faults.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n")
 }
 
-fn check(file: &Path) -> Outcome {
+/// Checks all settings of a file.
+fn check_settings(file: &Path) -> Outcome {
     let daemon = read_settings(file)?;
     if let Some(fleet) = &daemon.fleet {
         fleet.peers().map_err(|faults| Failure::Input(lines(&faults)))?;
@@ -117,7 +120,7 @@
     Ok(())
 }
 
-/// The policy of a file, by the line that `docs/design-policy.md` draws.
+/// Checks the policy of a file, which is the part of the settings that `docs/design-policy.md` defines.
 fn check_policy(file: &Path) -> Outcome {
     let name = file.display().to_string();
     let text = std::fs::read_to_string(file).map_err(|e| Failure::Input(format!("{name}: {e}")))?;
@@ -136,7 +139,7 @@
         Command::Node => node::run(),
         Command::Losses(args) => losses::run(&args),
         Command::Check { file, policy: true } => check_policy(&file),
-        Command::Check { file, policy: false } => check(&file),
+        Command::Check { file, policy: false } => check_settings(&file),
         Command::Standin(args) => engine::run(&args),
         Command::Load(args) => load::run(&args),
         Command::Demo(args) => demo::run(&args),
@@ -152,12 +155,12 @@
     };
     match outcome {
         Ok(()) => ExitCode::SUCCESS,
-        Err(Failure::Input(why)) => {
-            eprintln!("{why}");
+        Err(Failure::Input(message)) => {
+            eprintln!("{message}");
             ExitCode::from(2)
         }
-        Err(Failure::Run(why)) => {
-            eprintln!("slipreel: {why}");
+        Err(Failure::Run(message)) => {
+            eprintln!("slipreel: {message}");
             ExitCode::FAILURE
         }
         Err(Failure::Code(code)) => ExitCode::from(code),
--- a/crates/cli/src/node.rs
+++ b/crates/cli/src/node.rs
@@ -1,6 +1,6 @@
 //! `node`: a router on the platform. One event loop runs in this thread; another thread forwards signals to it.
 //!
-//! The other parts of the program (operators' port, metrics, the gateway) are off here.
+//! The operators' port, the metrics and the gateway of `serve` are not part of this command.
 
 use crate::{logs, Failure, Outcome};
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
@@ -44,7 +44,7 @@
     let config = read_config(&path)?;
     let configured = started.elapsed();
     logs::start(slipreel_settings::LogFormat::Text, "info");
-    // Before the loop handles anything: an early signal must not end the process.
+    // Registered before the event loop runs: an early signal must not end the process.
     let signals = Signals::new([SIGHUP, SIGTERM, SIGINT]).map_err(run_failure)?;
     let clock = Clock::start();
     let mut event_loop = EventLoop::new(clock).map_err(run_failure)?;
@@ -55,8 +55,8 @@
     let listen = config.listen;
     let name = config.name.clone();
     let sockets = config.resource_limits.descriptors;
-    let wall = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
-    let node = event_loop.add(PlatformRouter::new(config, clock.now(), wall));
+    let unix_time = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
+    let node = event_loop.add(PlatformRouter::new(config, clock.now(), unix_time));
     event_loop.listen(node, listen).map_err(run_failure)?;
     forward_signals(signals, path, event_loop.handle(), node).map_err(run_failure)?;
     tracing::info!(%listen, name, sockets, ?configured, listening = ?started.elapsed(), "serving");
@@ -84,7 +84,7 @@
     thread.spawn(forward).map(|_| ())
 }
 
-/// Reads the configuration again and hands it to the router. One that cannot be read changes nothing.
+/// Reads the configuration again and sends it to the router. A configuration that can't be read changes nothing.
 fn reload(path: &Path, handle: &EventLoopHandle<PlatformRouter>, node: MachineId) {
     match read_config(path) {
         Ok(config) => {
--- a/crates/cli/src/roles.rs
+++ b/crates/cli/src/roles.rs
@@ -236,7 +236,7 @@
     let log = move |_, line: &str| println!("{:>7.1} s  {line}", began.elapsed().as_secs_f64());
     let work = AtWork::start(roles, engines, true, log)?;
     let mut frozen = is_frozen(roles);
-    while began.elapsed() < time && !signals.stopped() {
+    while began.elapsed() < time && !signals.stop_requested() {
         follow_freeze(roles, &work, &mut frozen);
         std::thread::sleep(LOOK);
     }
@@ -259,7 +259,7 @@
     let (mut frozen, mut unwritten, mut failed) = (is_frozen(roles), false, false);
     let mut last =
         roles.list.as_ref().and_then(|list| std::fs::read_to_string(list).ok()).unwrap_or_default();
-    while !signals.stopped() && !work.thread.is_finished() {
+    while !signals.stop_requested() && !work.thread.is_finished() {
         std::thread::sleep(LOOK);
         follow_freeze(roles, &work, &mut frozen);
         if let Some(list) = &roles.list {
--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -1,5 +1,5 @@
-//! `serve`: the daemon. One thread a gateway, each a router of its own on the same port; this thread watches signals
-//! and the list of engines and passes on what changed.
+//! `serve`: the daemon. Each gateway runs on its own thread and is a separate router on the same port. This thread
+//! watches signals and the list of engines, and forwards changes to the gateways.
 
 use crate::member::Member;
 use crate::signals::Signals;
@@ -13,21 +13,22 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, SystemTime};
 
-/// How often signals and the file of engines are looked at.
-const LOOK: Duration = Duration::from_millis(50);
+/// How often signals and the engine list file are polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// The list of engines in a file, read again when it changes.
-struct Watched {
+/// A file with the list of engines, read again when it changes.
+struct EngineListFile {
     file: PathBuf,
-    last: String,
+    /// The content as it was last read.
+    last_text: String,
 }
 
-impl Watched {
+impl EngineListFile {
     /// The engines, if the file has changed and can be read.
-    fn look(&mut self) -> Option<Vec<EngineSettings>> {
-        let text = std::fs::read_to_string(&self.file).ok().filter(|t| *t != self.last)?;
-        self.last = text;
-        match engines_from_slices(&self.last) {
+    fn poll(&mut self) -> Option<Vec<EngineSettings>> {
+        let text = std::fs::read_to_string(&self.file).ok().filter(|t| *t != self.last_text)?;
+        self.last_text = text;
+        match engines_from_slices(&self.last_text) {
             Ok(engines) => Some(engines),
             Err(why) => {
                 tracing::warn!(file = %self.file.display(), why, "the list of engines can't be read; it stays as it was");
@@ -41,45 +42,48 @@
     rand::random()
 }
 
-/// Ends the process as a kill would when whoever started it is there no more: its end of the pipe closes with it.
-fn end_with_input() {
+/// Exits without a shutdown once standard input is closed. The parent process holds the other end of the pipe, which
+/// closes with it, also when it is killed.
+fn exit_when_input_ends() {
     std::thread::spawn(|| {
         let _ = std::io::copy(&mut std::io::stdin().lock(), &mut std::io::sink());
         std::process::exit(1);
     });
 }
 
+/// Runs the daemon until it is stopped by a signal and has shut down.
 pub(crate) fn run(config: &Path, until_input_ends: bool) -> Outcome {
     if until_input_ends {
-        end_with_input();
+        exit_when_input_ends();
     }
     let mut daemon = read_settings(config)?;
     logs::start(daemon.log_format, &daemon.log_level);
     let signals = Signals::watch()?;
-    let mut watched = daemon.engines_file.clone().map(|file| Watched { file, last: String::new() });
-    if let Some(watched) = &mut watched {
-        let text = std::fs::read_to_string(&watched.file);
-        let text = text.map_err(|e| Failure::Input(format!("{}: {e}", watched.file.display())))?;
+    let mut engine_list =
+        daemon.engines_file.clone().map(|file| EngineListFile { file, last_text: String::new() });
+    if let Some(engine_list) = &mut engine_list {
+        let text = std::fs::read_to_string(&engine_list.file);
+        let text = text.map_err(|e| Failure::Input(format!("{}: {e}", engine_list.file.display())))?;
         let engines = engines_from_slices(&text);
         daemon.site.engines =
-            engines.map_err(|e| Failure::Input(format!("{}: {e}", watched.file.display())))?;
-        watched.last = text;
+            engines.map_err(|e| Failure::Input(format!("{}: {e}", engine_list.file.display())))?;
+        engine_list.last_text = text;
     }
     let clock = Clock::start();
     let mut member = Member::start(&daemon, config, clock)?;
-    let (handles, threads) = start(&daemon, clock)?;
+    let (handles, threads) = start_routers(&daemon, clock)?;
     if let Some(member) = &member {
         member.share_with(&handles);
     }
     tracing::info!(listen = %daemon.listen, threads = daemon.threads, engines = daemon.site.engines.len(), "serving");
-    while !signals.stopped() && threads.iter().any(|t| !t.is_finished()) {
-        std::thread::sleep(LOOK);
-        if let Some(list) = watched.as_mut().and_then(Watched::look) {
-            tracing::info!(engines = list.len(), "the list of engines has changed");
-            daemon.site.engines.clone_from(&list);
-            let list = Arc::new(list);
+    while !signals.stop_requested() && threads.iter().any(|t| !t.is_finished()) {
+        std::thread::sleep(POLL_INTERVAL);
+        if let Some(engines) = engine_list.as_mut().and_then(EngineListFile::poll) {
+            tracing::info!(engines = engines.len(), "the list of engines has changed");
+            daemon.site.engines.clone_from(&engines);
+            let engines = Arc::new(engines);
             handles.iter().for_each(|h| {
-                h.send(Command::Message(MachineId(0), list.clone()));
+                h.send(Command::Message(MachineId(0), engines.clone()));
             });
         }
         if let Some(member) = &mut member {
@@ -89,20 +93,21 @@
             reload(config, &mut daemon, &handles, member.as_mut());
         }
     }
-    // The others hear of it before this router takes no more.
+    // Leave the fleet first, so that its other members know before this router stops accepting requests.
     member.iter().for_each(Member::stop);
     tracing::info!("stopping: requests under way end first");
     handles.iter().for_each(|h| {
         h.send(Command::Stop(MachineId(0)));
     });
     for thread in threads {
-        let tally = thread.join().map_err(|_| Failure::Run("a router's thread ended by a panic".into()))?;
+        let counters =
+            thread.join().map_err(|_| Failure::Run("a router's thread ended by a panic".into()))?;
         tracing::info!(
-            taken = tally.admitted,
-            served = tally.completed,
-            refused = tally.rejected,
-            failed = tally.failed,
-            left = tally.disconnected,
+            taken = counters.admitted,
+            served = counters.completed,
+            refused = counters.rejected,
+            failed = counters.failed,
+            left = counters.disconnected,
             "stopped"
         );
     }
@@ -112,38 +117,40 @@
     Ok(())
 }
 
-type Threads = (Vec<EventLoopHandle<Gateway>>, Vec<JoinHandle<slipreel_gateway::Counters>>);
+/// The handles of the routers' event loops, and their threads, which return the final counters.
+type RouterThreads = (Vec<EventLoopHandle<Gateway>>, Vec<JoinHandle<slipreel_gateway::Counters>>);
 
-fn start(daemon: &Daemon, clock: Clock) -> Result<Threads, Failure> {
-    let run = |e: std::io::Error| Failure::Run(e.to_string());
-    let wall = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
+/// Starts one thread a router.
+fn start_routers(daemon: &Daemon, clock: Clock) -> Result<RouterThreads, Failure> {
+    let run_failure = |e: std::io::Error| Failure::Run(e.to_string());
+    let unix_time = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
     let (mut handles, mut threads) = (Vec::new(), Vec::new());
     for n in 0..daemon.threads {
         let mut site = daemon.site.clone();
         if daemon.threads > 1 {
             site.name = format!("{}-{n}", site.name);
         }
-        let mut looped = EventLoop::new(clock).map_err(run)?;
-        looped.on_log(move |_, line| tracing::info!(router = n, "{line}"));
-        let node = looped.add(Gateway::new(Arc::new(site), random_seed(), clock.now(), wall));
-        looped.listen(node, daemon.listen).map_err(|e| Failure::Run(e.to_string()))?;
-        if let Some(first) = daemon.operators {
-            let own = std::net::SocketAddr::new(first.ip(), first.port() + n as u16);
-            looped.listen(node, own).map_err(|e| Failure::Run(e.to_string()))?;
+        let mut event_loop = EventLoop::new(clock).map_err(run_failure)?;
+        event_loop.on_log(move |_, line| tracing::info!(router = n, "{line}"));
+        let node = event_loop.add(Gateway::new(Arc::new(site), random_seed(), clock.now(), unix_time));
+        event_loop.listen(node, daemon.listen).map_err(|e| Failure::Run(e.to_string()))?;
+        if let Some(first_address) = daemon.operators {
+            let address = std::net::SocketAddr::new(first_address.ip(), first_address.port() + n as u16);
+            event_loop.listen(node, address).map_err(|e| Failure::Run(e.to_string()))?;
         }
-        handles.push(looped.handle());
+        handles.push(event_loop.handle());
         let thread = std::thread::Builder::new().name(format!("router-{n}")).spawn(move || {
-            if let Err(why) = looped.run() {
+            if let Err(why) = event_loop.run() {
                 tracing::error!(%why, "the event loop failed");
             }
-            looped.machine(node).counters()
+            event_loop.machine(node).counters()
         });
-        threads.push(thread.map_err(run)?);
+        threads.push(thread.map_err(run_failure)?);
     }
     Ok((handles, threads))
 }
 
-/// Reads the settings again. A bad file changes nothing; what needs a restart is named.
+/// Reads the settings again. An invalid file changes nothing; a changed setting that needs a restart is logged.
 fn reload(
     config: &Path, daemon: &mut Daemon, handles: &[EventLoopHandle<Gateway>], member: Option<&mut Member>,
 ) {
@@ -155,7 +162,7 @@
         }
         Err(Failure::Code(_)) => return,
     };
-    // Where the fleet agrees on the policy, a file says what is the router's own, and the policy in force stays.
+    // If the fleet agrees on the policy, the file changes only the router's own settings, and the policy in force stays.
     if let Some(joined) = member.as_ref().and_then(|m| m.with_policy_in_force(config)) {
         match joined {
             Ok(joined) => new = joined,
@@ -165,8 +172,8 @@
             }
         }
     }
-    let fixed = |d: &Daemon| (d.listen, d.operators, d.threads);
-    if fixed(&new) != fixed(daemon) || new.engines_file != daemon.engines_file {
+    let restart_only = |d: &Daemon| (d.listen, d.operators, d.threads);
+    if restart_only(&new) != restart_only(daemon) || new.engines_file != daemon.engines_file {
         tracing::warn!("listen, operators, threads and engines of [router] change with a restart only");
     }
     if new.engines_file.is_some() {
@@ -175,7 +182,7 @@
     match (member, &new.fleet) {
         (Some(member), Some(site)) => member.reload(Some(site)),
         (None, None) => {}
-        _ => tracing::warn!("a section [fleet] comes and goes with a restart only"),
+        _ => tracing::warn!("a section [fleet] is added or removed with a restart only"),
     }
     daemon.site = new.site;
     for (n, handle) in handles.iter().enumerate() {
--- a/crates/cli/src/signals.rs
+++ b/crates/cli/src/signals.rs
@@ -1,16 +1,17 @@
-//! Signals as flags that are looked at now and then.
+//! Process signals, recorded in flags that the main thread polls.
 
 use crate::Failure;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 
-/// SIGINT, SIGTERM, and one more if wanted.
+/// SIGINT and SIGTERM request a stop, SIGHUP requests a reload.
 pub(crate) struct Signals {
     stop: Arc<AtomicBool>,
     reload: Arc<AtomicBool>,
 }
 
 impl Signals {
+    /// Registers handlers that set the flags.
     pub(crate) fn watch() -> Result<Signals, Failure> {
         let signals = Signals { stop: Arc::default(), reload: Arc::default() };
         let register = |signal, flag: &Arc<AtomicBool>| {
@@ -23,11 +24,12 @@
         Ok(signals)
     }
 
-    pub(crate) fn stopped(&self) -> bool {
+    /// Whether SIGINT or SIGTERM has arrived.
+    pub(crate) fn stop_requested(&self) -> bool {
         self.stop.load(Ordering::Relaxed)
     }
 
-    /// Whether a reload was asked for since the last call.
+    /// Whether SIGHUP has arrived since the last call.
     pub(crate) fn take_reload(&self) -> bool {
         self.reload.swap(false, Ordering::Relaxed)
     }
