--- a/crates/cli/benches/fleet_cost.rs
+++ b/crates/cli/benches/fleet_cost.rs
@@ -1,6 +1,6 @@
-//! What `[fleet]` costs a router under traffic: ten routers as processes, one of them loaded; CPU a request and p99 of the first token, where that
-//! one has the section and where it has not, by turns in one run. The other nine are members in both, as in service they would burden other
-//! machines.
+//! What `[fleet]` costs a router under traffic: ten routers as processes, one of them loaded; CPU a request
+//! and p99 of the first token, where that one has the section and where it has not, by turns in one run. The
+//! other nine are members in both, as in service they would burden other machines.
 //!
 //! `cargo bench -p slipreel-cli --bench fleet_cost [-- RATE SECONDS PAIRS]`; needs Linux's /proc.
 
--- a/crates/cli/src/disk.rs
+++ b/crates/cli/src/disk.rs
@@ -23,8 +23,8 @@
         Folder { folder: folder.to_owned(), file: None }
     }
 
-    /// Locks the folder for this process until the returned file is closed. A second process on the same folder would
-    /// vote with the promises of the first one.
+    /// Locks the folder for this process until the returned file is closed. A second process on the same
+    /// folder would vote with the promises of the first one.
     ///
     /// # Errors
     /// Another process has locked the folder, or it can't be created.
--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -1,4 +1,4 @@
-//! `fleet`: the fleet as a running router sees it, by requests to its operators' port.
+//! `fleet`: shows and changes the fleet as a running router sees it, through requests to its operators' port.
 
 use crate::{Failure, Outcome};
 use clap::{Args as ClapArgs, Subcommand};
@@ -10,9 +10,9 @@
 
 /// How often `watch` polls the router.
 const WATCH_INTERVAL: Duration = Duration::from_millis(200);
-/// How long a router may take to connect or to answer.
+/// Time limit for the connection to a router, and for its answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(3);
-/// The longest answer that is read, bytes.
+/// Bytes after which an answer is cut off.
 const MAX_ANSWER_LEN: u64 = 4 << 20;
 
 #[derive(ClapArgs)]
@@ -23,60 +23,62 @@
 
 #[derive(ClapArgs)]
 struct At {
-    /// The operators' port of the router that is asked.
+    /// The address of a router's operators' port.
     #[arg(long)]
     at: SocketAddr,
 }
 
 #[derive(Subcommand)]
 enum FleetCommand {
-    /// Who is there, as this router knows.
+    /// Show the members that this router knows.
     Status {
         #[command(flatten)]
         at: At,
-        /// As JSON.
+        /// Print JSON.
         #[arg(long)]
         json: bool,
     },
-    /// A line for each change, until it is stopped.
+    /// Print a line for each change, until the command is stopped.
     Watch {
         #[command(flatten)]
         at: At,
-        /// End after so many seconds.
+        /// Stop after this many seconds.
         #[arg(long = "for")]
         seconds: Option<u64>,
     },
-    /// This router says goodbye to its fleet, ahead of a planned stop. It goes on serving and is not ready any more.
+    /// Make this router leave its fleet before a planned stop. It goes on serving but is no longer ready.
     Leave {
         #[command(flatten)]
         at: At,
     },
-    /// A voter on the policy is gone for good: another router votes in its place.
+    /// Replace a voter on the policy that is permanently gone; another router votes in its place.
     Replace {
-        /// Its name.
+        /// The name of the voter that is gone.
         old: String,
-        /// Who takes its place; if it is not said, the one that has been there longest.
+        /// The name of the router that votes instead; by default the member that has been in the fleet
+        /// longest.
         #[arg(long)]
         with: Option<String>,
         #[command(flatten)]
         at: At,
     },
-    /// A member is gone for good: it does not count any more. If it runs, it comes back by itself.
+    /// Remove a member that is permanently gone, so that it no longer counts. If it still runs, it joins
+    /// again by itself.
     Forget {
-        /// Its name.
+        /// The member's name.
         name: String,
         #[command(flatten)]
         at: At,
     },
 }
 
-/// The answer of a router.
+/// An HTTP answer of a router.
 pub(crate) struct HttpAnswer {
     pub(crate) status: u16,
     pub(crate) body: String,
 }
 
-/// Sends a request to an operators' port, and reads the answer.
+/// Sends an HTTP request to an operators' port and reads the answer.
 pub(crate) fn http_request(
     at: SocketAddr, method: &str, path: &str, body: &str,
 ) -> std::io::Result<HttpAnswer> {
@@ -96,7 +98,7 @@
     Ok(HttpAnswer { status, body: body.to_owned() })
 }
 
-/// The body of an answer that reports success.
+/// Sends a request without a body; returns the body of a successful answer.
 fn successful_body(at: SocketAddr, method: &str, path: &str) -> Result<String, Failure> {
     let answer = http_request(at, method, path, "").map_err(|e| Failure::Run(format!("{at}: {e}")))?;
     let HttpAnswer { status, body } = answer;
@@ -119,7 +121,8 @@
     serde_json::from_str(&body).map_err(|e| Failure::Run(format!("{at}: {e}")))
 }
 
-fn text<'a>(value: &'a Value, key: &str) -> &'a str {
+/// A string member of a JSON object; empty if there is none.
+fn string_member<'a>(value: &'a Value, key: &str) -> &'a str {
     value[key].as_str().unwrap_or("")
 }
 
@@ -127,46 +130,47 @@
     view["members"].as_array().map_or(&[], Vec::as_slice)
 }
 
-fn print(view: &Value) {
+fn print_status(view: &Value) {
     let settled = if view["settled"] == true { "settled" } else { "not settled" };
     println!(
         "{} of fleet {}: {}, {settled}, digest {}, {} routers to reckon with",
-        text(view, "name"),
-        text(view, "fleet"),
-        text(view, "standing"),
-        text(view, "digest"),
+        string_member(view, "name"),
+        string_member(view, "fleet"),
+        string_member(view, "standing"),
+        string_member(view, "digest"),
         view["routers"]
     );
-    let widest = members(view).iter().map(|member| text(member, "name").len()).max().unwrap_or(0).max(4);
-    println!("{:widest$}  {:8}  {:>11}  {:21}  for", "name", "state", "incarnation", "address");
+    let name_width =
+        members(view).iter().map(|member| string_member(member, "name").len()).max().unwrap_or(0).max(4);
+    println!("{:name_width$}  {:8}  {:>11}  {:21}  for", "name", "state", "incarnation", "address");
     for member in members(view) {
         let since = Duration::from_millis(member["since_ms"].as_u64().unwrap_or(0) / 100 * 100);
         println!(
-            "{:widest$}  {:8}  {:>11}  {:21}  {since:?}{}",
-            text(member, "name"),
-            text(member, "state"),
+            "{:name_width$}  {:8}  {:>11}  {:21}  {since:?}{}",
+            string_member(member, "name"),
+            string_member(member, "state"),
             member["incarnation"].to_string(),
-            text(member, "address"),
+            string_member(member, "address"),
             if member["left"] == true { ", left in order" } else { "" }
         );
     }
 }
 
-/// The facts that `watch` compares, by their subjects.
-fn facts(view: &Value) -> BTreeMap<String, String> {
-    let mut facts: BTreeMap<String, String> = members(view)
+/// The values that `watch` compares, by the label that it prints.
+fn watched_values(view: &Value) -> BTreeMap<String, String> {
+    let mut values: BTreeMap<String, String> = members(view)
         .iter()
         .map(|member| {
-            let (state, address) = (text(member, "state"), text(member, "address"));
-            let fact = format!("{state} incarnation {} at {address}", member["incarnation"]);
-            (format!("member {}", text(member, "name")), fact)
+            let (state, address) = (string_member(member, "state"), string_member(member, "address"));
+            let value = format!("{state} incarnation {} at {address}", member["incarnation"]);
+            (format!("member {}", string_member(member, "name")), value)
         })
         .collect();
     let settled = if view["settled"] == true { "settled" } else { "not settled" };
-    facts.insert("view".into(), format!("{settled}, digest {}", text(view, "digest")));
-    facts.insert("standing".into(), text(view, "standing").to_owned());
-    facts.insert("routers".into(), view["routers"].to_string());
-    facts
+    values.insert("view".into(), format!("{settled}, digest {}", string_member(view, "digest")));
+    values.insert("standing".into(), string_member(view, "standing").to_owned());
+    values.insert("routers".into(), view["routers"].to_string());
+    values
 }
 
 fn print_changes(ms: u128, before: &BTreeMap<String, String>, now: &BTreeMap<String, String>) {
@@ -183,22 +187,22 @@
 /// Prints changes until `seconds` have passed; `None`: until the process is stopped.
 fn watch(at: SocketAddr, seconds: Option<u64>) {
     let start = std::time::Instant::now();
-    let mut known = BTreeMap::new();
-    let mut silent = false;
+    let mut last_values = BTreeMap::new();
+    let mut unreachable = false;
     while seconds.is_none_or(|seconds| start.elapsed() < Duration::from_secs(seconds)) {
         let ms = start.elapsed().as_millis();
         match status(at) {
             Ok(view) => {
-                let now = facts(&view);
-                if std::mem::take(&mut silent) {
+                let now = watched_values(&view);
+                if std::mem::take(&mut unreachable) {
                     println!("{ms} ms: {at} answers again");
                 }
-                print_changes(ms, &known, &now);
-                known = now;
+                print_changes(ms, &last_values, &now);
+                last_values = now;
             }
             Err(Failure::Code(_)) => {}
             Err(Failure::Run(why) | Failure::Input(why)) => {
-                if !std::mem::replace(&mut silent, true) {
+                if !std::mem::replace(&mut unreachable, true) {
                     println!("{ms} ms: {why}");
                 }
             }
@@ -212,7 +216,7 @@
         FleetCommand::Status { at, json: true } => {
             println!("{}", successful_body(at.at, "GET", "/fleet/status")?);
         }
-        FleetCommand::Status { at, json: false } => print(&status(at.at)?),
+        FleetCommand::Status { at, json: false } => print_status(&status(at.at)?),
         FleetCommand::Watch { at, seconds } => watch(at.at, *seconds),
         FleetCommand::Leave { at } => {
             successful_body(at.at, "POST", "/fleet/leave")?;
--- a/crates/cli/src/load.rs
+++ b/crates/cli/src/load.rs
@@ -1,5 +1,6 @@
-//! `load`: open-loop load on a router. Each request is asked when it is due, whatever became of the others, and its
-//! latency counts from when it was due, so that a stalled router does not hide the wait of those behind.
+//! `load`: open-loop load on a router. Each request is sent when it is due, independent of the earlier ones,
+//! and its latency counts from that time. A stalled router thus can't hide the delay of the requests behind
+//! (coordinated omission).
 
 use crate::{Failure, Outcome};
 use hdrhistogram::Histogram;
@@ -18,22 +19,22 @@
     /// The router; a loopback address.
     #[arg(long)]
     target: SocketAddr,
-    /// Requests a second.
+    /// Requests per second.
     #[arg(long, default_value_t = 100.0)]
     rate: f64,
-    /// For how many seconds.
+    /// Duration of the load, seconds.
     #[arg(long, default_value_t = 10.0)]
     seconds: f64,
-    /// The model to ask for.
+    /// The model that requests name.
     #[arg(long)]
     model: String,
-    /// The key to ask with.
+    /// The API key that requests carry.
     #[arg(long, default_value = "")]
     key: String,
     /// Bytes of each prompt.
     #[arg(long, default_value_t = 1_000)]
     prompt: usize,
-    /// Tokens of each answer; engines that are no stand-ins answer as they like.
+    /// Tokens of each answer; only simulated engines keep to it.
     #[arg(long, default_value_t = 16)]
     answer: u32,
     /// Share of requests that stream.
@@ -42,7 +43,7 @@
     /// How long a client waits for its answer to begin, seconds.
     #[arg(long, default_value_t = 10.0)]
     patience: f64,
-    /// Settles arrivals.
+    /// Seed of the random arrival times.
     #[arg(long, default_value_t = 1)]
     seed: u64,
     /// Print JSON instead of a table.
@@ -50,7 +51,7 @@
     json: bool,
 }
 
-/// Most requests of one run: the load is bounded in count as in time.
+/// Most requests of one run: the load is bounded in count as well as in time.
 const MAX_REQUESTS: f64 = 5_000_000.0;
 /// Time from the start of the program to the first request.
 const WARM_UP: Duration = Duration::from_millis(100);
@@ -58,7 +59,7 @@
 const MAX_LATENCY_US: u64 = 3_600_000_000;
 /// Significant digits of a recorded latency.
 const LATENCY_DIGITS: u8 = 3;
-/// A word of the prompts, with the blank after it.
+/// The word that prompts repeat, with the space after it.
 const PROMPT_WORD: &str = "load ";
 
 /// Latencies in microseconds.
@@ -91,7 +92,7 @@
     }
 }
 
-/// What became of the requests of a run.
+/// Counts of how the requests of a run ended, and their latencies.
 struct LoadReport {
     asked: usize,
     served: usize,
@@ -184,6 +185,7 @@
     }
 }
 
+/// Runs the load and prints the report.
 pub(crate) fn run(args: &Args) -> Outcome {
     check_loopback(args.target).map_err(|e| Failure::Input(format!("--target {e}")))?;
     if !(args.rate > 0.0 && args.seconds > 0.0 && args.rate * args.seconds <= MAX_REQUESTS) {
--- a/crates/cli/src/logs.rs
+++ b/crates/cli/src/logs.rs
@@ -1,10 +1,10 @@
-//! Structured logs: text for people or one JSON object a line, on standard error.
+//! Structured logs on standard error: text for people, or one JSON object a line.
 
 use slipreel_settings::LogFormat;
 use std::io::IsTerminal;
 use tracing_subscriber::filter::LevelFilter;
 
-/// Starts logging. A second call changes nothing.
+/// Starts logging. Later calls have no effect.
 pub(crate) fn start(format: LogFormat, level: &str) {
     let level: LevelFilter = level.parse().unwrap_or(LevelFilter::INFO);
     let logs = tracing_subscriber::fmt()
--- a/crates/cli/src/losses.rs
+++ b/crates/cli/src/losses.rs
@@ -1,8 +1,8 @@
-//! `losses`: reads logs of `node` and says where requests and work went.
+//! `losses`: summarises logs of `node`: where requests and engine work were lost.
 //!
-//! A router says every ten seconds, and as it ends, what it has counted since its start, and names some of the requests that
-//! ended without an answer. A file may hold several lives of a process. What a life counted after it last said so, as when it
-//! was killed, is in no log: the counts are bounds from below.
+//! A router logs its counters every ten seconds and when it ends; they count from its start. It also logs
+//! some of the requests that ended without an answer. One file may hold several runs of a process. What a run
+//! counted after its last log line, for example before a kill, is in no log: the sums are lower bounds.
 
 use crate::{Failure, Outcome};
 use clap::Args as ClapArgs;
@@ -11,15 +11,15 @@
 
 #[derive(ClapArgs)]
 pub(crate) struct Args {
-    /// Logs, or folders of logs.
+    /// Log files, or folders of log files.
     #[arg(required = true)]
     paths: Vec<PathBuf>,
-    /// Ways of ending that are shown, the most frequent first.
+    /// How many kinds of failed requests are shown, the most frequent first.
     #[arg(long, default_value_t = 12)]
     most: usize,
 }
 
-/// What is shown: a count, what it is a part of, and what it means.
+/// The rows that are printed: the name of a counter, the counter that is its total, and the label.
 const ROWS: [(&str, &str, &str); 15] = [
     ("served", "taken", "served whole"),
     ("refused_early", "taken", "refused before any attempt (curve, hopeless)"),
@@ -38,84 +38,89 @@
     ("moved_tokens", "read_tokens", "prompt tokens written outside the cell"),
 ];
 
-/// What the logs told.
+/// The sums of all logs that were read.
 #[derive(Debug, Default, PartialEq)]
-struct Told {
-    lives: usize,
-    /// The last counts of each life, added up.
+struct LogSummary {
+    /// Starts of a router process.
+    runs: usize,
+    /// The sum of the last counters of each run.
     counts: BTreeMap<String, u64>,
-    /// How requests ended without an answer, by what was tried, with how often a line named one.
+    /// Requests that ended without an answer, by how they ended and what was tried: how many lines name one.
     endings: BTreeMap<String, u64>,
-    /// Routers by the requests that they took, for how uneven they are.
-    taken: Vec<u64>,
+    /// The requests that each router took; they show how uneven the load is.
+    taken_by_router: Vec<u64>,
 }
 
-/// The counts in a line, as `Tally { name: number, .. }` stands there: the text of `slipreel_platform::Counters`.
-fn counts(line: &str) -> Option<BTreeMap<String, u64>> {
+/// The counters in a line, which are logged as `Tally { name: number, .. }`: the text of
+/// `slipreel_platform::Counters`.
+fn parse_counters(line: &str) -> Option<BTreeMap<String, u64>> {
     let (_, rest) = line.split_once("Tally {")?;
     let (pairs, _) = rest.split_once('}')?;
-    let pair = |pair: &str| {
+    let parse_pair = |pair: &str| {
         let (name, number) = pair.split_once(':')?;
         Some((name.trim().to_owned(), number.trim().parse().ok()?))
     };
-    pairs.split(',').map(pair).collect()
+    pairs.split(',').map(parse_pair).collect()
 }
 
-/// How a request ended, if the line names one: its numbers left out, so that the same ways fall together.
-fn ending(line: &str) -> Option<String> {
-    let kinds = ["refused: ", "failed: ", "broke off: "];
-    let at = kinds.iter().filter_map(|kind| line.find(kind)).min()?;
-    let story = line[at..].split(" (and ").next()?.trim_end();
-    let mut short = String::new();
-    for word in story.split(' ').filter(|w| !matches!(*w, "ms" | "ago" | "left:")) {
+/// How a request ended, if the line names one. Numbers are left out, so that equal endings are counted
+/// together.
+fn parse_ending(line: &str) -> Option<String> {
+    let markers = ["refused: ", "failed: ", "broke off: "];
+    let at = markers.iter().filter_map(|marker| line.find(marker)).min()?;
+    let description = line[at..].split(" (and ").next()?.trim_end();
+    let mut normalized = String::new();
+    for word in description.split(' ').filter(|w| !matches!(*w, "ms" | "ago" | "left:")) {
         if !word.starts_with(|c: char| c.is_ascii_digit()) {
-            short.push_str(if short.is_empty() { "" } else { " " });
-            short.push_str(word);
+            normalized.push_str(if normalized.is_empty() { "" } else { " " });
+            normalized.push_str(word);
         }
     }
-    Some(short)
+    Some(normalized)
 }
 
-impl Told {
+impl LogSummary {
+    /// Adds the log of one router.
     fn read(&mut self, text: &str) {
         let mut last = BTreeMap::new();
         let mut taken = 0;
-        let mut end_of_life = |told: &mut Told, last: &mut BTreeMap<String, u64>| {
+        let mut end_run = |summary: &mut LogSummary, last: &mut BTreeMap<String, u64>| {
             taken += last.get("taken").copied().unwrap_or(0);
             for (name, count) in std::mem::take(last) {
-                *told.counts.entry(name).or_default() += count;
+                *summary.counts.entry(name).or_default() += count;
             }
         };
         for line in text.lines() {
             if line.contains("serving listen=") {
-                self.lives += 1;
-                end_of_life(self, &mut last);
-            } else if let Some(counts) = counts(line) {
-                last = counts;
-            } else if let Some(ending) = ending(line) {
+                self.runs += 1;
+                end_run(self, &mut last);
+            } else if let Some(counters) = parse_counters(line) {
+                last = counters;
+            } else if let Some(ending) = parse_ending(line) {
                 *self.endings.entry(ending).or_default() += 1;
             }
         }
-        end_of_life(self, &mut last);
-        self.taken.push(taken);
+        end_run(self, &mut last);
+        self.taken_by_router.push(taken);
     }
 
-    fn of(&self, name: &str) -> u64 {
+    fn count(&self, name: &str) -> u64 {
         self.counts.get(name).copied().unwrap_or(0)
     }
 
+    /// Prints the summary, with at most `most` kinds of endings.
     fn print(&self, most: usize) {
         println!(
             "{} routers in {} lives; what a killed one had not said yet is missing",
-            self.taken.len(),
-            self.lives
+            self.taken_by_router.len(),
+            self.runs
         );
         for (part, whole, text) in ROWS {
-            let (part, of) = (self.of(part), self.of(whole));
-            let percent = 100.0 * part as f64 / (of as f64).max(1.0);
-            println!("{text:<44}{part:>10}  {percent:>6.1}% of {of} {}", whole.replace('_', " "));
+            let (part, total) = (self.count(part), self.count(whole));
+            let percent = 100.0 * part as f64 / (total as f64).max(1.0);
+            println!("{text:<44}{part:>10}  {percent:>6.1}% of {total} {}", whole.replace('_', " "));
         }
-        let mut taken = self.taken.clone();
+        let mut taken = self.taken_by_router.clone();
         taken.sort_unstable();
         if let (Some(least), Some(most)) = (taken.first(), taken.last()) {
             println!(
@@ -132,7 +137,7 @@
     }
 }
 
-/// The files that a path names: itself, or all in a folder.
+/// The files of a path: the file itself, or all files in the folder.
 fn files(path: &Path) -> std::io::Result<Vec<PathBuf>> {
     if !path.is_dir() {
         return Ok(vec![path.to_owned()]);
@@ -145,24 +150,25 @@
 }
 
 pub(crate) fn run(args: &Args) -> Outcome {
-    let mut told = Told::default();
+    let mut summary = LogSummary::default();
     for path in &args.paths {
-        let bad = |path: &Path, why: std::io::Error| Failure::Input(format!("{}: {why}", path.display()));
-        for file in files(path).map_err(|why| bad(path, why))? {
-            let text = std::fs::read(&file).map_err(|why| bad(&file, why))?;
+        let input_failure =
+            |path: &Path, why: std::io::Error| Failure::Input(format!("{}: {why}", path.display()));
+        for file in files(path).map_err(|why| input_failure(path, why))? {
+            let text = std::fs::read(&file).map_err(|why| input_failure(&file, why))?;
             let text = String::from_utf8_lossy(&text);
-            // What is no router's log, as a report that lies beside them, is passed over.
+            // Other files in the folder, such as reports, are skipped.
             if text.contains("serving listen=") {
-                told.read(&text);
+                summary.read(&text);
             }
         }
     }
-    if told.lives == 0 {
+    if summary.runs == 0 {
         return Err(Failure::Input(
             "none of these is a log of `slipreel node`: expected a line 'serving listen='".into(),
         ));
     }
-    told.print(args.most);
+    summary.print(args.most);
     Ok(())
 }
 
--- a/crates/cli/src/losses/tests.rs
+++ b/crates/cli/src/losses/tests.rs
@@ -12,28 +12,31 @@
 ";
 
 #[test]
-fn lives_of_a_router_add_up_by_their_last_counts() {
-    let mut told = Told::default();
-    told.read(LOG);
-    told.read(LOG);
-    assert_eq!((told.lives, &told.taken[..]), (4, &[32, 32][..]));
-    assert_eq!(["taken", "served", "late", "kept_tokens", "none"].map(|n| told.of(n)), [64, 44, 6, 600, 0]);
+fn the_last_counters_of_each_run_are_added_up() {
+    let mut summary = LogSummary::default();
+    summary.read(LOG);
+    summary.read(LOG);
+    assert_eq!((summary.runs, &summary.taken_by_router[..]), (4, &[32, 32][..]));
+    assert_eq!(
+        ["taken", "served", "late", "kept_tokens", "none"].map(|n| summary.count(n)),
+        [64, 44, 6, 600, 0]
+    );
 }
 
 #[test]
-fn endings_fall_together_by_what_was_tried() {
-    let mut told = Told::default();
-    told.read(LOG);
-    let endings: Vec<(&str, u64)> = told.endings.iter().map(|(e, &n)| (e.as_str(), n)).collect();
+fn equal_endings_are_counted_together() {
+    let mut summary = LogSummary::default();
+    summary.read(LOG);
+    let endings: Vec<(&str, u64)> = summary.endings.iter().map(|(e, &n)| (e.as_str(), n)).collect();
     assert_eq!(endings, [("failed: repeatable, read Read, write out", 2), ("refused: unsafe,", 1)]);
 }
 
 #[test]
-fn what_is_no_log_is_told_with_what_was_expected() {
+fn a_file_that_is_no_log_is_rejected_with_what_was_expected() {
     let here = Path::new(env!("CARGO_MANIFEST_DIR"));
     let read = |path: &str| run(&Args { paths: vec![here.join(path)], most: 1 });
     assert!(matches!(read("Cargo.toml"), Err(Failure::Input(why)) if why.contains("expected")));
     assert!(matches!(read("none"), Err(Failure::Input(why)) if why.contains("none")));
-    assert_eq!(counts("Tally { taken: x }"), None);
-    assert_eq!(counts("Tally { taken: 1"), None);
+    assert_eq!(parse_counters("Tally { taken: x }"), None);
+    assert_eq!(parse_counters("Tally { taken: 1"), None);
 }
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -37,11 +37,13 @@
         /// The settings file, INI.
         #[arg(long)]
         config: PathBuf,
-        /// Exit at once when standard input ends, so that no router outlives a program that started it and was killed.
+        /// Exit at once when standard input ends, so that no router outlives a program that started it and
+        /// was killed.
         #[arg(long)]
         until_input_ends: bool,
     },
-    /// Run a router on the platform, with the configuration file that the environment variable `LB_CONFIG` names.
+    /// Run a router on the platform, with the configuration file that the environment variable `LB_CONFIG`
+    /// names.
     Node,
     /// Summarise logs of routers on the platform: where requests and engine work were lost.
     Losses(losses::Args),
@@ -49,7 +51,8 @@
     Check {
         /// The settings file, INI.
         file: PathBuf,
-        /// Check the policy only; the file may hold only policy sections. Lists the settings that belong to the router.
+        /// Check the policy only; the file may hold only policy sections. Lists the settings that belong to
+        /// the router.
         #[arg(long)]
         policy: bool,
     },
--- a/crates/cli/src/member.rs
+++ b/crates/cli/src/member.rs
@@ -1,4 +1,5 @@
-//! `serve` as a member of a fleet: membership and consensus run on a thread of their own; this side saves state and passes changes on.
+//! `serve` as a member of a fleet. Membership and consensus run on a thread of their own; this module starts
+//! it, saves its state and forwards changes to the routers of the process.
 
 use crate::disk::Folder;
 use crate::{lines, Failure};
@@ -21,11 +22,12 @@
 /// Least time between two writes of the saved state, unless the incarnation changes.
 const MIN_WRITE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The policy of the fleet, as this process takes part in it.
+/// This process's part in the agreement on the fleet's policy.
 struct FleetPolicy {
     handle: Arc<PolicyHandle>,
-    /// The router's own settings as they were last valid: a policy is compiled together with them.
+    /// The last valid text of the router's own settings; a policy is compiled together with them.
     own_settings: Arc<Mutex<String>>,
+    /// The name of the settings file, for messages.
     file: String,
     /// The last epoch whose differences from the file were logged.
     logged_epoch: u64,
@@ -56,7 +58,7 @@
     }
 }
 
-/// The most lines about differences between a file and the policy in force.
+/// Most lines that are logged about differences between the file and the policy in force.
 const MAX_LOGGED_DIFFERENCES: usize = 16;
 
 /// The disk of a router without a folder: it does not vote, and nothing is stored.
@@ -71,8 +73,8 @@
     }
 }
 
-/// Locks the folder; `None`: it can't be written. The router serves all the same, but does not vote.
-fn lock(folder: &Path) -> Result<Option<std::fs::File>, Failure> {
+/// Locks the folder; `None`: it can't be written. The router then serves but does not vote.
+fn lock_folder(folder: &Path) -> Result<Option<std::fs::File>, Failure> {
     match Folder::lock(folder) {
         Ok(lock) => Ok(Some(lock)),
         Err(e) if e.kind() == std::io::ErrorKind::WouldBlock => Err(Failure::Run(format!(
@@ -94,7 +96,7 @@
     })
 }
 
-/// What a voter has on its disk, if it has one.
+/// The stored state of a voter and its disk; nothing is stored without a folder.
 struct DurableState {
     stored: Option<Result<StoredState, StorageError>>,
     disk: Box<dyn Disk>,
@@ -106,8 +108,9 @@
         let Some(folder) = folder else {
             return Ok(DurableState { stored: None, disk: Box::new(NoDisk), lock: None });
         };
-        let lock = lock(folder)?;
-        // A file that can't be read may hold promises: the router acts by what the others decide, and does not vote.
+        let lock = lock_folder(folder)?;
+        // A file that can't be read may hold promises: the router follows the decisions of the others, and
+        // does not vote.
         let stored = match Folder::read(folder) {
             Ok(bytes) => read(&bytes).map_err(StorageError::Log),
             Err(error) => Err(StorageError::Unreadable(error)),
@@ -151,7 +154,7 @@
     Ok(Some((consensus, FleetPolicy { handle, own_settings, file, logged_epoch: 0, _lock: lock })))
 }
 
-/// The member of this process.
+/// This process as a member of the fleet.
 pub(crate) struct Member {
     view: Arc<SharedView>,
     handle: EventLoopHandle<Machine>,
@@ -159,7 +162,7 @@
     thread: JoinHandle<()>,
     site: FleetSite,
     peers: Peers,
-    /// The address table as it was last read, to notice changes.
+    /// The address table as it was last read, to detect changes.
     address_table_text: Option<String>,
     saved_state: Arc<SavedState>,
     last_write: Instant,
@@ -171,19 +174,20 @@
     folder.join("fleet")
 }
 
-/// Reads the state that the last process saved. The default if there is none, or if it can't be read, which is logged.
+/// Reads the state that the previous process saved. If there is none, or if it can't be read, which is
+/// logged, the default is used.
 fn read_saved_state(folder: Option<&Path>) -> SavedState {
     let Some(file) = folder.map(saved_state_file) else { return SavedState::default() };
     let text = match std::fs::read_to_string(&file) {
         Ok(text) => text,
         Err(e) if e.kind() == std::io::ErrorKind::NotFound => return SavedState::default(),
         Err(e) => {
-            tracing::warn!(file = %file.display(), why = %e, "what the last life left can't be read; starts without it");
+            tracing::warn!(file = %file.display(), why = %e, "the saved state can't be read; starting without it");
             return SavedState::default();
         }
     };
     SavedState::decode(&text).unwrap_or_else(|why| {
-        tracing::warn!(file = %file.display(), %why, "what the last life left is not taken; starts without it");
+        tracing::warn!(file = %file.display(), %why, "the saved state is invalid; starting without it");
         SavedState::default()
     })
 }
@@ -201,7 +205,7 @@
     std::fs::File::open(folder)?.sync_all()
 }
 
-/// Whether settings differ that take effect at a start only.
+/// Whether settings differ that take effect only at a start.
 fn fixed_settings_differ(one: &FleetSite, other: &FleetSite) -> bool {
     one.fleet != other.fleet
         || one.listen != other.listen
@@ -228,7 +232,7 @@
     }
 }
 
-/// An event loop with this machine, which listens at `address`.
+/// An event loop with this state machine, which listens at `address`.
 fn event_loop(machine: Machine, clock: Clock, address: SocketAddr) -> Result<EventLoop<Machine>, Failure> {
     let mut event_loop = EventLoop::new(clock).map_err(|e| Failure::Run(e.to_string()))?;
     event_loop.on_log(|_, line| tracing::info!("{line}"));
@@ -248,7 +252,8 @@
 }
 
 impl Member {
-    /// Starts the member, if the settings have a section `[fleet]`. State that must survive the process is written before it is sent.
+    /// Starts the member, if the settings have a section `[fleet]`. State that must survive the process is
+    /// written before it is sent.
     pub(crate) fn start(daemon: &Daemon, config: &Path, clock: Clock) -> Result<Option<Member>, Failure> {
         let Some(site) = daemon.fleet.clone() else { return Ok(None) };
         let peers = peers(&site)?;
@@ -274,7 +279,7 @@
         };
         member.write();
         member.thread = run_on_thread(event_loop)?;
-        tracing::info!(fleet = member.site.fleet, listen = %member.site.listen, "a member of a fleet");
+        tracing::info!(fleet = member.site.fleet, listen = %member.site.listen, "started as a member of a fleet");
         Ok(Some(member))
     }
 
@@ -291,8 +296,8 @@
         }
     }
 
-    /// The settings of a file that is reloaded, with the policy in force in place of its own; `None`: no policy is in force here, and the
-    /// file's own one is used.
+    /// The settings of a reloaded file, with the policy in force instead of the file's policy; `None`: no
+    /// policy is in force here, and the policy of the file is used.
     pub(crate) fn with_policy_in_force(&self, config: &Path) -> Option<Result<Daemon, String>> {
         let policy = self.policy.as_ref()?;
         let status = policy.handle.status();
@@ -301,7 +306,8 @@
             Err(e) => return Some(Err(e.to_string())),
         };
         if status.epoch == 0 {
-            // No policy is in force here yet, perhaps as it did not compile with this file: it is compiled with the new content next.
+            // No policy is in force here yet, perhaps because it did not compile with this file. The next
+            // attempt compiles it with the new content.
             *policy.own_settings.lock().unwrap_or_else(PoisonError::into_inner) = text;
             return None;
         }
@@ -314,21 +320,21 @@
         })
     }
 
-    /// Acts on changes of the policy, the view, the saved state and the address table.
+    /// Handles changes of the policy, the view, the saved state and the address table.
     pub(crate) fn poll_changes(&mut self, handles: &[EventLoopHandle<Gateway>]) {
         if let Some(policy) = &mut self.policy {
             policy.log_differences();
         }
         let router_count = self.view.view().router_count;
         if router_count != std::mem::replace(&mut self.router_count, router_count) {
-            tracing::info!(routers = router_count, "the fleet counts another number of routers");
+            tracing::info!(routers = router_count, "the number of routers in the fleet has changed");
             for router in handles {
                 router.send(Command::Message(MachineId(0), Arc::new(RouterCount(router_count))));
             }
         }
         let state = self.view.saved_state();
         if state != self.saved_state {
-            // A new incarnation is written at once, as it is in use already; contacts may wait.
+            // A new incarnation is written at once, because it is in use already; changed contacts may wait.
             let is_new_incarnation = state.incarnation != self.saved_state.incarnation;
             if is_new_incarnation || self.last_write.elapsed() >= MIN_WRITE_INTERVAL {
                 self.saved_state = state;
@@ -347,12 +353,13 @@
         let result = write_saved_state(folder, &self.saved_state);
         if let (Err(why), false) = (&result, self.write_failed) {
             tracing::warn!(folder = %folder.display(), %why,
-                "the folder can't be written: after a restart this router waits until its last life is known to be over");
+                "the folder can't be written: after a restart this router waits until its previous process is known to have ended");
         }
         self.write_failed = result.is_err();
     }
 
-    /// Reloads seeds and address table; `None`: the address table alone. What can't be read changes nothing.
+    /// Reloads the seeds and the address table; `None`: only the address table. Input that can't be read
+    /// changes nothing.
     pub(crate) fn reload(&mut self, site: Option<&FleetSite>) {
         let mut new_site = self.site.clone();
         if let Some(site) = site {
@@ -370,7 +377,10 @@
                     self.handle.send(Command::Message(MachineId(0), Arc::new(Arc::new(peers))));
                 }
             }
-            Err(faults) => tracing::warn!(why = lines(&faults), "the book can't be read; it stays as it was"),
+            Err(faults) => tracing::warn!(
+                why = lines(&faults),
+                "the address table (book) can't be read; it stays as it was"
+            ),
         }
     }
 
--- a/crates/cli/src/node.rs
+++ b/crates/cli/src/node.rs
@@ -1,4 +1,5 @@
-//! `node`: a router on the platform. One event loop runs in this thread; another thread forwards signals to it.
+//! `node`: a router on the platform. One event loop runs in this thread; another thread forwards signals to
+//! it.
 //!
 //! The operators' port, the metrics and the gateway of `serve` are not part of this command.
 
@@ -65,8 +66,8 @@
     Ok(())
 }
 
-/// Starts the thread that forwards signals to the loop: SIGHUP reloads the configuration, every other one starts the
-/// graceful shutdown.
+/// Starts the thread that forwards signals to the loop: SIGHUP reloads the configuration, every other one
+/// starts the graceful shutdown.
 fn forward_signals(
     mut signals: Signals, path: PathBuf, handle: EventLoopHandle<PlatformRouter>, node: MachineId,
 ) -> std::io::Result<()> {
@@ -84,7 +85,8 @@
     thread.spawn(forward).map(|_| ())
 }
 
-/// Reads the configuration again and sends it to the router. A configuration that can't be read changes nothing.
+/// Reads the configuration again and sends it to the router. A configuration that can't be read changes
+/// nothing.
 fn reload(path: &Path, handle: &EventLoopHandle<PlatformRouter>, node: MachineId) {
     match read_config(path) {
         Ok(config) => {
--- a/crates/cli/src/policy.rs
+++ b/crates/cli/src/policy.rs
@@ -1,4 +1,4 @@
-//! `policy`: shows and changes the policy of a fleet, by requests to a router's operators' port.
+//! `policy`: shows and changes the policy of a fleet, through requests to a router's operators' port.
 
 use crate::fleet::{http_request, HttpAnswer};
 use crate::{lines, Failure, Outcome};
@@ -13,7 +13,7 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(30);
 /// Exit code: the change was dropped.
 const EXIT_DROPPED: u8 = 3;
-/// Exit code: its outcome is not known yet.
+/// Exit code: the outcome of the change is not known yet.
 const EXIT_UNKNOWN: u8 = 4;
 
 #[derive(ClapArgs)]
@@ -24,10 +24,10 @@
 
 #[derive(ClapArgs)]
 struct At {
-    /// The operators' port of the router that is asked.
+    /// The address of a router's operators' port.
     #[arg(long)]
     at: SocketAddr,
-    /// As JSON.
+    /// Print JSON.
     #[arg(long)]
     json: bool,
 }
@@ -36,50 +36,51 @@
 struct Change {
     #[command(flatten)]
     at: At,
-    /// Wait so long for the outcome, e.g. 10s; 0s: not at all.
+    /// How long to wait for the outcome, e.g. 10s; 0s does not wait.
     #[arg(long, default_value = "10s")]
     wait: String,
-    /// Names the change: sent twice under one id, it is one. Drawn if it is not given.
+    /// The id of the change. Sent twice with the same id, it is applied once; by default the id is random.
     #[arg(long)]
     id: Option<String>,
 }
 
 #[derive(Subcommand)]
 enum PolicyCommand {
-    /// The policy in force.
+    /// Show the policy in force.
     Show {
         #[command(flatten)]
         at: At,
     },
-    /// What a file would change, in words.
+    /// Show what a file's policy would change.
     Diff {
-        /// A settings file, or its policy sections alone.
+        /// A settings file, or a file with only policy sections.
         file: PathBuf,
         #[command(flatten)]
         at: At,
     },
-    /// Propose a file's policy: in force everywhere (exit 0), dropped (3) or not known yet (4).
+    /// Propose a file's policy; the exit code is 0 if it is in force everywhere, 3 if dropped, 4 if not known
+    /// yet.
     Propose {
-        /// A settings file, or its policy sections alone.
+        /// A settings file, or a file with only policy sections.
         file: PathBuf,
         #[command(flatten)]
         change: Change,
     },
-    /// The epoch in force and the change under way; with an id, how that change stands.
+    /// Show the epoch in force and the change in progress; with an id, the state of that change.
     Status {
-        /// A proposal.
+        /// The id of a change.
         id: Option<String>,
         #[command(flatten)]
         at: At,
     },
-    /// How changes ended.
+    /// Show the outcomes of past changes.
     History {
         #[command(flatten)]
         at: At,
     },
-    /// Propose the policy of an earlier epoch again, as a new one.
+    /// Propose the policy of an earlier epoch again, as a new epoch.
     Rollback {
-        /// That epoch.
+        /// The earlier epoch.
         epoch: u64,
         #[command(flatten)]
         change: Change,
@@ -92,9 +93,9 @@
     value: Value,
 }
 
-/// Why a request has no answer, as it is printed.
+/// Why a request has no answer, with the message to print.
 enum RequestError {
-    /// The router has certainly not received the request.
+    /// The router can't have received the request.
     NotReceived(String),
     /// The router may have received the request.
     NoAnswer(String),
@@ -108,6 +109,7 @@
     }
 }
 
+/// Sends a request to an operators' port and parses the JSON answer.
 fn json_request(at: SocketAddr, method: &str, path: &str, body: &str) -> Result<JsonAnswer, RequestError> {
     let answer = http_request(at, method, path, body).map_err(|error| {
         let reason = format!("{at}: {error}");
@@ -122,7 +124,7 @@
     Ok(JsonAnswer { status, value })
 }
 
-/// The body of an answer that reports success.
+/// Sends a request; returns the JSON body of a successful answer.
 fn successful_value(at: SocketAddr, method: &str, path: &str, body: &str) -> Result<Value, Failure> {
     let JsonAnswer { status, value } = json_request(at, method, path, body)?;
     let error_message = || value["error"]["message"].as_str().unwrap_or_default().to_owned();
@@ -136,17 +138,19 @@
     }
 }
 
-fn text<'a>(value: &'a Value, key: &str) -> &'a str {
+/// A string member of a JSON object; empty if there is none.
+fn string_member<'a>(value: &'a Value, key: &str) -> &'a str {
     value[key].as_str().unwrap_or("")
 }
 
-fn names(value: &Value) -> String {
-    let all = value.as_array().map_or(&[][..], Vec::as_slice);
-    let all: Vec<&str> = all.iter().filter_map(Value::as_str).collect();
-    if all.is_empty() {
+/// The names in a JSON array, as a list to print.
+fn name_list(value: &Value) -> String {
+    let names = value.as_array().map_or(&[][..], Vec::as_slice);
+    let names: Vec<&str> = names.iter().filter_map(Value::as_str).collect();
+    if names.is_empty() {
         "nobody that is known here".into()
     } else {
-        all.join(", ")
+        names.join(", ")
     }
 }
 
@@ -155,7 +159,7 @@
         .map_err(|expected| Failure::Input(format!("--wait {text:?}: expected {expected}")))
 }
 
-/// The policy of a file.
+/// Reads the policy of a settings file; the router's own settings in it are reported and ignored.
 fn read_policy(file: &Path) -> Result<String, Failure> {
     let name = file.display().to_string();
     let text = std::fs::read_to_string(file).map_err(|e| Failure::Input(format!("{name}: {e}")))?;
@@ -167,40 +171,42 @@
 }
 
 fn rejections_text(outcome: &Value) -> String {
-    let all = outcome["why"].as_array().map_or(&[][..], Vec::as_slice);
-    let rejection_text =
-        |rejection: &Value| format!("{}: {}", text(rejection, "router"), text(rejection, "why"));
-    let rejections: Vec<String> = all.iter().map(rejection_text).collect();
+    let rejections = outcome["why"].as_array().map_or(&[][..], Vec::as_slice);
+    let rejection_text = |rejection: &Value| {
+        format!("{}: {}", string_member(rejection, "router"), string_member(rejection, "why"))
+    };
+    let rejections: Vec<String> = rejections.iter().map(rejection_text).collect();
     rejections.join("; ")
 }
 
 fn outcome_text(outcome: &Value) -> String {
-    let id = text(outcome, "id");
-    match text(outcome, "outcome") {
+    let id = string_member(outcome, "id");
+    match string_member(outcome, "outcome") {
         "in force" => format!("{id}: in force as epoch {}", outcome["epoch"]),
         "dropped" => format!("{id}: dropped: {}", rejections_text(outcome)),
-        "pending" => format!("{id}: under way, waits for {}", names(&outcome["waits_for"])),
+        "pending" => format!("{id}: under way, waits for {}", name_list(&outcome["waits_for"])),
         _ => format!("{id}: unknown here"),
     }
 }
 
-/// Prints an outcome, and gives the exit code that belongs to it.
+/// Prints an outcome; the result carries its exit code.
 fn report_outcome(outcome: &Value, json: bool) -> Outcome {
     if json {
         println!("{outcome}");
     } else {
         println!("{}", outcome_text(outcome));
     }
-    match text(outcome, "outcome") {
+    match string_member(outcome, "outcome") {
         "in force" => Ok(()),
         "dropped" => Err(Failure::Code(EXIT_DROPPED)),
         _ => Err(Failure::Code(EXIT_UNKNOWN)),
     }
 }
 
-/// Whether a router has accepted a change; false: it is overloaded, and the change is to be sent again.
+/// Whether a router has accepted a change; `false`: the router is overloaded, and the change has to be sent
+/// again.
 fn was_accepted(at: SocketAddr, answer: &JsonAnswer) -> Result<bool, Failure> {
-    let error_message = || text(&answer.value["error"], "message");
+    let error_message = || string_member(&answer.value["error"], "message");
     match answer.status {
         202 => Ok(true),
         529 => Ok(false),
@@ -209,14 +215,14 @@
     }
 }
 
-/// Sends a change and waits for its outcome.
+/// Sends a change until a router accepts it, and waits for its outcome.
 fn send_change(args: &Change, path: impl Fn(&str) -> String, body: &str) -> Outcome {
     let (at, wait) = (args.at.at, wait_duration(&args.wait)?);
     let id = args.id.clone().unwrap_or_else(|| format!("p-{:016x}", rand::random::<u64>()));
     if args.id.is_none() {
         eprintln!("its id is {id}");
     }
-    let until = Instant::now() + wait;
+    let deadline = Instant::now() + wait;
     let unknown = serde_json::json!({"id": id, "outcome": "unknown"});
     let mut last = unknown.clone();
     let mut sent = false;
@@ -224,27 +230,28 @@
         if !sent {
             match json_request(at, "POST", &path(&id), body) {
                 Ok(answer) => sent = was_accepted(at, &answer)?,
-                Err(error @ RequestError::NotReceived(_)) if Instant::now() >= until => {
+                Err(error @ RequestError::NotReceived(_)) if Instant::now() >= deadline => {
                     return Err(error.into());
                 }
-                // It is sent again: under its id it is the same change.
+                // Sent again: with the same id it is the same change.
                 Err(_) => {}
             }
         } else if let Ok(JsonAnswer { status: 200, value: outcome }) =
             json_request(at, "GET", &format!("/policy/status/{id}"), "")
         {
-            if matches!(text(&outcome, "outcome"), "in force" | "dropped") {
+            if matches!(string_member(&outcome, "outcome"), "in force" | "dropped") {
                 return report_outcome(&outcome, args.at.json);
             }
             last = outcome;
         }
-        if Instant::now() >= until {
+        if Instant::now() >= deadline {
             return report_outcome(&last, args.at.json);
         }
-        std::thread::sleep(POLL_INTERVAL.min(until.saturating_duration_since(Instant::now())));
+        std::thread::sleep(POLL_INTERVAL.min(deadline.saturating_duration_since(Instant::now())));
     }
 }
 
+/// Prints the status of the router's policy, or the outcome of one change.
 fn status(at: &At, id: Option<&String>) -> Outcome {
     if let Some(id) = id {
         let outcome = successful_value(at.at, "GET", &format!("/policy/status/{id}"), "")?;
@@ -258,21 +265,21 @@
     let serving = if value["serving"] == true { "serving by it" } else { "not serving" };
     println!(
         "{}: epoch {}, digest {}, {serving}",
-        text(&value, "name"),
+        string_member(&value, "name"),
         value["epoch"],
-        text(&value, "digest")
+        string_member(&value, "digest")
     );
     let votes = if value["votes"] == true { "votes" } else { "does not vote" };
     println!(
         "voters: {}; this router {votes}; led by {}",
-        names(&value["voters"]),
+        name_list(&value["voters"]),
         value["leader"].as_str().unwrap_or("nobody known")
     );
     if let Some(id) = value["pending"]["id"].as_str() {
         println!(
             "under way: {id}, to be epoch {}, waits for {}",
             value["pending"]["epoch"],
-            names(&value["pending"]["waits_for"])
+            name_list(&value["pending"]["waits_for"])
         );
     }
     for fault in value["trouble"].as_array().map_or(&[][..], Vec::as_slice) {
@@ -296,8 +303,8 @@
         println!(
             "{} s by {}'s clock, digest {}{restored}: {}",
             outcome["when"],
-            text(outcome, "from"),
-            text(outcome, "digest"),
+            string_member(outcome, "from"),
+            string_member(outcome, "digest"),
             outcome_text(outcome)
         );
     }
@@ -308,7 +315,7 @@
     match &args.command {
         PolicyCommand::Show { at } => {
             let value = successful_value(at.at, "GET", "/policy/text", "")?;
-            let shown = masked(text(&value, "text"));
+            let shown = masked(string_member(&value, "text"));
             if at.json {
                 println!("{}", serde_json::json!({"epoch": value["epoch"], "text": shown}));
             } else {
@@ -319,8 +326,8 @@
         PolicyCommand::Diff { file, at } => {
             let proposed = read_policy(file)?;
             let value = successful_value(at.at, "GET", "/policy/text", "")?;
-            let differences =
-                changes(text(&value, "text"), &proposed).map_err(|faults| Failure::Input(lines(&faults)))?;
+            let differences = changes(string_member(&value, "text"), &proposed)
+                .map_err(|faults| Failure::Input(lines(&faults)))?;
             if at.json {
                 println!("{}", serde_json::json!({"epoch": value["epoch"], "changes": differences}));
             } else if differences.is_empty() {
--- a/crates/cli/src/roles.rs
+++ b/crates/cli/src/roles.rs
@@ -1,5 +1,5 @@
-//! `roles`: which engines read and which write: what they tell, what would be changed and why, changing it, and stopping
-//! all changes on a bad night.
+//! `roles`: which engines read and which write: what they tell, what would be changed and why, changing it,
+//! and stopping all changes on a bad night.
 
 use crate::signals::Signals;
 use crate::{lines, logs, Failure, Outcome};
@@ -296,7 +296,8 @@
     Ok(())
 }
 
-/// Takes over what engines tell of their roles. Whether the list has changed. Who does not answer stays as it was.
+/// Takes over what engines tell of their roles. Whether the list has changed. Who does not answer stays as it
+/// was.
 fn follow_roles(engines: &mut [EngineSettings], seen: &[EngineView]) -> bool {
     let mut changed = false;
     for e in engines.iter_mut() {
--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -1,5 +1,5 @@
-//! `serve`: the daemon. Each gateway runs on its own thread and is a separate router on the same port. This thread
-//! watches signals and the list of engines, and forwards changes to the gateways.
+//! `serve`: the daemon. Each gateway runs on its own thread and is a separate router on the same port. This
+//! thread watches signals and the list of engines, and forwards changes to the gateways.
 
 use crate::member::Member;
 use crate::signals::Signals;
@@ -42,8 +42,8 @@
     rand::random()
 }
 
-/// Exits without a shutdown once standard input is closed. The parent process holds the other end of the pipe, which
-/// closes with it, also when it is killed.
+/// Exits without a shutdown once standard input is closed. The parent process holds the other end of the
+/// pipe, which closes with it, also when it is killed.
 fn exit_when_input_ends() {
     std::thread::spawn(|| {
         let _ = std::io::copy(&mut std::io::stdin().lock(), &mut std::io::sink());
@@ -150,7 +150,8 @@
     Ok((handles, threads))
 }
 
-/// Reads the settings again. An invalid file changes nothing; a changed setting that needs a restart is logged.
+/// Reads the settings again. An invalid file changes nothing; a changed setting that needs a restart is
+/// logged.
 fn reload(
     config: &Path, daemon: &mut Daemon, handles: &[EventLoopHandle<Gateway>], member: Option<&mut Member>,
 ) {
@@ -162,7 +163,8 @@
         }
         Err(Failure::Code(_)) => return,
     };
-    // If the fleet agrees on the policy, the file changes only the router's own settings, and the policy in force stays.
+    // If the fleet agrees on the policy, the file changes only the router's own settings, and the policy in
+    // force stays.
     if let Some(joined) = member.as_ref().and_then(|m| m.with_policy_in_force(config)) {
         match joined {
             Ok(joined) => new = joined,
--- a/crates/cli/tests/alone.rs
+++ b/crates/cli/tests/alone.rs
@@ -1,5 +1,5 @@
-//! Without `[fleet]`, and in `slipreel node`, nothing of the view is there: no thread, no datagram socket, no port of its own, no answer on the
-//! operators' port.
+//! Without `[fleet]`, and in `slipreel node`, nothing of the view is there: no thread, no datagram socket, no
+//! port of its own, no answer on the operators' port.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
--- a/crates/cli/tests/ground.rs
+++ b/crates/cli/tests/ground.rs
@@ -1,5 +1,5 @@
-//! The hard cases of the view and faults drawn by seed, with processes of the built program and faults between them. The scripts of a
-//! group run side by side, as they wait most of their time.
+//! The hard cases of the view and faults drawn by seed, with processes of the built program and faults
+//! between them. The scripts of a group run side by side, as they wait most of their time.
 
 mod common;
 
@@ -8,7 +8,8 @@
 use std::process::{Command, Stdio};
 use std::time::{Duration, Instant};
 
-/// One group after another, as a machine of two cores carries some forty processes at a time; two minutes in all.
+/// One group after another, as a machine of two cores carries some forty processes at a time; two minutes in
+/// all.
 #[test]
 fn processes_hold_one_view_through_faults() {
     // Kills, stops, cuts; the longest lasts 42 s.
--- a/crates/cli/tests/node.rs
+++ b/crates/cli/tests/node.rs
@@ -94,7 +94,8 @@
     let _ = std::fs::remove_dir_all(folder);
 }
 
-/// Sends a head that claims 60 MB and goes on sending as fast as it can; gives what came back and how long it took.
+/// Sends a head that claims 60 MB and goes on sending as fast as it can; gives what came back and how long it
+/// took.
 fn sends_60_mb(addr: SocketAddr, chunked: bool) -> (String, Duration) {
     let begun = Instant::now();
     let mut stream = TcpStream::connect_timeout(&addr, ms(1_000)).expect("a connection");
--- a/crates/cli/tests/platform/cluster.rs
+++ b/crates/cli/tests/platform/cluster.rs
@@ -53,7 +53,8 @@
     pub every: Duration,
     /// Share of clients that leave early.
     pub leaving: f64,
-    /// The rules on cold engines as the settings tell them, as JSON; none: an engine that starts is as good as any.
+    /// The rules on cold engines as the settings tell them, as JSON; none: an engine that starts is as good
+    /// as any.
     pub cold_rules: &'static str,
     /// Descriptors that the system allows each router, below those of its configuration.
     pub descriptors: Option<u32>,
@@ -94,7 +95,8 @@
     address: SocketAddr,
 }
 
-/// Many routers as processes, each with an agent of discovery of its own, engines that all share, and clients.
+/// Many routers as processes, each with an agent of discovery of its own, engines that all share, and
+/// clients.
 pub struct Cluster {
     clock: Clock,
     shared: Shared,
@@ -239,7 +241,8 @@
         process
     }
 
-    /// Starts a router anew once its process has ended: while that listens its answer would be taken for the new one's.
+    /// Starts a router anew once its process has ended: while that listens its answer would be taken for the
+    /// new one's.
     pub fn restart(&mut self, n: usize) {
         assert!(self.processes[n].has_ended_within(ms(8_000)), "n{n} goes on");
         let process = self.spawn(n);
@@ -256,7 +259,8 @@
         self.unused_ports.push(nobody);
     }
 
-    /// Connections to a router that ask once whether it is ready, and then stand idle for as long as they are kept.
+    /// Connections to a router that ask once whether it is ready, and then stand idle for as long as they are
+    /// kept.
     pub fn stand_idle(&self, n: usize, count: usize) -> Vec<TcpStream> {
         let open = |_| {
             let mut stream = TcpStream::connect_timeout(&self.address(n), ms(500)).ok()?;
@@ -266,8 +270,8 @@
         (0..count).filter_map(open).collect()
     }
 
-    /// Connections that send requests ahead by the hundred for so long, and read what is answered. Each thread gives how many
-    /// answers came.
+    /// Connections that send requests ahead by the hundred for so long, and read what is answered. Each
+    /// thread gives how many answers came.
     pub fn flood(&self, n: usize, connections: usize, time: Duration) -> Vec<JoinHandle<usize>> {
         let addr = self.address(n);
         (0..connections).map(|_| std::thread::spawn(move || flood_one(addr, time))).collect()
--- a/crates/cli/tests/platform/mod.rs
+++ b/crates/cli/tests/platform/mod.rs
@@ -65,8 +65,8 @@
     folder
 }
 
-/// The terms with what the machine of the tests adds: dozens of processes share it with other tests. Events are held to their
-/// 0.3 s, and deadlines that are told to their 0.15 s, in virtual time.
+/// The terms with what the machine of the tests adds: dozens of processes share it with other tests. Events
+/// are held to their 0.3 s, and deadlines that are told to their 0.15 s, in virtual time.
 pub fn terms_of_processes() -> Terms {
     Terms { wire: ms(60), passed: ms(1_000), deadline_slack: ms(1_000), ..Terms::default() }
 }
--- a/crates/cli/tests/platform/ports.rs
+++ b/crates/cli/tests/platform/ports.rs
@@ -6,10 +6,10 @@
 
 /// A loopback port that is given to nobody else on this machine for as long as this value lives.
 ///
-/// A bare "bind to port 0, close, and let the process listen on it" gives one port twice within a moment: of 96 ports drawn
-/// so, two were the same in 29 of 100 runs. Two routers then share what comes in, as listeners of one user may. The socket
-/// held here is bound and never listens, so it takes no connections, and routers can listen beside it because both set
-/// `SO_REUSEPORT`.
+/// A bare "bind to port 0, close, and let the process listen on it" gives one port twice within a moment: of
+/// 96 ports drawn so, two were the same in 29 of 100 runs. Two routers then share what comes in, as listeners
+/// of one user may. The socket held here is bound and never listens, so it takes no connections, and routers
+/// can listen beside it because both set `SO_REUSEPORT`.
 pub struct ReservedPort {
     address: SocketAddr,
     _socket: OwnedFd,
--- a/crates/cli/tests/policy.rs
+++ b/crates/cli/tests/policy.rs
@@ -1,5 +1,5 @@
-//! Changes of policy with processes of the built program and faults between them, judged by the stamps in the traffic; and the commands that
-//! operators use.
+//! Changes of policy with processes of the built program and faults between them, judged by the stamps in the
+//! traffic; and the commands that operators use.
 
 mod common;
 
--- a/crates/cli/tests/repeats.rs
+++ b/crates/cli/tests/repeats.rs
@@ -1,5 +1,6 @@
-//! Days of two to eight router processes among hostile engines, with signals between: no request is repeated that must not
-//! be. The same engines, clients, settings and judge as in virtual time (`crates/platform/tests/repeats.rs`).
+//! Days of two to eight router processes among hostile engines, with signals between: no request is repeated
+//! that must not be. The same engines, clients, settings and judge as in virtual time
+//! (`crates/platform/tests/repeats.rs`).
 
 mod platform;
 
@@ -111,7 +112,8 @@
         Day { seed, settings, random, clock, ledger, engines, agents, routers, around, folder }
     }
 
-    /// Clients ask while engines and routers are restarted; gives the breaks and how many requests were served.
+    /// Clients ask while engines and routers are restarted; gives the breaks and how many requests were
+    /// served.
     fn play(mut self) -> (Vec<Violation>, u32) {
         let begin = self.clock.now() + READY_WITHIN;
         while !self.routers.iter().all(|router| is_ready(router.port.address())) {
--- a/crates/cli/tests/terms.rs
+++ b/crates/cli/tests/terms.rs
@@ -1,4 +1,5 @@
-//! The acceptance's terms with many processes of `slipreel node`: one judge over what engines, clients and discovery saw.
+//! The acceptance's terms with many processes of `slipreel node`: one judge over what engines, clients and
+//! discovery saw.
 
 mod platform;
 use platform::cluster::{Cluster, ClusterPlan};
@@ -36,8 +37,9 @@
     assert!(!endings.contains_key(&Ending::Mixed), "{endings:?}");
 }
 
-/// Thirty processes; seven in ten are killed in one moment while discovery is down, then a tenth at a time is told to end;
-/// clients connect again at once. Nine in ten of those started are ready in 10 s, and all in the time that a start takes.
+/// Thirty processes; seven in ten are killed in one moment while discovery is down, then a tenth at a time is
+/// told to end; clients connect again at once. Nine in ten of those started are ready in 10 s, and all in the
+/// time that a start takes.
 #[test]
 fn thirty_processes_are_ready_again_in_time_after_kills_and_stops_in_an_outage() {
     let mut cluster =
@@ -87,8 +89,9 @@
     assert_eq!(broken, [Term::Ready]);
 }
 
-/// Idle clients fill all descriptors while discovery is down: watch, engines and who comes with a request have theirs all the
-/// same, the list is here in time once it is back, and nothing turns round and round meanwhile.
+/// Idle clients fill all descriptors while discovery is down: watch, engines and who comes with a request
+/// have theirs all the same, the list is here in time once it is back, and nothing turns round and round
+/// meanwhile.
 #[test]
 fn idle_clients_that_take_all_descriptors_keep_out_neither_requests_nor_the_list() {
     let plan = ClusterPlan { descriptors: Some(64), every: ms(40), requests: 330, ..ClusterPlan::default() };
