--- a/crates/cli/tests/alone.rs
+++ b/crates/cli/tests/alone.rs
@@ -1,5 +1,5 @@
-//! Without `[fleet]`, and in `slipreel node`, nothing of the view is there: no thread, no datagram socket, no
-//! port of its own, no answer on the operators' port.
+//! Without a section `[fleet]`, and in `slipreel node`, membership is off: the process has no thread,
+//! datagram socket or listening port for it, and the operators' port has no fleet status.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -7,6 +7,7 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
+/// A process that is killed when the value is dropped.
 struct Process(Child);
 
 impl Drop for Process {
@@ -16,52 +17,54 @@
     }
 }
 
-fn start(command: &mut Command, until: SocketAddr) -> Process {
+/// Starts a process and waits until it listens on the address.
+fn start(command: &mut Command, address: SocketAddr) -> Process {
     let process = Process(command.stderr(Stdio::null()).stdout(Stdio::null()).spawn().expect("a process"));
-    let end = Instant::now() + Duration::from_secs(20);
-    while TcpStream::connect(until).is_err() {
-        assert!(Instant::now() < end, "it does not listen on {until}");
+    let deadline = Instant::now() + Duration::from_secs(20);
+    while TcpStream::connect(address).is_err() {
+        assert!(Instant::now() < deadline, "it does not listen on {address}");
         std::thread::sleep(Duration::from_millis(20));
     }
     process
 }
 
-fn ports<const N: usize>() -> [SocketAddr; N] {
+fn free_ports<const N: usize>() -> [SocketAddr; N] {
     let listeners = [(); N].map(|()| TcpListener::bind("127.0.0.1:0").expect("a port"));
     listeners.map(|l| l.local_addr().expect("an address"))
 }
 
-/// What a process has: names of its threads, datagram sockets, listening ports of TCP.
+/// What a process uses: the names of its threads, and how many datagram sockets and listening TCP ports it
+/// has.
 #[derive(Debug)]
-struct Has {
+struct Resources {
     threads: Vec<String>,
     datagrams: usize,
     listens: usize,
 }
 
-fn has(process: &Process) -> Has {
+fn resources(process: &Process) -> Resources {
     let proc = PathBuf::from(format!("/proc/{}", process.0.id()));
-    let list = |what: &str| std::fs::read_dir(proc.join(what)).expect("a folder").flatten();
-    let mut threads: Vec<String> = list("task")
+    let entries = |folder: &str| std::fs::read_dir(proc.join(folder)).expect("a folder").flatten();
+    let mut threads: Vec<String> = entries("task")
         .filter_map(|t| std::fs::read_to_string(t.path().join("comm")).ok())
         .map(|name| name.trim().to_owned())
         .collect();
     threads.sort();
-    let inodes: Vec<String> = list("fd")
+    let inodes: Vec<String> = entries("fd")
         .filter_map(|fd| std::fs::read_link(fd.path()).ok())
         .filter_map(|to| Some(to.to_str()?.strip_prefix("socket:[")?.strip_suffix(']')?.to_owned()))
         .collect();
-    let table = |name: &str, state: Option<&str>| {
+    let count_sockets = |name: &str, state: Option<&str>| {
         let text = std::fs::read_to_string(proc.join("net").join(name)).expect("a table");
         let rows = text.lines().skip(1).map(|l| l.split_whitespace().collect::<Vec<_>>());
-        let mine = |row: &Vec<&str>| inodes.iter().any(|i| row.get(9) == Some(&i.as_str()));
-        rows.filter(mine).filter(|row| state.is_none_or(|s| row.get(3) == Some(&s))).count()
+        let is_own = |row: &Vec<&str>| inodes.iter().any(|i| row.get(9) == Some(&i.as_str()));
+        rows.filter(is_own).filter(|row| state.is_none_or(|s| row.get(3) == Some(&s))).count()
     };
     let listening = Some("0A");
-    Has {
+    Resources {
         threads,
-        datagrams: table("udp", None) + table("udp6", None),
-        listens: table("tcp", listening) + table("tcp6", listening),
+        datagrams: count_sockets("udp", None) + count_sockets("udp6", None),
+        listens: count_sockets("tcp", listening) + count_sockets("tcp6", listening),
     }
 }
 
@@ -77,31 +80,32 @@
     start(command.arg("serve").arg("--config").arg(file), listen)
 }
 
-fn asks_status(operators: SocketAddr) -> String {
+/// The HTTP status of the answer to a request for the fleet's status.
+fn fleet_status_code(operators: SocketAddr) -> String {
     let mut stream = TcpStream::connect(operators).expect("the operators' port");
-    let asked = stream.write_all(b"GET /fleet/status HTTP/1.1\r\nhost: a\r\nconnection: close\r\n\r\n");
+    let sent = stream.write_all(b"GET /fleet/status HTTP/1.1\r\nhost: a\r\nconnection: close\r\n\r\n");
     let mut answer = String::new();
-    asked.and_then(|()| stream.read_to_string(&mut answer)).expect("an answer");
+    sent.and_then(|()| stream.read_to_string(&mut answer)).expect("an answer");
     answer.get(9..12).unwrap_or("").to_owned()
 }
 
 #[test]
-fn without_its_section_and_in_node_there_is_no_view() {
+fn membership_is_off_without_its_section_and_in_node() {
     let folder = std::env::temp_dir().join(format!("slipreel-alone-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
-    let at: [SocketAddr; 8] = ports();
+    let ports: [SocketAddr; 8] = free_ports();
 
-    // With the section all of it is there: what follows could fail.
-    let section = format!("\n[fleet]\nfleet = test\nlisten = {}\n", at[2]);
-    let member = serve(&folder, "member", [at[0], at[1]], &section);
-    let with = has(&member);
-    assert_eq!(asks_status(at[1]), "200");
+    // With the section all of it exists, so that the checks below are able to fail.
+    let section = format!("\n[fleet]\nfleet = test\nlisten = {}\n", ports[2]);
+    let member = serve(&folder, "member", [ports[0], ports[1]], &section);
+    let with = resources(&member);
+    assert_eq!(fleet_status_code(ports[1]), "200");
     assert!(with.threads.iter().any(|t| t == "fleet") && with.datagrams == 1, "{with:?}");
     drop(member);
 
-    let alone = serve(&folder, "alone", [at[3], at[4]], "");
-    let without = has(&alone);
-    assert_eq!(asks_status(at[4]), "404");
+    let alone = serve(&folder, "alone", [ports[3], ports[4]], "");
+    let without = resources(&alone);
+    assert_eq!(fleet_status_code(ports[4]), "404");
     assert_eq!((without.datagrams, without.listens + 1), (0, with.listens), "{without:?} {with:?}");
     assert_eq!(without.threads.len() + 1, with.threads.len(), "{without:?} {with:?}");
     drop(alone);
@@ -115,15 +119,15 @@
           "extra":{{"role_by_kind":["read","write"],"let_go_by":500.0}},
           "limits":{{"cancelling":true,"may_probe":true,"retry_after":true,"max_retry_after":2000.0,"send_cap":4,
                     "connect_timeout":250.0,"idle_close":30000.0}}}}}}"#,
-        at[5], at[6]
+        ports[5], ports[6]
     );
     let file = folder.join("node.json");
     std::fs::write(&file, config).expect("a file");
     let mut command = Command::new(env!("CARGO_BIN_EXE_slipreel"));
-    let node = start(command.arg("node").env("LB_CONFIG", &file), at[5]);
-    let of_node = has(&node);
-    assert_eq!((of_node.datagrams, of_node.listens), (0, 1), "{of_node:?}");
-    assert_eq!(of_node.threads, ["signals", "slipreel"]);
+    let node = start(command.arg("node").env("LB_CONFIG", &file), ports[5]);
+    let node_resources = resources(&node);
+    assert_eq!((node_resources.datagrams, node_resources.listens), (0, 1), "{node_resources:?}");
+    assert_eq!(node_resources.threads, ["signals", "slipreel"]);
     drop(node);
     let _ = std::fs::remove_dir_all(&folder);
 }
--- a/crates/cli/tests/common/mod.rs
+++ b/crates/cli/tests/common/mod.rs
@@ -1,9 +1,9 @@
-//! Runs of the ground with processes of the built program, side by side.
+//! Runs fault injection scripts with processes of the built program, in parallel.
 
 use slipreel_fault_injection::{play_processes, read_script, Interrupt, Outcome};
 use std::path::Path;
 
-/// The program that was built with the tests.
+/// The program under test.
 pub const PROGRAM: &str = env!("CARGO_BIN_EXE_slipreel");
 
 fn play(name: &str, seed: u64) -> Result<Outcome, String> {
@@ -14,8 +14,8 @@
     played.ok_or_else(|| "interrupted".into())
 }
 
-/// Plays all of them at once; says all that is wrong.
-pub fn hold(cases: &[(&'static str, u64)]) {
+/// Runs all scripts in parallel, each with its seed, and fails with everything that went wrong.
+pub fn check_scripts(cases: &[(&'static str, u64)]) {
     let runs: Vec<_> = cases
         .iter()
         .map(|&(name, seed)| std::thread::spawn(move || (name, seed, play(name, seed))))
--- a/crates/cli/tests/floods.rs
+++ b/crates/cli/tests/floods.rs
@@ -1,4 +1,4 @@
-//! Floods beside usual clients. By itself, as a flood takes what the machine has.
+//! Floods beside usual clients. In a test binary of its own, because a flood uses the whole machine.
 
 mod platform;
 use platform::cluster::{Cluster, ClusterPlan};
@@ -7,7 +7,8 @@
 use slipreel_test_servers::platform::Ending;
 use std::thread::sleep;
 
-/// Requests sent ahead by the hundred on connections that are read to the end, beside the usual clients.
+/// Some connections pipeline hundreds of requests and read all answers, beside the usual clients, which must
+/// be served as well as without them.
 #[test]
 fn a_flood_on_some_connections_leaves_the_others_served() {
     let plan = ClusterPlan { routers: 1, every: ms(25), requests: 320, ..ClusterPlan::default() };
@@ -18,7 +19,7 @@
         sleep(ms(8_500));
         let answered: usize = flooding.into_iter().map(|thread| thread.join().expect("a flood")).sum();
         let (facts, endings) = cluster.end();
-        // Events and deadlines are held to the terms themselves: the machine has nothing else to do.
+        // Events and deadlines are checked against the unrelaxed terms: nothing else runs on the machine.
         let terms = Terms { wire: ms(60), ..Terms::default() };
         assert_eq!(facts.judge(&terms), [], "{floods} floods");
         assert!(!endings.contains_key(&Ending::Lost), "{endings:?}");
@@ -28,6 +29,6 @@
     let (quiet, _) = share_served(0);
     let (flooded, answered) = share_served(8);
     println!("{quiet:.3} served without, {flooded:.3} beside {answered} answers to floods");
-    assert!(answered > 2_000, "the flood was one: {answered}");
+    assert!(answered > 2_000, "too few requests for a flood: {answered}");
     assert!(flooded > quiet - 0.05, "{quiet} {flooded}");
 }
--- a/crates/cli/tests/ground.rs
+++ b/crates/cli/tests/ground.rs
@@ -1,19 +1,20 @@
-//! The hard cases of the view and faults drawn by seed, with processes of the built program and faults
-//! between them. The scripts of a group run side by side, as they wait most of their time.
+//! Hard cases for the agreement on one view of the fleet, and random faults by seed, with processes of the
+//! built program and injected faults. The scripts of a group run in parallel, because they wait most of the
+//! time.
 
 mod common;
 
-use common::{hold, PROGRAM};
+use common::{check_scripts, PROGRAM};
 use std::path::{Path, PathBuf};
 use std::process::{Command, Stdio};
 use std::time::{Duration, Instant};
 
-/// One group after another, as a machine of two cores carries some forty processes at a time; two minutes in
-/// all.
+/// The groups run one after another, because a machine of two cores can run some forty processes at a time.
+/// Takes two minutes in all.
 #[test]
-fn processes_hold_one_view_through_faults() {
+fn processes_agree_on_one_view_through_faults() {
     // Kills, stops, cuts; the longest lasts 42 s.
-    hold(&[
+    check_scripts(&[
         ("back-soon", 1),
         ("halves", 1),
         ("one-way", 1),
@@ -24,42 +25,43 @@
         ("twin-young", 1),
         ("twin-young", 2),
     ]);
-    // Many at once, and faults drawn by seed.
-    hold(&[("seven", 1), ("ten", 1), ("ten", 2), ("slow-peers", 1)]);
-    // Thirty from one seed; then the fleet changes as a whole, noise, other seeds, folders that are gone.
-    hold(&[("start", 1)]);
-    hold(&[("all-restart", 1), ("noise", 1), ("reload", 1), ("folder", 1), ("seed-dead", 1)]);
+    // Many faults at once, and random faults by seed.
+    check_scripts(&[("seven", 1), ("ten", 1), ("ten", 2), ("slow-peers", 1)]);
+    // Thirty routers that start from one seed router; then restarts of the whole fleet, noise, a reload with
+    // other seed routers, a folder that is removed, and a seed router that is down.
+    check_scripts(&[("start", 1)]);
+    check_scripts(&[("all-restart", 1), ("noise", 1), ("reload", 1), ("folder", 1), ("seed-dead", 1)]);
 }
 
-/// Processes whose parent is this one.
-fn children(of: u32) -> Vec<PathBuf> {
+/// The processes whose parent is this process.
+fn children(parent_id: u32) -> Vec<PathBuf> {
     let all = std::fs::read_dir("/proc").expect("processes").flatten().map(|p| p.path());
     let parent = |p: &PathBuf| {
         let stat = std::fs::read_to_string(p.join("stat")).ok()?;
         stat.rsplit_once(')')?.1.split_whitespace().nth(1)?.parse::<u32>().ok()
     };
-    all.filter(|p| parent(p) == Some(of)).collect()
+    all.filter(|p| parent(p) == Some(parent_id)).collect()
 }
 
 #[test]
-fn a_ground_that_is_killed_leaves_no_router() {
+fn a_killed_ground_command_leaves_no_router_process() {
     let script = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/grounds/halves.ini");
     let mut ground = Command::new(PROGRAM);
     ground.arg("ground").arg(script).args(["--seed", "7"]).stdout(Stdio::null()).stderr(Stdio::null());
     let mut ground = ground.spawn().expect("a process");
-    let until = |what: &str, done: &dyn Fn() -> bool| {
-        let end = Instant::now() + Duration::from_secs(20);
+    let wait_until = |condition: &str, done: &dyn Fn() -> bool| {
+        let deadline = Instant::now() + Duration::from_secs(20);
         while !done() {
-            assert!(Instant::now() < end, "{what}");
+            assert!(Instant::now() < deadline, "{condition}");
             std::thread::sleep(Duration::from_millis(20));
         }
     };
-    until("ten routers start", &|| children(ground.id()).len() == 10);
+    wait_until("ten routers start", &|| children(ground.id()).len() == 10);
     let routers = children(ground.id());
     ground.kill().expect("a kill");
     ground.wait().expect("its end");
-    let runs = |p: &PathBuf| {
+    let is_running = |p: &PathBuf| {
         std::fs::read_to_string(p.join("cmdline")).is_ok_and(|line| line.contains("settings.ini"))
     };
-    until("all of them end", &|| !routers.iter().any(runs));
+    wait_until("all of them end", &|| !routers.iter().any(is_running));
 }
--- a/crates/cli/tests/node.rs
+++ b/crates/cli/tests/node.rs
@@ -1,4 +1,5 @@
-//! `slipreel node` as the platform runs it: a process of its own, over sockets, with stand-ins around it.
+//! `slipreel node` as the platform runs it: a separate process, over sockets, with simulated engines,
+//! discovery and clients.
 
 mod platform;
 
@@ -6,7 +7,7 @@
 use platform::process::start;
 use platform::surroundings::Surroundings;
 use platform::{config, folder, is_ready, ms, wait_until_ready};
-use slipreel_event_loop::{Clock, Command as Tell, EventLoop};
+use slipreel_event_loop::{Clock, Command as EventLoopCommand, EventLoop};
 use slipreel_test_servers::platform::{lock_shared, Clients, Ending, Faults};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -14,7 +15,7 @@
 use std::time::{Duration, Instant};
 
 #[test]
-fn a_node_serves_through_reloads_and_ends_in_order() {
+fn a_router_serves_through_reloads_and_shuts_down_gracefully() {
     let clock = Clock::start();
     let faults = Faults { full: 0.05, more: 0.1, ..Faults::default() };
     let surroundings = Surroundings::start(clock, 5, faults);
@@ -27,11 +28,11 @@
     let mut process = start(&file);
     wait_until_ready(listen);
 
-    let mut asking: EventLoop<Clients> = EventLoop::new(clock).expect("an event loop");
-    asking.add(Clients::new(listen, &["chat", "once"], ms(8), 300, clock.now() + ms(10), 3));
-    let stop_asking = asking.handle();
-    let asking = std::thread::spawn(move || {
-        asking.run().map(|()| asking.into_machines().remove(0)).expect("a run of clients")
+    let mut client_loop: EventLoop<Clients> = EventLoop::new(clock).expect("an event loop");
+    client_loop.add(Clients::new(listen, &["chat", "once"], ms(8), 300, clock.now() + ms(10), 3));
+    let client_handle = client_loop.handle();
+    let client_thread = std::thread::spawn(move || {
+        client_loop.run().map(|()| client_loop.into_machines().remove(0)).expect("a run of clients")
     });
     std::thread::sleep(ms(600));
     std::fs::write(&file, "{\"name\":").expect("a file");
@@ -40,11 +41,11 @@
     std::fs::write(&file, config(listen, discoveries[1], known)).expect("a file");
     process.signal("-HUP");
     std::thread::sleep(ms(4_000));
-    assert_eq!(process.ends_within(ms(1)), None, "a reload ends nothing");
-    stop_asking.send(Tell::End);
-    let clients = asking.join().expect("the clients' thread");
+    assert_eq!(process.exit_code_within(ms(1)), None, "a reload ends nothing");
+    client_handle.send(EventLoopCommand::End);
+    let clients = client_thread.join().expect("the clients' thread");
     process.signal("-TERM");
-    assert_eq!(process.ends_within(ms(5_000)), Some(0));
+    assert_eq!(process.exit_code_within(ms(5_000)), Some(0));
     let shared = surroundings.shared.clone();
     surroundings.end();
 
@@ -56,10 +57,10 @@
 }
 
 #[test]
-fn what_is_missing_or_cant_be_read_is_named_and_ends_with_2() {
+fn a_missing_or_invalid_configuration_is_reported_with_exit_code_2() {
     let folder = folder("start");
-    let (port, nobody) = (ReservedPort::new(), ReservedPort::new());
-    let good = config(port.address(), nobody.address(), "null");
+    let (port, unused_port) = (ReservedPort::new(), ReservedPort::new());
+    let good = config(port.address(), unused_port.address(), "null");
     let cases = [
         ("no file", None, "absent.json"),
         ("no JSON", Some("{".to_owned()), "no JSON"),
@@ -73,7 +74,7 @@
         ("a setting", Some(good.replace("\"tick\":4.0", "\"tick\":\"soon\"")), "settings: tick"),
         ("a list", Some(good.replace("\"known\":null", "\"known\":{}")), "known.endpoints: missing"),
     ];
-    for (what, text, expected) in cases {
+    for (case, text, expected) in cases {
         let file = folder.join(if text.is_some() { "config.json" } else { "absent.json" });
         if let Some(text) = &text {
             std::fs::write(&file, text).expect("a file");
@@ -83,9 +84,9 @@
             .env("LB_CONFIG", &file)
             .output()
             .expect("it");
-        let said = String::from_utf8_lossy(&output.stderr).into_owned();
-        assert_eq!(output.status.code(), Some(2), "{what}: {said}");
-        assert!(said.contains(expected), "{what}: {said}");
+        let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
+        assert_eq!(output.status.code(), Some(2), "{case}: {stderr}");
+        assert!(stderr.contains(expected), "{case}: {stderr}");
     }
     let mut command = Command::new(env!("CARGO_BIN_EXE_slipreel"));
     let output = command.arg("node").env_remove("LB_CONFIG").output().expect("it");
@@ -94,10 +95,10 @@
     let _ = std::fs::remove_dir_all(folder);
 }
 
-/// Sends a head that claims 60 MB and goes on sending as fast as it can; gives what came back and how long it
-/// took.
-fn sends_60_mb(addr: SocketAddr, chunked: bool) -> (String, Duration) {
-    let begun = Instant::now();
+/// Announces a body of 60 MB and sends as fast as it can, whatever is answered; returns the answer and the
+/// time until the connection ended.
+fn send_60_mb(addr: SocketAddr, chunked: bool) -> (String, Duration) {
+    let start_time = Instant::now();
     let mut stream = TcpStream::connect_timeout(&addr, ms(1_000)).expect("a connection");
     let _ = stream.set_read_timeout(Some(ms(6_000)));
     let _ = stream.set_write_timeout(Some(ms(6_000)));
@@ -129,27 +130,28 @@
         }
         answer.extend_from_slice(&buf[..n]);
     }
-    let took = begun.elapsed();
+    let elapsed = start_time.elapsed();
     sending.join().expect("the sending thread");
-    (String::from_utf8_lossy(&answer).into_owned(), took)
+    (String::from_utf8_lossy(&answer).into_owned(), elapsed)
 }
 
 #[test]
 fn an_error_reaches_a_client_that_goes_on_sending_60_mb() {
-    let (port, nobody, folder) = (ReservedPort::new(), ReservedPort::new(), folder("big"));
+    let (port, unused_port, folder) = (ReservedPort::new(), ReservedPort::new(), folder("big"));
     let listen = port.address();
     let file = folder.join("config.json");
     let known = r#"{"index":1,"snapshot":true,"endpoints":[]}"#;
-    std::fs::write(&file, config(listen, nobody.address(), known)).expect("a file");
+    std::fs::write(&file, config(listen, unused_port.address(), known)).expect("a file");
     let mut process = start(&file);
     wait_until_ready(listen);
-    let all: Vec<_> = (0..6).map(|n| std::thread::spawn(move || sends_60_mb(listen, n % 2 == 1))).collect();
-    for client in all {
-        let (answer, took) = client.join().expect("a client's thread");
+    let clients: Vec<_> =
+        (0..6).map(|n| std::thread::spawn(move || send_60_mb(listen, n % 2 == 1))).collect();
+    for client in clients {
+        let (answer, elapsed) = client.join().expect("a client's thread");
         assert!(answer.starts_with("HTTP/1.1 413 "), "{answer}");
-        assert!(took < ms(6_000), "{took:?}");
+        assert!(elapsed < ms(6_000), "{elapsed:?}");
     }
-    assert!(is_ready(listen), "it serves on");
-    assert_eq!(process.ends_within(ms(1)), None);
+    assert!(is_ready(listen), "it goes on serving");
+    assert_eq!(process.exit_code_within(ms(1)), None);
     let _ = std::fs::remove_dir_all(folder);
 }
--- a/crates/cli/tests/platform/mod.rs
+++ b/crates/cli/tests/platform/mod.rs
@@ -1,4 +1,4 @@
-//! Processes of `slipreel node` with engines, discovery and clients of the tests around them.
+//! Processes of `slipreel node` with simulated engines, discovery and clients.
 #![allow(dead_code)]
 
 pub mod cluster;
@@ -18,14 +18,16 @@
     Duration::from_millis(n)
 }
 
-pub fn entry(name: &str, reads: bool, addr: SocketAddr) -> (String, String) {
-    let kind = if reads { "reads" } else { "writes" };
+/// An engine's name and its entry in the list.
+pub fn entry(name: &str, is_prefill: bool, addr: SocketAddr) -> (String, String) {
+    let kind = if is_prefill { "reads" } else { "writes" };
     let text = format!(
         r#"{{"name":"{name}","address":"{addr}","zone":"a","type":"{kind}","group":1,"status":"Ready","weight":1.0,"since_ms":0}}"#
     );
     (name.to_owned(), text)
 }
 
+/// A router's configuration.
 pub fn config(listen: SocketAddr, discovery: SocketAddr, known: &str) -> String {
     format!(
         r#"{{"name":"n0","listen":"{listen}","discovery":"{discovery}","seed":"8c1f30d27a5be964",
@@ -42,38 +44,42 @@
     )
 }
 
+/// Whether a router answers that it is ready.
 pub fn is_ready(addr: SocketAddr) -> bool {
     let Ok(mut stream) = TcpStream::connect_timeout(&addr, ms(200)) else { return false };
     let _ = stream.set_read_timeout(Some(ms(500)));
-    let asked = stream.write_all(b"GET /-/ready HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n");
+    let sent = stream.write_all(b"GET /-/ready HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n");
     let mut answer = String::new();
-    asked.is_ok() && stream.read_to_string(&mut answer).is_ok() && answer.starts_with("HTTP/1.1 200 ")
+    sent.is_ok() && stream.read_to_string(&mut answer).is_ok() && answer.starts_with("HTTP/1.1 200 ")
 }
 
-/// Waits until a router says that it is ready.
+/// Waits until a router answers that it is ready.
 pub fn wait_until_ready(address: SocketAddr) {
-    let until = Instant::now() + ms(10_000);
+    let deadline = Instant::now() + ms(10_000);
     while !is_ready(address) {
-        assert!(Instant::now() < until, "not ready in time");
+        assert!(Instant::now() < deadline, "not ready in time");
         std::thread::sleep(ms(20));
     }
 }
 
+/// A new folder for a test.
 pub fn folder(name: &str) -> PathBuf {
     let folder = std::env::temp_dir().join(format!("slipreel-{name}-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
     folder
 }
 
-/// The terms with what the machine of the tests adds: dozens of processes share it with other tests. Events
-/// are held to their 0.3 s, and deadlines that are told to their 0.15 s, in virtual time.
+/// The terms with allowances for the machine of the tests, which dozens of processes share with other tests.
+/// The tests in virtual time hold events to 0.3 s, and deadlines that are sent to engines to 0.15 s.
 pub fn terms_of_processes() -> Terms {
     Terms { wire: ms(60), passed: ms(1_000), deadline_slack: ms(1_000), ..Terms::default() }
 }
 
-pub const COLD: &str = r#"{"cold":10000.0,"cold_share":0.3,"fall":2000.0,"fall_multiple":1.5}"#;
+/// Settings that limit the load on cold engines.
+pub const COLD_RULES: &str = r#"{"cold":10000.0,"cold_share":0.3,"fall":2000.0,"fall_multiple":1.5}"#;
 
-/// A reader and a writer start anew under 330 requests a second from so many routers.
+/// A prefill engine and a decode engine restart under 330 requests a second from `routers` routers; returns
+/// the violated terms.
 pub fn cold_starts(
     routers: usize, cold_rules: &'static str, restarts_a_router: bool, seed: u64,
 ) -> Vec<Violation> {
@@ -81,8 +87,8 @@
     let requests = 9_500 / every.as_millis() as u32;
     let plan = ClusterPlan {
         routers,
-        readers: 4,
-        writers: 4,
+        prefill_engines: 4,
+        decode_engines: 4,
         every,
         requests,
         cold_rules,
@@ -94,7 +100,7 @@
     cluster.announce_start("e2");
     cluster.announce_start("e7");
     std::thread::sleep(ms(500));
-    // A router that knows nothing of the load takes part from the first seconds on.
+    // A restarted router that knows nothing of the load takes part from the first seconds on.
     if restarts_a_router {
         cluster.kill(0);
         cluster.restart(0);
@@ -102,9 +108,9 @@
     std::thread::sleep(ms(5_000));
     let (facts, endings) = cluster.end();
     assert!(endings[&Ending::Served] > 2_500, "{endings:?}");
-    // A quarter of the role's work is what a warm one bears; the rules are those of the settings.
+    // A warm engine takes a quarter of its role's work; the other values are those of the settings.
     let warm = 1_000.0 / 3.0 / 4.0;
     let budget = ColdBudget { window: ms(2_000), multiple: 1.5, from: 0.3, warm_after: ms(10_000), warm };
-    assert!(facts.begun("e2") > 300 && facts.begun("e7") > 300, "they had work before");
+    assert!(facts.attempts_at("e2") > 300 && facts.attempts_at("e7") > 300, "the engines had no work");
     facts.judge(&Terms { cold: Some(budget), ..terms_of_processes() })
 }
--- a/crates/cli/tests/platform/ports.rs
+++ b/crates/cli/tests/platform/ports.rs
@@ -1,15 +1,16 @@
-//! Loopback ports for processes of the tests.
+//! Loopback ports for router processes of tests.
 
 use rustix::fd::OwnedFd;
 use rustix::net::{self, sockopt, AddressFamily, SocketFlags, SocketType};
 use std::net::SocketAddr;
 
-/// A loopback port that is given to nobody else on this machine for as long as this value lives.
+/// A loopback port that the system gives to no other socket for as long as this value lives.
 ///
-/// A bare "bind to port 0, close, and let the process listen on it" gives one port twice within a moment: of
-/// 96 ports drawn so, two were the same in 29 of 100 runs. Two routers then share what comes in, as listeners
-/// of one user may. The socket held here is bound and never listens, so it takes no connections, and routers
-/// can listen beside it because both set `SO_REUSEPORT`.
+/// Binding to port 0, closing the socket and letting a process listen on the port is not enough: the system
+/// may give the same port twice within a moment. Of 96 ports drawn this way, two were equal in 29 of 100
+/// runs. Two routers then share the incoming connections, as listeners of the same user may. The socket held
+/// here is bound and never listens, so it accepts no connections, and routers can listen beside it because
+/// both set `SO_REUSEPORT`.
 pub struct ReservedPort {
     address: SocketAddr,
     _socket: OwnedFd,
@@ -28,7 +29,7 @@
         ReservedPort { address, _socket: socket }
     }
 
-    /// The address that is reserved.
+    /// The reserved address.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
--- a/crates/cli/tests/platform/process.rs
+++ b/crates/cli/tests/platform/process.rs
@@ -1,11 +1,11 @@
-//! Router processes.
+//! Router processes of tests.
 
 use super::ms;
 use std::path::Path;
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-/// A process that is ended whatever happens.
+/// A process that is killed when the value is dropped, also after a failed check.
 pub struct Process(Child);
 
 impl Drop for Process {
@@ -20,15 +20,16 @@
         self.0.id()
     }
 
+    /// Sends a signal, which is named as for `kill`: `-TERM`.
     pub fn signal(&self, name: &str) {
         let status = Command::new("kill").args([name, &self.0.id().to_string()]).status().expect("kill");
         assert!(status.success());
     }
 
-    /// Whether it ends in this time, by itself or by a signal.
+    /// Whether the process ends within this time, by itself or by a signal.
     pub fn has_ended_within(&mut self, time: Duration) -> bool {
-        let until = Instant::now() + time;
-        while Instant::now() < until {
+        let deadline = Instant::now() + time;
+        while Instant::now() < deadline {
             if self.0.try_wait().expect("a child").is_some() {
                 return true;
             }
@@ -37,10 +38,10 @@
         false
     }
 
-    /// Its exit code, if it ends in this time.
-    pub fn ends_within(&mut self, time: Duration) -> Option<i32> {
-        let until = Instant::now() + time;
-        while Instant::now() < until {
+    /// The exit code, if the process ends within this time.
+    pub fn exit_code_within(&mut self, time: Duration) -> Option<i32> {
+        let deadline = Instant::now() + time;
+        while Instant::now() < deadline {
             if let Some(status) = self.0.try_wait().expect("a child") {
                 return status.code();
             }
@@ -50,18 +51,19 @@
     }
 }
 
+/// Starts a router with this configuration file.
 pub fn start(file: &Path) -> Process {
     start_with(file, None)
 }
 
-/// The same in a process that the system allows no more than so many descriptors.
+/// Starts a router in a process that the system allows at most this many descriptors.
 pub fn start_with(file: &Path, descriptors: Option<u32>) -> Process {
     let program = env!("CARGO_BIN_EXE_slipreel");
     let mut command = match descriptors {
         None => Command::new(program),
-        Some(most) => {
+        Some(max_descriptors) => {
             let mut shell = Command::new("sh");
-            shell.args(["-c", &format!("ulimit -n {most}; exec \"$0\" \"$@\""), program]);
+            shell.args(["-c", &format!("ulimit -n {max_descriptors}; exec \"$0\" \"$@\""), program]);
             shell
         }
     };
--- a/crates/cli/tests/platform/surroundings.rs
+++ b/crates/cli/tests/platform/surroundings.rs
@@ -1,4 +1,4 @@
-//! Engines and two agents of discovery for one router process.
+//! Simulated engines and two discovery agents for one router process.
 
 use super::entry;
 use slipreel_event_loop::{Clock, Command, EventLoop, EventLoopHandle};
@@ -7,40 +7,41 @@
 use std::net::SocketAddr;
 use std::thread::JoinHandle;
 
-type StandIn = Box<dyn Machine + Send>;
+/// A simulated engine or discovery agent.
+type Simulated = Box<dyn Machine + Send>;
 
-/// Engines and discovery in a thread of their own.
+/// Simulated engines and discovery, on a thread of their own.
 pub struct Surroundings {
     pub shared: Shared,
     /// The list of engines as a router's configuration holds it.
     pub known: String,
-    /// Agents that serve the same list: a reload goes from one to the other.
+    /// Agents that serve the same list; a reload changes from one to the other.
     pub discoveries: [SocketAddr; 2],
-    handle: EventLoopHandle<StandIn>,
+    handle: EventLoopHandle<Simulated>,
     thread: JoinHandle<std::io::Result<()>>,
 }
 
 impl Surroundings {
-    /// Starts so many engines, the first two of which read.
+    /// Starts this many engines; the first two are prefill engines.
     pub fn start(clock: Clock, engines: u64, faults: Faults) -> Surroundings {
         let shared = Shared::default();
         let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
-        let mut stand_ins: EventLoop<StandIn> = EventLoop::new(clock).expect("an event loop");
+        let mut simulation: EventLoop<Simulated> = EventLoop::new(clock).expect("an event loop");
         let mut entries = Vec::new();
         for n in 0..engines {
-            let (name, reads) = (format!("e{n}"), n < 2);
-            let engine = Engine::new(&name, reads, shared.clone(), faults, n);
-            let node = stand_ins.add(Box::new(engine));
-            entries.push(entry(&name, reads, stand_ins.listen(node, any_port).expect("a port")));
+            let (name, is_prefill) = (format!("e{n}"), n < 2);
+            let engine = Engine::new(&name, is_prefill, shared.clone(), faults, n);
+            let node = simulation.add(Box::new(engine));
+            entries.push(entry(&name, is_prefill, simulation.listen(node, any_port).expect("a port")));
         }
         let listing = EndpointChanges(entries);
         let known = Discovery::new(&listing).whole();
         let discoveries = [0, 1].map(|_| {
-            let node = stand_ins.add(Box::new(Discovery::new(&listing)));
-            stand_ins.listen(node, any_port).expect("a port")
+            let node = simulation.add(Box::new(Discovery::new(&listing)));
+            simulation.listen(node, any_port).expect("a port")
         });
-        let handle = stand_ins.handle();
-        let thread = std::thread::spawn(move || stand_ins.run());
+        let handle = simulation.handle();
+        let thread = std::thread::spawn(move || simulation.run());
         Surroundings { shared, known, discoveries, handle, thread }
     }
 
--- a/crates/cli/tests/policy.rs
+++ b/crates/cli/tests/policy.rs
@@ -1,17 +1,17 @@
-//! Changes of policy with processes of the built program and faults between them, judged by the stamps in the
-//! traffic; and the commands that operators use.
+//! Policy changes with processes of the built program and injected faults, checked by the epochs that are
+//! stamped on the traffic; and the commands that operators use.
 
 mod common;
 
-use common::{hold, PROGRAM};
+use common::{check_scripts, PROGRAM};
 use std::path::PathBuf;
 use std::process::{Child, Command, Output, Stdio};
 use std::time::{Duration, Instant};
 
-/// Some thirty processes at a time; two minutes in all.
+/// Runs some thirty processes at a time and takes two minutes in all.
 #[test]
 fn processes_agree_on_a_policy_through_faults() {
-    hold(&[
+    check_scripts(&[
         ("policy-leader", 1),
         ("policy-stop", 1),
         ("policy-cut", 1),
@@ -19,7 +19,7 @@
         ("policy-disks", 1),
         ("policy-restarts", 1),
     ]);
-    hold(&[
+    check_scripts(&[
         ("policy-five", 1),
         ("policy-five", 2),
         ("policy-five", 3),
@@ -30,7 +30,7 @@
     ]);
 }
 
-/// Ended with the test, whatever happens.
+/// Router processes and their folder, which are removed when the value is dropped, also after a failed check.
 struct Routers(Vec<Child>, PathBuf);
 
 impl Drop for Routers {
@@ -45,8 +45,8 @@
 
 const POLICY: &str = "[class chat]\naim = 1s\n[model m]\nclass = chat\n[tenant t]\nkeys = sk-secret\n";
 
-/// Three routers with addresses of their own, and a folder for files.
-fn three() -> Routers {
+/// Starts three routers, with addresses and a folder of their own.
+fn start_three_routers() -> Routers {
     let folder = std::env::temp_dir().join(format!("slipreel-policy-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
     let mut routers = Routers(Vec::new(), folder.clone());
@@ -55,7 +55,7 @@
         let text = format!(
             "[router]\nlisten = {}\noperators = {}\nname = r{r}\nrouters = 3\n[fleet]\nlisten = {}\nseeds = {}, {}, {}\nfolder = {}\n\
              founders = r0, r1, r2\n[engine a]\naddress = 127.0.0.1:9\nrole = both\n{POLICY}",
-            at(r, 8080), at(r, 9180), at(r, 7000), at(0, 7000), at(1, 7000), at(2, 7000),
+            address(r, 8080), address(r, 9180), address(r, 7000), address(0, 7000), address(1, 7000), address(2, 7000),
             folder.join(format!("kept{r}")).display()
         );
         std::fs::write(&file, text).expect("a file");
@@ -67,27 +67,29 @@
     routers
 }
 
-/// A block of loopback addresses of this process's own.
-fn at(r: usize, port: u16) -> String {
+/// A port on a router's loopback address; each test process has its own block of addresses.
+fn address(r: usize, port: u16) -> String {
     let block = 130 + std::process::id() % 100;
     format!("127.{block}.9.{}:{port}", r + 1)
 }
 
+/// Runs `slipreel policy`.
 fn policy(args: &[&str]) -> Output {
     Command::new(PROGRAM).arg("policy").args(args).output().expect("it runs")
 }
 
+/// Standard output and standard error.
 fn text(output: &Output) -> String {
     String::from_utf8_lossy(&output.stdout).into_owned() + &String::from_utf8_lossy(&output.stderr)
 }
 
 #[test]
 fn operators_see_change_and_roll_back_with_exit_codes() {
-    let mut routers = three();
-    let ports: Vec<String> = (0..3).map(|r| at(r, 9180)).collect();
-    let end = Instant::now() + Duration::from_secs(20);
+    let mut routers = start_three_routers();
+    let ports: Vec<String> = (0..3).map(|r| address(r, 9180)).collect();
+    let deadline = Instant::now() + Duration::from_secs(20);
     while !text(&policy(&["status", "--json", "--at", &ports[2]])).contains("\"serving\":true") {
-        assert!(Instant::now() < end, "no policy: {}", text(&policy(&["status", "--at", &ports[2]])));
+        assert!(Instant::now() < deadline, "no policy: {}", text(&policy(&["status", "--at", &ports[2]])));
         std::thread::sleep(Duration::from_millis(50));
     }
     let shown = text(&policy(&["show", "--at", &ports[0]]));
@@ -114,10 +116,10 @@
     assert_eq!(
         (again.status.code(), text(&again).contains("epoch 2")),
         (Some(0), true),
-        "sent twice it is one"
+        "a change that is sent twice is applied once"
     );
 
-    // A second process on a folder would vote with the first one's promises.
+    // A second process on the same folder would vote with the promises of the first one.
     let second = Command::new(PROGRAM).args(["serve", "--config"]).arg(routers.1.join("r0.ini")).output();
     let second = second.expect("it runs");
     assert!(
@@ -126,7 +128,7 @@
         text(&second)
     );
 
-    // One engine is all there is: a policy without it is no policy for any of them.
+    // There is only one engine: each router rejects a policy that takes it out.
     std::fs::write(&file, format!("{POLICY}[operations]\ntaken_out = a\n")).expect("a file");
     let dropped = policy(&["propose", name, "--id", "two", "--json", "--at", &ports[0]]);
     assert_eq!(dropped.status.code(), Some(3), "{}", text(&dropped));
@@ -142,7 +144,7 @@
     assert!(history.contains("back to epoch 1") && history.contains("two: dropped"), "{history}");
     assert_eq!(policy(&["status", "nobody", "--at", &ports[0]]).status.code(), Some(4));
 
-    // Without a majority nothing changes, and whoever asks is told that it is not known.
+    // Without a majority nothing changes, and the outcome is reported as unknown.
     for child in &mut routers.0[1..] {
         child.kill().expect("a kill");
     }
--- a/crates/cli/tests/ports.rs
+++ b/crates/cli/tests/ports.rs
@@ -1,4 +1,4 @@
-//! The ports that tests of processes use.
+//! The reserved ports that tests with router processes use.
 
 mod platform;
 
@@ -19,7 +19,8 @@
     }
 }
 
-/// Two routers at one address share what comes in, and the requests of one are judged as those of the other.
+/// Two routers on one port would share the incoming connections, and a test would check the requests of one
+/// router as those of the other.
 #[test]
 fn no_reserved_port_is_given_twice() {
     let reserved: Vec<ReservedPort> = (0..1_000).map(|_| ReservedPort::new()).collect();
@@ -28,7 +29,7 @@
     let mut ports: BTreeSet<u16> = reserved.iter().map(|port| port.address().port()).collect();
     assert_eq!(ports.len(), 1_000);
     ports.extend(others.iter().map(|other| other.local_addr().expect("an address").port()));
-    assert_eq!(ports.len(), 2_000, "nobody else was given one");
+    assert_eq!(ports.len(), 2_000, "no other socket was given a reserved port");
 }
 
 #[test]
--- a/crates/cli/tests/signals.rs
+++ b/crates/cli/tests/signals.rs
@@ -1,4 +1,4 @@
-//! Signals that reach `slipreel node` in one moment, while requests are under way.
+//! Signals that reach `slipreel node` at the same time, while requests are active.
 
 mod platform;
 
@@ -11,8 +11,8 @@
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 
-/// Sends one request and gives the connection, on which its answer is still to come.
-fn ask(addr: SocketAddr, id: usize) -> TcpStream {
+/// Sends one request and returns the connection, from which the answer has yet to be read.
+fn send_request(addr: SocketAddr, id: usize) -> TcpStream {
     let mut stream = TcpStream::connect_timeout(&addr, ms(1_000)).expect("a connection");
     stream.set_read_timeout(Some(ms(5_000))).expect("a time-out");
     let request = format!(
@@ -24,8 +24,8 @@
 }
 
 #[test]
-fn a_reload_and_two_stops_in_one_moment_lose_no_request_that_is_under_way() {
-    // Slow enough for the signals to come while prompts are read.
+fn reloads_and_stops_at_the_same_time_lose_no_active_request() {
+    // Slow enough for the signals to arrive during prefill.
     let faults = Faults { slow: ms(300), ..Faults::default() };
     let surroundings = Surroundings::start(Clock::start(), 4, faults);
     let (known, discoveries) = (&surroundings.known, surroundings.discoveries);
@@ -37,20 +37,20 @@
     let mut process = start(&file);
     wait_until_ready(listen);
 
-    let mut under_way: Vec<TcpStream> = (0..8).map(|id| ask(listen, id)).collect();
+    let mut active_requests: Vec<TcpStream> = (0..8).map(|id| send_request(listen, id)).collect();
     std::thread::sleep(ms(100));
     std::fs::write(&file, config(listen, discoveries[1], known)).expect("a file");
-    // A stopped process finds them all at once as it goes on.
+    // A process that is suspended by SIGSTOP receives all of them at once when it continues.
     for signal in ["-STOP", "-TERM", "-HUP", "-TERM", "-HUP", "-CONT"] {
         process.signal(signal);
     }
-    for (id, stream) in under_way.iter_mut().enumerate() {
+    for (id, stream) in active_requests.iter_mut().enumerate() {
         let mut answer = String::new();
         stream.read_to_string(&mut answer).expect("an answer and the end of the connection");
         assert!(answer.starts_with("HTTP/1.1 200 "), "{id}: {answer}");
         assert!(answer.ends_with("\r\n0\r\n\r\n"), "{id}: the stream is whole: {answer}");
     }
-    assert_eq!(process.ends_within(ms(4_000)), Some(0));
+    assert_eq!(process.exit_code_within(ms(4_000)), Some(0));
     surroundings.end();
     let _ = std::fs::remove_dir_all(folder);
 }
--- a/crates/cli/tests/terms.rs
+++ b/crates/cli/tests/terms.rs
@@ -1,17 +1,18 @@
-//! The acceptance's terms with many processes of `slipreel node`: one judge over what engines, clients and
-//! discovery saw.
+//! The acceptance criteria with many processes of `slipreel node`, checked over what engines, clients and
+//! discovery observed.
 
 mod platform;
 use platform::cluster::{Cluster, ClusterPlan};
-use platform::{cold_starts, ms, terms_of_processes, COLD};
+use platform::{cold_starts, ms, terms_of_processes, COLD_RULES};
 use slipreel_invariants::terms::{Term, Terms};
 use slipreel_test_servers::platform::{DiscoveryMode, Ending};
 use std::thread::sleep;
 use std::time::Instant;
 
-/// Twenty processes, a drain while discovery is silent, clients that leave half of the time.
+/// Twenty processes; an engine drains while discovery is silent, and half of the clients leave early. Guards
+/// against attempts at a draining engine and work that goes on for clients that have left.
 #[test]
-fn twenty_processes_obey_the_list_and_leave_off_for_who_has_gone() {
+fn twenty_processes_follow_the_list_and_cancel_for_clients_that_left() {
     let cluster = Cluster::start(&ClusterPlan {
         routers: 20,
         every: ms(60),
@@ -29,19 +30,20 @@
     cluster.set_discovery(DiscoveryMode::Healthy);
     sleep(ms(9_500));
     let (facts, endings) = cluster.end();
-    // Twenty processes share the machine with all that they speak with: its delays are not the router's.
+    // Twenty processes share the machine with their engines and clients, whose delays are not the routers'
+    // fault.
     let terms = terms_of_processes();
     assert_eq!(facts.judge(&terms), []);
-    assert!(facts.begun("e4") > 100, "it had work before");
+    assert!(facts.attempts_at("e4") > 100, "no work before the drain");
     assert!(endings[&Ending::Served] > 1_500 && endings[&Ending::Left] > 500, "{endings:?}");
     assert!(!endings.contains_key(&Ending::Mixed), "{endings:?}");
 }
 
-/// Thirty processes; seven in ten are killed in one moment while discovery is down, then a tenth at a time is
-/// told to end; clients connect again at once. Nine in ten of those started are ready in 10 s, and all in the
-/// time that a start takes.
+/// Thirty processes; seven in ten are killed at the same time while discovery is down, then a tenth at a time
+/// gets SIGTERM; clients reconnect at once. Nine in ten of the started processes must be ready in 10 s, and
+/// all in the time limit of a start.
 #[test]
-fn thirty_processes_are_ready_again_in_time_after_kills_and_stops_in_an_outage() {
+fn thirty_processes_are_ready_in_time_after_kills_and_stops_in_a_discovery_outage() {
     let mut cluster =
         Cluster::start(&ClusterPlan { routers: 30, every: ms(80), requests: 260, ..ClusterPlan::default() });
     sleep(ms(1_500));
@@ -70,13 +72,13 @@
     let (facts, endings) = cluster.end();
     assert_eq!(facts.judge(&terms_of_processes()), []);
     let times = facts.times_to_ready();
-    assert_eq!(times.len(), 60, "each start is ready: thirty at first, thirty again");
-    println!("from start to ready: {:?} to {:?}, middle {:?}", times[0], times[59], times[30]);
+    assert_eq!(times.len(), 60, "each start becomes ready: thirty first starts, thirty restarts");
+    println!("from start to ready: {:?} to {:?}, median {:?}", times[0], times[59], times[30]);
     assert!(times[53] < ms(3_000), "nine in ten: {:?}", times[53]);
     assert!(endings[&Ending::Served] > 3_000, "{endings:?}");
 }
 
-/// A program that never becomes ready is caught.
+/// A process that never becomes ready is a violation.
 #[test]
 fn the_judge_catches_starts_that_are_not_ready_in_time() {
     let mut cluster = Cluster::start(&ClusterPlan { routers: 3, requests: 0, ..ClusterPlan::default() });
@@ -85,15 +87,16 @@
     cluster.restart_without_list(0);
     sleep(ms(11_000));
     let (facts, _) = cluster.end();
-    let broken: Vec<Term> = facts.judge(&Terms::default()).into_iter().map(|b| b.term).collect();
-    assert_eq!(broken, [Term::Ready]);
+    let violated: Vec<Term> =
+        facts.judge(&Terms::default()).into_iter().map(|violation| violation.term).collect();
+    assert_eq!(violated, [Term::Ready]);
 }
 
-/// Idle clients fill all descriptors while discovery is down: watch, engines and who comes with a request
-/// have theirs all the same, the list is here in time once it is back, and nothing turns round and round
+/// Idle clients take all descriptors while discovery is down. The watch, the engines and clients with
+/// requests must still get theirs, the list must arrive in time after the outage, and no loop may spin
 /// meanwhile.
 #[test]
-fn idle_clients_that_take_all_descriptors_keep_out_neither_requests_nor_the_list() {
+fn idle_clients_that_take_all_descriptors_block_neither_requests_nor_the_list() {
     let plan = ClusterPlan { descriptors: Some(64), every: ms(40), requests: 330, ..ClusterPlan::default() };
     let cluster = Cluster::start(&plan);
     sleep(ms(2_000));
@@ -102,7 +105,7 @@
     let mut idle = Vec::new();
     for _ in 0..4 {
         for n in 0..3 {
-            idle.push(cluster.stand_idle(n, 60));
+            idle.push(cluster.open_idle_connections(n, 60));
         }
         sleep(ms(600));
     }
@@ -121,14 +124,14 @@
 }
 
 #[test]
-fn twenty_and_thirty_processes_push_no_started_engine_over_its_budget() {
+fn twenty_and_thirty_processes_keep_cold_engines_within_budget() {
     for (routers, seed) in [(20, 1), (30, 2)] {
-        assert_eq!(cold_starts(routers, COLD, false, seed), [], "{routers} routers");
+        assert_eq!(cold_starts(routers, COLD_RULES, false, seed), [], "{routers} routers");
     }
 }
 
 #[test]
-fn the_judge_catches_processes_that_take_no_engine_for_cold() {
-    let broken = cold_starts(20, "{}", false, 3);
-    assert!(!broken.is_empty() && broken.iter().all(|b| b.term == Term::Cold), "{broken:?}");
+fn the_judge_catches_processes_that_treat_no_engine_as_cold() {
+    let violations = cold_starts(20, "{}", false, 3);
+    assert!(!violations.is_empty() && violations.iter().all(|v| v.term == Term::Cold), "{violations:?}");
 }
