--- a/crates/cli/src/demo.rs
+++ b/crates/cli/src/demo.rs
@@ -1,4 +1,5 @@
-//! `demo`: a small fleet, routers and clients in one process over loopback; plays a day and judges the rules.
+//! `demo`: runs a scenario with engines, routers and clients in one process over loopback, and checks the
+//! invariants.
 
 use crate::signals::Signals;
 use crate::{lines, Failure, Outcome};
@@ -9,34 +10,36 @@
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
 
+/// The scenario that is built into the program.
 const BAD_DAY: &str = include_str!("../../../deploy/days/bad.ini");
 
 #[derive(clap::Args)]
 pub(crate) struct Args {
-    /// The day to play; left out, the bad day that comes with the program.
+    /// The scenario to run; by default the bad day that is built into the program.
     #[arg(long)]
     day: Option<PathBuf>,
-    /// Another seed than the day's.
+    /// The random seed, instead of the scenario's.
     #[arg(long)]
     seed: Option<u64>,
-    /// Play in memory, in virtual time.
+    /// Run in memory and in virtual time.
     #[arg(long)]
     memory: bool,
-    /// Start the fleet without clients and stay until SIGTERM.
+    /// Start the fleet without clients and keep it running until SIGTERM.
     #[arg(long)]
     stay: bool,
-    /// With --stay: where the router listens; a loopback address.
+    /// With --stay: the address that the router listens on; a loopback address.
     #[arg(long)]
     listen: Option<SocketAddr>,
     /// With --stay: list the engines with their addresses.
     #[arg(long)]
     engines: bool,
-    /// Write what the machines logged, and every broken rule.
+    /// Print the logs of the state machines, and every violated invariant.
     #[arg(long)]
     verbose: bool,
 }
 
-fn day_of(args: &Args) -> Result<Day, Failure> {
+/// Reads the scenario, with the seed of the command line if there is one.
+fn read_scenario(args: &Args) -> Result<Day, Failure> {
     let (text, name) = match &args.day {
         None => (BAD_DAY.to_owned(), "the bad day".to_owned()),
         Some(file) => {
@@ -55,11 +58,12 @@
     Ok(day)
 }
 
+/// Runs the scenario or the fleet; fails if an invariant was violated or a request leaked.
 pub(crate) fn run(args: &Args) -> Outcome {
     if let Some(listen) = args.listen {
         check_loopback(listen).map_err(|e| Failure::Input(format!("--listen {e}")))?;
     }
-    let day = day_of(args)?;
+    let day = read_scenario(args)?;
     if args.stay {
         return stay(args, &day);
     }
@@ -72,16 +76,16 @@
         day.troubles.len(),
         if args.memory { "in memory" } else { "over loopback" }
     );
-    let began = Instant::now();
+    let start_time = Instant::now();
     let played = if args.memory {
         play_in_memory(&day)
     } else {
-        let progress = progress(day.length);
+        let progress = start_progress(day.length);
         let played = play_live(&day, None).map_err(Failure::Run);
         progress.end();
         played?
     };
-    show(&played, args.verbose, began.elapsed());
+    print_report(&played, args.verbose, start_time.elapsed());
     if played.report().is_clean() && played.leaks == 0 {
         Ok(())
     } else {
@@ -89,12 +93,13 @@
     }
 }
 
-fn show(played: &Played, verbose: bool, took: Duration) {
+/// Prints the report of a run.
+fn print_report(played: &Played, verbose: bool, elapsed: Duration) {
     print!("{}", played.report());
     println!(
         "played {:.1} s in {:.1} s; requests still held by routers: {}",
         played.took.as_secs_f64(),
-        took.as_secs_f64(),
+        elapsed.as_secs_f64(),
         played.leaks
     );
     if verbose {
@@ -103,39 +108,42 @@
     }
 }
 
-/// A line on a terminal that tells how far the day is.
+/// A line on a terminal that shows how much of the scenario has run.
 struct Progress {
     stop: std::sync::mpsc::Sender<()>,
     thread: std::thread::JoinHandle<()>,
 }
 
 impl Progress {
+    /// Stops the thread and clears the line.
     fn end(self) {
         drop(self.stop);
         let _ = self.thread.join();
     }
 }
 
-fn progress(length: Duration) -> Progress {
+/// Starts a thread that shows the progress, if standard error is a terminal.
+fn start_progress(length: Duration) -> Progress {
     let (stop, stopped) = std::sync::mpsc::channel::<()>();
-    let shows = std::io::stderr().is_terminal();
+    let is_visible = std::io::stderr().is_terminal();
     let thread = std::thread::spawn(move || {
-        let began = Instant::now();
+        let start_time = Instant::now();
         while let Err(std::sync::mpsc::RecvTimeoutError::Timeout) =
             stopped.recv_timeout(Duration::from_millis(200))
         {
-            if shows {
-                eprint!("\r{:5.1} of {} s ", began.elapsed().as_secs_f64(), length.as_secs());
+            if is_visible {
+                eprint!("\r{:5.1} of {} s ", start_time.elapsed().as_secs_f64(), length.as_secs());
                 let _ = std::io::stderr().flush();
             }
         }
-        if shows {
+        if is_visible {
             eprint!("\r                    \r");
         }
     });
     Progress { stop, thread }
 }
 
+/// Runs the fleet without clients until a signal; fails if routers still hold requests at the end.
 fn stay(args: &Args, day: &Day) -> Outcome {
     let signals = Signals::watch()?;
     let fleet = LiveFleet::start(day, args.listen).map_err(Failure::Run)?;
@@ -153,15 +161,15 @@
     while !signals.stop_requested() {
         std::thread::sleep(Duration::from_millis(20));
     }
-    let (tallies, leaks) = fleet.stop();
-    let sum = |f: fn(&slipreel_gateway::Counters) -> u64| tallies.iter().map(f).sum::<u64>();
+    let (counters, leaks) = fleet.stop();
+    let sum = |f: fn(&slipreel_gateway::Counters) -> u64| counters.iter().map(f).sum::<u64>();
     eprintln!(
         "stopped: taken {}, served {}, refused {}, failed {}, left {}; still held {leaks}",
-        sum(|t| t.admitted),
-        sum(|t| t.completed),
-        sum(|t| t.rejected),
-        sum(|t| t.failed),
-        sum(|t| t.disconnected)
+        sum(|c| c.admitted),
+        sum(|c| c.completed),
+        sum(|c| c.rejected),
+        sum(|c| c.failed),
+        sum(|c| c.disconnected)
     );
     if leaks == 0 {
         Ok(())
--- a/crates/cli/src/ground.rs
+++ b/crates/cli/src/ground.rs
@@ -1,4 +1,4 @@
-//! `ground`: many processes of this program, faults between them, and what came of it.
+//! `ground`: runs a fault injection script with many router processes and reports how they behaved.
 
 use crate::signals::Signals;
 use crate::{lines, Failure, Outcome};
@@ -13,21 +13,21 @@
 
 #[derive(ClapArgs)]
 pub(crate) struct Args {
-    /// The script, INI.
+    /// The script of faults, INI.
     file: PathBuf,
-    /// Settles all chances, in place of the script's.
+    /// The random seed, instead of the script's.
     #[arg(long)]
     seed: Option<u64>,
-    /// Play so many seeds, one after the other, from the first one on.
+    /// Number of runs, with consecutive seeds from the first one on.
     #[arg(long, default_value_t = 1)]
     seeds: u64,
-    /// Add so many faults, drawn from the seed.
+    /// Number of random faults to add, drawn from the seed.
     #[arg(long, default_value_t = 0)]
     random: usize,
-    /// In virtual time, with the same machines and no process.
+    /// Run in memory and in virtual time, with the same state machines and without processes.
     #[arg(long)]
     memory: bool,
-    /// Write what happened here, one JSON object a line.
+    /// Write the history of events to this file, one JSON object a line.
     #[arg(long)]
     history: Option<PathBuf>,
     /// Print what the routers logged.
@@ -35,9 +35,9 @@
     log: bool,
 }
 
-/// How often the signals are looked at.
+/// How often signals are polled.
 const SIGNAL_POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// Broken rules and promises that are printed of a run.
+/// Most violated invariants and promises that are printed for a run.
 const MAX_PRINTED_BREAKS: usize = 10;
 
 /// The value below which this share of the ascending times lies, milliseconds; 0 if there is none.
@@ -46,7 +46,7 @@
     sorted.get(rank.saturating_sub(1)).map_or(0, Duration::as_millis)
 }
 
-/// How many requests ended how.
+/// Counts the requests by how they ended.
 fn count_endings(played: &Played) -> BTreeMap<String, usize> {
     let mut endings: BTreeMap<String, usize> = BTreeMap::new();
     for result in &played.results {
@@ -56,7 +56,7 @@
     endings
 }
 
-/// Prints what came of one run.
+/// Prints the results of one run.
 fn print_run(script: &Script, played: &Played) {
     let verdict = &played.verdict;
     let settled = verdict
@@ -85,7 +85,7 @@
     }
 }
 
-/// Prints what came of the changes of policy, where the script has any.
+/// Prints the results of the policy changes, if the script has any.
 fn print_policy(played: &Played) {
     let Some(policy) = &played.policy else { return };
     let mut changed_in: Vec<Duration> = policy.changed_in.clone();
@@ -108,7 +108,7 @@
     }
 }
 
-/// What came of all runs together.
+/// Results over all runs.
 #[derive(Default)]
 struct Totals {
     settled_in: Vec<Duration>,
@@ -155,7 +155,7 @@
     }
 }
 
-/// Sets `interrupt` once the process is told to stop.
+/// Starts a thread that sets `interrupt` when SIGINT or SIGTERM has arrived.
 fn watch_for_interrupt(interrupt: Interrupt) -> Result<(), Failure> {
     let signals = Signals::watch()?;
     std::thread::spawn(move || loop {
@@ -167,7 +167,7 @@
     Ok(())
 }
 
-/// Plays a script once, in virtual time or with processes.
+/// Runs a script once, in virtual time or with processes.
 fn play(args: &Args, script: &Script, interrupt: &Interrupt) -> Result<Played, Failure> {
     if args.memory {
         return play_in_memory(script).map_err(Failure::Run);
@@ -177,6 +177,7 @@
     played.ok_or_else(|| Failure::Run("interrupted; no process is left".into()))
 }
 
+/// Runs the script with one seed after the other; fails if anything was wrong in a run.
 pub(crate) fn run(args: &Args) -> Outcome {
     let name = args.file.display().to_string();
     let text = std::fs::read_to_string(&args.file).map_err(|e| Failure::Input(format!("{name}: {e}")))?;
--- a/crates/cli/src/model.rs
+++ b/crates/cli/src/model.rs
@@ -1,4 +1,4 @@
-//! `model`: plays a day in the emulator, at sizes that sockets don't reach.
+//! `model`: runs a scenario in the emulator, at sizes that are out of reach with real sockets.
 
 use crate::{lines, Failure, Outcome};
 use clap::Args as ClapArgs;
@@ -9,29 +9,30 @@
 
 #[derive(ClapArgs)]
 pub(crate) struct Args {
-    /// The day, INI; its troubles are not played.
+    /// The scenario, INI; its injected faults are not played.
     #[arg(long)]
     day: PathBuf,
-    /// Another draw of all chances.
+    /// The random seed, instead of the scenario's.
     #[arg(long)]
     seed: Option<u64>,
-    /// Print each change of role and why it was made.
+    /// Print each role change and its reason.
     #[arg(long)]
     verbose: bool,
 }
 
+/// Runs the scenario and prints the results.
 pub(crate) fn run(args: &Args) -> Outcome {
     let name = args.day.display().to_string();
     let text = std::fs::read_to_string(&args.day).map_err(|e| Failure::Input(format!("{name}: {e}")))?;
     let mut day = read_day(&text, &name).map_err(|faults| Failure::Input(lines(&faults)))?;
     day.seed = args.seed.unwrap_or(day.seed);
-    let began = Instant::now();
+    let start_time = Instant::now();
     let figures = play(&day);
     print_scale(&day);
     print_models(&figures);
-    print_totals(&figures, began.elapsed());
-    for (at, why) in figures.orders.iter().filter(|_| args.verbose) {
-        println!("{:>8.1} s  {why}", at.as_secs_f64());
+    print_totals(&figures, start_time.elapsed());
+    for (at, reason) in figures.orders.iter().filter(|_| args.verbose) {
+        println!("{:>8.1} s  {reason}", at.as_secs_f64());
     }
     if !figures.not_played.is_empty() {
         println!("not played: {}", figures.not_played.join(", "));
@@ -39,6 +40,7 @@
     Ok(())
 }
 
+/// Prints the size of the scenario.
 fn print_scale(day: &Day) {
     println!(
         "{} engines, {} routers, {} requests in {:.0} s, in the model (no front, no connections)",
@@ -49,7 +51,7 @@
     );
 }
 
-/// Prints a row for each model that was asked for.
+/// Prints a row for each model that requests named.
 fn print_models(figures: &Figures) {
     println!(
         "{:<16}{:>10}{:>10}{:>10}{:>10}{:>8}{:>10}{:>10}",
@@ -69,6 +71,7 @@
     }
 }
 
+/// Prints the totals over all models.
 fn print_totals(figures: &Figures, elapsed: Duration) {
     println!(
         "attempts {}, probes {}, changes of role {}, engines fallen over {}, still held {}, events {}, played in {:.1} s",
--- a/crates/cli/src/roles.rs
+++ b/crates/cli/src/roles.rs
@@ -1,5 +1,5 @@
-//! `roles`: which engines read and which write: what they tell, what would be changed and why, changing it,
-//! and stopping all changes on a bad night.
+//! `roles`: shows which engines prefill and which decode, plans or applies role changes with the reasons for
+//! them, and freezes all changes in an emergency.
 
 use crate::signals::Signals;
 use crate::{lines, logs, Failure, Outcome};
@@ -18,33 +18,33 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// How often what was seen is looked at: the list and the freeze file follow within this time.
-const LOOK: Duration = Duration::from_millis(100);
-/// A round of questions and its answers.
-const ROUND: Duration = Duration::from_millis(1_800);
+/// How often the reported roles, the engine list and the freeze file are polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// Time for one round of requests to the engines and their answers.
+const ROUND_TIME: Duration = Duration::from_millis(1_800);
 
 #[derive(ClapArgs)]
 pub(crate) struct Args {
-    /// The settings, INI, with a section `[roles]`.
+    /// The settings file, INI, with a section `[roles]`.
     #[arg(long)]
     config: PathBuf,
     #[command(subcommand)]
-    what: What,
+    command: RolesCommand,
 }
 
 #[derive(Subcommand)]
-enum What {
-    /// What every engine tells of its role.
+enum RolesCommand {
+    /// Show the role that each engine reports.
     Status,
-    /// Watch and plan, and explain each change that would be made; order none.
+    /// Watch and plan, and explain each change that would be made, without applying any.
     Plan {
-        /// For how long, seconds.
+        /// How long to watch, seconds.
         #[arg(long = "for", default_value_t = 30)]
         seconds: u64,
     },
-    /// Watch, plan and order changes until SIGTERM, and keep the list that routers read.
+    /// Watch, plan and apply changes until SIGTERM, and update the list of engines that routers read.
     Apply,
-    /// Stop all changes now, of every conductor with these settings. What is under way ends.
+    /// Stop all changes now, for every controller with these settings. Changes in progress are completed.
     Freeze {
         /// Allow changes again.
         #[arg(long)]
@@ -52,40 +52,42 @@
     },
 }
 
-/// What a conductor has seen, shared with the thread that looks at it.
-type Seen = Arc<Mutex<Vec<EngineView>>>;
+/// The last state of the engines that a controller has seen, shared with the main thread.
+type SharedViews = Arc<Mutex<Vec<EngineView>>>;
 
-/// A conductor that shows what it sees.
-struct Shown {
-    conductor: RoleController,
-    seen: Seen,
-    /// Why nothing more was changed, as last told; kept quiet where changes are ordered.
-    because: Option<String>,
+/// A controller that shares what it sees, and logs its reasons in a dry run.
+struct ObservedController {
+    controller: RoleController,
+    seen: SharedViews,
+    /// The last logged reason why no further change is planned; `None` if changes are applied, where it is
+    /// not logged.
+    logged_reason: Option<String>,
 }
 
-impl Machine for Shown {
+impl Machine for ObservedController {
     fn handle(&mut self, now: Duration, input: Input<'_>, out: &mut Vec<Output>) {
-        self.conductor.handle(now, input, out);
-        let because = &self.conductor.last_plan().because;
-        if let Some(told) = self.because.as_mut().filter(|told| *told != because) {
-            told.clone_from(because);
-            out.push(Output::Log(format!("nothing more: {because}")));
+        self.controller.handle(now, input, out);
+        let reason = &self.controller.last_plan().because;
+        if let Some(logged) = self.logged_reason.as_mut().filter(|logged| *logged != reason) {
+            logged.clone_from(reason);
+            out.push(Output::Log(format!("nothing more: {reason}")));
         }
         if let Ok(mut seen) = self.seen.lock() {
-            seen.clone_from(&self.conductor.seen().to_vec());
+            seen.clone_from(&self.controller.seen().to_vec());
         }
     }
 
     fn wake_at(&self) -> Option<Duration> {
-        self.conductor.wake_at()
+        self.controller.wake_at()
     }
 }
 
+/// Runs one of the subcommands.
 pub(crate) fn run(args: &Args) -> Outcome {
     let name = args.config.display().to_string();
     let text = std::fs::read_to_string(&args.config).map_err(|e| Failure::Input(format!("{name}: {e}")))?;
     let (daemon, roles) = parse_roles(&text, &name).map_err(|faults| Failure::Input(lines(&faults)))?;
-    if let What::Freeze { off } = args.what {
+    if let RolesCommand::Freeze { off } = args.command {
         return freeze(&roles, off);
     }
     let mut engines = daemon.site.engines.clone();
@@ -95,14 +97,15 @@
         engines =
             engines_from_slices(&text).map_err(|e| Failure::Input(format!("{}: {e}", file.display())))?;
     }
-    match args.what {
-        What::Status => status(&roles, &engines),
-        What::Plan { seconds } => plan(&roles, &engines, Duration::from_secs(seconds)),
-        What::Apply => apply(&daemon, &roles, engines),
-        What::Freeze { .. } => Ok(()),
+    match args.command {
+        RolesCommand::Status => status(&roles, &engines),
+        RolesCommand::Plan { seconds } => plan(&roles, &engines, Duration::from_secs(seconds)),
+        RolesCommand::Apply => apply(&daemon, &roles, engines),
+        RolesCommand::Freeze { .. } => Ok(()),
     }
 }
 
+/// Creates the freeze file, or removes it.
 fn freeze(roles: &RolesSite, off: bool) -> Outcome {
     let Some(file) = &roles.freeze else {
         return Err(Failure::Input(
@@ -122,41 +125,43 @@
     Ok(())
 }
 
+/// Whether the freeze file exists.
 fn is_frozen(roles: &RolesSite) -> bool {
     roles.freeze.as_ref().is_some_and(|f| f.exists())
 }
 
-/// The engines as a conductor takes them, cells and zones by number.
-fn watched(engines: &[EngineSettings]) -> Vec<Watched> {
+/// The engines as the controller takes them, with numbers for cells and zones.
+fn watched_engines(engines: &[EngineSettings]) -> Vec<Watched> {
     let (mut cells, mut zones) = (BTreeMap::new(), BTreeMap::new());
     let number = |names: &mut BTreeMap<String, u32>, name: &str| {
         let next = names.len() as u32;
         *names.entry(name.to_owned()).or_insert(next)
     };
-    let mut one = |e: &EngineSettings| Watched {
+    let mut watched = |e: &EngineSettings| Watched {
         id: engine_id(e.addr),
         addr: e.addr,
         cell: CellId(number(&mut cells, &e.cell)),
         zone: ZoneId(number(&mut zones, &e.zone)),
     };
-    engines.iter().map(&mut one).collect()
+    engines.iter().map(&mut watched).collect()
 }
 
-/// A conductor at work on a thread of its own.
-struct AtWork {
-    seen: Seen,
-    handle: EventLoopHandle<Shown>,
+/// A controller that runs on a thread of its own.
+struct ControllerThread {
+    seen: SharedViews,
+    handle: EventLoopHandle<ObservedController>,
     thread: std::thread::JoinHandle<std::io::Result<OrderCounts>>,
 }
 
-impl AtWork {
+impl ControllerThread {
+    /// Starts the thread; a dry run applies no change.
     fn start(
-        roles: &RolesSite, engines: &[EngineSettings], dry: bool,
+        roles: &RolesSite, engines: &[EngineSettings], dry_run: bool,
         log: impl FnMut(MachineId, &str) + Send + 'static,
-    ) -> Result<AtWork, Failure> {
-        let run = |e: std::io::Error| Failure::Run(e.to_string());
+    ) -> Result<ControllerThread, Failure> {
+        let run_failure = |e: std::io::Error| Failure::Run(e.to_string());
         let clock = Clock::start();
-        let watched = watched(engines);
+        let watched = watched_engines(engines);
         let mut limits = roles.limits;
         limits.frozen = is_frozen(roles);
         let config = ControllerConfig {
@@ -164,39 +169,48 @@
             costs: roles.costs,
             policy: roles.policy,
             full_load_requests: roles.places,
-            mode: if dry { ControllerMode::DryRun } else { ControllerMode::Apply },
+            mode: if dry_run { ControllerMode::DryRun } else { ControllerMode::Apply },
         };
-        let conductor = RoleController::new(watched, config, clock.now())
+        let controller = RoleController::new(watched, config, clock.now())
             .with_routers(roles.routers.clone(), roles.speeds);
-        let seen = Seen::default();
-        let mut looped = EventLoop::new(clock).map_err(run)?;
-        looped.on_log(log);
-        let node = looped.add(Shown { conductor, seen: seen.clone(), because: dry.then(String::new) });
-        let handle = looped.handle();
+        let seen = SharedViews::default();
+        let mut event_loop = EventLoop::new(clock).map_err(run_failure)?;
+        event_loop.on_log(log);
+        let node = event_loop.add(ObservedController {
+            controller,
+            seen: seen.clone(),
+            logged_reason: dry_run.then(String::new),
+        });
+        let handle = event_loop.handle();
         let thread = std::thread::Builder::new().name("conductor".into()).spawn(move || {
-            looped.run()?;
-            Ok(looped.machine(node).conductor.orders())
+            event_loop.run()?;
+            Ok(event_loop.machine(node).controller.orders())
         });
-        Ok(AtWork { seen, handle, thread: thread.map_err(run)? })
+        Ok(ControllerThread { seen, handle, thread: thread.map_err(run_failure)? })
     }
 
+    /// The last state of the engines that answered.
     fn seen(&self) -> Vec<EngineView> {
         self.seen.lock().map(|seen| seen.clone()).unwrap_or_default()
     }
 
-    /// Ends it; gives the orders that engines took, and those that they turned away.
+    /// Stops the controller; returns how many orders the engines accepted and rejected.
     fn stop(self) -> Result<OrderCounts, Failure> {
         self.handle.send(Command::Stop(MachineId(0)));
-        let orders = self.thread.join().map_err(|_| Failure::Run("the conductor ended by a panic".into()))?;
+        let orders = self
+            .thread
+            .join()
+            .map_err(|_| Failure::Run("the controller's thread ended by a panic".into()))?;
         orders.map_err(|e| Failure::Run(e.to_string()))
     }
 }
 
+/// Prints the role of each engine after one round of requests.
 fn status(roles: &RolesSite, engines: &[EngineSettings]) -> Outcome {
-    let work = AtWork::start(roles, engines, true, |_, _| {})?;
-    std::thread::sleep(ROUND);
-    let seen = work.seen();
-    work.stop()?;
+    let controller = ControllerThread::start(roles, engines, true, |_, _| {})?;
+    std::thread::sleep(ROUND_TIME);
+    let seen = controller.seen();
+    controller.stop()?;
     let state = if is_frozen(roles) { "frozen" } else { "allowed" };
     println!("changes are {state}; {} of {} engines answered", seen.len(), engines.len());
     println!(
@@ -221,6 +235,7 @@
     Ok(())
 }
 
+/// The name of a role in settings and on the wire.
 fn role_name(role: slipreel::Role) -> &'static str {
     match role {
         slipreel::Role::Prefill => "read",
@@ -229,75 +244,78 @@
     }
 }
 
+/// Prints the changes that would be made, for `time` or until a signal.
 fn plan(roles: &RolesSite, engines: &[EngineSettings], time: Duration) -> Outcome {
     let signals = Signals::watch()?;
     println!("watching {} engines and {} routers; nothing is ordered", engines.len(), roles.routers.len());
     let began = std::time::Instant::now();
     let log = move |_, line: &str| println!("{:>7.1} s  {line}", began.elapsed().as_secs_f64());
-    let work = AtWork::start(roles, engines, true, log)?;
+    let controller = ControllerThread::start(roles, engines, true, log)?;
     let mut frozen = is_frozen(roles);
     while began.elapsed() < time && !signals.stop_requested() {
-        follow_freeze(roles, &work, &mut frozen);
-        std::thread::sleep(LOOK);
+        follow_freeze(roles, &controller, &mut frozen);
+        std::thread::sleep(POLL_INTERVAL);
     }
-    work.stop().map(|_| ())
+    controller.stop().map(|_| ())
 }
 
-fn follow_freeze(roles: &RolesSite, work: &AtWork, frozen: &mut bool) {
+/// Tells the controller when the freeze file appears or disappears.
+fn follow_freeze(roles: &RolesSite, controller: &ControllerThread, frozen: &mut bool) {
     let now = is_frozen(roles);
     if std::mem::replace(frozen, now) != now {
-        work.handle.send(Command::Message(MachineId(0), Arc::new(Freeze(now))));
+        controller.handle.send(Command::Message(MachineId(0), Arc::new(Freeze(now))));
         tracing::info!(frozen = now, "changes are {}", if now { "frozen" } else { "allowed" });
     }
 }
 
+/// Applies changes until a signal, and writes the list of engines.
 fn apply(daemon: &Daemon, roles: &RolesSite, mut engines: Vec<EngineSettings>) -> Outcome {
     logs::start(daemon.log_format, &daemon.log_level);
     let signals = Signals::watch()?;
-    let work = AtWork::start(roles, &engines, false, |_, line| tracing::info!("{line}"))?;
+    let controller = ControllerThread::start(roles, &engines, false, |_, line| tracing::info!("{line}"))?;
     tracing::info!(engines = engines.len(), routers = roles.routers.len(), "conducting");
-    let (mut frozen, mut unwritten, mut failed) = (is_frozen(roles), false, false);
-    let mut last =
+    let (mut frozen, mut is_unwritten, mut write_failed) = (is_frozen(roles), false, false);
+    let mut last_text =
         roles.list.as_ref().and_then(|list| std::fs::read_to_string(list).ok()).unwrap_or_default();
-    while !signals.stop_requested() && !work.thread.is_finished() {
-        std::thread::sleep(LOOK);
-        follow_freeze(roles, &work, &mut frozen);
+    while !signals.stop_requested() && !controller.thread.is_finished() {
+        std::thread::sleep(POLL_INTERVAL);
+        follow_freeze(roles, &controller, &mut frozen);
         if let Some(list) = &roles.list {
-            // Somebody else has changed the list: engines that came or went are theirs to say.
-            let now = std::fs::read_to_string(list).ok().filter(|now| *now != last);
+            // Another program has changed the list: it decides which engines there are.
+            let now = std::fs::read_to_string(list).ok().filter(|now| *now != last_text);
             if let Some((now, others)) = now.and_then(|now| engines_from_slices(&now).ok().map(|e| (now, e)))
             {
                 tracing::info!(engines = others.len(), "the list of engines has changed");
-                work.handle.send(Command::Message(MachineId(0), Arc::new(watched(&others))));
-                (engines, last) = (others, now);
+                controller.handle.send(Command::Message(MachineId(0), Arc::new(watched_engines(&others))));
+                (engines, last_text) = (others, now);
             }
         }
-        unwritten |= follow_roles(&mut engines, &work.seen());
-        let Some(list) = roles.list.as_ref().filter(|_| unwritten) else { continue };
+        is_unwritten |= follow_roles(&mut engines, &controller.seen());
+        let Some(list) = roles.list.as_ref().filter(|_| is_unwritten) else { continue };
         let text = engines_to_slices(&engines);
-        match write_whole(list, &text) {
+        match write_atomically(list, &text) {
             Ok(()) => {
-                (last, unwritten, failed) = (text, false, false);
+                (last_text, is_unwritten, write_failed) = (text, false, false);
                 tracing::info!(list = %list.display(), "the list of engines was written");
             }
-            // Tried again at the next look, and said once.
-            Err(why) if !std::mem::replace(&mut failed, true) => {
+            // Tried again at the next poll, and logged once.
+            Err(why) if !std::mem::replace(&mut write_failed, true) => {
                 tracing::error!(list = %list.display(), %why, "the list can't be written; routers go by the old one");
             }
             Err(_) => {}
         }
     }
-    let OrderCounts { accepted, rejected } = work.stop()?;
+    let OrderCounts { accepted, rejected } = controller.stop()?;
     tracing::info!(
         taken = accepted,
         turned = rejected,
-        "stopped; engines end the changes that they were told of by themselves"
+        "stopped; engines complete the changes that they have accepted by themselves"
     );
     Ok(())
 }
 
-/// Takes over what engines tell of their roles. Whether the list has changed. Who does not answer stays as it
-/// was.
+/// Updates the list with the roles that engines report; returns whether it has changed. Engines that don't
+/// answer keep their entry.
 fn follow_roles(engines: &mut [EngineSettings], seen: &[EngineView]) -> bool {
     let mut changed = false;
     for e in engines.iter_mut() {
@@ -309,16 +327,16 @@
     changed
 }
 
-/// Writes a file so that whoever reads it finds the old text or the new one, whole.
-fn write_whole(file: &Path, text: &str) -> std::io::Result<()> {
+/// Replaces a file atomically: a reader sees either the whole old text or the whole new one.
+fn write_atomically(file: &Path, text: &str) -> std::io::Result<()> {
     use std::io::Write;
     let mut name = file.file_name().unwrap_or_default().to_owned();
     name.push(format!(".{}", std::process::id()));
-    let beside = file.with_file_name(name);
-    let mut out = std::fs::File::create(&beside)?;
+    let temporary_file = file.with_file_name(name);
+    let mut out = std::fs::File::create(&temporary_file)?;
     out.write_all(text.as_bytes())?;
     out.sync_all()?;
-    std::fs::rename(&beside, file)
+    std::fs::rename(&temporary_file, file)
 }
 
 #[cfg(test)]
--- a/crates/cli/src/roles/tests.rs
+++ b/crates/cli/src/roles/tests.rs
@@ -26,27 +26,27 @@
 }
 
 #[test]
-fn the_list_follows_what_engines_tell_and_keeps_who_is_silent() {
+fn the_list_follows_reported_roles_and_keeps_engines_that_do_not_answer() {
     use slipreel::Role::{Decode, Prefill};
     let mut list = vec![engine(1), engine(2), engine(3)];
     assert!(!follow_roles(&mut list, &[view(1, Prefill, Phase::Warming)]));
-    let told = [view(1, Prefill, Phase::Changing(Decode)), view(2, Decode, Phase::Serving)];
-    assert!(follow_roles(&mut list, &told));
+    let reported = [view(1, Prefill, Phase::Changing(Decode)), view(2, Decode, Phase::Serving)];
+    assert!(follow_roles(&mut list, &reported));
     let now: Vec<_> = list.iter().map(|e| (e.role, e.state)).collect();
     let expected =
         [(Prefill, EngineState::Draining), (Decode, EngineState::Ready), (Prefill, EngineState::Ready)];
     assert_eq!(now, expected);
-    assert!(!follow_roles(&mut list, &told), "nothing new");
+    assert!(!follow_roles(&mut list, &reported), "nothing has changed");
 }
 
 #[test]
-fn a_list_is_replaced_whole() {
+fn a_list_is_replaced_atomically() {
     let folder = std::env::temp_dir().join(format!("slipreel-roles-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
     let file = folder.join("engines.json");
-    write_whole(&file, "one").expect("written");
-    write_whole(&file, "two").expect("written");
+    write_atomically(&file, "one").expect("written");
+    write_atomically(&file, "two").expect("written");
     assert_eq!(std::fs::read_to_string(&file).expect("read"), "two");
-    assert_eq!(std::fs::read_dir(&folder).expect("a folder").count(), 1, "nothing is left beside it");
+    assert_eq!(std::fs::read_dir(&folder).expect("a folder").count(), 1, "no temporary file is left");
     std::fs::remove_dir_all(&folder).expect("removed");
 }
