--- a/crates/cli/tests/alone.rs
+++ b/crates/cli/tests/alone.rs
@@ -7,6 +7,11 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
+/// The longest time in which the threads of a process have to settle after it listens.
+const SETTLE_TIMEOUT: Duration = Duration::from_secs(10);
+/// Threads count as settled once they are unchanged for this time.
+const SETTLE_TIME: Duration = Duration::from_millis(300);
+
 /// A process that is killed when the value is dropped.
 struct Process(Child);
 
@@ -68,6 +73,27 @@
     }
 }
 
+/// Reads the resources of a process once its threads have settled. A process listens before all of its
+/// threads run, a thread has the program's name until it sets its own, and some threads end at once: a list
+/// that is read too early shows unnamed, missing or extra threads on a busy machine.
+fn settled_resources(process: &Process) -> Resources {
+    let deadline = Instant::now() + SETTLE_TIMEOUT;
+    let mut unchanged_since = Instant::now();
+    let mut current = resources(process);
+    loop {
+        let unnamed = current.threads.iter().filter(|name| *name == "slipreel").count();
+        if unnamed == 1 && unchanged_since.elapsed() >= SETTLE_TIME {
+            return current;
+        }
+        assert!(Instant::now() < deadline, "its threads do not settle: {current:?}");
+        std::thread::sleep(Duration::from_millis(20));
+        let previous = std::mem::replace(&mut current, resources(process));
+        if previous.threads != current.threads {
+            unchanged_since = Instant::now();
+        }
+    }
+}
+
 fn serve(folder: &Path, name: &str, [listen, operators]: [SocketAddr; 2], fleet: &str) -> Process {
     let sample = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/slipreel.ini");
     let sample = std::fs::read_to_string(sample).expect("the sample");
@@ -98,13 +124,13 @@
     // With the section all of it exists, so that the checks below are able to fail.
     let section = format!("\n[fleet]\nfleet = test\nlisten = {}\n", ports[2]);
     let member = serve(&folder, "member", [ports[0], ports[1]], &section);
-    let with = resources(&member);
+    let with = settled_resources(&member);
     assert_eq!(fleet_status_code(ports[1]), "200");
     assert!(with.threads.iter().any(|t| t == "fleet") && with.datagrams == 1, "{with:?}");
     drop(member);
 
     let alone = serve(&folder, "alone", [ports[3], ports[4]], "");
-    let without = resources(&alone);
+    let without = settled_resources(&alone);
     assert_eq!(fleet_status_code(ports[4]), "404");
     assert_eq!((without.datagrams, without.listens + 1), (0, with.listens), "{without:?} {with:?}");
     assert_eq!(without.threads.len() + 1, with.threads.len(), "{without:?} {with:?}");
@@ -125,7 +151,7 @@
     std::fs::write(&file, config).expect("a file");
     let mut command = Command::new(env!("CARGO_BIN_EXE_slipreel"));
     let node = start(command.arg("node").env("LB_CONFIG", &file), ports[5]);
-    let node_resources = resources(&node);
+    let node_resources = settled_resources(&node);
     assert_eq!((node_resources.datagrams, node_resources.listens), (0, 1), "{node_resources:?}");
     assert_eq!(node_resources.threads, ["signals", "slipreel"]);
     drop(node);
