--- a/crates/cli/tests/policy.rs
+++ b/crates/cli/tests/policy.rs
@@ -88,9 +88,12 @@
     let mut routers = start_three_routers();
     let ports: Vec<String> = (0..3).map(|r| address(r, 9180)).collect();
     let deadline = Instant::now() + Duration::from_secs(20);
-    while !text(&policy(&["status", "--json", "--at", &ports[2]])).contains("\"serving\":true") {
-        assert!(Instant::now() < deadline, "no policy: {}", text(&policy(&["status", "--at", &ports[2]])));
-        std::thread::sleep(Duration::from_millis(50));
+    // Each router learns of the first policy at a time of its own, and each is asked below.
+    for port in &ports {
+        while !text(&policy(&["status", "--json", "--at", port])).contains("\"serving\":true") {
+            assert!(Instant::now() < deadline, "no policy: {}", text(&policy(&["status", "--at", port])));
+            std::thread::sleep(Duration::from_millis(50));
+        }
     }
     let shown = text(&policy(&["show", "--at", &ports[0]]));
     assert!(shown.contains("aim = 1s") && !shown.contains("sk-secret"), "{shown}");
