--- a/crates/connections/src/pool.rs
+++ b/crates/connections/src/pool.rs
@@ -39,7 +39,7 @@
     idle: Vec<(ConnId, Duration)>,
     /// Connections that are open or being opened.
     open: usize,
-    /// How many prefilled states the engine may hold.
+    /// How many prefilled states the engine possibly holds now.
     held_states: usize,
 }
 
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Records that an engine may hold one more prefilled state.
+    /// Records that an engine possibly holds one more prefilled state.
     pub fn state_held(&mut self, engine: EngineId) {
         self.engines.entry(engine).or_default().held_states += 1;
     }
--- a/crates/connections/src/releases.rs
+++ b/crates/connections/src/releases.rs
@@ -82,7 +82,7 @@
 #[derive(Debug, Default)]
 struct Holder {
     releases: BTreeSet<ReleaseId>,
-    /// When a connection was last opened for them.
+    /// When a connection was last opened to send these releases.
     opened: Option<Duration>,
 }
 
--- a/crates/consensus/src/consensus.rs
+++ b/crates/consensus/src/consensus.rs
@@ -260,7 +260,7 @@
     }
 
     fn receive_bytes(&mut self, now: Duration, conn: ConnId, bytes: &[u8], out: &mut Vec<Output>) {
-        if !self.transport.receive(now, conn, bytes) {
+        if !self.transport.buffer_received(now, conn, bytes) {
             return;
         }
         while let Some(frame) = self.transport.next_frame(now, conn, bytes.len(), out) {
--- a/crates/consensus/src/leadership.rs
+++ b/crates/consensus/src/leadership.rs
@@ -51,8 +51,8 @@
         has_prepared(&self.request, id) && self.last_long_grant_nonce < self.request.short_leases_since
     }
 
-    /// The lease that it may be granted. While a change is pending, no long lease is granted, and a short one
-    /// only to a router that has prepared the change.
+    /// The duration of the lease that this router may be granted; zero: none. While a change is pending, no
+    /// long lease is granted, and a short one only to a router that has prepared the change.
     fn permitted_lease(&self, pending: Option<&Proposal>) -> Duration {
         match pending {
             None => timing::LEASE,
--- a/crates/consensus/src/lease_holder.rs
+++ b/crates/consensus/src/lease_holder.rs
@@ -330,8 +330,8 @@
         self.next_request_at = now;
     }
 
-    /// Extends the lease, counted from the time at which the request was sent. Grants from before a prepared
-    /// change shortened the lease are ignored.
+    /// Extends the lease, counted from the time at which the request was sent. While a compiled change is
+    /// prepared, only grants for requests that reported it count: an earlier one may be for a long lease.
     fn extend_lease(&mut self, now: Duration, nonce: u64, lease_ms: u32, effect: GrantEffect) {
         let open = self.open_requests.iter().find(|open| open.nonce == nonce);
         let Some(sent_at) = open.map(|open| open.sent_at) else { return };
--- a/crates/consensus/src/storage.rs
+++ b/crates/consensus/src/storage.rs
@@ -171,7 +171,7 @@
 pub struct StoredState {
     /// The id of the disk; `None`: the file is empty.
     pub disk: Option<u64>,
-    /// The last configuration in the file, with the state in it.
+    /// The last configuration in the file, and what the voter stored in it; `None`: there is none.
     pub configuration: Option<StoredConfiguration>,
     /// Bytes of the file up to the end of its last complete frame.
     pub valid_len: usize,
@@ -183,7 +183,7 @@
     /// The file can't be read.
     #[error("byte 0: {0}")]
     Unreadable(#[source] std::io::Error),
-    /// Its content is rejected.
+    /// The content of the file is rejected.
     #[error(transparent)]
     Log(#[from] LogError),
 }
--- a/crates/consensus/src/transport.rs
+++ b/crates/consensus/src/transport.rs
@@ -120,7 +120,7 @@
     }
 
     /// Buffers the bytes that a connection has received. Returns false if it is not a connection from a peer.
-    pub(crate) fn receive(&mut self, now: Duration, conn: ConnId, bytes: &[u8]) -> bool {
+    pub(crate) fn buffer_received(&mut self, now: Duration, conn: ConnId, bytes: &[u8]) -> bool {
         let Some(inbound) = self.inbound.get_mut(&conn) else { return false };
         inbound.last_received = now;
         inbound.buffer.extend(bytes);
--- a/crates/event-loop/src/event_loop/listeners.rs
+++ b/crates/event-loop/src/event_loop/listeners.rs
@@ -39,6 +39,7 @@
 enum AddressUse {
     /// The system spreads connections over all listeners of the address.
     Shared,
+    /// No other listener may use the address.
     Exclusive,
 }
 
@@ -107,6 +108,7 @@
         self.listen_with(machine_id, addr, AddressUse::Exclusive)
     }
 
+    /// Listens for a machine at an address, alone or together with other listeners.
     fn listen_with(
         &mut self, machine_id: MachineId, address: SocketAddr, address_use: AddressUse,
     ) -> Result<SocketAddr, AddressError> {
--- a/crates/gateway/src/engine_connections.rs
+++ b/crates/gateway/src/engine_connections.rs
@@ -93,12 +93,12 @@
         self.pool.put_idle(engine, conn, max_idle, now)
     }
 
-    /// Counts one more state that an engine may hold.
+    /// Counts one more state that an engine possibly holds.
     pub(crate) fn state_held(&mut self, engine: EngineId) {
         self.pool.state_held(engine);
     }
 
-    /// Counts one state less that an engine may hold; does nothing for `None`.
+    /// Subtracts one from the states that an engine possibly holds; does nothing for `None`.
     pub(crate) fn state_released(&mut self, engine: Option<EngineId>) {
         self.pool.state_released(engine);
     }
--- a/crates/invariants/src/policy.rs
+++ b/crates/invariants/src/policy.rs
@@ -142,8 +142,8 @@
     requests
 }
 
-/// The time at which a request was first accepted under each epoch.
-fn first_accepted(requests: &BTreeMap<ClientAttempt, RequestState>) -> BTreeMap<u64, Duration> {
+/// By epoch: the time at which the first request was accepted under it.
+fn first_accepted_by_epoch(requests: &BTreeMap<ClientAttempt, RequestState>) -> BTreeMap<u64, Duration> {
     let mut firsts: BTreeMap<u64, Duration> = BTreeMap::new();
     for (_, at, epoch) in requests.values().filter_map(|r| r.accepted.as_ref()) {
         let first = firsts.entry(*epoch).or_insert(*at);
@@ -153,7 +153,7 @@
 }
 
 fn check_overlap(requests: &BTreeMap<ClientAttempt, RequestState>, overlap: Duration, verdict: &mut Verdict) {
-    let firsts = first_accepted(requests);
+    let firsts = first_accepted_by_epoch(requests);
     for (attempt, request) in requests {
         let Some((router, at, epoch)) = &request.accepted else { continue };
         let newer = firsts.range(epoch + 1..).map(|(f, first)| (*first, *f)).min();
--- a/crates/invariants/src/terms.rs
+++ b/crates/invariants/src/terms.rs
@@ -12,7 +12,7 @@
 use std::fmt;
 use std::time::Duration;
 
-/// An observation by a test server or a test client.
+/// An observation by a test server or a test client. A `request` is the id that the client gave the request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Seen {
     /// The discovery service lists an engine as closed to new work (`true`) or as open from now on.
@@ -278,13 +278,14 @@
     Told,
     /// Routers request the list in time once the discovery service can be reached again.
     Asked,
-    /// No attempt arrives for a client that has left.
+    /// No attempt reaches an engine long after its client has left ([`Terms::client_left_delay`]).
     Gone,
     /// Attempts tell engines no more time than the client still waits.
     Deadline,
     /// No connection is closed without an answer to a request that was read.
     ClosedUnanswered,
-    /// Requests whose clients left while they waited are dropped and not sent to an engine.
+    /// Requests whose clients left while they waited for their first attempt are dropped rather than sent to
+    /// an engine, but for [`Terms::waiting_left_part`] of them.
     SentOn,
     /// Events are forwarded as they arrive.
     Passed,
--- a/crates/platform/src/request.rs
+++ b/crates/platform/src/request.rs
@@ -262,9 +262,9 @@
         holding.map(|attempt| attempt.engine).chain(self.withdrawn_holder).collect()
     }
 
-    /// Attempts after whose end state may still appear: they were cancelled or interrupted. Until the engine
-    /// has seen that, a prefill may still leave its state there, and a decode that waits for state may
-    /// prevent its release. A prefill whose answer could not be parsed was cancelled as well.
+    /// The attempts that were cancelled or interrupted, which their engines may not have noticed yet. Until
+    /// then a prefill may still leave state at its engine, and a decode that waits for state may prevent the
+    /// release of that state. A prefill whose answer could not be parsed was cancelled as well.
     pub(crate) fn unconfirmed_attempts(&self) -> Vec<UnconfirmedAttempt> {
         let is_unconfirmed = |attempt: &&Attempt| match attempt.outcome {
             Some(Outcome::Reset | Outcome::TimedOut | Outcome::Cancelled) => true,
--- a/crates/platform/src/response.rs
+++ b/crates/platform/src/response.rs
@@ -221,7 +221,7 @@
                 buffered.extend_from_slice(piece);
                 let mut complete = Vec::new();
                 let result = take_blocks(buffered, layout, &mut self.reports, &mut complete);
-                push_events(complete, events);
+                push_unless_empty(complete, events);
                 result?;
                 if buffered.len() > MAX_EVENT_BYTES {
                     return Err(ResponseError::EventTooLarge);
@@ -244,7 +244,7 @@
                 }
                 let mut complete = Vec::new();
                 take_block(&buffered, layout, &mut self.reports, &mut complete);
-                push_events(complete, events);
+                push_unless_empty(complete, events);
                 events.push(ResponseEvent::End(self.reports.latest));
             }
         }
@@ -262,7 +262,7 @@
     block.split(|&byte| byte == b'\n').map(|line| line.strip_suffix(b"\r").unwrap_or(line))
 }
 
-fn push_events(complete: Vec<u8>, events: &mut Vec<ResponseEvent>) {
+fn push_unless_empty(complete: Vec<u8>, events: &mut Vec<ResponseEvent>) {
     if !complete.is_empty() {
         events.push(ResponseEvent::Events(complete));
     }
--- a/crates/protocol/src/engine.rs
+++ b/crates/protocol/src/engine.rs
@@ -52,6 +52,7 @@
     prompt_tokens_details: Option<Details>,
 }
 
+/// What an engine reports of the prompt tokens besides their number.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq)]
 struct Details {
     #[serde(default)]
--- a/crates/protocol/src/messages/error.rs
+++ b/crates/protocol/src/messages/error.rs
@@ -60,7 +60,7 @@
         }
     }
 
-    /// The type for a status that HTTP prescribes.
+    /// The type of an error of which only the HTTP status is known, as from an engine or the HTTP decoder.
     pub fn of_status(status: u16) -> Self {
         match status {
             401 => ErrorKind::Authentication,
--- a/crates/test-servers/src/platform/client.rs
+++ b/crates/test-servers/src/platform/client.rs
@@ -68,7 +68,7 @@
 
 /// How long a client waits for an answer to begin.
 const DEADLINE: Duration = Duration::from_millis(3_000);
-/// How long a client waits for the rest of a stream that has begun: the time of the stream and what the
+/// Added to the deadline of an answer once its stream has begun: the duration of the stream and what the
 /// protocol adds.
 const STREAM_TIME: Duration = Duration::from_millis(9_000);
 
--- a/crates/test-servers/src/platform/mod.rs
+++ b/crates/test-servers/src/platform/mod.rs
@@ -41,7 +41,7 @@
     pub attempts_at: BTreeMap<String, usize>,
     /// Requests whose decode has begun.
     pub decoded: BTreeSet<String>,
-    /// Violations that were observed.
+    /// What engines saw that must not happen, as texts: requests decoded twice, and ones that can't be read.
     pub broken: Vec<String>,
     /// By request: its work, as a multiple of the mean work of a request.
     pub work: BTreeMap<String, f64>,
--- a/src/decisions/attempts.rs
+++ b/src/decisions/attempts.rs
@@ -106,12 +106,12 @@
         self.engine_index.mark_changed(engine);
         let prompt = active.request.prompt_tokens;
         let is_prefill = record.role == Role::Prefill;
-        let tokens = if is_prefill { prompt } else { prompt + active.request.max_output_tokens };
+        let work_tokens = if is_prefill { prompt } else { prompt + active.request.max_output_tokens };
         let (sent_at, state_to_fetch) = (now, active.held.take());
         active.attempts.push(Attempt {
             engine,
             sent_at,
-            tokens,
+            work_tokens,
             is_prefill,
             in_flight: true,
             first_token_latency: None,
@@ -126,7 +126,7 @@
             });
         }
         let attempt = active.attempts.len() - 1;
-        record.tokens_in_flight += tokens;
+        record.tokens_in_flight += work_tokens;
         (record.in_flight, record.attempts_waiting) = (record.in_flight + 1.0, record.attempts_waiting + 1.0);
         record.tokens_sent_since_report += prompt;
         let (role, own_pace) = (record.role, record.pace);
--- a/src/decisions/eligibility.rs
+++ b/src/decisions/eligibility.rs
@@ -29,7 +29,7 @@
         let mut excluded = self.outside_deduplication_scope(active, &candidates);
         let maybe_unusable = self.maybe_unusable_positions(active, &candidates, &excluded);
         let total = candidates.len() - excluded.len();
-        let (usable, unusable) = self.partition_usable(now, active, &candidates, total, maybe_unusable);
+        let (usable, unusable) = self.split_by_usability(now, active, &candidates, total, maybe_unusable);
         excluded.extend(unusable);
         let class = active.request.class.0;
         let passed_over = |position: &u32| {
@@ -83,14 +83,14 @@
         maybe_unusable
     }
 
-    /// Splits the engines in question, among `total` engines, into usable and unusable ones. Ejected engines
-    /// are unusable, except below the panic threshold, where slow connections are more likely than dead
-    /// engines.
+    /// Splits the engines that may be unusable, out of `total` engines, into usable and unusable ones.
+    /// Ejected engines are unusable, except below the panic threshold, where slow connections are more likely
+    /// than dead engines.
     ///
     /// A warming engine takes a sample of the requests that would come to it, as even one prompt from each of
     /// hundreds of routers is too much. The sample is smaller where few engines are available, as each of
     /// them would get more requests.
-    fn partition_usable(
+    fn split_by_usability(
         &self, now: Duration, active: &ActiveRequest, candidates: &CandidateIndex, total: usize,
         maybe_unusable: Vec<u32>,
     ) -> (Vec<u32>, Vec<u32>) {
--- a/src/decisions/requests.rs
+++ b/src/decisions/requests.rs
@@ -35,8 +35,8 @@
 pub(super) struct Attempt {
     pub(super) engine: EngineId,
     pub(super) sent_at: Duration,
-    /// Its work: the prompt and, unless it is a prefill, the maximum length of the answer.
-    pub(super) tokens: f64,
+    /// Its work in tokens: the prompt and, unless it is a prefill, the maximum length of the answer.
+    pub(super) work_tokens: f64,
     pub(super) is_prefill: bool,
     pub(super) in_flight: bool,
     /// Time from its send to the first token; `None` before that.
--- a/src/decisions/retries.rs
+++ b/src/decisions/retries.rs
@@ -106,7 +106,7 @@
         let has_room = saturation.is_some_and(|load| rejection_probability(load, true) < 1.0);
         let pause_factor = self.settings.router_count.clamp(1, 1 << MAX_EJECTION_DOUBLINGS);
         let Some(record) = self.engines.get_mut(&engine) else { return Role::Prefill };
-        record.tokens_in_flight = (record.tokens_in_flight - closed.attempt.tokens).max(0.0);
+        record.tokens_in_flight = (record.tokens_in_flight - closed.attempt.work_tokens).max(0.0);
         record.in_flight -= 1.0;
         record.passed_over_until.resize(self.settings.classes.len(), Duration::ZERO);
         match outcome {
--- a/src/engine_index/mod.rs
+++ b/src/engine_index/mod.rs
@@ -243,9 +243,10 @@
         self.ready[role]
     }
 
-    /// For the engines of a role whose terms the index holds: the sum of their saturations, at these weights
-    /// of the two kinds of counts, and how many there are. Also the engines whose saturation has to be
-    /// computed one by one.
+    /// The saturation of the engines of a role, in three parts: the sum over all engines whose term the index
+    /// can sum up, at these weights of the two kinds of counts; the number of these engines; and the engines
+    /// whose term is [`SaturationTerm::Varying`], to be computed one by one. Engines of unknown saturation
+    /// are in none of the parts.
     pub(crate) fn saturation_sums(
         &self, role: usize, weights: [f64; 2],
     ) -> (f64, usize, &BTreeSet<EngineId>) {
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -8,8 +8,8 @@
 pub enum Idempotency {
     /// May run any number of times.
     Idempotent,
-    /// Each request has an idempotency key: the engines of `scope` drop duplicates for `window` after the
-    /// first attempt that may have run.
+    /// Each request has an idempotency key: the engines of `scope` drop duplicates for `window`, which the
+    /// router counts from when it sent the first attempt that may have run.
     WithKey {
         /// The engines among which duplicates are recognised.
         scope: DeduplicationScope,
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -144,7 +144,7 @@
     }
 }
 
-/// The engine of the first attempt that is sent.
+/// The engine of the first [`Action::Send`] among the actions; `None` if there is none.
 pub fn send_target(actions: &[Action]) -> Option<u64> {
     actions.iter().find_map(|a| match a {
         Action::Send { engine, .. } => Some(engine.0),
--- a/tests/placement.rs
+++ b/tests/placement.rs
@@ -87,7 +87,8 @@
 }
 
 /// Guards against taking an engine that prefills a long prompt for idle: a prompt of 40,000 tokens takes
-/// seconds and is in no queue meanwhile. As 0.13 of the memory it counted as 1,700 tokens.
+/// seconds and is in no queue meanwhile. When it counted only by its share of the memory, 0.13, it counted as
+/// 1,700 waiting tokens.
 #[test]
 fn the_load_of_a_prefill_engine_includes_the_prompts_in_its_memory() {
     let report = |queued, memory| LoadReport {
