--- a/crates/adapter/src/wire/decode.rs
+++ b/crates/adapter/src/wire/decode.rs
@@ -25,7 +25,7 @@
 
 /// The flag of a request that its client has sent before.
 const IS_RETRY: u8 = 2;
-/// The flag of a request for the rest of a stream.
+/// The flag of a request for the rest of an interrupted stream.
 const IS_RESUMPTION: u8 = 16;
 
 /// A router's number on the wire.
@@ -241,7 +241,8 @@
     Ok(Event::ReservationAnswered { request, engine, granted })
 }
 
-/// The outcome for a status code; `note` qualifies some of them. `None` if the status is unknown.
+/// The outcome for a status code; `None` if the status is unknown. For a rejection, a `note` of 1 says that
+/// the prefill state was missing; for other outcomes `note` has no effect here.
 pub(super) fn outcome_of(status: u16, note: u32) -> Option<Outcome> {
     Some(match status {
         0 => Outcome::Error,
--- a/crates/cli/src/ground.rs
+++ b/crates/cli/src/ground.rs
@@ -37,8 +37,8 @@
 
 /// How often signals are polled.
 const SIGNAL_POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// Most violated invariants and promises that are printed for a run.
-const MAX_PRINTED_BREAKS: usize = 10;
+/// The maximum number of violated invariants, and of broken promises, that are printed for a run.
+const MAX_PRINTED_VIOLATIONS: usize = 10;
 
 /// The value below which this share of the ascending times lies, milliseconds; 0 if there is none.
 fn quantile_ms(sorted: &[Duration], share: f64) -> u128 {
@@ -83,7 +83,7 @@
         );
     }
     verdict.failures.iter().for_each(|wrong| println!("  wrong: {wrong}"));
-    for rule_break in played.violations.iter().take(MAX_PRINTED_BREAKS) {
+    for rule_break in played.violations.iter().take(MAX_PRINTED_VIOLATIONS) {
         println!("  rule broken: {}, at {:?}: {}", rule_break.rule, rule_break.at, rule_break.description);
     }
 }
@@ -106,7 +106,7 @@
         policy.verdict.uncertain
     );
     policy.failures.iter().for_each(|wrong| println!("  wrong: {wrong}"));
-    for broken in policy.verdict.broken.iter().take(MAX_PRINTED_BREAKS) {
+    for broken in policy.verdict.broken.iter().take(MAX_PRINTED_VIOLATIONS) {
         println!("  promise broken: {:?}, at {:?}: {}", broken.promise, broken.at, broken.description);
     }
 }
--- a/crates/cli/src/losses.rs
+++ b/crates/cli/src/losses.rs
@@ -149,6 +149,7 @@
     Ok(files)
 }
 
+/// Reads the logs, sums their counters over all runs, and prints the sums.
 pub(crate) fn run(args: &Args) -> Outcome {
     let mut summary = LogSummary::default();
     for path in &args.paths {
--- a/crates/cli/src/model.rs
+++ b/crates/cli/src/model.rs
@@ -29,7 +29,7 @@
     day.seed = args.seed.unwrap_or(day.seed);
     let start_time = Instant::now();
     let figures = emulate(&day);
-    print_scale(&day);
+    print_size(&day);
     print_models(&figures);
     print_totals(&figures, start_time.elapsed());
     for (at, reason) in figures.role_changes.iter().filter(|_| args.verbose) {
@@ -42,7 +42,7 @@
 }
 
 /// Prints the size of the scenario.
-fn print_scale(day: &Scenario) {
+fn print_size(day: &Scenario) {
     println!(
         "{} engines, {} routers, {} requests in {:.0} s, in the model (no front, no connections)",
         day.engines.len(),
--- a/crates/emulator/src/emulation.rs
+++ b/crates/emulator/src/emulation.rs
@@ -442,8 +442,8 @@
 
     // ---- Routers ------------------------------------------------------------------------------
 
-    /// Applies new settings to all routers at the same moment. The settings are unchanged, so that results
-    /// can differ only by what the modules have learnt.
+    /// Replaces the decision modules of all routers at the same moment, as for new settings. The settings stay
+    /// the same, so that results can differ only by what the modules have learnt.
     fn change_settings(&mut self, change: SettingsChange) {
         for router in 0..self.routers.len() {
             let router_settings = self.scenario.router_settings(router, &[]);
--- a/crates/emulator/src/engine.rs
+++ b/crates/emulator/src/engine.rs
@@ -49,7 +49,7 @@
 /// there.
 pub(crate) type StateFetch = (u64, (usize, u64));
 
-/// An engine without I/O.
+/// An engine of the emulated fleet. It has no I/O; the emulation passes it requests and the time.
 pub(crate) struct Engine {
     pub(crate) spec: EngineSpec,
     pub(crate) id: EngineId,
@@ -65,6 +65,7 @@
 }
 
 impl Engine {
+    /// An idle engine in the role of its spec, started at `started`; `epoch` is the epoch of that role.
     pub(crate) fn new(spec: EngineSpec, id: EngineId, started: Duration, epoch: u64) -> Self {
         Engine {
             role: RoleRecord::started(spec.role.into(), epoch, started),
--- a/crates/emulator/src/roles.rs
+++ b/crates/emulator/src/roles.rs
@@ -13,11 +13,13 @@
 use std::fmt::Write as _;
 use std::time::Duration;
 
-/// Demand of a class and the work that it caused, as in the metrics that routers publish.
+/// The requests of a class and the work that engines did for them, counted as in the metrics that routers
+/// publish.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct ClassCounts {
     pub(crate) requests: u64,
     pub(crate) prefills: u64,
+    /// Without those that came from an engine's cache.
     pub(crate) prefill_tokens: u64,
     pub(crate) answers: u64,
     pub(crate) answer_tokens: u64,
@@ -40,7 +42,8 @@
         let spec = |role| scenario.engines.iter().map(|e| &e.spec).find(|s| s.role == role);
         let (prefill_spec, decode_spec) = (spec(SpecRole::Prefill)?, spec(SpecRole::Decode)?);
         let limits = PlannerLimits {
-            // In a fleet of hundreds of engines, more than two may change at a time.
+            // A twentieth of the engines, but at least two: in a fleet of hundreds of engines, more than two
+            // may change at a time.
             max_concurrent_changes: (scenario.engines.len() / 20).max(2),
             min_prefill_per_cell: 1,
             min_decode_per_cell: 1,
--- a/crates/fault-injection/src/history.rs
+++ b/crates/fault-injection/src/history.rs
@@ -12,7 +12,7 @@
 /// The view of the fleet that a router reports.
 #[derive(Clone, Debug, Default, PartialEq, Eq, serde::Serialize)]
 pub struct ReportedView {
-    /// The status of the router itself.
+    /// The status of the reporting router as a member of the fleet, by its own view.
     #[serde(rename = "standing")]
     pub status: String,
     /// Whether the router calls its view settled.
--- a/crates/fault-injection/src/router_config.rs
+++ b/crates/fault-injection/src/router_config.rs
@@ -9,11 +9,17 @@
 
 /// The addresses and paths in a router's settings file that do not come from the script.
 pub(crate) struct RouterConfig<'a> {
+    /// Where it listens for clients.
     pub(crate) clients: SocketAddr,
+    /// Where it listens for operators.
     pub(crate) operators: SocketAddr,
+    /// Where it listens for other routers.
     pub(crate) fleet: SocketAddr,
     pub(crate) seeds: Vec<SocketAddr>,
+    /// The folder of the state that outlives the process.
     pub(crate) folder: &'a Path,
+    /// The file with the address at which it reaches each other router, by that router's name. `None` in virtual
+    /// time, where the addresses are passed without a file, and for a process that uses no relays.
     pub(crate) address_table: Option<&'a Path>,
     pub(crate) engines: &'a [SocketAddr],
 }
--- a/crates/fault-injection/src/virtual_time.rs
+++ b/crates/fault-injection/src/virtual_time.rs
@@ -93,7 +93,7 @@
     up: bool,
     /// Whether the router's peers contain a further seed, at which nobody listens. Toggled by reloads.
     extra_seed: bool,
-    /// A second process with the router's name: its node and its view.
+    /// A second process with the router's name: its node in the world, and its view.
     duplicate: Option<(usize, Arc<SharedView>)>,
     disk: SimulatedDisk,
     policy: Arc<PolicyHandle>,
--- a/crates/platform-settings/src/classes.rs
+++ b/crates/platform-settings/src/classes.rs
@@ -29,9 +29,9 @@
 
 /// The classes, in the order of their numbers.
 pub(crate) fn read(pairs: &Pairs<'_>) -> Result<Vec<Class>, SettingFault> {
-    let per_1000_tokens = pairs.numbers(OBJECTIVE_PER_TOKENS)?;
+    let objectives_per_1000_tokens = pairs.numbers(OBJECTIVE_PER_TOKENS)?;
     let count = pairs.count("classes.count", None)?;
-    (0..count as usize).map(|index| class(pairs, index, &per_1000_tokens)).collect()
+    (0..count as usize).map(|index| class(pairs, index, &objectives_per_1000_tokens)).collect()
 }
 
 /// Checks that classes of the same name have the same idempotency, as a request gives its class by name.
@@ -56,14 +56,15 @@
     Ok(deadlines.into_iter().flatten().max())
 }
 
-/// Reads one class, by its number.
-fn class(pairs: &Pairs<'_>, index: usize, per_1000_tokens: &[f64]) -> Result<Class, SettingFault> {
+/// Reads one class, by its number. `objectives_per_1000_tokens` has the value of [`OBJECTIVE_PER_TOKENS`] for
+/// each class, in microseconds.
+fn class(pairs: &Pairs<'_>, index: usize, objectives_per_1000_tokens: &[f64]) -> Result<Class, SettingFault> {
     let key = |field: &str| format!("classes.{index}.{field}");
     let name = pairs.get(&key("name")).unwrap_or_default();
     let idempotency = idempotency(pairs, index)
         .map_err(|fault| SettingFault::OfClass { name: name.to_owned(), fault: Box::new(fault) })?;
     let latency_objective = pairs.millis(&key("target"), None)?;
-    let microseconds = per_1000_tokens.get(index).copied().unwrap_or(0.0);
+    let microseconds = objectives_per_1000_tokens.get(index).copied().unwrap_or(0.0);
     let latency_objective_per_1000_tokens = Duration::try_from_secs_f64(microseconds / 1e6)
         .map_err(|_| SettingFault::ListTimeTooLong { key: OBJECTIVE_PER_TOKENS.to_owned() })?;
     Ok(Class {
--- a/crates/platform-settings/src/error.rs
+++ b/crates/platform-settings/src/error.rs
@@ -99,7 +99,7 @@
         index: usize,
         /// The number of the other class.
         first: usize,
-        /// The name of both.
+        /// The name that both classes have.
         name: String,
     },
     /// A setting of a class cannot be used.
--- a/crates/platform-settings/src/lib.rs
+++ b/crates/platform-settings/src/lib.rs
@@ -49,7 +49,7 @@
     pub settings: Settings,
     /// What each value of a load report holds, in order.
     pub columns: Vec<Column>,
-    /// The names of those values, in the same order.
+    /// The names of the values of a load report, in the order of `columns`.
     pub column_names: Vec<String>,
     /// The names of the classes, in the order of their numbers in the decision module.
     pub classes: Vec<String>,
--- a/crates/platform-settings/src/tests.rs
+++ b/crates/platform-settings/src/tests.rs
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn ambiguous_idempotency_is_rejected() {
+fn invalid_and_ambiguous_idempotency_settings_are_rejected() {
     for (lines, expected) in [
         (
             "classes.0.name=order\nclasses.0.idempotency=Unsafe\n",
--- a/crates/roles/src/config.rs
+++ b/crates/roles/src/config.rs
@@ -33,7 +33,8 @@
     }
 }
 
-/// The costs of a role change.
+/// What a role change costs: the times in which the engine does less work or none, and the speed at which it
+/// processes again the prompt tokens that it had in its cache.
 #[derive(Clone, Copy, Debug)]
 pub struct ChangeCosts {
     /// The time until an engine has ended its work in the old role.
@@ -42,7 +43,8 @@
     pub slow_start: Duration,
     /// The share of its full speed at which an engine begins slow start.
     pub slow_start_speed: f64,
-    /// Prompt tokens that an engine processes per second.
+    /// Prompt tokens that an engine processes per second. By this speed, the cached tokens that a change loses
+    /// are converted to time.
     pub prefill_tokens_per_s: f64,
 }
 
--- a/crates/roles/src/controller.rs
+++ b/crates/roles/src/controller.rs
@@ -92,7 +92,7 @@
     pub costs: ChangeCosts,
     /// How changes are chosen.
     pub policy: PlanningPolicy,
-    /// The number of requests that keep an engine busy.
+    /// The number of requests that keep an engine fully busy, by its role.
     pub full_load_requests: FullLoadRequests,
     /// Whether changes are ordered.
     pub mode: ControllerMode,
--- a/crates/roles/src/controller/observation.rs
+++ b/crates/roles/src/controller/observation.rs
@@ -62,16 +62,16 @@
 /// The state of one engine, as observed.
 #[derive(Default)]
 pub(super) struct EngineObservation {
-    /// Its load, once it has answered in this round.
+    /// Its load, once it has answered in this round of polls.
     pub(super) load: Option<Load>,
-    /// Its role, once it has answered in this round.
+    /// Its role, once it has answered in this round of polls.
     pub(super) role: Option<ReportedRole>,
     epoch: Option<ObservedEpoch>,
     first_seen: Option<Duration>,
 }
 
 impl EngineObservation {
-    /// Drops the answers of the last round.
+    /// Drops the answers of the last round of polls.
     pub(super) fn begin_round(&mut self) {
         self.load = None;
         self.role = None;
--- a/crates/roles/src/controller/requests.rs
+++ b/crates/roles/src/controller/requests.rs
@@ -40,7 +40,7 @@
     unsent: Vec<u8>,
 }
 
-/// All requests in progress.
+/// The controller's requests to engines and routers that are in progress, by connection.
 #[derive(Default)]
 pub(super) struct Requests {
     connections: BTreeMap<ConnId, Connection>,
@@ -126,7 +126,7 @@
         answers
     }
 
-    /// Removes a connection that has ended.
+    /// Removes a connection that has ended, with the requests on it that are not answered.
     pub(super) fn remove(&mut self, conn: ConnId) {
         self.connections.remove(&conn);
     }
--- a/crates/roles/src/load_history.rs
+++ b/crates/roles/src/load_history.rs
@@ -22,7 +22,7 @@
 /// forget that of the day before.
 const MAX_PAST_IMBALANCES: usize = 8;
 
-/// The history of the load.
+/// What the planner remembers of the load on both stages: means, trend, imbalances and swings.
 #[derive(Clone, Debug, Default)]
 pub struct LoadHistory {
     mean: Option<StageLoad>,
@@ -47,7 +47,7 @@
 }
 
 impl LoadHistory {
-    /// Adds a sample.
+    /// Adds the load that was measured at `now`.
     pub fn add_sample(&mut self, now: Duration, load: StageLoad) {
         let seconds = now.saturating_sub(self.last_sample).as_secs_f64();
         self.last_sample = now;
--- a/crates/roles/src/load_history/swings.rs
+++ b/crates/roles/src/load_history/swings.rs
@@ -7,8 +7,8 @@
 /// The minimum distance of the ratio of prefill to decode from its usual value to count as skewed, as a
 /// natural logarithm: about a fifth.
 const MIN_SKEW: f64 = 0.2;
-/// The weight of a sample that covers one second in the mean that determines the skew; no unit. That mean
-/// covers about the last second and a half.
+/// The weight of a sample that covers one second in the short-term mean, by which the load is judged to be
+/// skewed or not; no unit. That mean covers about the last second and a half.
 const SHORT_TERM_WEIGHT_PER_S: f64 = 0.5;
 /// The minimum number of swings to each side for them to count as periodic.
 const MIN_SWINGS: usize = 2;
@@ -64,7 +64,9 @@
 /// How the load swings between the two sides.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Swings {
+    /// The mean load of about the last second and a half.
     short_term: Option<StageLoad>,
+    /// The stage to which the load swings at present; `None` until it was first skewed.
     skew: Option<Skew>,
     /// When the present swing began.
     since: Duration,
--- a/crates/roles/src/planner/selection.rs
+++ b/crates/roles/src/planner/selection.rs
@@ -6,7 +6,7 @@
 use crate::view::{EngineView, Phase, PlannerView};
 use slipreel::Role;
 
-/// The assumed probability that a change has to be undone, as long as no swings are known.
+/// The assumed probability that a change has to be undone, as long as imbalances are not known to recur.
 const UNDO_PROBABILITY: f64 = 0.5;
 
 impl Planner {
--- a/crates/scenario/src/machine.rs
+++ b/crates/scenario/src/machine.rs
@@ -52,11 +52,11 @@
 /// A deliberate defect of a router, which the invariant checker has to detect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RouterDefect {
-    /// The last event of its answers is lost.
+    /// The last event of each answer that it sends to a client is lost.
     LosesAnswerEnds,
     /// It ignores new engine lists.
     IgnoresEngineLists,
-    /// It never releases state that engines hold for it.
+    /// It never tells engines to release the prefill state that they hold for its requests.
     NeverReleasesState,
 }
 
--- a/crates/scenario/src/trouble.rs
+++ b/crates/scenario/src/trouble.rs
@@ -23,7 +23,7 @@
     Burst,
     /// The traffic of one tenant rises to `size` times its normal rate.
     TenantBurst,
-    /// Requests with prompts `size` times as long are added at a fiftieth of the normal rate.
+    /// Requests are added at a fiftieth of the normal rate, with prompts `size` times as long as normal.
     HeavyTail,
     /// All engines of a zone crash, and restart cold when it ends.
     ZoneLoss,
--- a/crates/settings/src/doc.rs
+++ b/crates/settings/src/doc.rs
@@ -135,7 +135,8 @@
         Fault { file: self.file.clone(), line, section: section.into(), key: key.into(), what }
     }
 
-    /// Replaces the sections of these kinds by those of another document.
+    /// Replaces the sections of these kinds by those of the same kinds in another document, and adds all faults
+    /// of that document.
     pub fn replace_sections(&mut self, kinds: &[&str], other: Doc) {
         self.sections.retain(|s| !kinds.contains(&s.kind.as_str()));
         self.sections.extend(other.sections.into_iter().filter(|s| kinds.contains(&s.kind.as_str())));
--- a/crates/settings/src/roles.rs
+++ b/crates/settings/src/roles.rs
@@ -17,9 +17,9 @@
     pub limits: PlannerLimits,
     /// The costs of a change.
     pub costs: ChangeCosts,
-    /// The tokens that an engine processes per second.
+    /// The tokens that a fully busy engine processes per second, by its role.
     pub throughput: EngineThroughput,
-    /// The number of requests that keep an engine fully busy.
+    /// The number of requests that keep an engine fully busy, by its role.
     pub full_load_requests: FullLoadRequests,
     /// The operators' addresses of all routers, whose metrics give the demand.
     pub routers: Vec<SocketAddr>,
